--- /dev/null
+++ b/decision/src/test/java/opalcove/decision/SeededTraffic.java
@@ -0,0 +1,349 @@
+package opalcove.decision;
+
+import java.nio.charset.StandardCharsets;
+import java.security.MessageDigest;
+import java.security.NoSuchAlgorithmException;
+import java.util.ArrayList;
+import java.util.HashSet;
+import java.util.HexFormat;
+import java.util.List;
+import java.util.Map;
+import java.util.PriorityQueue;
+import java.util.Set;
+import java.util.SplittableRandom;
+import java.util.TreeMap;
+
+/**
+ * Drives the decision module with a seeded sequence of events and digests every action that it takes, in order. The
+ * sequence depends on the module's actions alone: timers, outcomes and lists follow from what it asked for.
+ */
+final class SeededTraffic implements Admission.Actions {
+    /** What a run varies beside its seed. */
+    record Scenario(
+            String name,
+            int gateways,
+            double meterPeriodMs,
+            boolean unitsAreGuesses,
+            boolean secondCopies,
+            boolean mayCancel,
+            boolean mayProbe,
+            boolean listOnRequest,
+            double coldShare) {}
+
+    private static final int REQUESTS = 600;
+    private static final String[] ZONES = {"east", "west"};
+    private static final String[] KINDS = {"small", "large", "rented"};
+    private static final List<Admission.RequestClass> CLASSES = List.of(
+            requestClass("look", 2, 1000, 4000, Admission.Effect.SAFE, Admission.Reach.ALL, 0, false),
+            requestClass("mark", 3, 800, 4000, Admission.Effect.KEYED, Admission.Reach.ZONE, 1500, false),
+            requestClass("book", 4, 900, 3000, Admission.Effect.KEYED, Admission.Reach.CELL, 2000, false),
+            requestClass("note", 1, 600, 3000, Admission.Effect.KEYED, Admission.Reach.ALL, 2000, false),
+            requestClass("buy", 5, 1000, 5000, Admission.Effect.UNSAFE, Admission.Reach.ALL, 0, false),
+            requestClass("hear", 1, 500, 2000, Admission.Effect.SAFE, Admission.Reach.ALL, 0, true));
+    private static final List<Admission.Plan> PLANS = List.of(
+            new Admission.Plan("plain", 2, 6, 0, 1, 0, 1, 0, 0, 0),
+            new Admission.Plan("soft", 3, 8, 0, 1.5, 0.8, 0.3, 0, 0, 0),
+            new Admission.Plan("capped", 20, 30, 0, 1, 0, 1, 3, 12, 1),
+            new Admission.Plan("open", 0, 0, 3, 0.7, 0, 1, 0, 0, 0),
+            new Admission.Plan("free", 0, 0, 0, 0.5, 0, 0, 0, 0, 0));
+
+    private record Due(double at, long serial, Runnable event) {}
+
+    private final Scenario scenario;
+    private final SplittableRandom random;
+    private final Policy policy;
+    private final PriorityQueue<Due> due =
+            new PriorityQueue<>((a, b) -> a.at != b.at ? Double.compare(a.at, b.at) : Long.compare(a.serial, b.serial));
+    private final Map<String, Integer> counts = new TreeMap<>();
+    private final Map<String, Integer> attempts = new TreeMap<>();
+    private final Map<String, Admission.Request> requests = new TreeMap<>();
+    private final Set<String> finished = new HashSet<>();
+    private final Set<String> ended = new HashSet<>();
+    private final Set<Long> forgotten = new HashSet<>();
+    private final List<Admission.Host> hosts = new ArrayList<>();
+    private final MessageDigest digest;
+    private double now = 1000;
+    private long serial;
+    private boolean pressed;
+
+    private SeededTraffic(Scenario scenario, long seed) {
+        this.scenario = scenario;
+        random = new SplittableRandom(seed);
+        try {
+            digest = MessageDigest.getInstance("SHA-256");
+        } catch (NoSuchAlgorithmException e) {
+            throw new IllegalStateException(e);
+        }
+        policy = new Policy(now, settings(), seed * 31, this);
+    }
+
+    /** Runs a scenario; returns the number of actions by kind and a digest of all of them. */
+    static String run(Scenario scenario, long seed) {
+        SeededTraffic traffic = new SeededTraffic(scenario, seed);
+        traffic.play();
+        String hash = HexFormat.of().formatHex(traffic.digest.digest()).substring(0, 24);
+        return scenario.name + " " + seed + " " + traffic.counts + " " + hash;
+    }
+
+    private static Admission.RequestClass requestClass(
+            String name,
+            double worth,
+            double aimMs,
+            double deadlineMs,
+            Admission.Effect effect,
+            Admission.Reach reach,
+            double windowMs,
+            boolean stream) {
+        return new Admission.RequestClass(name, worth, 0, aimMs, deadlineMs, effect, reach, windowMs, stream);
+    }
+
+    private Admission.Settings settings() {
+        return new Admission.Settings(
+                0,
+                scenario.gateways,
+                "east",
+                2,
+                scenario.meterPeriodMs,
+                scenario.unitsAreGuesses,
+                CLASSES,
+                PLANS,
+                new Admission.Limits(
+                        4, scenario.secondCopies, scenario.mayCancel, scenario.mayProbe, true, 1500, 3000, false),
+                new Admission.Duties(8, scenario.coldShare, 6000, 2.5, 2000, scenario.listOnRequest, 4000),
+                new Admission.Prices(0.05, 0.03, 0.01, 0.1),
+                Admission.Reports.NONE,
+                List.of());
+    }
+
+    private void play() {
+        for (int i = 0; i < 8; i++) {
+            hosts.add(new Admission.Host(
+                    "h" + i, ZONES[i % 2], KINDS[i % 3], i / 3, Admission.State.UP, 1 + i % 3 * 0.5, 0));
+        }
+        policy.hosts(now, true, List.copyOf(hosts));
+        for (int i = 0; i < REQUESTS; i++) {
+            pressed = i > REQUESTS / 3 && i < REQUESTS / 2;
+            advance(now + random.nextDouble(pressed ? 12 : 30));
+            submit("r" + i);
+            if (i % 40 == 39) {
+                changeList();
+            }
+            if (i % 97 == 96) {
+                heldUp();
+            }
+            if (i % 25 == 24) {
+                noteRooms();
+            }
+            if (i % 60 == 59) {
+                policy.reported(
+                        now, "h" + random.nextInt(9), random.nextInt(20), random.nextInt(3), random.nextInt(400) - 20);
+            }
+        }
+        advance(now + 12_000);
+        noteRooms();
+    }
+
+    /** Lets time pass; each event that falls due is delivered at its own time. */
+    private void advance(double until) {
+        while (!due.isEmpty() && due.peek().at <= until) {
+            Due next = due.poll();
+            now = Math.max(now, next.at);
+            next.event.run();
+        }
+        now = until;
+    }
+
+    /** The gateway itself stands still: what falls due meanwhile is delivered late. */
+    private void heldUp() {
+        now += 40 + random.nextDouble(200);
+    }
+
+    private void at(double afterMs, Runnable event) {
+        due.add(new Due(now + afterMs, serial++, event));
+    }
+
+    private void submit(String id) {
+        Admission.RequestClass requestClass = CLASSES.get(random.nextInt(CLASSES.size()));
+        String plan = random.nextInt(50) == 0
+                ? "nosuch"
+                : PLANS.get(random.nextInt(PLANS.size())).name();
+        boolean later = random.nextInt(6) == 0;
+        double budget = requestClass.deadlineMs() * (later ? 0.2 + random.nextDouble(0.7) : 0.9);
+        Admission.Request request = new Admission.Request(
+                id,
+                requestClass.name(),
+                plan,
+                plan + random.nextInt(6),
+                1 + random.nextInt(5),
+                budget,
+                1 + random.nextInt(scenario.gateways),
+                later && random.nextBoolean());
+        requests.put(id, request);
+        policy.request(now, request);
+        if (random.nextInt(20) == 0) {
+            at(random.nextDouble(600), () -> {
+                finished.add(id);
+                policy.gone(now, id);
+            });
+        }
+    }
+
+    private void changeList() {
+        int index = random.nextInt(hosts.size());
+        Admission.Host host = hosts.get(index);
+        switch (random.nextInt(5)) {
+            case 0 -> hosts.set(index, with(host, Admission.State.DRAINING, host.startedMs()));
+            case 1 -> hosts.set(index, with(host, Admission.State.UP, now));
+            case 2 -> hosts.set(index, with(host, Admission.State.GONE, host.startedMs()));
+            case 3 -> hosts.add(new Admission.Host("n" + serial, "west", "large", 7, Admission.State.UP, 2, now - 100));
+            default -> hosts.set(index, with(host, Admission.State.UP, host.startedMs()));
+        }
+        boolean whole = random.nextInt(3) == 0;
+        if (scenario.listOnRequest && random.nextInt(3) == 0) {
+            policy.hostsFailed(now);
+        } else {
+            policy.hosts(
+                    now, whole, whole ? List.copyOf(hosts) : List.of(hosts.get(Math.min(index, hosts.size() - 1))));
+        }
+    }
+
+    private static Admission.Host with(Admission.Host host, Admission.State state, double startedMs) {
+        return new Admission.Host(host.id(), host.zone(), host.kind(), host.cell(), state, host.size(), startedMs);
+    }
+
+    /** An attempt's end, drawn by the host it went to and by whether the hosts are pressed. */
+    private void answer(String id, int attempt, String host) {
+        double elapsedMs = 20 + random.nextDouble(host.endsWith("3") ? 400 : 150) + (pressed ? 500 : 0);
+        int draw = random.nextInt(100);
+        Admission.Result result;
+        if (host.endsWith("5") && draw < 40) {
+            result = Admission.Result.UNREACHABLE;
+        } else if (draw < 80) {
+            result = Admission.Result.SERVED;
+        } else if (draw < 84) {
+            result = Admission.Result.ERROR;
+        } else if (draw < 89) {
+            result = Admission.Result.TURNED_AWAY;
+        } else if (draw < 92) {
+            result = Admission.Result.UNREACHABLE;
+        } else if (draw < 95) {
+            result = Admission.Result.BROKEN;
+        } else if (draw < 96) {
+            result = Admission.Result.NOT_SENT;
+        } else {
+            result = Admission.Result.TIMED_OUT;
+            elapsedMs += 1200;
+        }
+        Admission.Request request = requests.get(id);
+        if (request.requestClass().equals("hear") && result == Admission.Result.SERVED) {
+            at(elapsedMs / 2, () -> policy.began(now, id, attempt));
+        }
+        double tookMs = elapsedMs;
+        at(elapsedMs, () -> end(id, attempt, host, result, tookMs));
+    }
+
+    private void end(String id, int attempt, String host, Admission.Result result, double elapsedMs) {
+        if (!ended.add(id + "/" + attempt)) {
+            return;
+        }
+        if (result == Admission.Result.SERVED) {
+            finished.add(id);
+        }
+        boolean answered = result == Admission.Result.SERVED || result == Admission.Result.ERROR;
+        int usedPercent = answered && scenario.meterPeriodMs > 0 && random.nextInt(3) > 0 ? random.nextInt(300) : -1;
+        double trueUnits = answered && scenario.unitsAreGuesses ? 1 + random.nextInt(8) : 0;
+        policy.outcome(
+                now,
+                new Admission.Outcome(
+                        id, host, attempt, result, elapsedMs, finished.contains(id), usedPercent, trueUnits, null));
+        if (answered && random.nextInt(30) == 0) {
+            policy.settled(now, requests.get(id), random.nextInt(200), 1 + random.nextInt(4));
+        }
+    }
+
+    private void noteRooms() {
+        for (Policy.Room room : policy.rooms(now)) {
+            note("room", room.host(), room.share());
+        }
+    }
+
+    private void note(String kind, Object... parts) {
+        counts.merge(kind, 1, Integer::sum);
+        StringBuilder line = new StringBuilder(kind).append('@').append(rounded(now));
+        for (Object part : parts) {
+            line.append(' ').append(part instanceof Double number ? rounded(number) : part);
+        }
+        digest.update(line.append('\n').toString().getBytes(StandardCharsets.UTF_8));
+    }
+
+    /** In millionths, for Math.exp and Math.pow may differ in the last place from one platform to the next. */
+    private static long rounded(double number) {
+        return Math.round(number * 1e6);
+    }
+
+    @Override
+    public void send(String id, String host, double timeoutMs) {
+        int attempt = attempts.merge(id, 1, Integer::sum) - 1;
+        note("send", id, host, timeoutMs);
+        answer(id, attempt, host);
+    }
+
+    @Override
+    public void refuse(String id, double retryAfterMs) {
+        note("refuse", id, retryAfterMs);
+        finished.add(id);
+    }
+
+    @Override
+    public void fail(String id) {
+        note("fail", id);
+        finished.add(id);
+    }
+
+    @Override
+    public void cancel(String id, int attempt) {
+        note("cancel", id, attempt);
+        double afterMs = 1 + random.nextDouble(5);
+        at(afterMs, () -> end(id, attempt, "", Admission.Result.CANCELLED, afterMs));
+    }
+
+    @Override
+    public void wake(long token, double afterMs) {
+        note("wake", token, afterMs);
+        at(afterMs, () -> {
+            if (!forgotten.remove(token)) {
+                policy.timer(now, token);
+            }
+        });
+    }
+
+    @Override
+    public void forget(long token) {
+        note("forget", token);
+        forgotten.add(token);
+    }
+
+    @Override
+    public void probe(String host) {
+        note("probe", host);
+        Admission.CallResult result = Admission.CallResult.values()[random.nextInt(3)];
+        at(30, () -> policy.probed(now, host, result, 30, null));
+    }
+
+    @Override
+    public void follow() {
+        note("follow");
+        at(20, () -> {
+            if (random.nextInt(3) == 0) {
+                policy.hostsFailed(now);
+            } else {
+                policy.hosts(now, true, List.copyOf(hosts));
+            }
+        });
+    }
+
+    @Override
+    public void log(String line) {
+        note("log", line);
+    }
+}
