--- /dev/null
+++ b/control/src/test/java/opalcove/control/server/ControlSettingsFormTest.java
@@ -0,0 +1,119 @@
+package opalcove.control.server;
+
+import static org.testng.Assert.assertEquals;
+import static org.testng.Assert.expectThrows;
+
+import java.nio.file.Files;
+import java.nio.file.Path;
+import java.util.List;
+import java.util.Set;
+import opalcove.gateway.BadSettings;
+import opalcove.gateway.Endpoint;
+import org.testng.annotations.DataProvider;
+import org.testng.annotations.Test;
+
+/** The keys of the control service's settings file, their defaults, and the refusals of wrong ones as literal text. */
+public class ControlSettingsFormTest {
+    private static final Path GOOD = Path.of("deploy/control.json");
+    /** Follows a problem of the clusters: none of them is known then, and the listener names one. */
+    private static final String NO_SUCH_CLUSTER = "\nfield listeners[0].cluster is not among the clusters: swaps";
+
+    @DataProvider
+    public Object[][] wrongs() {
+        return new Object[][] {
+            {"\"listen\": \"127.0.0.1:18000\"", "\"listen\": 5", "field listen must be a text"},
+            {"\"listen\": \"127.0.0.1:18000\", ", "", "field listen is missing"},
+            {"127.0.0.1:18001", "10.0.0.1:18001", "field status must be a loopback address, not 10.0.0.1"},
+            {"127.0.0.1:18001", "127.0.0.1", "field status must be an address and a port, not 127.0.0.1"},
+            {"\"status\": \"127.0.0.1:18001\", ", "", "field status is missing"},
+            {"\"nodes\": \"control-nodes.json\", ", "", "field nodes is missing"},
+            {"\"name\": \"control-1\"", "\"name\": 1", "field name must be a text"},
+            {"\"most_shrink\": 0.5", "\"most_shrink\": 1.5", "field most_shrink must be from 0 to 1"},
+            {"\"most_shrink\": 0.5", "\"most_shrink\": \"x\"", "field most_shrink must be a number"},
+            {"\"admit\": []", "\"admit\": [1]", "field admit must hold texts"},
+            {"\"admit\": []", "\"admit\": \"x\"", "field admit must be a list"},
+            {"\"admit\"", "\"admits\"", "field admits is not known here"},
+            {"\"clusters\": [{\"name\": \"swaps\"}],", "", "field clusters is missing" + NO_SUCH_CLUSTER},
+            {"[{\"name\": \"swaps\"}]", "[]", "field clusters names no cluster" + NO_SUCH_CLUSTER},
+            {
+                "[{\"name\": \"swaps\"}]",
+                "[{\"name\": \"swaps\"}, {\"name\": \"\"}]",
+                "field clusters[1].name is empty or there twice: " + NO_SUCH_CLUSTER
+            },
+            {
+                "{\"name\": \"swaps\"}]",
+                "{\"name\": \"swaps\", \"lease_ms\": 999}]",
+                "field clusters[0].lease_ms must be 0 or at least 1000" + NO_SUCH_CLUSTER
+            },
+            {
+                "{\"name\": \"swaps\"}]",
+                "{\"name\": \"swaps\", \"pods\": [\"x\"]}]",
+                "field clusters[0].pods must hold numbers" + NO_SUCH_CLUSTER
+            },
+            {
+                "{\"name\": \"swaps\"}]",
+                "{\"name\": \"swaps\", \"kinds\": [1]}]",
+                "field clusters[0].kinds must hold texts" + NO_SUCH_CLUSTER
+            },
+            {
+                "\"cluster\": \"swaps\"",
+                "\"cluster\": \"none\"",
+                "field listeners[0].cluster is not among the clusters: none"
+            },
+            {"\"cluster\": \"swaps\"", "\"clusters\": \"swaps\"", "field listeners[0].cluster is missing"},
+            {"\"may_probe\": false", "\"may_probe\": 1", "field settings.ceilings.may_probe must be true or false"},
+            {"{\"name\": \"control-1\"", "{\"name", "malformed JSON: Expected ':' at 1:10"},
+        };
+    }
+
+    @Test(dataProvider = "wrongs")
+    public void aWrongFileIsRefusedWithFileKeyAndReason(String good, String wrong, String problem) throws Exception {
+        String text = Files.readString(GOOD);
+        assertEquals(text.contains(good), true, good);
+        Path file = Files.createTempFile("control", ".json");
+        try {
+            Files.writeString(file, text.replace(good, wrong));
+            assertEquals(
+                    expectThrows(BadSettings.class, () -> ControlSettings.read(file))
+                            .getMessage()
+                            .replace(file + ": ", ""),
+                    problem);
+        } finally {
+            Files.delete(file);
+        }
+    }
+
+    @Test
+    public void aFileThatCannotBeReadIsNamed() {
+        assertEquals(
+                expectThrows(BadSettings.class, () -> ControlSettings.read(Path.of("deploy/none.json")))
+                        .getMessage(),
+                "cannot read deploy/none.json: deploy/none.json");
+    }
+
+    @Test
+    public void whatIsAbsentHasItsDefault() throws Exception {
+        Path file = Files.createTempFile("control", ".json");
+        try {
+            Files.writeString(
+                    file,
+                    Files.readString(GOOD)
+                            .replace("\"name\": \"control-1\", ", "")
+                            .replace("\"most_shrink\": 0.5,", "")
+                            .replace("\"admit\": [],", "")
+                            .replace("\"listeners\": [{\"name\": \"swaps\", \"cluster\": \"swaps\"}],", ""));
+            ControlSettings settings = ControlSettings.read(file);
+            assertEquals(settings.name(), "control");
+            assertEquals(settings.listen(), new Endpoint("127.0.0.1", 18000));
+            assertEquals(settings.status(), new Endpoint("127.0.0.1", 18001));
+            assertEquals(settings.nodes(), file.resolveSibling("control-nodes.json"));
+            assertEquals(settings.admit(), Set.of());
+            assertEquals(settings.listeners(), List.of());
+            assertEquals(settings.clusters().size(), 1);
+            assertEquals(settings.clusters().get(0).name(), "swaps");
+            assertEquals(settings.clusters().get(0).leaseMs(), 0);
+        } finally {
+            Files.delete(file);
+        }
+    }
+}
--- /dev/null
+++ b/mqtt/src/test/java/opalcove/MqttBytesTest.java
@@ -0,0 +1,194 @@
+package opalcove;
+
+import static org.testng.Assert.assertEquals;
+
+import io.vertx.core.Vertx;
+import java.io.DataInputStream;
+import java.io.IOException;
+import java.net.InetAddress;
+import java.net.ServerSocket;
+import java.net.Socket;
+import java.nio.charset.StandardCharsets;
+import java.util.HexFormat;
+import java.util.List;
+import java.util.concurrent.CompletableFuture;
+import java.util.concurrent.TimeUnit;
+import opalcove.decision.Admission;
+import opalcove.gateway.AppNode;
+import opalcove.gateway.Clock;
+import opalcove.gateway.Endpoint;
+import opalcove.gateway.Gateway;
+import opalcove.gateway.LinkPool;
+import opalcove.gateway.Phases;
+import opalcove.mqtt.MqttDialler;
+import opalcove.mqtt.MqttFront;
+import org.testng.annotations.AfterMethod;
+import org.testng.annotations.BeforeMethod;
+import org.testng.annotations.Test;
+
+/** Each packet that the front and the links write, byte by byte; the recorded exchanges show what follows what. */
+public class MqttBytesTest {
+    private static final int PATIENCE_MS = 10_000;
+
+    private MqttText packets;
+    private Phases phases;
+    private Vertx vertx;
+    private Gateway gateway;
+    private MqttFront front;
+    private ServerSocket node;
+    private Socket terminal;
+
+    @BeforeMethod
+    public void start() throws Exception {
+        packets = new MqttText();
+        phases = new Phases();
+        vertx = Vertx.vertx();
+        node = new ServerSocket(0, 5, InetAddress.getLoopbackAddress());
+        node.setSoTimeout(PATIENCE_MS);
+        CompletableFuture<Integer> port = new CompletableFuture<>();
+        vertx.runOnContext(go -> {
+            Admission.Settings settings = Facts.settings();
+            Clock clock = new Clock();
+            gateway = new Gateway(
+                    vertx,
+                    clock,
+                    settings,
+                    7,
+                    new LinkPool(vertx, settings, new MqttDialler(vertx, settings, "gateway"), 5));
+            gateway.nodesTold(
+                    true,
+                    List.of(new AppNode(
+                            new Admission.Host("m1", "room-a", "std-3", 1, Admission.State.UP, 1, 0),
+                            "mqtt://127.0.0.1:" + node.getLocalPort())));
+            front = new MqttFront(vertx, gateway, phases, clock, 1);
+            front.listen(new Endpoint("127.0.0.1", 0)).onSuccess(port::complete);
+        });
+        terminal = connect(port.get(PATIENCE_MS, TimeUnit.MILLISECONDS));
+    }
+
+    private static Socket connect(int port) throws IOException {
+        Socket socket = new Socket(InetAddress.getLoopbackAddress(), port);
+        socket.setSoTimeout(PATIENCE_MS);
+        return socket;
+    }
+
+    @AfterMethod
+    public void stop() throws Exception {
+        terminal.close();
+        node.close();
+        vertx.close().toCompletionStage().toCompletableFuture().get(20, TimeUnit.SECONDS);
+    }
+
+    private void write(Socket socket, String line) throws IOException {
+        socket.getOutputStream().write(packets.bytes(line));
+    }
+
+    /** The next packet: hexadecimal digits, with runs of text in quotes. */
+    private static String read(Socket socket) throws IOException {
+        DataInputStream in = new DataInputStream(socket.getInputStream());
+        byte[] head = {in.readByte(), in.readByte(), 0};
+        int length = head[1] & 0x7f;
+        if (head[1] < 0) {
+            head[2] = in.readByte();
+            length += head[2] << 7;
+        }
+        byte[] body = in.readNBytes(length);
+        return HexFormat.of().formatHex(head, 0, head[1] < 0 ? 3 : 2) + " " + readable(body);
+    }
+
+    private static String readable(byte[] bytes) {
+        StringBuilder text = new StringBuilder();
+        String all = new String(bytes, StandardCharsets.ISO_8859_1);
+        int from = 0;
+        while (from < all.length()) {
+            int to = from;
+            while (to < all.length() && all.charAt(to) > ' ' - 1 && all.charAt(to) < 127) {
+                to++;
+            }
+            if (to - from > 2) {
+                text.append('"').append(all, from, to).append('"');
+                from = to;
+            } else {
+                text.append(String.format("%02x", (int) all.charAt(from)));
+                from++;
+            }
+        }
+        return text.toString();
+    }
+
+    private static final String MARKS = "operator=00000000b4d65521 plan=start units=2 entry-points=1 first-entry=0";
+
+    @Test
+    public void whatTheFrontWritesToATerminal() throws Exception {
+        write(terminal, "CONNECT client=rack-7");
+        assertEquals(read(terminal), "2011 00000e2100402401250027000120002a00");
+        write(terminal, "SUBSCRIBE id=1 filter=a");
+        assertEquals(read(terminal), "9004 00010001");
+        write(terminal, "PUBLISH topic=opalcove/ask/slot-status qos=1 id=5 correlation=c1 " + MARKS);
+        assertEquals(read(terminal), "4039 000599351f00\"2an ask needs a response topic and correlation data\"");
+        write(terminal, "PUBLISH topic=opalcove/ask/slot-status qos=1 id=6 response=b correlation=c1 " + MARKS);
+        assertEquals(read(terminal), "402e 0006902a1f00\"'the response topic is not subscribed to\"");
+        write(terminal, "PUBLISH topic=opalcove/ask/odd qos=1 id=7 response=a correlation=c1 " + MARKS);
+        assertEquals(
+                read(terminal),
+                "3234 00016100012e090002\"c1&\"0006\"status\"0006\"failed&\"0006\"reason\"000d\"unknown class\"");
+        assertEquals(read(terminal), "4002 0007");
+        write(terminal, "PUBLISH topic=opalcove/ask/slot-status qos=2 id=8 response=a correlation=c1 " + MARKS);
+        assertEquals(read(terminal), "e002 9b00");
+    }
+
+    @Test
+    public void howATerminalIsNotTaken() throws Exception {
+        write(terminal, "CONNECT client=rack-7");
+        read(terminal);
+        try (Socket second = connect(terminal.getPort())) {
+            write(second, "CONNECT client=rack-8");
+            assertEquals(read(second), "2003 009700");
+        }
+        try (Socket old = connect(terminal.getPort())) {
+            write(old, "CONNECT client=rack-7 version=4");
+            assertEquals(read(old), "2002 0001");
+        }
+        CompletableFuture<Void> drained = new CompletableFuture<>();
+        vertx.runOnContext(go -> {
+            phases.enter(Phases.Phase.SERVING);
+            phases.enter(Phases.Phase.DRAINING);
+            front.drain(() -> drained.complete(null));
+        });
+        assertEquals(read(terminal), "e002 8b00");
+        terminal.close();
+        drained.get(PATIENCE_MS, TimeUnit.MILLISECONDS);
+    }
+
+    @Test
+    public void whatALinkWritesToANodeAndWhatComesOfItsAnswer() throws Exception {
+        write(terminal, "CONNECT client=rack-7");
+        read(terminal);
+        write(terminal, "SUBSCRIBE id=1 filter=a");
+        read(terminal);
+        write(
+                terminal,
+                "PUBLISH topic=opalcove/ask/swap-record qos=1 id=5 expiry=3 response=a correlation=c1 key=5c0f retry=1 "
+                        + MARKS + " payload=BODY");
+        try (Socket link = node.accept()) {
+            link.setSoTimeout(PATIENCE_MS);
+            assertEquals(read(link), "1016 0004\"MQTT\"05020000000009\"gateway-1\"");
+            write(link, "CONNACK code=0");
+            assertEquals(read(link), "821f 0001000019\"opalcove/answer/gateway-1\"01");
+            write(link, "SUBACK id=1");
+            assertEquals(
+                    read(link),
+                    """
+                32c601 \
+                0018"opalcove/ask/swap-record"0001a401080019"opalcove/answer/gateway-1"\
+                090010"cf868f049e4a937e"0200000003260008"operator"0010"00000000b4d65521&"0004"plan"0005"start&\
+                "0005"units"00013226000c"entry-points"00013126000b"first-entry"000130260003"key"0004"5c0f&"0005"retry"0001"1BODY\"""");
+            write(
+                    link,
+                    "PUBLISH topic=opalcove/answer/gateway-1 qos=1 id=9 correlation=cf868f049e4a937e status=served payload=done");
+            assertEquals(read(link), "4002 0009");
+            assertEquals(read(terminal), "3220 000161000116090002\"c1&\"0006\"status\"0006\"serveddone\"");
+            assertEquals(read(terminal), "4002 0005");
+        }
+    }
+}
--- /dev/null
+++ b/mqtt/src/test/java/opalcove/mqtt/MessageFormTest.java
@@ -0,0 +1,198 @@
+package opalcove.mqtt;
+
+import static org.testng.Assert.assertEquals;
+import static org.testng.Assert.expectThrows;
+
+import io.netty.buffer.ByteBuf;
+import io.netty.buffer.Unpooled;
+import io.netty.handler.codec.mqtt.MqttProperties;
+import io.netty.handler.codec.mqtt.MqttProperties.IntegerProperty;
+import io.netty.handler.codec.mqtt.MqttProperties.UserProperty;
+import io.vertx.core.Future;
+import io.vertx.core.Vertx;
+import io.vertx.core.buffer.Buffer;
+import java.nio.charset.StandardCharsets;
+import java.util.Arrays;
+import java.util.concurrent.CompletableFuture;
+import java.util.concurrent.TimeUnit;
+import opalcove.Facts;
+import opalcove.decision.Admission;
+import opalcove.gateway.Answer;
+import opalcove.gateway.Ask;
+import opalcove.gateway.AskRules;
+import opalcove.gateway.Clock;
+import opalcove.gateway.Gateway;
+import opalcove.gateway.LinkPool;
+import opalcove.gateway.Marks;
+import opalcove.gateway.NodeEnd;
+import org.testng.annotations.AfterClass;
+import org.testng.annotations.BeforeClass;
+import org.testng.annotations.DataProvider;
+import org.testng.annotations.Test;
+
+/** Properties and payloads of asks and answers, and the reasons for which an ask fails, as literal text. */
+public class MessageFormTest {
+    private Vertx vertx;
+    private AskRules rules;
+
+    @BeforeClass
+    public void start() throws Exception {
+        vertx = Vertx.vertx();
+        CompletableFuture<AskRules> ready = new CompletableFuture<>();
+        vertx.runOnContext(go -> ready.complete(new Gateway(
+                        vertx,
+                        new Clock(),
+                        Facts.settings(),
+                        7,
+                        new LinkPool(vertx, Facts.settings(), address -> Future.failedFuture("no node here"), 1))
+                .rules()));
+        rules = ready.get(20, TimeUnit.SECONDS);
+    }
+
+    @AfterClass
+    public void stop() throws Exception {
+        vertx.close().toCompletionStage().toCompletableFuture().get(20, TimeUnit.SECONDS);
+    }
+
+    private static MqttProperties user(String text) {
+        MqttProperties properties = new MqttProperties();
+        for (String each : text.isBlank() ? new String[0] : text.split(" ")) {
+            int equals = each.indexOf('=');
+            if (each.startsWith("expiry=")) {
+                properties.add(new IntegerProperty(
+                        MqttProperties.PUBLICATION_EXPIRY_INTERVAL,
+                        Integer.parseUnsignedInt(each.substring(equals + 1))));
+            } else {
+                properties.add(new UserProperty(each.substring(0, equals), each.substring(equals + 1)));
+            }
+        }
+        return properties;
+    }
+
+    /** The properties in their order: {@code id=value}, and user properties by name. */
+    private static String text(MqttProperties properties) {
+        StringBuilder text = new StringBuilder();
+        for (MqttProperties.MqttProperty<?> each : properties.listAll()) {
+            if (each.propertyId() == MqttProperties.USER_PROPERTY) {
+                for (Object pair : (Iterable<?>) each.value()) {
+                    text.append(((MqttProperties.StringPair) pair).key)
+                            .append('=')
+                            .append(((MqttProperties.StringPair) pair).value)
+                            .append(' ');
+                }
+            } else {
+                Object value = each.value() instanceof byte[] bytes
+                        ? new String(bytes, StandardCharsets.US_ASCII)
+                        : each.value();
+                text.append(each.propertyId()).append('=').append(value).append(' ');
+            }
+        }
+        return text.toString().strip();
+    }
+
+    private Ask ask(String requestClass, String properties, String body) throws Marks.Unfit {
+        return AskMessage.read(
+                rules, "0123456789abcdef", "opalcove/ask/" + requestClass, user(properties), Buffer.buffer(body));
+    }
+
+    private static final String MARKS = "operator=00000000b4d65521 plan=start units=2 entry-points=1 first-entry=0";
+
+    @Test
+    public void anAskAsItIsForwarded() throws Exception {
+        assertEquals(
+                text(AskMessage.properties(ask("swap-record", MARKS + " key=5c0f retry=1", "x"), 3001, "back")),
+                "8=back 9=0123456789abcdef 2=4 operator=00000000b4d65521 plan=start units=2 entry-points=1 first-entry=0"
+                        + " key=5c0f retry=1");
+        assertEquals(
+                text(AskMessage.properties(ask("slot-status", MARKS, ""), 0, "back")),
+                "8=back 9=0123456789abcdef 2=1 operator=00000000b4d65521 plan=start units=2 entry-points=1 first-entry=0");
+    }
+
+    @Test
+    public void theTimeOfAnAskIsItsExpiryOrItsClasssDeadline() throws Exception {
+        assertEquals(ask("slot-status", MARKS, "").waitMs(), 4000.0);
+        assertEquals(ask("slot-status", MARKS + " expiry=3", "").waitMs(), 3000.0);
+        assertEquals(ask("slot-status", MARKS + " expiry=4294967295", "").waitMs(), 4000.0);
+    }
+
+    @DataProvider
+    public Object[][] unfit() {
+        return new Object[][] {
+            {"odd", MARKS, "", "unknown class"},
+            {"slot-status", MARKS, "x", "slot-status carries no body"},
+            {"slot-status", MARKS + " expiry=0", "", "expired"},
+            {"slot-status", MARKS.replace("start", "odd"), "", "unknown plan"},
+            {"slot-status", MARKS.replace("plan=start", "x=y"), "", "plan is missing"},
+            {"slot-status", MARKS.replace("operator=00000000b4d65521", "x=y"), "", "operator is missing"},
+            {"slot-status", MARKS.replace("units=2", "units=x"), "", "units is not a number in range"},
+            {"slot-status", MARKS.replace("units=2", "units=9"), "", "the units are out of range"},
+            {
+                "slot-status",
+                MARKS.replace("entry-points=1", "entry-points=0"),
+                "",
+                "the operator's gateways are out of range"
+            },
+            {
+                "slot-status",
+                MARKS.replace("first-entry=0", "first-entry=1"),
+                "",
+                "the operator's gateways are out of range"
+            },
+            {"swap-record", MARKS, "x", "key is missing"},
+            {"swap-record", MARKS + " key=a,b", "x", "the key cannot be passed on"},
+            {"swap-record", MARKS + " key=k", "x".repeat(65_537), "the body is larger than 65536 bytes"},
+        };
+    }
+
+    @Test(dataProvider = "unfit")
+    public void anUnfitAskFailsWithItsReason(String requestClass, String properties, String body, String reason) {
+        assertEquals(
+                expectThrows(Marks.Unfit.class, () -> ask(requestClass, properties, body))
+                        .getMessage(),
+                reason);
+    }
+
+    @Test
+    public void theIdOfAnAskComesFromClientAndCorrelation() {
+        assertEquals(AskMessage.id("rack-7", "c1".getBytes(StandardCharsets.US_ASCII)), "cf868f049e4a937e");
+    }
+
+    @Test
+    public void answersAsTheyAreGiven() {
+        byte[] correlation = "c1".getBytes(StandardCharsets.US_ASCII);
+        ByteBuf value = Unpooled.copiedBuffer("done", StandardCharsets.US_ASCII);
+        AnswerMessage served = AnswerMessage.of(new Answer.Served(value), correlation);
+        assertEquals(text(served.properties()), "9=c1 status=served");
+        assertEquals(served.payload().toString(), "done");
+        AnswerMessage refused = AnswerMessage.of(new Answer.Refused(250), correlation);
+        assertEquals(text(refused.properties()), "9=c1 status=refused retry-after-ms=250");
+        assertEquals(refused.payload().length(), 0);
+        assertEquals(text(AnswerMessage.of(new Answer.Refused(0), correlation).properties()), "9=c1 status=refused");
+        AnswerMessage failed = AnswerMessage.of(new Answer.Failed("late"), correlation);
+        assertEquals(text(failed.properties()), "9=c1 status=failed reason=late");
+        assertEquals(failed.payload().length(), 0);
+    }
+
+    @DataProvider
+    public Object[][] ends() {
+        return new Object[][] {
+            {"status=served used=37 cost=4 svc_ms=14.5", Admission.Result.SERVED, "37 4.0 [14.5]"},
+            {"status=served", Admission.Result.SERVED, "-1 0.0 null"},
+            {"status=refused used=3", Admission.Result.TURNED_AWAY, "3 0.0 null"},
+            {"status=failed cost=1.5", Admission.Result.ERROR, "-1 1.5 null"},
+            {"status=odd", Admission.Result.ERROR, "-1 0.0 null"},
+            {"", Admission.Result.ERROR, "-1 0.0 null"},
+            {"status=served used=x cost=y svc_ms=z", Admission.Result.SERVED, "-1 0.0 [0.0]"},
+            {"status=served queue=3", Admission.Result.SERVED, "-1 0.0 null"},
+        };
+    }
+
+    @Test(dataProvider = "ends")
+    public void whatANodesAnswerMeans(String properties, Admission.Result result, String facts) {
+        NodeEnd end = AnswerMessage.read(
+                user(properties), Unpooled.EMPTY_BUFFER, Facts.settings().gauges());
+        assertEquals(end.result(), result);
+        assertEquals(end.usedPercent() + " " + end.trueUnits() + " " + Arrays.toString(end.load()), facts);
+        assertEquals(end.value() != null, result == Admission.Result.SERVED);
+    }
+}
