--- /dev/null
+++ b/gateway/src/test/java/opalcove/gateway/OutsideNamesTest.java
@@ -0,0 +1,266 @@
+package opalcove.gateway;
+
+import static org.testng.Assert.assertEquals;
+
+import io.vertx.core.Vertx;
+import java.io.IOException;
+import java.net.ConnectException;
+import java.net.NoRouteToHostException;
+import java.util.ArrayList;
+import java.util.List;
+import java.util.concurrent.CompletableFuture;
+import java.util.concurrent.TimeUnit;
+import java.util.function.Supplier;
+import opalcove.Facts;
+import org.testng.annotations.AfterMethod;
+import org.testng.annotations.BeforeMethod;
+import org.testng.annotations.Test;
+
+/** The keys of INFO and STATS, in their order: dashboards and alerts read them, so they outlive names in the code. */
+public class OutsideNamesTest {
+    private Vertx vertx;
+    private Gateway gateway;
+
+    @BeforeMethod
+    public void open() throws Exception {
+        vertx = Vertx.vertx();
+        gateway = onLoop(() -> new Gateway(vertx, new Clock(), Facts.settings(), 1, new NoLinks()));
+    }
+
+    @AfterMethod
+    public void close() {
+        vertx.close();
+    }
+
+    @Test
+    public void infoHasTheseKeysInThisOrder() throws Exception {
+        assertEquals(
+                onLoop(gateway::figures),
+                """
+                taken=0
+                joined=0
+                attempts=0
+                attempts_served=0
+                attempts_error=0
+                attempts_turned_away=0
+                attempts_timed_out=0
+                attempts_unreachable=0
+                attempts_broken=0
+                attempts_cancelled=0
+                attempts_not_sent=0
+                given_up=0
+                lapsed_while_dialled=0
+                probes=0
+                served=0
+                refused=0
+                refused.decided=0
+                refused.too_many_open=0
+                refused.ending=0
+                refused.unread_in_time=0
+                failed=0
+                connections_ended.idle=0
+                connections_ended.drained=0
+                connections_ended.for_room=0
+                connections_ended.stalled=0
+                connections_ended.protocol=0
+                connections_ended.cut=0
+                terminals_left=0
+                list_calls_failed=0
+                lists_refused=0
+                starts_of_other_clocks=0
+                connections_closed_for_descriptors=0
+                connections_refused_for_descriptors=0
+                stopped_by_guards=0
+                ended_by_deadline_guard=0
+                rule_stopped.answer_in_time=0
+                rule_broken.answer_in_time=0
+                rule_stopped.closed_unanswered=0
+                rule_broken.closed_unanswered=0
+                rule_stopped.client_waits=0
+                rule_broken.client_waits=0
+                rule_stopped.deadline_passed_on=0
+                rule_broken.deadline_passed_on=0
+                rule_stopped.listed=0
+                rule_broken.listed=0
+                rule_stopped.repeat=0
+                rule_broken.repeat=0
+                rule_stopped.attempts=0
+                rule_broken.attempts=0
+                rule_stopped.refusal=0
+                rule_broken.refusal=0
+                asks_open=0
+                links_open=0
+                links_resting=0
+                """);
+    }
+
+    @Test
+    public void statsHasTheseKeysInThisOrder() {
+        Metrics metrics = gateway.metrics();
+        metrics.ended("swap-record", Metrics.End.SUCCESS);
+        metrics.ended("swap-record", Metrics.End.BUSY);
+        metrics.ended("swap-record", Metrics.End.BUSY);
+        metrics.ended("swap-record", Metrics.End.FAILURE);
+        metrics.ended("swap-record", Metrics.End.FAILURE);
+        metrics.ended("swap-record", Metrics.End.FAILURE);
+        metrics.backendCall();
+        metrics.hosts(3, 2);
+        metrics.inflight(4);
+        metrics.reconfigured(true);
+        metrics.reconfigured(false);
+        metrics.reconfigured(false);
+        gateway.connectionEndedForDescriptors(false);
+        gateway.connectionEndedForDescriptors(true);
+        gateway.connectionEndedForDescriptors(true);
+        gateway.checks().broken(Rule.REPEAT, "id", "a test");
+        gateway.systemCallFailed(SystemCall.ACCEPT, new IOException("Too many open files"));
+        assertEquals(
+                metrics.lines(),
+                """
+                gateway.success.swap-record:1|c
+                gateway.busy.swap-record:2|c
+                gateway.failure.swap-record:3|c
+                gateway.backend_calls:1|c
+                gateway.inflight:4|g
+                gateway.hosts_listed:3|g
+                gateway.hosts_down:2|g
+                gateway.reconfig_ok:1|c
+                gateway.reconfig_failed:2|c
+                gateway.connections_closed_for_descriptors:1|c
+                gateway.connections_refused_for_descriptors:2|c
+                gateway.rule_stopped.answer_in_time:0|c
+                gateway.rule_broken.answer_in_time:0|c
+                gateway.rule_stopped.closed_unanswered:0|c
+                gateway.rule_broken.closed_unanswered:0|c
+                gateway.rule_stopped.client_waits:0|c
+                gateway.rule_broken.client_waits:0|c
+                gateway.rule_stopped.deadline_passed_on:0|c
+                gateway.rule_broken.deadline_passed_on:0|c
+                gateway.rule_stopped.listed:0|c
+                gateway.rule_broken.listed:0|c
+                gateway.rule_stopped.repeat:0|c
+                gateway.rule_broken.repeat:1|c
+                gateway.rule_stopped.attempts:0|c
+                gateway.rule_broken.attempts:0|c
+                gateway.rule_stopped.refusal:0|c
+                gateway.rule_broken.refusal:0|c
+                gateway.syscall_failed.accept.emfile:1|c
+                """);
+    }
+
+    /** A failure of each kind that is told apart, in the order of the figures. */
+    private static List<Throwable> failures() {
+        return List.of(
+                new IOException("Too many open files"),
+                new IOException("Too many open files in system"),
+                new IOException("No buffer space available"),
+                new IOException("Cannot allocate memory"),
+                new IOException("Cannot assign requested address"),
+                new IOException("Network is unreachable"),
+                new IOException("Network is down"),
+                new IOException("Resource temporarily unavailable"),
+                new IOException("Interrupted system call"),
+                new IOException("Software caused connection abort"),
+                new ConnectException("no word of the system"),
+                new IOException("Connection reset by peer"),
+                new IOException("Connection timed out"),
+                new NoRouteToHostException("no word of the system"),
+                new IOException("something else"));
+    }
+
+    @Test
+    public void failedSystemCallsAreNamedByCallAndReason() throws Exception {
+        failures().forEach(failure -> {
+            gateway.systemCallFailed(SystemCall.CONNECT, failure);
+            gateway.systemCallFailed(SystemCall.ACCEPT, failure);
+        });
+        assertEquals(
+                onLoop(gateway::figures)
+                        .lines()
+                        .filter(line -> line.startsWith("syscall_failed"))
+                        .toList(),
+                """
+                syscall_failed.accept.emfile=1
+                syscall_failed.accept.enfile=1
+                syscall_failed.accept.enobufs=1
+                syscall_failed.accept.enomem=1
+                syscall_failed.accept.eaddrnotavail=1
+                syscall_failed.accept.enetunreach=1
+                syscall_failed.accept.enetdown=1
+                syscall_failed.accept.eagain=1
+                syscall_failed.accept.eintr=1
+                syscall_failed.accept.econnaborted=1
+                syscall_failed.accept.econnrefused=1
+                syscall_failed.accept.econnreset=1
+                syscall_failed.accept.etimedout=1
+                syscall_failed.accept.ehostunreach=1
+                syscall_failed.accept.other=1
+                syscall_failed.connect.emfile=1
+                syscall_failed.connect.enfile=1
+                syscall_failed.connect.enobufs=1
+                syscall_failed.connect.enomem=1
+                syscall_failed.connect.eaddrnotavail=1
+                syscall_failed.connect.enetunreach=1
+                syscall_failed.connect.enetdown=1
+                syscall_failed.connect.eagain=1
+                syscall_failed.connect.eintr=1
+                syscall_failed.connect.econnaborted=1
+                syscall_failed.connect.econnrefused=1
+                syscall_failed.connect.econnreset=1
+                syscall_failed.connect.etimedout=1
+                syscall_failed.connect.ehostunreach=1
+                syscall_failed.connect.other=1
+                """
+                        .lines()
+                        .toList());
+        assertEquals(
+                gateway.metrics()
+                        .lines()
+                        .lines()
+                        .filter(line -> line.startsWith("gateway.syscall_failed"))
+                        .limit(2)
+                        .toList(),
+                List.of("gateway.syscall_failed.accept.emfile:1|c", "gateway.syscall_failed.accept.enfile:1|c"));
+    }
+
+    @Test
+    public void eachEndOfAConnectionIsCountedByItsOwnName() throws Exception {
+        List<String> counted = new ArrayList<>();
+        for (ConnectionEnd end : ConnectionEnd.values()) {
+            gateway.connectionEnded(end);
+            counted.add(onLoop(gateway::figures)
+                    .lines()
+                    .filter(line -> line.startsWith("connections_ended.") && line.endsWith("=1"))
+                    .reduce((before, last) -> last)
+                    .orElseThrow());
+        }
+        assertEquals(
+                counted,
+                List.of(
+                        "connections_ended.idle=1",
+                        "connections_ended.drained=1",
+                        "connections_ended.for_room=1",
+                        "connections_ended.stalled=1",
+                        "connections_ended.protocol=1",
+                        "connections_ended.cut=1"));
+    }
+
+    private <T> T onLoop(Supplier<T> work) throws Exception {
+        CompletableFuture<T> done = new CompletableFuture<>();
+        vertx.runOnContext(run -> {
+            try {
+                done.complete(work.get());
+            } catch (Throwable e) {
+                done.completeExceptionally(e);
+            }
+        });
+        return done.get(20, TimeUnit.SECONDS);
+    }
+
+    private static final class NoLinks extends QuietLinks {
+        @Override
+        public Attempt attempt(AppNode node, Ask ask, double waitMs, Ended ended) {
+            throw new AssertionError("no attempt is made in this test");
+        }
+    }
+}
--- /dev/null
+++ b/gateway/src/test/java/opalcove/gateway/OutsideTextsTest.java
@@ -0,0 +1,328 @@
+package opalcove.gateway;
+
+import static org.testng.Assert.assertEquals;
+import static org.testng.Assert.assertTrue;
+import static org.testng.Assert.expectThrows;
+
+import io.vertx.core.Vertx;
+import java.util.ArrayList;
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.concurrent.CompletableFuture;
+import java.util.concurrent.TimeUnit;
+import java.util.function.Supplier;
+import opalcove.Facts;
+import opalcove.decision.Admission;
+import org.testng.annotations.Test;
+
+/** Texts that clients, operators and stored lists hold: words of settings, reasons of errors, the endpoint list. */
+public class OutsideTextsTest {
+    private static final String ID = "00000000000000a1";
+    private static final String OPERATOR = "00000000000000b2";
+
+    private static Admission.RequestClass firstClass(String before, String after) {
+        assertTrue(Facts.JSON.contains(before), before);
+        return SettingsReader.checked(Fields.parse(Facts.JSON.replaceFirst(before, after)))
+                .classes()
+                .get(0);
+    }
+
+    @Test
+    public void idempotencyHasThreeWordsInAnyCase() {
+        List<Admission.Effect> read = new ArrayList<>();
+        for (String word : List.of("safe", "keyed", "unsafe", "SAFE", "Keyed", "uNsAfE")) {
+            read.add(firstClass("\"idempotency\":\"safe\"", "\"idempotency\":\"" + word + "\"")
+                    .effect());
+        }
+        List<Admission.Effect> three = List.of(Admission.Effect.SAFE, Admission.Effect.KEYED, Admission.Effect.UNSAFE);
+        assertEquals(read.subList(0, 3), three);
+        assertEquals(read.subList(3, 6), three);
+    }
+
+    @Test
+    public void groupHasThreeWordsInAnyCase() {
+        List<Admission.Reach> read = new ArrayList<>();
+        for (String word : List.of("all", "zone", "cell", "ALL", "Zone", "cELL")) {
+            read.add(firstClass("\"group\":\"all\"", "\"group\":\"" + word + "\"")
+                    .reach());
+        }
+        List<Admission.Reach> three = List.of(Admission.Reach.ALL, Admission.Reach.ZONE, Admission.Reach.CELL);
+        assertEquals(read.subList(0, 3), three);
+        assertEquals(read.subList(3, 6), three);
+    }
+
+    @Test
+    public void unknownWordsOfSettingsAreRefusedAsWritten() {
+        for (String word : List.of("idempotent", "Safe ", "", "pod", "SAFE,KEYED")) {
+            assertEquals(
+                    expectThrows(
+                                    BadSettings.class,
+                                    () -> firstClass("\"idempotency\":\"safe\"", "\"idempotency\":\"" + word + "\""))
+                            .getMessage(),
+                    "field profiles[0].idempotency has an unknown value " + word);
+            assertEquals(
+                    expectThrows(BadSettings.class, () -> firstClass("\"group\":\"all\"", "\"group\":\"" + word + "\""))
+                            .getMessage(),
+                    "field profiles[0].group has an unknown value " + word);
+        }
+        assertEquals(
+                expectThrows(BadSettings.class, () -> firstClass("\"group\":\"all\"", "\"group\":1"))
+                        .getMessage(),
+                "field profiles[0].group must be a text");
+    }
+
+    @Test
+    public void loadReportsAndDiscoveryHaveTheseWords() {
+        List<Object> read = new ArrayList<>();
+        for (String word : List.of("off", "inline", "on_probe")) {
+            read.add(settings("\"how\":\"inline\"", "\"how\":\"" + word + "\"").reports());
+        }
+        for (String word : List.of("pushed", "on_request")) {
+            read.add(settings("\"discovery\":\"pushed\"", "\"discovery\":\"" + word + "\"")
+                    .duties()
+                    .listOnRequest());
+        }
+        assertEquals(
+                read,
+                List.of(
+                        Admission.Reports.NONE,
+                        Admission.Reports.IN_ANSWERS,
+                        Admission.Reports.ON_PROBES,
+                        false,
+                        true));
+        assertEquals(
+                List.of("busy_reqs", "pending", "cpu_share", "svc_ms", "served_ps", "failed_ps", "other").stream()
+                        .map(SettingsReader::gauge)
+                        .toList(),
+                List.of(
+                        Admission.Gauge.IN_HAND,
+                        Admission.Gauge.WAITING,
+                        Admission.Gauge.BUSY_SHARE,
+                        Admission.Gauge.SERVICE_MS,
+                        Admission.Gauge.SERVED_PER_S,
+                        Admission.Gauge.ERRORS_PER_S,
+                        Admission.Gauge.UNKNOWN));
+    }
+
+    private static Admission.Settings settings(String before, String after) {
+        assertTrue(Facts.JSON.contains(before), before);
+        return SettingsReader.checked(Fields.parse(Facts.JSON.replace(before, after)));
+    }
+
+    @Test
+    public void fieldsOfTheWrongFormAreToldSo() {
+        Fields fields = Fields.parse("{\"row\":[1,\"2\"],\"texts\":[1],\"text\":\"x\",\"half\":0.5,\"in\":{\"a\":1}}");
+        List<String> told = new ArrayList<>();
+        List<Runnable> reads = List.of(
+                () -> fields.row("row"),
+                () -> fields.texts("texts"),
+                () -> fields.number("text"),
+                () -> fields.text("half"),
+                () -> fields.serial("half"),
+                () -> fields.flag("text"),
+                () -> fields.object("text"),
+                () -> fields.objects("text"),
+                () -> fields.object("in").text("absent"),
+                () -> fields.object("in").text("a"),
+                () -> Fields.parse("[]"));
+        for (Runnable read : reads) {
+            told.add(expectThrows(BadSettings.class, read::run).getMessage());
+        }
+        assertEquals(
+                told,
+                List.of(
+                        "field row must hold numbers",
+                        "field texts must hold texts",
+                        "field text must be a number",
+                        "field half must be a text",
+                        "field half must be a whole number",
+                        "field text must be true or false",
+                        "field text must be an object",
+                        "field text must be a list",
+                        "field in.absent is missing",
+                        "field in.a must be a text",
+                        "the message must be an object"));
+        assertEquals(
+                expectThrows(BadSettings.class, () -> Fields.parse("{"))
+                        .getMessage()
+                        .split(": ")[0],
+                "malformed JSON");
+        for (String address : List.of("a", ":1", "a:x", "a:65536", "a/b:1")) {
+            assertEquals(
+                    expectThrows(BadSettings.class, () -> Endpoint.read(address, "listen"))
+                            .getMessage(),
+                    "field listen must be an address and a port, not " + address);
+        }
+    }
+
+    @Test
+    public void theEndpointListIsWrittenInThisForm() {
+        List<AppNode> nodes = List.of(
+                new AppNode(
+                        new Admission.Host("n1", "room-a", "app", 3, Admission.State.UP, 1, 1700000000123.0),
+                        "127.0.0.1:7001"),
+                new AppNode(new Admission.Host("n2", "", "", 0, Admission.State.DRAINING, 2.5, 0), "10.0.0.2:7002"),
+                new AppNode(new Admission.Host("n3", "room-b", "db", -1, Admission.State.GONE, 0, 0.9), "10.0.0.3:1"));
+        String written = "{\"index\":42,\"snapshot\":true,\"endpoints\":["
+                + "{\"name\":\"n1\",\"address\":\"127.0.0.1:7001\",\"zone\":\"room-a\",\"type\":\"app\",\"group\":3,"
+                + "\"status\":\"up\",\"weight\":1,\"since_ms\":1700000000123},"
+                + "{\"name\":\"n2\",\"address\":\"10.0.0.2:7002\",\"zone\":\"\",\"type\":\"\",\"group\":0,"
+                + "\"status\":\"draining\",\"weight\":2.5,\"since_ms\":0},"
+                + "{\"name\":\"n3\",\"address\":\"10.0.0.3:1\",\"zone\":\"room-b\",\"type\":\"db\",\"group\":-1,"
+                + "\"status\":\"removed\",\"weight\":0,\"since_ms\":0}]}";
+        assertEquals(NodeLines.write(42, true, nodes).toString(), written);
+        assertEquals(
+                NodeLines.write(7, false, List.of()).toString(), "{\"index\":7,\"snapshot\":false,\"endpoints\":[]}");
+        List<AppNode> read = NodeLines.read(Fields.parse(written).objects("endpoints"));
+        assertEquals(read.subList(0, 2), nodes.subList(0, 2));
+        assertEquals(NodeLines.write(42, true, read).toString(), written);
+    }
+
+    @Test
+    public void anEndpointNeedsItsNameAndAddressAlone() {
+        List<AppNode> read = NodeLines.read(
+                Fields.parse("{\"l\":[{\"name\":\"n\",\"address\":\"a:1\"}]}").objects("l"));
+        assertEquals(read, List.of(new AppNode(new Admission.Host("n", "", "", 0, Admission.State.UP, 1, 0), "a:1")));
+        assertEquals(
+                expectThrows(
+                                BadSettings.class,
+                                () -> NodeLines.read(
+                                        Fields.parse("{\"l\":[{\"name\":\"n\",\"address\":\"a:1\",\"status\":\"UP\"}]}")
+                                                .objects("l")))
+                        .getMessage(),
+                "field l[0].status has an unknown value UP");
+    }
+
+    @Test
+    public void parametersThatCannotBeReadAreNamedToTheClient() {
+        Map<String, String> values = new HashMap<>();
+        values.put("empty", "");
+        values.put("word", "x");
+        values.put("half", "0.5");
+        values.put("ten", "1234567890");
+        Marks marks = new Marks(values);
+        assertEquals(unfit(() -> marks.need("plan")), "plan is missing");
+        assertEquals(unfit(() -> marks.need("empty")), "empty is missing");
+        assertEquals(unfit(() -> marks.number("word")), "word is not a number in range");
+        assertEquals(unfit(() -> marks.number("ten")), "ten is not a number in range");
+        assertEquals(unfit(() -> marks.whole("half")), "half is not a whole number");
+        for (String id : List.of("", "00000000000000a", "00000000000000ag", "00000000000000a12")) {
+            assertEquals(unfit(() -> Marks.hex(id, "the id")), "the id must be 16 hex digits");
+        }
+    }
+
+    @Test
+    public void requestsThatCannotBeTakenAreRefusedWithTheseTexts() {
+        AskRules rules = new AskRules(Facts.settings());
+        assertEquals(unfit(() -> rules.requestClass("other")), "unknown class");
+        assertEquals(unfit(() -> rules.check(ask(OPERATOR, "other", "start", 1, 4000, null, 1, 0))), "unknown class");
+        assertEquals(
+                unfit(() -> rules.check(ask(OPERATOR, "slot-status", "other", 1, 4000, null, 1, 0))), "unknown plan");
+        assertEquals(
+                unfit(() -> rules.check(ask("0000000200000000", "slot-status", "start", 1, 4000, null, 1, 0))),
+                "the operator is out of range");
+        assertEquals(
+                unfit(() -> rules.check(ask("2", "slot-status", "start", 1, 4000, null, 1, 0))),
+                "the operator must be 16 hex digits");
+        for (double units : new double[] {0, -1, 8.5, Double.NaN}) {
+            assertEquals(
+                    unfit(() -> rules.check(ask(OPERATOR, "slot-status", "start", units, 4000, null, 1, 0))),
+                    "the units are out of range");
+        }
+        for (double waitMs : new double[] {0, -1, 4001, Double.NaN}) {
+            assertEquals(
+                    unfit(() -> rules.check(ask(OPERATOR, "slot-status", "start", 1, waitMs, null, 1, 0))),
+                    "the time to wait is out of range");
+        }
+        for (int[] gateways : new int[][] {{0, 0}, {2, 0}, {1, -1}, {1, 1}}) {
+            assertEquals(
+                    unfit(() -> rules.check(
+                            ask(OPERATOR, "slot-status", "start", 1, 4000, null, gateways[0], gateways[1]))),
+                    "the operator's gateways are out of range");
+        }
+        assertEquals(
+                unfit(() -> rules.check(ask(OPERATOR, "slot-status", "start", 1, 4000, "k", 1, 0))),
+                "a key for a class without, or none");
+        assertEquals(
+                unfit(() -> rules.check(ask(OPERATOR, "swap-record", "start", 1, 4000, null, 1, 0))),
+                "a key for a class without, or none");
+        for (String key : List.of("a,b", "a b", "\u007f", "k".repeat(65))) {
+            assertEquals(
+                    unfit(() -> rules.check(ask(OPERATOR, "swap-record", "start", 1, 4000, key, 1, 0))),
+                    "the key cannot be passed on");
+        }
+    }
+
+    @Test
+    public void requestsTakenTwiceOrOverTheLimitAreAnsweredAtOnce() throws Exception {
+        Vertx vertx = Vertx.vertx();
+        try {
+            List<Answer> answers = new ArrayList<>();
+            onLoop(vertx, () -> {
+                Gateway gateway = new Gateway(vertx, new Clock(), Facts.settings(2), 1, new HeldLinks());
+                gateway.nodesTold(
+                        true,
+                        List.of(new AppNode(
+                                new Admission.Host("n1", "room-a", "app", 0, Admission.State.UP, 1, 0), "a:1")));
+                gateway.serve(ask(OPERATOR, "slot-status", "start", 1, 4000, null, 1, 0), answer -> {});
+                gateway.serve(ask(OPERATOR, "slot-status", "start", 1, 4000, null, 1, 0), answers::add);
+                gateway.serve(ask(OPERATOR, "other", "start", 1, 4000, null, 1, 0), answers::add);
+                Ask second =
+                        new Ask("00000000000000a2", OPERATOR, "slot-status", "start", 1, 4000, null, false, 1, 0, null);
+                gateway.serve(second, answer -> {});
+                Ask third =
+                        new Ask("00000000000000a3", OPERATOR, "slot-status", "start", 1, 4000, null, false, 1, 0, null);
+                gateway.serve(third, answers::add);
+                return null;
+            });
+            assertEquals(
+                    answers,
+                    List.of(
+                            new Answer.Failed("this id is under way"),
+                            new Answer.Failed("unknown class"),
+                            new Answer.Refused(2000)));
+        } finally {
+            vertx.close();
+        }
+    }
+
+    private static Ask ask(
+            String operator,
+            String requestClass,
+            String plan,
+            double units,
+            double waitMs,
+            String key,
+            int gateways,
+            int firstGateway) {
+        return new Ask(ID, operator, requestClass, plan, units, waitMs, key, false, gateways, firstGateway, null);
+    }
+
+    private interface Read {
+        void read() throws Marks.Unfit;
+    }
+
+    private static String unfit(Read read) {
+        return expectThrows(Marks.Unfit.class, read::read).getMessage();
+    }
+
+    private static <T> void onLoop(Vertx vertx, Supplier<T> work) throws Exception {
+        CompletableFuture<T> done = new CompletableFuture<>();
+        vertx.runOnContext(run -> {
+            try {
+                done.complete(work.get());
+            } catch (Throwable e) {
+                done.completeExceptionally(e);
+            }
+        });
+        done.get(20, TimeUnit.SECONDS);
+    }
+
+    private static final class HeldLinks extends QuietLinks {
+        @Override
+        public Attempt attempt(AppNode node, Ask ask, double waitMs, Ended ended) {
+            return () -> {};
+        }
+    }
+}
--- /dev/null
+++ b/gateway/src/test/java/opalcove/platform/NotReadyTextTest.java
@@ -0,0 +1,31 @@
+package opalcove.platform;
+
+import static org.testng.Assert.assertEquals;
+
+import io.vertx.core.Vertx;
+import java.util.ArrayList;
+import java.util.List;
+import opalcove.gateway.Phases;
+import org.testng.annotations.Test;
+
+/** What READY says of each phase of the program: operators' checks read it. */
+public class NotReadyTextTest {
+    @Test
+    public void eachPhaseHasItsWord() {
+        Vertx vertx = Vertx.vertx();
+        try {
+            Phases phases = new Phases();
+            Serve.Door door = new Serve.Door();
+            List<String> told = new ArrayList<>();
+            told.add(door.notReady());
+            door.serve(vertx, null, null, phases);
+            for (Phases.Phase phase : Phases.Phase.values()) {
+                phases.enter(phase);
+                told.add(String.valueOf(door.notReady()));
+            }
+            assertEquals(told, List.of("starting", "starting", "null", "leaving", "draining", "stopped"));
+        } finally {
+            vertx.close();
+        }
+    }
+}
