--- a/gateway/src/main/java/opalcove/gateway/ConnectionEnd.java
+++ b/gateway/src/main/java/opalcove/gateway/ConnectionEnd.java
@@ -1,24 +1,28 @@
 package opalcove.gateway;
 
-import java.util.Locale;
-
 /** Why a front has ended a client's connection. */
 public enum ConnectionEnd {
     /** It carried nothing for as long as a connection may rest. */
-    IDLE,
+    IDLE("idle"),
     /** Clients are sent away, and it owed nothing. */
-    DRAINED,
+    DRAINED("drained"),
     /** Room was needed for a new one, and it carried nothing. */
-    FOR_ROOM,
+    FOR_ROOM("for_room"),
     /** Half a command stood still on it. */
-    STALLED,
+    STALLED("stalled"),
     /** What came was no command. */
-    PROTOCOL,
+    PROTOCOL("protocol"),
     /** A value was cut amid its passing. */
-    CUT;
+    CUT("cut");
+
+    private final String figure;
+
+    ConnectionEnd(String figure) {
+        this.figure = figure;
+    }
 
     /** The reason's name in figures. */
     String figure() {
-        return name().toLowerCase(Locale.ROOT);
+        return figure;
     }
 }
--- a/gateway/src/main/java/opalcove/gateway/Counters.java
+++ b/gateway/src/main/java/opalcove/gateway/Counters.java
@@ -1,6 +1,5 @@
 package opalcove.gateway;
 
-import java.util.Locale;
 import opalcove.decision.Admission;
 
 /** What the gateway took in, sent and answered. One event loop writes them. */
@@ -45,7 +44,7 @@
         line(text, "joined", joined);
         line(text, "attempts", attempts);
         for (Admission.Result each : Admission.Result.values()) {
-            line(text, "attempts_" + each.name().toLowerCase(Locale.ROOT), ends[each.ordinal()]);
+            line(text, "attempts_" + figure(each), ends[each.ordinal()]);
         }
         line(text, "given_up", cancelled);
         line(text, "lapsed_while_dialled", lapsed);
@@ -70,6 +69,20 @@
         return text.toString();
     }
 
+    /** The name in figures of an attempt's end. */
+    private static String figure(Admission.Result result) {
+        return switch (result) {
+            case SERVED -> "served";
+            case ERROR -> "error";
+            case TURNED_AWAY -> "turned_away";
+            case TIMED_OUT -> "timed_out";
+            case UNREACHABLE -> "unreachable";
+            case BROKEN -> "broken";
+            case CANCELLED -> "cancelled";
+            case NOT_SENT -> "not_sent";
+        };
+    }
+
     private static void line(StringBuilder text, String name, long figure) {
         text.append(name).append('=').append(figure).append('\n');
     }
--- a/gateway/src/main/java/opalcove/gateway/Errno.java
+++ b/gateway/src/main/java/opalcove/gateway/Errno.java
@@ -9,26 +9,28 @@
  * machine lacks from what the other end has done.
  */
 public enum Errno {
-    EMFILE("too many open files", true),
-    ENFILE("too many open files in system", true),
-    ENOBUFS("no buffer space available", true),
-    ENOMEM("cannot allocate memory", true),
-    EADDRNOTAVAIL("cannot assign requested address", true),
-    ENETUNREACH("network is unreachable", true),
-    ENETDOWN("network is down", true),
-    EAGAIN("resource temporarily unavailable", true),
-    EINTR("interrupted system call", true),
-    ECONNABORTED("software caused connection abort", true),
-    ECONNREFUSED("connection refused", false),
-    ECONNRESET("connection reset", false),
-    ETIMEDOUT("timed out", false),
-    EHOSTUNREACH("no route to host", false),
-    OTHER("", false);
+    EMFILE("emfile", "too many open files", true),
+    ENFILE("enfile", "too many open files in system", true),
+    ENOBUFS("enobufs", "no buffer space available", true),
+    ENOMEM("enomem", "cannot allocate memory", true),
+    EADDRNOTAVAIL("eaddrnotavail", "cannot assign requested address", true),
+    ENETUNREACH("enetunreach", "network is unreachable", true),
+    ENETDOWN("enetdown", "network is down", true),
+    EAGAIN("eagain", "resource temporarily unavailable", true),
+    EINTR("eintr", "interrupted system call", true),
+    ECONNABORTED("econnaborted", "software caused connection abort", true),
+    ECONNREFUSED("econnrefused", "connection refused", false),
+    ECONNRESET("econnreset", "connection reset", false),
+    ETIMEDOUT("etimedout", "timed out", false),
+    EHOSTUNREACH("ehostunreach", "no route to host", false),
+    OTHER("other", "", false);
 
+    private final String figure;
     private final String message;
     private final boolean ofThisMachine;
 
-    Errno(String message, boolean ofThisMachine) {
+    Errno(String figure, String message, boolean ofThisMachine) {
+        this.figure = figure;
         this.message = message;
         this.ofThisMachine = ofThisMachine;
     }
@@ -61,6 +63,11 @@
         return longest;
     }
 
+    /** The reason's name in figures. */
+    String figure() {
+        return figure;
+    }
+
     /** Whether it tells of this machine alone: nothing of it has come to the other end. */
     public boolean isOfThisMachine() {
         return ofThisMachine;
--- a/gateway/src/main/java/opalcove/gateway/Fields.java
+++ b/gateway/src/main/java/opalcove/gateway/Fields.java
@@ -8,6 +8,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Locale;
+import java.util.Map;
 
 /** The fields of one JSON object, read by name and form; what is wrong is told with the path of its key. */
 public final class Fields {
@@ -161,6 +162,21 @@
         }
     }
 
+    /**
+     * What one of these words stands for; upper and lower case are the same.
+     *
+     * @throws BadSettings if it is absent or none of them
+     */
+    <T> T choice(String name, Map<String, T> words) {
+        String written = text(name).toUpperCase(Locale.ROOT);
+        for (Map.Entry<String, T> word : words.entrySet()) {
+            if (word.getKey().toUpperCase(Locale.ROOT).equals(written)) {
+                return word.getValue();
+            }
+        }
+        throw wrong(name, "has an unknown value " + text(name));
+    }
+
     /**
      * A nested object.
      *
--- a/gateway/src/main/java/opalcove/gateway/Metrics.java
+++ b/gateway/src/main/java/opalcove/gateway/Metrics.java
@@ -1,6 +1,5 @@
 package opalcove.gateway;
 
-import java.util.Locale;
 import java.util.Map;
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.concurrent.atomic.AtomicLong;
@@ -12,11 +11,17 @@
  * so each is atomic. Counts start at 0 with the process.
  */
 public final class Metrics {
-    /** The ends of a request, by the names of the figures. */
+    /** The ends of a request. */
     public enum End {
-        SUCCESS,
-        BUSY,
-        FAILURE
+        SUCCESS("success"),
+        BUSY("busy"),
+        FAILURE("failure");
+
+        private final String figure;
+
+        End(String figure) {
+            this.figure = figure;
+        }
     }
 
     private static final String PREFIX = "gateway.";
@@ -92,7 +97,7 @@
         StringBuilder text = new StringBuilder(256);
         byClass.forEach((name, ends) -> {
             for (End end : End.values()) {
-                count(text, end.name().toLowerCase(Locale.ROOT) + "." + name, ends.get(end.ordinal()));
+                count(text, end.figure + "." + name, ends.get(end.ordinal()));
             }
         });
         count(text, "backend_calls", backendCalls.get());
--- a/gateway/src/main/java/opalcove/gateway/Phases.java
+++ b/gateway/src/main/java/opalcove/gateway/Phases.java
@@ -10,15 +10,26 @@
     /** The named states. */
     public enum Phase {
         /** Reads its settings and learns the node list; takes nothing in yet. */
-        STARTING,
+        STARTING("starting"),
         /** Takes asks in and answers them. */
-        SERVING,
+        SERVING("serving"),
         /** Was told to end: still takes what comes, for as long as a front may not know yet. */
-        LEAVING,
+        LEAVING("leaving"),
         /** Takes no new terminals; answers what it has and closes what is idle. */
-        DRAINING,
+        DRAINING("draining"),
         /** Owes nothing more. */
-        STOPPED
+        STOPPED("stopped");
+
+        private final String word;
+
+        Phase(String word) {
+            this.word = word;
+        }
+
+        /** The phase's name for operators. */
+        public String word() {
+            return word;
+        }
     }
 
     private final List<Consumer<Phase>> watchers = new ArrayList<>();
--- a/gateway/src/main/java/opalcove/gateway/RangedFields.java
+++ b/gateway/src/main/java/opalcove/gateway/RangedFields.java
@@ -4,6 +4,7 @@
 import java.util.Arrays;
 import java.util.HashSet;
 import java.util.List;
+import java.util.Map;
 import java.util.Set;
 import java.util.function.Supplier;
 
@@ -75,9 +76,9 @@
         return word;
     }
 
-    /** One of the values of an enum, in any case. */
-    <E extends Enum<E>> E choice(String key, Class<E> form) {
-        return attempt(key, () -> fields.choice(key, form), form.getEnumConstants()[0]);
+    /** What one of these words stands for, in any case. */
+    <T> T choice(String key, Map<String, T> words) {
+        return attempt(key, () -> fields.choice(key, words), null);
     }
 
     /**
--- a/gateway/src/main/java/opalcove/gateway/Refusal.java
+++ b/gateway/src/main/java/opalcove/gateway/Refusal.java
@@ -1,20 +1,24 @@
 package opalcove.gateway;
 
-import java.util.Locale;
-
 /** Why a request was refused. */
 enum Refusal {
     /** The decision module refused it: for quotas, pressure, or since no backend had it. */
-    DECIDED,
+    DECIDED("decided"),
     /** As many requests were open as the settings allow. */
-    TOO_MANY_OPEN,
+    TOO_MANY_OPEN("too_many_open"),
     /** The process ends before there would be an answer. */
-    ENDING,
+    ENDING("ending"),
     /** Its time was over before it was read. */
-    UNREAD_IN_TIME;
+    UNREAD_IN_TIME("unread_in_time");
+
+    private final String figure;
+
+    Refusal(String figure) {
+        this.figure = figure;
+    }
 
     /** The reason's name in figures. */
     String figure() {
-        return name().toLowerCase(Locale.ROOT);
+        return figure;
     }
 }
--- a/gateway/src/main/java/opalcove/gateway/Rule.java
+++ b/gateway/src/main/java/opalcove/gateway/Rule.java
@@ -1,28 +1,32 @@
 package opalcove.gateway;
 
-import java.util.Locale;
-
 /** The rules that are checked while the gateway runs, one name each in its figures and its log. */
 public enum Rule {
     /** A request gets its final answer within its time. */
-    ANSWER_IN_TIME,
+    ANSWER_IN_TIME("answer_in_time"),
     /** A request that was read is not closed without an answer. */
-    CLOSED_UNANSWERED,
+    CLOSED_UNANSWERED("closed_unanswered"),
     /** Nothing is sent for a client that has left, or whose request is over. */
-    CLIENT_WAITS,
+    CLIENT_WAITS("client_waits"),
     /** A backend is told no longer deadline than its client has left. */
-    DEADLINE_PASSED_ON,
+    DEADLINE_PASSED_ON("deadline_passed_on"),
     /** Nothing new is sent to a backend that the list does not offer. */
-    LISTED,
+    LISTED("listed"),
     /** A request is repeated only as its class allows. */
-    REPEAT,
+    REPEAT("repeat"),
     /** No more attempts of a request are out, or made, than the settings allow. */
-    ATTEMPTS,
+    ATTEMPTS("attempts"),
     /** A refusal only where trying again is harmless. */
-    REFUSAL;
+    REFUSAL("refusal");
+
+    private final String figure;
+
+    Rule(String figure) {
+        this.figure = figure;
+    }
 
     /** The rule's name in figures. */
     String figure() {
-        return name().toLowerCase(Locale.ROOT);
+        return figure;
     }
 }
--- a/gateway/src/main/java/opalcove/gateway/SettingsReader.java
+++ b/gateway/src/main/java/opalcove/gateway/SettingsReader.java
@@ -26,6 +26,14 @@
             "failed_ps",
             Admission.Gauge.ERRORS_PER_S);
 
+    /** The words for whether a class's requests may run more than once. */
+    private static final Map<String, Admission.Effect> IDEMPOTENCY =
+            Map.of("safe", Admission.Effect.SAFE, "keyed", Admission.Effect.KEYED, "unsafe", Admission.Effect.UNSAFE);
+
+    /** The words for which backends drop repeats of a request with a key. */
+    private static final Map<String, Admission.Reach> GROUP =
+            Map.of("all", Admission.Reach.ALL, "zone", Admission.Reach.ZONE, "cell", Admission.Reach.CELL);
+
     /** The words for who learns of a changed node list by itself; the first holds where the key is absent. */
     private static final List<String> DISCOVERY = List.of("pushed", "on_request");
 
@@ -101,8 +109,8 @@
                     profile.numberOr("late_value", 0, Range.SHARE),
                     profile.number("aim_ms", WAIT_MS),
                     profile.number("deadline_ms", WAIT_MS),
-                    profile.choice("idempotency", Admission.Effect.class),
-                    profile.choice("group", Admission.Reach.class),
+                    profile.choice("idempotency", IDEMPOTENCY),
+                    profile.choice("group", GROUP),
                     profile.numberOr("window_ms", 0, Range.NOT_NEGATIVE),
                     profile.flag("stream")));
         }
--- a/gateway/src/main/java/opalcove/gateway/SystemCall.java
+++ b/gateway/src/main/java/opalcove/gateway/SystemCall.java
@@ -1,14 +1,18 @@
 package opalcove.gateway;
 
-import java.util.Locale;
-
 /** The calls of the system whose failures are counted. */
 public enum SystemCall {
-    ACCEPT,
-    CONNECT;
+    ACCEPT("accept"),
+    CONNECT("connect");
+
+    private final String figure;
+
+    SystemCall(String figure) {
+        this.figure = figure;
+    }
 
     /** The call's name in figures. */
     String figure() {
-        return name().toLowerCase(Locale.ROOT);
+        return figure;
     }
 }
--- a/gateway/src/main/java/opalcove/gateway/SystemCallFailures.java
+++ b/gateway/src/main/java/opalcove/gateway/SystemCallFailures.java
@@ -1,6 +1,5 @@
 package opalcove.gateway;
 
-import java.util.Locale;
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicLongArray;
 import org.tinylog.Logger;
@@ -58,10 +57,7 @@
             for (Errno errno : Errno.values()) {
                 long count = counts.get(place(call, errno));
                 if (count > 0) {
-                    taker.take(
-                            "syscall_failed." + call.figure() + "."
-                                    + errno.name().toLowerCase(Locale.ROOT),
-                            count);
+                    taker.take("syscall_failed." + call.figure() + "." + errno.figure(), count);
                 }
             }
         }
--- a/gateway/src/main/java/opalcove/platform/Serve.java
+++ b/gateway/src/main/java/opalcove/platform/Serve.java
@@ -4,7 +4,6 @@
 import io.vertx.core.Promise;
 import io.vertx.core.Vertx;
 import java.util.List;
-import java.util.Locale;
 import java.util.ServiceLoader;
 import java.util.SplittableRandom;
 import java.util.function.Supplier;
@@ -303,7 +302,7 @@
         @Override
         public String notReady() {
             if (phase != Phases.Phase.SERVING) {
-                return phase.name().toLowerCase(Locale.ROOT);
+                return phase.word();
             }
             return away ? "clients are sent away" : null;
         }
