--- /dev/null
+++ b/gateway/src/test/java/opalcove/platform/AdminRepliesTest.java
@@ -0,0 +1,157 @@
+package opalcove.platform;
+
+import static org.testng.Assert.assertEquals;
+
+import io.vertx.core.Vertx;
+import java.net.Socket;
+import java.nio.charset.StandardCharsets;
+import java.util.concurrent.CompletableFuture;
+import java.util.concurrent.TimeUnit;
+import opalcove.Facts;
+import opalcove.gateway.Clock;
+import opalcove.gateway.Endpoint;
+import opalcove.gateway.Gateway;
+import opalcove.gateway.LinkPool;
+import opalcove.gateway.Phases;
+import opalcove.gateway.Program;
+import org.testng.annotations.AfterMethod;
+import org.testng.annotations.BeforeMethod;
+import org.testng.annotations.Test;
+
+/** The console address of a gateway by its bytes: each reply as literal text. */
+public class AdminRepliesTest {
+    private static final int PATIENCE_S = 20;
+
+    private final Serve.Door door = new Serve.Door();
+    private final Phases phases = new Phases();
+    private Vertx vertx;
+    private int port;
+
+    @BeforeMethod
+    public void open() throws Exception {
+        vertx = Program.eventLoop();
+        port = new Console(vertx, door)
+                .listen(new Endpoint("127.0.0.1", 0))
+                .toCompletionStage()
+                .toCompletableFuture()
+                .get(PATIENCE_S, TimeUnit.SECONDS);
+    }
+
+    @AfterMethod
+    public void close() throws Exception {
+        vertx.close().toCompletionStage().toCompletableFuture().get(PATIENCE_S, TimeUnit.SECONDS);
+    }
+
+    /** Puts a gateway behind the console, as at the end of a start. */
+    private void wire() throws Exception {
+        CompletableFuture<Void> wired = new CompletableFuture<>();
+        vertx.runOnContext(start -> {
+            LinkPool links = new LinkPool(vertx, Facts.settings(), new RespDialler(vertx, Facts.settings()), 64);
+            Gateway gateway = new Gateway(vertx, new Clock(), Facts.settings(), 1, links);
+            door.serve(vertx, gateway, new RespFront(vertx, gateway, phases, 64), phases);
+            wired.complete(null);
+        });
+        wired.get(PATIENCE_S, TimeUnit.SECONDS);
+    }
+
+    /** One test for all phases: they are entered in order, each once. */
+    @Test
+    public void eachCommandFromTheStartToTheEnd() throws Exception {
+        assertEquals(exchange("READY"), "-ERR not ready: starting\n");
+        assertEquals(exchange("STATS"), "+OK\n.\n");
+        assertEquals(exchange("MEMBERS"), "-ERR membership is off\n");
+        wire();
+        assertEquals(exchange("READY"), "-ERR not ready: starting\n");
+        phases.enter(Phases.Phase.SERVING);
+        assertEquals(exchange("READY"), "+OK ready\n");
+        assertEquals(exchange("  ready \r"), "+OK ready\n");
+        assertEquals(exchange("DRAIN"), "+OK draining\n");
+        assertEquals(exchange("READY"), "-ERR not ready: clients are sent away\n");
+        assertEquals(exchange("UNDRAIN"), "+OK taking clients\n");
+        assertEquals(exchange("READY"), "+OK ready\n");
+        phases.enter(Phases.Phase.LEAVING);
+        assertEquals(exchange("READY"), "-ERR not ready: leaving\n");
+        phases.enter(Phases.Phase.DRAINING);
+        assertEquals(exchange("READY"), "-ERR not ready: draining\n");
+        phases.enter(Phases.Phase.STOPPED);
+        assertEquals(exchange("READY"), "-ERR not ready: stopped\n");
+        assertEquals(exchange("REBOOT"), "-ERR unknown call 'REBOOT'; calls are READY, STATS, DRAIN and UNDRAIN\n");
+        assertEquals(exchange(""), "-ERR unknown call ''; calls are READY, STATS, DRAIN and UNDRAIN\n");
+        assertEquals(
+                exchange("x".repeat(40)),
+                "-ERR unknown call '" + "x".repeat(32) + "...'; calls are READY, STATS, DRAIN and UNDRAIN\n");
+        assertEquals(exchange("x".repeat(300)), "-ERR a call is one line of at most 256 bytes\n");
+    }
+
+    @Test
+    public void statsOfAGatewayThatHasDoneNothing() throws Exception {
+        wire();
+        assertEquals(
+                exchange("STATS"),
+                """
+                +OK
+                gateway.backend_calls:0|c
+                gateway.inflight:0|g
+                gateway.hosts_listed:0|g
+                gateway.hosts_down:0|g
+                gateway.reconfig_ok:0|c
+                gateway.reconfig_failed:0|c
+                gateway.connections_closed_for_descriptors:0|c
+                gateway.connections_refused_for_descriptors:0|c
+                gateway.rule_stopped.answer_in_time:0|c
+                gateway.rule_broken.answer_in_time:0|c
+                gateway.rule_stopped.closed_unanswered:0|c
+                gateway.rule_broken.closed_unanswered:0|c
+                gateway.rule_stopped.client_waits:0|c
+                gateway.rule_broken.client_waits:0|c
+                gateway.rule_stopped.deadline_passed_on:0|c
+                gateway.rule_broken.deadline_passed_on:0|c
+                gateway.rule_stopped.listed:0|c
+                gateway.rule_broken.listed:0|c
+                gateway.rule_stopped.repeat:0|c
+                gateway.rule_broken.repeat:0|c
+                gateway.rule_stopped.attempts:0|c
+                gateway.rule_broken.attempts:0|c
+                gateway.rule_stopped.refusal:0|c
+                gateway.rule_broken.refusal:0|c
+                .
+                """);
+    }
+
+    @Test
+    public void membersOfAGatewayThatTalksToOthers() throws Exception {
+        Console.Gateway talking = new Console.Gateway() {
+            @Override
+            public String notReady() {
+                return null;
+            }
+
+            @Override
+            public String figures() {
+                return "";
+            }
+
+            @Override
+            public String members() {
+                return "n0 alive\nn1 dead\n";
+            }
+
+            @Override
+            public void sendAway(boolean away) {}
+        };
+        port = new Console(vertx, talking)
+                .listen(new Endpoint("127.0.0.1", 0))
+                .toCompletionStage()
+                .toCompletableFuture()
+                .get(PATIENCE_S, TimeUnit.SECONDS);
+        assertEquals(exchange("members"), "+OK\nn0 alive\nn1 dead\n.\n");
+    }
+
+    private String exchange(String call) throws Exception {
+        try (Socket socket = new Socket("127.0.0.1", port)) {
+            socket.setSoTimeout(PATIENCE_S * 1000);
+            socket.getOutputStream().write((call + "\n").getBytes(StandardCharsets.US_ASCII));
+            return new String(socket.getInputStream().readAllBytes(), StandardCharsets.US_ASCII);
+        }
+    }
+}
--- /dev/null
+++ b/gateway/src/test/java/opalcove/platform/BackendCommandsTest.java
@@ -0,0 +1,143 @@
+package opalcove.platform;
+
+import static org.testng.Assert.assertEquals;
+
+import io.netty.buffer.ByteBuf;
+import io.netty.buffer.Unpooled;
+import io.vertx.core.Vertx;
+import java.net.InetAddress;
+import java.net.ServerSocket;
+import java.net.Socket;
+import java.nio.charset.StandardCharsets;
+import java.util.concurrent.TimeUnit;
+import opalcove.Facts;
+import opalcove.gateway.Ask;
+import opalcove.gateway.LinkPool;
+import opalcove.gateway.LongValue;
+import opalcove.gateway.NodeEnd;
+import opalcove.gateway.Program;
+import org.testng.annotations.Test;
+
+/** What is sent to a backend, byte for byte, for a class of each effect. */
+public class BackendCommandsTest {
+    private static final int PATIENCE_S = 20;
+    private static final String CUSTOMER = "00000000b4d65521";
+    private static final String ID = "9b1f03aa5c7e2d41";
+
+    @Test
+    public void ofAClassThatIsSafeToRepeat() throws Exception {
+        assertEquals(
+                sent(new Ask(ID, CUSTOMER, "slot-status", "start", 2, 480, null, false, 3, 1, null), 480.9),
+                """
+                *4
+                $9
+                SVC.QUERY
+                $16
+                00000000b4d65521
+                $16
+                9b1f03aa5c7e2d41
+                $52
+                c=slot-status,t=start,d=480,units=2,spread=3,first=1
+                """
+                        .replace("\n", "\r\n"));
+    }
+
+    @Test
+    public void ofAKeyedClassAndAClientsRetry() throws Exception {
+        assertEquals(
+                sent(
+                        new Ask(
+                                ID,
+                                CUSTOMER,
+                                "swap-record",
+                                "flotte",
+                                2,
+                                480,
+                                "5c0f6e1a2b3d4c59",
+                                true,
+                                3,
+                                1,
+                                body("BODY")),
+                        7500),
+                """
+                *5
+                $10
+                SVC.SUBMIT
+                $16
+                00000000b4d65521
+                $16
+                9b1f03aa5c7e2d41
+                $77
+                c=swap-record,t=flotte,d=7500,k=5c0f6e1a2b3d4c59,r=1,units=2,spread=3,first=1
+                $4
+                BODY
+                """
+                        .replace("\n", "\r\n"));
+    }
+
+    /** Without a key, with a part of a unit, less than a millisecond left and no byte of body. */
+    @Test
+    public void ofAnUnsafeClassWithAnEmptyBody() throws Exception {
+        assertEquals(
+                sent(new Ask(ID, CUSTOMER, "lock", "start", 1.25, 480, null, false, 12, 10, body("")), 0.4),
+                """
+                *5
+                $10
+                SVC.SUBMIT
+                $16
+                00000000b4d65521
+                $16
+                9b1f03aa5c7e2d41
+                $48
+                c=lock,t=start,d=0,units=1.25,spread=12,first=10
+                $0
+
+                """
+                        .replace("\n", "\r\n"));
+    }
+
+    private static ByteBuf body(String text) {
+        return Unpooled.copiedBuffer(text, StandardCharsets.US_ASCII);
+    }
+
+    /** Has the request sent on a new connection, which then ends; all that came. */
+    private static String sent(Ask ask, double waitMs) throws Exception {
+        Vertx vertx = Program.eventLoop();
+        try (ServerSocket backend = new ServerSocket(0, 8, InetAddress.getLoopbackAddress())) {
+            backend.setSoTimeout(PATIENCE_S * 1000);
+            vertx.runOnContext(start -> new RespDialler(vertx, Facts.settings())
+                    .dial("127.0.0.1:" + backend.getLocalPort())
+                    .onSuccess(line -> {
+                        line.attach(new Ignored());
+                        line.send(ask, waitMs);
+                        vertx.setTimer(20, left -> line.close());
+                    }));
+            try (Socket connection = backend.accept()) {
+                connection.setSoTimeout(PATIENCE_S * 1000);
+                return new String(connection.getInputStream().readAllBytes(), StandardCharsets.ISO_8859_1);
+            }
+        } finally {
+            vertx.close().toCompletionStage().toCompletableFuture().get(PATIENCE_S, TimeUnit.SECONDS);
+            if (ask.body() != null) {
+                ask.body().release();
+            }
+        }
+    }
+
+    /** Hears of a connection on which nothing comes. */
+    private static final class Ignored implements LinkPool.Line.User {
+        @Override
+        public boolean began(LongValue value) {
+            return false;
+        }
+
+        @Override
+        public void replied(NodeEnd end) {}
+
+        @Override
+        public void unwritten() {}
+
+        @Override
+        public void gone() {}
+    }
+}
--- /dev/null
+++ b/gateway/src/test/java/opalcove/platform/DiscoveryRequestsTest.java
@@ -0,0 +1,92 @@
+package opalcove.platform;
+
+import static org.testng.Assert.assertEquals;
+
+import io.vertx.core.Vertx;
+import java.net.InetAddress;
+import java.net.ServerSocket;
+import java.net.Socket;
+import java.nio.charset.StandardCharsets;
+import java.util.List;
+import java.util.SplittableRandom;
+import java.util.concurrent.TimeUnit;
+import opalcove.Facts;
+import opalcove.decision.Admission;
+import opalcove.gateway.Endpoint;
+import org.testng.annotations.Test;
+
+/** What is sent to discovery, byte for byte, for a list that is pushed and for one that is polled. */
+public class DiscoveryRequestsTest {
+    private static final int PATIENCE_S = 20;
+    private static final String LIST = "{\"index\":41,\"snapshot\":true,\"endpoints\":[]}";
+    private static final long NO_VERSION = -1;
+
+    @Test
+    public void theWholeListThenAWatchOfAPushedList() throws Exception {
+        assertEquals(
+                requests(Facts.settings(), NO_VERSION, false),
+                List.of(
+                        "GET /v1/endpoints HTTP/1.1\r\nhost: 127.0.0.1:PORT\r\n\r\n",
+                        "GET /v1/endpoints?since=41&timeout_ms=250 HTTP/1.1\r\nhost: 127.0.0.1:PORT\r\n\r\n"));
+    }
+
+    @Test
+    public void aWatchFromAKnownVersionOfAPolledList() throws Exception {
+        assertEquals(
+                requests(Facts.settingsOfAListThatIsAskedFor(), 7, false),
+                List.of(
+                        "GET /v1/endpoints?since=7&timeout_ms=1500 HTTP/1.1\r\nhost: 127.0.0.1:PORT\r\n\r\n",
+                        "GET /v1/endpoints?since=41&timeout_ms=1500 HTTP/1.1\r\nhost: 127.0.0.1:PORT\r\n\r\n"));
+    }
+
+    /** Before the client port opens nothing is waited for but what discovery has already. */
+    @Test
+    public void aWatchWhileAFreshListIsAwaited() throws Exception {
+        assertEquals(
+                requests(Facts.settings(), 7, true).get(0),
+                "GET /v1/endpoints?since=7&timeout_ms=1 HTTP/1.1\r\nhost: 127.0.0.1:PORT\r\n\r\n");
+    }
+
+    /** The first two requests of a gateway that knows this version, all of their bytes, with PORT in the port's place. */
+    private static List<String> requests(Admission.Settings settings, long known, boolean fresh) throws Exception {
+        Vertx vertx = Vertx.vertx();
+        try (ServerSocket discovery = new ServerSocket(0, 8, InetAddress.getByName("127.0.0.1"))) {
+            discovery.setSoTimeout(PATIENCE_S * 1000);
+            vertx.runOnContext(start -> {
+                DiscoveryWatch watch = new DiscoveryWatch(
+                        vertx,
+                        new Endpoint("127.0.0.1", discovery.getLocalPort()),
+                        settings,
+                        new SplittableRandom(1),
+                        (whole, lines, discoveryNow) -> {});
+                if (fresh) {
+                    watch.firstWord(true);
+                }
+                watch.startFrom(known);
+            });
+            try (Socket connection = discovery.accept()) {
+                connection.setSoTimeout(PATIENCE_S * 1000);
+                String first = head(connection);
+                String reply = "HTTP/1.1 200 OK\r\nContent-Length: " + LIST.length() + "\r\n\r\n" + LIST;
+                connection.getOutputStream().write(reply.getBytes(StandardCharsets.US_ASCII));
+                String port = ":" + discovery.getLocalPort() + "\r\n";
+                return List.of(
+                        first.replace(port, ":PORT\r\n"), head(connection).replace(port, ":PORT\r\n"));
+            }
+        } finally {
+            vertx.close().toCompletionStage().toCompletableFuture().get(PATIENCE_S, TimeUnit.SECONDS);
+        }
+    }
+
+    private static String head(Socket connection) throws Exception {
+        StringBuilder head = new StringBuilder();
+        while (head.indexOf("\r\n\r\n") < 0) {
+            int each = connection.getInputStream().read();
+            if (each < 0) {
+                throw new java.io.EOFException("the connection ended after " + head);
+            }
+            head.append((char) each);
+        }
+        return head.toString();
+    }
+}
--- /dev/null
+++ b/gateway/src/test/java/opalcove/platform/RespRepliesTest.java
@@ -0,0 +1,242 @@
+package opalcove.platform;
+
+import static org.testng.Assert.assertEquals;
+import static org.testng.Assert.assertTrue;
+
+import java.net.Socket;
+import java.nio.charset.StandardCharsets;
+import opalcove.decision.Admission;
+import org.testng.annotations.Test;
+
+/** The client port by its bytes: each reply that a client can get, as literal text. */
+public class RespRepliesTest {
+    private static final int DEADLINE_MS = 4000;
+    private static final String CUSTOMER = "00000000000000b2";
+    private static final String ID = "0000000000000001";
+    private static final String MARKS = "c=slot-status,t=start,d=4000,units=1,spread=1,first=0";
+    private static final String KEYED = "c=swap-record,t=start,d=4000,units=1,spread=1,first=0";
+
+    /** A class whose requests may not be repeated, beside those of the tests' settings. */
+    private static final String UNSAFE = "{\"name\":\"lock\",\"value\":2,\"aim_ms\":2000,\"deadline_ms\":4000,"
+            + "\"idempotency\":\"unsafe\",\"group\":\"all\"},";
+
+    private static final String INFO =
+            """
+            taken=0
+            joined=0
+            attempts=0
+            attempts_served=0
+            attempts_error=0
+            attempts_turned_away=0
+            attempts_timed_out=0
+            attempts_unreachable=0
+            attempts_broken=0
+            attempts_cancelled=0
+            attempts_not_sent=0
+            given_up=0
+            lapsed_while_dialled=0
+            probes=0
+            served=0
+            refused=0
+            refused.decided=0
+            refused.too_many_open=0
+            refused.ending=0
+            refused.unread_in_time=0
+            failed=0
+            connections_ended.idle=0
+            connections_ended.drained=0
+            connections_ended.for_room=0
+            connections_ended.stalled=0
+            connections_ended.protocol=0
+            connections_ended.cut=0
+            terminals_left=0
+            list_calls_failed=0
+            lists_refused=0
+            starts_of_other_clocks=0
+            connections_closed_for_descriptors=0
+            connections_refused_for_descriptors=0
+            stopped_by_guards=0
+            ended_by_deadline_guard=0
+            rule_stopped.answer_in_time=0
+            rule_broken.answer_in_time=0
+            rule_stopped.closed_unanswered=0
+            rule_broken.closed_unanswered=0
+            rule_stopped.client_waits=0
+            rule_broken.client_waits=0
+            rule_stopped.deadline_passed_on=0
+            rule_broken.deadline_passed_on=0
+            rule_stopped.listed=0
+            rule_broken.listed=0
+            rule_stopped.repeat=0
+            rule_broken.repeat=0
+            rule_stopped.attempts=0
+            rule_broken.attempts=0
+            rule_stopped.refusal=0
+            rule_broken.refusal=0
+            asks_open=0
+            links_open=0
+            links_resting=0
+            """;
+
+    /** Sends the bytes on a new connection; whether what comes back begins with the reply. */
+    private static void exchange(Stage stage, String sent, String reply) throws Exception {
+        exchange(stage.terminal(), sent, reply);
+    }
+
+    private static void exchange(Socket client, String sent, String reply) throws Exception {
+        Stage.say(client, sent);
+        byte[] got = client.getInputStream().readNBytes(reply.length());
+        assertEquals(new String(got, StandardCharsets.ISO_8859_1), reply, sent);
+    }
+
+    @Test
+    public void commandsThatNoBackendSees() throws Exception {
+        try (Stage stage = new Stage()) {
+            exchange(stage, Stage.PING, "+PONG\r\n");
+            exchange(stage, Stage.words("ping"), "+PONG\r\n");
+            exchange(stage, Stage.words("PING", "hello"), "$5\r\nhello\r\n");
+            exchange(stage, Stage.words("PING", ""), "$0\r\n\r\n");
+            exchange(stage, Stage.words("CLIENT", "SETNAME", "a"), "+OK\r\n");
+            exchange(stage, Stage.words("SELECT", "0"), "+OK\r\n");
+            exchange(stage, Stage.words("HELLO", "3"), "-ERR unknown command\r\n");
+            exchange(stage, Stage.words("GET", "a"), "-ERR unknown command\r\n");
+            exchange(stage, Stage.words(""), "-ERR unknown command\r\n");
+            stage.onLoop(() -> stage.front.sendAway(true));
+            exchange(stage, Stage.PING, "-ERR draining\r\n");
+            stage.onLoop(() -> stage.front.sendAway(false));
+            exchange(stage, Stage.PING, "+PONG\r\n");
+        }
+    }
+
+    @Test
+    public void infoOfAGatewayThatHasDoneNothing() throws Exception {
+        try (Stage stage = new Stage()) {
+            exchange(stage, Stage.words("info"), "$" + INFO.length() + "\r\n" + INFO + "\r\n");
+        }
+    }
+
+    private static String[][] invalidRequests() {
+        return new String[][] {
+            {Stage.words("SVC.QUERY", CUSTOMER, ID), "wrong number of words for SVC.QUERY"},
+            {Stage.words("SVC.QUERY", CUSTOMER, ID, MARKS, "body"), "wrong number of words for SVC.QUERY"},
+            {Stage.words("svc.submit", CUSTOMER, ID, MARKS), "wrong number of words for SVC.SUBMIT"},
+            {Stage.words("SVC.QUERY", CUSTOMER, ID, ""), "expected name=value"},
+            {Stage.words("SVC.QUERY", CUSTOMER, ID, "=1," + MARKS), "expected name=value"},
+            {Stage.words("SVC.QUERY", CUSTOMER, ID, MARKS + ",d=3"), "a name comes twice"},
+            {query(MARKS.replace("c=slot-status,", "")), "c is missing"},
+            {query(MARKS.replace("slot-status", "none")), "unknown class"},
+            {query(KEYED), "SVC.QUERY does not serve swap-record"},
+            {Stage.words("SVC.SUBMIT", CUSTOMER, ID, MARKS, "body"), "SVC.SUBMIT does not serve slot-status"},
+            {Stage.words("SVC.QUERY", CUSTOMER, "1", MARKS), "the id must be 16 hex digits"},
+            {Stage.words("SVC.QUERY", CUSTOMER, "000000000000000g", MARKS), "the id must be 16 hex digits"},
+            {Stage.words("SVC.QUERY", "b2", ID, MARKS), "the operator must be 16 hex digits"},
+            {Stage.words("SVC.QUERY", "0000000200000000", ID, MARKS), "the operator is out of range"},
+            {query(MARKS.replace("t=start", "t=")), "t is missing"},
+            {query(MARKS.replace("t=start", "t=none")), "unknown plan"},
+            {query(MARKS.replace(",units=1", "")), "units is missing"},
+            {query(MARKS.replace("units=1", "units=1e2")), "units is not a number in range"},
+            {query(MARKS.replace("units=1", "units=0")), "the units are out of range"},
+            {query(MARKS.replace("units=1", "units=9")), "the units are out of range"},
+            {query(MARKS.replace("d=4000,", "")), "d is missing"},
+            {query(MARKS.replace("d=4000", "d=-1")), "d is not a number in range"},
+            {query(MARKS.replace("d=4000", "d=4001")), "the time to wait is out of range"},
+            {query(MARKS.replace("spread=1", "spread=1.5")), "spread is not a whole number"},
+            {query(MARKS.replace("spread=1", "spread=2")), "the operator's gateways are out of range"},
+            {query(MARKS.replace("first=0", "first=1")), "the operator's gateways are out of range"},
+            {Stage.words("SVC.SUBMIT", CUSTOMER, ID, KEYED, "body"), "k is missing"},
+            {Stage.words("SVC.SUBMIT", CUSTOMER, ID, KEYED + ",k=a b", "body"), "the key cannot be passed on"},
+            {"*0\r\n", "expected a command"},
+            {"*1\r\n:1\r\n", "expected a command"},
+            {"*1\r\n$-1\r\n", "expected a command"},
+            {"+PING\r\n", "expected a command"},
+        };
+    }
+
+    private static String query(String marks) {
+        return Stage.words("SVC.QUERY", CUSTOMER, ID, marks);
+    }
+
+    /** Each is an error in its own place: the connection goes on. */
+    @Test
+    public void invalidRequestsAndTheConnectionAfterThem() throws Exception {
+        try (Stage stage = new Stage()) {
+            for (String[] each : invalidRequests()) {
+                Socket client = stage.terminal();
+                exchange(client, each[0], "-ERR " + each[1] + "\r\n");
+                exchange(client, Stage.PING, "+PONG\r\n");
+            }
+        }
+    }
+
+    /** What is no RESP2 is told and ends the connection. */
+    @Test
+    public void malformedInputEndsTheConnection() throws Exception {
+        String[][] cases = {
+            {"PING\r\n", "expected a RESP2 value"},
+            {"\r\n", "an empty line"},
+            {"+" + "x".repeat(5000), "too long a line"},
+            {"*9\r\n", "a length must be a number from 0 to 8"},
+            {"*x\r\n", "a length must be a number from 0 to 8"},
+            {"*2\r\n$4\r\nPING\r\n$65537\r\n", "a length must be a number from 0 to 65536"},
+            {"*1\r\n$65537\r\n", "a string of 65537 bytes is not taken here"},
+            {"*1\r\n$67108865\r\n", "a length must be a number from 0 to 67108864"},
+            {"*1\r\n$3\r\nabcd\r\n", "a bulk string is longer than announced"},
+            {"*1\r\n*1\r\n*1\r\n*1\r\n", "arrays too deep"},
+        };
+        try (Stage stage = new Stage()) {
+            for (String[] each : cases) {
+                Socket client = stage.terminal();
+                exchange(client, each[0], "-ERR Protocol error: " + each[1] + "\r\n");
+                assertEquals(client.getInputStream().read(), -1, each[1]);
+            }
+        }
+    }
+
+    @Test
+    public void aServedValueAndABackendsError() throws Exception {
+        try (Stage stage = new Stage()) {
+            Stage.Node node = stage.node("s-1");
+            stage.told(node.is(Admission.State.UP));
+            Socket client = stage.terminal();
+            Stage.say(client, Stage.query(1, DEADLINE_MS));
+            Stage.Line line = node.withCommand();
+            line.command();
+            line.serve("value");
+            exchange(client, "", "$5\r\nvalue\r\n");
+        }
+        try (Stage stage =
+                new Stage("\"max_attempts\":6", "\"max_attempts\":1", "\"profiles\":[", "\"profiles\":[" + UNSAFE)) {
+            Stage.Node node = stage.node("s-1");
+            stage.told(node.is(Admission.State.UP));
+            Socket client = stage.terminal();
+            String marks = MARKS.replace("slot-status", "lock");
+            Stage.say(client, Stage.words("SVC.SUBMIT", CUSTOMER, ID, marks, "body"));
+            Stage.Line line = node.withCommand();
+            line.command();
+            exchange(client, Stage.words("SVC.SUBMIT", CUSTOMER, ID, marks, "body"), "");
+            line.say("-ERR failed\r\n");
+            exchange(client, "", "-ERR failed\r\n-ERR this id is under way\r\n");
+        }
+    }
+
+    /** The two forms of a refusal: with advice on when to come again, and without. */
+    @Test
+    public void aRefusalWithAdviceAndWithout() throws Exception {
+        for (boolean advice : new boolean[] {true, false}) {
+            String most = "\"max_retry_after_ms\":2000";
+            try (Stage stage = new Stage(
+                    "\"max_open\":1000", "\"max_open\":1", most, advice ? most : "\"max_retry_after_ms\":0")) {
+                Stage.Node node = stage.node("s-1");
+                stage.told(node.is(Admission.State.UP));
+                Socket first = stage.terminal();
+                Stage.say(first, Stage.query(1, DEADLINE_MS));
+                Stage.Line line = node.withCommand();
+                exchange(stage, Stage.query(2, DEADLINE_MS), advice ? "-BUSY 2000\r\n" : "-BUSY\r\n");
+                line.command();
+                line.serve("value");
+                assertEquals(Stage.answer(first), "value");
+                assertTrue(stage.figure("refused.too_many_open") == 1);
+            }
+        }
+    }
+}
