--- a/gateway/src/test/java/opalcove/platform/RespRepliesTest.java
+++ b/gateway/src/test/java/opalcove/platform/RespRepliesTest.java
@@ -210,10 +210,11 @@
             stage.told(node.is(Admission.State.UP));
             Socket client = stage.terminal();
             String marks = MARKS.replace("slot-status", "lock");
-            Stage.say(client, Stage.words("SVC.SUBMIT", CUSTOMER, ID, marks, "body"));
+            // In one write, so that the second is read before the first can be answered.
+            String command = Stage.words("SVC.SUBMIT", CUSTOMER, ID, marks, "body");
+            Stage.say(client, command + command);
             Stage.Line line = node.withCommand();
             line.command();
-            exchange(client, Stage.words("SVC.SUBMIT", CUSTOMER, ID, marks, "body"), "");
             line.say("-ERR failed\r\n");
             exchange(client, "", "-ERR failed\r\n-ERR this id is under way\r\n");
         }
