--- /dev/null
+++ b/gateway/src/test/java/opalcove/cluster/MembershipOutputTest.java
@@ -0,0 +1,119 @@
+package opalcove.cluster;
+
+import static org.testng.Assert.assertEquals;
+import static org.testng.Assert.assertTrue;
+
+import io.vertx.core.Vertx;
+import java.net.DatagramPacket;
+import java.net.DatagramSocket;
+import java.net.InetAddress;
+import java.net.InetSocketAddress;
+import java.util.List;
+import java.util.concurrent.CopyOnWriteArrayList;
+import java.util.concurrent.TimeUnit;
+import java.util.function.BooleanSupplier;
+import opalcove.gateway.Fields;
+import opalcove.membership.Member;
+import opalcove.membership.Message;
+import opalcove.membership.Word;
+import org.testng.annotations.Test;
+
+/** What a member shows to the outside: the reply to MEMBERS, its figures and its events. */
+public class MembershipOutputTest {
+    private static final long FAILS_AFTER_NS = TimeUnit.SECONDS.toNanos(60);
+    private static final InetAddress LOOPBACK = InetAddress.getLoopbackAddress();
+
+    private static void await(String awaited, BooleanSupplier there) throws InterruptedException {
+        long start = System.nanoTime();
+        while (!there.getAsBoolean()) {
+            assertTrue(System.nanoTime() - start < FAILS_AFTER_NS, awaited);
+            Thread.sleep(10);
+        }
+    }
+
+    private static Word word(String name, Member.State state) {
+        return new Word(new Member(name, "127.0.0.1:9", 5, state), state == Member.State.SUSPECT ? "g2" : "");
+    }
+
+    @Test
+    public void aMemberShowsWhatItKnowsInItsForms() throws Exception {
+        Vertx vertx = Vertx.vertx();
+        try (DatagramSocket peer = new DatagramSocket(new InetSocketAddress(LOOPBACK, 0))) {
+            Member second = new Member("g2", "127.0.0.1:" + peer.getLocalPort(), 4, Member.State.ALIVE);
+            List<String> events = new CopyOnWriteArrayList<>();
+            // Periods so long that nothing is judged by time before the test has seen it.
+            Membership membership = new Membership(
+                    vertx,
+                    "g1",
+                    MembershipSettings.read(Fields.parse(
+                            "{\"listen\":\"127.0.0.1:0\",\"seeds\":[],\"probe_ms\":5000,\"events\":true}")),
+                    List.of(second),
+                    events::add);
+            membership.start().await(1, TimeUnit.MINUTES);
+            await("itself first", () -> membership.members().startsWith("g1 127.0.0.1:"));
+            String self = membership.members().lines().findFirst().orElseThrow();
+            assertTrue(self.matches("g1 127\\.0\\.0\\.1:\\d+ \\d+ alive"), self);
+            int port = Integer.parseInt(self.split("[: ]")[2]);
+
+            send(peer, port, second, word("g3", Member.State.SUSPECT), word("g4", Member.State.ALIVE));
+            await(
+                    membership.members(),
+                    () -> membership.members().endsWith("g3 127.0.0.1:9 5 suspect\ng4 127.0.0.1:9 5 alive\n"));
+            assertTrue(
+                    membership.members().startsWith(self + "\n" + "g2 " + second.address() + " 4 "),
+                    membership.members());
+            send(peer, port, second, word("g3", Member.State.DEAD), word("g4", Member.State.LEFT));
+            await(
+                    membership.members(),
+                    () -> membership.members().endsWith("g3 127.0.0.1:9 5 dead\ng4 127.0.0.1:9 5 left\n"));
+
+            assertEquals(
+                    membership
+                            .lines()
+                            .lines()
+                            .map(line -> line.replaceFirst(":\\d+\\|", "|"))
+                            .toList(),
+                    List.of(
+                            "membership.members|g",
+                            "membership.suspects|g",
+                            "membership.health|g",
+                            "membership.version|g",
+                            "membership.incarnation|g",
+                            "membership.sent|c",
+                            "membership.received|c",
+                            "membership.unreadable|c",
+                            "membership.probes|c",
+                            "membership.acks|c",
+                            "membership.helped|c",
+                            "membership.suspicions|c",
+                            "membership.confirmed|c",
+                            "membership.refuted|c",
+                            "membership.pauses|c"));
+            assertEquals(
+                    events.stream()
+                            .filter(each -> !each.contains("\"name\":\"g2\""))
+                            .map(each -> each.replaceFirst("\"at_ms\":\\d{13},", "\"at_ms\":0,"))
+                            .toList(),
+                    List.of(
+                            event("g3", "SUSPECT", "UNKNOWN"),
+                            event("g4", "ALIVE", "UNKNOWN"),
+                            event("g3", "DEAD", "SUSPECT"),
+                            event("g4", "LEFT", "ALIVE")));
+            membership.leave();
+            await("it says that it leaves", () -> membership.members().contains(self.replace(" alive", " left")));
+        } finally {
+            vertx.close().await(1, TimeUnit.MINUTES);
+        }
+    }
+
+    private static void send(DatagramSocket peer, int port, Member from, Word... words) throws Exception {
+        byte[] bytes = Datagrams.write(new Message(Message.Kind.GOSSIP, from, 0, "", "", List.of(words)));
+        peer.send(new DatagramPacket(bytes, bytes.length, LOOPBACK, port));
+    }
+
+    private static String event(String name, String state, String before) {
+        return "{\"at_ms\":0,\"event\":\"member\",\"observer\":\"g1\",\"name\":\"" + name
+                + "\",\"address\":\"127.0.0.1:9\",\"incarnation\":5,\"state\":\"" + state + "\",\"before\":\"" + before
+                + "\"}";
+    }
+}
--- /dev/null
+++ b/versions/src/test/java/opalcove/versions/AgreementOutputTest.java
@@ -0,0 +1,141 @@
+package opalcove.versions;
+
+import static org.testng.Assert.assertEquals;
+import static org.testng.Assert.assertTrue;
+
+import io.vertx.core.Vertx;
+import java.net.DatagramSocket;
+import java.net.InetAddress;
+import java.net.InetSocketAddress;
+import java.nio.file.Files;
+import java.nio.file.Path;
+import java.util.List;
+import java.util.concurrent.CopyOnWriteArrayList;
+import java.util.concurrent.TimeUnit;
+import java.util.function.BooleanSupplier;
+import opalcove.Facts;
+import opalcove.agreement.Registry;
+import opalcove.cluster.AgreedState;
+import opalcove.gateway.Endpoint;
+import opalcove.gateway.Fields;
+import org.testng.annotations.Test;
+
+/** What agreed versions show to the outside: figures and events. */
+public class AgreementOutputTest {
+    private static final long FAILS_AFTER_NS = TimeUnit.SECONDS.toNanos(60);
+
+    private static void await(Object awaited, BooleanSupplier there) throws InterruptedException {
+        long start = System.nanoTime();
+        while (!there.getAsBoolean()) {
+            assertTrue(System.nanoTime() - start < FAILS_AFTER_NS, awaited.toString());
+            Thread.sleep(10);
+        }
+    }
+
+    private static int freePort() throws Exception {
+        try (DatagramSocket socket = new DatagramSocket(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0))) {
+            return socket.getLocalPort();
+        }
+    }
+
+    private static AgreedState state(Vertx vertx, int port, Path folder, List<String> events) {
+        String section =
+                """
+                {"listen":"127.0.0.1:%d","voters":[{"name":"g1","address":"127.0.0.1:%d"}],
+                 "state_file":"%s/state","snapshot_file":"%s/snapshot","events":true}"""
+                        .formatted(port, port, folder, folder);
+        return new VersionedState.Maker().make(vertx, "g1", Fields.parse(section), Facts.settings(), events::add);
+    }
+
+    private static List<String> keys(AgreedState state) {
+        return state.lines()
+                .lines()
+                .map(line -> line.replaceFirst(":-?\\d+\\|", "|"))
+                .toList();
+    }
+
+    private static List<String> plain(List<String> events, Path folder) {
+        return events.stream()
+                .map(each -> each.replaceAll("(_ms\":)\\d{13}", "$10").replace(folder.toString(), "FOLDER"))
+                .toList();
+    }
+
+    @Test
+    public void aVoterShowsItsFiguresAndEventsInTheirForms() throws Exception {
+        Vertx vertx = Vertx.vertx();
+        Path folder = Files.createTempDirectory("agreement");
+        try {
+            int port = freePort();
+            List<String> events = new CopyOnWriteArrayList<>();
+            AgreedState state = state(vertx, port, folder, events);
+            state.start(acting -> {}, List::of).await(1, TimeUnit.MINUTES);
+            VersionClient client = new VersionClient(List.of(Endpoint.read("127.0.0.1:" + port, "address")), 60_000);
+            Registry.Outcome outcome = client.propose(0, "ops", "{\"settings\":" + Facts.JSON + "}");
+            assertEquals(outcome, new Registry.Outcome(true, 1, ""));
+            String acting = "{\"event\":\"acting\",\"version\":1,\"mode\":\"FULL\",\"nodes\":-1,\"ended_ms\":0,"
+                    + "\"at_ms\":0,\"observer\":\"g1\"}";
+            await(events, () -> plain(events, folder).contains(acting));
+            await(events, () -> events.toString().contains("\"phase\":\"FULL\""));
+            await(events, () -> events.toString().contains("\"snapshot\""));
+            assertEquals(
+                    keys(state),
+                    List.of(
+                            "agreement.version|g",
+                            "agreement.behind|g",
+                            "agreement.voter|g",
+                            "agreement.leader|g",
+                            "agreement.state_refused|c",
+                            "agreement.asked|c",
+                            "agreement.confirmed|c",
+                            "agreement.expired|c",
+                            "agreement.adopted|c",
+                            "agreement.unreadable|c",
+                            "recovery.phase|g",
+                            "recovery.snapshot_age_ms|g",
+                            "recovery.trusted|g",
+                            "recovery.refused|g",
+                            "agreement.lease_left_ms|g"));
+            String lines = state.lines();
+            assertTrue(lines.startsWith("agreement.version:1|g\nagreement.behind:0|g\nagreement.voter:1|g\n"), lines);
+            assertTrue(lines.contains("\nrecovery.phase:3|g\nrecovery.snapshot_age_ms:-1|g\n"), lines);
+            List<String> shown = plain(events, folder);
+            assertTrue(shown.contains("{\"event\":\"leads\",\"leads\":true,\"at_ms\":0,\"observer\":\"g1\"}"));
+            assertTrue(shown.contains("{\"event\":\"snapshot\",\"at_ms\":0,\"observer\":\"g1\"}"));
+            String refused = "\"refused\":[\"the snapshot: FOLDER/snapshot: there is none\"]";
+            assertEquals(
+                    shown.stream().filter(each -> each.contains("\"recovery\"")).toList(),
+                    List.of(
+                            recovery("WAITING", refused, false),
+                            recovery("RESTORING", refused, true),
+                            recovery("FULL", refused, true)));
+        } finally {
+            vertx.close().await(1, TimeUnit.MINUTES);
+        }
+    }
+
+    private static String recovery(String phase, String refused, boolean cold) {
+        return "{\"event\":\"recovery\",\"phase\":\"" + phase + "\"," + refused + ",\"cold\":" + cold
+                + ",\"at_ms\":0,\"observer\":\"g1\"}";
+    }
+
+    @Test
+    public void aStateThatIsRefusedIsShownWithItsReason() throws Exception {
+        Vertx vertx = Vertx.vertx();
+        Path folder = Files.createTempDirectory("agreement");
+        try {
+            Files.writeString(folder.resolve("state"), "nothing of this program");
+            List<String> events = new CopyOnWriteArrayList<>();
+            AgreedState state = state(vertx, freePort(), folder, events);
+            state.start(acting -> {}, List::of);
+            await(events, () -> !events.isEmpty());
+            assertEquals(
+                    plain(events, folder).get(0),
+                    "{\"event\":\"state_refused\",\"reason\":\"FOLDER/state: it is no state of this program\","
+                            + "\"at_ms\":0,\"observer\":\"g1\"}");
+            await(state, () -> state.lines().contains("agreement.voter:0|g\n"));
+            assertTrue(state.lines().contains("agreement.state_refused:1|c\n"), state.lines());
+        } finally {
+            vertx.close().await(1, TimeUnit.MINUTES);
+        }
+    }
+}
--- /dev/null
+++ b/versions/src/test/java/opalcove/versions/PacketFormTest.java
@@ -0,0 +1,217 @@
+package opalcove.versions;
+
+import static org.testng.Assert.assertEquals;
+import static org.testng.Assert.assertNull;
+import static org.testng.Assert.assertTrue;
+
+import com.eclipsesource.json.Json;
+import com.eclipsesource.json.JsonObject;
+import java.io.ByteArrayInputStream;
+import java.io.IOException;
+import java.nio.charset.StandardCharsets;
+import java.util.ArrayList;
+import java.util.Base64;
+import java.util.Comparator;
+import java.util.List;
+import java.util.Map;
+import java.util.PriorityQueue;
+import java.util.Random;
+import java.util.zip.InflaterInputStream;
+import opalcove.agreement.Standing;
+import org.testng.annotations.DataProvider;
+import org.testng.annotations.Test;
+
+/** The datagrams between gateways about versions as bytes: processes of an older program read and write the same. */
+public class PacketFormTest {
+    /** The text "one" as today's program packs it. */
+    private static final String PACKED_ONE = "eJxb85aBtYSBOT8vFQAUjANY";
+
+    private static final String CLIENT = "{\"n\":\"client-1\",\"a\":\"c:1\"}";
+
+    @DataProvider
+    public Object[][] forms() {
+        JsonObject origin = Json.object().add("n", "g9").add("a", "127.0.0.1:9");
+        return new Object[][] {
+            {Packet.Kind.RAFT, Packet.raft(new byte[] {1, 2, -1}), "\"k\":\"RAFT\",\"s\":7,\"b\":\"AQL/\""},
+            {Packet.Kind.ASK, Json.object().add("v", 3), "\"k\":\"ASK\",\"s\":7,\"v\":3"},
+            {
+                Packet.Kind.TOLD,
+                Json.object().add("v", 3).add("t", PACKED_ONE).add("o", origin),
+                "\"k\":\"TOLD\",\"s\":7,\"v\":3,\"t\":\"" + PACKED_ONE + "\",\"o\":{\"n\":\"g9\",\"a\":\"127.0.0.1:9\"}"
+            },
+            {Packet.Kind.NEWS, Json.object().add("v", 4), "\"k\":\"NEWS\",\"s\":7,\"v\":4"},
+            {
+                Packet.Kind.PROPOSE,
+                Json.object().add("id", "x").add("base", 1).add("by", "ops").add("t", PACKED_ONE),
+                "\"k\":\"PROPOSE\",\"s\":7,\"id\":\"x\",\"base\":1,\"by\":\"ops\",\"t\":\"" + PACKED_ONE + "\""
+            },
+            {
+                Packet.Kind.DECIDED,
+                Json.object().add("taken", true).add("v", 2).add("reason", ""),
+                "\"k\":\"DECIDED\",\"s\":7,\"taken\":true,\"v\":2,\"reason\":\"\""
+            },
+            {Packet.Kind.HISTORY, Json.object(), "\"k\":\"HISTORY\",\"s\":7"},
+            {
+                Packet.Kind.VERSIONS,
+                Json.object()
+                        .add(
+                                "versions",
+                                Json.array()
+                                        .asArray()
+                                        .add(Json.object()
+                                                .add("number", 1)
+                                                .add("by", "ops")
+                                                .add("id", "x"))),
+                "\"k\":\"VERSIONS\",\"s\":7,\"versions\":[{\"number\":1,\"by\":\"ops\",\"id\":\"x\"}]"
+            }
+        };
+    }
+
+    @Test(dataProvider = "forms")
+    public void eachKindIsWrittenAndReadInItsForm(Packet.Kind kind, JsonObject body, String form) {
+        String whole = "{\"f\":{\"n\":\"g1\",\"a\":\"127.0.0.1:7000\"}," + form + "}";
+        Packet packet = new Packet("g1", "127.0.0.1:7000", kind, 7, body);
+        assertEquals(new String(packet.bytes(), StandardCharsets.UTF_8), whole);
+        Packet read = Packet.read(whole.getBytes(StandardCharsets.UTF_8));
+        assertEquals(read, packet);
+        if (body.get("t") != null) {
+            assertEquals(read.text(), "one");
+        }
+        if (body.get("o") == null) {
+            assertNull(read.origin());
+        }
+    }
+
+    @Test
+    public void theFormsAreOfAllKinds() {
+        assertEquals(forms().length, Packet.Kind.values().length);
+    }
+
+    @Test
+    public void aTextIsPackedAsADeflatedSerializedString() throws IOException {
+        byte[] packed = Base64.getDecoder().decode(Packet.packed("one"));
+        byte[] plain = new InflaterInputStream(new ByteArrayInputStream(packed)).readAllBytes();
+        assertEquals(plain, new byte[] {(byte) 0xac, (byte) 0xed, 0, 5, 't', 0, 3, 'o', 'n', 'e'});
+    }
+
+    private record Task(long atMs, long order, Runnable run) {}
+
+    /** A gateway in virtual time that notes what it sends to others; itself it reaches. */
+    private static final class Host implements VersionDesk.Host {
+        private final PriorityQueue<Task> tasks =
+                new PriorityQueue<>(Comparator.comparingLong(Task::atMs).thenComparingLong(Task::order));
+        private final List<String> sent = new ArrayList<>();
+        private long nowMs = 1000;
+        private long order;
+
+        @Override
+        public long now() {
+            return nowMs;
+        }
+
+        @Override
+        public void send(String address, Packet packet) {
+            sent.add(address + " " + new String(packet.bytes(), StandardCharsets.UTF_8));
+        }
+
+        @Override
+        public void later(long ms, Runnable task) {
+            tasks.add(new Task(nowMs + ms, order++, task));
+        }
+
+        @Override
+        public void stands(Standing before, Standing after, String text) {
+            sent.add(after.version() + " " + after.mode().name() + " " + text);
+        }
+
+        private void run(long ms) {
+            long end = nowMs + ms;
+            while (!tasks.isEmpty() && tasks.peek().atMs() <= end) {
+                Task task = tasks.poll();
+                nowMs = Math.max(nowMs, task.atMs());
+                task.run().run();
+            }
+            nowMs = end;
+        }
+
+        private List<String> takeSent() {
+            List<String> taken = List.copyOf(sent);
+            sent.clear();
+            return taken;
+        }
+    }
+
+    private static VersionDesk desk(Host host, Map<String, String> voters, boolean votes) {
+        return new VersionDesk(
+                new VersionDesk.Setup("g1", "a:1", voters, votes, null, 2000, new Random(5), text -> {}), host);
+    }
+
+    private static Packet packet(String body) {
+        return Packet.read(("{\"f\":" + CLIENT + "," + body + "}").getBytes(StandardCharsets.UTF_8));
+    }
+
+    @Test
+    public void aVoterAnswersEachQuestionInItsForm() {
+        Host host = new Host();
+        VersionDesk desk = desk(host, Map.of("g1", "a:1"), true);
+        desk.start();
+        host.run(5000);
+        assertTrue(desk.leads());
+        String us = "c:1 {\"f\":{\"n\":\"g1\",\"a\":\"a:1\"},";
+        desk.received(packet("\"k\":\"ASK\",\"s\":1,\"v\":0"));
+        host.run(100);
+        assertEquals(host.takeSent(), List.of(us + "\"k\":\"TOLD\",\"s\":1,\"v\":0}"));
+        String proposal = "\"s\":2,\"id\":\"x\",\"base\":0,\"by\":\"ops\",\"t\":\"" + PACKED_ONE + "\"";
+        desk.received(packet("\"k\":\"PROPOSE\"," + proposal));
+        host.run(100);
+        assertEquals(
+                host.takeSent(),
+                List.of(
+                        us + "\"k\":\"NEWS\",\"s\":0,\"v\":1}",
+                        us + "\"k\":\"DECIDED\",\"s\":2,\"taken\":true,\"v\":1,\"reason\":\"\"}"));
+        desk.received(packet("\"k\":\"PROPOSE\"," + proposal.replace("\"x\"", "\"y\"")));
+        host.run(100);
+        assertEquals(
+                host.takeSent(),
+                List.of(us + "\"k\":\"DECIDED\",\"s\":2,\"taken\":false,\"v\":1,"
+                        + "\"reason\":\"it changes version 0, but version 1 by ops is in force\"}"));
+        desk.received(packet("\"k\":\"PROPOSE\"," + proposal.replace("\"x\"", "\"\"")));
+        host.run(100);
+        assertEquals(
+                host.takeSent(),
+                List.of(us
+                        + "\"k\":\"DECIDED\",\"s\":2,\"taken\":false,\"v\":0,\"reason\":\"a proposal needs an id\"}"));
+        desk.received(packet("\"k\":\"HISTORY\",\"s\":3"));
+        host.run(100);
+        assertEquals(
+                host.takeSent(),
+                List.of(us + "\"k\":\"VERSIONS\",\"s\":3,\"versions\":[{\"number\":1,\"by\":\"ops\",\"id\":\"x\"}]}"));
+        desk.received(packet("\"k\":\"ASK\",\"s\":4,\"v\":0,\"o\":{\"n\":\"g9\",\"a\":\"d:9\"}"));
+        host.run(100);
+        String told = host.takeSent().toString();
+        assertTrue(told.startsWith("[" + us + "\"k\":\"TOLD\",\"s\":4,\"v\":1,\"t\":\""), told);
+        assertTrue(told.endsWith("\",\"o\":{\"n\":\"g9\",\"a\":\"d:9\"}}]"), told);
+    }
+
+    @Test
+    public void aGatewayAsksAVoterAndTakesItsAnswer() {
+        Host host = new Host();
+        VersionDesk desk = desk(host, Map.of("g2", "b:2"), false);
+        desk.tick();
+        assertEquals(
+                host.takeSent(), List.of("b:2 {\"f\":{\"n\":\"g1\",\"a\":\"a:1\"},\"k\":\"ASK\",\"s\":1,\"v\":0}"));
+        desk.received(packet("\"k\":\"TOLD\",\"s\":1,\"v\":3,\"t\":\"" + PACKED_ONE + "\""));
+        assertEquals(host.takeSent(), List.of("3 FULL one"));
+        desk.received(packet("\"k\":\"NEWS\",\"s\":0,\"v\":4"));
+        assertEquals(
+                host.takeSent(), List.of("b:2 {\"f\":{\"n\":\"g1\",\"a\":\"a:1\"},\"k\":\"ASK\",\"s\":2,\"v\":3}"));
+        host.run(2000);
+        desk.tick();
+        assertEquals(host.takeSent().get(0), "3 STRICT one");
+        desk.received(packet("\"k\":\"TOLD\",\"s\":9,\"v\":4,\"o\":{\"n\":\"g9\",\"a\":\"d:9\"}"));
+        assertEquals(
+                host.takeSent(),
+                List.of("d:9 {\"f\":{\"n\":\"g1\",\"a\":\"a:1\"},\"k\":\"TOLD\",\"s\":9,\"v\":4}"),
+                "what was asked by another is passed on");
+    }
+}
--- /dev/null
+++ b/versions/src/test/java/opalcove/versions/VirtualVoters.java
@@ -0,0 +1,158 @@
+package opalcove.versions;
+
+import io.microraft.executor.RaftNodeExecutor;
+import java.time.Clock;
+import java.time.Instant;
+import java.time.ZoneId;
+import java.time.ZoneOffset;
+import java.util.ArrayList;
+import java.util.Comparator;
+import java.util.HashSet;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.PriorityQueue;
+import java.util.Random;
+import java.util.Set;
+import java.util.concurrent.TimeUnit;
+import java.util.function.BiConsumer;
+import java.util.function.BooleanSupplier;
+import opalcove.agreement.Registry;
+
+/** Voters in virtual time, each on its own store: messages take one ms, and none goes to or from one that is cut off. */
+final class VirtualVoters {
+    static final List<String> NAMES = List.of("g1", "g2", "g3");
+    private static final long TIMEOUT_MS = 120_000;
+
+    private record Task(long atMs, long order, Runnable run) {}
+
+    private final PriorityQueue<Task> tasks =
+            new PriorityQueue<>(Comparator.comparingLong(Task::atMs).thenComparingLong(Task::order));
+    private final Map<String, Voter> voters = new LinkedHashMap<>();
+    private final Set<String> cutOff = new HashSet<>();
+    private long nowMs = 1_000_000;
+    private long order;
+
+    /** Starts a voter for each store; {@code sent} sees each message, be it carried or lost. */
+    VirtualVoters(Map<String, VoterStore> stores, BiConsumer<String, byte[]> sent) {
+        stores.forEach((name, store) -> voters.put(
+                name,
+                new Voter(
+                        new Voter.Setup(
+                                name, NAMES, store, new Executor(), new VirtualClock(), new Random(name.hashCode())),
+                        (to, message) -> {
+                            sent.accept(name, message);
+                            later(1, () -> {
+                                if (!cutOff.contains(name) && !cutOff.contains(to)) {
+                                    voters.get(to).handle(message);
+                                }
+                            });
+                        },
+                        version -> {})));
+        voters.values().forEach(Voter::start);
+    }
+
+    Voter voter(String name) {
+        return voters.get(name);
+    }
+
+    void cutOff(String name) {
+        cutOff.add(name);
+    }
+
+    void heal() {
+        cutOff.clear();
+    }
+
+    /** The voter that leads itself and is not cut off, after as long as that takes. */
+    String awaitLeader() {
+        await(() -> leader() != null);
+        return leader();
+    }
+
+    private String leader() {
+        return voters.keySet().stream()
+                .filter(name ->
+                        !cutOff.contains(name) && name.equals(voters.get(name).leader()))
+                .findFirst()
+                .orElse(null);
+    }
+
+    /** Has the leader decide on a proposal. */
+    Registry.Outcome propose(Registry.Proposal proposal) {
+        List<Registry.Outcome> outcome = new ArrayList<>();
+        String leader = awaitLeader();
+        voters.get(leader).propose(proposal, outcome::add, () -> {
+            throw new IllegalStateException(leader + " lost the proposal");
+        });
+        await(() -> !outcome.isEmpty());
+        return outcome.get(0);
+    }
+
+    void run(long ms) {
+        long end = nowMs + ms;
+        while (!tasks.isEmpty() && tasks.peek().atMs() <= end) {
+            next();
+        }
+        nowMs = end;
+    }
+
+    void await(BooleanSupplier done) {
+        long end = nowMs + TIMEOUT_MS;
+        while (!done.getAsBoolean()) {
+            if (nowMs > end) {
+                throw new IllegalStateException("not within " + TIMEOUT_MS + " ms of virtual time");
+            }
+            next();
+        }
+    }
+
+    private void next() {
+        Task task = tasks.poll();
+        nowMs = Math.max(nowMs, task.atMs());
+        task.run().run();
+    }
+
+    private void later(long ms, Runnable run) {
+        tasks.add(new Task(nowMs + ms, order++, run));
+    }
+
+    private final class Executor implements RaftNodeExecutor {
+        @Override
+        public void execute(Runnable task) {
+            later(0, task);
+        }
+
+        @Override
+        public void submit(Runnable task) {
+            later(0, task);
+        }
+
+        @Override
+        public void schedule(Runnable task, long delay, TimeUnit unit) {
+            later(Math.max(1, unit.toMillis(delay)), task);
+        }
+    }
+
+    private final class VirtualClock extends Clock {
+        @Override
+        public ZoneId getZone() {
+            return ZoneOffset.UTC;
+        }
+
+        @Override
+        public Clock withZone(ZoneId zone) {
+            return this;
+        }
+
+        @Override
+        public long millis() {
+            return nowMs;
+        }
+
+        @Override
+        public Instant instant() {
+            return Instant.ofEpochMilli(nowMs);
+        }
+    }
+}
--- /dev/null
+++ b/versions/src/test/java/opalcove/versions/WrittenFormTest.java
@@ -0,0 +1,237 @@
+package opalcove.versions;
+
+import static org.testng.Assert.assertEquals;
+import static org.testng.Assert.assertFalse;
+import static org.testng.Assert.assertTrue;
+
+import io.microraft.model.message.RaftMessage;
+import java.io.ByteArrayInputStream;
+import java.io.IOException;
+import java.io.InputStream;
+import java.io.ObjectInputStream;
+import java.io.ObjectStreamClass;
+import java.io.ObjectStreamField;
+import java.io.Serializable;
+import java.nio.charset.StandardCharsets;
+import java.nio.file.Files;
+import java.nio.file.Path;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.TreeMap;
+import java.util.stream.Collectors;
+import java.util.stream.LongStream;
+import java.util.stream.Stream;
+import java.util.zip.InflaterInputStream;
+import opalcove.agreement.Registry;
+import opalcove.recovery.Snapshot;
+import org.testng.annotations.DataProvider;
+import org.testng.annotations.Test;
+
+/**
+ * What is stored, and what voters send one another, in the form that the program had when these files were made: whatever its
+ * classes are called since, it reads them, goes on from them and writes the same.
+ */
+public class WrittenFormTest {
+    /** The project's classes in streams: name, serialVersionUID and fields, in the order of the stream. */
+    private static final Map<String, String> CLASSES = Map.of(
+            "opalcove.agreement.Registry$Proposal",
+            "0 J base, Ljava/lang/String; by, Ljava/lang/String; id, Ljava/lang/String; text",
+            "opalcove.agreement.Registry$Version",
+            "0 J number, Ljava/lang/String; by, Ljava/lang/String; id, Ljava/lang/String; text",
+            "opalcove.agreement.Registry$Outcome",
+            "0 Z taken, J version, Ljava/lang/String; reason",
+            "opalcove.versions.Voter$Named",
+            "0 Ljava/lang/String; id",
+            "opalcove.versions.VoterStore$State",
+            "1 Lio/microraft/model/persistence/RaftEndpointPersistentState; endpoint, Ljava/util/TreeMap; entries, "
+                    + "Lio/microraft/model/log/RaftGroupMembersView; members, Lio/microraft/model/log/SnapshotChunk; "
+                    + "snapshot, Lio/microraft/model/persistence/RaftTermPersistentState; term");
+
+    private static byte[] resource(String name) {
+        try (InputStream in = WrittenFormTest.class.getResourceAsStream("/written/" + name)) {
+            return in.readAllBytes();
+        } catch (IOException e) {
+            throw new java.io.UncheckedIOException(e);
+        }
+    }
+
+    private static Path copy(String... names) throws IOException {
+        Path folder = Files.createTempDirectory("written");
+        for (String name : names) {
+            Files.write(folder.resolve(name), resource(name));
+        }
+        return folder;
+    }
+
+    private static byte[] plain(byte[] deflated) {
+        try (InputStream in = new InflaterInputStream(new ByteArrayInputStream(deflated))) {
+            return in.readAllBytes();
+        } catch (IOException e) {
+            throw new java.io.UncheckedIOException(e);
+        }
+    }
+
+    private static String fields(ObjectStreamClass descriptor) {
+        return descriptor.getSerialVersionUID() + " "
+                + Stream.of(descriptor.getFields())
+                        .map(field -> type(field) + " " + field.getName())
+                        .collect(Collectors.joining(", "));
+    }
+
+    private static String type(ObjectStreamField field) {
+        return field.isPrimitive() ? String.valueOf(field.getTypeCode()) : field.getTypeString();
+    }
+
+    /** The project's class descriptors in a stream, as they stand in it, read with no class of the program at hand. */
+    private static Map<String, String> classes(byte[] deflated) {
+        Map<String, String> classes = new TreeMap<>();
+        try (ObjectInputStream in = new ObjectInputStream(new ByteArrayInputStream(plain(deflated))) {
+            @Override
+            protected ObjectStreamClass readClassDescriptor() throws IOException, ClassNotFoundException {
+                ObjectStreamClass descriptor = super.readClassDescriptor();
+                if (descriptor.getName().startsWith("opalcove.")) {
+                    classes.put(descriptor.getName(), fields(descriptor));
+                }
+                return descriptor;
+            }
+
+            @Override
+            protected Class<?> resolveClass(ObjectStreamClass descriptor) throws IOException, ClassNotFoundException {
+                return descriptor.getName().startsWith("opalcove.") ? null : super.resolveClass(descriptor);
+            }
+        }) {
+            in.readObject();
+        } catch (ClassNotFoundException wanted) {
+            // The project's classes are not looked for: by their descriptors alone, the stream is read to its end.
+        } catch (IOException e) {
+            throw new java.io.UncheckedIOException(e);
+        }
+        return classes;
+    }
+
+    private static void assertWritten(Map<String, String> found, String... names) {
+        Map<String, String> wanted = new TreeMap<>();
+        for (String name : names) {
+            wanted.put(name, CLASSES.get(name));
+        }
+        assertEquals(found, wanted);
+    }
+
+    @DataProvider
+    public Object[][] messages() {
+        String named = "opalcove.versions.Voter$Named";
+        String proposal = "opalcove.agreement.Registry$Proposal";
+        String version = "opalcove.agreement.Registry$Version";
+        return new Object[][] {
+            {"AppendEntriesFailureResponse", new String[] {named}},
+            {"AppendEntriesRequest", new String[] {named, proposal}},
+            {"AppendEntriesSuccessResponse", new String[] {named}},
+            {"InstallSnapshotRequest", new String[] {named, version}},
+            {"InstallSnapshotResponse", new String[] {named}},
+            {"PreVoteRequest", new String[] {named}},
+            {"PreVoteResponse", new String[] {named}},
+            {"VoteRequest", new String[] {named}},
+            {"VoteResponse", new String[] {named}}
+        };
+    }
+
+    @Test(dataProvider = "messages")
+    public void aMessageIsReadAndWrittenInItsForm(String kind, String... names) {
+        byte[] before = resource(kind + ".message");
+        RaftMessage message = Objects.read(before, RaftMessage.class);
+        assertEquals(message.getClass().getSimpleName(), "Default" + kind + "OrBuilder");
+        byte[] now = Objects.write(message);
+        assertWritten(classes(before), names);
+        assertWritten(classes(now), names);
+        assertEquals(plain(now), plain(before));
+    }
+
+    @DataProvider
+    public Object[][] states() {
+        return new Object[][] {{"g1.state"}, {"g2.state"}, {"g3.state"}, {"g1.state.before"}};
+    }
+
+    @Test(dataProvider = "states")
+    public void aVotersStateIsReadAndWrittenInItsForm(String name) throws IOException {
+        byte[] before = StateFile.read(copy(name).resolve(name));
+        byte[] now = Objects.write(Objects.read(before, Serializable.class));
+        String[] names = {
+            "opalcove.agreement.Registry$Proposal",
+            "opalcove.agreement.Registry$Version",
+            "opalcove.versions.Voter$Named",
+            "opalcove.versions.VoterStore$State"
+        };
+        assertWritten(classes(before), names);
+        assertWritten(classes(now), names);
+        assertEquals(plain(now), plain(before));
+    }
+
+    @Test
+    public void anOutcomeIsWrittenInItsForm() {
+        byte[] written = Objects.write(new Registry.Outcome(true, 3, "why"));
+        assertWritten(classes(written), "opalcove.agreement.Registry$Outcome");
+        assertEquals(Objects.read(written, Registry.Outcome.class), new Registry.Outcome(true, 3, "why"));
+    }
+
+    @Test
+    public void votersGoOnFromTheirFilesAndOneThatStartsAnewIsBroughtUpToDate() throws IOException {
+        Path folder = copy("g1.state", "g2.state", "g3.state");
+        Map<String, VoterStore> stores = new LinkedHashMap<>();
+        for (String name : VirtualVoters.NAMES) {
+            stores.put(name, VoterStore.open(folder.resolve(name + ".state")));
+            assertTrue(stores.get(name).restored().getTermPersistentState().getTerm() > 0, name);
+        }
+        VirtualVoters voters = new VirtualVoters(stores, (from, message) -> {});
+        String leader = voters.awaitLeader();
+        assertEquals(
+                voters.propose(new Registry.Proposal("id-24", 23, "ops", "again")),
+                new Registry.Outcome(true, 24, ""),
+                "what was taken before the restart is known");
+        assertEquals(
+                voters.propose(new Registry.Proposal("id-new", 23, "ops", "late")),
+                new Registry.Outcome(false, 24, "it changes version 23, but version 24 by ops is in force"));
+        assertEquals(
+                voters.propose(new Registry.Proposal("id-25", 24, "ops", "{\"text\":25}")),
+                new Registry.Outcome(true, 25, ""));
+        voters.run(10_000);
+        for (String name : VirtualVoters.NAMES) {
+            List<Registry.Version> history = voters.voter(name).history();
+            assertEquals(
+                    history.stream().map(Registry.Version::number).toList(),
+                    LongStream.rangeClosed(10, 25).boxed().toList(),
+                    name + " of " + leader);
+            assertEquals(history.get(15), new Registry.Version(25, "id-25", "ops", "{\"text\":25}"));
+        }
+    }
+
+    @Test
+    public void aSnapshotOfTheFleetIsReadAndWrittenInItsForm() throws IOException {
+        Path folder = copy("recovery.snapshot", "recovery.snapshot.before");
+        Path file = folder.resolve("recovery.snapshot");
+        Snapshot snapshot = SnapshotFile.read(file, "g1");
+        assertEquals(
+                snapshot,
+                new Snapshot(
+                        "g1",
+                        1_700_000_000_002L,
+                        1_690_000_000_000L,
+                        true,
+                        24,
+                        "{\"settings\":{},\"nodes\":[\"\u00e9\"]}",
+                        List.of(
+                                new Snapshot.Peer("g2", "127.0.0.1:7002", 1_690_000_000_002L),
+                                new Snapshot.Peer("g3", "127.0.0.1:7003", 1_690_000_000_003L))));
+        assertEquals(
+                new String(StateFile.read(file), StandardCharsets.UTF_8),
+                "{\"snapshot\":1,\"gateway\":\"g1\",\"written_ms\":1700000000002,\"incarnation\":1690000000000,"
+                        + "\"clean\":true,\"version\":24,\"text\":\"{\\\"settings\\\":{},\\\"nodes\\\":[\\\"\u00e9\\\"]}\","
+                        + "\"members\":[{\"name\":\"g2\",\"address\":\"127.0.0.1:7002\",\"incarnation\":1690000000002},"
+                        + "{\"name\":\"g3\",\"address\":\"127.0.0.1:7003\",\"incarnation\":1690000000003}]}");
+        Path again = folder.resolve("again");
+        SnapshotFile.write(again, snapshot);
+        assertEquals(Files.readAllBytes(again), resource("recovery.snapshot"));
+        Files.delete(file);
+        assertFalse(SnapshotFile.read(file, "g1").clean(), "the content before is used");
+    }
+}
