--- a/versions/src/main/java/opalcove/versions/Objects.java
+++ b/versions/src/main/java/opalcove/versions/Objects.java
@@ -12,18 +12,18 @@
 
 /**
  * The consensus library's messages and records as bytes. They are serializable Java objects; what is read back may be of its
- * model, of the project's versions and of the plainest classes alone, and is bounded in size and depth.
+ * model, of the project's {@link WrittenClass}es and of the plainest classes alone, and is bounded in size and depth.
  */
 final class Objects {
     private static final ObjectInputFilter ALLOWED = ObjectInputFilter.Config.createFilter(
             "maxbytes=16777216;maxdepth=24;maxarray=65536;io.microraft.model.**;io.microraft.MembershipChangeMode;"
-                    + "opalcove.agreement.*;opalcove.versions.*;java.util.*;java.lang.*;!*");
+                    + WrittenClass.filterPatterns() + ";java.util.*;java.lang.*;!*");
 
     private Objects() {}
 
     static byte[] write(Object object) {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream();
-        try (ObjectOutputStream out = new ObjectOutputStream(new DeflaterOutputStream(bytes))) {
+        try (ObjectOutputStream out = new WrittenClass.Output(new DeflaterOutputStream(bytes))) {
             out.writeObject(object);
         } catch (IOException e) {
             throw new IllegalStateException("not to be written: " + object, e);
@@ -32,7 +32,7 @@
     }
 
     static <T> T read(byte[] bytes, Class<T> type) {
-        try (ObjectInputStream in = new ObjectInputStream(new InflaterInputStream(new ByteArrayInputStream(bytes)))) {
+        try (ObjectInputStream in = new WrittenClass.Input(new InflaterInputStream(new ByteArrayInputStream(bytes)))) {
             in.setObjectInputFilter(ALLOWED);
             return type.cast(in.readObject());
         } catch (IOException | ClassNotFoundException | ClassCastException e) {
--- a/versions/src/main/java/opalcove/versions/Voter.java
+++ b/versions/src/main/java/opalcove/versions/Voter.java
@@ -34,7 +34,7 @@
             Clock clock,
             Random random) {}
 
-    private record Named(String id) implements RaftEndpoint, Serializable {
+    record Named(String id) implements RaftEndpoint, Serializable {
         @Override
         public Object getId() {
             return id;
--- a/versions/src/main/java/opalcove/versions/VoterStore.java
+++ b/versions/src/main/java/opalcove/versions/VoterStore.java
@@ -24,7 +24,7 @@
  */
 public final class VoterStore implements RaftStore {
     /** All of it, as it lies in the file. */
-    private static final class State implements Serializable {
+    static final class State implements Serializable {
         private static final long serialVersionUID = 1;
         private RaftEndpointPersistentState endpoint;
         private RaftGroupMembersView members;
--- /dev/null
+++ b/versions/src/main/java/opalcove/versions/WrittenClass.java
@@ -0,0 +1,126 @@
+package opalcove.versions;
+
+import java.io.IOException;
+import java.io.InputStream;
+import java.io.InvalidClassException;
+import java.io.ObjectInputStream;
+import java.io.ObjectOutputStream;
+import java.io.ObjectStreamClass;
+import java.io.ObjectStreamConstants;
+import java.io.ObjectStreamField;
+import java.io.OutputStream;
+import java.util.List;
+import java.util.stream.Collectors;
+import java.util.stream.Stream;
+import opalcove.agreement.Registry;
+
+/**
+ * The project's classes in serialized streams. Stored states and the messages between voters outlive a build, and an older process
+ * must be able to read what this one writes: each class has the name and the field names it is written under here, whatever it and
+ * its fields are called in the code. Fields are named in the order of the stream, primitive ones first.
+ */
+enum WrittenClass {
+    PROPOSAL("opalcove.agreement.Registry$Proposal", Registry.Proposal.class, "base", "by", "id", "text"),
+    VERSION("opalcove.agreement.Registry$Version", Registry.Version.class, "number", "by", "id", "text"),
+    OUTCOME("opalcove.agreement.Registry$Outcome", Registry.Outcome.class, "taken", "version", "reason"),
+    VOTER_NAME("opalcove.versions.Voter$Named", Voter.Named.class, "id"),
+    VOTER_STATE(
+            "opalcove.versions.VoterStore$State",
+            VoterStore.State.class,
+            "endpoint",
+            "entries",
+            "members",
+            "snapshot",
+            "term");
+
+    private static final String PROJECT = "opalcove.";
+
+    private final String writtenName;
+    private final ObjectStreamClass descriptor;
+    private final List<String> writtenFields;
+
+    WrittenClass(String writtenName, Class<?> type, String... writtenFields) {
+        this.writtenName = writtenName;
+        this.writtenFields = List.of(writtenFields);
+        descriptor = ObjectStreamClass.lookup(type);
+        if (descriptor.getFields().length != writtenFields.length) {
+            throw new IllegalStateException(type + " is written with the fields " + this.writtenFields);
+        }
+    }
+
+    /** The names of the classes in the code, as patterns of a serialization filter. */
+    static String filterPatterns() {
+        return Stream.of(values()).map(each -> each.descriptor.getName()).collect(Collectors.joining(";"));
+    }
+
+    private void write(ObjectOutputStream out) throws IOException {
+        out.writeUTF(writtenName);
+        out.writeLong(descriptor.getSerialVersionUID());
+        out.writeByte(ObjectStreamConstants.SC_SERIALIZABLE);
+        ObjectStreamField[] fields = descriptor.getFields();
+        out.writeShort(fields.length);
+        for (int i = 0; i < fields.length; i++) {
+            out.writeByte(fields[i].getTypeCode());
+            out.writeUTF(writtenFields.get(i));
+            if (!fields[i].isPrimitive()) {
+                out.writeObject(fields[i].getTypeString());
+            }
+        }
+    }
+
+    /** Guards against values of one field read into another: fields are told apart by their place alone. */
+    private ObjectStreamClass checked(ObjectStreamClass read) throws InvalidClassException {
+        ObjectStreamField[] readFields = read.getFields();
+        ObjectStreamField[] fields = descriptor.getFields();
+        boolean same =
+                readFields.length == fields.length && read.getSerialVersionUID() == descriptor.getSerialVersionUID();
+        for (int i = 0; same && i < fields.length; i++) {
+            same = readFields[i].getName().equals(writtenFields.get(i))
+                    && readFields[i].getTypeCode() == fields[i].getTypeCode()
+                    && (fields[i].isPrimitive() || readFields[i].getTypeString().equals(fields[i].getTypeString()));
+        }
+        if (!same) {
+            throw new InvalidClassException(writtenName, "its fields are not those of this program");
+        }
+        return descriptor;
+    }
+
+    /** Writes the project's classes under their written names. */
+    static final class Output extends ObjectOutputStream {
+        Output(OutputStream out) throws IOException {
+            super(out);
+        }
+
+        @Override
+        protected void writeClassDescriptor(ObjectStreamClass descriptor) throws IOException {
+            for (WrittenClass each : values()) {
+                if (each.descriptor.forClass() == descriptor.forClass()) {
+                    each.write(this);
+                    return;
+                }
+            }
+            super.writeClassDescriptor(descriptor);
+        }
+    }
+
+    /** Reads the project's classes by their written names, and no others of the project. */
+    static final class Input extends ObjectInputStream {
+        Input(InputStream in) throws IOException {
+            super(in);
+        }
+
+        @Override
+        protected ObjectStreamClass readClassDescriptor() throws IOException, ClassNotFoundException {
+            ObjectStreamClass read = super.readClassDescriptor();
+            for (WrittenClass each : values()) {
+                if (each.writtenName.equals(read.getName())) {
+                    return each.checked(read);
+                }
+            }
+            if (read.getName().startsWith(PROJECT)) {
+                throw new InvalidClassException(read.getName(), "is not written by this program");
+            }
+            return read;
+        }
+    }
+}
--- a/versions/src/test/java/opalcove/versions/WrittenFormTest.java
+++ b/versions/src/test/java/opalcove/versions/WrittenFormTest.java
@@ -3,9 +3,11 @@
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertFalse;
 import static org.testng.Assert.assertTrue;
+import static org.testng.Assert.expectThrows;
 
 import io.microraft.model.message.RaftMessage;
 import java.io.ByteArrayInputStream;
+import java.io.ByteArrayOutputStream;
 import java.io.IOException;
 import java.io.InputStream;
 import java.io.ObjectInputStream;
@@ -22,8 +24,11 @@
 import java.util.stream.Collectors;
 import java.util.stream.LongStream;
 import java.util.stream.Stream;
+import java.util.zip.DeflaterOutputStream;
 import java.util.zip.InflaterInputStream;
 import opalcove.agreement.Registry;
+import opalcove.agreement.Standing;
+import opalcove.gateway.BadSettings;
 import opalcove.recovery.Snapshot;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
@@ -234,4 +239,30 @@
         Files.delete(file);
         assertFalse(SnapshotFile.read(file, "g1").clean(), "the content before is used");
     }
+
+    @Test
+    public void aClassOfTheProjectThatIsNoRecordIsNotRead() {
+        for (Serializable other : new Serializable[] {Packet.Kind.ASK, Standing.Mode.FULL}) {
+            String told = expectThrows(BadSettings.class, () -> Objects.read(Objects.write(other), Serializable.class))
+                    .getMessage();
+            assertTrue(told.startsWith("not a record of this program: opalcove."), told);
+        }
+    }
+
+    @Test
+    public void aRecordWithOtherFieldsIsNotRead() {
+        byte[] written = Objects.write(new Registry.Outcome(true, 3, "why"));
+        byte[] plain = plain(written);
+        int at = new String(plain, StandardCharsets.ISO_8859_1).indexOf("reason");
+        plain[at] = 'R';
+        ByteArrayOutputStream changed = new ByteArrayOutputStream();
+        try (DeflaterOutputStream out = new DeflaterOutputStream(changed)) {
+            out.write(plain);
+        } catch (IOException e) {
+            throw new java.io.UncheckedIOException(e);
+        }
+        String told = expectThrows(BadSettings.class, () -> Objects.read(changed.toByteArray(), Serializable.class))
+                .getMessage();
+        assertTrue(told.contains("its fields are not those of this program"), told);
+    }
 }
