--- a/gateway/src/test/java/opalcove/cluster/MembershipOutputTest.java
+++ b/gateway/src/test/java/opalcove/cluster/MembershipOutputTest.java
@@ -23,6 +23,23 @@
     private static final long FAILS_AFTER_NS = TimeUnit.SECONDS.toNanos(60);
     private static final InetAddress LOOPBACK = InetAddress.getLoopbackAddress();
 
+    private static final List<String> FIGURES = List.of(
+            "membership.members|g",
+            "membership.suspects|g",
+            "membership.health|g",
+            "membership.version|g",
+            "membership.incarnation|g",
+            "membership.sent|c",
+            "membership.received|c",
+            "membership.unreadable|c",
+            "membership.probes|c",
+            "membership.acks|c",
+            "membership.helped|c",
+            "membership.suspicions|c",
+            "membership.confirmed|c",
+            "membership.refuted|c",
+            "membership.pauses|c");
+
     private static void await(String awaited, BooleanSupplier there) throws InterruptedException {
         long start = System.nanoTime();
         while (!there.getAsBoolean()) {
@@ -73,22 +90,7 @@
                             .lines()
                             .map(line -> line.replaceFirst(":\\d+\\|", "|"))
                             .toList(),
-                    List.of(
-                            "membership.members|g",
-                            "membership.suspects|g",
-                            "membership.health|g",
-                            "membership.version|g",
-                            "membership.incarnation|g",
-                            "membership.sent|c",
-                            "membership.received|c",
-                            "membership.unreadable|c",
-                            "membership.probes|c",
-                            "membership.acks|c",
-                            "membership.helped|c",
-                            "membership.suspicions|c",
-                            "membership.confirmed|c",
-                            "membership.refuted|c",
-                            "membership.pauses|c"));
+                    FIGURES);
             assertEquals(
                     events.stream()
                             .filter(each -> !each.contains("\"name\":\"g2\""))
