--- a/benchmarks/src/main/java/opalcove/gateway/AlarmsBenchmark.java
+++ b/benchmarks/src/main/java/opalcove/core/AlarmsBenchmark.java
@@ -1,7 +1,8 @@
-package opalcove.gateway;
+package opalcove.core;
 
 import io.vertx.core.Vertx;
 import java.util.concurrent.TimeUnit;
+import opalcove.config.Clock;
 import org.openjdk.jmh.annotations.Benchmark;
 import org.openjdk.jmh.annotations.BenchmarkMode;
 import org.openjdk.jmh.annotations.Fork;
@@ -29,11 +30,11 @@
     private int set;
 
     private final Vertx vertx = Vertx.vertx();
-    private final Alarms alarms = new Alarms(vertx, new Clock());
-    private Alarms.Alarm[] ring;
+    private final TimerQueue alarms = new TimerQueue(vertx, new Clock());
+    private TimerQueue.Alarm[] ring;
     private int next;
 
-    private static final class Quiet extends Alarms.Alarm {
+    private static final class Quiet extends TimerQueue.Alarm {
         @Override
         void ring() {
             // set for far later than the benchmark lasts
@@ -43,7 +44,7 @@
     /** Sets the timers that stay. */
     @Setup
     public void start() {
-        ring = new Alarms.Alarm[set];
+        ring = new TimerQueue.Alarm[set];
         for (int i = 0; i < set; i++) {
             ring[i] = new Quiet();
             alarms.set(3_600_000 + i, ring[i]);
@@ -59,7 +60,7 @@
     /** Sets a timer and cancels it. */
     @Benchmark
     public int setAndCancel() {
-        Alarms.Alarm earliest = ring[next];
+        TimerQueue.Alarm earliest = ring[next];
         alarms.cancel(earliest);
         ring[next] = new Quiet();
         alarms.set(3_600_000 + set, ring[next]);
--- a/benchmarks/src/main/java/opalcove/platform/ReaderBenchmark.java
+++ b/benchmarks/src/main/java/opalcove/resp/ReaderBenchmark.java
@@ -1,12 +1,12 @@
-package opalcove.platform;
+package opalcove.resp;
 
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
 import java.nio.charset.StandardCharsets;
 import java.util.concurrent.TimeUnit;
-import opalcove.gateway.Clock;
-import opalcove.gateway.Gateway;
-import opalcove.gateway.LinkPool;
+import opalcove.backend.ConnectionPool;
+import opalcove.config.Clock;
+import opalcove.core.RequestDispatcher;
 import opalcove.laboratory.Laboratory;
 import org.openjdk.jmh.annotations.Benchmark;
 import org.openjdk.jmh.annotations.BenchmarkMode;
@@ -37,8 +37,8 @@
     private final ByteBuf ask = bytes(ASK);
     private final ByteBuf reply = bytes(REPLY);
     private io.vertx.core.Vertx vertx;
-    private RespReader asks;
-    private RespReader replies;
+    private RespDecoder asks;
+    private RespDecoder replies;
     private Object read;
 
     private static ByteBuf bytes(String text) {
@@ -50,16 +50,20 @@
     public void start() {
         vertx = io.vertx.core.Vertx.vertx();
         var settings = Laboratory.settings();
-        Gateway gateway = new Gateway(
-                vertx, new Clock(), settings, 1, new LinkPool(vertx, settings, new RespDialler(vertx, settings), 1));
-        AskReader askReader = new AskReader(gateway::rules);
-        NodeReply nodeReply = new NodeReply(settings);
-        asks = new RespReader(8, new RespReader.User() {
+        RequestDispatcher gateway = new RequestDispatcher(
+                vertx,
+                new Clock(),
+                settings,
+                1,
+                new ConnectionPool(vertx, settings, new RespConnector(vertx, settings), 1));
+        RequestDecoder askReader = new RequestDecoder(gateway::rules);
+        BackendReplyDecoder nodeReply = new BackendReplyDecoder(settings);
+        asks = new RespDecoder(8, new RespDecoder.User() {
             @Override
-            public void value(RespReader value) {
+            public void value(RespDecoder value) {
                 try {
                     read = askReader.read(value, null);
-                } catch (opalcove.gateway.Marks.Unfit e) {
+                } catch (opalcove.core.InvalidRequestException e) {
                     throw new IllegalStateException(e);
                 }
             }
@@ -69,9 +73,9 @@
                 throw new IllegalStateException(reason);
             }
         });
-        replies = new RespReader(NodeReply.PARTS, new RespReader.User() {
+        replies = new RespDecoder(BackendReplyDecoder.PARTS, new RespDecoder.User() {
             @Override
-            public void value(RespReader value) {
+            public void value(RespDecoder value) {
                 read = nodeReply.read(value);
             }
 
--- a/cli/src/main/java/opalcove/cli/ApplyCommand.java
+++ b/cli/src/main/java/opalcove/cli/ApplyCommand.java
@@ -3,7 +3,7 @@
 import io.vertx.core.Vertx;
 import java.nio.file.Path;
 import java.util.concurrent.Callable;
-import opalcove.gateway.Program;
+import opalcove.lifecycle.Application;
 import opalcove.plan.Planner;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
@@ -23,7 +23,7 @@
 
     @Override
     public Integer call() throws Exception {
-        Vertx vertx = Program.eventLoop();
+        Vertx vertx = Application.eventLoop();
         try {
             String text = new Planner(vertx).apply(planFile);
             System.out.print(json ? "{\"index\":" + text.strip().substring("index ".length()) + "}\n" : text);
--- a/cli/src/main/java/opalcove/cli/ColdStartTrialCommand.java
+++ b/cli/src/main/java/opalcove/cli/ColdStartTrialCommand.java
@@ -1,10 +1,10 @@
 package opalcove.cli;
 
 import java.util.concurrent.Callable;
-import opalcove.laboratory.coldstart.ColdStartPlan;
-import opalcove.laboratory.coldstart.ColdStartReport;
-import opalcove.laboratory.coldstart.ColdStartRule;
-import opalcove.laboratory.coldstart.ColdStartTrial;
+import opalcove.laboratory.coldstart.SlowStartPlan;
+import opalcove.laboratory.coldstart.SlowStartReport;
+import opalcove.laboratory.coldstart.SlowStartRule;
+import opalcove.laboratory.coldstart.SlowStartTrial;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 
@@ -58,14 +58,14 @@
 
     @Override
     public Integer call() {
-        ColdStartRule rule = new ColdStartRule(overloadFactor, fallMs, coldFrom, warmAfterMs);
-        ColdStartTrial trial = ColdStartTrial.play(new ColdStartPlan(gateways, rule, firstSeed, seeds));
+        SlowStartRule rule = new SlowStartRule(overloadFactor, fallMs, coldFrom, warmAfterMs);
+        SlowStartTrial trial = SlowStartTrial.play(new SlowStartPlan(gateways, rule, firstSeed, seeds));
         if (json) {
             System.out.println(trial.json());
             return 0;
         }
         if (each) {
-            trial.reports().stream().map(ColdStartReport::line).forEach(System.out::println);
+            trial.reports().stream().map(SlowStartReport::line).forEach(System.out::println);
         }
         System.out.println(trial.line());
         return 0;
--- a/cli/src/main/java/opalcove/cli/ControlCommand.java
+++ b/cli/src/main/java/opalcove/cli/ControlCommand.java
@@ -11,8 +11,8 @@
 import java.nio.file.Path;
 import java.time.Duration;
 import java.util.concurrent.Callable;
+import opalcove.control.server.ControlConfig;
 import opalcove.control.server.ControlService;
-import opalcove.control.server.ControlSettings;
 import picocli.CommandLine;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Model.CommandSpec;
@@ -41,7 +41,7 @@
         if (file == null) {
             throw new CommandLine.ParameterException(spec.commandLine(), "Missing required parameter: 'FILE'");
         }
-        ControlService service = new ControlService(ControlSettings.read(file));
+        ControlService service = new ControlService(ControlConfig.read(file));
         Runtime.getRuntime()
                 .addShutdownHook(new Thread(
                         () -> {
@@ -72,7 +72,7 @@
 
         @Override
         public Integer call() throws Exception {
-            ControlSettings settings = ControlSettings.read(file);
+            ControlConfig settings = ControlConfig.read(file);
             HttpResponse<String> answer = HttpClient.newBuilder()
                     .connectTimeout(PATIENCE)
                     .build()
--- a/cli/src/main/java/opalcove/cli/GuardCommand.java
+++ b/cli/src/main/java/opalcove/cli/GuardCommand.java
@@ -6,7 +6,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.concurrent.Callable;
-import opalcove.laboratory.Guard;
+import opalcove.laboratory.CostRegressionCheck;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
@@ -30,15 +30,16 @@
 
     @Override
     public Integer call() throws Exception {
-        Map<String, Map<String, Double>> counts = Guard.count(System.err::println);
+        Map<String, Map<String, Double>> counts = CostRegressionCheck.count(System.err::println);
         if (json) {
-            System.out.print(Guard.write(counts));
+            System.out.print(CostRegressionCheck.write(counts));
         }
         if (write) {
-            Files.writeString(file, Guard.write(counts));
+            Files.writeString(file, CostRegressionCheck.write(counts));
             return 0;
         }
-        List<String> grown = Guard.grown(Json.parse(Files.readString(file)).asObject(), counts);
+        List<String> grown =
+                CostRegressionCheck.grown(Json.parse(Files.readString(file)).asObject(), counts);
         grown.forEach(System.err::println);
         if (!json && grown.isEmpty()) {
             System.out.println("no count has grown by more than 5%");
--- a/cli/src/main/java/opalcove/cli/LoadCommand.java
+++ b/cli/src/main/java/opalcove/cli/LoadCommand.java
@@ -1,7 +1,7 @@
 package opalcove.cli;
 
 import java.util.concurrent.Callable;
-import opalcove.gateway.Endpoint;
+import opalcove.config.HostAndPort;
 import opalcove.laboratory.Load;
 import opalcove.laboratory.LoadPlan;
 import opalcove.laboratory.LoadReport;
@@ -27,7 +27,7 @@
 
     @Override
     public Integer call() throws Exception {
-        Endpoint at = Endpoint.read(address, "ADDRESS");
+        HostAndPort at = HostAndPort.read(address, "ADDRESS");
         LoadPlan plan = options.plan(at.address(), at.port());
         try (Load load = new Load(plan, System.err::println)) {
             LoadReport report = load.run(plan.asks());
--- a/cli/src/main/java/opalcove/cli/LoadOptions.java
+++ b/cli/src/main/java/opalcove/cli/LoadOptions.java
@@ -1,6 +1,6 @@
 package opalcove.cli;
 
-import opalcove.gateway.BadSettings;
+import opalcove.config.InvalidConfigurationException;
 import opalcove.laboratory.LoadPlan;
 import picocli.CommandLine.Option;
 
@@ -53,7 +53,7 @@
         try {
             return new LoadPlan(mqtt, host, port, connections, depth, rate, asks, operators, records, body, waitMs);
         } catch (IllegalArgumentException e) {
-            throw new BadSettings(e.getMessage());
+            throw new InvalidConfigurationException(e.getMessage());
         }
     }
 }
--- a/cli/src/main/java/opalcove/cli/MembersCommand.java
+++ b/cli/src/main/java/opalcove/cli/MembersCommand.java
@@ -10,8 +10,8 @@
 import java.nio.charset.StandardCharsets;
 import java.util.List;
 import java.util.concurrent.Callable;
-import opalcove.gateway.BadSettings;
-import opalcove.gateway.Endpoint;
+import opalcove.config.HostAndPort;
+import opalcove.config.InvalidConfigurationException;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
@@ -33,7 +33,7 @@
 
     @Override
     public Integer call() throws Exception {
-        Endpoint at = Endpoint.read(console, "ADDRESS");
+        HostAndPort at = HostAndPort.read(console, "ADDRESS");
         try (Socket socket = new Socket()) {
             socket.connect(new InetSocketAddress(at.address(), at.port()), WAIT_MS);
             socket.setSoTimeout(WAIT_MS);
@@ -42,7 +42,7 @@
                     new BufferedReader(new InputStreamReader(socket.getInputStream(), StandardCharsets.US_ASCII));
             String head = lines.readLine();
             if (head == null || !head.startsWith("+OK")) {
-                throw new BadSettings(console + " answers " + (head == null ? "nothing" : head));
+                throw new InvalidConfigurationException(console + " answers " + (head == null ? "nothing" : head));
             }
             print(lines.lines().toList());
         }
--- a/cli/src/main/java/opalcove/cli/Opalcove.java
+++ b/cli/src/main/java/opalcove/cli/Opalcove.java
@@ -4,11 +4,11 @@
 import java.io.PrintWriter;
 import java.nio.file.Path;
 import java.util.concurrent.Callable;
-import opalcove.gateway.BadSettings;
-import opalcove.mqtt.MqttSettings;
-import opalcove.mqtt.ServeMqtt;
-import opalcove.platform.Serve;
-import opalcove.sim.Adapter;
+import opalcove.config.InvalidConfigurationException;
+import opalcove.mqtt.MqttConfig;
+import opalcove.mqtt.MqttGateway;
+import opalcove.server.GatewayServer;
+import opalcove.simulator.SimulatorAdapter;
 import org.tinylog.configuration.Configuration;
 import picocli.CommandLine;
 import picocli.CommandLine.Command;
@@ -89,10 +89,10 @@
     }
 
     private static int failed(Exception failure, PrintWriter err) throws Exception {
-        if (!(failure instanceof BadSettings || failure instanceof IOException)) {
+        if (!(failure instanceof InvalidConfigurationException || failure instanceof IOException)) {
             throw failure;
         }
-        String text = failure instanceof BadSettings ? failure.getMessage() : failure.toString();
+        String text = failure instanceof InvalidConfigurationException ? failure.getMessage() : failure.toString();
         text.lines().forEach(line -> err.println("opalcove: " + line));
         err.flush();
         return CommandLine.ExitCode.SOFTWARE;
@@ -125,7 +125,7 @@
     static final class ServeCommand implements Runnable, Serves {
         @Override
         public void run() {
-            Serve.start();
+            GatewayServer.start();
         }
     }
 
@@ -140,7 +140,7 @@
 
         @Override
         public void run() {
-            ServeMqtt.start(MqttSettings.read(file));
+            MqttGateway.start(MqttConfig.read(file));
         }
     }
 
@@ -152,7 +152,7 @@
     static final class AdapterCommand implements Callable<Integer> {
         @Override
         public Integer call() throws Exception {
-            Adapter.onStandardStreams();
+            SimulatorAdapter.onStandardStreams();
             return 0;
         }
     }
--- a/cli/src/main/java/opalcove/cli/PairCommand.java
+++ b/cli/src/main/java/opalcove/cli/PairCommand.java
@@ -4,8 +4,8 @@
 import com.eclipsesource.json.JsonObject;
 import java.util.List;
 import java.util.concurrent.Callable;
+import opalcove.laboratory.ComparisonBenchmark;
 import opalcove.laboratory.Meter;
-import opalcove.laboratory.Pair;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Mixin;
 import picocli.CommandLine.Option;
@@ -48,27 +48,27 @@
 
     @Override
     public Integer call() throws Exception {
-        List<Pair.Runs> all = new Pair(
+        List<ComparisonBenchmark.Runs> all = new ComparisonBenchmark(
                         commands, options.plan("127.0.0.1", 0), new Meter.Nodes(nodes, value, work), warm)
                 .run(rounds, System.err::println);
-        for (Pair.Runs each : all) {
-            double cpu = Pair.Runs.median(each.cpuUs());
-            double share = cpu / Pair.Runs.median(all.get(0).cpuUs());
+        for (ComparisonBenchmark.Runs each : all) {
+            double cpu = ComparisonBenchmark.Runs.median(each.cpuUs());
+            double share = cpu / ComparisonBenchmark.Runs.median(all.get(0).cpuUs());
             if (json) {
                 JsonObject line = Json.object()
                         .add("program", each.name())
                         .add("cpu_us_an_ask", cpu)
                         .add("share_of_first", share)
-                        .add("start_ms", Pair.Runs.median(each.startMs()))
-                        .add("memory_mb", Pair.Runs.median(each.memoryMb()));
+                        .add("start_ms", ComparisonBenchmark.Runs.median(each.startMs()))
+                        .add("memory_mb", ComparisonBenchmark.Runs.median(each.memoryMb()));
                 System.out.println(line);
             } else {
                 System.out.printf(
                         "%7.1f us an ask (%.2f of the first)  start %.0f ms  memory %.0f MB  runs %s  %s%n",
                         cpu,
                         share,
-                        Pair.Runs.median(each.startMs()),
-                        Pair.Runs.median(each.memoryMb()),
+                        ComparisonBenchmark.Runs.median(each.startMs()),
+                        ComparisonBenchmark.Runs.median(each.memoryMb()),
                         each.cpuUs().stream()
                                 .map(run -> String.format("%.1f", run))
                                 .toList(),
--- a/cli/src/main/java/opalcove/cli/PlanCommand.java
+++ b/cli/src/main/java/opalcove/cli/PlanCommand.java
@@ -4,9 +4,9 @@
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.concurrent.Callable;
-import opalcove.gateway.BadSettings;
-import opalcove.gateway.Program;
-import opalcove.mqtt.MqttSettings;
+import opalcove.config.InvalidConfigurationException;
+import opalcove.lifecycle.Application;
+import opalcove.mqtt.MqttConfig;
 import opalcove.plan.Planner;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
@@ -30,11 +30,11 @@
 
     @Override
     public Integer call() throws Exception {
-        MqttSettings wanted = MqttSettings.read(file);
+        MqttConfig wanted = MqttConfig.read(file);
         if (wanted.control() == null) {
-            throw new BadSettings(file + ": field control is missing");
+            throw new InvalidConfigurationException(file + ": field control is missing");
         }
-        Vertx vertx = Program.eventLoop();
+        Vertx vertx = Application.eventLoop();
         try {
             String text = new Planner(vertx).plan(wanted.control(), wanted.nodes(), planFile);
             System.out.print(json ? Files.readString(planFile) : text);
--- a/cli/src/main/java/opalcove/cli/RecoveryCommand.java
+++ b/cli/src/main/java/opalcove/cli/RecoveryCommand.java
@@ -8,10 +8,10 @@
 import java.util.List;
 import java.util.Map;
 import java.util.concurrent.Callable;
-import opalcove.gateway.BadSettings;
+import opalcove.config.InvalidConfigurationException;
 import opalcove.recovery.Recovery;
 import opalcove.recovery.Snapshot;
-import opalcove.versions.SnapshotFile;
+import opalcove.replication.SnapshotFile;
 import picocli.CommandLine;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Model.CommandSpec;
@@ -82,7 +82,7 @@
             String whyNone = "";
             try {
                 snapshot = SnapshotFile.read(file);
-            } catch (IOException | BadSettings e) {
+            } catch (IOException | InvalidConfigurationException e) {
                 whyNone = e.getMessage();
             }
             Map<String, Long> fleet = new HashMap<>();
--- a/cli/src/main/java/opalcove/cli/RigCommand.java
+++ b/cli/src/main/java/opalcove/cli/RigCommand.java
@@ -4,7 +4,7 @@
 import java.nio.file.Path;
 import java.util.List;
 import java.util.concurrent.Callable;
-import opalcove.laboratory.RigScenario;
+import opalcove.laboratory.ClusterScenario;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Parameters;
 
@@ -21,7 +21,7 @@
 
     @Override
     public Integer call() throws Exception {
-        List<String> wrong = RigScenario.read(file)
+        List<String> wrong = ClusterScenario.read(file)
                 .play(each -> System.out.println(Json.object()
                         .add("at_ms", each.atMs())
                         .add("observer", each.observer())
--- a/cli/src/main/java/opalcove/cli/SoakCommand.java
+++ b/cli/src/main/java/opalcove/cli/SoakCommand.java
@@ -12,11 +12,11 @@
 import java.util.concurrent.Future;
 import opalcove.laboratory.soak.Coverage;
 import opalcove.laboratory.soak.FaultCase;
+import opalcove.laboratory.soak.FaultType;
 import opalcove.laboratory.soak.Soak;
 import opalcove.laboratory.soak.SoakPlan;
 import opalcove.laboratory.soak.SoakResult;
 import opalcove.laboratory.soak.SoakRule;
-import opalcove.laboratory.soak.TroubleKind;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 
@@ -76,10 +76,10 @@
             paramLabel = "KIND",
             split = ",",
             description = "the kinds that troubles are drawn of (default: all)")
-    private List<TroubleKind> kinds = List.of(TroubleKind.values());
+    private List<FaultType> kinds = List.of(FaultType.values());
 
     @Option(names = "--except", paramLabel = "KIND", split = ",", description = "kinds of troubles that are left out")
-    private Set<TroubleKind> except = Set.of();
+    private Set<FaultType> except = Set.of();
 
     @Option(names = "--shrink", paramLabel = "RULE", description = "leave out troubles while this rule is still broken")
     private SoakRule shrink;
--- a/cli/src/main/java/opalcove/cli/StartsCommand.java
+++ b/cli/src/main/java/opalcove/cli/StartsCommand.java
@@ -6,7 +6,7 @@
 import java.util.Comparator;
 import java.util.List;
 import java.util.concurrent.Callable;
-import opalcove.laboratory.GatewayStarts;
+import opalcove.laboratory.StartupBenchmark;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
@@ -33,21 +33,22 @@
             defaultValue = "SILENT",
             description = "SILENT: lists are pushed, and the agent says nothing; REFUSED: one service is asked for"
                     + " lists, and refuses connections (default: ${DEFAULT-VALUE})")
-    private GatewayStarts.Away away;
+    private StartupBenchmark.Away away;
 
     @Option(names = "--json", description = "print one object")
     private boolean json;
 
     @Override
     public Integer call() throws Exception {
-        List<GatewayStarts.Start> starts;
-        try (GatewayStarts rig = new GatewayStarts(Arrays.asList(command.trim().split("\\s+")), away)) {
+        List<StartupBenchmark.Start> starts;
+        try (StartupBenchmark rig =
+                new StartupBenchmark(Arrays.asList(command.trim().split("\\s+")), away)) {
             starts = rig.run(gateways).stream()
-                    .sorted(Comparator.comparingDouble(GatewayStarts.Start::readyMs))
+                    .sorted(Comparator.comparingDouble(StartupBenchmark.Start::readyMs))
                     .toList();
         }
         double processor = starts.stream()
-                .mapToDouble(GatewayStarts.Start::processorMs)
+                .mapToDouble(StartupBenchmark.Start::processorMs)
                 .average()
                 .orElse(0);
         if (json) {
@@ -71,7 +72,7 @@
     }
 
     /** The time within which that share of the gateways was ready, ms. */
-    private static double ready(List<GatewayStarts.Start> sorted, double share) {
+    private static double ready(List<StartupBenchmark.Start> sorted, double share) {
         return sorted.get(rank(sorted.size(), share)).readyMs();
     }
 
--- a/cli/src/main/java/opalcove/cli/StateCommand.java
+++ b/cli/src/main/java/opalcove/cli/StateCommand.java
@@ -10,11 +10,11 @@
 import java.util.List;
 import java.util.TreeMap;
 import java.util.concurrent.Callable;
-import opalcove.agreement.Registry;
-import opalcove.gateway.BadSettings;
-import opalcove.gateway.Endpoint;
-import opalcove.gateway.Fields;
-import opalcove.versions.VersionClient;
+import opalcove.config.HostAndPort;
+import opalcove.config.InvalidConfigurationException;
+import opalcove.config.JsonFields;
+import opalcove.configlease.VersionLog;
+import opalcove.replication.ReplicationClient;
 import picocli.CommandLine;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Model.CommandSpec;
@@ -54,9 +54,12 @@
                 description = "how long to try at most (default: ${DEFAULT-VALUE})")
         private int mostS;
 
-        VersionClient client() {
-            return new VersionClient(
-                    voters.stream().map(each -> Endpoint.read(each, "--voter")).toList(), mostS * 1000L);
+        ReplicationClient client() {
+            return new ReplicationClient(
+                    voters.stream()
+                            .map(each -> HostAndPort.read(each, "--voter"))
+                            .toList(),
+                    mostS * 1000L);
         }
     }
 
@@ -71,7 +74,7 @@
 
         @Override
         public Integer call() throws IOException {
-            Registry.Version version = voters.client().show();
+            VersionLog.Version version = voters.client().show();
             System.err.println(version.number() == 0 ? "no version yet" : "version " + version.number());
             System.out.println(version.text());
             return 0;
@@ -93,7 +96,7 @@
         @Override
         public Integer call() throws IOException {
             JsonArray list = new JsonArray();
-            for (Registry.Version each : voters.client().history()) {
+            for (VersionLog.Version each : voters.client().history()) {
                 if (json) {
                     list.add(Json.object()
                             .add("number", each.number())
@@ -134,21 +137,21 @@
         public Integer call() throws IOException {
             String text = Files.readString(file);
             try {
-                Fields.parse(text);
-            } catch (BadSettings e) {
-                throw new BadSettings(file + ": " + e.getMessage());
+                JsonFields.parse(text);
+            } catch (InvalidConfigurationException e) {
+                throw new InvalidConfigurationException(file + ": " + e.getMessage());
             }
-            VersionClient client = voters.client();
-            Registry.Version version = client.show();
+            ReplicationClient client = voters.client();
+            VersionLog.Version version = client.show();
             List<String> changes = changes(version.text(), text);
             changes.forEach(System.out::println);
             System.out.println(changes.size() + " changes to version " + version.number());
             if (plan || changes.isEmpty()) {
                 return 0;
             }
-            Registry.Outcome outcome = client.propose(version.number(), by, text);
+            VersionLog.Outcome outcome = client.propose(version.number(), by, text);
             if (!outcome.taken()) {
-                throw new BadSettings("refused: " + outcome.reason());
+                throw new InvalidConfigurationException("refused: " + outcome.reason());
             }
             System.out.println("version " + outcome.version() + " is in force");
             return 0;
--- a/cli/src/test/java/opalcove/cli/CommandFormsTest.java
+++ b/cli/src/test/java/opalcove/cli/CommandFormsTest.java
@@ -41,8 +41,7 @@
                 .append(command.getCommandSpec().exitCodeOnInvalidInput())
                 .append('\n');
         for (OptionSpec option : command.getCommandSpec().options()) {
-            forms.append("    ")
-                    .append(Arrays.stream(option.names()).sorted().collect(Collectors.joining("|")));
+            forms.append("    ").append(Arrays.stream(option.names()).sorted().collect(Collectors.joining("|")));
             describe(option, forms);
         }
         for (PositionalParamSpec parameter : command.getCommandSpec().positionalParameters()) {
--- a/cli/src/test/java/opalcove/cli/LayersTest.java
+++ b/cli/src/test/java/opalcove/cli/LayersTest.java
@@ -9,6 +9,7 @@
 import com.tngtech.archunit.core.domain.JavaClasses;
 import com.tngtech.archunit.core.importer.ClassFileImporter;
 import com.tngtech.archunit.core.importer.ImportOption;
+import com.tngtech.archunit.library.Architectures.LayeredArchitecture;
 import java.io.Serializable;
 import org.testng.annotations.Test;
 
@@ -18,28 +19,37 @@
             .withImportOption(ImportOption.Predefined.DO_NOT_INCLUDE_TESTS)
             .importPackages("opalcove");
 
-    @Test
-    public void dependenciesPointInwards() {
-        layeredArchitecture()
+    private static LayeredArchitecture layers() {
+        return layeredArchitecture()
                 .consideringOnlyDependenciesInLayers()
                 .layer("decision")
                 .definedBy("opalcove.decision..")
                 .layer("membership")
                 .definedBy("opalcove.membership..")
-                .layer("agreement")
-                .definedBy("opalcove.agreement..")
+                .layer("config lease")
+                .definedBy("opalcove.configlease..")
                 .layer("recovery")
                 .definedBy("opalcove.recovery..")
-                .layer("versions")
-                .definedBy("opalcove.versions..")
+                .layer("config")
+                .definedBy("opalcove.config..")
+                .layer("replication")
+                .definedBy("opalcove.replication..")
                 .layer("cluster")
                 .definedBy("opalcove.cluster..")
-                .layer("loop")
-                .definedBy("opalcove.loop..")
+                .layer("transport")
+                .definedBy("opalcove.transport..")
+                .layer("metrics")
+                .definedBy("opalcove.metrics..")
                 .layer("core")
-                .definedBy("opalcove.gateway..")
+                .definedBy("opalcove.core..")
+                .layer("backend")
+                .definedBy("opalcove.backend..")
+                .layer("lifecycle")
+                .definedBy("opalcove.lifecycle..")
+                .layer("discovery")
+                .definedBy("opalcove.discovery..")
                 .layer("platform")
-                .definedBy("opalcove.platform..", "opalcove.sim..")
+                .definedBy("opalcove.resp..", "opalcove.admin..", "opalcove.server..", "opalcove.simulator..")
                 .layer("mqtt")
                 .definedBy("opalcove.mqtt..", "opalcove.plan..")
                 .layer("control")
@@ -47,22 +57,34 @@
                 .layer("laboratory")
                 .definedBy("opalcove.laboratory..")
                 .layer("programs")
-                .definedBy("opalcove", "opalcove.cli..")
-                .whereLayer("membership")
-                .mayOnlyBeAccessedByLayers("cluster", "versions", "platform", "laboratory")
-                .whereLayer("agreement")
-                .mayOnlyBeAccessedByLayers("versions", "laboratory", "programs")
+                .definedBy("opalcove", "opalcove.cli..");
+    }
+
+    @Test
+    public void dependenciesPointInwards() {
+        layers().whereLayer("membership")
+                .mayOnlyBeAccessedByLayers("config", "cluster", "replication", "platform", "laboratory")
+                .whereLayer("config lease")
+                .mayOnlyBeAccessedByLayers("replication", "laboratory", "programs")
                 .whereLayer("recovery")
-                .mayOnlyBeAccessedByLayers("versions", "laboratory", "programs")
-                .whereLayer("versions")
+                .mayOnlyBeAccessedByLayers("replication", "laboratory", "programs")
+                .whereLayer("replication")
                 .mayOnlyBeAccessedByLayers("laboratory", "programs")
                 .whereLayer("cluster")
-                .mayOnlyBeAccessedByLayers("versions", "platform", "laboratory")
-                .whereLayer("loop")
-                .mayOnlyBeAccessedByLayers("core", "laboratory")
+                .mayOnlyBeAccessedByLayers("platform", "laboratory", "programs")
+                .whereLayer("transport")
+                .mayOnlyBeAccessedByLayers("backend", "lifecycle", "laboratory")
+                .whereLayer("metrics")
+                .mayOnlyBeAccessedByLayers("core", "backend", "lifecycle", "platform", "laboratory")
                 .whereLayer("core")
                 .mayOnlyBeAccessedByLayers(
-                        "cluster", "versions", "platform", "mqtt", "control", "laboratory", "programs")
+                        "backend", "lifecycle", "discovery", "platform", "mqtt", "laboratory", "programs")
+                .whereLayer("backend")
+                .mayOnlyBeAccessedByLayers("platform", "mqtt", "laboratory")
+                .whereLayer("lifecycle")
+                .mayOnlyBeAccessedByLayers("platform", "mqtt", "laboratory", "programs")
+                .whereLayer("discovery")
+                .mayOnlyBeAccessedByLayers("platform", "mqtt", "laboratory")
                 .whereLayer("platform")
                 .mayOnlyBeAccessedByLayers("mqtt", "laboratory", "programs")
                 .whereLayer("mqtt")
@@ -81,7 +103,7 @@
     @Test
     public void theDecisionsDoNothingButDecide() {
         for (String each : new String[] {
-            "opalcove.decision..", "opalcove.membership..", "opalcove.agreement..", "opalcove.recovery.."
+            "opalcove.decision..", "opalcove.membership..", "opalcove.configlease..", "opalcove.recovery.."
         }) {
             noClasses()
                     .that()
@@ -98,11 +120,34 @@
     public void theCoreKnowsNoWire() {
         noClasses()
                 .that()
-                .resideInAPackage("opalcove.gateway..")
+                .resideInAnyPackage(
+                        "opalcove.core..", "opalcove.backend..", "opalcove.metrics..", "opalcove.lifecycle..")
                 .should()
                 .dependOnClassesThat()
                 .resideInAnyPackage(
                         "io.vertx.core.net..", "io.vertx.mqtt..", "io.netty.channel..", "io.netty.handler..")
                 .check(PRODUCT);
     }
+
+    /** The control service and the replicated configuration know the configuration types, and nothing of the gateway. */
+    @Test
+    public void controlAndReplicationDoNotKnowTheGateway() {
+        noClasses()
+                .that()
+                .resideInAnyPackage("opalcove.control..", "opalcove.replication..", "opalcove.config..")
+                .should()
+                .dependOnClassesThat()
+                .resideInAnyPackage(
+                        "opalcove.core..",
+                        "opalcove.backend..",
+                        "opalcove.metrics..",
+                        "opalcove.lifecycle..",
+                        "opalcove.resp..",
+                        "opalcove.discovery..",
+                        "opalcove.admin..",
+                        "opalcove.server..",
+                        "opalcove.transport..",
+                        "opalcove.cluster..")
+                .check(PRODUCT);
+    }
 }
--- a/gateway/src/main/java/opalcove/gateway/Clock.java
+++ b/config/src/main/java/opalcove/config/Clock.java
@@ -1,8 +1,8 @@
-package opalcove.gateway;
+package opalcove.config;
 
 /**
  * Time in milliseconds that goes with the monotonic clock. It began as Unix time: times of lists that were told before, or by
- * a machine whose clock is right, can be compared with it ({@link NodeStarts}); a step of the wall clock does not change it.
+ * a machine whose clock is right, can be compared with it ({@code SlowStartTimes}); a step of the wall clock does not change it.
  */
 public final class Clock {
     private final double startedAt = System.currentTimeMillis();
--- a/gateway/src/main/java/opalcove/gateway/Check.java
+++ b/config/src/main/java/opalcove/config/ConfigValidator.java
@@ -1,4 +1,4 @@
-package opalcove.gateway;
+package opalcove.config;
 
 import java.io.IOException;
 import java.nio.file.Files;
@@ -9,29 +9,29 @@
 import java.util.function.Supplier;
 
 /** Gathers the problems of a settings file, so that one start tells them all, each by file, key and reason. */
-public final class Check {
+public final class ConfigValidator {
     private final Path file;
     private final List<String> problems = new ArrayList<>();
 
     /** Starts a check of a file without problems found so far. */
-    public Check(Path file) {
+    public ConfigValidator(Path file) {
         this.file = file;
     }
 
     /** The file's fields, whatever further keys it has. Fails at once where it cannot be read. */
-    public Fields fields() {
+    public JsonFields fields() {
         try {
-            return Fields.parse(Files.readString(file));
+            return JsonFields.parse(Files.readString(file));
         } catch (IOException e) {
-            throw new BadSettings("cannot read " + file + ": " + e.getMessage());
-        } catch (BadSettings e) {
-            throw new BadSettings(file + ": " + e.getMessage());
+            throw new InvalidConfigurationException("cannot read " + file + ": " + e.getMessage());
+        } catch (InvalidConfigurationException e) {
+            throw new InvalidConfigurationException(file + ": " + e.getMessage());
         }
     }
 
     /** The file's fields, of which only these keys are known. Fails at once where it cannot be read. */
-    public Fields fields(Set<String> keys) {
-        Fields fields = fields();
+    public JsonFields fields(Set<String> keys) {
+        JsonFields fields = fields();
         fields.names().stream()
                 .filter(key -> !keys.contains(key))
                 .forEach(key -> problem("field " + key + " is not known here"));
@@ -42,7 +42,7 @@
     public <T> T ask(Supplier<T> value, T otherwise) {
         try {
             return value.get();
-        } catch (BadSettings e) {
+        } catch (InvalidConfigurationException e) {
             e.problems().forEach(each -> problem(each.toString()));
             return otherwise;
         }
@@ -56,7 +56,7 @@
     /** Fails with all problems that were found. */
     public void end() {
         if (!problems.isEmpty()) {
-            throw new BadSettings(String.join("\n", problems));
+            throw new InvalidConfigurationException(String.join("\n", problems));
         }
     }
 }
--- a/gateway/src/main/java/opalcove/gateway/NodeLines.java
+++ b/config/src/main/java/opalcove/config/EndpointCodec.java
@@ -1,33 +1,36 @@
-package opalcove.gateway;
+package opalcove.config;
 
 import com.eclipsesource.json.JsonArray;
 import com.eclipsesource.json.JsonObject;
 import java.util.ArrayList;
 import java.util.List;
-import opalcove.decision.Admission;
+import opalcove.decision.Endpoint;
+import opalcove.decision.EndpointState;
 
 /** Reads and writes lines of the node list in discovery's form. */
-public final class NodeLines {
-    private NodeLines() {}
+public final class EndpointCodec {
+    private EndpointCodec() {}
 
     /**
      * Reads the backends of a list.
      *
-     * @throws BadSettings if an entry cannot be read, with its place
+     * @throws InvalidConfigurationException if an entry cannot be read, with its place
      */
-    public static List<AppNode> read(List<Fields> lines) {
-        List<AppNode> nodes = new ArrayList<>();
-        for (Fields line : lines) {
+    public static List<Backend> read(List<JsonFields> lines) {
+        List<Backend> nodes = new ArrayList<>();
+        for (JsonFields line : lines) {
             String status = line.textOr("status", "up");
-            Admission.State state =
+            EndpointState state =
                     switch (status) {
-                        case "up" -> Admission.State.UP;
-                        case "draining" -> Admission.State.DRAINING;
-                        case "removed" -> Admission.State.GONE;
-                        default -> throw new BadSettings(line.at("status"), "has an unknown value " + status);
+                        case "up" -> EndpointState.UP;
+                        case "draining" -> EndpointState.DRAINING;
+                        case "removed" -> EndpointState.REMOVED;
+                        default ->
+                            throw new InvalidConfigurationException(
+                                    line.at("status"), "has an unknown value " + status);
                     };
-            nodes.add(new AppNode(
-                    new Admission.Host(
+            nodes.add(new Backend(
+                    new Endpoint(
                             line.text("name"),
                             line.textOr("zone", ""),
                             line.textOr("type", ""),
@@ -41,13 +44,13 @@
     }
 
     /** Writes one line. */
-    public static JsonObject write(AppNode node) {
-        Admission.Host host = node.host();
+    public static JsonObject write(Backend node) {
+        Endpoint host = node.host();
         String status =
                 switch (host.state()) {
                     case UP -> "up";
                     case DRAINING -> "draining";
-                    case GONE -> "removed";
+                    case REMOVED -> "removed";
                 };
         return new JsonObject()
                 .add("name", host.id())
@@ -61,7 +64,7 @@
     }
 
     /** Writes a whole list, or its changed lines, with the index that they have or build on. */
-    public static JsonObject write(long index, boolean whole, List<AppNode> nodes) {
+    public static JsonObject write(long index, boolean whole, List<Backend> nodes) {
         JsonArray lines = new JsonArray();
         nodes.forEach(node -> lines.add(write(node)));
         return new JsonObject().add("index", index).add("snapshot", whole).add("endpoints", lines);
--- a/gateway/src/main/java/opalcove/gateway/BadSettings.java
+++ b/config/src/main/java/opalcove/config/InvalidConfigurationException.java
@@ -1,10 +1,10 @@
-package opalcove.gateway;
+package opalcove.config;
 
 import java.util.List;
 import java.util.stream.Collectors;
 
 /** Settings or input of the wrong form; the message has one line a problem, with its key and the reason. */
-public final class BadSettings extends RuntimeException {
+public final class InvalidConfigurationException extends RuntimeException {
     private static final long serialVersionUID = 1L;
 
     private final transient List<Problem> problems;
@@ -23,17 +23,17 @@
     }
 
     /** A problem that is no single key's, or that names its key itself. */
-    public BadSettings(String message) {
+    public InvalidConfigurationException(String message) {
         this(List.of(new Problem("", message)));
     }
 
     /** A problem of one key. */
-    public BadSettings(String key, String reason) {
+    public InvalidConfigurationException(String key, String reason) {
         this(List.of(new Problem(key, reason)));
     }
 
     /** All problems that were found; at least one. */
-    public BadSettings(List<Problem> problems) {
+    public InvalidConfigurationException(List<Problem> problems) {
         super(problems.stream().map(Problem::toString).collect(Collectors.joining("\n")));
         this.problems = List.copyOf(problems);
     }
--- a/gateway/src/main/java/opalcove/gateway/Fields.java
+++ b/config/src/main/java/opalcove/config/JsonFields.java
@@ -1,4 +1,4 @@
-package opalcove.gateway;
+package opalcove.config;
 
 import com.eclipsesource.json.Json;
 import com.eclipsesource.json.JsonArray;
@@ -11,31 +11,31 @@
 import java.util.Map;
 
 /** The fields of one JSON object, read by name and form; what is wrong is told with the path of its key. */
-public final class Fields {
+public final class JsonFields {
     private final JsonObject object;
     private final String path;
 
-    private Fields(JsonObject object, String path) {
+    private JsonFields(JsonObject object, String path) {
         this.object = object;
         this.path = path;
     }
 
     /** Reads a text that must hold one object. */
-    public static Fields parse(String text) {
+    public static JsonFields parse(String text) {
         try {
             return of(Json.parse(text), "");
         } catch (ParseException e) {
-            throw new BadSettings("malformed JSON: " + e.getMessage());
+            throw new InvalidConfigurationException("malformed JSON: " + e.getMessage());
         }
     }
 
-    private static Fields of(JsonValue value, String path) {
+    private static JsonFields of(JsonValue value, String path) {
         if (!value.isObject()) {
             throw path.isEmpty()
-                    ? new BadSettings("the message must be an object")
-                    : new BadSettings(path, "must be an object");
+                    ? new InvalidConfigurationException("the message must be an object")
+                    : new InvalidConfigurationException(path, "must be an object");
         }
-        return new Fields(value.asObject(), path);
+        return new JsonFields(value.asObject(), path);
     }
 
     /** The path of a field of this object, for messages. */
@@ -43,8 +43,8 @@
         return path.isEmpty() ? name : path + "." + name;
     }
 
-    private BadSettings wrong(String name, String reason) {
-        return new BadSettings(at(name), reason);
+    private InvalidConfigurationException wrong(String name, String reason) {
+        return new InvalidConfigurationException(at(name), reason);
     }
 
     /** Whether the field is there and not null. */
@@ -73,7 +73,7 @@
     /**
      * A string.
      *
-     * @throws BadSettings if it is absent or no string
+     * @throws InvalidConfigurationException if it is absent or no string
      */
     public String text(String name) {
         JsonValue value = need(name);
@@ -91,7 +91,7 @@
     /**
      * A number.
      *
-     * @throws BadSettings if it is absent or no number
+     * @throws InvalidConfigurationException if it is absent or no number
      */
     public double number(String name) {
         JsonValue value = need(name);
@@ -109,7 +109,7 @@
     /**
      * A whole number.
      *
-     * @throws BadSettings if it is absent or no whole number
+     * @throws InvalidConfigurationException if it is absent or no whole number
      */
     public int whole(String name) {
         return (int) serial(name);
@@ -137,7 +137,7 @@
     /**
      * A boolean; false where it is absent.
      *
-     * @throws BadSettings if it is no boolean
+     * @throws InvalidConfigurationException if it is no boolean
      */
     public boolean flag(String name) {
         if (!has(name)) {
@@ -152,7 +152,7 @@
     /**
      * A constant of an enum, written in lower case.
      *
-     * @throws BadSettings if there is no such constant
+     * @throws InvalidConfigurationException if there is no such constant
      */
     public <E extends Enum<E>> E choice(String name, Class<E> form) {
         try {
@@ -165,7 +165,7 @@
     /**
      * What one of these words stands for; upper and lower case are the same.
      *
-     * @throws BadSettings if it is absent or none of them
+     * @throws InvalidConfigurationException if it is absent or none of them
      */
     <T> T choice(String name, Map<String, T> words) {
         String written = text(name).toUpperCase(Locale.ROOT);
@@ -180,15 +180,15 @@
     /**
      * A nested object.
      *
-     * @throws BadSettings if it is absent or no object
+     * @throws InvalidConfigurationException if it is absent or no object
      */
-    public Fields object(String name) {
+    public JsonFields object(String name) {
         return of(need(name), at(name));
     }
 
     /** A list of objects. */
-    public List<Fields> objects(String name) {
-        List<Fields> items = new ArrayList<>();
+    public List<JsonFields> objects(String name) {
+        List<JsonFields> items = new ArrayList<>();
         for (JsonValue each : array(name)) {
             items.add(of(each, at(name) + "[" + items.size() + "]"));
         }
--- a/gateway/src/main/java/opalcove/gateway/Range.java
+++ b/config/src/main/java/opalcove/config/Range.java
@@ -1,4 +1,4 @@
-package opalcove.gateway;
+package opalcove.config;
 
 import java.math.BigDecimal;
 
--- a/gateway/src/main/java/opalcove/gateway/RangedFields.java
+++ b/config/src/main/java/opalcove/config/RangedJsonFields.java
@@ -1,4 +1,4 @@
-package opalcove.gateway;
+package opalcove.config;
 
 import java.util.ArrayList;
 import java.util.Arrays;
@@ -12,23 +12,23 @@
  * The fields of one JSON object, each read within its range. A field that is wrong is recorded as a problem and read as
  * a stand-in, so that one pass finds all problems; what was read must not be used when there are any.
  */
-final class RangedFields {
+final class RangedJsonFields {
     /** The control character DEL. */
     private static final char DELETE = 0x7f;
 
-    private final Fields fields;
-    private final List<BadSettings.Problem> problems;
+    private final JsonFields fields;
+    private final List<InvalidConfigurationException.Problem> problems;
     private final Set<String> wrong = new HashSet<>();
 
     /** Reads these fields, and adds what is wrong to the problems. */
-    RangedFields(Fields fields, List<BadSettings.Problem> problems) {
+    RangedJsonFields(JsonFields fields, List<InvalidConfigurationException.Problem> problems) {
         this.fields = fields;
         this.problems = problems;
     }
 
     /** Records that a field is wrong. */
     void refuse(String key, String reason) {
-        problems.add(new BadSettings.Problem(fields.at(key), reason));
+        problems.add(new InvalidConfigurationException.Problem(fields.at(key), reason));
         wrong.add(key);
     }
 
@@ -99,24 +99,24 @@
     }
 
     /** An object that must be there. */
-    RangedFields object(String key) {
-        Fields object = attempt(key, () -> fields.object(key), null);
+    RangedJsonFields object(String key) {
+        JsonFields object = attempt(key, () -> fields.object(key), null);
         // What is not there is one problem: the fields that it lacks are none of their own.
         return object == null
-                ? new RangedFields(Fields.parse("{}"), new ArrayList<>())
-                : new RangedFields(object, problems);
+                ? new RangedJsonFields(JsonFields.parse("{}"), new ArrayList<>())
+                : new RangedJsonFields(object, problems);
     }
 
     /** A list of objects with at least one. */
-    List<RangedFields> objects(String key) {
-        List<Fields> items = attempt(key, () -> fields.objects(key), null);
+    List<RangedJsonFields> objects(String key) {
+        List<JsonFields> items = attempt(key, () -> fields.objects(key), null);
         if (items == null) {
             return List.of();
         }
         if (items.isEmpty()) {
             refuse(key, "must not be empty");
         }
-        return items.stream().map(item -> new RangedFields(item, problems)).toList();
+        return items.stream().map(item -> new RangedJsonFields(item, problems)).toList();
     }
 
     private double inRange(String key, double value, Range range) {
@@ -130,7 +130,7 @@
     private <T> T attempt(String key, Supplier<T> read, T standIn) {
         try {
             return read.get();
-        } catch (BadSettings e) {
+        } catch (InvalidConfigurationException e) {
             problems.addAll(e.problems());
             wrong.add(key);
             return standIn;
--- a/gateway/src/main/java/opalcove/cluster/AgreedState.java
+++ b/config/src/main/java/opalcove/config/ReplicatedConfig.java
@@ -1,30 +1,29 @@
-package opalcove.cluster;
+package opalcove.config;
 
 import io.vertx.core.Future;
 import io.vertx.core.Vertx;
 import java.util.List;
 import java.util.function.Consumer;
 import java.util.function.Supplier;
-import opalcove.decision.Admission;
-import opalcove.gateway.AppNode;
-import opalcove.gateway.Fields;
+import opalcove.decision.DecisionSettings;
 import opalcove.membership.Member;
 
 /**
  * Settings and node list by versions on which the gateways agree. Off without the section {@code agreement}; a program that
  * has no part for it (the platform's) refuses that section.
  */
-public interface AgreedState {
+public interface ReplicatedConfig {
     /**
      * What to act on; nodes is null where the list stays discovery's; strict: only what cannot contradict others is in it;
      * coldSinceMs: no node counts as started before it, Unix ms, 0 where the list's word holds.
      */
-    record Acting(long version, Admission.Settings settings, List<AppNode> nodes, boolean strict, long coldSinceMs) {}
+    record Acting(long version, DecisionSettings settings, List<Backend> nodes, boolean strict, long coldSinceMs) {}
 
     /** Makes the part of this process; found by the service loader. */
     interface Provider {
         /** own: an event loop of its own; settings: those of the file, of which what is this gateway's alone stays. */
-        AgreedState make(Vertx own, String name, Fields section, Admission.Settings settings, Consumer<String> events);
+        ReplicatedConfig make(
+                Vertx own, String name, JsonFields section, DecisionSettings settings, Consumer<String> events);
     }
 
     /** Members known from before the start, to be called; empty where nothing is. */
--- a/gateway/src/main/java/opalcove/gateway/SettingsReader.java
+++ b/config/src/main/java/opalcove/config/SettingsReader.java
@@ -1,38 +1,42 @@
-package opalcove.gateway;
+package opalcove.config;
 
 import java.util.ArrayList;
 import java.util.HashSet;
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import opalcove.decision.Admission;
+import opalcove.decision.DecisionSettings;
+import opalcove.decision.DeduplicationScope;
+import opalcove.decision.Idempotency;
+import opalcove.decision.LoadMetric;
+import opalcove.decision.LoadReportSource;
 
 /**
  * The one reader of a deployment's settings, for the simulator's adapter and for the gateway with all its fronts.
  * {@code docs/settings.md} lists every key with its unit, its use and what is refused.
  */
 public final class SettingsReader {
-    private static final Map<String, Admission.Gauge> GAUGES = Map.of(
+    private static final Map<String, LoadMetric> GAUGES = Map.of(
             "busy_reqs",
-            Admission.Gauge.IN_HAND,
+            LoadMetric.IN_HAND,
             "pending",
-            Admission.Gauge.WAITING,
+            LoadMetric.WAITING,
             "cpu_share",
-            Admission.Gauge.BUSY_SHARE,
+            LoadMetric.BUSY_SHARE,
             "svc_ms",
-            Admission.Gauge.SERVICE_MS,
+            LoadMetric.SERVICE_MS,
             "served_ps",
-            Admission.Gauge.SERVED_PER_S,
+            LoadMetric.SERVED_PER_S,
             "failed_ps",
-            Admission.Gauge.ERRORS_PER_S);
+            LoadMetric.ERRORS_PER_S);
 
     /** The words for whether a class's requests may run more than once. */
-    private static final Map<String, Admission.Effect> IDEMPOTENCY =
-            Map.of("safe", Admission.Effect.SAFE, "keyed", Admission.Effect.KEYED, "unsafe", Admission.Effect.UNSAFE);
+    private static final Map<String, Idempotency> IDEMPOTENCY =
+            Map.of("safe", Idempotency.SAFE, "keyed", Idempotency.KEYED, "unsafe", Idempotency.UNSAFE);
 
     /** The words for which backends drop repeats of a request with a key. */
-    private static final Map<String, Admission.Reach> GROUP =
-            Map.of("all", Admission.Reach.ALL, "zone", Admission.Reach.ZONE, "cell", Admission.Reach.CELL);
+    private static final Map<String, DeduplicationScope> GROUP =
+            Map.of("all", DeduplicationScope.ALL, "zone", DeduplicationScope.ZONE, "cell", DeduplicationScope.CELL);
 
     /** The words for who learns of a changed node list by itself; the first holds where the key is absent. */
     private static final List<String> DISCOVERY = List.of("pushed", "on_request");
@@ -59,31 +63,31 @@
     /**
      * Reads the settings object; keys it does not know are passed over, as the wire's page asks.
      *
-     * @throws BadSettings with every value that cannot be served, each by its key and the reason
+     * @throws InvalidConfigurationException with every value that cannot be served, each by its key and the reason
      */
-    public static Admission.Settings checked(Fields fields) {
-        List<BadSettings.Problem> problems = new ArrayList<>();
-        Admission.Settings settings = settings(new RangedFields(fields, problems));
+    public static DecisionSettings checked(JsonFields fields) {
+        List<InvalidConfigurationException.Problem> problems = new ArrayList<>();
+        DecisionSettings settings = settings(new RangedJsonFields(fields, problems));
         if (!problems.isEmpty()) {
-            throw new BadSettings(problems);
+            throw new InvalidConfigurationException(problems);
         }
         try {
             settings.check();
         } catch (IllegalArgumentException e) {
-            throw new BadSettings(fields.path(), "contradicts itself: " + e.getMessage());
+            throw new InvalidConfigurationException(fields.path(), "contradicts itself: " + e.getMessage());
         }
         return settings;
     }
 
-    private static Admission.Settings settings(RangedFields fields) {
-        RangedFields specifics = fields.object("specifics");
-        RangedFields feedback = fields.object("feedback");
+    private static DecisionSettings settings(RangedJsonFields fields) {
+        RangedJsonFields specifics = fields.object("specifics");
+        RangedJsonFields feedback = fields.object("feedback");
         int gateways = fields.whole("balancers", COUNT);
         int self = fields.whole("me", INDEX);
         if (fields.sound("me", "balancers") && self >= gateways) {
             fields.refuse("me", "must be below balancers, " + gateways);
         }
-        return new Admission.Settings(
+        return new DecisionSettings(
                 self,
                 gateways,
                 fields.textOr("locality", ""),
@@ -99,11 +103,11 @@
                 feedback.texts("columns").stream().map(SettingsReader::gauge).toList());
     }
 
-    private static List<Admission.RequestClass> classes(List<RangedFields> profiles) {
+    private static List<DecisionSettings.RequestClass> classes(List<RangedJsonFields> profiles) {
         Set<String> names = new HashSet<>();
-        List<Admission.RequestClass> classes = new ArrayList<>();
-        for (RangedFields profile : profiles) {
-            classes.add(new Admission.RequestClass(
+        List<DecisionSettings.RequestClass> classes = new ArrayList<>();
+        for (RangedJsonFields profile : profiles) {
+            classes.add(new DecisionSettings.RequestClass(
                     profile.uniqueName("name", names),
                     profile.number("value", Range.NOT_NEGATIVE),
                     profile.numberOr("late_value", 0, Range.SHARE),
@@ -117,11 +121,11 @@
         return classes;
     }
 
-    private static List<Admission.Plan> plans(List<RangedFields> tiers) {
+    private static List<DecisionSettings.Plan> plans(List<RangedJsonFields> tiers) {
         Set<String> names = new HashSet<>();
-        List<Admission.Plan> plans = new ArrayList<>();
-        for (RangedFields tier : tiers) {
-            Admission.Plan plan = new Admission.Plan(
+        List<DecisionSettings.Plan> plans = new ArrayList<>();
+        for (RangedJsonFields tier : tiers) {
+            DecisionSettings.Plan plan = new DecisionSettings.Plan(
                     tier.uniqueName("name", names),
                     tier.numberOr("quota_rate", 0, Range.NOT_NEGATIVE),
                     tier.numberOr("peak_units", 0, Range.NOT_NEGATIVE),
@@ -140,8 +144,8 @@
         return plans;
     }
 
-    private static Admission.Limits limits(RangedFields ceilings, RangedFields specifics) {
-        return new Admission.Limits(
+    private static DecisionSettings.Limits limits(RangedJsonFields ceilings, RangedJsonFields specifics) {
+        return new DecisionSettings.Limits(
                 ceilings.wholeOr("max_attempts", 1, COUNT),
                 ceilings.flag("second_copies"),
                 ceilings.flag("may_cancel"),
@@ -155,8 +159,8 @@
                 specifics.numberOr("largest", Double.MAX_VALUE, Range.POSITIVE));
     }
 
-    private static Admission.Duties duties(RangedFields obligations, String discovery) {
-        return new Admission.Duties(
+    private static DecisionSettings.Obligations duties(RangedJsonFields obligations, String discovery) {
+        return new DecisionSettings.Obligations(
                 obligations.numberOr("answer_slack_ms", 0, Range.NOT_NEGATIVE),
                 obligations.numberOr("cold_from", 0, Range.SHARE),
                 obligations.numberOr("warm_after_ms", 0, Range.NOT_NEGATIVE),
@@ -165,27 +169,29 @@
                 discovery.equals("on_request"),
                 obligations.numberOr("ask_within_ms", 0, Range.NOT_NEGATIVE),
                 obligations.numberOr(
-                        "stop_sending_within_ms", Admission.Duties.DEFAULT_DRAIN_GRACE_MS, Range.NOT_NEGATIVE));
+                        "stop_sending_within_ms",
+                        DecisionSettings.Obligations.DEFAULT_DRAIN_GRACE_MS,
+                        Range.NOT_NEGATIVE));
     }
 
-    private static Admission.Prices prices(RangedFields costs) {
-        return new Admission.Prices(
+    private static DecisionSettings.Costs prices(RangedJsonFields costs) {
+        return new DecisionSettings.Costs(
                 costs.numberOr("cross_zone", 0, Range.NOT_NEGATIVE),
                 costs.numberOr("waste", 0, Range.NOT_NEGATIVE),
                 costs.numberOr("probe", 0, Range.NOT_NEGATIVE),
                 costs.numberOr("late_fail", 0, Range.NOT_NEGATIVE));
     }
 
-    private static Admission.Reports reports(String word) {
+    private static LoadReportSource reports(String word) {
         return switch (word) {
-            case "inline" -> Admission.Reports.IN_ANSWERS;
-            case "on_probe" -> Admission.Reports.ON_PROBES;
-            default -> Admission.Reports.NONE;
+            case "inline" -> LoadReportSource.IN_ANSWERS;
+            case "on_probe" -> LoadReportSource.ON_PROBES;
+            default -> LoadReportSource.NONE;
         };
     }
 
     /** The value of a load report that a name stands for. */
-    public static Admission.Gauge gauge(String name) {
-        return GAUGES.getOrDefault(name, Admission.Gauge.UNKNOWN);
+    public static LoadMetric gauge(String name) {
+        return GAUGES.getOrDefault(name, LoadMetric.UNKNOWN);
     }
 }
--- a/gateway/src/test/java/opalcove/Facts.java
+++ b/config/src/test/java/opalcove/TestSettings.java
@@ -1,11 +1,11 @@
 package opalcove;
 
-import opalcove.decision.Admission;
-import opalcove.gateway.Fields;
-import opalcove.gateway.SettingsReader;
+import opalcove.config.JsonFields;
+import opalcove.config.SettingsReader;
+import opalcove.decision.DecisionSettings;
 
 /** The settings that tests play with: three classes and two plans of the deployment. */
-public final class Facts {
+public final class TestSettings {
     public static final String JSON =
             """
             {"me":0,"balancers":1,"locality":"room-a","tick_ms":2,"discovery":"pushed",
@@ -22,19 +22,19 @@
              "tiers_of_service":[{"name":"start","quota_rate":50,"peak_units":100},
                                  {"name":"flotte","quota_rate":50,"peak_units":100}]}""";
 
-    private Facts() {}
+    private TestSettings() {}
 
     /** Settings under which no more than four asks may be open. */
-    public static Admission.Settings settings() {
+    public static DecisionSettings settings() {
         return settings(4);
     }
 
     /** Settings under which the node list has to be asked for. */
-    public static Admission.Settings settingsOfAListThatIsAskedFor() {
-        return SettingsReader.checked(Fields.parse(JSON.replace("\"pushed\"", "\"on_request\"")));
+    public static DecisionSettings settingsOfAListThatIsAskedFor() {
+        return SettingsReader.checked(JsonFields.parse(JSON.replace("\"pushed\"", "\"on_request\"")));
     }
 
-    public static Admission.Settings settings(int mostOpen) {
-        return SettingsReader.checked(Fields.parse(JSON.replace("\"max_open\":4", "\"max_open\":" + mostOpen)));
+    public static DecisionSettings settings(int mostOpen) {
+        return SettingsReader.checked(JsonFields.parse(JSON.replace("\"max_open\":4", "\"max_open\":" + mostOpen)));
     }
 }
--- a/agreement/src/main/java/opalcove/agreement/Lease.java
+++ b/configlease/src/main/java/opalcove/configlease/ConfigLease.java
@@ -1,9 +1,9 @@
-package opalcove.agreement;
+package opalcove.configlease;
 
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import opalcove.agreement.Standing.Mode;
+import opalcove.configlease.LeaseState.Mode;
 
 /**
  * One gateway's part of agreed versions: when to have its version confirmed and by whom, and what it may act on meanwhile. It
@@ -13,22 +13,14 @@
  * by a question of time t was not followed by another before t, and may be acted on until t + lease: two gateways act on
  * two versions for a lease at most, whatever their clocks say, as long as these go at the same rate.
  */
-public final class Lease {
+public final class ConfigLease {
     /** What a lease has its host do. */
     public interface Host {
         /** Asks a voter for the newest version; the question may be lost. {@code version}: the one held, 0 for none. */
         void ask(String voter, long number, long version);
 
         /** What may be acted on has changed. text: the version's, told whenever the version is another. */
-        void stands(Standing before, Standing after, String text);
-    }
-
-    /** leaseMs: how long a confirmed version may be acted on; every askMs it is confirmed; patienceMs: then another voter. */
-    public record Figures(long leaseMs, long askMs, long patienceMs) {
-        /** All by the lease, of which a quarter is the time between two questions, and an eighth a voter's time to answer. */
-        public static Figures of(long leaseMs) {
-            return new Figures(leaseMs, Math.max(1, leaseMs / 4), Math.max(1, leaseMs / 8));
-        }
+        void stands(LeaseState before, LeaseState after, String text);
     }
 
     /** What was done so far; expired: how often a full standing ended. */
@@ -37,11 +29,11 @@
     /** Questions out at once, of which the oldest are forgotten. */
     private static final int MOST_OUT = 64;
 
-    private final Figures figures;
+    private final LeaseConfig figures;
     private final List<String> voters;
     private final Host host;
     private final Map<Long, Long> out = new LinkedHashMap<>();
-    private Standing standing = new Standing(0, Mode.NONE, 0);
+    private LeaseState standing = new LeaseState(0, Mode.NONE, 0);
     private String text = "";
     private int voter;
     private long number;
@@ -54,7 +46,7 @@
     private long adopted;
 
     /** A gateway that holds nothing yet; {@code first}: which of the voters it asks first. */
-    public Lease(long now, List<String> voters, int first, Figures figures, Host host) {
+    public ConfigLease(long now, List<String> voters, int first, LeaseConfig figures, Host host) {
         this.voters = List.copyOf(voters);
         this.figures = figures;
         this.host = host;
@@ -63,7 +55,7 @@
     }
 
     /** What the holder may do now. */
-    public Standing standing() {
+    public LeaseState standing() {
         return standing;
     }
 
@@ -92,7 +84,7 @@
     public void tick(long now) {
         if (standing.mode() == Mode.FULL && now >= standing.untilMs()) {
             expired++;
-            stand(new Standing(standing.version(), Mode.STRICT, standing.untilMs()));
+            stand(new LeaseState(standing.version(), Mode.STRICT, standing.untilMs()));
         }
         if (now >= answerDue) {
             voter = (voter + 1) % voters.size();
@@ -140,11 +132,11 @@
             adopted++;
             text = versionText;
         }
-        stand(new Standing(version, Mode.FULL, until));
+        stand(new LeaseState(version, Mode.FULL, until));
     }
 
-    private void stand(Standing next) {
-        Standing before = standing;
+    private void stand(LeaseState next) {
+        LeaseState before = standing;
         standing = next;
         if (before.version() != next.version() || before.mode() != next.mode()) {
             host.stands(before, next, text);
--- a/agreement/src/main/java/opalcove/agreement/Standing.java
+++ b/configlease/src/main/java/opalcove/configlease/LeaseState.java
@@ -1,10 +1,10 @@
-package opalcove.agreement;
+package opalcove.configlease;
 
 /**
  * What a gateway acts on: the version that it holds, and how. untilMs is when a full standing ends unless it is confirmed
  * anew, by the gateway's own clock; 0 where it is not full.
  */
-public record Standing(long version, Mode mode, long untilMs) {
+public record LeaseState(long version, Mode mode, long untilMs) {
     /** How far a version may be acted on. */
     public enum Mode {
         /** No version is known yet. */
--- a/agreement/src/main/java/opalcove/agreement/Registry.java
+++ b/configlease/src/main/java/opalcove/configlease/VersionLog.java
@@ -1,4 +1,4 @@
-package opalcove.agreement;
+package opalcove.configlease;
 
 import java.io.Serializable;
 import java.util.ArrayDeque;
@@ -9,7 +9,7 @@
  * The versions, as each voter has them: proposals taken or refused in the order that the voters agreed on. The same
  * proposals in the same order give the same versions everywhere. Free of I/O and clocks.
  */
-public final class Registry {
+public final class VersionLog {
     /** A change that is proposed: to the version {@code base}, as a whole new text, by somebody; the id is the proposal's own. */
     public record Proposal(String id, long base, String by, String text) implements Serializable {}
 
--- a/control/src/main/java/opalcove/control/fleet/Fleet.java
+++ b/control/src/main/java/opalcove/control/cluster/ClusterState.java
@@ -1,4 +1,4 @@
-package opalcove.control.fleet;
+package opalcove.control.cluster;
 
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -11,12 +11,15 @@
 import java.util.Set;
 import java.util.TreeMap;
 import java.util.TreeSet;
+import opalcove.config.Backend;
+import opalcove.control.xds.ConfigSnapshot;
 import opalcove.control.xds.Resource;
-import opalcove.control.xds.Resources;
-import opalcove.control.xds.View;
-import opalcove.decision.Admission;
-import opalcove.decision.Policy;
-import opalcove.gateway.AppNode;
+import opalcove.control.xds.ResourceFactory;
+import opalcove.decision.AdmissionController;
+import opalcove.decision.DecisionActions;
+import opalcove.decision.DecisionSettings;
+import opalcove.decision.Endpoint;
+import opalcove.decision.EndpointState;
 
 /**
  * Decides what proxies see of the app nodes. Free of I/O: node list, load reports and time go in, a view for each room comes
@@ -26,7 +29,7 @@
  * <p>A starting node has a weight, a part of a warm node's. Each proxy sends it that part of what it sends anyhow, so the sum is
  * independent of how many proxies there are, and of who joins.
  */
-public final class Fleet {
+public final class ClusterState {
     /** Weights are whole numbers; a warm node of size 1 has this one. */
     static final int FULL = 100;
     /** A share that moved by less than this part of it is not told. */
@@ -40,24 +43,24 @@
      * @param leaseMs lifetime of its endpoints, ms; 0: none
      */
     public record Cluster(String name, Set<String> kinds, Set<Integer> pods, long leaseMs) {
-        boolean holds(Admission.Host host) {
+        boolean holds(Endpoint host) {
             return (kinds.isEmpty() || kinds.contains(host.kind())) && (pods.isEmpty() || pods.contains(host.cell()));
         }
     }
 
     private record Alarm(double at, long token) {}
 
-    private final Policy module;
+    private final AdmissionController module;
     private final List<Cluster> clusters;
     private final PriorityQueue<Alarm> alarms = new PriorityQueue<>((a, b) -> Double.compare(a.at, b.at));
-    private final ListGuard guard;
-    private final Map<String, AppNode> nodes = new LinkedHashMap<>();
+    private final EndpointListValidator guard;
+    private final Map<String, Backend> nodes = new LinkedHashMap<>();
     /** By node, as told; those of nodes that left go with them. */
     private final Map<String, Double> shares = new HashMap<>();
 
-    private final Map<String, View> views = new TreeMap<>();
+    private final Map<String, ConfigSnapshot> views = new TreeMap<>();
     private final Set<String> rooms = new TreeSet<>();
-    private final Drains drains = new Drains();
+    private final DrainTracker drains = new DrainTracker();
     private final Map<String, String> byAddress = new HashMap<>();
     /** What all proxies see whatever the nodes do: routing, and the clusters without their endpoints. */
     private final List<Resource> fixed;
@@ -65,9 +68,9 @@
     private double now;
 
     /** Routing: listeners and routes that all proxies see beside the clusters. */
-    public Fleet(
+    public ClusterState(
             double now,
-            Admission.Settings settings,
+            DecisionSettings settings,
             long seed,
             double mostShrink,
             List<Cluster> clusters,
@@ -75,14 +78,14 @@
         this.now = now;
         this.clusters = List.copyOf(clusters);
         List<Resource> all = new ArrayList<>(routing);
-        clusters.forEach(each -> all.add(Resources.cluster(each.name())));
+        clusters.forEach(each -> all.add(ResourceFactory.cluster(each.name())));
         fixed = List.copyOf(all);
-        guard = new ListGuard(mostShrink);
-        module = new Policy(now, settings, seed, new Alarms());
+        guard = new EndpointListValidator(mostShrink);
+        module = new AdmissionController(now, settings, seed, new Alarms());
     }
 
     /** The module hands choices on here, and is not asked for single requests: of its actions only alarms can come. */
-    private final class Alarms implements Admission.Actions {
+    private final class Alarms implements DecisionActions {
         @Override
         public void wake(long token, double afterMs) {
             alarms.add(new Alarm(now + afterMs, token));
@@ -125,16 +128,16 @@
     }
 
     /** Takes in a whole node list or changed lines, with the operators' override of the guard against shrinking. */
-    public void told(double time, boolean whole, boolean override, List<AppNode> lines) {
+    public void told(double time, boolean whole, boolean override, List<Backend> lines) {
         now = Math.max(now, time);
-        List<AppNode> believed = guard.told(whole, override, lines);
+        List<Backend> believed = guard.told(whole, override, lines);
         nodes.clear();
         byAddress.clear();
         believed.forEach(node -> {
             nodes.put(node.name(), node);
             byAddress.put(node.address(), node.name());
         });
-        module.hosts(now, true, believed.stream().map(AppNode::host).toList());
+        module.hosts(now, true, believed.stream().map(Backend::host).toList());
         weigh();
         look();
         noteDrains();
@@ -182,7 +185,7 @@
     }
 
     /** Drains under way. */
-    public List<Drains.Drain> drains() {
+    public List<DrainTracker.Drain> drains() {
         return drains.all();
     }
 
@@ -192,7 +195,7 @@
     }
 
     /** What a proxy in that room sees. A room without nodes sees all others at one priority. */
-    public View view(String room) {
+    public ConfigSnapshot view(String room) {
         return views.computeIfAbsent(viewOf(room), this::made);
     }
 
@@ -206,9 +209,9 @@
         nodes.values().forEach(node -> rooms.add(node.host().zone()));
         views.keySet().removeIf(room -> !room.isEmpty() && !rooms.contains(room));
         boolean changed = false;
-        for (Map.Entry<String, View> each : views.entrySet()) {
-            View next = nodes.isEmpty() && each.getValue() == View.EMPTY
-                    ? View.EMPTY
+        for (Map.Entry<String, ConfigSnapshot> each : views.entrySet()) {
+            ConfigSnapshot next = nodes.isEmpty() && each.getValue() == ConfigSnapshot.EMPTY
+                    ? ConfigSnapshot.EMPTY
                     : each.getValue().with(resources(each.getKey()), Map.of());
             changed |= next != each.getValue();
             each.setValue(next);
@@ -222,8 +225,8 @@
         drains.look(now, nodes, serials);
     }
 
-    private View made(String room) {
-        return nodes.isEmpty() ? View.EMPTY : View.EMPTY.with(resources(room), Map.of());
+    private ConfigSnapshot made(String room) {
+        return nodes.isEmpty() ? ConfigSnapshot.EMPTY : ConfigSnapshot.EMPTY.with(resources(room), Map.of());
     }
 
     private List<Resource> resources(String room) {
@@ -235,8 +238,8 @@
     }
 
     private Resource endpoints(Cluster cluster, String room) {
-        Map<String, List<Resources.Target>> byRoom = new TreeMap<>();
-        for (AppNode node : nodes.values()) {
+        Map<String, List<ResourceFactory.Target>> byRoom = new TreeMap<>();
+        for (Backend node : nodes.values()) {
             if (cluster.holds(node.host())) {
                 byRoom.computeIfAbsent(node.host().zone(), any -> new ArrayList<>())
                         .add(target(node));
@@ -247,26 +250,26 @@
             order.add(room);
         }
         order.addAll(byRoom.keySet());
-        List<Resources.Group> groups = new ArrayList<>();
+        List<ResourceFactory.Group> groups = new ArrayList<>();
         for (String each : order) {
-            List<Resources.Target> targets = byRoom.get(each);
+            List<ResourceFactory.Target> targets = byRoom.get(each);
             int weight = Math.max(
                     1,
                     targets.stream()
                             .filter(target -> !target.draining())
-                            .mapToInt(Resources.Target::weight)
+                            .mapToInt(ResourceFactory.Target::weight)
                             .sum());
-            groups.add(
-                    new Resources.Group(each, each.equals(room) || !byRoom.containsKey(room) ? 0 : 1, weight, targets));
+            groups.add(new ResourceFactory.Group(
+                    each, each.equals(room) || !byRoom.containsKey(room) ? 0 : 1, weight, targets));
         }
-        return Resources.endpoints(cluster.name(), cluster.leaseMs(), groups);
+        return ResourceFactory.endpoints(cluster.name(), cluster.leaseMs(), groups);
     }
 
-    private Resources.Target target(AppNode node) {
+    private ResourceFactory.Target target(Backend node) {
         double share = shares.getOrDefault(node.name(), 0.0);
-        boolean takesNew = share > 0 && node.host().state() == Admission.State.UP;
+        boolean takesNew = share > 0 && node.host().state() == EndpointState.UP;
         int colon = node.address().lastIndexOf(':');
-        return new Resources.Target(
+        return new ResourceFactory.Target(
                 node.address().substring(0, colon),
                 Integer.parseInt(node.address().substring(colon + 1)),
                 takesNew ? Math.max(1, (int) (FULL * share * node.host().size())) : 1,
@@ -281,7 +284,7 @@
     private boolean weigh() {
         boolean any = false;
         shares.keySet().retainAll(nodes.keySet());
-        for (Policy.Room each : module.rooms(now)) {
+        for (AdmissionController.Room each : module.rooms(now)) {
             double share = each.share() >= ALL ? 1 : each.share();
             double told = shares.getOrDefault(each.host(), 0.0);
             boolean moved = share != told && (Math.abs(share - told) > STEP * told || share == 1);
--- a/control/src/main/java/opalcove/control/fleet/Drains.java
+++ b/control/src/main/java/opalcove/control/cluster/DrainTracker.java
@@ -1,16 +1,16 @@
-package opalcove.control.fleet;
+package opalcove.control.cluster;
 
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import opalcove.decision.Admission;
-import opalcove.gateway.AppNode;
+import opalcove.config.Backend;
+import opalcove.decision.EndpointState;
 
 /**
  * Drains under way: when each was told, and what proxies have reported of the node since. Those of a node that left the list
  * are kept for a minute, and one of a node that takes work again is called off.
  */
-public final class Drains {
+public final class DrainTracker {
     /** How long a drain is told of after its node has left the list, ms. */
     private static final double KEEP_MS = 60_000;
     /** Uses of more proxies than this are not kept for one drain; the eldest goes. */
@@ -46,13 +46,13 @@
     }
 
     /** Takes in the list as it is now, and the serials of the views that say so, by room. */
-    void look(double now, Map<String, AppNode> nodes, Map<String, Long> serials) {
+    void look(double now, Map<String, Backend> nodes, Map<String, Long> serials) {
         drains.values()
                 .removeIf(drain -> nodes.containsKey(drain.node())
-                        ? nodes.get(drain.node()).host().state() == Admission.State.UP
+                        ? nodes.get(drain.node()).host().state() == EndpointState.UP
                         : now - drain.sinceMs() > KEEP_MS);
         nodes.values().stream()
-                .filter(node -> node.host().state() == Admission.State.DRAINING)
+                .filter(node -> node.host().state() == EndpointState.DRAINING)
                 .forEach(node -> drains.computeIfAbsent(
                         node.name(), name -> new Drain(name, now, Map.copyOf(serials), eldestOut())));
     }
--- a/control/src/main/java/opalcove/control/fleet/ListGuard.java
+++ b/control/src/main/java/opalcove/control/cluster/EndpointListValidator.java
@@ -1,4 +1,4 @@
-package opalcove.control.fleet;
+package opalcove.control.cluster;
 
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -7,21 +7,21 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import opalcove.decision.Admission;
-import opalcove.gateway.AppNode;
+import opalcove.config.Backend;
+import opalcove.decision.EndpointState;
 
 /**
  * The node list as it may be believed. Guards proxies against a source that is empty, torn or new: a whole list that lacks more
  * than a set share of the nodes at once is taken in as far as it adds and changes, and what it lacks stays until the operators
  * override, or the nodes come back. What a list says of a node by name (drained, removed, moved) is always obeyed.
  */
-public final class ListGuard {
+public final class EndpointListValidator {
     private final double mostShrink;
-    private final Map<String, AppNode> nodes = new LinkedHashMap<>();
+    private final Map<String, Backend> nodes = new LinkedHashMap<>();
     private Set<String> missing = Set.of();
 
     /** Most: the share of the nodes that may vanish from a whole list at once, 0 to 1. */
-    public ListGuard(double mostShrink) {
+    public EndpointListValidator(double mostShrink) {
         if (!(mostShrink >= 0 && mostShrink <= 1)) {
             throw new IllegalArgumentException("the share " + mostShrink + " is not from 0 to 1");
         }
@@ -29,8 +29,8 @@
     }
 
     /** Takes in a whole list, or changed lines; override: nodes that it lacks are gone, however many. Gives the list. */
-    public List<AppNode> told(boolean whole, boolean override, List<AppNode> lines) {
-        Map<String, AppNode> told = new HashMap<>();
+    public List<Backend> told(boolean whole, boolean override, List<Backend> lines) {
+        Map<String, Backend> told = new HashMap<>();
         lines.forEach(line -> told.put(line.name(), line));
         if (whole) {
             Set<String> lacking = new HashSet<>(nodes.keySet());
@@ -44,8 +44,8 @@
                 missing = Set.copyOf(lacking);
             }
         }
-        for (AppNode line : lines) {
-            if (line.host().state() == Admission.State.GONE) {
+        for (Backend line : lines) {
+            if (line.host().state() == EndpointState.REMOVED) {
                 nodes.remove(line.name());
             } else {
                 nodes.put(line.name(), line);
--- a/control/src/main/java/opalcove/control/server/ControlSettings.java
+++ b/control/src/main/java/opalcove/control/server/ControlConfig.java
@@ -7,13 +7,13 @@
 import java.util.Set;
 import java.util.stream.Collectors;
 import java.util.stream.IntStream;
-import opalcove.control.fleet.Fleet;
-import opalcove.decision.Admission;
-import opalcove.gateway.BadSettings;
-import opalcove.gateway.Check;
-import opalcove.gateway.Endpoint;
-import opalcove.gateway.Fields;
-import opalcove.gateway.SettingsReader;
+import opalcove.config.ConfigValidator;
+import opalcove.config.HostAndPort;
+import opalcove.config.InvalidConfigurationException;
+import opalcove.config.JsonFields;
+import opalcove.config.SettingsReader;
+import opalcove.control.cluster.ClusterState;
+import opalcove.decision.DecisionSettings;
 
 /**
  * The settings file of the control service, checked whole before anything opens.
@@ -25,16 +25,16 @@
  * @param admit the clusters of proxies that are admitted; none: all are
  * @param listeners what proxyless clients may ask for, each led to one cluster
  */
-public record ControlSettings(
+public record ControlConfig(
         String name,
-        Endpoint listen,
-        Endpoint status,
+        HostAndPort listen,
+        HostAndPort status,
         Path nodes,
         double mostShrink,
         Set<String> admit,
-        List<Fleet.Cluster> clusters,
+        List<ClusterState.Cluster> clusters,
         List<Listener> listeners,
-        Admission.Settings settings) {
+        DecisionSettings settings) {
     /** A listener of that name leads all to that cluster. */
     public record Listener(String name, String cluster) {}
 
@@ -42,45 +42,46 @@
             Set.of("name", "listen", "status", "nodes", "most_shrink", "admit", "clusters", "listeners", "settings");
 
     /** Reads and checks the file; a wrong one is refused with every problem found, each by file, key and reason. */
-    public static ControlSettings read(Path file) {
-        Check check = new Check(file);
-        Fields fields = check.fields(KEYS);
+    public static ControlConfig read(Path file) {
+        ConfigValidator check = new ConfigValidator(file);
+        JsonFields fields = check.fields(KEYS);
         String name = check.ask(() -> fields.textOr("name", "control"), "");
-        Endpoint listen = check.ask(() -> Endpoint.read(fields.text("listen"), "listen"), null);
-        Endpoint status = check.ask(() -> status(fields), null);
+        HostAndPort listen = check.ask(() -> HostAndPort.read(fields.text("listen"), "listen"), null);
+        HostAndPort status = check.ask(() -> status(fields), null);
         Path nodes = check.ask(() -> file.toAbsolutePath().resolveSibling(fields.text("nodes")), null);
         double shrink = check.ask(() -> share(fields), 0.0);
         Set<String> admit = check.ask(() -> Set.copyOf(fields.texts("admit")), Set.of());
-        List<Fleet.Cluster> clusters = check.ask(() -> clusters(fields), List.of());
+        List<ClusterState.Cluster> clusters = check.ask(() -> clusters(fields), List.of());
         List<Listener> listeners = check.ask(() -> listeners(fields, clusters), List.of());
-        Admission.Settings settings = check.ask(() -> SettingsReader.checked(fields.object("settings")), null);
+        DecisionSettings settings = check.ask(() -> SettingsReader.checked(fields.object("settings")), null);
         check.end();
-        return new ControlSettings(name, listen, status, nodes, shrink, admit, clusters, listeners, settings);
+        return new ControlConfig(name, listen, status, nodes, shrink, admit, clusters, listeners, settings);
     }
 
-    private static Endpoint status(Fields fields) {
-        Endpoint status = Endpoint.read(fields.text("status"), "status");
+    private static HostAndPort status(JsonFields fields) {
+        HostAndPort status = HostAndPort.read(fields.text("status"), "status");
         if (!status.address().startsWith("127.")) {
-            throw new BadSettings("field status must be a loopback address, not " + status.address());
+            throw new InvalidConfigurationException("field status must be a loopback address, not " + status.address());
         }
         return status;
     }
 
-    private static double share(Fields fields) {
+    private static double share(JsonFields fields) {
         double share = fields.numberOr("most_shrink", 0.5);
         if (!(share >= 0 && share <= 1)) {
-            throw new BadSettings("field most_shrink must be from 0 to 1");
+            throw new InvalidConfigurationException("field most_shrink must be from 0 to 1");
         }
         return share;
     }
 
-    private static List<Fleet.Cluster> clusters(Fields fields) {
-        List<Fleet.Cluster> clusters = new ArrayList<>();
+    private static List<ClusterState.Cluster> clusters(JsonFields fields) {
+        List<ClusterState.Cluster> clusters = new ArrayList<>();
         Set<String> names = new HashSet<>();
-        for (Fields each : fields.objects("clusters")) {
+        for (JsonFields each : fields.objects("clusters")) {
             String name = each.text("name");
             if (name.isEmpty() || !names.add(name)) {
-                throw new BadSettings("field " + each.path() + ".name is empty or there twice: " + name);
+                throw new InvalidConfigurationException(
+                        "field " + each.path() + ".name is empty or there twice: " + name);
             }
             double[] pods = each.row("pods");
             Set<Integer> numbers = pods == null
@@ -90,22 +91,23 @@
                             .collect(Collectors.toSet());
             long lease = each.wholeOr("lease_ms", 0);
             if (lease < 0 || lease > 0 && lease < 1000) {
-                throw new BadSettings("field " + each.path() + ".lease_ms must be 0 or at least 1000");
+                throw new InvalidConfigurationException(
+                        "field " + each.path() + ".lease_ms must be 0 or at least 1000");
             }
-            clusters.add(new Fleet.Cluster(name, Set.copyOf(each.texts("kinds")), numbers, lease));
+            clusters.add(new ClusterState.Cluster(name, Set.copyOf(each.texts("kinds")), numbers, lease));
         }
         if (clusters.isEmpty()) {
-            throw new BadSettings("field clusters names no cluster");
+            throw new InvalidConfigurationException("field clusters names no cluster");
         }
         return clusters;
     }
 
-    private static List<Listener> listeners(Fields fields, List<Fleet.Cluster> clusters) {
+    private static List<Listener> listeners(JsonFields fields, List<ClusterState.Cluster> clusters) {
         List<Listener> listeners = new ArrayList<>();
-        for (Fields each : fields.has("listeners") ? fields.objects("listeners") : List.<Fields>of()) {
+        for (JsonFields each : fields.has("listeners") ? fields.objects("listeners") : List.<JsonFields>of()) {
             Listener listener = new Listener(each.text("name"), each.text("cluster"));
             if (clusters.stream().noneMatch(cluster -> cluster.name().equals(listener.cluster()))) {
-                throw new BadSettings(
+                throw new InvalidConfigurationException(
                         "field " + each.path() + ".cluster is not among the clusters: " + listener.cluster());
             }
             listeners.add(listener);
--- a/control/src/main/java/opalcove/control/server/ControlServer.java
+++ b/control/src/main/java/opalcove/control/server/ControlServer.java
@@ -21,7 +21,7 @@
     private final Server server;
 
     /** Opens the server, with other services beside. */
-    public ControlServer(InetSocketAddress at, Sessions sessions, BindableService... others) throws IOException {
+    public ControlServer(InetSocketAddress at, SessionRegistry sessions, BindableService... others) throws IOException {
         NettyServerBuilder builder = NettyServerBuilder.forAddress(at)
                 .maxInboundMessageSize(MOST_REQUEST)
                 .maxConcurrentCallsPerConnection(MOST_STREAMS)
--- a/control/src/main/java/opalcove/control/server/ControlService.java
+++ b/control/src/main/java/opalcove/control/server/ControlService.java
@@ -14,14 +14,14 @@
 import java.util.concurrent.ScheduledFuture;
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.TimeoutException;
-import opalcove.control.fleet.Drains;
-import opalcove.control.fleet.Fleet;
-import opalcove.control.xds.Knowledge;
+import opalcove.config.Backend;
+import opalcove.config.Clock;
+import opalcove.control.cluster.ClusterState;
+import opalcove.control.cluster.DrainTracker;
+import opalcove.control.xds.ClientVersions;
 import opalcove.control.xds.Resource;
+import opalcove.control.xds.ResourceFactory;
 import opalcove.control.xds.ResourceType;
-import opalcove.control.xds.Resources;
-import opalcove.gateway.AppNode;
-import opalcove.gateway.Clock;
 import org.tinylog.Logger;
 
 /** The control service by its settings: node list in, proxies told, state on request. */
@@ -30,28 +30,28 @@
     /** Lifetimes are renewed so often in the shortest of them: two renewals may be late or lost. */
     private static final long RENEWALS = 3;
 
-    private final Desk desk = new Desk();
+    private final SerialExecutor desk = new SerialExecutor();
     private final Clock clock = new Clock();
-    private final ControlSettings config;
-    private final Fleet fleet;
-    private final Sessions sessions;
+    private final ControlConfig config;
+    private final ClusterState fleet;
+    private final SessionRegistry sessions;
     private final ControlServer server;
     private final HttpServer status;
-    private final NodeFile nodes;
+    private final EndpointFile nodes;
     private ScheduledFuture<?> alarm;
     private String sourceProblem = "";
 
     /** Opens the service; it fails where an address is taken. A node list that cannot be read yet is waited for. */
-    public ControlService(ControlSettings config) throws IOException {
+    public ControlService(ControlConfig config) throws IOException {
         this.config = config;
         List<Resource> routing = new ArrayList<>();
-        for (ControlSettings.Listener each : config.listeners()) {
-            routing.add(Resources.apiListener(each.name(), each.name()));
-            routing.add(Resources.routes(each.name(), each.cluster()));
+        for (ControlConfig.Listener each : config.listeners()) {
+            routing.add(ResourceFactory.apiListener(each.name(), each.name()));
+            routing.add(ResourceFactory.routes(each.name(), each.cluster()));
         }
-        fleet = new Fleet(
+        fleet = new ClusterState(
                 clock.now(), config.settings(), System.nanoTime(), config.mostShrink(), config.clusters(), routing);
-        sessions = new Sessions(
+        sessions = new SessionRegistry(
                 desk,
                 proxy -> config.admit().isEmpty() || config.admit().contains(proxy.cluster())
                         ? fleet.view(proxy.room())
@@ -59,10 +59,12 @@
         server = new ControlServer(
                 new InetSocketAddress(config.listen().address(), config.listen().port()),
                 sessions,
-                new LoadReports(
+                new LoadReportService(
                         desk,
                         sessions.views(),
-                        config.clusters().stream().map(Fleet.Cluster::name).toList(),
+                        config.clusters().stream()
+                                .map(ClusterState.Cluster::name)
+                                .toList(),
                         (proxy, address, issued, served, failed, inProgress) ->
                                 fleet.reported(clock.now(), proxy.id(), address, issued, served, failed, inProgress)));
         status = HttpServer.create(
@@ -75,13 +77,13 @@
             exchange.close();
         });
         status.start();
-        nodes = new NodeFile(
+        nodes = new EndpointFile(
                 config.nodes(),
                 (override, list) -> desk.execute(() -> told(override, list)),
                 problem -> desk.execute(() -> failed(problem)));
         desk.execute(this::wake);
         config.clusters().stream()
-                .mapToLong(Fleet.Cluster::leaseMs)
+                .mapToLong(ClusterState.Cluster::leaseMs)
                 .filter(lease -> lease > 0)
                 .min()
                 .ifPresent(lease -> desk.execute(() -> renew(lease / RENEWALS)));
@@ -98,7 +100,7 @@
         return status.getAddress().getPort();
     }
 
-    private void told(boolean override, List<AppNode> list) {
+    private void told(boolean override, List<Backend> list) {
         sourceProblem = "";
         fleet.told(clock.now(), true, override, list);
         if (!fleet.missing().isEmpty()) {
@@ -148,9 +150,9 @@
     }
 
     private JsonObject state() {
-        List<Sessions.Known> known = sessions.known();
+        List<SessionRegistry.Known> known = sessions.known();
         JsonArray proxies = new JsonArray();
-        for (Sessions.Known each : known) {
+        for (SessionRegistry.Known each : known) {
             JsonObject types = new JsonObject();
             each.types()
                     .forEach((type, knows) -> types.add(
@@ -170,7 +172,7 @@
                     .add("types", types));
         }
         JsonArray drains = new JsonArray();
-        for (Drains.Drain drain : fleet.drains()) {
+        for (DrainTracker.Drain drain : fleet.drains()) {
             JsonArray waiting = new JsonArray();
             known.stream()
                     .filter(each -> !knows(each, drain))
@@ -193,7 +195,7 @@
     }
 
     /** Who told of new work at a draining node since its drain, when that was last, and what is in hand there. */
-    private JsonArray users(Drains.Drain drain) {
+    private JsonArray users(DrainTracker.Drain drain) {
         JsonArray users = new JsonArray();
         drain.uses().forEach((proxy, use) -> {
             boolean sent = Double.isFinite(use.lastIssuedMs());
@@ -207,8 +209,8 @@
         return users;
     }
 
-    private boolean knows(Sessions.Known proxy, Drains.Drain drain) {
-        Knowledge knows = proxy.types().get(ResourceType.ENDPOINTS);
+    private boolean knows(SessionRegistry.Known proxy, DrainTracker.Drain drain) {
+        ClientVersions knows = proxy.types().get(ResourceType.ENDPOINTS);
         return knows == null
                 || knows.acknowledged()
                         >= drain.serial(fleet.viewOf(proxy.proxy().room()));
--- a/control/src/main/java/opalcove/control/server/NodeFile.java
+++ b/control/src/main/java/opalcove/control/server/EndpointFile.java
@@ -10,26 +10,27 @@
 import java.util.List;
 import java.util.function.BiConsumer;
 import java.util.function.Consumer;
-import opalcove.gateway.AppNode;
-import opalcove.gateway.BadSettings;
-import opalcove.gateway.Endpoint;
-import opalcove.gateway.Fields;
-import opalcove.gateway.NodeLines;
+import opalcove.config.Backend;
+import opalcove.config.EndpointCodec;
+import opalcove.config.HostAndPort;
+import opalcove.config.InvalidConfigurationException;
+import opalcove.config.JsonFields;
 import org.tinylog.Logger;
 
 /**
  * The node list in a file, in discovery's form. It is read whenever the file is written or replaced; one that is torn, empty or
  * gone changes nothing and is told. A field {@code override} set to true lifts the guard against shrinking for that list.
  */
-public final class NodeFile implements AutoCloseable {
+public final class EndpointFile implements AutoCloseable {
     private final Path file;
-    private final BiConsumer<Boolean, List<AppNode>> told;
+    private final BiConsumer<Boolean, List<Backend>> told;
     private final Consumer<String> failed;
     private final WatchService watch;
     private String last = "";
 
     /** Reads the file, and follows it from then on; both are told on a thread of its own. */
-    public NodeFile(Path file, BiConsumer<Boolean, List<AppNode>> told, Consumer<String> failed) throws IOException {
+    public EndpointFile(Path file, BiConsumer<Boolean, List<Backend>> told, Consumer<String> failed)
+            throws IOException {
         this.file = file;
         this.told = told;
         this.failed = failed;
@@ -65,14 +66,14 @@
             String text = Files.readString(file);
             if (!text.equals(last)) {
                 last = text;
-                Fields fields = Fields.parse(text);
-                List<AppNode> nodes = NodeLines.read(fields.objects("endpoints"));
+                JsonFields fields = JsonFields.parse(text);
+                List<Backend> nodes = EndpointCodec.read(fields.objects("endpoints"));
                 for (int i = 0; i < nodes.size(); i++) {
-                    Endpoint.read(nodes.get(i).address(), "endpoints[" + i + "].address");
+                    HostAndPort.read(nodes.get(i).address(), "endpoints[" + i + "].address");
                 }
                 told.accept(fields.flag("override"), nodes);
             }
-        } catch (IOException | BadSettings e) {
+        } catch (IOException | InvalidConfigurationException e) {
             failed.accept(file + ": " + e.getMessage());
         }
     }
--- a/control/src/main/java/opalcove/control/server/LoadReports.java
+++ b/control/src/main/java/opalcove/control/server/LoadReportService.java
@@ -18,7 +18,7 @@
  * Takes in what proxies report of the load they sent (LRS, load_stats/v3). Each is asked to report its clusters once an
  * interval, endpoint by endpoint; a client that can only tell sums by room tells nothing of single nodes.
  */
-final class LoadReports extends LoadReportingServiceGrpc.LoadReportingServiceImplBase {
+final class LoadReportService extends LoadReportingServiceGrpc.LoadReportingServiceImplBase {
     /** How often a proxy reports, ms: a drain is confirmed by the reports after it. */
     static final long INTERVAL_MS = 500;
 
@@ -27,12 +27,12 @@
         void told(ProxyIdentity proxy, String address, long issued, long served, long failed, long inProgress);
     }
 
-    private final Desk desk;
-    private final Views views;
+    private final SerialExecutor desk;
+    private final SnapshotSource views;
     private final List<String> clusters;
     private final Uses uses;
 
-    LoadReports(Desk desk, Views views, List<String> clusters, Uses uses) {
+    LoadReportService(SerialExecutor desk, SnapshotSource views, List<String> clusters, Uses uses) {
         this.desk = desk;
         this.views = views;
         this.clusters = List.copyOf(clusters);
--- a/control/src/main/java/opalcove/control/server/Desk.java
+++ b/control/src/main/java/opalcove/control/server/SerialExecutor.java
@@ -8,7 +8,7 @@
 import org.tinylog.Logger;
 
 /** The one thread on which streams, views and decisions live, and its clock. */
-public final class Desk implements Executor, AutoCloseable {
+public final class SerialExecutor implements Executor, AutoCloseable {
     private final ScheduledThreadPoolExecutor thread = new ScheduledThreadPoolExecutor(1, work -> {
         Thread made = new Thread(work, "control");
         made.setDaemon(true);
@@ -17,7 +17,7 @@
     private final long startedAt = System.nanoTime();
 
     /** Cancelled timers leave the queue at once. */
-    public Desk() {
+    public SerialExecutor() {
         thread.setRemoveOnCancelPolicy(true);
     }
 
--- a/control/src/main/java/opalcove/control/server/Sessions.java
+++ b/control/src/main/java/opalcove/control/server/SessionRegistry.java
@@ -18,30 +18,30 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.UUID;
-import opalcove.control.xds.Knowledge;
+import opalcove.control.xds.ClientVersions;
 import opalcove.control.xds.ResourceType;
 
 /** All open streams of all proxies, and the services on which they are opened. Used on the desk's thread alone. */
-public final class Sessions {
-    private final Desk desk;
-    private final Views views;
-    private final Set<Session<?, ?>> open = new LinkedHashSet<>();
+public final class SessionRegistry {
+    private final SerialExecutor desk;
+    private final SnapshotSource views;
+    private final Set<XdsSession<?, ?>> open = new LinkedHashSet<>();
     /** Guards against a nonce of an instance before this one: none of ours may look like it. */
     private final String incarnation = UUID.randomUUID().toString().substring(0, 8);
 
     private long streams;
 
     /** Serves the streams of clients from the views, all on the desk's thread. */
-    public Sessions(Desk desk, Views views) {
+    public SessionRegistry(SerialExecutor desk, SnapshotSource views) {
         this.desk = desk;
         this.views = views;
     }
 
-    Desk desk() {
+    SerialExecutor desk() {
         return desk;
     }
 
-    Views views() {
+    SnapshotSource views() {
         return views;
     }
 
@@ -49,34 +49,34 @@
         return incarnation + "." + ++streams + ".";
     }
 
-    void opened(Session<?, ?> session) {
+    void opened(XdsSession<?, ?> session) {
         open.add(session);
     }
 
-    void closed(Session<?, ?> session) {
+    void closed(XdsSession<?, ?> session) {
         open.remove(session);
     }
 
     /** The views have changed: every proxy is told its part. */
     public void changed() {
-        List.copyOf(open).forEach(Session::tell);
+        List.copyOf(open).forEach(XdsSession::tell);
     }
 
     /** Renews the lifetimes of all that proxies hold on loan. */
     public void renew() {
-        List.copyOf(open).forEach(Session::renew);
+        List.copyOf(open).forEach(XdsSession::renew);
     }
 
     /** A proxy on an open stream, and what it knows by type. */
-    public record Known(ProxyIdentity proxy, Map<ResourceType, Knowledge> types) {}
+    public record Known(ProxyIdentity proxy, Map<ResourceType, ClientVersions> types) {}
 
     /** All proxies on open streams; one with several streams is there several times. */
     public List<Known> known() {
         return open.stream()
                 .map(each -> {
-                    Map<ResourceType, Knowledge> types = new EnumMap<>(ResourceType.class);
+                    Map<ResourceType, ClientVersions> types = new EnumMap<>(ResourceType.class);
                     for (ResourceType type : ResourceType.values()) {
-                        Knowledge knows = each.knowledge(type);
+                        ClientVersions knows = each.knowledge(type);
                         if (knows != null) {
                             types.put(type, knows);
                         }
@@ -134,10 +134,11 @@
             MethodDescriptor<DeltaDiscoveryRequest, DeltaDiscoveryResponse> delta) {
         ServerServiceDefinition.Builder service = ServerServiceDefinition.builder(name)
                 .addMethod(
-                        sotw, ServerCalls.asyncBidiStreamingCall(out -> new Session<>(this, Variant.SOTW, only, out)))
+                        sotw,
+                        ServerCalls.asyncBidiStreamingCall(out -> new XdsSession<>(this, XdsVariant.SOTW, only, out)))
                 .addMethod(
                         delta,
-                        ServerCalls.asyncBidiStreamingCall(out -> new Session<>(this, Variant.DELTA, only, out)));
+                        ServerCalls.asyncBidiStreamingCall(out -> new XdsSession<>(this, XdsVariant.DELTA, only, out)));
         // The services' descriptions name a unary form, too, for proxies that poll over HTTP; these are not such.
         return service.build();
     }
--- a/control/src/main/java/opalcove/control/server/Views.java
+++ b/control/src/main/java/opalcove/control/server/SnapshotSource.java
@@ -1,10 +1,10 @@
 package opalcove.control.server;
 
-import opalcove.control.xds.View;
+import opalcove.control.xds.ConfigSnapshot;
 
 /** What each proxy may see. Asked on the desk's thread alone. */
-public interface Views {
-    /** The latest view for this proxy; null: it is not admitted; {@link View#EMPTY}: nothing is known yet,
+public interface SnapshotSource {
+    /** The latest view for this proxy; null: it is not admitted; {@link ConfigSnapshot#EMPTY}: nothing is known yet,
      * and nothing is told. */
-    View of(ProxyIdentity proxy);
+    ConfigSnapshot of(ProxyIdentity proxy);
 }
--- a/control/src/main/java/opalcove/control/server/Session.java
+++ b/control/src/main/java/opalcove/control/server/XdsSession.java
@@ -4,28 +4,28 @@
 import io.grpc.stub.ServerCallStreamObserver;
 import io.grpc.stub.StreamObserver;
 import java.util.concurrent.ScheduledFuture;
-import opalcove.control.xds.Knowledge;
-import opalcove.control.xds.ProxyStream;
+import opalcove.control.xds.ClientVersions;
+import opalcove.control.xds.ConfigSnapshot;
 import opalcove.control.xds.ResourceType;
-import opalcove.control.xds.View;
+import opalcove.control.xds.XdsStream;
 import org.tinylog.Logger;
 
 /**
  * One open stream of a proxy. It is told the latest state whenever its transport takes more; while that is full, changes come
  * together in the view, and nothing is queued. All of it runs on the desk.
  */
-final class Session<Q, R> implements StreamObserver<Q> {
-    private final Sessions sessions;
-    private final Variant<Q, R> variant;
+final class XdsSession<Q, R> implements StreamObserver<Q> {
+    private final SessionRegistry sessions;
+    private final XdsVariant<Q, R> variant;
     private final ResourceType only;
     private final ServerCallStreamObserver<R> out;
     private ProxyIdentity proxy;
-    private ProxyStream<Q, R> stream;
+    private XdsStream<Q, R> stream;
     private ScheduledFuture<?> look;
     private boolean ended;
 
     /** Only: the type that this stream serves, or null for all. */
-    Session(Sessions sessions, Variant<Q, R> variant, ResourceType only, StreamObserver<R> out) {
+    XdsSession(SessionRegistry sessions, XdsVariant<Q, R> variant, ResourceType only, StreamObserver<R> out) {
         this.sessions = sessions;
         this.variant = variant;
         this.only = only;
@@ -78,12 +78,12 @@
         if (ended || stream == null || !out.isReady()) {
             return;
         }
-        View view = sessions.views().of(proxy);
+        ConfigSnapshot view = sessions.views().of(proxy);
         if (view == null) {
             refuse(Status.PERMISSION_DENIED.withDescription("proxy " + proxy.id() + " is no longer admitted"));
             return;
         }
-        if (view == View.EMPTY) {
+        if (view == ConfigSnapshot.EMPTY) {
             // Guards proxies against a service that knows nothing yet: an answer would take away what they have.
             return;
         }
@@ -113,7 +113,7 @@
         return proxy;
     }
 
-    Knowledge knowledge(ResourceType type) {
+    ClientVersions knowledge(ResourceType type) {
         return stream.knowledge(type, sessions.desk().now());
     }
 
--- a/control/src/main/java/opalcove/control/server/Variant.java
+++ b/control/src/main/java/opalcove/control/server/XdsVariant.java
@@ -7,19 +7,19 @@
 import io.envoyproxy.envoy.service.discovery.v3.DiscoveryResponse;
 import java.util.function.BiFunction;
 import java.util.function.Function;
-import opalcove.control.xds.ProxyStream;
+import opalcove.control.xds.XdsStream;
 
 /** How requests of a variant of the protocol are read, and its streams made of a nonce prefix and the proxy. */
-record Variant<Q, R>(
+record XdsVariant<Q, R>(
         Function<Q, String> typeUrl,
         Function<Q, Node> node,
-        BiFunction<String, ProxyIdentity, ProxyStream<Q, R>> stream) {
-    static final Variant<DiscoveryRequest, DiscoveryResponse> SOTW = new Variant<>(
+        BiFunction<String, ProxyIdentity, XdsStream<Q, R>> stream) {
+    static final XdsVariant<DiscoveryRequest, DiscoveryResponse> SOTW = new XdsVariant<>(
             DiscoveryRequest::getTypeUrl,
             DiscoveryRequest::getNode,
-            (nonces, proxy) -> ProxyStream.sotw(nonces, proxy.features().contains(ProxyIdentity.ENVELOPES)));
-    static final Variant<DeltaDiscoveryRequest, DeltaDiscoveryResponse> DELTA = new Variant<>(
+            (nonces, proxy) -> XdsStream.sotw(nonces, proxy.features().contains(ProxyIdentity.ENVELOPES)));
+    static final XdsVariant<DeltaDiscoveryRequest, DeltaDiscoveryResponse> DELTA = new XdsVariant<>(
             DeltaDiscoveryRequest::getTypeUrl,
             DeltaDiscoveryRequest::getNode,
-            (nonces, proxy) -> ProxyStream.delta(nonces));
+            (nonces, proxy) -> XdsStream.delta(nonces));
 }
--- a/control/src/main/java/opalcove/control/xds/Knowledge.java
+++ b/control/src/main/java/opalcove/control/xds/ClientVersions.java
@@ -11,5 +11,5 @@
  * @param reason why it refused the last one it refused; empty where it refused none, or took it since
  * @param refusedNames how many resources it does not take in the version they have
  */
-public record Knowledge(
+public record ClientVersions(
         long sent, long acknowledged, double waitingMs, long taken, long refused, String reason, int refusedNames) {}
--- a/control/src/main/java/opalcove/control/xds/View.java
+++ b/control/src/main/java/opalcove/control/xds/ConfigSnapshot.java
@@ -14,11 +14,11 @@
  * What proxies of one kind are to know, as it stands after some number of changes. Immutable; the next view is made of this
  * one and what changed. It remembers which names its last changes touched, so that telling a proxy costs what has changed.
  */
-public final class View {
+public final class ConfigSnapshot {
     /** So many changes back it knows what they touched; a stream that is further behind compares all. */
     private static final int REMEMBERED = 128;
     /** The view before any change. */
-    public static final View EMPTY = new View(null, 0, Map.of());
+    public static final ConfigSnapshot EMPTY = new ConfigSnapshot(null, 0, Map.of());
 
     /** A type's resources, and the names touched by its last changes, oldest first. */
     private record Kind(Map<String, Resource> all, List<Touched> recent, long since) {
@@ -33,7 +33,7 @@
     private final long serial;
     private final Map<ResourceType, Kind> kinds;
 
-    private View(Object line, long serial, Map<ResourceType, Kind> kinds) {
+    private ConfigSnapshot(Object line, long serial, Map<ResourceType, Kind> kinds) {
         this.line = line;
         this.serial = serial;
         this.kinds = kinds;
@@ -85,7 +85,7 @@
     }
 
     /** The view with these resources set and these names removed by type; this one where that changes nothing. */
-    public View with(Collection<Resource> set, Map<ResourceType, ? extends Collection<String>> removed) {
+    public ConfigSnapshot with(Collection<Resource> set, Map<ResourceType, ? extends Collection<String>> removed) {
         Map<ResourceType, Set<String>> touched = new EnumMap<>(ResourceType.class);
         Map<ResourceType, Map<String, Resource>> changed = new EnumMap<>(ResourceType.class);
         for (Resource each : set) {
@@ -118,11 +118,11 @@
             recent.add(new Touched(serial + 1, Collections.unmodifiableSet(touched.get(type))));
             next.put(type, new Kind(Collections.unmodifiableMap(all), List.copyOf(recent), since));
         });
-        return new View(line == null ? new Object() : line, serial + 1, next);
+        return new ConfigSnapshot(line == null ? new Object() : line, serial + 1, next);
     }
 
     /** This view with what an earlier one has of a type beside; this one where there is nothing to keep. */
-    View keeping(View earlier, ResourceType type) {
+    ConfigSnapshot keeping(ConfigSnapshot earlier, ResourceType type) {
         Kind now = kind(type);
         if (earlier.kind(type) == now
                 || now.all.keySet().containsAll(earlier.all(type).keySet())) {
@@ -133,6 +133,6 @@
         Map<ResourceType, Kind> next = new EnumMap<>(ResourceType.class);
         next.putAll(kinds);
         next.put(type, new Kind(Collections.unmodifiableMap(all), now.recent, now.since));
-        return new View(line, serial, next);
+        return new ConfigSnapshot(line, serial, next);
     }
 }
--- a/control/src/main/java/opalcove/control/xds/DeltaFeed.java
+++ b/control/src/main/java/opalcove/control/xds/DeltaSubscription.java
@@ -7,10 +7,10 @@
 import java.util.Set;
 
 /** The incremental variant: only what changed is told, with a version for each resource, and what is gone by its name. */
-final class DeltaFeed extends Feed<DeltaDiscoveryRequest, DeltaDiscoveryResponse> {
+final class DeltaSubscription extends ResourceSubscription<DeltaDiscoveryRequest, DeltaDiscoveryResponse> {
     private static final String ALL = "*";
 
-    DeltaFeed(ResourceType type, String noncePrefix) {
+    DeltaSubscription(ResourceType type, String noncePrefix) {
         super(type, noncePrefix);
     }
 
@@ -63,7 +63,7 @@
     }
 
     @Override
-    DeltaDiscoveryResponse heartbeat(String nonce, View view, List<Resource> resources) {
+    DeltaDiscoveryResponse heartbeat(String nonce, ConfigSnapshot view, List<Resource> resources) {
         DeltaDiscoveryResponse.Builder response =
                 DeltaDiscoveryResponse.newBuilder().setTypeUrl(type.url()).setNonce(nonce);
         resources.forEach(each -> response.addResourcesBuilder()
@@ -74,7 +74,8 @@
     }
 
     @Override
-    DeltaDiscoveryResponse response(String nonce, View view, Map<String, Resource> resources, Set<String> absent) {
+    DeltaDiscoveryResponse response(
+            String nonce, ConfigSnapshot view, Map<String, Resource> resources, Set<String> absent) {
         DeltaDiscoveryResponse.Builder response = DeltaDiscoveryResponse.newBuilder()
                 .setTypeUrl(type.url())
                 .setNonce(nonce)
--- a/control/src/main/java/opalcove/control/xds/Resources.java
+++ b/control/src/main/java/opalcove/control/xds/ResourceFactory.java
@@ -30,7 +30,7 @@
 import java.util.List;
 
 /** Builds the resources that proxies are told, in the form that both Envoy and a proxyless gRPC client take. */
-public final class Resources {
+public final class ResourceFactory {
     /** Connecting to an endpoint, and reading the listener's routes, takes no longer, s. */
     private static final long CONNECT_SECONDS = 1;
 
@@ -45,7 +45,7 @@
     /** Endpoints of one room: priority 0 is used first, weight divides the load among rooms of a priority. */
     public record Group(String room, int priority, int weight, List<Target> targets) {}
 
-    private Resources() {}
+    private ResourceFactory() {}
 
     private static ConfigSource overAds() {
         return ConfigSource.newBuilder()
--- a/control/src/main/java/opalcove/control/xds/Feed.java
+++ b/control/src/main/java/opalcove/control/xds/ResourceSubscription.java
@@ -23,7 +23,7 @@
  * @param <Q> requests of this variant of the protocol
  * @param <R> its responses
  */
-abstract class Feed<Q, R> {
+abstract class ResourceSubscription<Q, R> {
     /** Answers owed beyond this are no longer waited for, oldest first: a proxy that never answers must not cost memory. */
     private static final int MOST_OWED = 64;
     /** A reason is cut here, characters: it is the proxy's own text. */
@@ -32,7 +32,7 @@
     private static final String ABSENT = "";
 
     /** A response whose answer is owed: what it told, by name; before: the last view that earlier ones told all of. */
-    private record Owed(String nonce, Map<String, String> told, boolean splittable, long before, double at) {}
+    private record PendingAck(String nonce, Map<String, String> told, boolean splittable, long before, double at) {}
 
     final ResourceType type;
     boolean opened;
@@ -45,7 +45,7 @@
     /** To be told whatever was told before. */
     private final Set<String> again = new LinkedHashSet<>();
 
-    private final Deque<Owed> owed = new ArrayDeque<>();
+    private final Deque<PendingAck> owed = new ArrayDeque<>();
     private final Deque<List<String>> halves = new ArrayDeque<>();
     private final String noncePrefix;
     private long nonces;
@@ -58,7 +58,7 @@
     private long refused;
     private String reason = "";
 
-    Feed(ResourceType type, String noncePrefix) {
+    ResourceSubscription(ResourceType type, String noncePrefix) {
         this.type = type;
         this.noncePrefix = noncePrefix;
     }
@@ -67,10 +67,10 @@
     abstract void request(Q request);
 
     /** Builds a response of these resources; names without one are told as absent, where this variant can. */
-    abstract R response(String nonce, View view, Map<String, Resource> resources, Set<String> absent);
+    abstract R response(String nonce, ConfigSnapshot view, Map<String, Resource> resources, Set<String> absent);
 
     /** Builds a response that has the proxy keep these resources for another lifetime. */
-    abstract R heartbeat(String nonce, View view, List<Resource> resources);
+    abstract R heartbeat(String nonce, ConfigSnapshot view, List<Resource> resources);
 
     /** Whether this variant's response for this type always holds all. */
     abstract boolean whole();
@@ -129,7 +129,7 @@
 
     /** Takes in an answer to the response with that nonce; nothing where no such answer is owed. */
     final void answered(String nonce, Status error) {
-        Owed answered = owed.stream()
+        PendingAck answered = owed.stream()
                 .filter(each -> each.nonce.equals(nonce))
                 .findFirst()
                 .orElse(null);
@@ -153,7 +153,7 @@
         answeredSerial = owed.isEmpty() ? toldSerial : Math.max(answeredSerial, owed.peekFirst().before);
     }
 
-    private void refused(Owed answered) {
+    private void refused(PendingAck answered) {
         List<String> suspects = new ArrayList<>();
         answered.told.forEach((name, version) -> {
             // What was told anew since has an answer of its own to come.
@@ -170,7 +170,7 @@
     }
 
     /** What the proxy is to be told now, or null. */
-    final R due(View view, double now) {
+    final R due(ConfigSnapshot view, double now) {
         if (!opened) {
             return null;
         }
@@ -207,7 +207,7 @@
     }
 
     /** This view has no news for the proxy. */
-    private void upTo(View view) {
+    private void upTo(ConfigSnapshot view) {
         if (owed.isEmpty() && answeredSerial == toldSerial) {
             answeredSerial = view.serial();
         }
@@ -224,7 +224,7 @@
     }
 
     /** The names to tell: asked for anew, or told in another version than they have. */
-    private Set<String> news(View view) {
+    private Set<String> news(ConfigSnapshot view) {
         Set<String> news = new LinkedHashSet<>();
         again.stream().filter(this::wants).forEach(news::add);
         Set<String> touched = toldSerial < 0 || view.line() != line ? null : view.touchedSince(type, toldSerial);
@@ -246,7 +246,7 @@
         return news;
     }
 
-    private void put(View view, String name, Map<String, Resource> resources, Set<String> absent) {
+    private void put(ConfigSnapshot view, String name, Map<String, Resource> resources, Set<String> absent) {
         Resource resource = view.get(type, name);
         if (resource == null) {
             absent.add(name);
@@ -255,7 +255,7 @@
         }
     }
 
-    private R tell(View view, Map<String, Resource> resources, Set<String> absent, double now) {
+    private R tell(ConfigSnapshot view, Map<String, Resource> resources, Set<String> absent, double now) {
         Map<String, String> versions = new LinkedHashMap<>();
         bringsNew = false;
         resources.forEach((name, resource) -> {
@@ -280,12 +280,12 @@
         if (owed.size() == MOST_OWED) {
             owed.removeFirst();
         }
-        owed.addLast(new Owed(nonce, versions, !whole(), toldSerial, now));
+        owed.addLast(new PendingAck(nonce, versions, !whole(), toldSerial, now));
         return nonce;
     }
 
     /** Renews the lifetime of all that has one and that the proxy was told in this version; null: there is none. */
-    final R renewal(View view, double now) {
+    final R renewal(ConfigSnapshot view, double now) {
         List<Resource> renewed = new ArrayList<>();
         told.forEach((name, version) -> {
             Resource resource = view.get(type, name);
@@ -305,7 +305,7 @@
     }
 
     /** Whether it has been told all of this view and has answered for it. */
-    final boolean settled(View view) {
+    final boolean settled(ConfigSnapshot view) {
         return !opened || owed.isEmpty() && !unanswered && news(view).isEmpty();
     }
 
@@ -320,7 +320,7 @@
     }
 
     /** One half of what was refused together, as long as it is still what the proxy was told last. */
-    private R half(View view, double now) {
+    private R half(ConfigSnapshot view, double now) {
         while (!halves.isEmpty()) {
             Map<String, Resource> resources = new LinkedHashMap<>();
             for (String name : halves.removeFirst()) {
@@ -337,8 +337,8 @@
     }
 
     /** What this proxy is known to know. */
-    final Knowledge knowledge(double now) {
-        return new Knowledge(
+    final ClientVersions knowledge(double now) {
+        return new ClientVersions(
                 toldSerial,
                 answeredSerial,
                 owed.isEmpty() ? 0 : now - owed.peekFirst().at,
--- a/control/src/main/java/opalcove/control/xds/SotwFeed.java
+++ b/control/src/main/java/opalcove/control/xds/SotwSubscription.java
@@ -12,14 +12,14 @@
  * The state-of-the-world variant. The first response on a stream holds all that is asked for, whatever version the request
  * names: that version says what the proxy took last, not what it has kept since.
  */
-final class SotwFeed extends Feed<DiscoveryRequest, DiscoveryResponse> {
+final class SotwSubscription extends ResourceSubscription<DiscoveryRequest, DiscoveryResponse> {
     private static final String ALL = "*";
 
     private final boolean wrapped;
     private boolean named;
 
     /** Wrapped: the proxy takes resources in an envelope that tells their lifetime. */
-    SotwFeed(ResourceType type, String noncePrefix, boolean wrapped) {
+    SotwSubscription(ResourceType type, String noncePrefix, boolean wrapped) {
         super(type, noncePrefix);
         this.wrapped = wrapped;
     }
@@ -72,7 +72,7 @@
     }
 
     @Override
-    DiscoveryResponse response(String nonce, View view, Map<String, Resource> resources, Set<String> absent) {
+    DiscoveryResponse response(String nonce, ConfigSnapshot view, Map<String, Resource> resources, Set<String> absent) {
         DiscoveryResponse.Builder response = DiscoveryResponse.newBuilder()
                 .setTypeUrl(type.url())
                 .setNonce(nonce)
@@ -89,7 +89,7 @@
     }
 
     @Override
-    DiscoveryResponse heartbeat(String nonce, View view, List<Resource> resources) {
+    DiscoveryResponse heartbeat(String nonce, ConfigSnapshot view, List<Resource> resources) {
         DiscoveryResponse.Builder response = DiscoveryResponse.newBuilder()
                 .setTypeUrl(type.url())
                 .setNonce(nonce)
@@ -108,7 +108,7 @@
     }
 
     /** A version of the set that is subscribed to, from the versions of what is in it alone. */
-    private String version(View view) {
+    private String version(ConfigSnapshot view) {
         long sum = 0;
         if (wildcard) {
             for (Resource each : view.all(type).values()) {
--- a/control/src/main/java/opalcove/control/xds/ProxyStream.java
+++ b/control/src/main/java/opalcove/control/xds/XdsStream.java
@@ -20,33 +20,33 @@
  * that refuses its routes keeps the clusters of those it has for {@link #KEPT_MS}. Endpoints are never kept back: whoever
  * makes views leaves those of a cluster that is gone in them for as long, and up to date, drains among them.
  */
-public final class ProxyStream<Q, R> {
+public final class XdsStream<Q, R> {
     /** How long another type's answer is waited for, ms. */
     static final double PATIENCE_MS = 1000;
 
     /** How long a cluster that is gone is kept for a proxy that refuses the routes without it, ms. */
     static final double KEPT_MS = 60_000;
 
-    private final Map<ResourceType, Feed<Q, R>> feeds = new EnumMap<>(ResourceType.class);
-    private final Function<ResourceType, Feed<Q, R>> made;
+    private final Map<ResourceType, ResourceSubscription<Q, R>> feeds = new EnumMap<>(ResourceType.class);
+    private final Function<ResourceType, ResourceSubscription<Q, R>> made;
     /** The last view all of whose clusters the proxy still has. */
-    private View kept = View.EMPTY;
+    private ConfigSnapshot kept = ConfigSnapshot.EMPTY;
 
     private double holdingSince = Double.NaN;
     private double keepingSince = Double.NaN;
 
-    private ProxyStream(Function<ResourceType, Feed<Q, R>> made) {
+    private XdsStream(Function<ResourceType, ResourceSubscription<Q, R>> made) {
         this.made = made;
     }
 
     /** A state-of-the-world stream; nonces begin with the prefix, which no other stream has. */
-    public static ProxyStream<DiscoveryRequest, DiscoveryResponse> sotw(String noncePrefix, boolean wrapped) {
-        return new ProxyStream<>(type -> new SotwFeed(type, noncePrefix, wrapped));
+    public static XdsStream<DiscoveryRequest, DiscoveryResponse> sotw(String noncePrefix, boolean wrapped) {
+        return new XdsStream<>(type -> new SotwSubscription(type, noncePrefix, wrapped));
     }
 
     /** An incremental stream; nonces begin with the prefix, which no other stream has. */
-    public static ProxyStream<DeltaDiscoveryRequest, DeltaDiscoveryResponse> delta(String noncePrefix) {
-        return new ProxyStream<>(type -> new DeltaFeed(type, noncePrefix));
+    public static XdsStream<DeltaDiscoveryRequest, DeltaDiscoveryResponse> delta(String noncePrefix) {
+        return new XdsStream<>(type -> new DeltaSubscription(type, noncePrefix));
     }
 
     /** Takes in a request for a type: subscriptions, or an answer, or both. */
@@ -55,9 +55,9 @@
     }
 
     /** What the proxy is to be told by now, in order. Calling it again with nothing new gives nothing. */
-    public List<R> due(View view, double now) {
+    public List<R> due(ConfigSnapshot view, double now) {
         List<R> due = new ArrayList<>();
-        View shown = shown(view, now);
+        ConfigSnapshot shown = shown(view, now);
         tell(ResourceType.CLUSTER, shown, now, due);
         tell(ResourceType.ENDPOINTS, view, now, due);
         if (!holds(now)) {
@@ -75,8 +75,8 @@
         return due;
     }
 
-    private void tell(ResourceType type, View view, double now, List<R> due) {
-        Feed<Q, R> feed = feeds.get(type);
+    private void tell(ResourceType type, ConfigSnapshot view, double now, List<R> due) {
+        ResourceSubscription<Q, R> feed = feeds.get(type);
         R response = feed == null ? null : feed.due(view, now);
         if (response != null) {
             due.add(response);
@@ -84,8 +84,8 @@
     }
 
     /** The view with the clusters it no longer has, as long as the proxy's listeners or routes may name them. */
-    private View shown(View view, double now) {
-        View shown = view == kept ? view : view.keeping(kept, ResourceType.CLUSTER);
+    private ConfigSnapshot shown(ConfigSnapshot view, double now) {
+        ConfigSnapshot shown = view == kept ? view : view.keeping(kept, ResourceType.CLUSTER);
         if (shown != view && Double.isNaN(keepingSince)) {
             keepingSince = now;
             shown = keeps(view, now) ? shown : view;
@@ -97,7 +97,7 @@
         return shown;
     }
 
-    private boolean keeps(View view, double now) {
+    private boolean keeps(ConfigSnapshot view, double now) {
         boolean settled = settled(ResourceType.LISTENER, view) && settled(ResourceType.ROUTES, view);
         boolean refusing = refusing(ResourceType.LISTENER) || refusing(ResourceType.ROUTES);
         return refusing ? now - keepingSince < KEPT_MS : !settled && now - keepingSince < PATIENCE_MS;
@@ -107,13 +107,13 @@
         return feeds.containsKey(type) && feeds.get(type).refusing();
     }
 
-    private boolean settled(ResourceType type, View view) {
+    private boolean settled(ResourceType type, ConfigSnapshot view) {
         return !feeds.containsKey(type) || feeds.get(type).settled(view);
     }
 
     private boolean holds(double now) {
-        Feed<Q, R> clusters = feeds.get(ResourceType.CLUSTER);
-        Feed<Q, R> endpoints = feeds.get(ResourceType.ENDPOINTS);
+        ResourceSubscription<Q, R> clusters = feeds.get(ResourceType.CLUSTER);
+        ResourceSubscription<Q, R> endpoints = feeds.get(ResourceType.ENDPOINTS);
         if (clusters == null || !clusters.awaitsNewNames() && (endpoints == null || !endpoints.awaitsNewNames())) {
             holdingSince = Double.NaN;
             return false;
@@ -125,7 +125,7 @@
     }
 
     /** Renews the lifetimes of what has one. */
-    public List<R> renewals(View view, double now) {
+    public List<R> renewals(ConfigSnapshot view, double now) {
         List<R> renewals = new ArrayList<>();
         feeds.values().forEach(feed -> {
             R renewal = feed.renewal(view, now);
@@ -147,8 +147,8 @@
     }
 
     /** What the proxy knows of a type on this stream; null where it has not asked for it. */
-    public Knowledge knowledge(ResourceType type, double now) {
-        Feed<Q, R> feed = feeds.get(type);
+    public ClientVersions knowledge(ResourceType type, double now) {
+        ResourceSubscription<Q, R> feed = feeds.get(type);
         return feed == null ? null : feed.knowledge(now);
     }
 }
--- a/control/src/test/java/opalcove/control/LayersTest.java
+++ b/control/src/test/java/opalcove/control/LayersTest.java
@@ -12,7 +12,7 @@
     public void theStateOfStreamsIsFreeOfIo() {
         noClasses()
                 .that()
-                .resideInAnyPackage("opalcove.control.xds..", "opalcove.control.fleet..")
+                .resideInAnyPackage("opalcove.control.xds..", "opalcove.control.cluster..")
                 .should()
                 .dependOnClassesThat()
                 .resideInAnyPackage(
--- a/control/src/test/java/opalcove/control/fleet/FleetTest.java
+++ b/control/src/test/java/opalcove/control/cluster/ClusterStateTest.java
@@ -1,4 +1,4 @@
-package opalcove.control.fleet;
+package opalcove.control.cluster;
 
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertFalse;
@@ -14,60 +14,61 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Set;
+import opalcove.config.Backend;
+import opalcove.config.JsonFields;
+import opalcove.config.SettingsReader;
+import opalcove.control.xds.ConfigSnapshot;
 import opalcove.control.xds.ResourceType;
-import opalcove.control.xds.View;
-import opalcove.decision.Admission;
-import opalcove.decision.Admission.State;
-import opalcove.gateway.AppNode;
-import opalcove.gateway.Fields;
-import opalcove.gateway.SettingsReader;
+import opalcove.decision.DecisionSettings;
+import opalcove.decision.Endpoint;
+import opalcove.decision.EndpointState;
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-public class FleetTest {
+public class ClusterStateTest {
     /** Long after the start of the nodes that the lists begin with. */
     private static final double START = 1_000_000;
 
-    private Fleet fleet;
+    private ClusterState fleet;
 
     @BeforeMethod
     public void open() {
-        fleet = new Fleet(
+        fleet = new ClusterState(
                 START,
                 settings(),
                 1,
                 0.5,
                 List.of(
-                        new Fleet.Cluster("all", Set.of(), Set.of(), 0),
-                        new Fleet.Cluster("pod-1", Set.of(), Set.of(1), 0)),
+                        new ClusterState.Cluster("all", Set.of(), Set.of(), 0),
+                        new ClusterState.Cluster("pod-1", Set.of(), Set.of(1), 0)),
                 List.of());
     }
 
-    static Admission.Settings settings() {
+    static DecisionSettings settings() {
         try {
-            return SettingsReader.checked(Fields.parse(Files.readString(Path.of("example/config.json")))
+            return SettingsReader.checked(JsonFields.parse(Files.readString(Path.of("example/config.json")))
                     .object("settings"));
         } catch (java.io.IOException e) {
             throw new IllegalStateException(e);
         }
     }
 
-    private static AppNode node(int number, String room, int pod, State state, double startedMs) {
-        return new AppNode(
-                new Admission.Host("node-" + number, room, "std-3", pod, state, 1, startedMs),
+    private static Backend node(int number, String room, int pod, EndpointState state, double startedMs) {
+        return new Backend(
+                new Endpoint("node-" + number, room, "std-3", pod, state, 1, startedMs),
                 "127.0.0.1:" + (7000 + number));
     }
 
-    private static List<AppNode> four() {
+    private static List<Backend> four() {
         return new ArrayList<>(List.of(
-                node(1, "room-a", 1, State.UP, 1000),
-                node(2, "room-a", 2, State.UP, 1000),
-                node(3, "room-b", 1, State.UP, 1000),
-                node(4, "room-b", 2, State.UP, 1000)));
+                node(1, "room-a", 1, EndpointState.UP, 1000),
+                node(2, "room-a", 2, EndpointState.UP, 1000),
+                node(3, "room-b", 1, EndpointState.UP, 1000),
+                node(4, "room-b", 2, EndpointState.UP, 1000)));
     }
 
     /** A line a room: {@code room p PRIORITY: port*weight ...}, with ~ for one that takes nothing new. */
-    private static String seen(View view, String cluster) throws Exception {
+    private static String seen(ConfigSnapshot view, String cluster) throws Exception {
         ClusterLoadAssignment all =
                 view.get(ResourceType.ENDPOINTS, cluster).body().unpack(ClusterLoadAssignment.class);
         StringBuilder text = new StringBuilder();
@@ -94,9 +95,9 @@
 
     @Test
     public void aServiceThatKnowsNothingYetSaysNothing() {
-        assertSame(fleet.view("room-a"), View.EMPTY);
+        assertSame(fleet.view("room-a"), ConfigSnapshot.EMPTY);
         fleet.told(START, true, false, List.of());
-        assertSame(fleet.view("room-a"), View.EMPTY, "an empty first list is no list");
+        assertSame(fleet.view("room-a"), ConfigSnapshot.EMPTY, "an empty first list is no list");
         fleet.told(START + 10, true, false, four());
         assertTrue(fleet.view("room-a").serial() > 0);
     }
@@ -113,12 +114,12 @@
     @Test
     public void aDrainingNodeTakesNothingNewAtOnceAndOnlyWhatChangedIsTold() throws Exception {
         fleet.told(START, true, false, four());
-        View before = fleet.view("room-a");
-        fleet.told(START + 10, false, false, List.of(node(2, "room-a", 2, State.DRAINING, 1000)));
-        View after = fleet.view("room-a");
+        ConfigSnapshot before = fleet.view("room-a");
+        fleet.told(START + 10, false, false, List.of(node(2, "room-a", 2, EndpointState.DRAINING, 1000)));
+        ConfigSnapshot after = fleet.view("room-a");
         assertEquals(seen(after, "all"), "room-a p0: 7001*100 7002~\nroom-b p1: 7003*100 7004*100");
         assertSame(after.get(ResourceType.ENDPOINTS, "pod-1"), before.get(ResourceType.ENDPOINTS, "pod-1"));
-        fleet.told(START + 20, false, false, List.of(node(2, "room-a", 2, State.UP, 1000)));
+        fleet.told(START + 20, false, false, List.of(node(2, "room-a", 2, EndpointState.UP, 1000)));
         assertEquals(
                 fleet.view("room-a").get(ResourceType.ENDPOINTS, "all").version(),
                 before.get(ResourceType.ENDPOINTS, "all").version(),
@@ -128,9 +129,9 @@
     /** What the cold start rule lets a node take, against what its weight brings it beside three warm ones. */
     @Test
     public void aStartingNodeGetsLessThanTheRuleAtEachMoment() throws Exception {
-        List<AppNode> list = four();
+        List<Backend> list = four();
         fleet.told(START, true, false, list);
-        list.add(node(5, "room-a", 1, State.UP, START + 100));
+        list.add(node(5, "room-a", 1, EndpointState.UP, START + 100));
         fleet.told(START + 100, true, false, list);
         int last = 0;
         int steps = 0;
@@ -152,7 +153,7 @@
     @Test
     public void aNodeStartedAnewAtItsAddressIsCold() throws Exception {
         fleet.told(START, true, false, four());
-        fleet.told(START + 10, false, false, List.of(node(1, "room-a", 1, State.UP, START + 5)));
+        fleet.told(START + 10, false, false, List.of(node(1, "room-a", 1, EndpointState.UP, START + 5)));
         assertEquals(seen(fleet.view("room-a"), "pod-1"), "room-a p0: 7001*15\nroom-b p1: 7003*100");
     }
 
@@ -162,7 +163,7 @@
         fleet.told(START + 10, true, false, List.of());
         assertEquals(fleet.nodes().size(), 4);
         assertEquals(fleet.missing().size(), 4);
-        fleet.told(START + 20, true, false, List.of(node(2, "room-a", 2, State.DRAINING, 1000)));
+        fleet.told(START + 20, true, false, List.of(node(2, "room-a", 2, EndpointState.DRAINING, 1000)));
         assertEquals(seen(fleet.view("room-a"), "all"), "room-a p0: 7001*100 7002~\nroom-b p1: 7003*100 7004*100");
         assertEquals(fleet.missing(), Set.of("node-1", "node-3", "node-4"));
         fleet.told(START + 30, true, false, four());
@@ -177,9 +178,9 @@
                 false,
                 false,
                 List.of(
-                        node(1, "room-a", 1, State.GONE, 1000),
-                        node(2, "room-a", 2, State.GONE, 1000),
-                        node(3, "room-b", 1, State.GONE, 1000)));
+                        node(1, "room-a", 1, EndpointState.REMOVED, 1000),
+                        node(2, "room-a", 2, EndpointState.REMOVED, 1000),
+                        node(3, "room-b", 1, EndpointState.REMOVED, 1000)));
         assertEquals(fleet.nodes(), Set.of("node-4"));
         fleet.told(START + 20, true, false, List.of());
         assertEquals(fleet.nodes(), Set.of("node-4"), "the last one is never lost by a list that lacks it");
@@ -190,7 +191,7 @@
     @Test
     public void errorsThatProxiesReportLowerAWeightAndFade() throws Exception {
         fleet.told(START, true, false, four());
-        View before = fleet.view("room-a");
+        ConfigSnapshot before = fleet.view("room-a");
         fleet.reported(START + 10, "proxy-1", "127.0.0.1:7001", 50, 5, 45, 0);
         assertTrue(fleet.advance(START + 250));
         String line = seen(fleet.view("room-a"), "pod-1").lines().findFirst().orElseThrow();
--- a/control/src/test/java/opalcove/control/server/ControlServiceTest.java
+++ b/control/src/test/java/opalcove/control/server/ControlServiceTest.java
@@ -39,8 +39,8 @@
 import java.util.concurrent.BlockingQueue;
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
+import opalcove.config.InvalidConfigurationException;
 import opalcove.control.xds.ResourceType;
-import opalcove.gateway.BadSettings;
 import org.testng.annotations.AfterMethod;
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
@@ -68,7 +68,7 @@
                                 .add(Json.object().add("name", "leased").add("lease_ms", 1000)));
         Files.writeString(folder.resolve("control.json"), settings.toString());
         list("up", "up", "up");
-        service = new ControlService(ControlSettings.read(folder.resolve("control.json")));
+        service = new ControlService(ControlConfig.read(folder.resolve("control.json")));
         channel = Grpc.newChannelBuilder("127.0.0.1:" + service.port(), InsecureChannelCredentials.create())
                 .build();
     }
@@ -339,10 +339,10 @@
                 file,
                 "{\"listen\":\"nowhere\",\"status\":\"10.0.0.1:1\",\"most_shrink\":2,\"nodes\":\"n\","
                         + "\"clusters\":[{\"name\":\"a\"},{\"name\":\"a\"}],\"lisetners\":[],\"settings\":{}}");
-        BadSettings bad = null;
+        InvalidConfigurationException bad = null;
         try {
-            ControlSettings.read(file);
-        } catch (BadSettings e) {
+            ControlConfig.read(file);
+        } catch (InvalidConfigurationException e) {
             bad = e;
         }
         assertEquals(
@@ -362,6 +362,6 @@
                 FILE: field settings.ceilings is missing
                 FILE: field settings.obligations is missing
                 FILE: field settings.costs is missing""");
-        assertThrows(BadSettings.class, () -> ControlSettings.read(folder.resolve("none.json")));
+        assertThrows(InvalidConfigurationException.class, () -> ControlConfig.read(folder.resolve("none.json")));
     }
 }
--- a/control/src/test/java/opalcove/control/server/ControlSettingsFormTest.java
+++ b/control/src/test/java/opalcove/control/server/ControlSettingsFormTest.java
@@ -7,8 +7,8 @@
 import java.nio.file.Path;
 import java.util.List;
 import java.util.Set;
-import opalcove.gateway.BadSettings;
-import opalcove.gateway.Endpoint;
+import opalcove.config.HostAndPort;
+import opalcove.config.InvalidConfigurationException;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
@@ -74,7 +74,7 @@
         try {
             Files.writeString(file, text.replace(good, wrong));
             assertEquals(
-                    expectThrows(BadSettings.class, () -> ControlSettings.read(file))
+                    expectThrows(InvalidConfigurationException.class, () -> ControlConfig.read(file))
                             .getMessage()
                             .replace(file + ": ", ""),
                     problem);
@@ -86,7 +86,7 @@
     @Test
     public void aFileThatCannotBeReadIsNamed() {
         assertEquals(
-                expectThrows(BadSettings.class, () -> ControlSettings.read(Path.of("deploy/none.json")))
+                expectThrows(InvalidConfigurationException.class, () -> ControlConfig.read(Path.of("deploy/none.json")))
                         .getMessage(),
                 "cannot read deploy/none.json: deploy/none.json");
     }
@@ -102,10 +102,10 @@
                             .replace("\"most_shrink\": 0.5,", "")
                             .replace("\"admit\": [],", "")
                             .replace("\"listeners\": [{\"name\": \"swaps\", \"cluster\": \"swaps\"}],", ""));
-            ControlSettings settings = ControlSettings.read(file);
+            ControlConfig settings = ControlConfig.read(file);
             assertEquals(settings.name(), "control");
-            assertEquals(settings.listen(), new Endpoint("127.0.0.1", 18000));
-            assertEquals(settings.status(), new Endpoint("127.0.0.1", 18001));
+            assertEquals(settings.listen(), new HostAndPort("127.0.0.1", 18000));
+            assertEquals(settings.status(), new HostAndPort("127.0.0.1", 18001));
             assertEquals(settings.nodes(), file.resolveSibling("control-nodes.json"));
             assertEquals(settings.admit(), Set.of());
             assertEquals(settings.listeners(), List.of());
--- a/control/src/test/java/opalcove/control/server/GrpcClientTest.java
+++ b/control/src/test/java/opalcove/control/server/GrpcClientTest.java
@@ -26,10 +26,10 @@
 import java.util.Set;
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.TimeUnit;
+import opalcove.control.xds.ConfigSnapshot;
 import opalcove.control.xds.Resource;
+import opalcove.control.xds.ResourceFactory;
 import opalcove.control.xds.ResourceType;
-import opalcove.control.xds.Resources;
-import opalcove.control.xds.View;
 import org.testng.annotations.AfterMethod;
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
@@ -46,10 +46,10 @@
     private static final long PATIENCE_NS = TimeUnit.SECONDS.toNanos(20);
 
     private final List<Server> nodes = new ArrayList<>();
-    private Desk desk;
-    private Sessions sessions;
+    private SerialExecutor desk;
+    private SessionRegistry sessions;
     private ControlServer server;
-    private View view;
+    private ConfigSnapshot view;
     private ManagedChannel client;
     private XdsNameResolverProvider resolver;
 
@@ -66,15 +66,15 @@
                     .build()
                     .start());
         }
-        desk = new Desk();
-        view = View.EMPTY.with(
+        desk = new SerialExecutor();
+        view = ConfigSnapshot.EMPTY.with(
                 List.of(
-                        Resources.apiListener("swaps", "routes"),
-                        Resources.routes("routes", "std"),
-                        Resources.cluster("std"),
+                        ResourceFactory.apiListener("swaps", "routes"),
+                        ResourceFactory.routes("routes", "std"),
+                        ResourceFactory.cluster("std"),
                         endpoints(Set.of(), Set.of(2))),
                 Map.of());
-        sessions = new Sessions(desk, proxy -> view);
+        sessions = new SessionRegistry(desk, proxy -> view);
         server = new ControlServer(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), sessions);
         String scheme = "opalcove" + server.port();
         resolver = XdsNameResolverProvider.createForTest(
@@ -105,13 +105,13 @@
     }
 
     private Resource endpoints(Set<Integer> draining, Set<Integer> absent) {
-        List<Resources.Target> targets = new ArrayList<>();
+        List<ResourceFactory.Target> targets = new ArrayList<>();
         for (int i = 0; i < nodes.size(); i++) {
             if (!absent.contains(i)) {
-                targets.add(new Resources.Target("127.0.0.1", nodes.get(i).getPort(), 1, draining.contains(i)));
+                targets.add(new ResourceFactory.Target("127.0.0.1", nodes.get(i).getPort(), 1, draining.contains(i)));
             }
         }
-        return Resources.endpoints("std", 0, List.of(new Resources.Group("room-a", 0, 1, targets)));
+        return ResourceFactory.endpoints("std", 0, List.of(new ResourceFactory.Group("room-a", 0, 1, targets)));
     }
 
     private void tell(Resource resource) throws Exception {
@@ -177,7 +177,7 @@
         }
         assertTrue(reason.contains("std"), reason);
         assertEquals(Set.of("node-a", "node-b").contains(ask()), true);
-        tell(Resources.cluster("std"));
+        tell(ResourceFactory.cluster("std"));
         tell(endpoints(Set.of(), Set.of(0)));
         untilServedBy(Set.of("node-b", "node-c"));
     }
--- a/control/src/test/java/opalcove/control/server/StatusFormTest.java
+++ b/control/src/test/java/opalcove/control/server/StatusFormTest.java
@@ -61,7 +61,7 @@
         settings.set("listen", "127.0.0.1:0").set("status", "127.0.0.1:0").set("admit", Json.array("door"));
         Files.writeString(folder.resolve("control.json"), settings.toString());
         list("up", "up");
-        service = new ControlService(ControlSettings.read(folder.resolve("control.json")));
+        service = new ControlService(ControlConfig.read(folder.resolve("control.json")));
         channel = Grpc.newChannelBuilder("127.0.0.1:" + service.port(), InsecureChannelCredentials.create())
                 .build();
     }
@@ -334,8 +334,8 @@
 
     @Test
     public void theServicesAndTheirMethods() {
-        try (Desk desk = new Desk()) {
-            List<String> methods = new Sessions(desk, proxy -> null)
+        try (SerialExecutor desk = new SerialExecutor()) {
+            List<String> methods = new SessionRegistry(desk, proxy -> null)
                     .services().stream()
                             .flatMap(each -> each.getMethods().stream())
                             .map(each -> each.getMethodDescriptor().getFullMethodName())
--- a/control/src/test/java/opalcove/control/xds/DeltaTest.java
+++ b/control/src/test/java/opalcove/control/xds/DeltaTest.java
@@ -113,7 +113,7 @@
     @Test
     public void aLifetimeIsRenewedWithoutTheResource() throws Exception {
         Proxy proxy = new Proxy();
-        proxy.view = View.EMPTY.with(List.of(Resources.endpoints("leased", 3000, List.of())), Map.of());
+        proxy.view = ConfigSnapshot.EMPTY.with(List.of(ResourceFactory.endpoints("leased", 3000, List.of())), Map.of());
         proxy.set(ENDPOINTS, 1, "kept");
         proxy.subscribe(ENDPOINTS, "leased", "kept");
         assertEquals(proxy.changed(), "ENDPOINTS n1: kept leased");
--- a/control/src/test/java/opalcove/control/xds/Proxy.java
+++ b/control/src/test/java/opalcove/control/xds/Proxy.java
@@ -17,10 +17,10 @@
 
 /** A scripted proxy on a stream, and a view that it looks at. What it was told is written as lines. */
 final class Proxy {
-    View view = View.EMPTY;
+    ConfigSnapshot view = ConfigSnapshot.EMPTY;
     double now;
-    final ProxyStream<DiscoveryRequest, DiscoveryResponse> sotw = ProxyStream.sotw("n", false);
-    final ProxyStream<DeltaDiscoveryRequest, DeltaDiscoveryResponse> delta = ProxyStream.delta("n");
+    final XdsStream<DiscoveryRequest, DiscoveryResponse> sotw = XdsStream.sotw("n", false);
+    final XdsStream<DeltaDiscoveryRequest, DeltaDiscoveryResponse> delta = XdsStream.delta("n");
     final List<DiscoveryResponse> responses = new ArrayList<>();
     final List<DeltaDiscoveryResponse> changes = new ArrayList<>();
 
--- a/control/src/test/java/opalcove/control/xds/ResourceFormTest.java
+++ b/control/src/test/java/opalcove/control/xds/ResourceFormTest.java
@@ -19,18 +19,18 @@
 
 /** Resources and responses as proxies get them: literal text and versions; a version covers each byte of a resource. */
 public class ResourceFormTest {
-    private static final Resource SWAPS = Resources.endpoints(
+    private static final Resource SWAPS = ResourceFactory.endpoints(
             "swaps",
             3000,
             List.of(
-                    new Resources.Group(
+                    new ResourceFactory.Group(
                             "room-a",
                             0,
                             150,
                             List.of(
-                                    new Resources.Target("127.0.0.1", 7201, 100, false),
-                                    new Resources.Target("127.0.0.1", 7202, 50, true))),
-                    new Resources.Group("room-b", 1, 1, List.of())));
+                                    new ResourceFactory.Target("127.0.0.1", 7201, 100, false),
+                                    new ResourceFactory.Target("127.0.0.1", 7202, 50, true))),
+                    new ResourceFactory.Group("room-b", 1, 1, List.of())));
 
     private static String text(Message message) {
         return TextFormat.printer()
@@ -51,7 +51,7 @@
     @Test
     public void aCluster() throws Exception {
         assertForm(
-                Resources.cluster("swaps"),
+                ResourceFactory.cluster("swaps"),
                 Cluster.class,
                 "edfd337923d3bad6",
                 """
@@ -75,7 +75,7 @@
 
     @Test
     public void aListenerOfProxylessClients() throws Exception {
-        Resource listener = Resources.apiListener("swaps", "routes");
+        Resource listener = ResourceFactory.apiListener("swaps", "routes");
         HttpConnectionManager manager = listener.body()
                 .unpack(Listener.class)
                 .getApiListener()
@@ -94,7 +94,7 @@
     @Test
     public void routes() throws Exception {
         assertForm(
-                Resources.routes("routes", "swaps"),
+                ResourceFactory.routes("routes", "swaps"),
                 RouteConfiguration.class,
                 "76fdc633d0e8ef9c",
                 """
@@ -118,13 +118,14 @@
                 """);
     }
 
-    private static View view() {
-        return View.EMPTY.with(List.of(SWAPS, Resources.cluster("swaps"), Resources.cluster("spare")), Map.of());
+    private static ConfigSnapshot view() {
+        return ConfigSnapshot.EMPTY.with(
+                List.of(SWAPS, ResourceFactory.cluster("swaps"), ResourceFactory.cluster("spare")), Map.of());
     }
 
     @Test
     public void aStateOfTheWorldResponseAndItsRenewal() {
-        ProxyStream<DiscoveryRequest, DiscoveryResponse> stream = ProxyStream.sotw("n.", true);
+        XdsStream<DiscoveryRequest, DiscoveryResponse> stream = XdsStream.sotw("n.", true);
         for (ResourceType each : List.of(ResourceType.CLUSTER, ResourceType.ENDPOINTS)) {
             DiscoveryRequest.Builder request = DiscoveryRequest.newBuilder().setTypeUrl(each.url());
             if (each == ResourceType.ENDPOINTS) {
@@ -158,7 +159,7 @@
 
     @Test
     public void anIncrementalResponseAndItsRenewal() {
-        ProxyStream<DeltaDiscoveryRequest, DeltaDiscoveryResponse> stream = ProxyStream.delta("n.");
+        XdsStream<DeltaDiscoveryRequest, DeltaDiscoveryResponse> stream = XdsStream.delta("n.");
         stream.request(
                 ResourceType.ENDPOINTS,
                 DeltaDiscoveryRequest.newBuilder()
--- a/control/src/test/java/opalcove/control/xds/SotwTest.java
+++ b/control/src/test/java/opalcove/control/xds/SotwTest.java
@@ -162,7 +162,7 @@
                 new Proxy().set(ENDPOINTS, 1, "a", "b").set(ENDPOINTS, 2, "a").set(ENDPOINTS, 3, "a");
         proxy.ask(ENDPOINTS, "", "a", "b");
         assertEquals(proxy.told(), "ENDPOINTS n1: a b");
-        proxy.view = View.EMPTY;
+        proxy.view = ConfigSnapshot.EMPTY;
         proxy.set(ENDPOINTS, 1, "a", "b");
         assertEquals(proxy.told(), "ENDPOINTS n2: a", "its serial is lower than what was told");
         proxy.ask(ENDPOINTS, "n2", "a", "b");
--- a/decision/src/main/java/opalcove/decision/Policy.java
+++ b/decision/src/main/java/opalcove/decision/AdmissionController.java
@@ -16,7 +16,7 @@
  * it knows the settings and its own events alone. Parts: Companion (quotas, ceilings), Split (room among
  * classes), Hosts (choice, health, cold starts) and Flight (the ledger of one request's attempts).
  */
-public final class Policy implements Admission {
+public final class AdmissionController implements DecisionModule {
     /** Length of a split interval and depth of its stores, ms: some answers of each class fall into it. */
     static final double INTERVAL_MS = 250;
     /** How often held requests are looked at when nothing else happens, ms. */
@@ -32,10 +32,10 @@
 
     private static final int TICK = 0, ANSWER = 1, SLOW = 2, PUMP = 3;
 
-    private final Settings settings;
-    private final Duties duties;
-    private final Limits limits;
-    private final Actions actions;
+    private final DecisionSettings settings;
+    private final DecisionSettings.Obligations duties;
+    private final DecisionSettings.Limits limits;
+    private final DecisionActions actions;
     private final Map<String, Integer> classIndex = new HashMap<>(), planIndex = new HashMap<>();
     private final Map<String, Flight> flights = new HashMap<>();
     private final Map<Long, Flight> timers = new HashMap<>();
@@ -56,7 +56,7 @@
     private double tickDue = Double.MAX_VALUE, lateUntil = -1e18;
 
     /** Starts a gateway's module; settings that contradict themselves are turned away. */
-    public Policy(double now, Settings settings, long seed, Actions actions) {
+    public AdmissionController(double now, DecisionSettings settings, long seed, DecisionActions actions) {
         settings.check();
         this.now = now;
         this.settings = settings;
@@ -80,7 +80,7 @@
     }
 
     @Override
-    public void hosts(double time, boolean whole, List<Host> lines) {
+    public void hosts(double time, boolean whole, List<Endpoint> lines) {
         now = time;
         hosts.listed(whole, lines);
         pump();
@@ -93,7 +93,7 @@
     }
 
     @Override
-    public void request(double time, Request r) {
+    public void request(double time, AdmissionRequest r) {
         now = time;
         Integer cls = classIndex.get(r.requestClass());
         Integer plan = planIndex.get(r.plan());
@@ -120,7 +120,7 @@
     }
 
     @Override
-    public void outcome(double time, Outcome o) {
+    public void outcome(double time, AttemptOutcome o) {
         now = time;
         Flight f = flights.get(o.id());
         if (f == null || o.attempt() >= f.attempts.size() || f.attempts.get(o.attempt()).ended) return;
@@ -140,13 +140,13 @@
     }
 
     @Override
-    public void settled(double time, Request r, int usedPercent, double trueUnits) {
+    public void settled(double time, AdmissionRequest r, int usedPercent, double trueUnits) {
         now = time;
         Integer plan = planIndex.get(r.plan());
         if (plan != null) settle(companion.customer(r, plan), r, usedPercent, trueUnits);
     }
 
-    private void settle(Customer c, Request r, int usedPercent, double trueUnits) {
+    private void settle(Customer c, AdmissionRequest r, int usedPercent, double trueUnits) {
         companion.told(c, usedPercent);
         if (trueUnits > 0 && settings.unitsAreGuesses()) c.level += r.units() - trueUnits;
     }
@@ -166,7 +166,7 @@
     }
 
     @Override
-    public void probed(double time, String host, CallResult result, double tookMs, double[] load) {
+    public void probed(double time, String host, ProbeStatus result, double tookMs, double[] load) {
         now = time;
         hosts.probed(host, result, load);
     }
@@ -312,15 +312,15 @@
     }
 
     /** None is out and there is no answer: another attempt if lawful and worth it, else the final answer. */
-    private void again(Flight f, Result last) {
+    private void again(Flight f, AttemptStatus last) {
         double left = f.arrived + f.request.budgetMs() - now;
-        boolean priced = !last.neverRan && last != Result.CANCELLED;
+        boolean priced = !last.neverRan && last != AttemptStatus.CANCELLED;
         if (left <= 2 * settings.tickMs() || !f.maySendMore() || priced && (copies < 1 || split.bounded)) {
             end(f);
             return;
         }
         if (priced) copies -= 1;
-        if (last == Result.TURNED_AWAY && f.attempts.size() > 1) hold(f);
+        if (last == AttemptStatus.REJECTED && f.attempts.size() > 1) hold(f);
         else dispatch(f);
     }
 
@@ -330,7 +330,7 @@
         for (Attempt a : f.attempts) if (!a.ended && now - a.sentAt > 0.9 * slowMs(f)) split.sign(a);
         // Guards against copies that add load where all hosts are slow: none while there is another sign.
         if (f.out != 1 || split.bounded || copies < 1 || split.signs > 1) return;
-        if (f.plan.openCap() > 0 || f.requestClass.effect() == Effect.UNSAFE) return;
+        if (f.plan.openCap() > 0 || f.requestClass.effect() == Idempotency.UNSAFE) return;
         if (limits.secondCopies()) {
             Machine m = f.maySendMore() ? hosts.choose(f) : null;
             if (m != null && hosts.expected(m, f) * 2 < hosts.worst(f)) {
@@ -398,9 +398,9 @@
 
     /** The ledger of one request; it alone says whether another send, a refusal or a failure is lawful. */
     private final class Flight {
-        final Request request;
-        final RequestClass requestClass;
-        final Plan plan;
+        final AdmissionRequest request;
+        final DecisionSettings.RequestClass requestClass;
+        final DecisionSettings.Plan plan;
         final int cls;
         final Customer customer;
         final double arrived = now;
@@ -412,7 +412,7 @@
         int out;
         boolean done, held, streaming;
 
-        Flight(Request request, int cls, int plan, Customer customer) {
+        Flight(AdmissionRequest request, int cls, int plan, Customer customer) {
             this.request = request;
             this.cls = cls;
             this.plan = settings.plans().get(plan);
@@ -450,23 +450,27 @@
             if (done || streaming || attempts.size() >= limits.maxAttempts()) return false;
             if (out > 0 && !limits.secondCopies()) return false;
             Attempt first = ranFirst();
-            if (first == null || requestClass.effect() == Effect.SAFE) return true;
+            if (first == null || requestClass.effect() == Idempotency.SAFE) return true;
             double windowEnd = first.sentAt + requestClass.windowMs();
-            return requestClass.effect() == Effect.KEYED && now + settings.tickMs() < windowEnd;
+            return requestClass.effect() == Idempotency.KEYED && now + settings.tickMs() < windowEnd;
         }
 
         /** Whether the next send may go to this host. */
         boolean mayGoTo(Machine m) {
             Attempt first = ranFirst();
-            if (first == null || requestClass.effect() == Effect.SAFE || requestClass.reach() == Reach.ALL) return true;
-            Host a = first.machine.host;
-            return requestClass.reach() == Reach.ZONE ? a.zone().equals(m.host.zone()) : a.cell() == m.host.cell();
+            if (first == null
+                    || requestClass.effect() == Idempotency.SAFE
+                    || requestClass.reach() == DeduplicationScope.ALL) return true;
+            Endpoint a = first.machine.host;
+            return requestClass.reach() == DeduplicationScope.ZONE
+                    ? a.zone().equals(m.host.zone())
+                    : a.cell() == m.host.cell();
         }
 
         boolean mayRefuse() {
-            Effect effect = requestClass.effect();
-            if (ranFirst() == null || effect == Effect.SAFE) return true;
-            return effect == Effect.KEYED && requestClass.reach() == Reach.ALL;
+            Idempotency effect = requestClass.effect();
+            if (ranFirst() == null || effect == Idempotency.SAFE) return true;
+            return effect == Idempotency.KEYED && requestClass.reach() == DeduplicationScope.ALL;
         }
 
         boolean tried(Machine m) {
@@ -478,7 +482,7 @@
     /** What this gateway knows of a customer. */
     private static final class Customer {
         static final int RING = 8;
-        final Plan plan;
+        final DecisionSettings.Plan plan;
         final int pool, gateways;
         final double[] sent = new double[RING];
         final long[] period = new long[RING];
@@ -488,7 +492,7 @@
         int told = -1;
         int open;
 
-        Customer(int pool, int gateways, double now, double servingSince, Settings settings) {
+        Customer(int pool, int gateways, double now, double servingSince, DecisionSettings settings) {
             plan = settings.plans().get(pool);
             this.pool = pool;
             this.gateways = Math.max(1, gateways);
@@ -520,7 +524,7 @@
         private final double periodMs = Math.max(1, settings.meterPeriodMs());
         private double servingSince = Double.MAX_VALUE;
 
-        Customer customer(Request r, int plan) {
+        Customer customer(AdmissionRequest r, int plan) {
             servingSince = Math.min(servingSince, now);
             Customer c = customers.get(r.customer());
             if (c == null)
@@ -533,7 +537,7 @@
         void age() {
             for (Iterator<Customer> it = customers.values().iterator(); it.hasNext(); it.remove()) {
                 Customer eldest = it.next();
-                Plan p = eldest.plan;
+                DecisionSettings.Plan p = eldest.plan;
                 double fillMs = p.ceilingRate() > 0 ? 1000 * p.ceilingBurst() / p.ceilingRate() : 0;
                 if (eldest.open > 0 || now - eldest.at < Math.max(FORGET_MS, fillMs)) return;
             }
@@ -691,11 +695,11 @@
 
         Split() {
             int classes = settings.classes().size();
-            for (RequestClass c : settings.classes()) shortestAim = Math.min(shortestAim, c.aimMs());
+            for (DecisionSettings.RequestClass c : settings.classes()) shortestAim = Math.min(shortestAim, c.aimMs());
             lanes = new Lane[settings.plans().size() * classes][2];
             List<Lane> all = new ArrayList<>();
             for (int i = 0; i < lanes.length; i++) {
-                Plan p = settings.plans().get(i / classes);
+                DecisionSettings.Plan p = settings.plans().get(i / classes);
                 double weight = settings.classes().get(i % classes).worth() * p.price();
                 lanes[i][0] = new Lane(weight * Math.max(0, p.beyondWorth() - p.beyondCost()), false);
                 lanes[i][1] = new Lane(weight, true);
@@ -744,15 +748,16 @@
         }
 
         /** Counts served units and the signs of a back end under pressure. */
-        void seen(Outcome o, Flight f) {
+        void seen(AttemptOutcome o, Flight f) {
             Attempt a = f.attempts.get(o.attempt());
             double ratio = (now - a.sentAt - f.usualMs() + usual[f.cls]) / f.requestClass.aimMs();
-            boolean answered = o.result() == Result.SERVED;
-            boolean sign =
-                    o.result() == Result.TURNED_AWAY || o.result() == Result.TIMED_OUT || answered && ratio > 0.6;
+            boolean answered = o.result() == AttemptStatus.SERVED;
+            boolean sign = o.result() == AttemptStatus.REJECTED
+                    || o.result() == AttemptStatus.TIMED_OUT
+                    || answered && ratio > 0.6;
             served += answered ? f.request.units() : 0;
             news++;
-            if (now < lateUntil && o.result() != Result.TURNED_AWAY) return;
+            if (now < lateUntil && o.result() != AttemptStatus.REJECTED) return;
             if (sign) sign(a);
             if (a.sign) return;
             answers++;
@@ -836,7 +841,7 @@
 
     /** A host as this gateway sees it. */
     private static final class Machine {
-        Host host;
+        Endpoint host;
         String zone, kind;
         boolean listed;
         double goneAt = Double.MAX_VALUE;
@@ -863,13 +868,13 @@
         double askAt = Double.MAX_VALUE;
         private int usable, heard, pressed, warm;
 
-        void listed(boolean whole, List<Host> lines) {
+        void listed(boolean whole, List<Endpoint> lines) {
             askAt = Double.MAX_VALUE;
             for (Machine m : whole ? machines.values() : List.<Machine>of()) {
                 m.listed = false;
                 m.goneAt = Math.min(m.goneAt, now);
             }
-            for (Host line : lines) {
+            for (Endpoint line : lines) {
                 Machine m = machines.get(line.id());
                 boolean fresh = m == null;
                 if (fresh) {
@@ -885,8 +890,8 @@
                 m.host = line;
                 m.zone = "zone " + line.zone();
                 m.kind = "kind " + line.kind();
-                m.listed = line.state() == State.UP;
-                m.goneAt = line.state() == State.GONE ? Math.min(m.goneAt, now) : Double.MAX_VALUE;
+                m.listed = line.state() == EndpointState.UP;
+                m.goneAt = line.state() == EndpointState.REMOVED ? Math.min(m.goneAt, now) : Double.MAX_VALUE;
             }
             count();
             first = false;
@@ -1018,7 +1023,7 @@
             if (cold(m)) m.budget -= usual[f.cls];
         }
 
-        void ended(Attempt a, Outcome o, Flight f) {
+        void ended(Attempt a, AttemptOutcome o, Flight f) {
             Machine m = a.machine;
             m.out--;
             m.inHand = m.out == 0 ? 0 : Math.max(0, m.inHand - a.work);
@@ -1029,14 +1034,14 @@
                     fault(m, 0);
                     alive(m);
                     m.refusals = 0;
-                    m.errors += 0.2 * ((o.result() == Result.ERROR ? 1 : 0) - m.errors);
-                    if (o.result() == Result.ERROR) return; // a quick error must not make a host look fast
+                    m.errors += 0.2 * ((o.result() == AttemptStatus.ERROR ? 1 : 0) - m.errors);
+                    if (o.result() == AttemptStatus.ERROR) return; // a quick error must not make a host look fast
                     slower(m, o.elapsedMs() / f.usualMs());
                     double aboveMs = Math.min(o.elapsedMs(), 5 * usual[f.cls]) - usual[f.cls];
                     if (!settings.unitsAreGuesses()) sizeEffects[f.cls].learn(f.request.units(), aboveMs);
                     usual[f.cls] += 0.02 * aboveMs;
                 }
-                case TURNED_AWAY -> {
+                case REJECTED -> {
                     m.heardAt = now;
                     alive(m);
                     m.refusals++;
@@ -1091,11 +1096,11 @@
             m.downSince = -1;
         }
 
-        void probed(String id, CallResult result, double[] load) {
+        void probed(String id, ProbeStatus result, double[] load) {
             Machine m = machines.get(id);
             if (m == null) return;
             m.shunUntil = 0;
-            if (result == CallResult.DONE) alive(m);
+            if (result == ProbeStatus.DONE) alive(m);
             else failed(m);
         }
     }
--- /dev/null
+++ b/decision/src/main/java/opalcove/decision/AdmissionRequest.java
@@ -0,0 +1,12 @@
+package opalcove.decision;
+
+/** A client's request: budgetMs is its time to answer, gateways the number through which its customer may come. */
+public record AdmissionRequest(
+        String id,
+        String requestClass,
+        String plan,
+        String customer,
+        double units,
+        double budgetMs,
+        int gateways,
+        boolean retry) {}
--- /dev/null
+++ b/decision/src/main/java/opalcove/decision/DeduplicationScope.java
@@ -0,0 +1,8 @@
+package opalcove.decision;
+
+/** Which hosts drop repeats of a keyed request that one of them has seen. */
+public enum DeduplicationScope {
+    ALL,
+    ZONE,
+    CELL
+}
--- /dev/null
+++ b/decision/src/main/java/opalcove/decision/LoadMetric.java
@@ -0,0 +1,12 @@
+package opalcove.decision;
+
+/** A value in a load report. */
+public enum LoadMetric {
+    IN_HAND,
+    WAITING,
+    BUSY_SHARE,
+    SERVICE_MS,
+    SERVED_PER_S,
+    ERRORS_PER_S,
+    UNKNOWN
+}
--- /dev/null
+++ b/decision/src/main/java/opalcove/decision/LoadReportSource.java
@@ -0,0 +1,8 @@
+package opalcove.decision;
+
+/** Where load reports come from. */
+public enum LoadReportSource {
+    NONE,
+    IN_ANSWERS,
+    ON_PROBES
+}
