--- a/gateway/src/main/java/opalcove/platform/RawSocket.java
+++ b/gateway/src/main/java/opalcove/resp/RawSocket.java
@@ -1,4 +1,4 @@
-package opalcove.platform;
+package opalcove.resp;
 
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.ByteBufAllocator;
@@ -18,7 +18,7 @@
 import io.vertx.core.internal.ContextInternal;
 import io.vertx.core.internal.net.NetSocketInternal;
 import io.vertx.core.net.NetSocket;
-import opalcove.gateway.Program;
+import opalcove.lifecycle.Application;
 
 /**
  * The bytes of one Vert.x socket without the copies and objects that its streams make: what is read is handed over in
@@ -71,7 +71,7 @@
         var pipeline = ((NetSocketInternal) socket).channelHandlerContext().pipeline();
         pipeline.addBefore("handler", "raw", this);
         channel = pipeline.context(this);
-        waitingSince = Program.waitingSince(context.owner(), channel.channel());
+        waitingSince = Application.waitingSince(context.owner(), channel.channel());
     }
 
     /**
@@ -104,13 +104,13 @@
     }
 
     /** Has the socket's reads be as large as the portions let them; to be told before the first read. */
-    void reads(Portions portions) {
+    void reads(ReadBufferAllocator portions) {
         portions.maxMessagesPerRead(channel.channel().metadata().defaultMaxMessagesPerRead());
         channel.channel().config().setRecvByteBufAllocator(portions);
     }
 
     /** How much is read at a time: as much as comes of late, or no more than a limit while one is set. */
-    static final class Portions extends AdaptiveRecvByteBufAllocator {
+    static final class ReadBufferAllocator extends AdaptiveRecvByteBufAllocator {
         private int most = Integer.MAX_VALUE;
 
         /** Guards memory while long values are passed on. */
--- a/gateway/src/main/java/opalcove/platform/AskReader.java
+++ b/gateway/src/main/java/opalcove/resp/RequestDecoder.java
@@ -1,4 +1,4 @@
-package opalcove.platform;
+package opalcove.resp;
 
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.ByteBufUtil;
@@ -6,27 +6,29 @@
 import java.util.List;
 import java.util.Map;
 import java.util.function.Supplier;
-import opalcove.decision.Admission;
-import opalcove.gateway.Ask;
-import opalcove.gateway.AskRules;
-import opalcove.gateway.Marks;
+import opalcove.core.InvalidRequestException;
+import opalcove.core.Request;
+import opalcove.core.RequestParameters;
+import opalcove.core.RequestValidator;
+import opalcove.decision.DecisionSettings;
+import opalcove.decision.Idempotency;
 
 /** Turns a terminal's command into an ask, and an ask into the command for an app node. */
-final class AskReader {
+final class RequestDecoder {
     private static final String QUERY = "SVC.QUERY";
     private static final String SUBMIT = "SVC.SUBMIT";
     private static final int MARKS = 3;
     private static final int BODY = 4;
     private static final int MOST_DIGITS = 15;
 
-    private final Supplier<AskRules> newest;
-    private AskRules rules;
+    private final Supplier<RequestValidator> newest;
+    private RequestValidator rules;
     private List<String> classes;
     private List<String> plans;
     private final Parameters parameters = new Parameters();
 
     /** Reads asks by the rules in force, which new settings may replace at any time. */
-    AskReader(Supplier<AskRules> newest) {
+    RequestDecoder(Supplier<RequestValidator> newest) {
         this.newest = newest;
         follow();
     }
@@ -38,11 +40,11 @@
     }
 
     /** Whether this is the command of an ask, in letters of either case. */
-    static boolean asks(RespReader command) {
+    static boolean asks(RespDecoder command) {
         return named(command, QUERY) || named(command, SUBMIT);
     }
 
-    private static boolean named(RespReader command, String name) {
+    private static boolean named(RespDecoder command, String name) {
         boolean same = command.length(0) == name.length();
         for (int i = 0; same && i < name.length(); i++) {
             same = Character.toUpperCase(command.at(0, i)) == name.charAt(i);
@@ -54,15 +56,15 @@
      * Reads the ask. Its body, where it has one, is put into a buffer of the given kind, which is the caller's to release
      * once the ask is settled.
      */
-    Ask read(RespReader command, RawSocket buffers) throws Marks.Unfit {
+    Request read(RespDecoder command, RawSocket buffers) throws InvalidRequestException {
         if (newest.get() != rules) {
             follow();
         }
         boolean submit = named(command, SUBMIT);
         if (command.count() != (submit ? 5 : 4)) {
-            throw new Marks.Unfit("wrong number of words for " + (submit ? SUBMIT : QUERY));
+            throw new InvalidRequestException("wrong number of words for " + (submit ? SUBMIT : QUERY));
         }
-        Ask bare = usual(command, submit);
+        Request bare = usual(command, submit);
         if (bare == null) {
             bare = unusual(command, submit);
         }
@@ -70,7 +72,7 @@
             return bare;
         }
         ByteBuf body = buffers.aside(Math.max(1, command.length(BODY))).writeBytes(command.lend(BODY));
-        return new Ask(
+        return new Request(
                 bare.id(),
                 bare.operator(),
                 bare.requestClass(),
@@ -85,18 +87,18 @@
     }
 
     /** A request as clients send it, read in one pass over its bytes; null where anything about it is unusual. */
-    private Ask usual(RespReader command, boolean submit) throws Marks.Unfit {
+    private Request usual(RespDecoder command, boolean submit) throws InvalidRequestException {
         if (!parameters.read(command) || !parameters.complete()) {
             return null;
         }
-        Admission.Effect effect = rules.requestClass(parameters.requestClass).effect();
-        boolean keyed = effect == Admission.Effect.KEYED;
+        Idempotency effect = rules.requestClass(parameters.requestClass).effect();
+        boolean keyed = effect == Idempotency.KEYED;
         boolean keyMissing = parameters.key == null || parameters.key.isEmpty();
-        if (submit == (effect == Admission.Effect.SAFE) || keyed && keyMissing) {
+        if (submit == (effect == Idempotency.SAFE) || keyed && keyMissing) {
             return null;
         }
-        return rules.check(new Ask(
-                Marks.hex(command.text(2), "the id"),
+        return rules.check(new Request(
+                RequestParameters.hex(command.text(2), "the id"),
                 command.text(1),
                 parameters.requestClass,
                 parameters.plan,
@@ -144,7 +146,7 @@
         }
 
         /** Reads all of them; false where one has an unknown name, has no value or comes twice. */
-        private boolean read(RespReader command) {
+        private boolean read(RespDecoder command) {
             clear();
             int end = command.length(MARKS);
             int from = 0;
@@ -162,7 +164,7 @@
             return true;
         }
 
-        private static int indexOf(RespReader command, char wanted, int from, int end) {
+        private static int indexOf(RespDecoder command, char wanted, int from, int end) {
             int i = from;
             while (i < end && command.at(MARKS, i) != wanted) {
                 i++;
@@ -170,7 +172,7 @@
             return i;
         }
 
-        private static int name(RespReader command, int from, int to) {
+        private static int name(RespDecoder command, int from, int to) {
             if (to - from == 1) {
                 return switch (command.at(MARKS, from)) {
                     case 'c' -> REQUEST_CLASS;
@@ -190,7 +192,7 @@
             return command.is(MARKS, from, to, "first") ? FIRST : UNKNOWN;
         }
 
-        private void take(RespReader command, int name, int from, int to) {
+        private void take(RespDecoder command, int name, int from, int to) {
             switch (name) {
                 case REQUEST_CLASS -> requestClass = known(command, from, to, classes);
                 case PLAN -> plan = known(command, from, to, plans);
@@ -212,7 +214,7 @@
         }
     }
 
-    private static String known(RespReader command, int from, int to, List<String> names) {
+    private static String known(RespDecoder command, int from, int to, List<String> names) {
         for (int i = 0; i < names.size(); i++) {
             if (command.is(MARKS, from, to, names.get(i))) {
                 return names.get(i);
@@ -222,7 +224,7 @@
     }
 
     /** A plain number of few digits, perhaps with a point; below 0 where it is none. */
-    static double decimal(RespReader value, int item, int from, int to) {
+    static double decimal(RespDecoder value, int item, int from, int to) {
         long digits = 0;
         double scale = 0;
         if (to <= from || to - from > MOST_DIGITS) {
@@ -244,27 +246,27 @@
     }
 
     /** Reads an ask of any form, to tell what is wrong with it. */
-    private Ask unusual(RespReader command, boolean submit) throws Marks.Unfit {
+    private Request unusual(RespDecoder command, boolean submit) throws InvalidRequestException {
         Map<String, String> values = new HashMap<>();
         for (String mark : command.text(MARKS).split(",")) {
             int equals = mark.indexOf('=');
             if (equals < 1) {
-                throw new Marks.Unfit("expected name=value");
+                throw new InvalidRequestException("expected name=value");
             }
             if (values.put(mark.substring(0, equals), mark.substring(equals + 1)) != null) {
-                throw new Marks.Unfit("a name comes twice");
+                throw new InvalidRequestException("a name comes twice");
             }
         }
-        Marks marks = new Marks(values);
+        RequestParameters marks = new RequestParameters(values);
         String named = marks.need("c");
         try {
-            Admission.RequestClass requestClass = rules.requestClass(named);
-            if (submit == (requestClass.effect() == Admission.Effect.SAFE)) {
-                throw new Marks.Unfit((submit ? SUBMIT : QUERY) + " does not serve " + requestClass.name());
+            DecisionSettings.RequestClass requestClass = rules.requestClass(named);
+            if (submit == (requestClass.effect() == Idempotency.SAFE)) {
+                throw new InvalidRequestException((submit ? SUBMIT : QUERY) + " does not serve " + requestClass.name());
             }
-            boolean keyed = requestClass.effect() == Admission.Effect.KEYED;
-            return rules.check(new Ask(
-                    Marks.hex(command.text(2), "the id"),
+            boolean keyed = requestClass.effect() == Idempotency.KEYED;
+            return rules.check(new Request(
+                    RequestParameters.hex(command.text(2), "the id"),
                     command.text(1),
                     requestClass.name(),
                     marks.need("t"),
@@ -275,14 +277,14 @@
                     marks.whole("spread"),
                     marks.whole("first"),
                     null));
-        } catch (Marks.Unfit e) {
+        } catch (InvalidRequestException e) {
             // The figures count the failure in the class that the request names, known or not.
-            throw new Marks.Unfit(e.getMessage(), named);
+            throw new InvalidRequestException(e.getMessage(), named);
         }
     }
 
     /** Writes the command that passes the ask on; waitMs is how long this gateway will wait. */
-    static void write(Ask ask, double waitMs, RawSocket to) {
+    static void write(Request ask, double waitMs, RawSocket to) {
         long wait = (long) waitMs;
         boolean whole = ask.units() == Math.rint(ask.units());
         String units = whole ? null : ask.unitsText();
--- a/gateway/src/main/java/opalcove/platform/Resp.java
+++ b/gateway/src/main/java/opalcove/resp/Resp.java
@@ -1,4 +1,4 @@
-package opalcove.platform;
+package opalcove.resp;
 
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.ByteBufUtil;
--- a/gateway/src/main/java/opalcove/platform/RespDialler.java
+++ b/gateway/src/main/java/opalcove/resp/RespConnector.java
@@ -1,4 +1,4 @@
-package opalcove.platform;
+package opalcove.resp;
 
 import io.netty.buffer.ByteBuf;
 import io.vertx.core.Future;
@@ -8,16 +8,16 @@
 import io.vertx.core.net.NetSocket;
 import io.vertx.core.net.SocketAddress;
 import java.util.function.Function;
-import opalcove.decision.Admission;
-import opalcove.gateway.Ask;
-import opalcove.gateway.Endpoint;
-import opalcove.gateway.LinkPool;
-import opalcove.gateway.LongValue;
-import opalcove.gateway.NodeEnd;
+import opalcove.backend.ConnectionPool;
+import opalcove.config.HostAndPort;
+import opalcove.core.AttemptResult;
+import opalcove.core.Request;
+import opalcove.core.StreamedValue;
+import opalcove.decision.DecisionSettings;
 import org.tinylog.Logger;
 
 /** Opens RESP2 lines to app nodes. */
-public final class RespDialler implements LinkPool.Dialler {
+public final class RespConnector implements ConnectionPool.Connector {
     /** How long an answer may stand still once it has begun, ms. */
     private static final long STALL_MS = 300;
     /** How long a value that is passed on may stand still while it is read, and while its terminal takes nothing, ms. */
@@ -30,36 +30,37 @@
     private final Vertx vertx;
     private final Function<String, SocketAddress> place;
     private final NetClient client;
-    private final NodeReply replies;
+    private final BackendReplyDecoder replies;
 
     /** Opens connections to backends with the time limits of the settings. */
-    public RespDialler(Vertx vertx, Admission.Settings settings) {
+    public RespConnector(Vertx vertx, DecisionSettings settings) {
         this(vertx, settings, address -> {
-            Endpoint node = Endpoint.read(address, "address");
+            HostAndPort node = HostAndPort.read(address, "address");
             return SocketAddress.inetSocketAddress(node.port(), node.address());
         });
     }
 
     /** Dials where the function says that an address is. */
-    RespDialler(Vertx vertx, Admission.Settings settings, Function<String, SocketAddress> place) {
+    RespConnector(Vertx vertx, DecisionSettings settings, Function<String, SocketAddress> place) {
         this.vertx = vertx;
         this.place = place;
-        replies = new NodeReply(settings);
+        replies = new BackendReplyDecoder(settings);
         client = vertx.createNetClient(
                 new NetClientOptions().setReconnectAttempts(0).setConnectTimeout((int)
                         Math.max(1, settings.limits().dialTimeoutMs())));
     }
 
     @Override
-    public Future<LinkPool.Line> dial(String address) {
-        return client.connect(place.apply(address)).map(RespLine::new);
+    public Future<ConnectionPool.BackendConnection> dial(String address) {
+        return client.connect(place.apply(address)).map(RespBackendConnection::new);
     }
 
-    private final class RespLine implements LinkPool.Line, RawSocket.User, RespReader.User, LongValue {
+    private final class RespBackendConnection
+            implements ConnectionPool.BackendConnection, RawSocket.User, RespDecoder.User, StreamedValue {
         private final NetSocket socket;
         private final RawSocket raw;
-        private final RawSocket.Portions portions = new RawSocket.Portions();
-        private final RespReader reader = new RespReader(NodeReply.PARTS, this);
+        private final RawSocket.ReadBufferAllocator portions = new RawSocket.ReadBufferAllocator();
+        private final RespDecoder reader = new RespDecoder(BackendReplyDecoder.PARTS, this);
         private User user;
         private long stall = -1;
         /** Who takes the long value that is coming, and what is known of it. */
@@ -69,7 +70,7 @@
         private boolean whole;
         private boolean paused;
 
-        RespLine(NetSocket socket) {
+        RespBackendConnection(NetSocket socket) {
             this.socket = socket;
             raw = new RawSocket(socket, true, this);
             raw.reads(portions);
@@ -108,8 +109,8 @@
         }
 
         @Override
-        public void value(RespReader reply) {
-            NodeEnd end = replies.read(reply);
+        public void value(RespDecoder reply) {
+            AttemptResult end = replies.read(reply);
             sink = null;
             if (end == null) {
                 broken("an answer of no known form");
@@ -206,8 +207,8 @@
         }
 
         @Override
-        public void send(Ask ask, double waitMs) {
-            AskReader.write(ask, waitMs, raw);
+        public void send(Request ask, double waitMs) {
+            RequestDecoder.write(ask, waitMs, raw);
         }
 
         @Override
--- a/gateway/src/main/java/opalcove/platform/RespReader.java
+++ b/gateway/src/main/java/opalcove/resp/RespDecoder.java
@@ -1,4 +1,4 @@
-package opalcove.platform;
+package opalcove.resp;
 
 import io.netty.buffer.ByteBuf;
 import java.nio.charset.StandardCharsets;
@@ -11,7 +11,7 @@
  * <p>A value is a line ({@code + - :}), a bulk string or an array. The items of an array are told where all of them are
  * lines or strings; of one with arrays in it, only that it came.
  */
-final class RespReader {
+final class RespDecoder {
     /** The longest string that is gathered; a longer one is passed on while it comes, where its user takes it. */
     static final int MOST_BYTES = 64 * 1024;
     /** The longest string that is passed on. */
@@ -24,7 +24,7 @@
     /** Who hears of the values. */
     interface User {
         /** A value has come; it can be looked at during this call. */
-        void value(RespReader value);
+        void value(RespDecoder value);
 
         /**
          * A string of that many bytes, too long to be gathered, begins as the first item of an array; tells whether its
@@ -73,7 +73,7 @@
     private boolean stopped;
 
     /** Arrays of more than mostItems are errors, as are lines, values and depths beyond the limits above. */
-    RespReader(int mostItems, User user) {
+    RespDecoder(int mostItems, User user) {
         this.mostItems = mostItems;
         this.user = user;
         starts = new int[mostItems];
--- a/gateway/src/main/java/opalcove/platform/RespFront.java
+++ b/gateway/src/main/java/opalcove/resp/RespServer.java
@@ -1,4 +1,4 @@
-package opalcove.platform;
+package opalcove.resp;
 
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
@@ -19,23 +19,23 @@
 import java.util.Locale;
 import java.util.Set;
 import java.util.concurrent.TimeUnit;
-import opalcove.gateway.Answer;
-import opalcove.gateway.Ask;
-import opalcove.gateway.ConnectionEnd;
-import opalcove.gateway.Endpoint;
-import opalcove.gateway.Errno;
-import opalcove.gateway.Gateway;
-import opalcove.gateway.LongValue;
-import opalcove.gateway.Marks;
-import opalcove.gateway.Metrics;
-import opalcove.gateway.Phases;
-import opalcove.gateway.Program;
-import opalcove.gateway.Rule;
-import opalcove.gateway.SystemCall;
+import opalcove.config.HostAndPort;
+import opalcove.core.InvalidRequestException;
+import opalcove.core.Request;
+import opalcove.core.RequestDispatcher;
+import opalcove.core.Response;
+import opalcove.core.StreamedValue;
+import opalcove.lifecycle.Application;
+import opalcove.lifecycle.Lifecycle;
+import opalcove.metrics.ConnectionCloseReason;
+import opalcove.metrics.Errno;
+import opalcove.metrics.Invariant;
+import opalcove.metrics.Metrics;
+import opalcove.metrics.SystemCall;
 import org.tinylog.Logger;
 
 /** The RESP2 front: terminals' connections, their commands in, the answers out in the order of the commands. */
-public final class RespFront {
+public final class RespServer {
     /** Commands of one connection that may wait for answers before it is read on. */
     private static final int MOST_PIPELINED = 256;
 
@@ -71,13 +71,13 @@
     /** Guards the descriptors: this part of the most terminals may be half open at a time. */
     private static final int FAREWELL_PART = 8;
     /** Connections that may be accepted and not handled yet, beside a full front. */
-    private static final int ACCEPTED_AHEAD = 2 * Program.ACCEPTS_AT_ONCE;
+    private static final int ACCEPTED_AHEAD = 2 * Application.ACCEPTS_AT_ONCE;
 
     private final Vertx vertx;
 
-    private final Gateway gateway;
-    private final AskReader asks;
-    private final Phases phases;
+    private final RequestDispatcher gateway;
+    private final RequestDecoder asks;
+    private final Lifecycle phases;
     /** Of the last try to listen. */
     private NetServer server;
 
@@ -87,12 +87,12 @@
 
     private final int mostTerminals;
     private final int mostFarewells;
-    private final GatheredBytes gathered = new GatheredBytes();
+    private final ByteAccumulator gathered = new ByteAccumulator();
     private Runnable whenEmpty = () -> {};
     /** Told by an operator: PING says no, and each connection is closed once it owes nothing. */
     private boolean sendingAway;
 
-    private final ClientInputs inputs;
+    private final DisconnectDetector inputs;
     /** Draining, and connections that were made before may still be handed over. */
     private boolean coming;
 
@@ -101,18 +101,18 @@
      *
      * @param mostTerminals how many client connections may be open at once
      */
-    public RespFront(Vertx vertx, Gateway gateway, Phases phases, int mostTerminals) {
+    public RespServer(Vertx vertx, RequestDispatcher gateway, Lifecycle phases, int mostTerminals) {
         this.vertx = vertx;
         this.gateway = gateway;
-        asks = new AskReader(gateway::rules);
+        asks = new RequestDecoder(gateway::rules);
         this.phases = phases;
-        inputs = new ClientInputs(vertx);
+        inputs = new DisconnectDetector(vertx);
         this.mostTerminals = mostTerminals;
         mostFarewells = Math.max(1, mostTerminals / FAREWELL_PART);
-        Program.limitAccepted(vertx, mostDescriptors(mostTerminals));
+        Application.limitAccepted(vertx, mostDescriptors(mostTerminals));
         Context context = vertx.getOrCreateContext();
         // Told on the acceptor's thread, whose own context is not this one.
-        Program.whenAcceptRefused(vertx, refusal -> context.runOnContext(told -> acceptRefused(refusal)));
+        Application.whenAcceptRefused(vertx, refusal -> context.runOnContext(told -> acceptRefused(refusal)));
         vertx.setPeriodic(SWEEP_MS, swept -> closeResting());
         vertx.setPeriodic(HEARTBEAT_MS, beat -> {});
     }
@@ -126,13 +126,13 @@
     }
 
     /** How many terminals a front may have that holds no more than so many descriptors in all. */
-    static int terminalsWithin(int descriptors) {
+    public static int terminalsWithin(int descriptors) {
         int terminals = Math.max(1, (descriptors - ACCEPTED_AHEAD) * FAREWELL_PART / (FAREWELL_PART + 1));
         return mostDescriptors(terminals) > descriptors && terminals > 1 ? terminals - 1 : terminals;
     }
 
     /** The descriptors that a front of so many terminals holds at most: connections in use, half open, and accepted ahead. */
-    static int mostDescriptors(int mostTerminals) {
+    public static int mostDescriptors(int mostTerminals) {
         return mostTerminals + Math.max(1, mostTerminals / FAREWELL_PART) + ACCEPTED_AHEAD;
     }
 
@@ -141,7 +141,7 @@
         long before = System.nanoTime() - TimeUnit.MILLISECONDS.toNanos(goesAway() ? AWAY_REST_MS : REST_MS);
         for (Terminal each : List.copyOf(terminals)) {
             if (!each.endIfStalled() && each.slots.isEmpty() && each.lastUsed - before < 0) {
-                each.partIfQuiet(goesAway() ? ConnectionEnd.DRAINED : ConnectionEnd.IDLE);
+                each.partIfQuiet(goesAway() ? ConnectionCloseReason.DRAINED : ConnectionCloseReason.IDLE);
             }
         }
         for (Terminal each : List.copyOf(farewells)) {
@@ -169,7 +169,7 @@
             if (longest == null) {
                 return false;
             }
-            if (longest.partIfQuiet(ConnectionEnd.FOR_ROOM)) {
+            if (longest.partIfQuiet(ConnectionCloseReason.FOR_ROOM)) {
                 gateway.connectionEndedForDescriptors(false);
                 return true;
             }
@@ -205,7 +205,7 @@
     }
 
     /** Opens the front; gives the port. */
-    public Future<Integer> listen(Endpoint at) {
+    public Future<Integer> listen(HostAndPort at) {
         return listen(SocketAddress.inetSocketAddress(at.port(), at.address())).map(NetServer::actualPort);
     }
 
@@ -244,13 +244,13 @@
 
     /** Whether connections are closed once they owe nothing. */
     private boolean goesAway() {
-        return sendingAway || phases.now().ordinal() >= Phases.Phase.DRAINING.ordinal();
+        return sendingAway || phases.now().ordinal() >= Lifecycle.Phase.DRAINING.ordinal();
     }
 
     /** Takes no new connections, and closes each that owes no answer; runs the action once none is left. */
     public void drain(Runnable action) {
         whenEmpty = action;
-        coming = Program.stopListening(vertx, () -> {
+        coming = Application.stopListening(vertx, () -> {
             coming = false;
             closeResting();
             checkEmpty();
@@ -271,31 +271,31 @@
     }
 
     /** One command, and room for its answer. */
-    private final class Slot implements Gateway.Asker {
+    private final class Slot implements RequestDispatcher.ResponseHandler {
         private final Terminal terminal;
-        private Gateway.UnderWay ask;
+        private RequestDispatcher.RequestHandle ask;
         private ByteBuf body;
         private boolean answered;
         /** The answer's bytes, where its turn has not come. */
         private ByteBuf aside;
         /** A long value that answers it. */
-        private Passage passage;
+        private ResponseStream passage;
 
         Slot(Terminal terminal) {
             this.terminal = terminal;
         }
 
         @Override
-        public void answered(Answer answer) {
+        public void answered(Response answer) {
             terminal.answer(this, answer);
         }
 
         @Override
-        public boolean passes(LongValue value) {
+        public boolean passes(StreamedValue value) {
             if (terminal.closing) {
                 return false;
             }
-            passage = new Passage(this, value);
+            passage = new ResponseStream(this, value);
             value.to(passage);
             // Before its turn a value waits at its node.
             value.reads(terminal.slots.peek() == this);
@@ -334,9 +334,9 @@
      * connection: where some were read, the value is gathered whole before any of it is written; where none was, none is read
      * until the value has passed.
      */
-    private final class Passage implements LongValue.Sink {
+    private final class ResponseStream implements StreamedValue.Sink {
         private final Slot slot;
-        private final LongValue value;
+        private final StreamedValue value;
         /** Whether it is being written. */
         private boolean flowing;
         /** Whether it is not written before it is whole. */
@@ -350,7 +350,7 @@
         /** Bytes that it holds of those that may be gathered. */
         private int taken;
 
-        Passage(Slot slot, LongValue value) {
+        ResponseStream(Slot slot, StreamedValue value) {
             this.slot = slot;
             this.value = value;
         }
@@ -425,7 +425,7 @@
             if (!value.whole()) {
                 slot.terminal.input.hold();
             }
-            slot.terminal.raw.waitsAtMost(2 * RespDialler.PORTION);
+            slot.terminal.raw.waitsAtMost(2 * RespConnector.PORTION);
             Resp.head(slot.terminal.raw.room(Resp.HEAD), '$', value.length());
         }
 
@@ -451,7 +451,7 @@
         private void abandon(String cause) {
             Logger.warn("a value of {} bytes is given up: {}", value.length(), cause);
             abandoned = true;
-            Gateway.UnderWay ask = slot.ask;
+            RequestDispatcher.RequestHandle ask = slot.ask;
             drop();
             slot.terminal.line(slot, "-ERR failed");
             if (ask != null) {
@@ -488,12 +488,12 @@
     }
 
     /** One connection of a front. */
-    private final class Terminal implements RawSocket.User, RespReader.User {
+    private final class Terminal implements RawSocket.User, RespDecoder.User {
         private final NetSocket socket;
         private final RawSocket raw;
-        private final RespReader reader = new RespReader(MOST_WORDS, this);
+        private final RespDecoder reader = new RespDecoder(MOST_WORDS, this);
         private final Deque<Slot> slots = new ArrayDeque<>(4);
-        private final ClientInputs.Input input;
+        private final DisconnectDetector.Input input;
         private long lastUsed = System.nanoTime();
         /** When bytes last came, for half a command that is on its way. */
         private long lastRead = lastUsed;
@@ -502,7 +502,7 @@
         private boolean penalised;
         private boolean closing;
         /** Why it is ended once it owes nothing, where it is closing. */
-        private ConnectionEnd endsFor = ConnectionEnd.PROTOCOL;
+        private ConnectionCloseReason endsFor = ConnectionCloseReason.PROTOCOL;
 
         private long partedAt;
 
@@ -522,7 +522,7 @@
 
         /** A command has come. */
         @Override
-        public void value(RespReader command) {
+        public void value(RespDecoder command) {
             lastUsed = System.nanoTime();
             Slot slot = new Slot(this);
             slots.add(slot);
@@ -530,7 +530,7 @@
                 error(slot, "expected a command");
                 return;
             }
-            if (AskReader.asks(command)) {
+            if (RequestDecoder.asks(command)) {
                 ask(slot, command);
             } else {
                 other(slot, command);
@@ -541,7 +541,7 @@
             }
         }
 
-        private boolean isCommand(RespReader command) {
+        private boolean isCommand(RespDecoder command) {
             boolean strings = command.kind() == '*' && command.count() > 0;
             for (int i = 0; strings && i < command.count(); i++) {
                 strings = command.isString(i);
@@ -549,11 +549,11 @@
             return strings;
         }
 
-        private void ask(Slot slot, RespReader command) {
-            Ask ask;
+        private void ask(Slot slot, RespDecoder command) {
+            Request ask;
             try {
                 ask = asks.read(command, raw);
-            } catch (Marks.Unfit e) {
+            } catch (InvalidRequestException e) {
                 if (e.requestClass() != null) {
                     gateway.metrics().ended(e.requestClass(), Metrics.End.FAILURE);
                 }
@@ -562,7 +562,7 @@
             }
             slot.body = ask.body();
             slot.ask = gateway.serve(ask, slot, input.unreadMs());
-            if (phases.now().ordinal() >= Phases.Phase.DRAINING.ordinal()) {
+            if (phases.now().ordinal() >= Lifecycle.Phase.DRAINING.ordinal()) {
                 // Its answer comes behind those of the asks before it, which may wait longer than this process lasts.
                 slots.forEach(before -> {
                     if (before.ask != null) {
@@ -572,7 +572,7 @@
             }
         }
 
-        private void other(Slot slot, RespReader command) {
+        private void other(Slot slot, RespDecoder command) {
             switch (command.text(0).toUpperCase(Locale.ROOT)) {
                 case "PING" -> {
                     if (sendingAway) {
@@ -590,13 +590,13 @@
         }
 
         /** Writes the one final answer; its value is lent. */
-        void answer(Slot slot, Answer answer) {
-            if (answer instanceof Answer.Served served) {
+        void answer(Slot slot, Response answer) {
+            if (answer instanceof Response.Served served) {
                 served(slot, served.value());
-            } else if (answer instanceof Answer.Refused refused) {
+            } else if (answer instanceof Response.Refused refused) {
                 line(slot, refused.comeBackMs() > 0 ? "-BUSY " + refused.comeBackMs() : "-BUSY");
             } else {
-                line(slot, "-ERR " + ((Answer.Failed) answer).reason());
+                line(slot, "-ERR " + ((Response.Failed) answer).reason());
             }
         }
 
@@ -656,7 +656,7 @@
         /** Writes on with the long value whose turn has come, if it is one's. */
         void flowIfFirst() {
             Slot first = slots.peek();
-            Passage passage = first == null ? null : first.passage;
+            ResponseStream passage = first == null ? null : first.passage;
             if (passage != null) {
                 passage.advance();
             }
@@ -677,9 +677,12 @@
             slots.poll().drop();
             if (!slots.isEmpty()) {
                 gateway.checks()
-                        .broken(Rule.CLOSED_UNANSWERED, "-", slots.size() + " requests behind a value that was cut");
+                        .broken(
+                                Invariant.CLOSED_UNANSWERED,
+                                "-",
+                                slots.size() + " requests behind a value that was cut");
             }
-            part(ConnectionEnd.CUT);
+            part(ConnectionCloseReason.CUT);
             dropSlots();
         }
 
@@ -731,9 +734,9 @@
                 return false;
             }
             if (slots.isEmpty()) {
-                part(ConnectionEnd.STALLED);
+                part(ConnectionCloseReason.STALLED);
             } else {
-                endsFor = ConnectionEnd.STALLED;
+                endsFor = ConnectionCloseReason.STALLED;
                 broken("half a command");
             }
             return true;
@@ -756,7 +759,7 @@
                 part(endsFor);
             } else if (slots.isEmpty() && goesAway()) {
                 // Not within the reading of this very connection, in which it cannot be read once more.
-                vertx.runOnContext(read -> partIfQuiet(ConnectionEnd.DRAINED));
+                vertx.runOnContext(read -> partIfQuiet(ConnectionCloseReason.DRAINED));
             }
         }
 
@@ -766,7 +769,7 @@
          * timer can be due before the loop has read what came in the meantime, and to its terminal such an ask is taken.
          * Reads that are paused (after an error, or for want of room) do not spare it: what lies behind them is taken too.
          */
-        boolean partIfQuiet(ConnectionEnd why) {
+        boolean partIfQuiet(ConnectionCloseReason why) {
             if (!closing) {
                 input.readAll();
             }
@@ -785,7 +788,7 @@
          * sent on when that while is over: its answer would have nowhere to go, and the terminal, which saw the
          * connection end first, may have asked again elsewhere.
          */
-        private void part(ConnectionEnd why) {
+        private void part(ConnectionCloseReason why) {
             gateway.connectionEnded(why);
             end();
             if (farewells.size() >= mostFarewells) {
--- a/gateway/src/main/java/opalcove/platform/Rehearsal.java
+++ b/gateway/src/main/java/opalcove/resp/WarmUp.java
@@ -1,4 +1,4 @@
-package opalcove.platform;
+package opalcove.resp;
 
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
@@ -25,14 +25,17 @@
 import java.util.function.BiConsumer;
 import java.util.function.Consumer;
 import java.util.function.Supplier;
-import opalcove.decision.Admission;
-import opalcove.gateway.AppNode;
-import opalcove.gateway.Ask;
-import opalcove.gateway.Budget;
-import opalcove.gateway.Clock;
-import opalcove.gateway.Gateway;
-import opalcove.gateway.LinkPool;
-import opalcove.gateway.Phases;
+import opalcove.backend.ConnectionPool;
+import opalcove.config.Backend;
+import opalcove.config.Clock;
+import opalcove.core.Request;
+import opalcove.core.RequestDispatcher;
+import opalcove.decision.DecisionSettings;
+import opalcove.decision.Endpoint;
+import opalcove.decision.EndpointState;
+import opalcove.decision.Idempotency;
+import opalcove.lifecycle.Lifecycle;
+import opalcove.lifecycle.TimeBudget;
 import org.tinylog.Logger;
 
 /**
@@ -40,7 +43,7 @@
  * node, over UNIX sockets in a private folder. Guards the first terminals against a program that is still cold, with
  * classes to load and code to compile: on a part of a core their asks waited for up to a second.
  */
-public final class Rehearsal {
+public final class WarmUp {
     static final int ASKS = 500;
     /** Asks under way at a time. */
     private static final int WINDOW = 2;
@@ -48,13 +51,13 @@
     private static final int NODES = 3;
     private static final int MOST_LINKS = 64;
 
-    private final Admission.Settings settings;
+    private final DecisionSettings settings;
     private final Promise<Void> played = Promise.promise();
     private int sent;
     private volatile int answered;
     private volatile int most = ASKS;
 
-    private Rehearsal(Admission.Settings settings) {
+    private WarmUp(DecisionSettings settings) {
         this.settings = settings;
     }
 
@@ -62,8 +65,8 @@
      * Plays and closes the Vert.x instance, made only if there is a play, all within the budget; what has not closed by
      * then closes by itself. A failure costs nothing but time. Gives the number of asks that were answered.
      */
-    public static int play(Supplier<Vertx> loop, Admission.Settings settings, Budget budget) {
-        Rehearsal rehearsal = new Rehearsal(settings);
+    public static int play(Supplier<Vertx> loop, DecisionSettings settings, TimeBudget budget) {
+        WarmUp rehearsal = new WarmUp(settings);
         try {
             Path folder = privateFolder();
             Path node = folder.resolve("node");
@@ -135,7 +138,7 @@
      * Waits for the end of the play, or ends it when three quarters of what is left are over: asks no more, and waits for
      * what is under way. Guards the log and the close against lines that are still being dialled to a node that closes.
      */
-    private void end(Budget budget) throws ExecutionException, InterruptedException, TimeoutException {
+    private void end(TimeBudget budget) throws ExecutionException, InterruptedException, TimeoutException {
         CompletableFuture<Void> over = played.future().toCompletionStage().toCompletableFuture();
         try {
             over.get(budget.leftMs() * 3 / 4, TimeUnit.MILLISECONDS);
@@ -147,30 +150,30 @@
     }
 
     private Future<?> open(Vertx vertx, SocketAddress node, SocketAddress at) {
-        LinkPool links = new LinkPool(vertx, settings, new RespDialler(vertx, settings, address -> node), MOST_LINKS);
-        Gateway gateway = new Gateway(vertx, new Clock(), settings, 1, links);
-        List<AppNode> nodes = new ArrayList<>();
+        ConnectionPool links =
+                new ConnectionPool(vertx, settings, new RespConnector(vertx, settings, address -> node), MOST_LINKS);
+        RequestDispatcher gateway = new RequestDispatcher(vertx, new Clock(), settings, 1, links);
+        List<Backend> nodes = new ArrayList<>();
         for (int i = 0; i < NODES; i++) {
-            nodes.add(new AppNode(
-                    new Admission.Host("rehearsal-" + i, settings.zone(), "", i, Admission.State.UP, 1, 0), ""));
+            nodes.add(new Backend(new Endpoint("rehearsal-" + i, settings.zone(), "", i, EndpointState.UP, 1, 0), ""));
         }
         gateway.nodesTold(true, nodes);
         return vertx.createNetServer()
-                .connectHandler(Rehearsal::work)
+                .connectHandler(WarmUp::work)
                 .listen(node)
-                .compose(open -> new RespFront(vertx, gateway, new Phases(), WINDOW).listen(at))
+                .compose(open -> new RespServer(vertx, gateway, new Lifecycle(), WINDOW).listen(at))
                 .compose(open -> vertx.createNetClient().connect(at))
                 .onSuccess(this::ask);
     }
 
     /** A party of the play: hears values, and writes at the end of each turn. */
-    private static final class Party implements RawSocket.User, RespReader.User {
+    private static final class Party implements RawSocket.User, RespDecoder.User {
         private final RawSocket raw;
-        private final RespReader reader = new RespReader(5, this);
-        private final BiConsumer<RespReader, RawSocket> values;
+        private final RespDecoder reader = new RespDecoder(5, this);
+        private final BiConsumer<RespDecoder, RawSocket> values;
         private final Consumer<String> errors;
 
-        Party(NetSocket socket, BiConsumer<RespReader, RawSocket> values, Consumer<String> errors) {
+        Party(NetSocket socket, BiConsumer<RespDecoder, RawSocket> values, Consumer<String> errors) {
             this.values = values;
             this.errors = errors;
             raw = new RawSocket(socket, false, this);
@@ -186,7 +189,7 @@
         }
 
         @Override
-        public void value(RespReader value) {
+        public void value(RespDecoder value) {
             values.accept(value, raw);
         }
 
@@ -230,24 +233,22 @@
 
     /** Each ask from another operator, so that no quota ends the play; classes and plans in turn. */
     private void next(RawSocket raw) {
-        Admission.RequestClass c =
+        DecisionSettings.RequestClass c =
                 settings.classes().get(sent % settings.classes().size());
         String id = String.format("%016x", sent++);
-        AskReader.write(
-                new Ask(
+        RequestDecoder.write(
+                new Request(
                         id,
                         id,
                         c.name(),
                         settings.plans().get(sent % settings.plans().size()).name(),
                         1,
                         c.deadlineMs(),
-                        c.effect() == Admission.Effect.KEYED ? id : null,
+                        c.effect() == Idempotency.KEYED ? id : null,
                         false,
                         settings.gateways(),
                         0,
-                        c.effect() == Admission.Effect.SAFE
-                                ? null
-                                : Unpooled.copiedBuffer(id, StandardCharsets.US_ASCII)),
+                        c.effect() == Idempotency.SAFE ? null : Unpooled.copiedBuffer(id, StandardCharsets.US_ASCII)),
                 c.deadlineMs(),
                 raw);
     }
--- a/gateway/src/main/java/opalcove/platform/DescriptorBudget.java
+++ b/gateway/src/main/java/opalcove/server/DescriptorBudget.java
@@ -1,4 +1,4 @@
-package opalcove.platform;
+package opalcove.server;
 
 import java.io.File;
 import java.io.IOException;
@@ -6,6 +6,7 @@
 import java.nio.file.Path;
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
+import opalcove.admin.AdminServer;
 import org.tinylog.Logger;
 
 /**
@@ -39,7 +40,7 @@
 
     /** Divides what is left of a limit in halves between backends and clients: a request holds one of each. */
     static DescriptorBudget divide(int limit, int base, boolean withConsole) {
-        int console = withConsole ? Console.MOST_DESCRIPTORS : 0;
+        int console = withConsole ? AdminServer.MOST_DESCRIPTORS : 0;
         int left = limit - least(base, console) + 2 * LEAST_SHARE;
         int backends = Math.max(LEAST_SHARE, left / 2);
         int clients = Math.max(LEAST_SHARE, left - left / 2);
--- a/gateway/src/main/java/opalcove/platform/Serve.java
+++ b/gateway/src/main/java/opalcove/server/GatewayServer.java
@@ -1,4 +1,4 @@
-package opalcove.platform;
+package opalcove.server;
 
 import io.vertx.core.Future;
 import io.vertx.core.Promise;
@@ -7,48 +7,53 @@
 import java.util.ServiceLoader;
 import java.util.SplittableRandom;
 import java.util.function.Supplier;
-import opalcove.cluster.AgreedState;
-import opalcove.cluster.Membership;
-import opalcove.gateway.AppNode;
-import opalcove.gateway.BadSettings;
-import opalcove.gateway.Budget;
-import opalcove.gateway.Clock;
-import opalcove.gateway.Gateway;
-import opalcove.gateway.LinkPool;
-import opalcove.gateway.Phases;
-import opalcove.gateway.Program;
-import opalcove.gateway.StartTimes;
-import opalcove.gateway.StartTimes.StartPhase;
+import opalcove.admin.AdminServer;
+import opalcove.backend.ConnectionPool;
+import opalcove.cluster.MembershipService;
+import opalcove.config.Backend;
+import opalcove.config.Clock;
+import opalcove.config.InvalidConfigurationException;
+import opalcove.config.ReplicatedConfig;
+import opalcove.core.RequestDispatcher;
+import opalcove.discovery.DiscoveryClient;
+import opalcove.lifecycle.Application;
+import opalcove.lifecycle.Lifecycle;
+import opalcove.lifecycle.StartupTimes;
+import opalcove.lifecycle.StartupTimes.StartPhase;
+import opalcove.lifecycle.TimeBudget;
 import opalcove.membership.Member;
+import opalcove.resp.RespConnector;
+import opalcove.resp.RespServer;
+import opalcove.resp.WarmUp;
 import org.tinylog.Logger;
 
 /** The platform's gateway: RESP2 on both sides, the node list from discovery. */
-public final class Serve {
+public final class GatewayServer {
     /** How long to wait for a voter's word on the version in force, ms. */
     private static final long FIRST_VERSION_MS = 12_000;
 
-    private Serve() {}
+    private GatewayServer() {}
 
     /** Starts the gateway by what the platform tells; gives way at once, the program goes on by itself. */
     public static void start() {
-        StartTimes times = new StartTimes();
+        StartupTimes times = new StartupTimes();
         // Before anything else: unheard, SIGHUP would end the program.
-        Hangups hangups = new Hangups();
-        Config config = Config.read(System.getenv());
+        ReloadSignal hangups = new ReloadSignal();
+        GatewayConfig config = GatewayConfig.read(System.getenv());
         times.reached(StartPhase.CONFIGURATION_READ);
         // The door opens first, so that operators are told how far the start has come.
-        Door door = new Door();
+        AdminCommands door = new AdminCommands();
         openConsole(config, door);
-        AgreedState agreed = agree(config);
+        ReplicatedConfig agreed = agree(config);
         door.agreed = agreed;
-        Membership membership = join(config, agreed == null ? List.of() : agreed.known());
+        MembershipService membership = join(config, agreed == null ? List.of() : agreed.known());
         door.membership = membership;
         times.reached(StartPhase.DOOR_OPEN);
         Logger.info(
                 "rehearsed {} asks",
-                Rehearsal.play(Program::eventLoop, config.settings(), Budget.ofMs(config.rehearsalMs())));
+                WarmUp.play(Application::eventLoop, config.settings(), TimeBudget.ofMs(config.rehearsalMs())));
         times.reached(StartPhase.REHEARSED);
-        Program program = new Program();
+        Application program = new Application();
         Parts parts = new Parts(config, door, hangups, times, membership, agreed);
         program.start(vertx -> open(vertx, program, parts));
     }
@@ -58,14 +63,19 @@
      * have none.
      */
     private record Parts(
-            Config config, Door door, Hangups hangups, StartTimes times, Membership membership, AgreedState agreed) {}
+            GatewayConfig config,
+            AdminCommands door,
+            ReloadSignal hangups,
+            StartupTimes times,
+            MembershipService membership,
+            ReplicatedConfig agreed) {}
 
-    private static void openConsole(Config config, Door door) {
+    private static void openConsole(GatewayConfig config, AdminCommands door) {
         if (config.console() == null) {
             return;
         }
-        Vertx loop = Program.eventLoop();
-        Program.listening(loop, () -> new Console(loop, door).listen(config.console()))
+        Vertx loop = Application.eventLoop();
+        Application.listening(loop, () -> new AdminServer(loop, door).listen(config.console()))
                 .onFailure(e -> {
                     Logger.error("cannot listen at the console address {}: {}", config.console(), e.getMessage());
                     Runtime.getRuntime().halt(1);
@@ -73,18 +83,19 @@
     }
 
     /** Puts the gateway together on its event loop, and opens its front once the list of backends is known. */
-    private static void open(Vertx vertx, Program program, Parts parts) {
-        Config config = parts.config();
-        StartTimes times = parts.times();
+    private static void open(Vertx vertx, Application program, Parts parts) {
+        GatewayConfig config = parts.config();
+        StartupTimes times = parts.times();
         times.reached(StartPhase.EVENT_LOOP_UP);
         DescriptorBudget budget = DescriptorBudget.ofThisProcess(config.sockets(), config.console() != null);
         Logger.info("descriptors: {}", budget);
-        LinkPool links =
-                new LinkPool(vertx, config.settings(), new RespDialler(vertx, config.settings()), budget.backends());
-        Gateway gateway = new Gateway(vertx, new Clock(), config.settings(), config.seed(), links);
-        RespFront front = new RespFront(vertx, gateway, program.phases(), RespFront.terminalsWithin(budget.clients()));
+        ConnectionPool links = new ConnectionPool(
+                vertx, config.settings(), new RespConnector(vertx, config.settings()), budget.backends());
+        RequestDispatcher gateway = new RequestDispatcher(vertx, new Clock(), config.settings(), config.seed(), links);
+        RespServer front =
+                new RespServer(vertx, gateway, program.phases(), RespServer.terminalsWithin(budget.clients()));
         Versions versions = new Versions(gateway);
-        DiscoveryWatch discovery = new DiscoveryWatch(
+        DiscoveryClient discovery = new DiscoveryClient(
                 vertx, config.discovery(), config.settings(), new SplittableRandom(config.seed()), versions);
         gateway.nodeListSource(discovery);
         program.atEnd(gateway, front::drain);
@@ -105,9 +116,9 @@
     }
 
     /** Tells the other gateways when the program begins to leave. */
-    private static void leaveWith(Program program, Parts parts) {
+    private static void leaveWith(Application program, Parts parts) {
         program.phases().watch(phase -> {
-            if (phase != Phases.Phase.LEAVING) {
+            if (phase != Lifecycle.Phase.LEAVING) {
                 return;
             }
             if (parts.membership() != null) {
@@ -126,27 +137,27 @@
      * gone, and only where that does not answer must the known list do. Where one service has to be asked the known list
      * will do, for waiting for that service only keeps a gateway away longer.
      */
-    private static Future<?> listKnown(Vertx vertx, DiscoveryWatch discovery, Versions versions, Parts parts) {
-        Config config = parts.config();
+    private static Future<?> listKnown(Vertx vertx, DiscoveryClient discovery, Versions versions, Parts parts) {
+        GatewayConfig config = parts.config();
         boolean asked = config.settings().duties().listOnRequest();
         boolean knownWillDo = asked && !config.known().isEmpty();
-        discovery.startFrom(knownWillDo ? config.knownIndex() : DiscoveryWatch.NO_INDEX);
+        discovery.startFrom(knownWillDo ? config.knownIndex() : DiscoveryClient.NO_INDEX);
         Future<?> first = knownWillDo ? Future.succeededFuture() : discovery.firstWord(!asked);
         if (parts.agreed() == null) {
             return first;
         }
-        Membership membership = parts.membership();
+        MembershipService membership = parts.membership();
         return first.eventually(
                 () -> versions.follow(vertx, parts.agreed(), membership == null ? List::of : membership::fleet));
     }
 
     /** Joins the other gateways where the settings have it; a member that cannot listen ends the start with 1. */
-    private static Membership join(Config config, List<Member> known) {
+    private static MembershipService join(GatewayConfig config, List<Member> known) {
         if (config.membership() == null) {
             return null;
         }
-        Membership membership =
-                new Membership(Program.eventLoop(), config.name(), config.membership(), known, System.out::println);
+        MembershipService membership = new MembershipService(
+                Application.eventLoop(), config.name(), config.membership(), known, System.out::println);
         membership.start().onFailure(e -> {
             Logger.error(
                     "cannot listen at membership.listen {}: {}",
@@ -158,30 +169,35 @@
     }
 
     /** Takes part in agreed versions where the settings have it; the platform's program has no part for that. */
-    private static AgreedState agree(Config config) {
+    private static ReplicatedConfig agree(GatewayConfig config) {
         if (config.agreement() == null) {
             return null;
         }
-        return ServiceLoader.load(AgreedState.Provider.class)
+        return ServiceLoader.load(ReplicatedConfig.Provider.class)
                 .findFirst()
-                .orElseThrow(
-                        () -> new BadSettings("field agreement: this program has no part for it, opalcove.jar has"))
-                .make(Program.eventLoop(), config.name(), config.agreement(), config.settings(), System.out::println);
+                .orElseThrow(() -> new InvalidConfigurationException(
+                        "field agreement: this program has no part for it, opalcove.jar has"))
+                .make(
+                        Application.eventLoop(),
+                        config.name(),
+                        config.agreement(),
+                        config.settings(),
+                        System.out::println);
     }
 
     /** The gateway by agreed versions; without any, by its own file and by discovery. On the gateway's event loop. */
-    private static final class Versions implements DiscoveryWatch.Listener {
-        private final Gateway gateway;
-        private AgreedState.Acting acting;
+    private static final class Versions implements DiscoveryClient.Listener {
+        private final RequestDispatcher gateway;
+        private ReplicatedConfig.Acting acting;
 
-        Versions(Gateway gateway) {
+        Versions(RequestDispatcher gateway) {
             this.gateway = gateway;
         }
 
         /** Acts on what is agreed from now on; done once that is known, or after so long that clients are taken without. */
-        Future<Void> follow(Vertx vertx, AgreedState agreed, Supplier<List<Member>> fleet) {
+        Future<Void> follow(Vertx vertx, ReplicatedConfig agreed, Supplier<List<Member>> fleet) {
             gateway.beforeEachAsk(() -> {
-                AgreedState.Acting lapsed = agreed.lapsed();
+                ReplicatedConfig.Acting lapsed = agreed.lapsed();
                 if (lapsed != null && acting != null && !acting.strict()) {
                     act(lapsed);
                 }
@@ -202,7 +218,7 @@
             return known.future();
         }
 
-        private void act(AgreedState.Acting next) {
+        private void act(ReplicatedConfig.Acting next) {
             boolean colder = next.coldSinceMs() > 0 && (acting == null || acting.coldSinceMs() != next.coldSinceMs());
             acting = next;
             gateway.retune(next.settings());
@@ -214,18 +230,18 @@
         }
 
         /** After a power loss the list may be of before: no node counts as started earlier than this gateway. */
-        private List<AppNode> cold(List<AppNode> nodes) {
+        private List<Backend> cold(List<Backend> nodes) {
             if (acting == null || acting.coldSinceMs() == 0) {
                 return nodes;
             }
             return nodes.stream()
-                    .map(node -> new AppNode(node.host().startedSince(acting.coldSinceMs()), node.address()))
+                    .map(node -> new Backend(node.host().startedSince(acting.coldSinceMs()), node.address()))
                     .toList();
         }
 
         /** Discovery's word holds where no agreed version has the list. */
         @Override
-        public void told(boolean whole, List<AppNode> lines, double discoveryNow) {
+        public void told(boolean whole, List<Backend> lines, double discoveryNow) {
             if (acting == null || acting.nodes() == null) {
                 gateway.nodesTold(whole, cold(lines), discoveryNow);
             }
@@ -251,9 +267,13 @@
      * that cannot be used leaves the old one in force, whole.
      */
     private static void reload(
-            Config started, Vertx vertx, DiscoveryWatch discovery, Gateway gateway, Versions versions) {
+            GatewayConfig started,
+            Vertx vertx,
+            DiscoveryClient discovery,
+            RequestDispatcher gateway,
+            Versions versions) {
         try {
-            Config config = Config.read(System.getenv());
+            GatewayConfig config = GatewayConfig.read(System.getenv());
             gateway.metrics().reconfigured(true);
             if (!config.listen().equals(started.listen())) {
                 Logger.warn("a new address to listen at needs a restart: the old one stays");
@@ -270,7 +290,7 @@
                 }
                 discovery.moveTo(config.discovery());
             });
-        } catch (BadSettings | IllegalArgumentException e) {
+        } catch (InvalidConfigurationException | IllegalArgumentException e) {
             gateway.metrics().reconfigured(false);
             Logger.error("the new configuration is refused, the old stays in force: {}", e.getMessage());
         }
@@ -280,16 +300,17 @@
      * What the operators' door sees of the gateway. Until the gateway is wired, the process is starting; afterwards
      * state is read from the door's thread, so what it reads is published here, and what it does goes to the event loop.
      */
-    static final class Door implements Console.Gateway {
-        private volatile Phases.Phase phase = Phases.Phase.STARTING;
+    public static final class AdminCommands implements AdminServer.Gateway {
+        private volatile Lifecycle.Phase phase = Lifecycle.Phase.STARTING;
         private volatile boolean away;
         private Vertx vertx;
-        private Gateway gateway;
-        private RespFront front;
-        private volatile Membership membership;
-        private volatile AgreedState agreed;
+        private RequestDispatcher gateway;
+        private RespServer front;
+        private volatile MembershipService membership;
+        private volatile ReplicatedConfig agreed;
 
-        synchronized void serve(Vertx loop, Gateway wired, RespFront wiredFront, Phases phases) {
+        /** Publishes the gateway once it is wired. */
+        public synchronized void serve(Vertx loop, RequestDispatcher wired, RespServer wiredFront, Lifecycle phases) {
             vertx = loop;
             gateway = wired;
             front = wiredFront;
@@ -301,7 +322,7 @@
 
         @Override
         public String notReady() {
-            if (phase != Phases.Phase.SERVING) {
+            if (phase != Lifecycle.Phase.SERVING) {
                 return phase.word();
             }
             return away ? "clients are sent away" : null;
--- a/gateway/src/main/java/opalcove/platform/Hangups.java
+++ b/gateway/src/main/java/opalcove/server/ReloadSignal.java
@@ -1,4 +1,4 @@
-package opalcove.platform;
+package opalcove.server;
 
 import java.lang.reflect.Proxy;
 import org.tinylog.Logger;
@@ -7,12 +7,12 @@
  * Hears SIGHUP, by which the platform tells that the configuration file was replaced, from its making on. What comes
  * before anybody listens is kept. A listener runs on a thread of its own.
  */
-public final class Hangups {
+public final class ReloadSignal {
     private Runnable listener;
     private boolean heard;
 
     /** Guards the program against its default, which is to end at SIGHUP. */
-    public Hangups() {
+    public ReloadSignal() {
         try {
             // The JDK's module jdk.unsupported has the one way to hear a signal; named directly, it is a warning that
             // cannot be silenced.
--- a/gateway/src/main/java/opalcove/sim/Adapter.java
+++ b/gateway/src/main/java/opalcove/simulator/SimulatorAdapter.java
@@ -1,4 +1,4 @@
-package opalcove.sim;
+package opalcove.simulator;
 
 import com.eclipsesource.json.JsonObject;
 import com.eclipsesource.json.WriterConfig;
@@ -19,41 +19,48 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import opalcove.decision.Admission;
-import opalcove.decision.Policy;
-import opalcove.gateway.BadSettings;
-import opalcove.gateway.Fields;
-import opalcove.gateway.SettingsReader;
+import opalcove.config.InvalidConfigurationException;
+import opalcove.config.JsonFields;
+import opalcove.config.SettingsReader;
+import opalcove.decision.AdmissionController;
+import opalcove.decision.AdmissionRequest;
+import opalcove.decision.AttemptOutcome;
+import opalcove.decision.AttemptStatus;
+import opalcove.decision.DecisionActions;
+import opalcove.decision.DecisionModule;
+import opalcove.decision.Endpoint;
+import opalcove.decision.EndpointState;
+import opalcove.decision.ProbeStatus;
 
 /** The adapter of the bench's wire: reads batches of events, hands them to the modules, writes their actions. */
-public final class Adapter {
-    private static final Map<String, Admission.Result> RESULTS = Map.of(
+public final class SimulatorAdapter {
+    private static final Map<String, AttemptStatus> RESULTS = Map.of(
             "completed",
-            Admission.Result.SERVED,
+            AttemptStatus.SERVED,
             "errored",
-            Admission.Result.ERROR,
+            AttemptStatus.ERROR,
             "saturated",
-            Admission.Result.TURNED_AWAY,
+            AttemptStatus.REJECTED,
             "overdue",
-            Admission.Result.TIMED_OUT,
+            AttemptStatus.TIMED_OUT,
             "refused_conn",
-            Admission.Result.UNREACHABLE,
+            AttemptStatus.UNREACHABLE,
             "severed",
-            Admission.Result.BROKEN,
+            AttemptStatus.BROKEN,
             "recalled",
-            Admission.Result.CANCELLED,
+            AttemptStatus.CANCELLED,
             "superseded",
-            Admission.Result.NOT_SENT);
+            AttemptStatus.NOT_SENT);
 
     private final BufferedReader in;
     private final Writer out;
-    private final Map<Integer, Admission> modules = new HashMap<>();
-    private final Map<Integer, List<Admission.Host>> rosters = new HashMap<>();
+    private final Map<Integer, DecisionModule> modules = new HashMap<>();
+    private final Map<Integer, List<Endpoint>> rosters = new HashMap<>();
     private double now;
     private boolean inBatch;
 
     /** Reads the simulator's batches from the input and writes the replies to the output. */
-    public Adapter(InputStream input, OutputStream output) {
+    public SimulatorAdapter(InputStream input, OutputStream output) {
         in = new BufferedReader(new InputStreamReader(input, StandardCharsets.UTF_8), 1 << 16);
         out = new OutputStreamWriter(output, StandardCharsets.UTF_8);
     }
@@ -61,36 +68,36 @@
     /** Answers batches on standard input and output until the input ends. */
     public static void onStandardStreams() throws IOException {
         try (OutputStream output = new BufferedOutputStream(new FileOutputStream(FileDescriptor.out), 1 << 16)) {
-            new Adapter(new FileInputStream(FileDescriptor.in), output).run();
+            new SimulatorAdapter(new FileInputStream(FileDescriptor.in), output).run();
         }
     }
 
     /** Answers batches until the input ends. */
     public void run() throws IOException {
         for (String line = in.readLine(); line != null; line = in.readLine()) {
-            Fields message = Fields.parse(line);
+            JsonFields message = JsonFields.parse(line);
             message(message.text("verb"), message);
         }
         if (inBatch) {
-            throw new BadSettings("the input ended inside a batch");
+            throw new InvalidConfigurationException("the input ended inside a batch");
         }
     }
 
-    private void message(String verb, Fields m) throws IOException {
+    private void message(String verb, JsonFields m) throws IOException {
         if (verb.equals("Sync")) {
             if (inBatch) {
-                throw new BadSettings("Sync inside a batch");
+                throw new InvalidConfigurationException("Sync inside a batch");
             }
             double time = m.number("time_ms");
             if (time < now) {
-                throw new BadSettings("time_ms goes back");
+                throw new InvalidConfigurationException("time_ms goes back");
             }
             now = time;
             inBatch = true;
             return;
         }
         if (!inBatch) {
-            throw new BadSettings(verb + " outside a batch");
+            throw new InvalidConfigurationException(verb + " outside a batch");
         }
         switch (verb) {
             case "Flush" -> flush();
@@ -103,7 +110,7 @@
                 module(m)
                         .request(
                                 now,
-                                new Admission.Request(
+                                new AdmissionRequest(
                                         m.text("ticket"),
                                         m.text("priority"),
                                         m.text("grade_of_service"),
@@ -121,12 +128,10 @@
                         .probed(
                                 now,
                                 m.text("host"),
-                                m.text("code").equals("completed")
-                                        ? Admission.CallResult.DONE
-                                        : Admission.CallResult.NOT_DONE,
+                                m.text("code").equals("completed") ? ProbeStatus.DONE : ProbeStatus.NOT_DONE,
                                 m.numberOr("latency_ms", 0),
                                 m.row("feedback"));
-            default -> throw new BadSettings("unknown verb " + verb);
+            default -> throw new InvalidConfigurationException("unknown verb " + verb);
         }
     }
 
@@ -145,49 +150,50 @@
         }
     }
 
-    private Admission module(Fields m) {
-        Admission module = modules.get(m.whole("gateway"));
+    private DecisionModule module(JsonFields m) {
+        DecisionModule module = modules.get(m.whole("gateway"));
         if (module == null) {
-            throw new BadSettings(m.text("verb") + " for gateway " + m.whole("gateway") + ", which is not running");
+            throw new InvalidConfigurationException(
+                    m.text("verb") + " for gateway " + m.whole("gateway") + ", which is not running");
         }
         return module;
     }
 
-    private void born(int gateway, Fields m) {
+    private void born(int gateway, JsonFields m) {
         try {
             modules.put(
                     gateway,
-                    new Policy(
+                    new AdmissionController(
                             now, SettingsReader.checked(m.object("facts")), m.serial("rng_seed"), new Wire(gateway)));
         } catch (IllegalArgumentException e) {
-            throw new BadSettings("settings of gateway " + gateway + ": " + e.getMessage());
+            throw new InvalidConfigurationException("settings of gateway " + gateway + ": " + e.getMessage());
         }
     }
 
-    private void announce(Admission module, Fields m) {
+    private void announce(DecisionModule module, JsonFields m) {
         String form = m.text("form");
         if (form.equals("broken")) {
             module.hostsFailed(now);
             return;
         }
         if (!form.equals("whole") && !form.equals("patch") && !form.equals("stale_copy")) {
-            throw new BadSettings("unknown form " + form);
+            throw new InvalidConfigurationException("unknown form " + form);
         }
-        List<Admission.Host> lines = rosters.get(m.whole("ref"));
+        List<Endpoint> lines = rosters.get(m.whole("ref"));
         if (lines == null) {
-            throw new BadSettings("no Roster numbered " + m.whole("ref"));
+            throw new InvalidConfigurationException("no Roster numbered " + m.whole("ref"));
         }
         module.hosts(now, !form.equals("patch"), lines);
     }
 
-    private void outcome(Admission module, Fields m) {
-        Admission.Result result = RESULTS.get(m.text("code"));
+    private void outcome(DecisionModule module, JsonFields m) {
+        AttemptStatus result = RESULTS.get(m.text("code"));
         if (result == null) {
-            throw new BadSettings("unknown code " + m.text("code"));
+            throw new InvalidConfigurationException("unknown code " + m.text("code"));
         }
         module.outcome(
                 now,
-                new Admission.Outcome(
+                new AttemptOutcome(
                         m.text("ticket"),
                         m.text("host"),
                         m.wholeOr("shot", 0),
@@ -199,17 +205,18 @@
                         m.row("feedback")));
     }
 
-    private static List<Admission.Host> roster(List<Fields> lines) {
-        List<Admission.Host> hosts = new ArrayList<>();
-        for (Fields h : lines) {
-            Admission.State state =
+    private static List<Endpoint> roster(List<JsonFields> lines) {
+        List<Endpoint> hosts = new ArrayList<>();
+        for (JsonFields h : lines) {
+            EndpointState state =
                     switch (h.text("stage_state")) {
-                        case "on" -> Admission.State.UP;
-                        case "fading" -> Admission.State.DRAINING;
-                        case "off" -> Admission.State.GONE;
-                        default -> throw new BadSettings("unknown stage_state " + h.text("stage_state"));
+                        case "on" -> EndpointState.UP;
+                        case "fading" -> EndpointState.DRAINING;
+                        case "off" -> EndpointState.REMOVED;
+                        default ->
+                            throw new InvalidConfigurationException("unknown stage_state " + h.text("stage_state"));
                     };
-            hosts.add(new Admission.Host(
+            hosts.add(new Endpoint(
                     h.text("host"),
                     h.textOr("rack_zone", ""),
                     h.textOr("model", ""),
@@ -222,7 +229,7 @@
     }
 
     /** Writes one instance's actions. */
-    private final class Wire implements Admission.Actions {
+    private final class Wire implements DecisionActions {
         private final int gateway;
 
         Wire(int gateway) {
--- a/gateway/src/main/java/opalcove/loop/AcceptLimit.java
+++ b/gateway/src/main/java/opalcove/transport/AcceptLimiter.java
@@ -1,4 +1,4 @@
-package opalcove.loop;
+package opalcove.transport;
 
 import io.netty.channel.Channel;
 import io.netty.channel.ChannelHandlerContext;
@@ -17,7 +17,7 @@
  * <p>Where the system refuses to accept, it is asked again after a wait that grows with each refusal in a row. How long a
  * connection may have waited meanwhile is kept with it. All but {@link #hasRoom} runs on the acceptor's event loop.
  */
-final class AcceptLimit extends ChannelInboundHandlerAdapter {
+final class AcceptLimiter extends ChannelInboundHandlerAdapter {
     /** Since when a connection may have waited to be accepted, on the scale of {@link System#nanoTime}. */
     static final AttributeKey<Long> WAITING_SINCE = AttributeKey.valueOf("opalcove.waiting-since");
 
@@ -30,7 +30,7 @@
     private final int pauseAt;
     private final LongSupplier unreadSince;
     private final Consumer<IOException> whenRefused;
-    private final DescriptorCount connections = new DescriptorCount(this::resume);
+    private final DescriptorCounter connections = new DescriptorCounter(this::resume);
     private volatile boolean paused;
     /** The system has refused to accept, and is not asked yet. */
     private volatile boolean waiting;
@@ -53,12 +53,12 @@
     /** A limit under one look's connections is taken to be as many. */
     @SuppressWarnings(
             "deprecation") // the server channel's own setting; its successor is the allocator, which is shared
-    AcceptLimit(Channel server, int limit, LongSupplier unreadSince, Consumer<IOException> whenRefused) {
+    AcceptLimiter(Channel server, int limit, LongSupplier unreadSince, Consumer<IOException> whenRefused) {
         this.server = server;
         this.unreadSince = unreadSince;
         this.whenRefused = whenRefused;
-        pauseAt = Math.max(1, limit - PatientTransport.ACCEPTS_AT_ONCE + 1);
-        server.config().setMaxMessagesPerRead(PatientTransport.ACCEPTS_AT_ONCE);
+        pauseAt = Math.max(1, limit - CoarseWaitTransport.ACCEPTS_AT_ONCE + 1);
+        server.config().setMaxMessagesPerRead(CoarseWaitTransport.ACCEPTS_AT_ONCE);
     }
 
     /** Whether another look at the listening socket keeps the limit. */
@@ -90,7 +90,7 @@
     public void channelReadComplete(ChannelHandlerContext context) {
         mayWaitBefore = mayWait;
         waitingSinceBefore = waitingSince;
-        boolean emptied = acceptedInLook < PatientTransport.ACCEPTS_AT_ONCE && !paused;
+        boolean emptied = acceptedInLook < CoarseWaitTransport.ACCEPTS_AT_ONCE && !paused;
         acceptedInLook = 0;
         if (emptied) {
             mayWait = false;
--- a/gateway/src/main/java/opalcove/loop/PatientTransport.java
+++ b/gateway/src/main/java/opalcove/transport/CoarseWaitTransport.java
@@ -1,4 +1,4 @@
-package opalcove.loop;
+package opalcove.transport;
 
 import io.netty.bootstrap.ServerBootstrap;
 import io.netty.channel.Channel;
@@ -35,7 +35,7 @@
  * selector again and again until the time has come. Here it rounds up, so that the loop sleeps and a timer comes up to a
  * millisecond late. Guards the processor: on a part of a core those looks were most of all that the loop did.
  */
-public class PatientTransport extends NioTransport {
+public class CoarseWaitTransport extends NioTransport {
     /** Connections that one look at a listening socket may accept. */
     public static final int ACCEPTS_AT_ONCE = 8;
 
@@ -55,15 +55,15 @@
     private volatile Consumer<IOException> whenAcceptRefused =
             refusal -> Logger.warn("a connection cannot be accepted: {}", refusal.getMessage());
 
-    private final Map<ThreadAwareExecutor, SocketPolls> polls = new ConcurrentHashMap<>();
+    private final Map<ThreadAwareExecutor, SocketPoller> polls = new ConcurrentHashMap<>();
 
     @Override
     public IoHandlerFactory ioHandlerFactory() {
         IoHandlerFactory plain = super.ioHandlerFactory();
         return executor -> {
-            SocketPolls loop = new SocketPolls();
+            SocketPoller loop = new SocketPoller();
             polls.put(executor, loop);
-            return new Patient(handler(plain, executor), loop);
+            return new CoarseWaitHandler(handler(plain, executor), loop);
         };
     }
 
@@ -73,7 +73,7 @@
      * taken to be always up to date.
      */
     public static LongSupplier readUpTo(Vertx vertx) {
-        SocketPolls polls = polls(vertx);
+        SocketPoller polls = polls(vertx);
         return polls == null ? System::nanoTime : polls::readUpTo;
     }
 
@@ -83,7 +83,7 @@
      * to have come just now.
      */
     public static LongSupplier unreadSince(Vertx vertx) {
-        SocketPolls polls = polls(vertx);
+        SocketPoller polls = polls(vertx);
         return polls == null ? System::nanoTime : polls::unreadSince;
     }
 
@@ -92,21 +92,21 @@
      * that is not known.
      */
     public static long waitingSince(Vertx vertx, AttributeMap connection) {
-        Long since = connection.attr(AcceptLimit.WAITING_SINCE).get();
-        SocketPolls polls = polls(vertx);
+        Long since = connection.attr(AcceptLimiter.WAITING_SINCE).get();
+        SocketPoller polls = polls(vertx);
         return since == null ? System.nanoTime() : polls == null ? since : polls.cameSince(since);
     }
 
     /** Has this told each time that the system refuses to accept a connection, on the acceptor's thread. */
     public static void whenAcceptRefused(Vertx vertx, Consumer<IOException> action) {
-        if (((VertxInternal) vertx).transport() instanceof PatientTransport transport) {
+        if (((VertxInternal) vertx).transport() instanceof CoarseWaitTransport transport) {
             transport.whenAcceptRefused = action;
         }
     }
 
-    private static SocketPolls polls(Vertx vertx) {
+    private static SocketPoller polls(Vertx vertx) {
         EventLoop loop = ((ContextInternal) vertx.getOrCreateContext()).nettyEventLoop();
-        return ((VertxInternal) vertx).transport() instanceof PatientTransport transport
+        return ((VertxInternal) vertx).transport() instanceof CoarseWaitTransport transport
                 ? transport.polls.get(loop)
                 : null;
     }
@@ -127,9 +127,9 @@
         bootstrap.handler(new ChannelInitializer<>() {
             @Override
             protected void initChannel(Channel server) {
-                SocketPolls acceptor = polls.get(server.eventLoop());
+                SocketPoller acceptor = polls.get(server.eventLoop());
                 server.pipeline()
-                        .addLast(new AcceptLimit(
+                        .addLast(new AcceptLimiter(
                                 server,
                                 mostAccepted,
                                 acceptor == null ? System::nanoTime : acceptor::unreadSince,
@@ -147,7 +147,7 @@
      * in the kernel's backlog. Does nothing where the Vert.x instance is not on this transport.
      */
     public static void limitAccepted(Vertx vertx, int most) {
-        if (((VertxInternal) vertx).transport() instanceof PatientTransport transport) {
+        if (((VertxInternal) vertx).transport() instanceof CoarseWaitTransport transport) {
             transport.mostAccepted = most;
         }
     }
@@ -159,7 +159,7 @@
      * there; gives false, and does nothing, where the Vert.x instance is not on this transport.
      */
     public static boolean stopListening(Vertx vertx, Runnable then) {
-        if (!(((VertxInternal) vertx).transport() instanceof PatientTransport transport)) {
+        if (!(((VertxInternal) vertx).transport() instanceof CoarseWaitTransport transport)) {
             return false;
         }
         Context context = vertx.getOrCreateContext();
@@ -180,7 +180,7 @@
 
     /** Accepts what the kernel holds, as far as the limit lets it, and closes the listening socket. */
     private static void takeBacklog(Channel server, int waits, Runnable last) {
-        AcceptLimit limit = server.pipeline().get(AcceptLimit.class);
+        AcceptLimiter limit = server.pipeline().get(AcceptLimiter.class);
         if (server.unsafe() instanceof AbstractNioChannel.NioUnsafe nio && limit != null) {
             for (int take = 0; take < MOST_TAKES && limit.hasRoom(); take++) {
                 nio.read();
@@ -202,10 +202,10 @@
      * Hands its loop's handler a context in which what is to be waited for is a little further away, and marks when the
      * sockets are asked and read.
      */
-    private static final class Patient extends AroundHandler {
-        private final SocketPolls polls;
+    private static final class CoarseWaitHandler extends DelegatingIoHandler {
+        private final SocketPoller polls;
 
-        Patient(IoHandler handler, SocketPolls polls) {
+        CoarseWaitHandler(IoHandler handler, SocketPoller polls) {
             super(handler);
             this.polls = polls;
         }
--- a/gateway/src/main/java/opalcove/loop/AroundHandler.java
+++ b/gateway/src/main/java/opalcove/transport/DelegatingIoHandler.java
@@ -1,4 +1,4 @@
-package opalcove.loop;
+package opalcove.transport;
 
 import io.netty.channel.IoHandle;
 import io.netty.channel.IoHandler;
@@ -9,11 +9,11 @@
  * A loop's handler around another, and the loop's context around its own: all goes on, either way, that a subclass does not
  * change. It is the context itself, so that a look at the sockets allocates nothing.
  */
-public abstract class AroundHandler implements IoHandler, IoHandlerContext {
+public abstract class DelegatingIoHandler implements IoHandler, IoHandlerContext {
     private final IoHandler handler;
     private IoHandlerContext loop;
 
-    protected AroundHandler(IoHandler handler) {
+    protected DelegatingIoHandler(IoHandler handler) {
         this.handler = handler;
     }
 
--- a/gateway/src/main/java/opalcove/loop/DescriptorCount.java
+++ b/gateway/src/main/java/opalcove/transport/DescriptorCounter.java
@@ -1,4 +1,4 @@
-package opalcove.loop;
+package opalcove.transport;
 
 import io.netty.util.concurrent.EventExecutor;
 import io.vertx.core.Vertx;
@@ -11,18 +11,18 @@
  * only at its next look, so a close counts here once the channel's event loop has looked again. Guards the process's
  * limit against many sockets that are closed and replaced within one turn of the event loop. Safe on any thread.
  */
-public final class DescriptorCount {
+public final class DescriptorCounter {
     private final AtomicInteger held = new AtomicInteger();
     private final AtomicInteger closed = new AtomicInteger();
     private final Runnable whenFreed;
 
     /** Does nothing when descriptors are given back. */
-    public DescriptorCount() {
+    public DescriptorCounter() {
         this(() -> {});
     }
 
     /** Runs the action each time that descriptors were given back, on the event loop that has closed them. */
-    public DescriptorCount(Runnable whenFreed) {
+    public DescriptorCounter(Runnable whenFreed) {
         this.whenFreed = whenFreed;
     }
 
--- a/gateway/src/main/java/opalcove/loop/LibraryLogs.java
+++ b/gateway/src/main/java/opalcove/transport/LibraryLogging.java
@@ -1,4 +1,4 @@
-package opalcove.loop;
+package opalcove.transport;
 
 import io.netty.util.internal.logging.AbstractInternalLogger;
 import io.netty.util.internal.logging.InternalLogger;
@@ -12,10 +12,10 @@
  * logging library, which ends at java.util.logging: its classes are needed for nothing else, and its lines have another
  * form than the program's.
  */
-public final class LibraryLogs {
+public final class LibraryLogging {
     private static final String VERTX_FACTORY = "vertx.logger-delegate-factory-class-name";
 
-    private LibraryLogs() {}
+    private LibraryLogging() {}
 
     /** Has to be called before a class of Vert.x or Netty is loaded that logs; a factory that is set already stays. */
     public static void install() {
--- a/gateway/src/main/java/opalcove/loop/SocketPolls.java
+++ b/gateway/src/main/java/opalcove/transport/SocketPoller.java
@@ -1,4 +1,4 @@
-package opalcove.loop;
+package opalcove.transport;
 
 import java.util.concurrent.TimeUnit;
 
@@ -14,7 +14,7 @@
  * ended the sleep; but not where the sleep, or the turn before it, lasted longer than it should have: then the process stood still for a while, and
  * what is read may have come at any time since. A process that stands still for less than is left of its sleep does not see it.
  */
-final class SocketPolls {
+final class SocketPoller {
     /** A shorter wait for sockets is no sleep: something was there already. */
     private static final long SLEPT_NS = TimeUnit.MILLISECONDS.toNanos(1);
     /** A sleep that lasted so much longer than it should have shows that the process stood still. */
--- a/gateway/src/test/java/opalcove/Leaks.java
+++ b/gateway/src/test/java/opalcove/LeakCounter.java
@@ -7,15 +7,15 @@
  * Netty's leak detector, at its strictest in the tests (see the parent pom), which counts what it reports. A buffer that
  * was let go of without a release is reported once it is collected and another one is made.
  */
-public final class Leaks<T> extends ResourceLeakDetector<T> {
+public final class LeakCounter<T> extends ResourceLeakDetector<T> {
     private static final AtomicInteger REPORTED = new AtomicInteger();
 
-    public Leaks(Class<?> resource, int samplingInterval) {
+    public LeakCounter(Class<?> resource, int samplingInterval) {
         super(resource, samplingInterval);
     }
 
     /** Netty's factory looks for this one, too. */
-    public Leaks(Class<?> resource, int samplingInterval, long maxActive) {
+    public LeakCounter(Class<?> resource, int samplingInterval, long maxActive) {
         super(resource, samplingInterval);
     }
 
--- a/gateway/src/test/java/opalcove/platform/AdminRepliesTest.java
+++ b/gateway/src/test/java/opalcove/admin/AdminRepliesTest.java
@@ -1,4 +1,4 @@
-package opalcove.platform;
+package opalcove.admin;
 
 import static org.testng.Assert.assertEquals;
 
@@ -7,13 +7,16 @@
 import java.nio.charset.StandardCharsets;
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.TimeUnit;
-import opalcove.Facts;
-import opalcove.gateway.Clock;
-import opalcove.gateway.Endpoint;
-import opalcove.gateway.Gateway;
-import opalcove.gateway.LinkPool;
-import opalcove.gateway.Phases;
-import opalcove.gateway.Program;
+import opalcove.TestSettings;
+import opalcove.backend.ConnectionPool;
+import opalcove.config.Clock;
+import opalcove.config.HostAndPort;
+import opalcove.core.RequestDispatcher;
+import opalcove.lifecycle.Application;
+import opalcove.lifecycle.Lifecycle;
+import opalcove.resp.RespConnector;
+import opalcove.resp.RespServer;
+import opalcove.server.GatewayServer;
 import org.testng.annotations.AfterMethod;
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
@@ -22,16 +25,16 @@
 public class AdminRepliesTest {
     private static final int PATIENCE_S = 20;
 
-    private final Serve.Door door = new Serve.Door();
-    private final Phases phases = new Phases();
+    private final GatewayServer.AdminCommands door = new GatewayServer.AdminCommands();
+    private final Lifecycle phases = new Lifecycle();
     private Vertx vertx;
     private int port;
 
     @BeforeMethod
     public void open() throws Exception {
-        vertx = Program.eventLoop();
-        port = new Console(vertx, door)
-                .listen(new Endpoint("127.0.0.1", 0))
+        vertx = Application.eventLoop();
+        port = new AdminServer(vertx, door)
+                .listen(new HostAndPort("127.0.0.1", 0))
                 .toCompletionStage()
                 .toCompletableFuture()
                 .get(PATIENCE_S, TimeUnit.SECONDS);
@@ -46,9 +49,10 @@
     private void wire() throws Exception {
         CompletableFuture<Void> wired = new CompletableFuture<>();
         vertx.runOnContext(start -> {
-            LinkPool links = new LinkPool(vertx, Facts.settings(), new RespDialler(vertx, Facts.settings()), 64);
-            Gateway gateway = new Gateway(vertx, new Clock(), Facts.settings(), 1, links);
-            door.serve(vertx, gateway, new RespFront(vertx, gateway, phases, 64), phases);
+            ConnectionPool links = new ConnectionPool(
+                    vertx, TestSettings.settings(), new RespConnector(vertx, TestSettings.settings()), 64);
+            RequestDispatcher gateway = new RequestDispatcher(vertx, new Clock(), TestSettings.settings(), 1, links);
+            door.serve(vertx, gateway, new RespServer(vertx, gateway, phases, 64), phases);
             wired.complete(null);
         });
         wired.get(PATIENCE_S, TimeUnit.SECONDS);
@@ -62,18 +66,18 @@
         assertEquals(exchange("MEMBERS"), "-ERR membership is off\n");
         wire();
         assertEquals(exchange("READY"), "-ERR not ready: starting\n");
-        phases.enter(Phases.Phase.SERVING);
+        phases.enter(Lifecycle.Phase.SERVING);
         assertEquals(exchange("READY"), "+OK ready\n");
         assertEquals(exchange("  ready \r"), "+OK ready\n");
         assertEquals(exchange("DRAIN"), "+OK draining\n");
         assertEquals(exchange("READY"), "-ERR not ready: clients are sent away\n");
         assertEquals(exchange("UNDRAIN"), "+OK taking clients\n");
         assertEquals(exchange("READY"), "+OK ready\n");
-        phases.enter(Phases.Phase.LEAVING);
+        phases.enter(Lifecycle.Phase.LEAVING);
         assertEquals(exchange("READY"), "-ERR not ready: leaving\n");
-        phases.enter(Phases.Phase.DRAINING);
+        phases.enter(Lifecycle.Phase.DRAINING);
         assertEquals(exchange("READY"), "-ERR not ready: draining\n");
-        phases.enter(Phases.Phase.STOPPED);
+        phases.enter(Lifecycle.Phase.STOPPED);
         assertEquals(exchange("READY"), "-ERR not ready: stopped\n");
         assertEquals(exchange("REBOOT"), "-ERR unknown call 'REBOOT'; calls are READY, STATS, DRAIN and UNDRAIN\n");
         assertEquals(exchange(""), "-ERR unknown call ''; calls are READY, STATS, DRAIN and UNDRAIN\n");
@@ -120,7 +124,7 @@
 
     @Test
     public void membersOfAGatewayThatTalksToOthers() throws Exception {
-        Console.Gateway talking = new Console.Gateway() {
+        AdminServer.Gateway talking = new AdminServer.Gateway() {
             @Override
             public String notReady() {
                 return null;
@@ -139,8 +143,8 @@
             @Override
             public void sendAway(boolean away) {}
         };
-        port = new Console(vertx, talking)
-                .listen(new Endpoint("127.0.0.1", 0))
+        port = new AdminServer(vertx, talking)
+                .listen(new HostAndPort("127.0.0.1", 0))
                 .toCompletionStage()
                 .toCompletableFuture()
                 .get(PATIENCE_S, TimeUnit.SECONDS);
--- a/gateway/src/test/java/opalcove/platform/ConsoleTest.java
+++ b/gateway/src/test/java/opalcove/admin/AdminServerTest.java
@@ -1,4 +1,4 @@
-package opalcove.platform;
+package opalcove.admin;
 
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertTrue;
@@ -12,14 +12,14 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.concurrent.TimeUnit;
-import opalcove.gateway.Endpoint;
-import opalcove.gateway.Metrics;
+import opalcove.config.HostAndPort;
+import opalcove.metrics.Metrics;
 import org.testng.annotations.AfterClass;
 import org.testng.annotations.BeforeClass;
 import org.testng.annotations.Test;
 
 /** The operators' door, by the bytes that go to it and come back. */
-public class ConsoleTest {
+public class AdminServerTest {
     private final Metrics metrics = new Metrics();
     private final List<Boolean> told = new ArrayList<>();
     private volatile String notReady = "starting";
@@ -29,7 +29,7 @@
     @BeforeClass
     public void open() throws Exception {
         vertx = Vertx.vertx();
-        Console console = new Console(vertx, new Console.Gateway() {
+        AdminServer console = new AdminServer(vertx, new AdminServer.Gateway() {
             @Override
             public String notReady() {
                 return notReady;
@@ -47,7 +47,7 @@
                 }
             }
         });
-        port = console.listen(new Endpoint("127.0.0.1", 0))
+        port = console.listen(new HostAndPort("127.0.0.1", 0))
                 .toCompletionStage()
                 .toCompletableFuture()
                 .get(10, TimeUnit.SECONDS);
--- a/gateway/src/test/java/opalcove/gateway/LinkRoomTest.java
+++ b/gateway/src/test/java/opalcove/backend/ConnectionPoolCapacityTest.java
@@ -1,4 +1,4 @@
-package opalcove.gateway;
+package opalcove.backend;
 
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertTrue;
@@ -10,26 +10,32 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.TimeUnit;
 import java.util.function.Supplier;
-import opalcove.Facts;
-import opalcove.decision.Admission;
+import opalcove.TestSettings;
+import opalcove.config.Backend;
+import opalcove.core.AttemptResult;
+import opalcove.core.Request;
+import opalcove.decision.AttemptStatus;
+import opalcove.decision.Endpoint;
+import opalcove.decision.EndpointState;
+import opalcove.lifecycle.Application;
 import org.testng.annotations.Test;
 
 /** A pool of links that may open no more: lines at rest to one node give way to another node. */
-public class LinkRoomTest {
+public class ConnectionPoolCapacityTest {
     private static final int MOST = 8;
 
-    private final Vertx vertx = Program.eventLoop();
+    private final Vertx vertx = Application.eventLoop();
     private final List<FakeLine> lines = new ArrayList<>();
 
     @Test
     public void linesAtRestGiveWayToANewNode() throws Exception {
         try {
-            LinkPool pool = onLoop(() -> new LinkPool(vertx, Facts.settings(), this::dial, MOST));
+            ConnectionPool pool = onLoop(() -> new ConnectionPool(vertx, TestSettings.settings(), this::dial, MOST));
             onLoop(() -> {
                 for (int i = 0; i < MOST; i++) {
                     attempt(pool, "first", new ArrayList<>());
                 }
-                lines.forEach(line -> line.user.replied(NodeEnd.silent(Admission.Result.TURNED_AWAY)));
+                lines.forEach(line -> line.user.replied(AttemptResult.silent(AttemptStatus.REJECTED)));
                 return null;
             });
             long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(20);
@@ -40,7 +46,7 @@
             assertEquals(onLoop(pool::open), Integer.valueOf(MOST - 1));
             for (int i = 0; i < MOST; i++) {
                 descriptorsFreed();
-                List<NodeEnd> ends = new ArrayList<>();
+                List<AttemptResult> ends = new ArrayList<>();
                 String node = "new-" + i;
                 assertTrue(onLoop(() -> attempt(pool, node, ends)), "dialled: " + node);
                 assertEquals(ends, List.of());
@@ -51,10 +57,10 @@
     }
 
     /** Makes an attempt, tells whether a line was dialled for it. */
-    private boolean attempt(LinkPool pool, String name, List<NodeEnd> ends) {
+    private boolean attempt(ConnectionPool pool, String name, List<AttemptResult> ends) {
         int before = lines.size();
-        AppNode node = new AppNode(new Admission.Host(name, "room-a", "app", 0, Admission.State.UP, 1, 0), name);
-        Ask ask = new Ask("id", "operator", "slot-status", "start", 1, 4000, null, false, 1, 0, null);
+        Backend node = new Backend(new Endpoint(name, "room-a", "app", 0, EndpointState.UP, 1, 0), name);
+        Request ask = new Request("id", "operator", "slot-status", "start", 1, 4000, null, false, 1, 0, null);
         pool.attempt(node, ask, 4000, ends::add);
         return lines.size() > before;
     }
@@ -66,7 +72,7 @@
         freed.get(20, TimeUnit.SECONDS);
     }
 
-    private Future<LinkPool.Line> dial(String address) {
+    private Future<ConnectionPool.BackendConnection> dial(String address) {
         FakeLine line = new FakeLine();
         lines.add(line);
         return Future.succeededFuture(line);
@@ -85,7 +91,7 @@
     }
 
     /** A line that takes everything and answers what the test says. */
-    private static final class FakeLine implements LinkPool.Line {
+    private static final class FakeLine implements ConnectionPool.BackendConnection {
         private User user;
 
         @Override
@@ -94,7 +100,7 @@
         }
 
         @Override
-        public void send(Ask ask, double waitMs) {}
+        public void send(Request ask, double waitMs) {}
 
         @Override
         public void close() {
--- a/gateway/src/test/java/opalcove/gateway/LocalConnectFailureTest.java
+++ b/gateway/src/test/java/opalcove/backend/LocalConnectFailureTest.java
@@ -1,4 +1,4 @@
-package opalcove.gateway;
+package opalcove.backend;
 
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertTrue;
@@ -15,8 +15,12 @@
 import java.util.concurrent.BlockingQueue;
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
-import opalcove.Facts;
-import opalcove.decision.Admission;
+import opalcove.TestSettings;
+import opalcove.config.Backend;
+import opalcove.core.Request;
+import opalcove.decision.AttemptStatus;
+import opalcove.decision.Endpoint;
+import opalcove.decision.EndpointState;
 import org.testng.annotations.AfterMethod;
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
@@ -24,13 +28,14 @@
 /** A connection that this machine has no room for is tried again, and is no fault of the node's. */
 public class LocalConnectFailureTest {
     private static final int PATIENCE_S = 20;
-    private static final AppNode NODE =
-            new AppNode(new Admission.Host("n1", "room-a", "app", 0, Admission.State.UP, 1, 0), "n1");
-    private static final Ask ASK = new Ask("id", "operator", "slot-status", "start", 1, 4000, null, false, 1, 0, null);
+    private static final Backend NODE =
+            new Backend(new Endpoint("n1", "room-a", "app", 0, EndpointState.UP, 1, 0), "n1");
+    private static final Request ASK =
+            new Request("id", "operator", "slot-status", "start", 1, 4000, null, false, 1, 0, null);
 
     private final Deque<Throwable> failures = new ArrayDeque<>();
     private final BlockingQueue<String> sent = new LinkedBlockingQueue<>();
-    private final BlockingQueue<Admission.Result> ends = new LinkedBlockingQueue<>();
+    private final BlockingQueue<AttemptStatus> ends = new LinkedBlockingQueue<>();
     private final List<Throwable> told = new ArrayList<>();
     private Vertx vertx;
 
@@ -50,13 +55,13 @@
 
     private void attempt(int most) {
         vertx.runOnContext(run -> {
-            LinkPool pool = new LinkPool(vertx, Facts.settings(), this::dial, most);
+            ConnectionPool pool = new ConnectionPool(vertx, TestSettings.settings(), this::dial, most);
             pool.whenConnectFailsHere(told::add);
             pool.attempt(NODE, ASK, 4000, end -> ends.add(end.result()));
         });
     }
 
-    private Future<LinkPool.Line> dial(String address) {
+    private Future<ConnectionPool.BackendConnection> dial(String address) {
         Throwable failure = failures.poll();
         return failure == null ? Future.succeededFuture(new SilentLine()) : Future.failedFuture(failure);
     }
@@ -78,32 +83,32 @@
             failures.add(new ConnectException("Network is unreachable"));
         }
         attempt(8);
-        assertEquals(ends.poll(PATIENCE_S, TimeUnit.SECONDS), Admission.Result.NOT_SENT);
+        assertEquals(ends.poll(PATIENCE_S, TimeUnit.SECONDS), AttemptStatus.NOT_SENT);
         assertTrue(sent.isEmpty());
     }
 
     @Test
     public void aFullPoolIsNoFaultOfTheNodes() throws Exception {
         attempt(0);
-        assertEquals(ends.poll(PATIENCE_S, TimeUnit.SECONDS), Admission.Result.NOT_SENT);
+        assertEquals(ends.poll(PATIENCE_S, TimeUnit.SECONDS), AttemptStatus.NOT_SENT);
     }
 
     @Test
     public void aNodeThatRefusesIsNotReached() throws Exception {
         failures.add(new ConnectException("Connection refused: /127.0.0.1:1"));
         attempt(8);
-        assertEquals(ends.poll(PATIENCE_S, TimeUnit.SECONDS), Admission.Result.UNREACHABLE);
+        assertEquals(ends.poll(PATIENCE_S, TimeUnit.SECONDS), AttemptStatus.UNREACHABLE);
     }
 
     /** A line that takes everything and answers nothing. */
-    private final class SilentLine implements LinkPool.Line {
+    private final class SilentLine implements ConnectionPool.BackendConnection {
         @Override
         public void attach(User attached) {
             // Nothing comes of it.
         }
 
         @Override
-        public void send(Ask ask, double waitMs) {
+        public void send(Request ask, double waitMs) {
             sent.add(ask.id());
         }
 
--- a/gateway/src/test/java/opalcove/cluster/DatagramFormTest.java
+++ b/gateway/src/test/java/opalcove/cluster/DatagramFormTest.java
@@ -4,9 +4,9 @@
 
 import java.nio.charset.StandardCharsets;
 import java.util.List;
+import opalcove.membership.GossipEntry;
 import opalcove.membership.Member;
-import opalcove.membership.Message;
-import opalcove.membership.Word;
+import opalcove.membership.SwimMessage;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
@@ -17,40 +17,41 @@
 
     @DataProvider
     public Object[][] forms() {
-        Word accused = new Word(new Member("g3", "127.0.0.1:7003", 3, Member.State.SUSPECT), "g4");
-        Word gone = new Word(new Member("g5", "127.0.0.1:7005", 5, Member.State.DEAD), "");
-        Word left = new Word(new Member("g6", "127.0.0.1:7006", 1_790_000_000_006L, Member.State.LEFT), "");
-        Word self = new Word(SENDER, "");
+        GossipEntry accused = new GossipEntry(new Member("g3", "127.0.0.1:7003", 3, Member.State.SUSPECT), "g4");
+        GossipEntry gone = new GossipEntry(new Member("g5", "127.0.0.1:7005", 5, Member.State.DEAD), "");
+        GossipEntry left =
+                new GossipEntry(new Member("g6", "127.0.0.1:7006", 1_790_000_000_006L, Member.State.LEFT), "");
+        GossipEntry self = new GossipEntry(SENDER, "");
         return new Object[][] {
             {
-                new Message(Message.Kind.PING, SENDER, 1, "g2", "", List.of()),
+                new SwimMessage(SwimMessage.Kind.PING, SENDER, 1, "g2", "", List.of()),
                 "{\"f\":" + SENDER_FORM + ",\"k\":\"PING\",\"s\":1,\"t\":\"g2\",\"w\":[]}"
             },
             {
-                new Message(Message.Kind.ACK, SENDER, 2, "g1", "", List.of(accused)),
+                new SwimMessage(SwimMessage.Kind.ACK, SENDER, 2, "g1", "", List.of(accused)),
                 "{\"f\":" + SENDER_FORM + ",\"k\":\"ACK\",\"s\":2,\"t\":\"g1\",\"w\":["
                         + "{\"n\":\"g3\",\"a\":\"127.0.0.1:7003\",\"i\":3,\"s\":\"SUSPECT\",\"b\":\"g4\"}]}"
             },
             {
-                new Message(Message.Kind.PING_REQ, SENDER, 3, "g3", "127.0.0.1:7003", List.of(gone)),
+                new SwimMessage(SwimMessage.Kind.PING_REQ, SENDER, 3, "g3", "127.0.0.1:7003", List.of(gone)),
                 "{\"f\":" + SENDER_FORM + ",\"k\":\"PING_REQ\",\"s\":3,\"t\":\"g3\",\"a\":\"127.0.0.1:7003\",\"w\":["
                         + "{\"n\":\"g5\",\"a\":\"127.0.0.1:7005\",\"i\":5,\"s\":\"DEAD\"}]}"
             },
             {
-                new Message(Message.Kind.NACK, SENDER, 4, "g3", "", List.of()),
+                new SwimMessage(SwimMessage.Kind.NACK, SENDER, 4, "g3", "", List.of()),
                 "{\"f\":" + SENDER_FORM + ",\"k\":\"NACK\",\"s\":4,\"t\":\"g3\",\"w\":[]}"
             },
             {
-                new Message(Message.Kind.SYNC, SENDER, 0, "", "", List.of(self, left)),
+                new SwimMessage(SwimMessage.Kind.SYNC, SENDER, 0, "", "", List.of(self, left)),
                 "{\"f\":" + SENDER_FORM + ",\"k\":\"SYNC\",\"s\":0,\"w\":[" + SENDER_FORM
                         + ",{\"n\":\"g6\",\"a\":\"127.0.0.1:7006\",\"i\":1790000000006,\"s\":\"LEFT\"}]}"
             },
             {
-                new Message(Message.Kind.SYNC_ACK, SENDER, 5, "", "", List.of(self)),
+                new SwimMessage(SwimMessage.Kind.SYNC_ACK, SENDER, 5, "", "", List.of(self)),
                 "{\"f\":" + SENDER_FORM + ",\"k\":\"SYNC_ACK\",\"s\":5,\"w\":[" + SENDER_FORM + "]}"
             },
             {
-                new Message(Message.Kind.GOSSIP, SENDER, 0, "", "", List.of(accused, gone)),
+                new SwimMessage(SwimMessage.Kind.GOSSIP, SENDER, 0, "", "", List.of(accused, gone)),
                 "{\"f\":" + SENDER_FORM + ",\"k\":\"GOSSIP\",\"s\":0,\"w\":["
                         + "{\"n\":\"g3\",\"a\":\"127.0.0.1:7003\",\"i\":3,\"s\":\"SUSPECT\",\"b\":\"g4\"},"
                         + "{\"n\":\"g5\",\"a\":\"127.0.0.1:7005\",\"i\":5,\"s\":\"DEAD\"}]}"
@@ -59,14 +60,14 @@
     }
 
     @Test(dataProvider = "forms")
-    public void eachKindIsWrittenAndReadInItsForm(Message message, String form) {
-        assertEquals(new String(Datagrams.write(message), StandardCharsets.UTF_8), form);
-        assertEquals(Datagrams.read(form.getBytes(StandardCharsets.UTF_8)), message);
+    public void eachKindIsWrittenAndReadInItsForm(SwimMessage message, String form) {
+        assertEquals(new String(MembershipCodec.write(message), StandardCharsets.UTF_8), form);
+        assertEquals(MembershipCodec.read(form.getBytes(StandardCharsets.UTF_8)), message);
     }
 
     @Test
     public void theFormsAreOfAllKindsAndStates() {
-        assertEquals(forms().length, Message.Kind.values().length);
+        assertEquals(forms().length, SwimMessage.Kind.values().length);
         assertEquals(Member.State.values().length, 4);
     }
 }
--- a/gateway/src/test/java/opalcove/cluster/MembershipOutputTest.java
+++ b/gateway/src/test/java/opalcove/cluster/MembershipOutputTest.java
@@ -12,10 +12,10 @@
 import java.util.concurrent.CopyOnWriteArrayList;
 import java.util.concurrent.TimeUnit;
 import java.util.function.BooleanSupplier;
-import opalcove.gateway.Fields;
+import opalcove.config.JsonFields;
+import opalcove.membership.GossipEntry;
 import opalcove.membership.Member;
-import opalcove.membership.Message;
-import opalcove.membership.Word;
+import opalcove.membership.SwimMessage;
 import org.testng.annotations.Test;
 
 /** What a member shows to the outside: the reply to MEMBERS, its figures and its events. */
@@ -48,8 +48,8 @@
         }
     }
 
-    private static Word word(String name, Member.State state) {
-        return new Word(new Member(name, "127.0.0.1:9", 5, state), state == Member.State.SUSPECT ? "g2" : "");
+    private static GossipEntry word(String name, Member.State state) {
+        return new GossipEntry(new Member(name, "127.0.0.1:9", 5, state), state == Member.State.SUSPECT ? "g2" : "");
     }
 
     @Test
@@ -59,10 +59,10 @@
             Member second = new Member("g2", "127.0.0.1:" + peer.getLocalPort(), 4, Member.State.ALIVE);
             List<String> events = new CopyOnWriteArrayList<>();
             // Periods so long that nothing is judged by time before the test has seen it.
-            Membership membership = new Membership(
+            MembershipService membership = new MembershipService(
                     vertx,
                     "g1",
-                    MembershipSettings.read(Fields.parse(
+                    MembershipConfig.read(JsonFields.parse(
                             "{\"listen\":\"127.0.0.1:0\",\"seeds\":[],\"probe_ms\":5000,\"events\":true}")),
                     List.of(second),
                     events::add);
@@ -108,8 +108,8 @@
         }
     }
 
-    private static void send(DatagramSocket peer, int port, Member from, Word... words) throws Exception {
-        byte[] bytes = Datagrams.write(new Message(Message.Kind.GOSSIP, from, 0, "", "", List.of(words)));
+    private static void send(DatagramSocket peer, int port, Member from, GossipEntry... words) throws Exception {
+        byte[] bytes = MembershipCodec.write(new SwimMessage(SwimMessage.Kind.GOSSIP, from, 0, "", "", List.of(words)));
         peer.send(new DatagramPacket(bytes, bytes.length, LOOPBACK, port));
     }
 
--- a/gateway/src/test/java/opalcove/gateway/OutsideTextsTest.java
+++ b/gateway/src/test/java/opalcove/config/OutsideTextsTest.java
@@ -1,4 +1,4 @@
-package opalcove.gateway;
+package opalcove.config;
 
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertTrue;
@@ -12,8 +12,21 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.TimeUnit;
 import java.util.function.Supplier;
-import opalcove.Facts;
-import opalcove.decision.Admission;
+import opalcove.TestSettings;
+import opalcove.core.InvalidRequestException;
+import opalcove.core.NoOpBackendTransport;
+import opalcove.core.Request;
+import opalcove.core.RequestDispatcher;
+import opalcove.core.RequestParameters;
+import opalcove.core.RequestValidator;
+import opalcove.core.Response;
+import opalcove.decision.DecisionSettings;
+import opalcove.decision.DeduplicationScope;
+import opalcove.decision.Endpoint;
+import opalcove.decision.EndpointState;
+import opalcove.decision.Idempotency;
+import opalcove.decision.LoadMetric;
+import opalcove.decision.LoadReportSource;
 import org.testng.annotations.Test;
 
 /** Texts that clients, operators and stored lists hold: words of settings, reasons of errors, the endpoint list. */
@@ -21,33 +34,34 @@
     private static final String ID = "00000000000000a1";
     private static final String OPERATOR = "00000000000000b2";
 
-    private static Admission.RequestClass firstClass(String before, String after) {
-        assertTrue(Facts.JSON.contains(before), before);
-        return SettingsReader.checked(Fields.parse(Facts.JSON.replaceFirst(before, after)))
+    private static DecisionSettings.RequestClass firstClass(String before, String after) {
+        assertTrue(TestSettings.JSON.contains(before), before);
+        return SettingsReader.checked(JsonFields.parse(TestSettings.JSON.replaceFirst(before, after)))
                 .classes()
                 .get(0);
     }
 
     @Test
     public void idempotencyHasThreeWordsInAnyCase() {
-        List<Admission.Effect> read = new ArrayList<>();
+        List<Idempotency> read = new ArrayList<>();
         for (String word : List.of("safe", "keyed", "unsafe", "SAFE", "Keyed", "uNsAfE")) {
             read.add(firstClass("\"idempotency\":\"safe\"", "\"idempotency\":\"" + word + "\"")
                     .effect());
         }
-        List<Admission.Effect> three = List.of(Admission.Effect.SAFE, Admission.Effect.KEYED, Admission.Effect.UNSAFE);
+        List<Idempotency> three = List.of(Idempotency.SAFE, Idempotency.KEYED, Idempotency.UNSAFE);
         assertEquals(read.subList(0, 3), three);
         assertEquals(read.subList(3, 6), three);
     }
 
     @Test
     public void groupHasThreeWordsInAnyCase() {
-        List<Admission.Reach> read = new ArrayList<>();
+        List<DeduplicationScope> read = new ArrayList<>();
         for (String word : List.of("all", "zone", "cell", "ALL", "Zone", "cELL")) {
             read.add(firstClass("\"group\":\"all\"", "\"group\":\"" + word + "\"")
                     .reach());
         }
-        List<Admission.Reach> three = List.of(Admission.Reach.ALL, Admission.Reach.ZONE, Admission.Reach.CELL);
+        List<DeduplicationScope> three =
+                List.of(DeduplicationScope.ALL, DeduplicationScope.ZONE, DeduplicationScope.CELL);
         assertEquals(read.subList(0, 3), three);
         assertEquals(read.subList(3, 6), three);
     }
@@ -57,17 +71,19 @@
         for (String word : List.of("idempotent", "Safe ", "", "pod", "SAFE,KEYED")) {
             assertEquals(
                     expectThrows(
-                                    BadSettings.class,
+                                    InvalidConfigurationException.class,
                                     () -> firstClass("\"idempotency\":\"safe\"", "\"idempotency\":\"" + word + "\""))
                             .getMessage(),
                     "field profiles[0].idempotency has an unknown value " + word);
             assertEquals(
-                    expectThrows(BadSettings.class, () -> firstClass("\"group\":\"all\"", "\"group\":\"" + word + "\""))
+                    expectThrows(
+                                    InvalidConfigurationException.class,
+                                    () -> firstClass("\"group\":\"all\"", "\"group\":\"" + word + "\""))
                             .getMessage(),
                     "field profiles[0].group has an unknown value " + word);
         }
         assertEquals(
-                expectThrows(BadSettings.class, () -> firstClass("\"group\":\"all\"", "\"group\":1"))
+                expectThrows(InvalidConfigurationException.class, () -> firstClass("\"group\":\"all\"", "\"group\":1"))
                         .getMessage(),
                 "field profiles[0].group must be a text");
     }
@@ -85,34 +101,30 @@
         }
         assertEquals(
                 read,
-                List.of(
-                        Admission.Reports.NONE,
-                        Admission.Reports.IN_ANSWERS,
-                        Admission.Reports.ON_PROBES,
-                        false,
-                        true));
+                List.of(LoadReportSource.NONE, LoadReportSource.IN_ANSWERS, LoadReportSource.ON_PROBES, false, true));
         assertEquals(
                 List.of("busy_reqs", "pending", "cpu_share", "svc_ms", "served_ps", "failed_ps", "other").stream()
                         .map(SettingsReader::gauge)
                         .toList(),
                 List.of(
-                        Admission.Gauge.IN_HAND,
-                        Admission.Gauge.WAITING,
-                        Admission.Gauge.BUSY_SHARE,
-                        Admission.Gauge.SERVICE_MS,
-                        Admission.Gauge.SERVED_PER_S,
-                        Admission.Gauge.ERRORS_PER_S,
-                        Admission.Gauge.UNKNOWN));
+                        LoadMetric.IN_HAND,
+                        LoadMetric.WAITING,
+                        LoadMetric.BUSY_SHARE,
+                        LoadMetric.SERVICE_MS,
+                        LoadMetric.SERVED_PER_S,
+                        LoadMetric.ERRORS_PER_S,
+                        LoadMetric.UNKNOWN));
     }
 
-    private static Admission.Settings settings(String before, String after) {
-        assertTrue(Facts.JSON.contains(before), before);
-        return SettingsReader.checked(Fields.parse(Facts.JSON.replace(before, after)));
+    private static DecisionSettings settings(String before, String after) {
+        assertTrue(TestSettings.JSON.contains(before), before);
+        return SettingsReader.checked(JsonFields.parse(TestSettings.JSON.replace(before, after)));
     }
 
     @Test
     public void fieldsOfTheWrongFormAreToldSo() {
-        Fields fields = Fields.parse("{\"row\":[1,\"2\"],\"texts\":[1],\"text\":\"x\",\"half\":0.5,\"in\":{\"a\":1}}");
+        JsonFields fields =
+                JsonFields.parse("{\"row\":[1,\"2\"],\"texts\":[1],\"text\":\"x\",\"half\":0.5,\"in\":{\"a\":1}}");
         List<String> told = new ArrayList<>();
         List<Runnable> reads = List.of(
                 () -> fields.row("row"),
@@ -125,9 +137,10 @@
                 () -> fields.objects("text"),
                 () -> fields.object("in").text("absent"),
                 () -> fields.object("in").text("a"),
-                () -> Fields.parse("[]"));
+                () -> JsonFields.parse("[]"));
         for (Runnable read : reads) {
-            told.add(expectThrows(BadSettings.class, read::run).getMessage());
+            told.add(
+                    expectThrows(InvalidConfigurationException.class, read::run).getMessage());
         }
         assertEquals(
                 told,
@@ -144,13 +157,13 @@
                         "field in.a must be a text",
                         "the message must be an object"));
         assertEquals(
-                expectThrows(BadSettings.class, () -> Fields.parse("{"))
+                expectThrows(InvalidConfigurationException.class, () -> JsonFields.parse("{"))
                         .getMessage()
                         .split(": ")[0],
                 "malformed JSON");
         for (String address : List.of("a", ":1", "a:x", "a:65536", "a/b:1")) {
             assertEquals(
-                    expectThrows(BadSettings.class, () -> Endpoint.read(address, "listen"))
+                    expectThrows(InvalidConfigurationException.class, () -> HostAndPort.read(address, "listen"))
                             .getMessage(),
                     "field listen must be an address and a port, not " + address);
         }
@@ -158,12 +171,11 @@
 
     @Test
     public void theEndpointListIsWrittenInThisForm() {
-        List<AppNode> nodes = List.of(
-                new AppNode(
-                        new Admission.Host("n1", "room-a", "app", 3, Admission.State.UP, 1, 1700000000123.0),
-                        "127.0.0.1:7001"),
-                new AppNode(new Admission.Host("n2", "", "", 0, Admission.State.DRAINING, 2.5, 0), "10.0.0.2:7002"),
-                new AppNode(new Admission.Host("n3", "room-b", "db", -1, Admission.State.GONE, 0, 0.9), "10.0.0.3:1"));
+        List<Backend> nodes = List.of(
+                new Backend(
+                        new Endpoint("n1", "room-a", "app", 3, EndpointState.UP, 1, 1700000000123.0), "127.0.0.1:7001"),
+                new Backend(new Endpoint("n2", "", "", 0, EndpointState.DRAINING, 2.5, 0), "10.0.0.2:7002"),
+                new Backend(new Endpoint("n3", "room-b", "db", -1, EndpointState.REMOVED, 0, 0.9), "10.0.0.3:1"));
         String written = "{\"index\":42,\"snapshot\":true,\"endpoints\":["
                 + "{\"name\":\"n1\",\"address\":\"127.0.0.1:7001\",\"zone\":\"room-a\",\"type\":\"app\",\"group\":3,"
                 + "\"status\":\"up\",\"weight\":1,\"since_ms\":1700000000123},"
@@ -171,25 +183,26 @@
                 + "\"status\":\"draining\",\"weight\":2.5,\"since_ms\":0},"
                 + "{\"name\":\"n3\",\"address\":\"10.0.0.3:1\",\"zone\":\"room-b\",\"type\":\"db\",\"group\":-1,"
                 + "\"status\":\"removed\",\"weight\":0,\"since_ms\":0}]}";
-        assertEquals(NodeLines.write(42, true, nodes).toString(), written);
+        assertEquals(EndpointCodec.write(42, true, nodes).toString(), written);
         assertEquals(
-                NodeLines.write(7, false, List.of()).toString(), "{\"index\":7,\"snapshot\":false,\"endpoints\":[]}");
-        List<AppNode> read = NodeLines.read(Fields.parse(written).objects("endpoints"));
+                EndpointCodec.write(7, false, List.of()).toString(),
+                "{\"index\":7,\"snapshot\":false,\"endpoints\":[]}");
+        List<Backend> read = EndpointCodec.read(JsonFields.parse(written).objects("endpoints"));
         assertEquals(read.subList(0, 2), nodes.subList(0, 2));
-        assertEquals(NodeLines.write(42, true, read).toString(), written);
+        assertEquals(EndpointCodec.write(42, true, read).toString(), written);
     }
 
     @Test
     public void anEndpointNeedsItsNameAndAddressAlone() {
-        List<AppNode> read = NodeLines.read(
-                Fields.parse("{\"l\":[{\"name\":\"n\",\"address\":\"a:1\"}]}").objects("l"));
-        assertEquals(read, List.of(new AppNode(new Admission.Host("n", "", "", 0, Admission.State.UP, 1, 0), "a:1")));
+        List<Backend> read = EndpointCodec.read(JsonFields.parse("{\"l\":[{\"name\":\"n\",\"address\":\"a:1\"}]}")
+                .objects("l"));
+        assertEquals(read, List.of(new Backend(new Endpoint("n", "", "", 0, EndpointState.UP, 1, 0), "a:1")));
         assertEquals(
                 expectThrows(
-                                BadSettings.class,
-                                () -> NodeLines.read(
-                                        Fields.parse("{\"l\":[{\"name\":\"n\",\"address\":\"a:1\",\"status\":\"UP\"}]}")
-                                                .objects("l")))
+                                InvalidConfigurationException.class,
+                                () -> EndpointCodec.read(JsonFields.parse(
+                                                "{\"l\":[{\"name\":\"n\",\"address\":\"a:1\",\"status\":\"UP\"}]}")
+                                        .objects("l")))
                         .getMessage(),
                 "field l[0].status has an unknown value UP");
     }
@@ -201,20 +214,20 @@
         values.put("word", "x");
         values.put("half", "0.5");
         values.put("ten", "1234567890");
-        Marks marks = new Marks(values);
+        RequestParameters marks = new RequestParameters(values);
         assertEquals(unfit(() -> marks.need("plan")), "plan is missing");
         assertEquals(unfit(() -> marks.need("empty")), "empty is missing");
         assertEquals(unfit(() -> marks.number("word")), "word is not a number in range");
         assertEquals(unfit(() -> marks.number("ten")), "ten is not a number in range");
         assertEquals(unfit(() -> marks.whole("half")), "half is not a whole number");
         for (String id : List.of("", "00000000000000a", "00000000000000ag", "00000000000000a12")) {
-            assertEquals(unfit(() -> Marks.hex(id, "the id")), "the id must be 16 hex digits");
+            assertEquals(unfit(() -> RequestParameters.hex(id, "the id")), "the id must be 16 hex digits");
         }
     }
 
     @Test
     public void requestsThatCannotBeTakenAreRefusedWithTheseTexts() {
-        AskRules rules = new AskRules(Facts.settings());
+        RequestValidator rules = new RequestValidator(TestSettings.settings());
         assertEquals(unfit(() -> rules.requestClass("other")), "unknown class");
         assertEquals(unfit(() -> rules.check(ask(OPERATOR, "other", "start", 1, 4000, null, 1, 0))), "unknown class");
         assertEquals(
@@ -258,36 +271,36 @@
     public void requestsTakenTwiceOrOverTheLimitAreAnsweredAtOnce() throws Exception {
         Vertx vertx = Vertx.vertx();
         try {
-            List<Answer> answers = new ArrayList<>();
+            List<Response> answers = new ArrayList<>();
             onLoop(vertx, () -> {
-                Gateway gateway = new Gateway(vertx, new Clock(), Facts.settings(2), 1, new HeldLinks());
+                RequestDispatcher gateway =
+                        new RequestDispatcher(vertx, new Clock(), TestSettings.settings(2), 1, new HeldLinks());
                 gateway.nodesTold(
                         true,
-                        List.of(new AppNode(
-                                new Admission.Host("n1", "room-a", "app", 0, Admission.State.UP, 1, 0), "a:1")));
+                        List.of(new Backend(new Endpoint("n1", "room-a", "app", 0, EndpointState.UP, 1, 0), "a:1")));
                 gateway.serve(ask(OPERATOR, "slot-status", "start", 1, 4000, null, 1, 0), answer -> {});
                 gateway.serve(ask(OPERATOR, "slot-status", "start", 1, 4000, null, 1, 0), answers::add);
                 gateway.serve(ask(OPERATOR, "other", "start", 1, 4000, null, 1, 0), answers::add);
-                Ask second =
-                        new Ask("00000000000000a2", OPERATOR, "slot-status", "start", 1, 4000, null, false, 1, 0, null);
+                Request second = new Request(
+                        "00000000000000a2", OPERATOR, "slot-status", "start", 1, 4000, null, false, 1, 0, null);
                 gateway.serve(second, answer -> {});
-                Ask third =
-                        new Ask("00000000000000a3", OPERATOR, "slot-status", "start", 1, 4000, null, false, 1, 0, null);
+                Request third = new Request(
+                        "00000000000000a3", OPERATOR, "slot-status", "start", 1, 4000, null, false, 1, 0, null);
                 gateway.serve(third, answers::add);
                 return null;
             });
             assertEquals(
                     answers,
                     List.of(
-                            new Answer.Failed("this id is under way"),
-                            new Answer.Failed("unknown class"),
-                            new Answer.Refused(2000)));
+                            new Response.Failed("this id is under way"),
+                            new Response.Failed("unknown class"),
+                            new Response.Refused(2000)));
         } finally {
             vertx.close();
         }
     }
 
-    private static Ask ask(
+    private static Request ask(
             String operator,
             String requestClass,
             String plan,
@@ -296,15 +309,15 @@
             String key,
             int gateways,
             int firstGateway) {
-        return new Ask(ID, operator, requestClass, plan, units, waitMs, key, false, gateways, firstGateway, null);
+        return new Request(ID, operator, requestClass, plan, units, waitMs, key, false, gateways, firstGateway, null);
     }
 
     private interface Read {
-        void read() throws Marks.Unfit;
+        void read() throws InvalidRequestException;
     }
 
     private static String unfit(Read read) {
-        return expectThrows(Marks.Unfit.class, read::read).getMessage();
+        return expectThrows(InvalidRequestException.class, read::read).getMessage();
     }
 
     private static <T> void onLoop(Vertx vertx, Supplier<T> work) throws Exception {
@@ -319,9 +332,9 @@
         done.get(20, TimeUnit.SECONDS);
     }
 
-    private static final class HeldLinks extends QuietLinks {
+    private static final class HeldLinks extends NoOpBackendTransport {
         @Override
-        public Attempt attempt(AppNode node, Ask ask, double waitMs, Ended ended) {
+        public Attempt attempt(Backend node, Request ask, double waitMs, Ended ended) {
             return () -> {};
         }
     }
--- a/gateway/src/test/java/opalcove/gateway/SettingsReaderTest.java
+++ b/gateway/src/test/java/opalcove/config/SettingsReaderTest.java
@@ -1,4 +1,4 @@
-package opalcove.gateway;
+package opalcove.config;
 
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertFalse;
@@ -22,10 +22,12 @@
 import java.util.regex.Pattern;
 import java.util.stream.Collectors;
 import java.util.stream.Stream;
-import opalcove.Facts;
-import opalcove.decision.Admission;
-import opalcove.decision.Policy;
-import opalcove.platform.Config;
+import opalcove.TestSettings;
+import opalcove.decision.AdmissionController;
+import opalcove.decision.DecisionActions;
+import opalcove.decision.DecisionSettings;
+import opalcove.decision.LoadMetric;
+import opalcove.server.GatewayConfig;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
@@ -129,26 +131,31 @@
 
     @Test(dataProvider = "wrongs")
     public void whatCannotBeServedIsRefusedWithKeyAndReason(String good, String wrong, String key, String reason) {
-        assertTrue(Facts.JSON.contains(good), "the good settings do not have " + good);
-        assertEquals(problems(Facts.JSON.replace(good, wrong)), List.of(new BadSettings.Problem(key, reason)));
+        assertTrue(TestSettings.JSON.contains(good), "the good settings do not have " + good);
+        assertEquals(
+                problems(TestSettings.JSON.replace(good, wrong)),
+                List.of(new InvalidConfigurationException.Problem(key, reason)));
     }
 
     @Test
     public void allProblemsAreToldAtOnce() {
-        String wrong = Facts.JSON
+        String wrong = TestSettings.JSON
                 .replace("\"me\":0", "\"me\":-1")
                 .replace("\"max_open\":4", "\"max_open\":\"4\"")
                 .replace("\"cell\"", "\"rack\"");
-        List<String> keys =
-                problems(wrong).stream().map(BadSettings.Problem::key).sorted().toList();
+        List<String> keys = problems(wrong).stream()
+                .map(InvalidConfigurationException.Problem::key)
+                .sorted()
+                .toList();
         assertEquals(keys, List.of("ceilings.max_open", "me", "profiles[2].group"));
     }
 
     @Test
     public void furtherKeysAndUnknownColumnsArePassedOver() {
-        Admission.Settings settings = SettingsReader.checked(Fields.parse(
-                Facts.JSON.replace("{\"me\":0", "{\"sunshine\":[1],\"me\":0").replace("svc_ms", "moon_phase")));
-        assertEquals(settings.gauges(), List.of(Admission.Gauge.UNKNOWN));
+        DecisionSettings settings = SettingsReader.checked(JsonFields.parse(TestSettings.JSON
+                .replace("{\"me\":0", "{\"sunshine\":[1],\"me\":0")
+                .replace("svc_ms", "moon_phase")));
+        assertEquals(settings.gauges(), List.of(LoadMetric.UNKNOWN));
     }
 
     /** The whole file at once: its own keys and those of the settings, each line with the file. */
@@ -163,8 +170,9 @@
                             .replace("127.0.0.1:7101", "127.0.0.1:70000")
                             .replace("8c1f30d27a5be964", "not hex")
                             .replace("\"tick_ms\": 2.0", "\"tick_ms\": 0"));
-            BadSettings refused =
-                    expectThrows(BadSettings.class, () -> Config.read(java.util.Map.of("GW_CONFIG", file.toString())));
+            InvalidConfigurationException refused = expectThrows(
+                    InvalidConfigurationException.class,
+                    () -> GatewayConfig.read(java.util.Map.of("GW_CONFIG", file.toString())));
             assertEquals(
                     refused.getMessage().lines().toList(),
                     List.of(
@@ -202,14 +210,15 @@
         int rounds = 5000;
         for (int seed = 0; seed < rounds; seed++) {
             Random random = new Random(seed);
-            JsonValue settings = Json.parse(Facts.JSON);
+            JsonValue settings = Json.parse(TestSettings.JSON);
             for (int changes = 1 + random.nextInt(3); changes > 0; changes--) {
                 mutate(settings, random);
             }
             try {
-                new Policy(0, SettingsReader.checked(Fields.parse(settings.toString())), seed, new NoActions());
+                new AdmissionController(
+                        0, SettingsReader.checked(JsonFields.parse(settings.toString())), seed, new NoActions());
                 taken++;
-            } catch (BadSettings e) {
+            } catch (InvalidConfigurationException e) {
                 assertFalse(e.problems().isEmpty());
                 e.problems().forEach(problem -> assertFalse(problem.key().isEmpty(), settings + " " + problem));
             } catch (RuntimeException e) {
@@ -254,13 +263,15 @@
     /** The page tells of every key that is read, so that it cannot fall behind the code. */
     @Test
     public void theSettingsPageNamesEveryKeyThatIsRead() throws IOException {
-        String main = "gateway/src/main/java/opalcove/";
         Set<String> read = new TreeSet<>();
-        for (String source : List.of("gateway/SettingsReader", "platform/Config", "gateway/NodeLines")) {
+        for (String source : List.of(
+                "config/src/main/java/opalcove/config/SettingsReader.java",
+                "gateway/src/main/java/opalcove/server/GatewayConfig.java",
+                "config/src/main/java/opalcove/config/EndpointCodec.java")) {
             Matcher key = Pattern.compile(
                             "\\.(?:has|number|numberOr|whole|wholeOr|serial|flag|text|textOr|texts|oneOf|choice|uniqueName"
                                     + "|object|objects)\\(\\s*\"(\\w+)\"")
-                    .matcher(Files.readString(Path.of(main + source + ".java")));
+                    .matcher(Files.readString(Path.of(source)));
             while (key.find()) {
                 read.add(key.group(1));
             }
@@ -304,13 +315,14 @@
         return keys.stream().filter(key -> !named.contains(key)).collect(Collectors.toCollection(TreeSet::new));
     }
 
-    private static List<BadSettings.Problem> problems(String settings) {
-        return new ArrayList<>(expectThrows(BadSettings.class, () -> SettingsReader.checked(Fields.parse(settings)))
+    private static List<InvalidConfigurationException.Problem> problems(String settings) {
+        return new ArrayList<>(expectThrows(
+                        InvalidConfigurationException.class, () -> SettingsReader.checked(JsonFields.parse(settings)))
                 .problems());
     }
 
     /** A gateway that the module is never asked to act for. */
-    private static final class NoActions implements Admission.Actions {
+    private static final class NoActions implements DecisionActions {
         @Override
         public void send(String id, String host, double timeoutMs) {}
 
--- a/gateway/src/test/java/opalcove/gateway/ClocksApartTest.java
+++ b/gateway/src/test/java/opalcove/core/ClocksApartTest.java
@@ -1,4 +1,4 @@
-package opalcove.gateway;
+package opalcove.core;
 
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertTrue;
@@ -8,8 +8,11 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.TimeUnit;
 import java.util.function.Supplier;
-import opalcove.Facts;
-import opalcove.decision.Admission;
+import opalcove.TestSettings;
+import opalcove.config.Backend;
+import opalcove.config.Clock;
+import opalcove.decision.Endpoint;
+import opalcove.decision.EndpointState;
 import org.testng.annotations.AfterMethod;
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.DataProvider;
@@ -21,12 +24,12 @@
     private static final double LONG_AGO_MS = 10 * HOUR_MS;
 
     private Vertx vertx;
-    private Gateway gateway;
+    private RequestDispatcher gateway;
 
     @BeforeMethod
     public void open() throws Exception {
         vertx = Vertx.vertx();
-        gateway = onLoop(() -> new Gateway(vertx, new Clock(), Facts.settings(), 1, new NoLinks()));
+        gateway = onLoop(() -> new RequestDispatcher(vertx, new Clock(), TestSettings.settings(), 1, new NoLinks()));
     }
 
     @AfterMethod
@@ -48,7 +51,7 @@
         assertEquals(share("b"), 1.0);
         told(node("a", discoveryNow - LONG_AGO_MS), node("b", discoveryNow));
         assertEquals(share("a"), 1.0);
-        double cold = Facts.settings().duties().coldShare();
+        double cold = TestSettings.settings().duties().coldShare();
         assertTrue(share("b") > 0 && share("b") < 1.5 * cold, "b has a share of " + share("b"));
     }
 
@@ -57,7 +60,7 @@
         double discoveryNow = System.currentTimeMillis() + offsetMs;
         told(node("a", discoveryNow - LONG_AGO_MS));
         told(node("a", discoveryNow - LONG_AGO_MS), node("b", discoveryNow));
-        double cold = Facts.settings().duties().coldShare();
+        double cold = TestSettings.settings().duties().coldShare();
         assertTrue(share("b") > 0 && share("b") < 1.5 * cold, "b has a share of " + share("b"));
     }
 
@@ -91,16 +94,15 @@
         assertTrue(share("new") < 0.5, "the youngest has a share of " + share("new"));
     }
 
-    private void told(AppNode... nodes) throws Exception {
+    private void told(Backend... nodes) throws Exception {
         onLoop(() -> {
             gateway.nodesTold(true, List.of(nodes));
             return null;
         });
     }
 
-    private static AppNode node(String name, double startedMs) {
-        return new AppNode(
-                new Admission.Host(name, "room-a", "app", 0, Admission.State.UP, 1, startedMs), "127.0.0.1:1");
+    private static Backend node(String name, double startedMs) {
+        return new Backend(new Endpoint(name, "room-a", "app", 0, EndpointState.UP, 1, startedMs), "127.0.0.1:1");
     }
 
     private double share(String name) throws Exception {
@@ -124,9 +126,9 @@
     }
 
     /** No attempt is made in this test. */
-    private static final class NoLinks extends QuietLinks {
+    private static final class NoLinks extends NoOpBackendTransport {
         @Override
-        public Attempt attempt(AppNode node, Ask ask, double waitMs, Ended ended) {
+        public Attempt attempt(Backend node, Request ask, double waitMs, Ended ended) {
             throw new AssertionError("no attempt is made here");
         }
     }
--- a/gateway/src/test/java/opalcove/gateway/RetuneTest.java
+++ b/gateway/src/test/java/opalcove/core/ConfigGenerationTest.java
@@ -1,4 +1,4 @@
-package opalcove.gateway;
+package opalcove.core;
 
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertTrue;
@@ -9,24 +9,32 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.TimeUnit;
 import java.util.function.Supplier;
-import opalcove.Facts;
-import opalcove.decision.Admission;
+import opalcove.TestSettings;
+import opalcove.config.Backend;
+import opalcove.config.Clock;
+import opalcove.config.InvalidConfigurationException;
+import opalcove.config.JsonFields;
+import opalcove.config.SettingsReader;
+import opalcove.decision.AttemptStatus;
+import opalcove.decision.DecisionSettings;
+import opalcove.decision.Endpoint;
+import opalcove.decision.EndpointState;
 import org.testng.annotations.AfterMethod;
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
 /** New settings at SIGHUP: new classes are taken, fewer attempts bind, asks under way keep their class. */
-public class RetuneTest {
+public class ConfigGenerationTest {
     private static final String NEW_CLASS =
             """
             {"name":"battery-update-ii","value":2,"aim_ms":2000,"deadline_ms":7500,"idempotency":"safe","group":"all"},
             """;
 
     private Vertx vertx;
-    private Gateway gateway;
+    private RequestDispatcher gateway;
     private final List<String> attempts = new ArrayList<>();
     /** Attempts are held here until the test ends them. */
-    private final List<NodeLinks.Ended> out = new ArrayList<>();
+    private final List<BackendTransport.Ended> out = new ArrayList<>();
 
     @BeforeMethod
     public void open() throws Exception {
@@ -34,7 +42,7 @@
         attempts.clear();
         out.clear();
         onLoop(() -> {
-            gateway = new Gateway(vertx, new Clock(), Facts.settings(16), 1, new HeldLinks());
+            gateway = new RequestDispatcher(vertx, new Clock(), TestSettings.settings(16), 1, new HeldLinks());
             gateway.nodesTold(true, List.of(node("n1"), node("n2"), node("n3")));
             return null;
         });
@@ -47,12 +55,12 @@
 
     @Test
     public void aClassOfTheNewSettingsIsTakenAndOneThatVanishedIsNot() throws Exception {
-        List<Answer> answers = new ArrayList<>();
+        List<Response> answers = new ArrayList<>();
         onLoop(() -> gateway.serve(ask("a1", "battery-update-ii"), answers::add));
         assertEquals(answers.size(), 1);
-        assertEquals(((Answer.Failed) answers.get(0)).reason(), "unknown class");
+        assertEquals(((Response.Failed) answers.get(0)).reason(), "unknown class");
         onLoop(() -> {
-            gateway.retune(settings(Facts.JSON
+            gateway.retune(settings(TestSettings.JSON
                     .replace("\"profiles\":[", "\"profiles\":[" + NEW_CLASS)
                     .replace(",\n  {\"name\":\"slot-status\"", "\n  {\"name\":\"slot-status\"")));
             return gateway.serve(ask("a2", "battery-update-ii"), answers::add);
@@ -69,26 +77,26 @@
 
     @Test
     public void fewerAttemptsBindAnAskUnderWayWhichKeepsItsClass() throws Exception {
-        List<Answer> answers = new ArrayList<>();
+        List<Response> answers = new ArrayList<>();
         onLoop(() -> gateway.serve(ask("a1", "slot-status"), answers::add));
         assertEquals(attempts, List.of("a1"));
         // slot-status vanishes, and one attempt is all that an ask may have now.
-        String fewer = Facts.JSON
+        String fewer = TestSettings.JSON
                 .replace("\"max_attempts\":6", "\"max_attempts\":1")
                 .replaceFirst("\\{\"name\":\"slot-status\"[^}]*\\},", "");
         onLoop(() -> {
             gateway.retune(settings(fewer));
-            out.remove(0).ended(NodeEnd.silent(Admission.Result.TURNED_AWAY));
+            out.remove(0).ended(AttemptResult.silent(AttemptStatus.REJECTED));
             return null;
         });
         assertEquals(attempts, List.of("a1"), "no second attempt under the new settings");
         assertEquals(answers.size(), 1, "the ask under way is answered");
         assertTrue(
-                answers.get(0) instanceof Answer.Refused || answers.get(0) instanceof Answer.Failed,
+                answers.get(0) instanceof Response.Refused || answers.get(0) instanceof Response.Failed,
                 String.valueOf(answers.get(0)));
-        List<Answer> later = new ArrayList<>();
+        List<Response> later = new ArrayList<>();
         onLoop(() -> gateway.serve(ask("a3", "slot-status"), later::add));
-        assertEquals(((Answer.Failed) later.get(0)).reason(), "unknown class");
+        assertEquals(((Response.Failed) later.get(0)).reason(), "unknown class");
     }
 
     @Test
@@ -99,7 +107,7 @@
         });
         assertTrue(figures().containsAll(List.of("gateway.hosts_listed:2|g", "gateway.hosts_down:0|g")));
         onLoop(() -> {
-            out.remove(0).ended(NodeEnd.silent(Admission.Result.UNREACHABLE));
+            out.remove(0).ended(AttemptResult.silent(AttemptStatus.UNREACHABLE));
             gateway.nodesTold(false, List.of());
             return null;
         });
@@ -115,9 +123,10 @@
     @Test
     public void settingsWithNoAttemptOrNoTimeAreTurnedDownWithTheirKey() {
         for (String bad : List.of(
-                Facts.JSON.replace("\"max_attempts\":6", "\"max_attempts\":0"),
-                Facts.JSON.replace("\"deadline_ms\":4000", "\"deadline_ms\":0"))) {
-            BadSettings refused = org.testng.Assert.expectThrows(BadSettings.class, () -> settings(bad));
+                TestSettings.JSON.replace("\"max_attempts\":6", "\"max_attempts\":0"),
+                TestSettings.JSON.replace("\"deadline_ms\":4000", "\"deadline_ms\":0"))) {
+            InvalidConfigurationException refused =
+                    org.testng.Assert.expectThrows(InvalidConfigurationException.class, () -> settings(bad));
             assertTrue(
                     refused.getMessage().contains("max_attempts")
                             || refused.getMessage().contains("deadline_ms"),
@@ -125,16 +134,16 @@
         }
     }
 
-    private static Admission.Settings settings(String json) {
-        return SettingsReader.checked(Fields.parse(json));
+    private static DecisionSettings settings(String json) {
+        return SettingsReader.checked(JsonFields.parse(json));
     }
 
-    private static Ask ask(String id, String requestClass) {
-        return new Ask(id, "00000000000000b2", requestClass, "start", 1, 3000, null, false, 1, 0, null);
+    private static Request ask(String id, String requestClass) {
+        return new Request(id, "00000000000000b2", requestClass, "start", 1, 3000, null, false, 1, 0, null);
     }
 
-    private static AppNode node(String name) {
-        return new AppNode(new Admission.Host(name, "room-a", "app", 0, Admission.State.UP, 1, 0), "127.0.0.1:1");
+    private static Backend node(String name) {
+        return new Backend(new Endpoint(name, "room-a", "app", 0, EndpointState.UP, 1, 0), "127.0.0.1:1");
     }
 
     private <T> T onLoop(Supplier<T> work) throws Exception {
@@ -149,9 +158,9 @@
         return done.get(10, TimeUnit.SECONDS);
     }
 
-    private final class HeldLinks extends QuietLinks {
+    private final class HeldLinks extends NoOpBackendTransport {
         @Override
-        public Attempt attempt(AppNode node, Ask ask, double waitMs, Ended ended) {
+        public Attempt attempt(Backend node, Request ask, double waitMs, Ended ended) {
             attempts.add(ask.id());
             out.add(ended);
             return () -> {};
--- a/gateway/src/test/java/opalcove/gateway/ProbeTest.java
+++ b/gateway/src/test/java/opalcove/core/HealthCheckTest.java
@@ -1,4 +1,4 @@
-package opalcove.gateway;
+package opalcove.core;
 
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertTrue;
@@ -14,15 +14,23 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
 import java.util.function.Supplier;
-import opalcove.Facts;
-import opalcove.decision.Admission;
-import opalcove.platform.RespDialler;
+import opalcove.TestSettings;
+import opalcove.backend.ConnectionPool;
+import opalcove.config.Backend;
+import opalcove.config.Clock;
+import opalcove.config.JsonFields;
+import opalcove.config.SettingsReader;
+import opalcove.decision.AttemptStatus;
+import opalcove.decision.DecisionSettings;
+import opalcove.decision.Endpoint;
+import opalcove.decision.EndpointState;
+import opalcove.resp.RespConnector;
 import org.testng.annotations.AfterMethod;
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
 /** Probes where the settings allow them: a node that could not be reached is used again once a link to it comes up. */
-public class ProbeTest {
+public class HealthCheckTest {
     private static final int PATIENCE_S = 20;
 
     private Vertx vertx;
@@ -41,12 +49,12 @@
     @Test
     public void aNodeThatCouldNotBeReachedIsProbedAndUsedAgainOnceItAnswers() throws Exception {
         AwayNode links = new AwayNode();
-        Gateway gateway = onLoop(() -> {
-            Gateway made = new Gateway(vertx, new Clock(), settings(), 1, links);
+        RequestDispatcher gateway = onLoop(() -> {
+            RequestDispatcher made = new RequestDispatcher(vertx, new Clock(), settings(), 1, links);
             made.nodesTold(true, List.of(node("127.0.0.1:1")));
             return made;
         });
-        List<Answer> served = new ArrayList<>();
+        List<Response> served = new ArrayList<>();
         askUntil(gateway, served, () -> links.attempts > 2);
         // No request competes with the probe any more: the node is avoided, and only a probe can tell that it is back.
         until(() -> links.probes > 0);
@@ -54,13 +62,14 @@
     }
 
     /** Sends requests until the condition holds. */
-    private void askUntil(Gateway gateway, List<Answer> served, Supplier<Boolean> condition) throws Exception {
+    private void askUntil(RequestDispatcher gateway, List<Response> served, Supplier<Boolean> condition)
+            throws Exception {
         until(() -> {
             if (condition.get()) {
                 return true;
             }
             gateway.serve(ask("a" + requests++), answer -> {
-                if (answer instanceof Answer.Served) {
+                if (answer instanceof Response.Served) {
                     served.add(answer);
                 }
             });
@@ -78,7 +87,8 @@
 
     @Test
     public void aProbeOpensALinkOnWhichNothingIsSentAndWhichTheNextAttemptTakes() throws Exception {
-        LinkPool pool = onLoop(() -> new LinkPool(vertx, settings(), new RespDialler(vertx, settings()), 8));
+        ConnectionPool pool =
+                onLoop(() -> new ConnectionPool(vertx, settings(), new RespConnector(vertx, settings()), 8));
         try (ServerSocket server = new ServerSocket(0, 8, InetAddress.getLoopbackAddress())) {
             assertTrue(probe(pool, server.getLocalPort()), "a node that listens is reached");
             server.setSoTimeout(PATIENCE_S * 1000);
@@ -91,7 +101,8 @@
 
     @Test
     public void aProbeOfANodeThatRefusesConnectionsTellsSo() throws Exception {
-        LinkPool pool = onLoop(() -> new LinkPool(vertx, settings(), new RespDialler(vertx, settings()), 8));
+        ConnectionPool pool =
+                onLoop(() -> new ConnectionPool(vertx, settings(), new RespConnector(vertx, settings()), 8));
         int port;
         try (ServerSocket closed = new ServerSocket(0, 8, InetAddress.getLoopbackAddress())) {
             port = closed.getLocalPort();
@@ -100,23 +111,23 @@
         assertEquals(onLoop(pool::open), Integer.valueOf(0));
     }
 
-    private boolean probe(LinkPool pool, int port) throws Exception {
+    private boolean probe(ConnectionPool pool, int port) throws Exception {
         CompletableFuture<Boolean> reached = new CompletableFuture<>();
         vertx.runOnContext(run -> pool.probe(node("127.0.0.1:" + port), reached::complete));
         return reached.get(PATIENCE_S, TimeUnit.SECONDS);
     }
 
-    private static Admission.Settings settings() {
-        return SettingsReader.checked(
-                Fields.parse(Facts.JSON.replace("\"max_attempts\":6", "\"max_attempts\":6,\"may_probe\":true")));
+    private static DecisionSettings settings() {
+        return SettingsReader.checked(JsonFields.parse(
+                TestSettings.JSON.replace("\"max_attempts\":6", "\"max_attempts\":6,\"may_probe\":true")));
     }
 
-    private static Ask ask(String id) {
-        return new Ask(id, "00000000000000b2", "slot-status", "start", 1, 4000, null, false, 1, 0, null);
+    private static Request ask(String id) {
+        return new Request(id, "00000000000000b2", "slot-status", "start", 1, 4000, null, false, 1, 0, null);
     }
 
-    private static AppNode node(String address) {
-        return new AppNode(new Admission.Host("n1", "room-a", "app", 0, Admission.State.UP, 1, 0), address);
+    private static Backend node(String address) {
+        return new Backend(new Endpoint("n1", "room-a", "app", 0, EndpointState.UP, 1, 0), address);
     }
 
     private <T> T onLoop(Supplier<T> work) throws Exception {
@@ -132,22 +143,22 @@
     }
 
     /** A node that cannot be reached until it is probed. */
-    private static final class AwayNode extends QuietLinks {
+    private static final class AwayNode extends NoOpBackendTransport {
         private int attempts;
         private int probes;
 
         @Override
-        public Attempt attempt(AppNode node, Ask ask, double waitMs, Ended ended) {
+        public Attempt attempt(Backend node, Request ask, double waitMs, Ended ended) {
             attempts++;
             ended.ended(
                     probes == 0
-                            ? NodeEnd.silent(Admission.Result.UNREACHABLE)
-                            : new NodeEnd(Admission.Result.SERVED, Unpooled.EMPTY_BUFFER, -1, 0, null));
+                            ? AttemptResult.silent(AttemptStatus.UNREACHABLE)
+                            : new AttemptResult(AttemptStatus.SERVED, Unpooled.EMPTY_BUFFER, -1, 0, null));
             return () -> {};
         }
 
         @Override
-        public void probe(AppNode node, Consumer<Boolean> reached) {
+        public void probe(Backend node, Consumer<Boolean> reached) {
             probes++;
             reached.accept(true);
         }
--- a/gateway/src/test/java/opalcove/gateway/SecondCopyTest.java
+++ b/gateway/src/test/java/opalcove/core/HedgedRequestTest.java
@@ -1,4 +1,4 @@
-package opalcove.gateway;
+package opalcove.core;
 
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertTrue;
@@ -10,14 +10,21 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.TimeUnit;
 import java.util.function.Supplier;
-import opalcove.Facts;
-import opalcove.decision.Admission;
+import opalcove.TestSettings;
+import opalcove.config.Backend;
+import opalcove.config.Clock;
+import opalcove.config.JsonFields;
+import opalcove.config.SettingsReader;
+import opalcove.decision.AttemptStatus;
+import opalcove.decision.DecisionSettings;
+import opalcove.decision.Endpoint;
+import opalcove.decision.EndpointState;
 import org.testng.annotations.AfterMethod;
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
 /** Second copies where the settings allow them: a hanging node's request is served by another one. */
-public class SecondCopyTest {
+public class HedgedRequestTest {
     private static final int PATIENCE_S = 60;
 
     private Vertx vertx;
@@ -37,8 +44,8 @@
 
     @Test
     public void aRequestAtAHangingNodeIsServedByASecondCopyAndTheFirstIsGivenUp() throws Exception {
-        Gateway gateway = gateway(true);
-        List<Answer> answers = serveUntilTwoAreOut(gateway);
+        RequestDispatcher gateway = gateway(true);
+        List<Response> answers = serveUntilTwoAreOut(gateway);
         HeldAttempt hanging = out.get(0);
         HeldAttempt copy = out.get(1);
         assertTrue(!copy.node.equals(hanging.node), "the copy goes to another node");
@@ -46,7 +53,7 @@
             copy.serve();
             return null;
         });
-        assertTrue(answers.get(0) instanceof Answer.Served, answers.toString());
+        assertTrue(answers.get(0) instanceof Response.Served, answers.toString());
         assertTrue(hanging.givenUp, "nobody waits for the first any more");
         assertEquals(figure(gateway, "stopped_by_guards"), "0");
     }
@@ -59,26 +66,27 @@
 
     /** What the guard says to a first attempt, a second and a third while all before are out. */
     private static String objections(boolean copies) {
-        Admission.Settings settings = settings(copies);
-        NodeList nodes = new NodeList();
+        DecisionSettings settings = settings(copies);
+        EndpointList nodes = new EndpointList();
         nodes.told(true, List.of(node("n1"), node("n2"), node("n3")));
-        Guards guards = new Guards(settings, nodes);
-        Life life = new Life(null, null, ask("a1"), settings.classes().get(0), null, 0);
+        AttemptGuard guards = new AttemptGuard(settings, nodes);
+        InFlightRequest life =
+                new InFlightRequest(null, null, ask("a1"), settings.classes().get(0), null, 0);
         List<String> objections = new ArrayList<>();
         for (String name : List.of("n1", "n2", "n3")) {
-            Guards.Objection objection = guards.objection(life, name, 0);
+            AttemptGuard.Veto objection = guards.objection(life, name, 0);
             objections.add(objection == null ? "null" : objection.cause());
-            life.tries.add(life.new Try(nodes.open(name), 0));
+            life.tries.add(life.new Attempt(nodes.open(name), 0));
         }
         return String.join(", ", objections);
     }
 
     /** Has requests hang, after some that were served at once, until one of them has two attempts out. */
-    private List<Answer> serveUntilTwoAreOut(Gateway gateway) throws Exception {
+    private List<Response> serveUntilTwoAreOut(RequestDispatcher gateway) throws Exception {
         long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(PATIENCE_S);
         for (int number = 0; System.nanoTime() < end; number++) {
             String hanging = "hanging" + number;
-            List<Answer> answers = new ArrayList<>();
+            List<Response> answers = new ArrayList<>();
             for (int served = 0; served < 20; served++) {
                 String id = hanging + "-" + served;
                 onLoop(() -> gateway.serve(ask(id), answer -> {}));
@@ -99,15 +107,15 @@
         throw new AssertionError("no second copy in " + PATIENCE_S + " s");
     }
 
-    private Gateway gateway(boolean copies) throws Exception {
+    private RequestDispatcher gateway(boolean copies) throws Exception {
         return onLoop(() -> {
-            Gateway gateway = new Gateway(vertx, new Clock(), settings(copies), 1, new HeldLinks());
+            RequestDispatcher gateway = new RequestDispatcher(vertx, new Clock(), settings(copies), 1, new HeldLinks());
             gateway.nodesTold(true, List.of(node("n1"), node("n2"), node("n3")));
             return gateway;
         });
     }
 
-    private String figure(Gateway gateway, String name) throws Exception {
+    private String figure(RequestDispatcher gateway, String name) throws Exception {
         return onLoop(gateway::figures)
                 .lines()
                 .filter(line -> line.startsWith(name + "="))
@@ -116,18 +124,18 @@
                 .substring(name.length() + 1);
     }
 
-    private static Admission.Settings settings(boolean copies) {
-        return SettingsReader.checked(Fields.parse(Facts.JSON
+    private static DecisionSettings settings(boolean copies) {
+        return SettingsReader.checked(JsonFields.parse(TestSettings.JSON
                 .replace("\"max_attempts\":6", "\"max_attempts\":6,\"second_copies\":" + copies)
                 .replace("\"aim_ms\":2000", "\"aim_ms\":400")));
     }
 
-    private static Ask ask(String id) {
-        return new Ask(id, "00000000000000b2", "slot-status", "start", 1, 4000, null, false, 1, 0, null);
+    private static Request ask(String id) {
+        return new Request(id, "00000000000000b2", "slot-status", "start", 1, 4000, null, false, 1, 0, null);
     }
 
-    private static AppNode node(String name) {
-        return new AppNode(new Admission.Host(name, "room-a", "app", 0, Admission.State.UP, 1, 0), "127.0.0.1:1");
+    private static Backend node(String name) {
+        return new Backend(new Endpoint(name, "room-a", "app", 0, EndpointState.UP, 1, 0), "127.0.0.1:1");
     }
 
     private <T> T onLoop(Supplier<T> work) throws Exception {
@@ -143,32 +151,32 @@
     }
 
     /** An attempt that ends when the test serves it, or when it is given up. */
-    private final class HeldAttempt implements NodeLinks.Attempt {
+    private final class HeldAttempt implements BackendTransport.Attempt {
         final String node;
-        private final NodeLinks.Ended ended;
+        private final BackendTransport.Ended ended;
         boolean givenUp;
 
-        HeldAttempt(AppNode node, NodeLinks.Ended ended) {
+        HeldAttempt(Backend node, BackendTransport.Ended ended) {
             this.node = node.name();
             this.ended = ended;
         }
 
         void serve() {
             out.remove(this);
-            ended.ended(new NodeEnd(Admission.Result.SERVED, Unpooled.EMPTY_BUFFER, -1, 0, null));
+            ended.ended(new AttemptResult(AttemptStatus.SERVED, Unpooled.EMPTY_BUFFER, -1, 0, null));
         }
 
         @Override
         public void giveUp() {
             givenUp = true;
             out.remove(this);
-            ended.ended(NodeEnd.silent(Admission.Result.CANCELLED));
+            ended.ended(AttemptResult.silent(AttemptStatus.CANCELLED));
         }
     }
 
-    private final class HeldLinks extends QuietLinks {
+    private final class HeldLinks extends NoOpBackendTransport {
         @Override
-        public Attempt attempt(AppNode node, Ask ask, double waitMs, Ended ended) {
+        public Attempt attempt(Backend node, Request ask, double waitMs, Ended ended) {
             HeldAttempt attempt = new HeldAttempt(node, ended);
             out.add(attempt);
             return attempt;
--- a/gateway/src/test/java/opalcove/gateway/QuietLinks.java
+++ b/gateway/src/test/java/opalcove/core/NoOpBackendTransport.java
@@ -1,14 +1,15 @@
-package opalcove.gateway;
+package opalcove.core;
 
 import java.util.function.Consumer;
+import opalcove.config.Backend;
 
 /** Links of a test, of which only what an attempt does matters. */
-public abstract class QuietLinks implements NodeLinks {
+public abstract class NoOpBackendTransport implements BackendTransport {
     @Override
-    public void probe(AppNode node, Consumer<Boolean> reached) {}
+    public void probe(Backend node, Consumer<Boolean> reached) {}
 
     @Override
-    public void forget(AppNode node) {}
+    public void forget(Backend node) {}
 
     @Override
     public int open() {
--- a/gateway/src/test/java/opalcove/gateway/AlarmsTest.java
+++ b/gateway/src/test/java/opalcove/core/TimerQueueTest.java
@@ -1,4 +1,4 @@
-package opalcove.gateway;
+package opalcove.core;
 
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertTrue;
@@ -8,11 +8,12 @@
 import java.util.List;
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.TimeUnit;
+import opalcove.config.Clock;
 import org.testng.annotations.Test;
 
-public class AlarmsTest {
-    private static Alarms.Alarm alarm(Runnable action) {
-        return new Alarms.Alarm() {
+public class TimerQueueTest {
+    private static TimerQueue.Alarm alarm(Runnable action) {
+        return new TimerQueue.Alarm() {
             @Override
             void ring() {
                 action.run();
@@ -28,12 +29,12 @@
         CompletableFuture<Integer> left = new CompletableFuture<>();
         vertx.runOnContext(go -> {
             Clock clock = new Clock();
-            Alarms alarms = new Alarms(vertx, clock);
+            TimerQueue alarms = new TimerQueue(vertx, clock);
             double soon = clock.now() + 20;
-            List<Alarms.Alarm> all = new ArrayList<>();
+            List<TimerQueue.Alarm> all = new ArrayList<>();
             for (int i = 0; i < 1000; i++) {
                 int number = i * 7919 % 1000;
-                Alarms.Alarm each = alarm(() -> rung.add(number));
+                TimerQueue.Alarm each = alarm(() -> rung.add(number));
                 all.add(each);
                 alarms.setAt(soon + number / 50.0, each);
             }
@@ -63,7 +64,7 @@
         vertx.runOnContext(go -> {
             Vertx.currentContext().exceptionHandler(failed -> rung.add(failed.getMessage()));
             Clock clock = new Clock();
-            Alarms alarms = new Alarms(vertx, clock);
+            TimerQueue alarms = new TimerQueue(vertx, clock);
             double soon = clock.now() + 20;
             alarms.setAt(soon, alarm(() -> {
                 throw new IllegalStateException("fails");
@@ -82,9 +83,9 @@
         List<String> rung = new ArrayList<>();
         CompletableFuture<List<String>> all = new CompletableFuture<>();
         vertx.runOnContext(go -> {
-            Alarms alarms = new Alarms(vertx, new Clock());
-            Alarms.Alarm never = alarm(() -> rung.add("cancelled before it was due"));
-            Alarms.Alarm later = alarm(() -> rung.add("cancelled by an alarm"));
+            TimerQueue alarms = new TimerQueue(vertx, new Clock());
+            TimerQueue.Alarm never = alarm(() -> rung.add("cancelled before it was due"));
+            TimerQueue.Alarm later = alarm(() -> rung.add("cancelled by an alarm"));
             alarms.set(30, alarm(() -> rung.add("second")));
             alarms.set(5, never);
             alarms.set(10, alarm(() -> rung.add("first")));
--- a/gateway/src/test/java/opalcove/gateway/GrowingWaitTest.java
+++ b/gateway/src/test/java/opalcove/discovery/BackoffTest.java
@@ -1,4 +1,4 @@
-package opalcove.gateway;
+package opalcove.discovery;
 
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertNotEquals;
@@ -9,9 +9,9 @@
 import java.util.stream.IntStream;
 import org.testng.annotations.Test;
 
-public class GrowingWaitTest {
+public class BackoffTest {
     private static long[] waits(long seed, int count) {
-        GrowingWait wait = new GrowingWait(200, 3200, new SplittableRandom(seed));
+        Backoff wait = new Backoff(200, 3200, new SplittableRandom(seed));
         return IntStream.range(0, count).mapToLong(i -> wait.next()).toArray();
     }
 
@@ -42,7 +42,7 @@
     @Test
     public void aWaitThatHasABoundIsDrawnBelowIt() {
         for (int seed = 0; seed < 200; seed++) {
-            GrowingWait wait = new GrowingWait(200, 3200, new SplittableRandom(seed));
+            Backoff wait = new Backoff(200, 3200, new SplittableRandom(seed));
             assertEquals(wait.next(4500), waits(seed, 1)[0]);
             for (int i = 0; i < 8; i++) {
                 long next = wait.next(600);
@@ -54,11 +54,11 @@
 
     @Test
     public void aTryThatComesOffMakesItShortAgain() {
-        GrowingWait wait = new GrowingWait(200, 3200, new SplittableRandom(7));
+        Backoff wait = new Backoff(200, 3200, new SplittableRandom(7));
         IntStream.range(0, 8).forEach(i -> wait.next());
         wait.reset();
         assertTrue(wait.next() <= 300);
-        assertThrows(IllegalArgumentException.class, () -> new GrowingWait(0, 10, new SplittableRandom(7)));
-        assertThrows(IllegalArgumentException.class, () -> new GrowingWait(20, 10, new SplittableRandom(7)));
+        assertThrows(IllegalArgumentException.class, () -> new Backoff(0, 10, new SplittableRandom(7)));
+        assertThrows(IllegalArgumentException.class, () -> new Backoff(20, 10, new SplittableRandom(7)));
     }
 }
--- a/gateway/src/test/java/opalcove/platform/DiscoveryBoundsTest.java
+++ b/gateway/src/test/java/opalcove/discovery/DiscoveryBoundsTest.java
@@ -1,4 +1,4 @@
-package opalcove.platform;
+package opalcove.discovery;
 
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertTrue;
@@ -16,13 +16,13 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicInteger;
 import java.util.stream.IntStream;
-import opalcove.Facts;
-import opalcove.decision.Admission;
-import opalcove.gateway.AppNode;
-import opalcove.gateway.Endpoint;
-import opalcove.gateway.Fields;
-import opalcove.gateway.GrowingWait;
-import opalcove.gateway.SettingsReader;
+import opalcove.TestSettings;
+import opalcove.config.Backend;
+import opalcove.config.HostAndPort;
+import opalcove.config.JsonFields;
+import opalcove.config.SettingsReader;
+import opalcove.decision.DecisionSettings;
+import opalcove.decision.EndpointState;
 import org.testng.annotations.AfterMethod;
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.DataProvider;
@@ -53,30 +53,30 @@
         vertx.close().toCompletionStage().toCompletableFuture().get(20, TimeUnit.SECONDS);
     }
 
-    private static Admission.Settings asked(int gateways) {
+    private static DecisionSettings asked(int gateways) {
         return settings("\"balancers\":1", "\"balancers\":" + gateways, "\"pushed\"", "\"on_request\"");
     }
 
-    private static Admission.Settings pushed(int graceMs) {
+    private static DecisionSettings pushed(int graceMs) {
         return settings("\"fall_ms\":3000", "\"fall_ms\":3000,\"stop_sending_within_ms\":" + graceMs);
     }
 
-    private static Admission.Settings settings(String... changes) {
-        String json = Facts.JSON;
+    private static DecisionSettings settings(String... changes) {
+        String json = TestSettings.JSON;
         for (int i = 0; i < changes.length; i += 2) {
             assertTrue(json.contains(changes[i]), changes[i]);
             json = json.replace(changes[i], changes[i + 1]);
         }
-        return SettingsReader.checked(Fields.parse(json));
+        return SettingsReader.checked(JsonFields.parse(json));
     }
 
     /** The longest times that a call of this pace takes until it has failed, ms: at once, in line, connecting, silent. */
-    private static double[] failuresMs(DiscoveryWatch.Pace pace) {
+    private static double[] failuresMs(DiscoveryClient.PollSchedule pace) {
         return new double[] {0, Math.min(LINE_MS, pace.silenceMs()), pace.connectMs(), pace.waitMs() + pace.silenceMs()
         };
     }
 
-    private static double wait(DiscoveryWatch.Pace pace, double failedAfterMs) {
+    private static double wait(DiscoveryClient.PollSchedule pace, double failedAfterMs) {
         return pace.again().next(pace.waitAtMostMs((long) failedAfterMs, 0, 0));
     }
 
@@ -89,7 +89,8 @@
     @Test(dataProvider = "fleets")
     public void aChangeIsAskedForInTimeWhateverFailed(int gateways) {
         for (int seed = 0; seed < 50; seed++) {
-            DiscoveryWatch.Pace pace = DiscoveryWatch.Pace.of(asked(gateways), new SplittableRandom(seed));
+            DiscoveryClient.PollSchedule pace =
+                    DiscoveryClient.PollSchedule.of(asked(gateways), new SplittableRandom(seed));
             assertTrue(pace.firstAfterMs() <= TOLD_AFTER_MS - MARGIN_MS, "first call after " + pace.firstAfterMs());
             for (double failedAfterMs : failuresMs(pace)) {
                 pace.again().reset();
@@ -105,7 +106,8 @@
     @Test(dataProvider = "fleets")
     public void aMovedServiceIsAskedAgainInTime(int gateways) {
         for (int seed = 0; seed < 50; seed++) {
-            DiscoveryWatch.Pace pace = DiscoveryWatch.Pace.of(asked(gateways), new SplittableRandom(seed));
+            DiscoveryClient.PollSchedule pace =
+                    DiscoveryClient.PollSchedule.of(asked(gateways), new SplittableRandom(seed));
             for (double failedAfterMs : new double[] {0, LINE_MS, pace.connectMs(), pace.silenceMs()}) {
                 pace.again().reset();
                 long since = (long) failedAfterMs;
@@ -121,7 +123,8 @@
     public void gatewaysWhoseWatchesBreakTogetherComeBackOverSeconds(int gateways) {
         int[] inTenths = new int[60];
         for (int seed = 0; seed < gateways; seed++) {
-            DiscoveryWatch.Pace pace = DiscoveryWatch.Pace.of(asked(gateways), new SplittableRandom(seed));
+            DiscoveryClient.PollSchedule pace =
+                    DiscoveryClient.PollSchedule.of(asked(gateways), new SplittableRandom(seed));
             inTenths[(int) wait(pace, 0) / 100]++;
         }
         int most = IntStream.of(inTenths).max().orElseThrow();
@@ -131,12 +134,13 @@
     /** The bound does not have a fleet come back as one: after each kind of failure its next calls are spread. */
     @Test(dataProvider = "fleets")
     public void gatewaysThatFailedTogetherDoNotComeBackTogether(int gateways) {
-        DiscoveryWatch.Pace first = DiscoveryWatch.Pace.of(asked(gateways), new SplittableRandom(0));
+        DiscoveryClient.PollSchedule first = DiscoveryClient.PollSchedule.of(asked(gateways), new SplittableRandom(0));
         for (double failedAfterMs : failuresMs(first)) {
             Set<Double> waits = new HashSet<>();
             double mean = 0;
             for (int seed = 0; seed < gateways; seed++) {
-                DiscoveryWatch.Pace pace = DiscoveryWatch.Pace.of(asked(gateways), new SplittableRandom(seed));
+                DiscoveryClient.PollSchedule pace =
+                        DiscoveryClient.PollSchedule.of(asked(gateways), new SplittableRandom(seed));
                 for (int failed = 0; failed < 6; failed++) {
                     wait(pace, failedAfterMs);
                 }
@@ -159,7 +163,8 @@
     @Test(dataProvider = "graces")
     public void aPushedChangeIsAskedForWithinTheGrace(int graceMs) {
         for (int seed = 0; seed < 50; seed++) {
-            DiscoveryWatch.Pace pace = DiscoveryWatch.Pace.of(pushed(graceMs), new SplittableRandom(seed));
+            DiscoveryClient.PollSchedule pace =
+                    DiscoveryClient.PollSchedule.of(pushed(graceMs), new SplittableRandom(seed));
             for (double failedAfterMs : failuresMs(pace)) {
                 for (int failed = 0; failed < 20; failed++) {
                     assertTrue(failedAfterMs + wait(pace, failedAfterMs) <= 0.8 * graceMs, failedAfterMs + "");
@@ -172,8 +177,8 @@
     /** Where the settings name no grace there is one; a grace that is next to none still leaves times to wait. */
     @Test
     public void aGraceIsNeverNone() {
-        assertEquals(settings().duties().drainGraceMs(), Admission.Duties.DEFAULT_DRAIN_GRACE_MS);
-        DiscoveryWatch.Pace pace = DiscoveryWatch.Pace.of(pushed(0), new SplittableRandom(1));
+        assertEquals(settings().duties().drainGraceMs(), DecisionSettings.Obligations.DEFAULT_DRAIN_GRACE_MS);
+        DiscoveryClient.PollSchedule pace = DiscoveryClient.PollSchedule.of(pushed(0), new SplittableRandom(1));
         assertTrue(pace.waitMs() > 0 && pace.silenceMs() > 0 && pace.again().next(1) == 1, pace + "");
     }
 
@@ -229,9 +234,9 @@
                 .toCompletableFuture()
                 .get(20, TimeUnit.SECONDS)
                 .actualPort();
-        CompletableFuture<AppNode> drained = new CompletableFuture<>();
+        CompletableFuture<Backend> drained = new CompletableFuture<>();
         follow(port, (whole, lines, discoveryNow) -> lines.stream()
-                .filter(line -> line.host().state() == Admission.State.DRAINING)
+                .filter(line -> line.host().state() == EndpointState.DRAINING)
                 .forEach(drained::complete));
         assertEquals(drained.get(20, TimeUnit.SECONDS).name(), "s-1", kind);
     }
@@ -244,9 +249,9 @@
         try (ServerSocket closed = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
             port = closed.getLocalPort();
         }
-        follow(port, new DiscoveryWatch.Listener() {
+        follow(port, new DiscoveryClient.Listener() {
             @Override
-            public void told(boolean whole, List<AppNode> lines, double discoveryNow) {}
+            public void told(boolean whole, List<Backend> lines, double discoveryNow) {}
 
             @Override
             public void untold(boolean refused) {
@@ -256,10 +261,12 @@
         assertTrue(failed.await(20, TimeUnit.SECONDS), failed.getCount() + " failures did not come");
     }
 
-    private void follow(int port, DiscoveryWatch.Listener listener) {
+    private void follow(int port, DiscoveryClient.Listener listener) {
         double hourMs = TimeUnit.HOURS.toMillis(1);
-        GrowingWait grown = new GrowingWait(hourMs, hourMs, new SplittableRandom(1));
-        DiscoveryWatch.Pace pace = new DiscoveryWatch.Pace(20, 150, 0, grown, 250, Long.MAX_VALUE, Long.MAX_VALUE);
-        vertx.runOnContext(start -> new DiscoveryWatch(vertx, new Endpoint("127.0.0.1", port), pace, listener).start());
+        Backoff grown = new Backoff(hourMs, hourMs, new SplittableRandom(1));
+        DiscoveryClient.PollSchedule pace =
+                new DiscoveryClient.PollSchedule(20, 150, 0, grown, 250, Long.MAX_VALUE, Long.MAX_VALUE);
+        vertx.runOnContext(
+                start -> new DiscoveryClient(vertx, new HostAndPort("127.0.0.1", port), pace, listener).start());
     }
 }
--- a/gateway/src/test/java/opalcove/platform/DiscoveryWatchTest.java
+++ b/gateway/src/test/java/opalcove/discovery/DiscoveryClientTest.java
@@ -1,4 +1,4 @@
-package opalcove.platform;
+package opalcove.discovery;
 
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertFalse;
@@ -26,19 +26,19 @@
 import java.util.concurrent.TimeUnit;
 import java.util.random.RandomGenerator;
 import java.util.stream.IntStream;
-import opalcove.Facts;
-import opalcove.decision.Admission;
-import opalcove.gateway.AppNode;
-import opalcove.gateway.Endpoint;
-import opalcove.gateway.Fields;
-import opalcove.gateway.GrowingWait;
-import opalcove.gateway.SettingsReader;
+import opalcove.TestSettings;
+import opalcove.config.Backend;
+import opalcove.config.HostAndPort;
+import opalcove.config.JsonFields;
+import opalcove.config.SettingsReader;
+import opalcove.decision.DecisionSettings;
+import opalcove.decision.EndpointState;
 import org.testng.annotations.AfterMethod;
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
 /** A list service that is overbooked: what the watch asks, and how long it means to wait before it asks again. */
-public class DiscoveryWatchTest {
+public class DiscoveryClientTest {
     private static final String NODE = "{\"name\":\"s-1\",\"address\":\"127.0.0.1:1\",\"zone\":\"a\",\"type\":\"m\","
             + "\"group\":0,\"status\":\"up\",\"weight\":1.0,\"since_ms\":0}";
 
@@ -65,8 +65,8 @@
         }
     }
 
-    private static Admission.Settings settings(String discovery) {
-        return SettingsReader.checked(Fields.parse(Facts.JSON
+    private static DecisionSettings settings(String discovery) {
+        return SettingsReader.checked(JsonFields.parse(TestSettings.JSON
                 .replace("\"balancers\":1", "\"balancers\":14")
                 .replace("\"pushed\"", '"' + discovery + '"')));
     }
@@ -74,15 +74,15 @@
     /** One service for all gateways is asked ever more rarely and not by all at once; an agent on the machine, at once. */
     @Test
     public void onlyAListThatIsAskedForIsAskedForWithSpread() {
-        Admission.Settings one = settings("on_request");
-        Admission.Settings agent = settings("pushed");
+        DecisionSettings one = settings("on_request");
+        DecisionSettings agent = settings("pushed");
         Set<Long> starts = new HashSet<>();
         for (int seed = 0; seed < 14; seed++) {
-            DiscoveryWatch.Pace asked = DiscoveryWatch.Pace.of(one, new SplittableRandom(seed));
+            DiscoveryClient.PollSchedule asked = DiscoveryClient.PollSchedule.of(one, new SplittableRandom(seed));
             starts.add(asked.firstAfterMs());
             IntStream.range(0, 6).forEach(i -> asked.again().next());
             assertTrue(asked.again().next() >= 1600);
-            DiscoveryWatch.Pace pushed = DiscoveryWatch.Pace.of(agent, new SplittableRandom(seed));
+            DiscoveryClient.PollSchedule pushed = DiscoveryClient.PollSchedule.of(agent, new SplittableRandom(seed));
             assertEquals(pushed.firstAfterMs(), 0);
             IntStream.range(0, 6).forEach(i -> pushed.again().next());
             assertTrue(pushed.again().next() <= 300);
@@ -98,8 +98,10 @@
     @Test
     public void aSilentWatchIsOpenedAnewBeforeWhatItMissedHasToBeKnown() {
         for (int seed = 0; seed < 14; seed++) {
-            assertTrue(longestGap(DiscoveryWatch.Pace.of(settings("pushed"), new SplittableRandom(seed))) < 1000);
-            assertTrue(longestGap(DiscoveryWatch.Pace.of(settings("on_request"), new SplittableRandom(seed))) < 6000);
+            assertTrue(
+                    longestGap(DiscoveryClient.PollSchedule.of(settings("pushed"), new SplittableRandom(seed))) < 1000);
+            assertTrue(longestGap(DiscoveryClient.PollSchedule.of(settings("on_request"), new SplittableRandom(seed)))
+                    < 6000);
         }
     }
 
@@ -110,14 +112,15 @@
     @Test
     public void afterALongSilenceAPushedListIsHeardWithinTheSecond() {
         for (int seed = 0; seed < 14; seed++) {
-            DiscoveryWatch.Pace pace = DiscoveryWatch.Pace.of(settings("pushed"), new SplittableRandom(seed));
+            DiscoveryClient.PollSchedule pace =
+                    DiscoveryClient.PollSchedule.of(settings("pushed"), new SplittableRandom(seed));
             for (int failed = 0; failed < 50; failed++) {
                 assertTrue(longestGap(pace) < 1000);
             }
         }
     }
 
-    private static double longestGap(DiscoveryWatch.Pace pace) {
+    private static double longestGap(DiscoveryClient.PollSchedule pace) {
         return Math.max(pace.connectMs(), pace.waitMs() + pace.silenceMs())
                 + pace.again().next();
     }
@@ -132,12 +135,12 @@
         int silenceMs = 600;
         try (ServerSocket agent = new ServerSocket(0, 1, InetAddress.getByName("127.0.0.1"))) {
             agent.setSoTimeout(20_000);
-            DiscoveryWatch.Pace pace =
-                    new DiscoveryWatch.Pace(10_000, silenceMs, 0, new GrowingWait(1, 2, new SplittableRandom(1)));
+            DiscoveryClient.PollSchedule pace =
+                    new DiscoveryClient.PollSchedule(10_000, silenceMs, 0, new Backoff(1, 2, new SplittableRandom(1)));
             assertEquals(pace.connectMs(), silenceMs);
-            watch(agent.getLocalPort(), pace, new DiscoveryWatch.Listener() {
+            watch(agent.getLocalPort(), pace, new DiscoveryClient.Listener() {
                 @Override
-                public void told(boolean whole, List<AppNode> lines, double discoveryNow) {
+                public void told(boolean whole, List<Backend> lines, double discoveryNow) {
                     listed.countDown();
                 }
 
@@ -213,10 +216,10 @@
         });
         watch(
                 port,
-                new DiscoveryWatch.Pace(10_000, 20_000, 0, new GrowingWait(1, 2, new SplittableRandom(1))),
-                new DiscoveryWatch.Listener() {
+                new DiscoveryClient.PollSchedule(10_000, 20_000, 0, new Backoff(1, 2, new SplittableRandom(1))),
+                new DiscoveryClient.Listener() {
                     @Override
-                    public void told(boolean whole, List<AppNode> lines, double discoveryNow) {
+                    public void told(boolean whole, List<Backend> lines, double discoveryNow) {
                         lines.forEach(line -> told.add(line.host().state().name()));
                     }
 
@@ -242,7 +245,7 @@
     @Test
     public void whatASilentWatchMissedIsHeardByTheNext() throws Exception {
         Queue<String> watches = new ConcurrentLinkedQueue<>();
-        CompletableFuture<AppNode> drained = new CompletableFuture<>();
+        CompletableFuture<Backend> drained = new CompletableFuture<>();
         int port = serve(call -> {
             if (!call.uri().contains("since")) {
                 call.response().end("{\"index\":4,\"snapshot\":true,\"endpoints\":[" + NODE + "]}");
@@ -257,9 +260,9 @@
         });
         watch(
                 port,
-                new DiscoveryWatch.Pace(20, 500, 0, new GrowingWait(1, 2, new SplittableRandom(1))),
+                new DiscoveryClient.PollSchedule(20, 500, 0, new Backoff(1, 2, new SplittableRandom(1))),
                 (whole, lines, discoveryNow) -> lines.stream()
-                        .filter(line -> line.host().state() == Admission.State.DRAINING)
+                        .filter(line -> line.host().state() == EndpointState.DRAINING)
                         .forEach(drained::complete));
         assertEquals(drained.get(20, TimeUnit.SECONDS).name(), "s-1");
         assertEquals(List.copyOf(watches).subList(0, 3), Collections.nCopies(3, "/v1/endpoints?since=4&timeout_ms=20"));
@@ -295,13 +298,13 @@
                         });
             }
         });
-        DiscoveryWatch watch = watch(
+        DiscoveryClient watch = watch(
                 old,
-                new DiscoveryWatch.Pace(10_000, 20_000, 0, new GrowingWait(1, 2, new SplittableRandom(1))),
+                new DiscoveryClient.PollSchedule(10_000, 20_000, 0, new Backoff(1, 2, new SplittableRandom(1))),
                 (whole, lines, discoveryNow) -> lines.forEach(
                         line -> told.add(line.name() + " " + line.host().state())));
         watched.get(20, TimeUnit.SECONDS);
-        vertx.runOnContext(move -> watch.moveTo(new Endpoint("127.0.0.1", elsewhere)));
+        vertx.runOnContext(move -> watch.moveTo(new HostAndPort("127.0.0.1", elsewhere)));
         assertEquals(second.get(20, TimeUnit.SECONDS), "/v1/endpoints?since=3&timeout_ms=10000");
         assertTrue(answeredLate.isDone());
         assertEquals(List.copyOf(told), List.of("s-1 UP", "s-1 DRAINING"));
@@ -311,12 +314,12 @@
     @Test
     public void aProcessThatWasHeldUpDoesNotTakeItsOwnSlownessForSilence() throws Exception {
         int silenceMs = 300;
-        CompletableFuture<AppNode> heard = new CompletableFuture<>();
+        CompletableFuture<Backend> heard = new CompletableFuture<>();
         try (ServerSocket discovery = new ServerSocket(0, 8, InetAddress.getByName("127.0.0.1"))) {
             discovery.setSoTimeout(20_000);
             watch(
                     discovery.getLocalPort(),
-                    new DiscoveryWatch.Pace(10_000, silenceMs, 0, new GrowingWait(1, 2, new SplittableRandom(1))),
+                    new DiscoveryClient.PollSchedule(10_000, silenceMs, 0, new Backoff(1, 2, new SplittableRandom(1))),
                     (whole, lines, discoveryNow) -> heard.complete(lines.get(0)));
             try (Socket line = discovery.accept()) {
                 assertEquals(call(line), "GET /v1/endpoints HTTP/1.1");
@@ -348,14 +351,14 @@
     @Test
     public void theFirstWordIsTheListOrThatThereIsNoAnswer() throws Exception {
         CompletableFuture<HttpServerRequest> held = new CompletableFuture<>();
-        Queue<AppNode> told = new ConcurrentLinkedQueue<>();
-        DiscoveryWatch watch = watch(
+        Queue<Backend> told = new ConcurrentLinkedQueue<>();
+        DiscoveryClient watch = watch(
                 serve(call -> {
                     if (!held.complete(call)) {
                         call.response().end("{\"index\":4,\"snapshot\":false,\"endpoints\":[]}");
                     }
                 }),
-                new DiscoveryWatch.Pace(10_000, 20_000, 0, new GrowingWait(1, 2, new SplittableRandom(1))),
+                new DiscoveryClient.PollSchedule(10_000, 20_000, 0, new Backoff(1, 2, new SplittableRandom(1))),
                 (whole, lines, discoveryNow) -> told.addAll(lines));
         HttpServerRequest call = held.get(20, TimeUnit.SECONDS);
         assertFalse(watch.firstWord(true).isComplete(), "opens while the list is on its way");
@@ -363,12 +366,12 @@
         watch.firstWord(true).toCompletionStage().toCompletableFuture().get(20, TimeUnit.SECONDS);
         assertEquals(told.size(), 1);
         Queue<String> refused = new ConcurrentLinkedQueue<>();
-        DiscoveryWatch away = watch(
+        DiscoveryClient away = watch(
                 serve(each -> {
                     refused.add(each.uri());
                     each.response().setStatusCode(503).end();
                 }),
-                new DiscoveryWatch.Pace(10_000, 20_000, 0, new GrowingWait(1, 2, new SplittableRandom(1))),
+                new DiscoveryClient.PollSchedule(10_000, 20_000, 0, new Backoff(1, 2, new SplittableRandom(1))),
                 (whole, lines, discoveryNow) -> told.addAll(lines));
         away.firstWord(true).toCompletionStage().toCompletableFuture().get(20, TimeUnit.SECONDS);
         assertTrue(refused.size() >= 2, refused + "");
@@ -411,10 +414,10 @@
         });
         CompletableFuture<List<String>> knownAtTheWord = new CompletableFuture<>();
         vertx.runOnContext(start -> {
-            DiscoveryWatch watch = new DiscoveryWatch(
+            DiscoveryClient watch = new DiscoveryClient(
                     vertx,
-                    new Endpoint("127.0.0.1", port),
-                    new DiscoveryWatch.Pace(10_000, 20_000, 0, new GrowingWait(1, 2, new SplittableRandom(1))),
+                    new HostAndPort("127.0.0.1", port),
+                    new DiscoveryClient.PollSchedule(10_000, 20_000, 0, new Backoff(1, 2, new SplittableRandom(1))),
                     (whole, lines, discoveryNow) ->
                             lines.forEach(line -> told.add(line.host().state().name())));
             watch.firstWord(fresh).onSuccess(word -> knownAtTheWord.complete(List.copyOf(told)));
@@ -437,12 +440,12 @@
             }
         });
         vertx.runOnContext(start -> {
-            DiscoveryWatch watch = new DiscoveryWatch(
+            DiscoveryClient watch = new DiscoveryClient(
                     vertx,
-                    new Endpoint("127.0.0.1", 1),
-                    new DiscoveryWatch.Pace(10_000, 20_000, 0, new GrowingWait(1, 2, new SplittableRandom(1))),
+                    new HostAndPort("127.0.0.1", 1),
+                    new DiscoveryClient.PollSchedule(10_000, 20_000, 0, new Backoff(1, 2, new SplittableRandom(1))),
                     (whole, lines, discoveryNow) -> {});
-            watch.moveTo(new Endpoint("127.0.0.1", elsewhere));
+            watch.moveTo(new HostAndPort("127.0.0.1", elsewhere));
             watch.startFrom(41);
         });
         watched.get(20, TimeUnit.SECONDS);
@@ -450,7 +453,7 @@
     }
 
     /** The next call on this connection; its first line. */
-    static String call(Socket line) throws Exception {
+    public static String call(Socket line) throws Exception {
         line.setSoTimeout(20_000);
         StringBuilder head = new StringBuilder();
         while (head.indexOf("\r\n\r\n") < 0) {
@@ -471,12 +474,12 @@
                 .actualPort();
     }
 
-    private DiscoveryWatch watch(int port, DiscoveryWatch.Pace pace, DiscoveryWatch.Listener listener)
+    private DiscoveryClient watch(int port, DiscoveryClient.PollSchedule pace, DiscoveryClient.Listener listener)
             throws Exception {
-        CompletableFuture<DiscoveryWatch> watch = new CompletableFuture<>();
+        CompletableFuture<DiscoveryClient> watch = new CompletableFuture<>();
         vertx.runOnContext(start -> {
             loop = Vertx.currentContext();
-            watch.complete(new DiscoveryWatch(vertx, new Endpoint("127.0.0.1", port), pace, listener));
+            watch.complete(new DiscoveryClient(vertx, new HostAndPort("127.0.0.1", port), pace, listener));
             watch.join().start();
         });
         return watch.get(20, TimeUnit.SECONDS);
@@ -485,7 +488,7 @@
     @Test
     public void aRefusedCallIsMadeAgainAfterAGrowingWaitAndAnAnsweredOneAtOnce() throws Exception {
         assertEquals(
-                calls(DiscoveryWatch.NO_INDEX),
+                calls(DiscoveryClient.NO_INDEX),
                 List.of(
                         "/v1/endpoints",
                         "waits",
@@ -544,13 +547,13 @@
                 .toCompletableFuture()
                 .get(20, TimeUnit.SECONDS)
                 .actualPort();
-        GrowingWait waits = new GrowingWait(2, 64, new Shortest(told));
-        Queue<AppNode> nodes = new ConcurrentLinkedQueue<>();
+        Backoff waits = new Backoff(2, 64, new Shortest(told));
+        Queue<Backend> nodes = new ConcurrentLinkedQueue<>();
         CompletableFuture<Void> first = new CompletableFuture<>();
-        vertx.runOnContext(start -> new DiscoveryWatch(
+        vertx.runOnContext(start -> new DiscoveryClient(
                         vertx,
-                        new Endpoint("127.0.0.1", port),
-                        new DiscoveryWatch.Pace(10_000, 20_000, 1, waits),
+                        new HostAndPort("127.0.0.1", port),
+                        new DiscoveryClient.PollSchedule(10_000, 20_000, 1, waits),
                         (whole, lines, discoveryNow) -> nodes.addAll(lines))
                 .startFrom(known)
                 .onSuccess(first::complete));
--- a/gateway/src/test/java/opalcove/platform/DiscoveryRequestsTest.java
+++ b/gateway/src/test/java/opalcove/discovery/DiscoveryRequestsTest.java
@@ -1,4 +1,4 @@
-package opalcove.platform;
+package opalcove.discovery;
 
 import static org.testng.Assert.assertEquals;
 
@@ -10,9 +10,9 @@
 import java.util.List;
 import java.util.SplittableRandom;
 import java.util.concurrent.TimeUnit;
-import opalcove.Facts;
-import opalcove.decision.Admission;
-import opalcove.gateway.Endpoint;
+import opalcove.TestSettings;
+import opalcove.config.HostAndPort;
+import opalcove.decision.DecisionSettings;
 import org.testng.annotations.Test;
 
 /** What is sent to discovery, byte for byte, for a list that is pushed and for one that is polled. */
@@ -24,7 +24,7 @@
     @Test
     public void theWholeListThenAWatchOfAPushedList() throws Exception {
         assertEquals(
-                requests(Facts.settings(), NO_VERSION, false),
+                requests(TestSettings.settings(), NO_VERSION, false),
                 List.of(
                         "GET /v1/endpoints HTTP/1.1\r\nhost: 127.0.0.1:PORT\r\n\r\n",
                         "GET /v1/endpoints?since=41&timeout_ms=250 HTTP/1.1\r\nhost: 127.0.0.1:PORT\r\n\r\n"));
@@ -33,7 +33,7 @@
     @Test
     public void aWatchFromAKnownVersionOfAPolledList() throws Exception {
         assertEquals(
-                requests(Facts.settingsOfAListThatIsAskedFor(), 7, false),
+                requests(TestSettings.settingsOfAListThatIsAskedFor(), 7, false),
                 List.of(
                         "GET /v1/endpoints?since=7&timeout_ms=1500 HTTP/1.1\r\nhost: 127.0.0.1:PORT\r\n\r\n",
                         "GET /v1/endpoints?since=41&timeout_ms=1500 HTTP/1.1\r\nhost: 127.0.0.1:PORT\r\n\r\n"));
@@ -43,19 +43,19 @@
     @Test
     public void aWatchWhileAFreshListIsAwaited() throws Exception {
         assertEquals(
-                requests(Facts.settings(), 7, true).get(0),
+                requests(TestSettings.settings(), 7, true).get(0),
                 "GET /v1/endpoints?since=7&timeout_ms=1 HTTP/1.1\r\nhost: 127.0.0.1:PORT\r\n\r\n");
     }
 
     /** The first two requests of a gateway that knows this version, all of their bytes, with PORT in the port's place. */
-    private static List<String> requests(Admission.Settings settings, long known, boolean fresh) throws Exception {
+    private static List<String> requests(DecisionSettings settings, long known, boolean fresh) throws Exception {
         Vertx vertx = Vertx.vertx();
         try (ServerSocket discovery = new ServerSocket(0, 8, InetAddress.getByName("127.0.0.1"))) {
             discovery.setSoTimeout(PATIENCE_S * 1000);
             vertx.runOnContext(start -> {
-                DiscoveryWatch watch = new DiscoveryWatch(
+                DiscoveryClient watch = new DiscoveryClient(
                         vertx,
-                        new Endpoint("127.0.0.1", discovery.getLocalPort()),
+                        new HostAndPort("127.0.0.1", discovery.getLocalPort()),
                         settings,
                         new SplittableRandom(1),
                         (whole, lines, discoveryNow) -> {});
--- a/gateway/src/test/java/opalcove/gateway/ListeningTest.java
+++ b/gateway/src/test/java/opalcove/lifecycle/ListeningTest.java
@@ -1,4 +1,4 @@
-package opalcove.gateway;
+package opalcove.lifecycle;
 
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertTrue;
@@ -37,7 +37,7 @@
 
     private CompletableFuture<Integer> listening() {
         CompletableFuture<Integer> port = new CompletableFuture<>();
-        vertx.runOnContext(start -> Program.listening(vertx, this::listen)
+        vertx.runOnContext(start -> Application.listening(vertx, this::listen)
                 .onSuccess(port::complete)
                 .onFailure(port::completeExceptionally));
         return port;
--- a/gateway/src/test/java/opalcove/gateway/StartTimesTest.java
+++ b/gateway/src/test/java/opalcove/lifecycle/StartupTimesTest.java
@@ -1,17 +1,17 @@
-package opalcove.gateway;
+package opalcove.lifecycle;
 
 import static org.testng.Assert.assertEquals;
 
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicLong;
-import opalcove.gateway.StartTimes.StartPhase;
+import opalcove.lifecycle.StartupTimes.StartPhase;
 import org.testng.annotations.Test;
 
-public class StartTimesTest {
+public class StartupTimesTest {
     @Test
     public void eachPhaseCountsFromTheOneBeforeAndOnlyOnce() {
         AtomicLong clock = new AtomicLong(TimeUnit.SECONDS.toNanos(7));
-        StartTimes times = new StartTimes(clock::get);
+        StartupTimes times = new StartupTimes(clock::get);
         clock.addAndGet(TimeUnit.MILLISECONDS.toNanos(30));
         times.reached(StartPhase.CONFIGURATION_READ);
         clock.addAndGet(TimeUnit.MILLISECONDS.toNanos(400));
--- a/gateway/src/test/java/opalcove/gateway/OutsideNamesTest.java
+++ b/gateway/src/test/java/opalcove/metrics/OutsideNamesTest.java
@@ -1,4 +1,4 @@
-package opalcove.gateway;
+package opalcove.metrics;
 
 import static org.testng.Assert.assertEquals;
 
@@ -11,7 +11,12 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.TimeUnit;
 import java.util.function.Supplier;
-import opalcove.Facts;
+import opalcove.TestSettings;
+import opalcove.config.Backend;
+import opalcove.config.Clock;
+import opalcove.core.NoOpBackendTransport;
+import opalcove.core.Request;
+import opalcove.core.RequestDispatcher;
 import org.testng.annotations.AfterMethod;
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
@@ -19,12 +24,12 @@
 /** The keys of INFO and STATS, in their order: dashboards and alerts read them, so they outlive names in the code. */
 public class OutsideNamesTest {
     private Vertx vertx;
-    private Gateway gateway;
+    private RequestDispatcher gateway;
 
     @BeforeMethod
     public void open() throws Exception {
         vertx = Vertx.vertx();
-        gateway = onLoop(() -> new Gateway(vertx, new Clock(), Facts.settings(), 1, new NoLinks()));
+        gateway = onLoop(() -> new RequestDispatcher(vertx, new Clock(), TestSettings.settings(), 1, new NoLinks()));
     }
 
     @AfterMethod
@@ -112,7 +117,7 @@
         gateway.connectionEndedForDescriptors(false);
         gateway.connectionEndedForDescriptors(true);
         gateway.connectionEndedForDescriptors(true);
-        gateway.checks().broken(Rule.REPEAT, "id", "a test");
+        gateway.checks().broken(Invariant.REPEAT, "id", "a test");
         gateway.systemCallFailed(SystemCall.ACCEPT, new IOException("Too many open files"));
         assertEquals(
                 metrics.lines(),
@@ -226,7 +231,7 @@
     @Test
     public void eachEndOfAConnectionIsCountedByItsOwnName() throws Exception {
         List<String> counted = new ArrayList<>();
-        for (ConnectionEnd end : ConnectionEnd.values()) {
+        for (ConnectionCloseReason end : ConnectionCloseReason.values()) {
             gateway.connectionEnded(end);
             counted.add(onLoop(gateway::figures)
                     .lines()
@@ -257,9 +262,9 @@
         return done.get(20, TimeUnit.SECONDS);
     }
 
-    private static final class NoLinks extends QuietLinks {
+    private static final class NoLinks extends NoOpBackendTransport {
         @Override
-        public Attempt attempt(AppNode node, Ask ask, double waitMs, Ended ended) {
+        public Attempt attempt(Backend node, Request ask, double waitMs, Ended ended) {
             throw new AssertionError("no attempt is made in this test");
         }
     }
