--- a/gateway/src/test/java/opalcove/platform/BackendCommandsTest.java
+++ b/gateway/src/test/java/opalcove/resp/BackendCommandsTest.java
@@ -1,4 +1,4 @@
-package opalcove.platform;
+package opalcove.resp;
 
 import static org.testng.Assert.assertEquals;
 
@@ -10,12 +10,12 @@
 import java.net.Socket;
 import java.nio.charset.StandardCharsets;
 import java.util.concurrent.TimeUnit;
-import opalcove.Facts;
-import opalcove.gateway.Ask;
-import opalcove.gateway.LinkPool;
-import opalcove.gateway.LongValue;
-import opalcove.gateway.NodeEnd;
-import opalcove.gateway.Program;
+import opalcove.TestSettings;
+import opalcove.backend.ConnectionPool;
+import opalcove.core.AttemptResult;
+import opalcove.core.Request;
+import opalcove.core.StreamedValue;
+import opalcove.lifecycle.Application;
 import org.testng.annotations.Test;
 
 /** What is sent to a backend, byte for byte, for a class of each effect. */
@@ -27,7 +27,7 @@
     @Test
     public void ofAClassThatIsSafeToRepeat() throws Exception {
         assertEquals(
-                sent(new Ask(ID, CUSTOMER, "slot-status", "start", 2, 480, null, false, 3, 1, null), 480.9),
+                sent(new Request(ID, CUSTOMER, "slot-status", "start", 2, 480, null, false, 3, 1, null), 480.9),
                 """
                 *4
                 $9
@@ -46,7 +46,7 @@
     public void ofAKeyedClassAndAClientsRetry() throws Exception {
         assertEquals(
                 sent(
-                        new Ask(
+                        new Request(
                                 ID,
                                 CUSTOMER,
                                 "swap-record",
@@ -79,7 +79,7 @@
     @Test
     public void ofAnUnsafeClassWithAnEmptyBody() throws Exception {
         assertEquals(
-                sent(new Ask(ID, CUSTOMER, "lock", "start", 1.25, 480, null, false, 12, 10, body("")), 0.4),
+                sent(new Request(ID, CUSTOMER, "lock", "start", 1.25, 480, null, false, 12, 10, body("")), 0.4),
                 """
                 *5
                 $10
@@ -101,11 +101,11 @@
     }
 
     /** Has the request sent on a new connection, which then ends; all that came. */
-    private static String sent(Ask ask, double waitMs) throws Exception {
-        Vertx vertx = Program.eventLoop();
+    private static String sent(Request ask, double waitMs) throws Exception {
+        Vertx vertx = Application.eventLoop();
         try (ServerSocket backend = new ServerSocket(0, 8, InetAddress.getLoopbackAddress())) {
             backend.setSoTimeout(PATIENCE_S * 1000);
-            vertx.runOnContext(start -> new RespDialler(vertx, Facts.settings())
+            vertx.runOnContext(start -> new RespConnector(vertx, TestSettings.settings())
                     .dial("127.0.0.1:" + backend.getLocalPort())
                     .onSuccess(line -> {
                         line.attach(new Ignored());
@@ -125,14 +125,14 @@
     }
 
     /** Hears of a connection on which nothing comes. */
-    private static final class Ignored implements LinkPool.Line.User {
+    private static final class Ignored implements ConnectionPool.BackendConnection.User {
         @Override
-        public boolean began(LongValue value) {
+        public boolean began(StreamedValue value) {
             return false;
         }
 
         @Override
-        public void replied(NodeEnd end) {}
+        public void replied(AttemptResult end) {}
 
         @Override
         public void unwritten() {}
--- a/gateway/src/test/java/opalcove/platform/ClientLeftTest.java
+++ b/gateway/src/test/java/opalcove/resp/ClientLeftTest.java
@@ -1,4 +1,4 @@
-package opalcove.platform;
+package opalcove.resp;
 
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertTrue;
@@ -8,7 +8,7 @@
 import java.net.Socket;
 import java.util.ArrayList;
 import java.util.List;
-import opalcove.decision.Admission.State;
+import opalcove.decision.EndpointState;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
@@ -49,13 +49,15 @@
 
     @Test(dataProvider = "leavings")
     public void heldByTheDecisionModule(Leaving leaving) throws Exception {
-        try (Stage stage = new Stage(PATIENT)) {
-            Stage.Node node = stage.node("n1");
-            stage.told(node.is(State.DRAINING));
+        try (RespTestBed stage = new RespTestBed(PATIENT)) {
+            RespTestBed.Node node = stage.node("n1");
+            stage.told(node.is(EndpointState.DRAINING));
             Socket client = stage.terminal();
-            Stage.say(client, Stage.query(1, WAIT_MS));
+            RespTestBed.say(client, RespTestBed.query(1, WAIT_MS));
             stage.until("asks_open", 1);
-            stage.unread(() -> leave(leaving, client), () -> stage.gateway.nodesTold(true, List.of(node.is(State.UP))));
+            stage.unread(
+                    () -> leave(leaving, client),
+                    () -> stage.gateway.nodesTold(true, List.of(node.is(EndpointState.UP))));
             nothingWasSent(stage, node, 1);
         }
     }
@@ -63,15 +65,15 @@
     /** The backend's refusal and the client's leaving come while the loop is held up, the refusal first. */
     @Test(dataProvider = "leavings")
     public void betweenAttempts(Leaving leaving) throws Exception {
-        try (Stage stage = new Stage(PATIENT)) {
-            Stage.Node first = stage.node("n1");
-            Stage.Node second = stage.node("n2");
-            stage.told(first.is(State.UP));
+        try (RespTestBed stage = new RespTestBed(PATIENT)) {
+            RespTestBed.Node first = stage.node("n1");
+            RespTestBed.Node second = stage.node("n2");
+            stage.told(first.is(EndpointState.UP));
             Socket client = stage.terminal();
-            Stage.say(client, Stage.query(1, WAIT_MS));
-            Stage.Line line = first.accept();
-            assertTrue(line.command().contains(Stage.id(1)));
-            stage.told(first.is(State.DRAINING), second.is(State.UP));
+            RespTestBed.say(client, RespTestBed.query(1, WAIT_MS));
+            RespTestBed.BackendConnection line = first.accept();
+            assertTrue(line.command().contains(RespTestBed.id(1)));
+            stage.told(first.is(EndpointState.DRAINING), second.is(EndpointState.UP));
             stage.unread(
                     () -> {
                         line.say("-BUSY\r\n");
@@ -86,74 +88,76 @@
     /** The request is read after its client has left; a link is at rest, so that it would be sent on at once. */
     @Test(dataProvider = "leavings")
     public void readAfterItHadLeft(Leaving leaving) throws Exception {
-        try (Stage stage = new Stage(PATIENT)) {
-            Stage.Node node = stage.node("n1");
-            stage.told(node.is(State.UP));
+        try (RespTestBed stage = new RespTestBed(PATIENT)) {
+            RespTestBed.Node node = stage.node("n1");
+            stage.told(node.is(EndpointState.UP));
             Socket client = stage.terminal();
-            Stage.say(client, Stage.query(1, WAIT_MS));
-            Stage.Line line = node.accept();
+            RespTestBed.say(client, RespTestBed.query(1, WAIT_MS));
+            RespTestBed.BackendConnection line = node.accept();
             line.command();
             line.serve("one");
-            assertEquals(Stage.answer(client), "one");
+            assertEquals(RespTestBed.answer(client), "one");
             stage.until("links_resting", 1);
             stage.unread(
                     () -> {
-                        Stage.say(client, Stage.query(2, WAIT_MS));
+                        RespTestBed.say(client, RespTestBed.query(2, WAIT_MS));
                         leave(leaving, client);
                     },
                     () -> {});
             stage.until("asks_open", 0);
             Socket next = stage.terminal();
-            Stage.say(next, Stage.query(99, WAIT_MS));
-            assertTrue(line.command().contains(Stage.id(99)), "a request of a client that had left was sent on");
+            RespTestBed.say(next, RespTestBed.query(99, WAIT_MS));
+            assertTrue(line.command().contains(RespTestBed.id(99)), "a request of a client that had left was sent on");
             assertTrue(node.gotNothing(), "a request of a client that had left was sent on");
         }
     }
 
     @Test(dataProvider = "leavings")
     public void waitingForAConnection(Leaving leaving) throws Exception {
-        leavesBeforeItsLinks(leaving, Stage.query(1, WAIT_MS), 1);
+        leavesBeforeItsLinks(leaving, RespTestBed.query(1, WAIT_MS), 1);
     }
 
     @Test(dataProvider = "leavings")
     public void behindOthersOnItsConnection(Leaving leaving) throws Exception {
-        leavesBeforeItsLinks(leaving, Stage.query(1, WAIT_MS) + Stage.PING + Stage.query(2, WAIT_MS), 2);
+        leavesBeforeItsLinks(
+                leaving, RespTestBed.query(1, WAIT_MS) + RespTestBed.PING + RespTestBed.query(2, WAIT_MS), 2);
     }
 
     @Test(dataProvider = "leavings")
     public void onAConnectionNotReadForWantOfAnswers(Leaving leaving) throws Exception {
-        leavesBeforeItsLinks(leaving, notReadOn() + Stage.PING.repeat(10), 2);
+        leavesBeforeItsLinks(leaving, notReadOn() + RespTestBed.PING.repeat(10), 2);
     }
 
     /** So much lies unread that the end does not show in the first read of it. */
     @Test(dataProvider = "leavings")
     public void onAConnectionNotReadWithMuchBehind(Leaving leaving) throws Exception {
-        leavesBeforeItsLinks(leaving, notReadOn() + Stage.PING.repeat(3000), 2);
+        leavesBeforeItsLinks(leaving, notReadOn() + RespTestBed.PING.repeat(3000), 2);
     }
 
     @Test(dataProvider = "leavings")
     public void onAConnectionNotReadAfterAnError(Leaving leaving) throws Exception {
-        leavesBeforeItsLinks(leaving, Stage.query(1, WAIT_MS) + Stage.words("UNKNOWN") + "+no command\r\n", 1);
+        leavesBeforeItsLinks(
+                leaving, RespTestBed.query(1, WAIT_MS) + RespTestBed.words("UNKNOWN") + "+no command\r\n", 1);
     }
 
     @Test(dataProvider = "leavings")
     public void onAConnectionNotReadAfterWhatIsNoCommand(Leaving leaving) throws Exception {
-        leavesBeforeItsLinks(leaving, Stage.query(1, WAIT_MS) + "no command\r\n" + "x".repeat(100_000), 1);
+        leavesBeforeItsLinks(leaving, RespTestBed.query(1, WAIT_MS) + "no command\r\n" + "x".repeat(100_000), 1);
     }
 
     /** One read of the connection brings what came before the client left, and ends before the end that lies behind it. */
     @Test(dataProvider = "leavings")
     public void behindWhatTheSameTurnHasRead(Leaving leaving) throws Exception {
-        try (Stage stage = new Stage(PATIENT)) {
-            Stage.Node node = stage.node("n1");
-            stage.told(node.is(State.UP));
+        try (RespTestBed stage = new RespTestBed(PATIENT)) {
+            RespTestBed.Node node = stage.node("n1");
+            stage.told(node.is(EndpointState.UP));
             stage.withholdLinks();
             Socket client = stage.terminal();
-            Stage.say(client, Stage.query(1, WAIT_MS));
+            RespTestBed.say(client, RespTestBed.query(1, WAIT_MS));
             Runnable link = stage.linkUp();
             stage.unread(
                     () -> {
-                        Stage.say(client, Stage.PING);
+                        RespTestBed.say(client, RespTestBed.PING);
                         leave(leaving, client);
                     },
                     () -> {
@@ -169,15 +173,15 @@
     @Test(dataProvider = "leavings")
     public void inABurstOfLeavingClients(Leaving leaving) throws Exception {
         int clients = 12;
-        try (Stage stage = new Stage(PATIENT)) {
-            Stage.Node node = stage.node("n1");
-            stage.told(node.is(State.UP));
+        try (RespTestBed stage = new RespTestBed(PATIENT)) {
+            RespTestBed.Node node = stage.node("n1");
+            stage.told(node.is(EndpointState.UP));
             stage.withholdLinks();
             List<Socket> all = new ArrayList<>();
             List<Runnable> links = new ArrayList<>();
             for (int i = 1; i <= clients; i++) {
                 Socket client = stage.terminal();
-                Stage.say(client, Stage.query(i, WAIT_MS));
+                RespTestBed.say(client, RespTestBed.query(i, WAIT_MS));
                 stage.until("taken", i);
                 links.add(stage.linkUp());
                 all.add(client);
@@ -197,12 +201,12 @@
     /** The attempt is made while the client is there, in a turn of the event loop in which the client then leaves. */
     @Test(dataProvider = "leavings")
     public void inTheTurnThatMadeTheAttempt(Leaving leaving) throws Exception {
-        try (Stage stage = new Stage(PATIENT)) {
-            Stage.Node node = stage.node("n1");
-            stage.told(node.is(State.UP));
+        try (RespTestBed stage = new RespTestBed(PATIENT)) {
+            RespTestBed.Node node = stage.node("n1");
+            stage.told(node.is(EndpointState.UP));
             stage.withholdLinks();
             Socket client = stage.terminal();
-            Stage.say(client, Stage.query(1, WAIT_MS));
+            RespTestBed.say(client, RespTestBed.query(1, WAIT_MS));
             Runnable link = stage.linkUp();
             stage.onLoop(() -> {
                 link.run();
@@ -221,38 +225,38 @@
     /** A client that stays loses nothing by the looks: what they read is served in its order. */
     @Test
     public void oneThatStaysIsAnsweredInOrder() throws Exception {
-        try (Stage stage = new Stage(PATIENT)) {
-            Stage.Node node = stage.node("n1");
-            stage.told(node.is(State.UP));
+        try (RespTestBed stage = new RespTestBed(PATIENT)) {
+            RespTestBed.Node node = stage.node("n1");
+            stage.told(node.is(EndpointState.UP));
             stage.withholdLinks();
             Socket client = stage.terminal();
-            Stage.say(client, Stage.query(1, WAIT_MS));
+            RespTestBed.say(client, RespTestBed.query(1, WAIT_MS));
             Runnable first = stage.linkUp();
             // Looked at with a command and a half unread, though the connection is read.
-            String next = Stage.words("PING", "two");
+            String next = RespTestBed.words("PING", "two");
             stage.unread(
                     () -> {
-                        Stage.say(client, next + next.substring(0, 9));
+                        RespTestBed.say(client, next + next.substring(0, 9));
                         Thread.sleep(OUTDATED_MS);
                     },
                     first);
-            Stage.say(client, next.substring(9) + Stage.PING);
-            Stage.Line line = node.withCommand();
-            assertTrue(line.command().contains(Stage.id(1)));
+            RespTestBed.say(client, next.substring(9) + RespTestBed.PING);
+            RespTestBed.BackendConnection line = node.withCommand();
+            assertTrue(line.command().contains(RespTestBed.id(1)));
             line.serve("one");
             for (String answer : List.of("one", "two", "two", "+PONG")) {
-                assertEquals(Stage.answer(client), answer);
+                assertEquals(RespTestBed.answer(client), answer);
             }
         }
     }
 
     private static void leavesBeforeItsLinks(Leaving leaving, String commands, int requests) throws Exception {
-        try (Stage stage = new Stage(PATIENT)) {
-            Stage.Node node = stage.node("n1");
-            stage.told(node.is(State.UP));
+        try (RespTestBed stage = new RespTestBed(PATIENT)) {
+            RespTestBed.Node node = stage.node("n1");
+            stage.told(node.is(EndpointState.UP));
             stage.withholdLinks();
             Socket client = stage.terminal();
-            Stage.say(client, commands);
+            RespTestBed.say(client, commands);
             List<Runnable> links = new ArrayList<>();
             for (int i = 0; i < requests; i++) {
                 links.add(stage.linkUp());
@@ -276,21 +280,21 @@
     }
 
     /** The client's requests have ended, and the next client's request is the first that the backend gets after that. */
-    private static void nothingWasSent(Stage stage, Stage.Node node, int requests) throws Exception {
+    private static void nothingWasSent(RespTestBed stage, RespTestBed.Node node, int requests) throws Exception {
         stage.until("terminals_left", requests);
         stage.until("asks_open", 0);
         stage.withholdNoMore();
         Socket next = stage.terminal();
-        Stage.say(next, Stage.query(99, WAIT_MS));
-        Stage.Line line = node.withCommand();
-        assertTrue(line.command().contains(Stage.id(99)), "a request of a client that had left was sent on");
+        RespTestBed.say(next, RespTestBed.query(99, WAIT_MS));
+        RespTestBed.BackendConnection line = node.withCommand();
+        assertTrue(line.command().contains(RespTestBed.id(99)), "a request of a client that had left was sent on");
         line.serve("next");
-        assertEquals(Stage.answer(next), "next");
+        assertEquals(RespTestBed.answer(next), "next");
         assertTrue(node.gotNothing(), "a request of a client that had left was sent on");
     }
 
     /** A request, and as many commands and another request that the connection is not read after them. */
     private static String notReadOn() {
-        return Stage.query(1, WAIT_MS) + Stage.PING.repeat(PIPELINED - 1) + Stage.query(2, WAIT_MS);
+        return RespTestBed.query(1, WAIT_MS) + RespTestBed.PING.repeat(PIPELINED - 1) + RespTestBed.query(2, WAIT_MS);
     }
 }
--- a/gateway/src/test/java/opalcove/platform/LinkCrossingsTest.java
+++ b/gateway/src/test/java/opalcove/resp/ConnectionCrossingsTest.java
@@ -1,4 +1,4 @@
-package opalcove.platform;
+package opalcove.resp;
 
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertNotEquals;
@@ -13,16 +13,18 @@
 import java.util.concurrent.BlockingQueue;
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
-import opalcove.decision.Admission.State;
-import opalcove.gateway.AppNode;
-import opalcove.gateway.Endpoint;
-import opalcove.gateway.GrowingWait;
-import opalcove.gateway.NodeLines;
+import opalcove.config.Backend;
+import opalcove.config.EndpointCodec;
+import opalcove.config.HostAndPort;
+import opalcove.decision.EndpointState;
+import opalcove.discovery.Backoff;
+import opalcove.discovery.DiscoveryClient;
+import opalcove.discovery.DiscoveryClientTest;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
 /** What crosses a link to an app node: its coming up, its close, the answer that was not awaited any more. */
-public class LinkCrossingsTest {
+public class ConnectionCrossingsTest {
     private static final String FALL = "\"fall_ms\":3000";
     private static final String NO_CANCEL = "\"may_cancel\":true";
 
@@ -49,42 +51,42 @@
      */
     @Test(dataProvider = "gracesAndPauses")
     public void anAskIsNotSentToANodeWhoseDrainLiesUnreadBehindIt(int graceMs, int pauseMs) throws Exception {
-        try (Stage stage = new Stage(FALL, FALL + ",\"stop_sending_within_ms\":" + graceMs);
+        try (RespTestBed stage = new RespTestBed(FALL, FALL + ",\"stop_sending_within_ms\":" + graceMs);
                 ServerSocket discovery = new ServerSocket(0, 8, InetAddress.getByName("127.0.0.1"))) {
-            Stage.Node first = stage.node("n1");
-            Stage.Node second = stage.node("n2");
+            RespTestBed.Node first = stage.node("n1");
+            RespTestBed.Node second = stage.node("n2");
             discovery.setSoTimeout(20_000);
             stage.onLoop(() -> {
-                new DiscoveryWatch(
+                new DiscoveryClient(
                                 stage.vertx,
-                                new Endpoint("127.0.0.1", discovery.getLocalPort()),
-                                new DiscoveryWatch.Pace(
-                                        60_000, 20_000, 0, new GrowingWait(1, 2, new SplittableRandom(1))),
+                                new HostAndPort("127.0.0.1", discovery.getLocalPort()),
+                                new DiscoveryClient.PollSchedule(
+                                        60_000, 20_000, 0, new Backoff(1, 2, new SplittableRandom(1))),
                                 stage.gateway::nodesTold)
                         .start();
             });
             try (Socket agent = discovery.accept()) {
-                DiscoveryWatchTest.call(agent);
-                list(agent, 4, first.is(State.UP), second.is(State.DRAINING));
-                DiscoveryWatchTest.call(agent);
+                DiscoveryClientTest.call(agent);
+                list(agent, 4, first.is(EndpointState.UP), second.is(EndpointState.DRAINING));
+                DiscoveryClientTest.call(agent);
                 Socket terminal = stage.terminal();
-                Stage.say(terminal, Stage.query(1, 4000));
-                Stage.Line rested = first.accept();
+                RespTestBed.say(terminal, RespTestBed.query(1, 4000));
+                RespTestBed.BackendConnection rested = first.accept();
                 rested.command();
                 rested.serve("one");
-                assertEquals(Stage.answer(terminal), "one");
+                assertEquals(RespTestBed.answer(terminal), "one");
                 stage.until("links_resting", 1);
                 stage.unread(
                         () -> {
-                            Stage.say(terminal, Stage.query(2, 4000));
-                            list(agent, 5, first.is(State.DRAINING), second.is(State.UP));
+                            RespTestBed.say(terminal, RespTestBed.query(2, 4000));
+                            list(agent, 5, first.is(EndpointState.DRAINING), second.is(EndpointState.UP));
                             Thread.sleep(pauseMs);
                         },
                         () -> {});
-                Stage.Line line = second.accept();
-                assertTrue(line.command().contains(Stage.id(2)));
+                RespTestBed.BackendConnection line = second.accept();
+                assertTrue(line.command().contains(RespTestBed.id(2)));
                 line.serve("two");
-                assertEquals(Stage.answer(terminal), "two");
+                assertEquals(RespTestBed.answer(terminal), "two");
                 assertTrue(rested.ended(), "its node got a request");
             }
         }
@@ -97,54 +99,54 @@
      */
     @Test(dataProvider = "gracesAndPauses")
     public void anAskIsNotSentToANodeWhoseDrainTheNextWatchTells(int graceMs, int pauseMs) throws Exception {
-        try (Stage stage = new Stage(FALL, FALL + ",\"stop_sending_within_ms\":" + graceMs);
+        try (RespTestBed stage = new RespTestBed(FALL, FALL + ",\"stop_sending_within_ms\":" + graceMs);
                 ServerSocket discovery = new ServerSocket(0, 8, InetAddress.getByName("127.0.0.1"))) {
-            Stage.Node first = stage.node("n1");
-            Stage.Node second = stage.node("n2");
+            RespTestBed.Node first = stage.node("n1");
+            RespTestBed.Node second = stage.node("n2");
             discovery.setSoTimeout(20_000);
-            GrowingWait again = new GrowingWait(1, 2, new SplittableRandom(1));
+            Backoff again = new Backoff(1, 2, new SplittableRandom(1));
             // Watches wait for 1 ms, so that an answer is late without regard to how long the test took before.
-            DiscoveryWatch.Pace pace =
-                    new DiscoveryWatch.Pace(1, 20_000, 0, again, Long.MAX_VALUE, Long.MAX_VALUE, graceMs / 4);
+            DiscoveryClient.PollSchedule pace =
+                    new DiscoveryClient.PollSchedule(1, 20_000, 0, again, Long.MAX_VALUE, Long.MAX_VALUE, graceMs / 4);
             stage.onLoop(() -> {
-                DiscoveryWatch watch = new DiscoveryWatch(
+                DiscoveryClient watch = new DiscoveryClient(
                         stage.vertx,
-                        new Endpoint("127.0.0.1", discovery.getLocalPort()),
+                        new HostAndPort("127.0.0.1", discovery.getLocalPort()),
                         pace,
                         stage.gateway::nodesTold);
                 stage.gateway.nodeListSource(watch);
                 watch.start();
             });
             try (Socket agent = discovery.accept()) {
-                DiscoveryWatchTest.call(agent);
-                list(agent, 4, first.is(State.UP), second.is(State.DRAINING));
-                DiscoveryWatchTest.call(agent);
+                DiscoveryClientTest.call(agent);
+                list(agent, 4, first.is(EndpointState.UP), second.is(EndpointState.DRAINING));
+                DiscoveryClientTest.call(agent);
                 Socket terminal = stage.terminal();
                 stage.unread(
                         () -> {
-                            Stage.say(terminal, Stage.query(1, 4000));
+                            RespTestBed.say(terminal, RespTestBed.query(1, 4000));
                             answer(agent, "{\"index\":4,\"snapshot\":false,\"endpoints\":[]}");
                             Thread.sleep(pauseMs);
                         },
                         () -> {});
-                DiscoveryWatchTest.call(agent);
+                DiscoveryClientTest.call(agent);
                 Socket later = stage.terminal();
-                Stage.say(later, Stage.query(2, 4000));
+                RespTestBed.say(later, RespTestBed.query(2, 4000));
                 stage.until("asks_open", 2);
-                list(agent, 5, first.is(State.DRAINING), second.is(State.UP));
+                list(agent, 5, first.is(EndpointState.DRAINING), second.is(EndpointState.UP));
                 for (Socket each : List.of(terminal, later)) {
-                    Stage.Line line = second.withCommand();
+                    RespTestBed.BackendConnection line = second.withCommand();
                     line.command();
                     line.serve("two");
-                    assertEquals(Stage.answer(each), "two");
+                    assertEquals(RespTestBed.answer(each), "two");
                 }
                 assertTrue(first.gotNothing(), "a drained node got an ask");
             }
         }
     }
 
-    private static void list(Socket agent, long index, AppNode... nodes) throws Exception {
-        answer(agent, NodeLines.write(index, true, List.of(nodes)).toString());
+    private static void list(Socket agent, long index, Backend... nodes) throws Exception {
+        answer(agent, EndpointCodec.write(index, true, List.of(nodes)).toString());
     }
 
     private static void answer(Socket agent, String list) throws Exception {
@@ -155,22 +157,22 @@
 
     @Test
     public void anAskIsNotSentToANodeThatWasDrainedWhileItsLinkCameUp() throws Exception {
-        try (Stage stage = new Stage()) {
-            Stage.Node first = stage.node("n1");
-            Stage.Node second = stage.node("n2");
-            stage.told(first.is(State.UP), second.is(State.DRAINING));
+        try (RespTestBed stage = new RespTestBed()) {
+            RespTestBed.Node first = stage.node("n1");
+            RespTestBed.Node second = stage.node("n2");
+            stage.told(first.is(EndpointState.UP), second.is(EndpointState.DRAINING));
             stage.withholdLinks();
             Socket terminal = stage.terminal();
-            Stage.say(terminal, Stage.query(1, 4000));
+            RespTestBed.say(terminal, RespTestBed.query(1, 4000));
             Runnable late = stage.linkUp();
-            stage.told(first.is(State.DRAINING), second.is(State.UP));
+            stage.told(first.is(EndpointState.DRAINING), second.is(EndpointState.UP));
             stage.handOver(late);
             // The ask goes to the other node, as its second attempt.
             stage.handOver(stage.linkUp());
-            Stage.Line line = second.accept();
-            assertTrue(line.command().contains(Stage.id(1)));
+            RespTestBed.BackendConnection line = second.accept();
+            assertTrue(line.command().contains(RespTestBed.id(1)));
             line.serve("two");
-            assertEquals(Stage.answer(terminal), "two");
+            assertEquals(RespTestBed.answer(terminal), "two");
             assertTrue(first.gotNothing(), "a drained node got an ask");
             assertEquals(stage.figure("lapsed_while_dialled"), 1);
         }
@@ -178,33 +180,33 @@
 
     @Test
     public void anAskIsNotSentToThePlaceThatItsNodeHasLeftWhileTheLinkCameUp() throws Exception {
-        try (Stage stage = new Stage()) {
-            Stage.Node before = stage.node("n1");
-            Stage.Node after = stage.node("n1");
-            stage.told(before.is(State.UP));
+        try (RespTestBed stage = new RespTestBed()) {
+            RespTestBed.Node before = stage.node("n1");
+            RespTestBed.Node after = stage.node("n1");
+            stage.told(before.is(EndpointState.UP));
             stage.withholdLinks();
             Socket terminal = stage.terminal();
-            Stage.say(terminal, Stage.query(1, 4000));
+            RespTestBed.say(terminal, RespTestBed.query(1, 4000));
             Runnable late = stage.linkUp();
-            stage.told(after.is(State.UP));
+            stage.told(after.is(EndpointState.UP));
             stage.handOver(late);
             stage.handOver(stage.linkUp());
-            Stage.Line line = after.accept();
-            assertTrue(line.command().contains(Stage.id(1)));
+            RespTestBed.BackendConnection line = after.accept();
+            assertTrue(line.command().contains(RespTestBed.id(1)));
             line.serve("moved");
-            assertEquals(Stage.answer(terminal), "moved");
+            assertEquals(RespTestBed.answer(terminal), "moved");
             assertTrue(before.gotNothing(), "who is at the old place got an ask");
         }
     }
 
     @Test(dataProvider = "mayCancel")
     public void anAskIsNotSentOnceItsTerminalHasLeftWhileTheLinkCameUp(String mayCancel) throws Exception {
-        try (Stage stage = new Stage(NO_CANCEL, "\"may_cancel\":" + mayCancel)) {
-            Stage.Node node = stage.node("n1");
-            stage.told(node.is(State.UP));
+        try (RespTestBed stage = new RespTestBed(NO_CANCEL, "\"may_cancel\":" + mayCancel)) {
+            RespTestBed.Node node = stage.node("n1");
+            stage.told(node.is(EndpointState.UP));
             stage.withholdLinks();
             Socket terminal = stage.terminal();
-            Stage.say(terminal, Stage.query(1, 4000));
+            RespTestBed.say(terminal, RespTestBed.query(1, 4000));
             Runnable late = stage.linkUp();
             terminal.close();
             stage.until("terminals_left", 1);
@@ -212,24 +214,24 @@
             // The link is kept, and a later ask is the first that the node gets on it.
             stage.until("links_resting", 1);
             Socket other = stage.terminal();
-            Stage.say(other, Stage.query(2, 4000));
-            Stage.Line line = node.accept();
-            assertTrue(line.command().contains(Stage.id(2)), "the ask of one who left was sent");
+            RespTestBed.say(other, RespTestBed.query(2, 4000));
+            RespTestBed.BackendConnection line = node.accept();
+            assertTrue(line.command().contains(RespTestBed.id(2)), "the ask of one who left was sent");
             line.serve("two");
-            assertEquals(Stage.answer(other), "two");
+            assertEquals(RespTestBed.answer(other), "two");
         }
     }
 
     /** Of a link that is given up because its terminal left, nothing is held against the node: the next ask goes there at once. */
     @Test
     public void aNodeIsNotBlamedForALinkThatATerminalDidNotWaitFor() throws Exception {
-        try (Stage stage = new Stage()) {
-            Stage.Node node = stage.node("n1");
-            stage.told(node.is(State.UP));
+        try (RespTestBed stage = new RespTestBed()) {
+            RespTestBed.Node node = stage.node("n1");
+            stage.told(node.is(EndpointState.UP));
             stage.withholdLinks();
             for (int leaving = 1; leaving <= 4; leaving++) {
                 Socket terminal = stage.terminal();
-                Stage.say(terminal, Stage.query(leaving, 4000));
+                RespTestBed.say(terminal, RespTestBed.query(leaving, 4000));
                 stage.linkUp();
                 terminal.close();
                 stage.until("terminals_left", leaving);
@@ -242,14 +244,14 @@
 
     @Test(dataProvider = "mayCancel")
     public void anAskIsNotSentOnceItHasItsAnswerWhileTheLinkCameUp(String mayCancel) throws Exception {
-        try (Stage stage = new Stage(NO_CANCEL, "\"may_cancel\":" + mayCancel)) {
-            Stage.Node node = stage.node("n1");
-            stage.told(node.is(State.UP));
+        try (RespTestBed stage = new RespTestBed(NO_CANCEL, "\"may_cancel\":" + mayCancel)) {
+            RespTestBed.Node node = stage.node("n1");
+            stage.told(node.is(EndpointState.UP));
             stage.withholdLinks();
             Socket terminal = stage.terminal();
-            Stage.say(terminal, Stage.query(1, 100));
+            RespTestBed.say(terminal, RespTestBed.query(1, 100));
             Runnable late = stage.linkUp();
-            assertTrue(Stage.answer(terminal).startsWith("-"), "a final answer in time, though no link came up");
+            assertTrue(RespTestBed.answer(terminal).startsWith("-"), "a final answer in time, though no link came up");
             stage.handOver(late);
             stage.until("asks_open", 0);
             assertTrue(node.gotNothing(), "an ask that was answered was sent");
@@ -258,14 +260,14 @@
 
     @Test
     public void anAttemptThatMayNotBeCalledOffEndsWithItsAsksTime() throws Exception {
-        try (Stage stage = new Stage(NO_CANCEL, "\"may_cancel\":false")) {
-            Stage.Node node = stage.node("n1");
-            stage.told(node.is(State.UP));
+        try (RespTestBed stage = new RespTestBed(NO_CANCEL, "\"may_cancel\":false")) {
+            RespTestBed.Node node = stage.node("n1");
+            stage.told(node.is(EndpointState.UP));
             Socket terminal = stage.terminal();
-            Stage.say(terminal, Stage.query(1, 100));
-            Stage.Line line = node.accept();
+            RespTestBed.say(terminal, RespTestBed.query(1, 100));
+            RespTestBed.BackendConnection line = node.accept();
             line.command();
-            assertTrue(Stage.answer(terminal).startsWith("-"));
+            assertTrue(RespTestBed.answer(terminal).startsWith("-"));
             assertTrue(line.ended(), "the link is kept for an answer that nobody awaits");
             stage.until("links_open", 0);
         }
@@ -273,21 +275,21 @@
 
     @Test
     public void aRepeatWhoseWindowEndedWhileTheLinkCameUpIsNotSent() throws Exception {
-        try (Stage stage =
-                new Stage("\"window_ms\":4000", "\"window_ms\":700", "\"group\":\"cell\"", "\"group\":\"all\"")) {
-            Stage.Node node = stage.node("n1");
-            Stage.Node other = stage.node("n2");
-            stage.told(node.is(State.UP), other.is(State.DRAINING));
+        try (RespTestBed stage =
+                new RespTestBed("\"window_ms\":4000", "\"window_ms\":700", "\"group\":\"cell\"", "\"group\":\"all\"")) {
+            RespTestBed.Node node = stage.node("n1");
+            RespTestBed.Node other = stage.node("n2");
+            stage.told(node.is(EndpointState.UP), other.is(EndpointState.DRAINING));
             // The module makes a priced repeat for each ten first attempts.
-            Stage.Line line = rested(stage, node);
+            RespTestBed.BackendConnection line = rested(stage, node);
             for (int i = 0; i < 10; i++) {
                 again(stage, line);
             }
             Socket terminal = stage.terminal();
-            Stage.say(terminal, Stage.submit(99, 2000, "k1"));
+            RespTestBed.say(terminal, RespTestBed.submit(99, 2000, "k1"));
             line.command();
             long ran = System.nanoTime();
-            stage.told(node.is(State.DRAINING), other.is(State.UP));
+            stage.told(node.is(EndpointState.DRAINING), other.is(EndpointState.UP));
             stage.withholdLinks();
             // The first attempt may have run: only within the window may the other node see it.
             line.reset();
@@ -296,17 +298,17 @@
                 Thread.onSpinWait();
             }
             stage.handOver(late);
-            assertTrue(Stage.answer(terminal).startsWith("-"));
+            assertTrue(RespTestBed.answer(terminal).startsWith("-"));
             assertTrue(other.gotNothing(), "a repeat was sent after its window");
         }
     }
 
     @Test
     public void aLineThatItsNodeHasClosedAtRestIsNotWrittenTo() throws Exception {
-        try (Stage stage = new Stage(IDLE)) {
-            Stage.Node node = stage.node("n1");
-            stage.told(node.is(State.UP));
-            Stage.Line line = rested(stage, node);
+        try (RespTestBed stage = new RespTestBed(IDLE)) {
+            RespTestBed.Node node = stage.node("n1");
+            stage.told(node.is(EndpointState.UP));
+            RespTestBed.BackendConnection line = rested(stage, node);
             BlockingQueue<String> answers = new LinkedBlockingQueue<>();
             stage.unread(
                     () -> {
@@ -314,10 +316,10 @@
                         line.socket.close();
                     },
                     () -> stage.serve(2, 4000, answers));
-            Stage.Line fresh = node.accept();
-            assertTrue(fresh.command().contains(Stage.id(2)));
+            RespTestBed.BackendConnection fresh = node.accept();
+            assertTrue(fresh.command().contains(RespTestBed.id(2)));
             fresh.serve("two");
-            assertEquals(answers.poll(Stage.PATIENCE_S, TimeUnit.SECONDS), "two");
+            assertEquals(answers.poll(RespTestBed.PATIENCE_S, TimeUnit.SECONDS), "two");
             assertEquals(stage.figure("attempts_broken"), 0);
             assertEquals(stage.figure("attempts"), 2);
         }
@@ -325,10 +327,10 @@
 
     @Test
     public void aSecondAnswerIsNotTakenForTheNextAskThoughItWasNotReadYet() throws Exception {
-        try (Stage stage = new Stage(IDLE)) {
-            Stage.Node node = stage.node("n1");
-            stage.told(node.is(State.UP));
-            Stage.Line line = rested(stage, node);
+        try (RespTestBed stage = new RespTestBed(IDLE)) {
+            RespTestBed.Node node = stage.node("n1");
+            stage.told(node.is(EndpointState.UP));
+            RespTestBed.BackendConnection line = rested(stage, node);
             BlockingQueue<String> answers = new LinkedBlockingQueue<>();
             stage.unread(
                     () -> {
@@ -336,10 +338,10 @@
                         line.serve("one again");
                     },
                     () -> stage.serve(2, 4000, answers));
-            Stage.Line fresh = node.accept();
-            assertTrue(fresh.command().contains(Stage.id(2)));
+            RespTestBed.BackendConnection fresh = node.accept();
+            assertTrue(fresh.command().contains(RespTestBed.id(2)));
             fresh.serve("two");
-            assertEquals(answers.poll(Stage.PATIENCE_S, TimeUnit.SECONDS), "two");
+            assertEquals(answers.poll(RespTestBed.PATIENCE_S, TimeUnit.SECONDS), "two");
             assertTrue(line.ended(), "a line with a second answer on it is given up");
         }
     }
@@ -347,20 +349,20 @@
     /** Where second answers come, no line is used again unlooked at, however short it rested. */
     @Test
     public void afterASecondAnswerALineThatRestedShortlyIsLookedAtToo() throws Exception {
-        try (Stage stage = new Stage()) {
-            Stage.Node node = stage.node("n1");
-            stage.told(node.is(State.UP));
-            Stage.Line line = rested(stage, node);
+        try (RespTestBed stage = new RespTestBed()) {
+            RespTestBed.Node node = stage.node("n1");
+            stage.told(node.is(EndpointState.UP));
+            RespTestBed.BackendConnection line = rested(stage, node);
             line.serve("one again");
             assertTrue(line.ended());
             for (int round = 0; round < 10; round++) {
-                Stage.Line next = rested(stage, node);
+                RespTestBed.BackendConnection next = rested(stage, node);
                 BlockingQueue<String> answers = new LinkedBlockingQueue<>();
                 stage.unread(() -> next.serve("one again"), () -> stage.serve(2, 4000, answers));
-                Stage.Line fresh = node.accept();
-                assertTrue(fresh.command().contains(Stage.id(2)));
+                RespTestBed.BackendConnection fresh = node.accept();
+                assertTrue(fresh.command().contains(RespTestBed.id(2)));
                 fresh.serve("two");
-                assertEquals(answers.poll(Stage.PATIENCE_S, TimeUnit.SECONDS), "two");
+                assertEquals(answers.poll(RespTestBed.PATIENCE_S, TimeUnit.SECONDS), "two");
                 stage.until("links_resting", 1);
                 fresh.serve("two again");
                 assertTrue(fresh.ended());
@@ -375,12 +377,12 @@
 
     @Test
     public void aNodesAnswerThatCrossesTheTerminalsLeavingIsNobodysElse() throws Exception {
-        try (Stage stage = new Stage()) {
-            Stage.Node node = stage.node("n1");
-            stage.told(node.is(State.UP));
+        try (RespTestBed stage = new RespTestBed()) {
+            RespTestBed.Node node = stage.node("n1");
+            stage.told(node.is(EndpointState.UP));
             Socket terminal = stage.terminal();
-            Stage.say(terminal, Stage.query(1, 4000));
-            Stage.Line line = node.accept();
+            RespTestBed.say(terminal, RespTestBed.query(1, 4000));
+            RespTestBed.BackendConnection line = node.accept();
             line.command();
             BlockingQueue<String> answers = new LinkedBlockingQueue<>();
             // Both lie unread when the next ask is taken; whichever is read first, the next ask's answer is its own.
@@ -390,10 +392,10 @@
                         terminal.close();
                     },
                     () -> stage.serve(2, 4000, answers));
-            Stage.Line other = node.accept();
-            assertTrue(other.command().contains(Stage.id(2)));
+            RespTestBed.BackendConnection other = node.accept();
+            assertTrue(other.command().contains(RespTestBed.id(2)));
             other.serve("two");
-            assertEquals(answers.poll(Stage.PATIENCE_S, TimeUnit.SECONDS), "two");
+            assertEquals(answers.poll(RespTestBed.PATIENCE_S, TimeUnit.SECONDS), "two");
             stage.until("asks_open", 0);
             assertEquals(stage.figure("attempts"), 2);
         }
@@ -401,14 +403,14 @@
 
     @Test
     public void anAnswerThatCrossesTheEndOfItsAsksTimeGivesOneAnswerAndSparesTheNextAsk() throws Exception {
-        try (Stage stage = new Stage()) {
-            Stage.Node node = stage.node("n1");
-            stage.told(node.is(State.UP));
+        try (RespTestBed stage = new RespTestBed()) {
+            RespTestBed.Node node = stage.node("n1");
+            stage.told(node.is(EndpointState.UP));
             Socket terminal = stage.terminal();
-            Stage.say(terminal, Stage.query(1, 150));
-            Stage.Line line = node.accept();
+            RespTestBed.say(terminal, RespTestBed.query(1, 150));
+            RespTestBed.BackendConnection line = node.accept();
             line.command();
-            String first = Stage.answer(terminal);
+            String first = RespTestBed.answer(terminal);
             assertNotEquals(first, "one");
             // The attempt was given up with that answer; what its node says now is on a line that is gone.
             try {
@@ -416,33 +418,33 @@
             } catch (java.net.SocketException gone) {
                 assertTrue(line.ended());
             }
-            Stage.say(terminal, Stage.query(2, 4000));
-            Stage.Line fresh = node.accept();
-            assertTrue(fresh.command().contains(Stage.id(2)));
+            RespTestBed.say(terminal, RespTestBed.query(2, 4000));
+            RespTestBed.BackendConnection fresh = node.accept();
+            assertTrue(fresh.command().contains(RespTestBed.id(2)));
             fresh.serve("two");
-            assertEquals(Stage.answer(terminal), "two");
+            assertEquals(RespTestBed.answer(terminal), "two");
         }
     }
 
     /** A line that has carried an answer and rests. */
-    private static Stage.Line rested(Stage stage, Stage.Node node) throws Exception {
+    private static RespTestBed.BackendConnection rested(RespTestBed stage, RespTestBed.Node node) throws Exception {
         Socket terminal = stage.terminal();
-        Stage.say(terminal, Stage.query(1, 4000));
-        Stage.Line line = node.accept();
+        RespTestBed.say(terminal, RespTestBed.query(1, 4000));
+        RespTestBed.BackendConnection line = node.accept();
         line.command();
         line.serve("one");
-        assertEquals(Stage.answer(terminal), "one");
+        assertEquals(RespTestBed.answer(terminal), "one");
         stage.until("links_resting", 1);
         return line;
     }
 
     /** One more ask on a line that rests. */
-    private static void again(Stage stage, Stage.Line line) throws Exception {
+    private static void again(RespTestBed stage, RespTestBed.BackendConnection line) throws Exception {
         BlockingQueue<String> answers = new LinkedBlockingQueue<>();
         stage.onLoop(() -> stage.serve(50, 4000, answers));
         line.command();
         line.serve("again");
-        assertEquals(answers.poll(Stage.PATIENCE_S, TimeUnit.SECONDS), "again");
+        assertEquals(answers.poll(RespTestBed.PATIENCE_S, TimeUnit.SECONDS), "again");
         stage.until("links_resting", 1);
     }
 }
--- a/gateway/src/test/java/opalcove/platform/LeavingFrontTest.java
+++ b/gateway/src/test/java/opalcove/resp/DrainingServerTest.java
@@ -1,8 +1,9 @@
-package opalcove.platform;
+package opalcove.resp;
 
 import static org.testng.Assert.assertEquals;
 
 import io.vertx.core.Vertx;
+import java.io.IOException;
 import java.net.InetAddress;
 import java.net.Socket;
 import java.nio.charset.StandardCharsets;
@@ -11,41 +12,43 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
-import opalcove.Facts;
-import opalcove.gateway.Clock;
-import opalcove.gateway.Endpoint;
-import opalcove.gateway.Gateway;
-import opalcove.gateway.LinkPool;
-import opalcove.gateway.Phases;
-import opalcove.gateway.Program;
+import opalcove.TestSettings;
+import opalcove.backend.ConnectionPool;
+import opalcove.config.Clock;
+import opalcove.config.HostAndPort;
+import opalcove.core.RequestDispatcher;
+import opalcove.decision.DecisionSettings;
+import opalcove.lifecycle.Application;
+import opalcove.lifecycle.Lifecycle;
 import org.testng.annotations.Test;
 
 /** A front that stops taking connections: those that were made by then are served. */
-public class LeavingFrontTest {
+public class DrainingServerTest {
     private static final int CONNECTIONS = 60;
 
     @Test
     public void connectionsMadeWhileTheLoopWasHeldUpBeforeItsDrainAreServed() throws Exception {
-        Vertx vertx = Program.eventLoop();
+        DecisionSettings settings = TestSettings.settings();
+        Vertx vertx = Application.eventLoop();
         List<Socket> made = new ArrayList<>();
         try {
-            Phases phases = new Phases();
-            CompletableFuture<RespFront> opened = new CompletableFuture<>();
+            Lifecycle phases = new Lifecycle();
+            CompletableFuture<RespServer> opened = new CompletableFuture<>();
             CompletableFuture<Integer> listening = new CompletableFuture<>();
             vertx.runOnContext(start -> {
-                Gateway gateway = new Gateway(
+                RequestDispatcher gateway = new RequestDispatcher(
                         vertx,
                         new Clock(),
-                        Facts.settings(),
+                        settings,
                         1,
-                        new LinkPool(vertx, Facts.settings(), new RespDialler(vertx, Facts.settings()), 8));
-                phases.enter(Phases.Phase.SERVING);
-                RespFront front = new RespFront(vertx, gateway, phases, 2 * CONNECTIONS);
-                front.listen(new Endpoint("127.0.0.1", 0)).onSuccess(listening::complete);
+                        new ConnectionPool(vertx, settings, new RespConnector(vertx, settings), 8));
+                phases.enter(Lifecycle.Phase.SERVING);
+                RespServer front = new RespServer(vertx, gateway, phases, 2 * CONNECTIONS);
+                front.listen(new HostAndPort("127.0.0.1", 0)).onSuccess(listening::complete);
                 opened.complete(front);
             });
             int port = listening.get(10, TimeUnit.SECONDS);
-            RespFront front = opened.get(10, TimeUnit.SECONDS);
+            RespServer front = opened.get(10, TimeUnit.SECONDS);
             CountDownLatch heldUp = new CountDownLatch(1);
             CountDownLatch goOn = new CountDownLatch(1);
             vertx.runOnContext(held -> {
@@ -55,7 +58,7 @@
                 } catch (InterruptedException e) {
                     Thread.currentThread().interrupt();
                 }
-                phases.enter(Phases.Phase.DRAINING);
+                phases.enter(Lifecycle.Phase.DRAINING);
                 front.drain(() -> {});
             });
             heldUp.await();
@@ -66,18 +69,7 @@
                 made.add(socket);
             }
             goOn.countDown();
-            int served = 0;
-            for (Socket socket : made) {
-                try {
-                    served += new String(socket.getInputStream().readNBytes(7), StandardCharsets.US_ASCII)
-                                    .equals("+PONG\r\n")
-                            ? 1
-                            : 0;
-                } catch (java.net.SocketException e) {
-                    continue;
-                }
-            }
-            assertEquals(served, CONNECTIONS);
+            assertEquals(served(made), CONNECTIONS);
         } finally {
             for (Socket socket : made) {
                 socket.close();
@@ -85,4 +77,20 @@
             vertx.close();
         }
     }
+
+    /** How many of the connections got the reply to their command. */
+    private static int served(List<Socket> connections) throws IOException {
+        int served = 0;
+        for (Socket socket : connections) {
+            try {
+                served +=
+                        new String(socket.getInputStream().readNBytes(7), StandardCharsets.US_ASCII).equals("+PONG\r\n")
+                                ? 1
+                                : 0;
+            } catch (java.net.SocketException e) {
+                continue;
+            }
+        }
+        return served;
+    }
 }
--- a/gateway/src/test/java/opalcove/platform/EndCrossingsTest.java
+++ b/gateway/src/test/java/opalcove/resp/EndCrossingsTest.java
@@ -1,4 +1,4 @@
-package opalcove.platform;
+package opalcove.resp;
 
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertFalse;
@@ -9,12 +9,13 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicBoolean;
-import opalcove.Facts;
-import opalcove.decision.Admission.State;
-import opalcove.gateway.Fields;
-import opalcove.gateway.Phases;
-import opalcove.gateway.Program;
-import opalcove.gateway.SettingsReader;
+import opalcove.TestSettings;
+import opalcove.config.JsonFields;
+import opalcove.config.SettingsReader;
+import opalcove.decision.EndpointState;
+import opalcove.lifecycle.Application;
+import opalcove.lifecycle.Lifecycle;
+import opalcove.server.GatewayServer;
 import org.testng.annotations.Test;
 
 /** The end of the process crossing asks, new settings and its own start. */
@@ -30,17 +31,17 @@
     /** Taken late in the end from a node that never answers: its answer does not wait for its own time, which is over after the end. */
     @Test
     public void anAskTakenLateInTheEndIsAnsweredBeforeTheProcessIsKilled() throws Exception {
-        try (Stage stage = new Stage(LONG)) {
-            Stage.Node node = stage.node("n1");
-            stage.told(node.is(State.UP));
+        try (RespTestBed stage = new RespTestBed(LONG)) {
+            RespTestBed.Node node = stage.node("n1");
+            stage.told(node.is(EndpointState.UP));
             Socket terminal = stage.terminal();
-            halfway(stage, terminal, Stage.query(1, LONG_MS));
+            halfway(stage, terminal, RespTestBed.query(1, LONG_MS));
             ends(stage, 300);
-            Stage.say(terminal, rest(Stage.query(1, LONG_MS)));
-            Stage.Line line = node.accept();
+            RespTestBed.say(terminal, rest(RespTestBed.query(1, LONG_MS)));
+            RespTestBed.BackendConnection line = node.accept();
             // Its node is told how long it is waited for.
             assertTrue(line.command().matches(".*,d=[0-3]?[0-9]?[0-9](\\.[0-9]+)?,.*"));
-            assertTrue(Stage.answer(terminal).startsWith("-"));
+            assertTrue(RespTestBed.answer(terminal).startsWith("-"));
             assertTrue(line.ended(), "its attempt is given up");
             assertEquals(stage.figure("ended_by_deadline_guard"), 0);
         }
@@ -49,33 +50,33 @@
     /** Its answer has to come behind that of an ask which was taken before and may wait longer. */
     @Test
     public void theAskBeforeOneThatCameLateInTheEndDoesNotHoldItsAnswerBack() throws Exception {
-        try (Stage stage = new Stage(LONG)) {
-            Stage.Node node = stage.node("n1");
-            stage.told(node.is(State.UP));
+        try (RespTestBed stage = new RespTestBed(LONG)) {
+            RespTestBed.Node node = stage.node("n1");
+            stage.told(node.is(EndpointState.UP));
             Socket terminal = stage.terminal();
-            Stage.say(terminal, Stage.query(1, LONG_MS));
-            Stage.Line first = node.accept();
+            RespTestBed.say(terminal, RespTestBed.query(1, LONG_MS));
+            RespTestBed.BackendConnection first = node.accept();
             first.command();
             ends(stage, 300);
-            Stage.say(terminal, Stage.query(2, LONG_MS));
-            Stage.Line second = node.accept();
+            RespTestBed.say(terminal, RespTestBed.query(2, LONG_MS));
+            RespTestBed.BackendConnection second = node.accept();
             second.command();
             second.serve("two");
-            assertTrue(Stage.answer(terminal).startsWith("-"));
-            assertEquals(Stage.answer(terminal), "two");
+            assertTrue(RespTestBed.answer(terminal).startsWith("-"));
+            assertEquals(RespTestBed.answer(terminal), "two");
         }
     }
 
     @Test
     public void anAskForWhichNoTimeIsLeftIsRefusedAtOnceAndTheConnectionClosed() throws Exception {
-        try (Stage stage = new Stage()) {
-            Stage.Node node = stage.node("n1");
-            stage.told(node.is(State.UP));
+        try (RespTestBed stage = new RespTestBed()) {
+            RespTestBed.Node node = stage.node("n1");
+            stage.told(node.is(EndpointState.UP));
             Socket terminal = stage.terminal();
-            halfway(stage, terminal, Stage.query(1, WAIT_MS));
+            halfway(stage, terminal, RespTestBed.query(1, WAIT_MS));
             ends(stage, 0);
-            Stage.say(terminal, rest(Stage.query(1, WAIT_MS)));
-            assertEquals(Stage.answer(terminal), "-BUSY");
+            RespTestBed.say(terminal, rest(RespTestBed.query(1, WAIT_MS)));
+            assertEquals(RespTestBed.answer(terminal), "-BUSY");
             assertEquals(terminal.getInputStream().read(), -1);
             assertTrue(node.gotNothing());
         }
@@ -85,63 +86,64 @@
     @Test
     public void theLastAnswersComeBeforeTheKillWhateverTheDeadlines() {
         for (long longest : new long[] {200, 450, 1400, 3000, 7500, 60_000}) {
-            long fromTerm = 500 + Program.answersWithinMs(longest);
+            long fromTerm = 500 + Application.answersWithinMs(longest);
             assertTrue(fromTerm < Math.min(longest, 3000) + 700, longest + ": " + fromTerm);
-            assertTrue(Program.answersWithinMs(longest) >= Math.min(longest, 3000) - 100, longest + ": " + fromTerm);
+            assertTrue(
+                    Application.answersWithinMs(longest) >= Math.min(longest, 3000) - 100, longest + ": " + fromTerm);
         }
     }
 
     /** New settings with shorter deadlines crossing the end: asks that were taken under the old ones still get their answer. */
     @Test
     public void theEndWaitsForAsksOfOlderSettings() throws Exception {
-        try (Stage stage = new Stage()) {
-            Stage.Node node = stage.node("n1");
-            stage.told(node.is(State.UP));
+        try (RespTestBed stage = new RespTestBed()) {
+            RespTestBed.Node node = stage.node("n1");
+            stage.told(node.is(EndpointState.UP));
             Socket terminal = stage.terminal();
-            Stage.say(terminal, Stage.query(1, WAIT_MS));
-            Stage.Line line = node.accept();
+            RespTestBed.say(terminal, RespTestBed.query(1, WAIT_MS));
+            RespTestBed.BackendConnection line = node.accept();
             line.command();
             stage.onLoop(() -> stage.gateway.retune(SettingsReader.checked(
-                    Fields.parse(Facts.JSON.replaceAll("\"deadline_ms\":\\d+", "\"deadline_ms\":300")))));
+                    JsonFields.parse(TestSettings.JSON.replaceAll("\"deadline_ms\":\\d+", "\"deadline_ms\":300")))));
             assertEquals((long) stage.onLoop(() -> stage.gateway.longestDeadlineMs()), 7500);
             CompletableFuture<Void> none = new CompletableFuture<>();
             stage.onLoop(() -> stage.gateway.whenNoneOpen(() -> none.complete(null)));
             assertFalse(none.isDone());
             line.serve("one");
-            assertEquals(Stage.answer(terminal), "one");
-            none.get(Stage.PATIENCE_S, TimeUnit.SECONDS);
+            assertEquals(RespTestBed.answer(terminal), "one");
+            none.get(RespTestBed.PATIENCE_S, TimeUnit.SECONDS);
             assertEquals((long) stage.onLoop(() -> stage.gateway.longestDeadlineMs()), 300);
         }
     }
 
     @Test
     public void aCommandThatLiesUnreadAsTheEndClosesWhatIsIdleIsAnswered() throws Exception {
-        try (Stage stage = new Stage()) {
+        try (RespTestBed stage = new RespTestBed()) {
             Socket terminal = stage.terminal();
-            Stage.say(terminal, Stage.PING);
-            assertEquals(Stage.answer(terminal), "+PONG");
-            stage.unread(() -> Stage.say(terminal, Stage.PING), () -> {
-                stage.phases.enter(Phases.Phase.DRAINING);
+            RespTestBed.say(terminal, RespTestBed.PING);
+            assertEquals(RespTestBed.answer(terminal), "+PONG");
+            stage.unread(() -> RespTestBed.say(terminal, RespTestBed.PING), () -> {
+                stage.phases.enter(Lifecycle.Phase.DRAINING);
                 stage.front.drain(() -> {});
             });
-            assertEquals(Stage.answer(terminal), "+PONG");
+            assertEquals(RespTestBed.answer(terminal), "+PONG");
             assertEquals(terminal.getInputStream().read(), -1);
         }
     }
 
     @Test
     public void aDrainAndItsEndInOneTurnLeaveTheConnectionInUse() throws Exception {
-        try (Stage stage = new Stage()) {
+        try (RespTestBed stage = new RespTestBed()) {
             Socket terminal = stage.terminal();
-            Stage.say(terminal, Stage.PING);
-            assertEquals(Stage.answer(terminal), "+PONG");
-            stage.unread(() -> Stage.say(terminal, Stage.PING), () -> {
+            RespTestBed.say(terminal, RespTestBed.PING);
+            assertEquals(RespTestBed.answer(terminal), "+PONG");
+            stage.unread(() -> RespTestBed.say(terminal, RespTestBed.PING), () -> {
                 stage.front.sendAway(true);
                 stage.front.sendAway(false);
             });
-            assertEquals(Stage.answer(terminal), "+PONG");
-            Stage.say(terminal, Stage.PING);
-            assertEquals(Stage.answer(terminal), "+PONG");
+            assertEquals(RespTestBed.answer(terminal), "+PONG");
+            RespTestBed.say(terminal, RespTestBed.PING);
+            assertEquals(RespTestBed.answer(terminal), "+PONG");
         }
     }
 
@@ -149,21 +151,21 @@
     @Test
     public void aDrainThatComesBeforeThereIsAFrontIsKeptForIt() throws Exception {
         for (boolean taken : new boolean[] {false, true}) {
-            try (Stage stage = new Stage()) {
-                Serve.Door door = new Serve.Door();
+            try (RespTestBed stage = new RespTestBed()) {
+                GatewayServer.AdminCommands door = new GatewayServer.AdminCommands();
                 door.sendAway(true);
                 if (taken) {
                     door.sendAway(false);
                 }
                 stage.onLoop(() -> door.serve(stage.vertx, stage.gateway, stage.front, stage.phases));
                 Socket terminal = stage.terminal();
-                Stage.say(terminal, Stage.PING);
-                assertEquals(Stage.answer(terminal), taken ? "+PONG" : "-ERR draining");
+                RespTestBed.say(terminal, RespTestBed.PING);
+                assertEquals(RespTestBed.answer(terminal), taken ? "+PONG" : "-ERR draining");
                 door.sendAway(false);
                 stage.onLoop(() -> {});
                 Socket next = stage.terminal();
-                Stage.say(next, Stage.PING);
-                assertEquals(Stage.answer(next), "+PONG");
+                RespTestBed.say(next, RespTestBed.PING);
+                assertEquals(RespTestBed.answer(next), "+PONG");
             }
         }
     }
@@ -171,21 +173,21 @@
     /** Told to end before its list was there: a front that opened then would take asks that the process's end cuts off. */
     @Test
     public void aProgramThatIsToldToEndWhileItStartsDoesNotOpenItsFront() {
-        Program program = new Program();
+        Application program = new Application();
         AtomicBoolean opened = new AtomicBoolean();
-        program.phases().enter(Phases.Phase.LEAVING);
+        program.phases().enter(Lifecycle.Phase.LEAVING);
         program.open(() -> {
             opened.set(true);
             return Promise.<Integer>promise().future();
         });
         assertFalse(opened.get());
-        assertEquals(program.phases().now(), Phases.Phase.LEAVING);
+        assertEquals(program.phases().now(), Lifecycle.Phase.LEAVING);
     }
 
     /** Brings the first half of a command, and sees that the gateway has read what was sent before it. */
-    private static void halfway(Stage stage, Socket terminal, String command) throws Exception {
-        Stage.say(terminal, Stage.PING + command.substring(0, command.length() / 2));
-        assertEquals(Stage.answer(terminal), "+PONG");
+    private static void halfway(RespTestBed stage, Socket terminal, String command) throws Exception {
+        RespTestBed.say(terminal, RespTestBed.PING + command.substring(0, command.length() / 2));
+        assertEquals(RespTestBed.answer(terminal), "+PONG");
     }
 
     private static String rest(String command) {
@@ -193,9 +195,9 @@
     }
 
     /** The process drains, and will be killed so many ms from now. */
-    private static void ends(Stage stage, int ms) throws Exception {
+    private static void ends(RespTestBed stage, int ms) throws Exception {
         stage.onLoop(() -> {
-            stage.phases.enter(Phases.Phase.DRAINING);
+            stage.phases.enter(Lifecycle.Phase.DRAINING);
             stage.gateway.answersWithin(ms);
             stage.front.drain(() -> {});
         });
--- a/gateway/src/test/java/opalcove/platform/FullFrontTest.java
+++ b/gateway/src/test/java/opalcove/resp/FullServerTest.java
@@ -1,4 +1,4 @@
-package opalcove.platform;
+package opalcove.resp;
 
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertTrue;
@@ -10,11 +10,11 @@
 import java.util.List;
 import java.util.concurrent.TimeUnit;
 import java.util.function.BooleanSupplier;
-import opalcove.decision.Admission;
+import opalcove.decision.EndpointState;
 import org.testng.annotations.Test;
 
 /** A front that has no room for another connection: which of them are closed, and that they are counted. */
-public class FullFrontTest {
+public class FullServerTest {
     /** As many as the stage's front takes. */
     private static final int MOST = 64;
 
@@ -34,12 +34,12 @@
     /** Closed are those that carry nothing, the longest at rest first; one with an open request gets its answer. */
     @Test
     public void idleConnectionsGiveWayAndOneWithAnOpenRequestStays() throws Exception {
-        try (Stage stage = stage()) {
-            Stage.Node node = stage.node("h1");
-            stage.told(node.is(Admission.State.UP));
+        try (RespTestBed stage = stage()) {
+            RespTestBed.Node node = stage.node("h1");
+            stage.told(node.is(EndpointState.UP));
             Socket busy = stage.terminal();
-            Stage.say(busy, Stage.query(1, DEADLINE_MS));
-            Stage.Line line = node.withCommand();
+            RespTestBed.say(busy, RespTestBed.query(1, DEADLINE_MS));
+            RespTestBed.BackendConnection line = node.withCommand();
             Socket idle = answered(stage);
             for (int i = 0; i < MOST; i++) {
                 answered(stage);
@@ -50,20 +50,20 @@
             assertTrue(
                     stage.gateway.metrics().lines().contains("gateway." + CLOSED + ":" + stage.figure(CLOSED) + "|c"));
             line.serve("value");
-            assertEquals(Stage.answer(busy), "value");
+            assertEquals(RespTestBed.answer(busy), "value");
         }
     }
 
     /** Where all carry a request the new connection is closed unread. */
     @Test
     public void aNewConnectionIsRefusedWhereAllAreInUse() throws Exception {
-        try (Stage stage = stage()) {
-            Stage.Node node = stage.node("h1");
-            stage.told(node.is(Admission.State.UP));
+        try (RespTestBed stage = stage()) {
+            RespTestBed.Node node = stage.node("h1");
+            stage.told(node.is(EndpointState.UP));
             List<Socket> busy = new ArrayList<>();
             for (int i = 0; i < MOST; i++) {
                 busy.add(stage.terminal());
-                Stage.say(busy.get(i), Stage.query(i, DEADLINE_MS));
+                RespTestBed.say(busy.get(i), RespTestBed.query(i, DEADLINE_MS));
             }
             stage.until("asks_open", MOST);
             assertEquals(stage.terminal().getInputStream().read(), -1);
@@ -75,20 +75,20 @@
     /** One that has sent half a command is passed over, and does not keep the others from being looked at. */
     @Test
     public void aConnectionWithHalfACommandDoesNotHideThoseAtRest() throws Exception {
-        try (Stage stage = new Stage()) {
+        try (RespTestBed stage = new RespTestBed()) {
             Socket half = stage.terminal();
-            Stage.say(half, HALF);
+            RespTestBed.say(half, HALF);
             Socket idle = answered(stage);
             List<Socket> others = new ArrayList<>();
             for (int i = 0; i < MOST - 1; i++) {
                 others.add(stage.terminal());
-                Stage.say(half, "x");
+                RespTestBed.say(half, "x");
             }
-            assertEquals(Stage.answer(said(others.get(MOST - 2))), "+PONG");
+            assertEquals(RespTestBed.answer(said(others.get(MOST - 2))), "+PONG");
             assertEquals(idle.getInputStream().read(), -1);
             assertEquals(stage.figure(REFUSED), 0);
-            Stage.say(half, "x\r\n");
-            assertEquals(Stage.answer(half), "x".repeat(MOST));
+            RespTestBed.say(half, "x\r\n");
+            assertEquals(RespTestBed.answer(half), "x".repeat(MOST));
         }
     }
 
@@ -97,14 +97,14 @@
     public void clientsThatReadNothingHoldNoMoreThanTheHalfOpenShare() throws Exception {
         int mostHalfOpen = MOST / 8;
         List<Socket> silent = new ArrayList<>();
-        try (Stage stage = stage()) {
+        try (RespTestBed stage = stage()) {
             int port = stage.terminal().getPort();
             for (int i = 0; i < mostHalfOpen + 4; i++) {
                 Socket client = new Socket();
                 silent.add(client);
                 client.setReceiveBufferSize(LEAST_BUFFER);
                 client.connect(new InetSocketAddress(InetAddress.getLoopbackAddress(), port));
-                Stage.say(client, Stage.words("INFO").repeat(UNREAD_ANSWERS));
+                RespTestBed.say(client, RespTestBed.words("INFO").repeat(UNREAD_ANSWERS));
             }
             until(() -> stage.front.open() == silent.size() + 1, stage);
             stage.onLoop(() -> stage.front.sendAway(true));
@@ -117,26 +117,26 @@
         }
     }
 
-    private static void until(BooleanSupplier reached, Stage stage) throws Exception {
-        long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(Stage.PATIENCE_S);
+    private static void until(BooleanSupplier reached, RespTestBed stage) throws Exception {
+        long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(RespTestBed.PATIENCE_S);
         while (!stage.onLoop(reached::getAsBoolean)) {
             assertTrue(System.nanoTime() < end, stage.front.open() + " open, " + stage.front.halfOpen() + " half open");
             Thread.sleep(5);
         }
     }
 
-    private static Stage stage() throws Exception {
-        return new Stage("\"deadline_ms\":4000", "\"deadline_ms\":" + DEADLINE_MS);
+    private static RespTestBed stage() throws Exception {
+        return new RespTestBed("\"deadline_ms\":4000", "\"deadline_ms\":" + DEADLINE_MS);
     }
 
-    private static Socket answered(Stage stage) throws Exception {
+    private static Socket answered(RespTestBed stage) throws Exception {
         Socket terminal = said(stage.terminal());
-        assertEquals(Stage.answer(terminal), "+PONG");
+        assertEquals(RespTestBed.answer(terminal), "+PONG");
         return terminal;
     }
 
     private static Socket said(Socket terminal) throws Exception {
-        Stage.say(terminal, Stage.PING);
+        RespTestBed.say(terminal, RespTestBed.PING);
         return terminal;
     }
 }
--- a/gateway/src/test/java/opalcove/platform/RawSocketTest.java
+++ b/gateway/src/test/java/opalcove/resp/RawSocketTest.java
@@ -1,4 +1,4 @@
-package opalcove.platform;
+package opalcove.resp;
 
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertTrue;
@@ -18,7 +18,7 @@
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
 import java.util.function.BiConsumer;
-import opalcove.Leaks;
+import opalcove.LeakCounter;
 import org.testng.annotations.AfterMethod;
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
@@ -39,7 +39,7 @@
     @AfterMethod
     public void stop() throws Exception {
         vertx.close().toCompletionStage().toCompletableFuture().get(PATIENCE_S, TimeUnit.SECONDS);
-        assertEquals(Leaks.found(), 0);
+        assertEquals(LeakCounter.found(), 0);
     }
 
     /** Connects; at the first byte read the action is run, in that turn, with the raw socket and the Vert.x one. */
--- a/gateway/src/test/java/opalcove/platform/RespReaderTest.java
+++ b/gateway/src/test/java/opalcove/resp/RespDecoderTest.java
@@ -1,4 +1,4 @@
-package opalcove.platform;
+package opalcove.resp;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertThrows;
@@ -17,15 +17,15 @@
 import net.jqwik.api.Provide;
 
 /** What is read does not hang on where the network cuts the bytes, and every buffer is let go of. */
-class RespReaderTest {
+class RespDecoderTest {
     private static final int MOST_ITEMS = 8;
 
     /** Reads the parts and writes down what was heard. */
     private static List<String> read(List<String> parts) {
         List<String> heard = new ArrayList<>();
-        RespReader reader = new RespReader(MOST_ITEMS, new RespReader.User() {
+        RespDecoder reader = new RespDecoder(MOST_ITEMS, new RespDecoder.User() {
             @Override
-            public void value(RespReader value) {
+            public void value(RespDecoder value) {
                 StringBuilder text = new StringBuilder().append((char) value.kind());
                 for (int i = 0; i < value.count(); i++) {
                     text.append(' ').append(value.length(i) < 0 ? "null" : value.text(i));
@@ -107,7 +107,7 @@
     /** A value of just the most there may be, cut at every kilobyte, is put together once. */
     @Example
     void theLargestValueIsReadFromManyParts() {
-        String value = "v".repeat(RespReader.MOST_BYTES);
+        String value = "v".repeat(RespDecoder.MOST_BYTES);
         String whole = "*2\r\n$" + value.length() + "\r\n" + value + "\r\n$3\r\nend\r\n+next\r\n";
         List<String> parts = new ArrayList<>();
         for (int from = 0; from < whole.length(); from += 1024) {
@@ -120,10 +120,10 @@
     @Example
     void nothingIsHeardAfterStop() {
         List<String> heard = new ArrayList<>();
-        RespReader[] reader = new RespReader[1];
-        reader[0] = new RespReader(MOST_ITEMS, new RespReader.User() {
+        RespDecoder[] reader = new RespDecoder[1];
+        reader[0] = new RespDecoder(MOST_ITEMS, new RespDecoder.User() {
             @Override
-            public void value(RespReader value) {
+            public void value(RespDecoder value) {
                 heard.add(value.text(0));
                 reader[0].stop();
             }
@@ -145,9 +145,9 @@
     @Example
     void aValueIsToldOnceEvenIfItsHearingFails() {
         List<String> heard = new ArrayList<>();
-        RespReader reader = new RespReader(MOST_ITEMS, new RespReader.User() {
+        RespDecoder reader = new RespDecoder(MOST_ITEMS, new RespDecoder.User() {
             @Override
-            public void value(RespReader value) {
+            public void value(RespDecoder value) {
                 heard.add(value.text(0));
                 if (heard.size() == 1) {
                     throw new IllegalStateException("a slip");
--- a/gateway/src/test/java/opalcove/platform/RespRepliesTest.java
+++ b/gateway/src/test/java/opalcove/resp/RespRepliesTest.java
@@ -1,11 +1,11 @@
-package opalcove.platform;
+package opalcove.resp;
 
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertTrue;
 
 import java.net.Socket;
 import java.nio.charset.StandardCharsets;
-import opalcove.decision.Admission;
+import opalcove.decision.EndpointState;
 import org.testng.annotations.Test;
 
 /** The client port by its bytes: each reply that a client can get, as literal text. */
@@ -79,58 +79,58 @@
             """;
 
     /** Sends the bytes on a new connection; whether what comes back begins with the reply. */
-    private static void exchange(Stage stage, String sent, String reply) throws Exception {
+    private static void exchange(RespTestBed stage, String sent, String reply) throws Exception {
         exchange(stage.terminal(), sent, reply);
     }
 
     private static void exchange(Socket client, String sent, String reply) throws Exception {
-        Stage.say(client, sent);
+        RespTestBed.say(client, sent);
         byte[] got = client.getInputStream().readNBytes(reply.length());
         assertEquals(new String(got, StandardCharsets.ISO_8859_1), reply, sent);
     }
 
     @Test
     public void commandsThatNoBackendSees() throws Exception {
-        try (Stage stage = new Stage()) {
-            exchange(stage, Stage.PING, "+PONG\r\n");
-            exchange(stage, Stage.words("ping"), "+PONG\r\n");
-            exchange(stage, Stage.words("PING", "hello"), "$5\r\nhello\r\n");
-            exchange(stage, Stage.words("PING", ""), "$0\r\n\r\n");
-            exchange(stage, Stage.words("CLIENT", "SETNAME", "a"), "+OK\r\n");
-            exchange(stage, Stage.words("SELECT", "0"), "+OK\r\n");
-            exchange(stage, Stage.words("HELLO", "3"), "-ERR unknown command\r\n");
-            exchange(stage, Stage.words("GET", "a"), "-ERR unknown command\r\n");
-            exchange(stage, Stage.words(""), "-ERR unknown command\r\n");
+        try (RespTestBed stage = new RespTestBed()) {
+            exchange(stage, RespTestBed.PING, "+PONG\r\n");
+            exchange(stage, RespTestBed.words("ping"), "+PONG\r\n");
+            exchange(stage, RespTestBed.words("PING", "hello"), "$5\r\nhello\r\n");
+            exchange(stage, RespTestBed.words("PING", ""), "$0\r\n\r\n");
+            exchange(stage, RespTestBed.words("CLIENT", "SETNAME", "a"), "+OK\r\n");
+            exchange(stage, RespTestBed.words("SELECT", "0"), "+OK\r\n");
+            exchange(stage, RespTestBed.words("HELLO", "3"), "-ERR unknown command\r\n");
+            exchange(stage, RespTestBed.words("GET", "a"), "-ERR unknown command\r\n");
+            exchange(stage, RespTestBed.words(""), "-ERR unknown command\r\n");
             stage.onLoop(() -> stage.front.sendAway(true));
-            exchange(stage, Stage.PING, "-ERR draining\r\n");
+            exchange(stage, RespTestBed.PING, "-ERR draining\r\n");
             stage.onLoop(() -> stage.front.sendAway(false));
-            exchange(stage, Stage.PING, "+PONG\r\n");
+            exchange(stage, RespTestBed.PING, "+PONG\r\n");
         }
     }
 
     @Test
     public void infoOfAGatewayThatHasDoneNothing() throws Exception {
-        try (Stage stage = new Stage()) {
-            exchange(stage, Stage.words("info"), "$" + INFO.length() + "\r\n" + INFO + "\r\n");
+        try (RespTestBed stage = new RespTestBed()) {
+            exchange(stage, RespTestBed.words("info"), "$" + INFO.length() + "\r\n" + INFO + "\r\n");
         }
     }
 
     private static String[][] invalidRequests() {
         return new String[][] {
-            {Stage.words("SVC.QUERY", CUSTOMER, ID), "wrong number of words for SVC.QUERY"},
-            {Stage.words("SVC.QUERY", CUSTOMER, ID, MARKS, "body"), "wrong number of words for SVC.QUERY"},
-            {Stage.words("svc.submit", CUSTOMER, ID, MARKS), "wrong number of words for SVC.SUBMIT"},
-            {Stage.words("SVC.QUERY", CUSTOMER, ID, ""), "expected name=value"},
-            {Stage.words("SVC.QUERY", CUSTOMER, ID, "=1," + MARKS), "expected name=value"},
-            {Stage.words("SVC.QUERY", CUSTOMER, ID, MARKS + ",d=3"), "a name comes twice"},
+            {RespTestBed.words("SVC.QUERY", CUSTOMER, ID), "wrong number of words for SVC.QUERY"},
+            {RespTestBed.words("SVC.QUERY", CUSTOMER, ID, MARKS, "body"), "wrong number of words for SVC.QUERY"},
+            {RespTestBed.words("svc.submit", CUSTOMER, ID, MARKS), "wrong number of words for SVC.SUBMIT"},
+            {RespTestBed.words("SVC.QUERY", CUSTOMER, ID, ""), "expected name=value"},
+            {RespTestBed.words("SVC.QUERY", CUSTOMER, ID, "=1," + MARKS), "expected name=value"},
+            {RespTestBed.words("SVC.QUERY", CUSTOMER, ID, MARKS + ",d=3"), "a name comes twice"},
             {query(MARKS.replace("c=slot-status,", "")), "c is missing"},
             {query(MARKS.replace("slot-status", "none")), "unknown class"},
             {query(KEYED), "SVC.QUERY does not serve swap-record"},
-            {Stage.words("SVC.SUBMIT", CUSTOMER, ID, MARKS, "body"), "SVC.SUBMIT does not serve slot-status"},
-            {Stage.words("SVC.QUERY", CUSTOMER, "1", MARKS), "the id must be 16 hex digits"},
-            {Stage.words("SVC.QUERY", CUSTOMER, "000000000000000g", MARKS), "the id must be 16 hex digits"},
-            {Stage.words("SVC.QUERY", "b2", ID, MARKS), "the operator must be 16 hex digits"},
-            {Stage.words("SVC.QUERY", "0000000200000000", ID, MARKS), "the operator is out of range"},
+            {RespTestBed.words("SVC.SUBMIT", CUSTOMER, ID, MARKS, "body"), "SVC.SUBMIT does not serve slot-status"},
+            {RespTestBed.words("SVC.QUERY", CUSTOMER, "1", MARKS), "the id must be 16 hex digits"},
+            {RespTestBed.words("SVC.QUERY", CUSTOMER, "000000000000000g", MARKS), "the id must be 16 hex digits"},
+            {RespTestBed.words("SVC.QUERY", "b2", ID, MARKS), "the operator must be 16 hex digits"},
+            {RespTestBed.words("SVC.QUERY", "0000000200000000", ID, MARKS), "the operator is out of range"},
             {query(MARKS.replace("t=start", "t=")), "t is missing"},
             {query(MARKS.replace("t=start", "t=none")), "unknown plan"},
             {query(MARKS.replace(",units=1", "")), "units is missing"},
@@ -143,8 +143,8 @@
             {query(MARKS.replace("spread=1", "spread=1.5")), "spread is not a whole number"},
             {query(MARKS.replace("spread=1", "spread=2")), "the operator's gateways are out of range"},
             {query(MARKS.replace("first=0", "first=1")), "the operator's gateways are out of range"},
-            {Stage.words("SVC.SUBMIT", CUSTOMER, ID, KEYED, "body"), "k is missing"},
-            {Stage.words("SVC.SUBMIT", CUSTOMER, ID, KEYED + ",k=a b", "body"), "the key cannot be passed on"},
+            {RespTestBed.words("SVC.SUBMIT", CUSTOMER, ID, KEYED, "body"), "k is missing"},
+            {RespTestBed.words("SVC.SUBMIT", CUSTOMER, ID, KEYED + ",k=a b", "body"), "the key cannot be passed on"},
             {"*0\r\n", "expected a command"},
             {"*1\r\n:1\r\n", "expected a command"},
             {"*1\r\n$-1\r\n", "expected a command"},
@@ -153,17 +153,17 @@
     }
 
     private static String query(String marks) {
-        return Stage.words("SVC.QUERY", CUSTOMER, ID, marks);
+        return RespTestBed.words("SVC.QUERY", CUSTOMER, ID, marks);
     }
 
     /** Each is an error in its own place: the connection goes on. */
     @Test
     public void invalidRequestsAndTheConnectionAfterThem() throws Exception {
-        try (Stage stage = new Stage()) {
+        try (RespTestBed stage = new RespTestBed()) {
             for (String[] each : invalidRequests()) {
                 Socket client = stage.terminal();
                 exchange(client, each[0], "-ERR " + each[1] + "\r\n");
-                exchange(client, Stage.PING, "+PONG\r\n");
+                exchange(client, RespTestBed.PING, "+PONG\r\n");
             }
         }
     }
@@ -183,7 +183,7 @@
             {"*1\r\n$3\r\nabcd\r\n", "a bulk string is longer than announced"},
             {"*1\r\n*1\r\n*1\r\n*1\r\n", "arrays too deep"},
         };
-        try (Stage stage = new Stage()) {
+        try (RespTestBed stage = new RespTestBed()) {
             for (String[] each : cases) {
                 Socket client = stage.terminal();
                 exchange(client, each[0], "-ERR Protocol error: " + each[1] + "\r\n");
@@ -194,26 +194,26 @@
 
     @Test
     public void aServedValueAndABackendsError() throws Exception {
-        try (Stage stage = new Stage()) {
-            Stage.Node node = stage.node("s-1");
-            stage.told(node.is(Admission.State.UP));
+        try (RespTestBed stage = new RespTestBed()) {
+            RespTestBed.Node node = stage.node("s-1");
+            stage.told(node.is(EndpointState.UP));
             Socket client = stage.terminal();
-            Stage.say(client, Stage.query(1, DEADLINE_MS));
-            Stage.Line line = node.withCommand();
+            RespTestBed.say(client, RespTestBed.query(1, DEADLINE_MS));
+            RespTestBed.BackendConnection line = node.withCommand();
             line.command();
             line.serve("value");
             exchange(client, "", "$5\r\nvalue\r\n");
         }
-        try (Stage stage =
-                new Stage("\"max_attempts\":6", "\"max_attempts\":1", "\"profiles\":[", "\"profiles\":[" + UNSAFE)) {
-            Stage.Node node = stage.node("s-1");
-            stage.told(node.is(Admission.State.UP));
+        try (RespTestBed stage = new RespTestBed(
+                "\"max_attempts\":6", "\"max_attempts\":1", "\"profiles\":[", "\"profiles\":[" + UNSAFE)) {
+            RespTestBed.Node node = stage.node("s-1");
+            stage.told(node.is(EndpointState.UP));
             Socket client = stage.terminal();
             String marks = MARKS.replace("slot-status", "lock");
             // In one write, so that the second is read before the first can be answered.
-            String command = Stage.words("SVC.SUBMIT", CUSTOMER, ID, marks, "body");
-            Stage.say(client, command + command);
-            Stage.Line line = node.withCommand();
+            String command = RespTestBed.words("SVC.SUBMIT", CUSTOMER, ID, marks, "body");
+            RespTestBed.say(client, command + command);
+            RespTestBed.BackendConnection line = node.withCommand();
             line.command();
             line.say("-ERR failed\r\n");
             exchange(client, "", "-ERR failed\r\n-ERR this id is under way\r\n");
@@ -225,17 +225,17 @@
     public void aRefusalWithAdviceAndWithout() throws Exception {
         for (boolean advice : new boolean[] {true, false}) {
             String most = "\"max_retry_after_ms\":2000";
-            try (Stage stage = new Stage(
+            try (RespTestBed stage = new RespTestBed(
                     "\"max_open\":1000", "\"max_open\":1", most, advice ? most : "\"max_retry_after_ms\":0")) {
-                Stage.Node node = stage.node("s-1");
-                stage.told(node.is(Admission.State.UP));
+                RespTestBed.Node node = stage.node("s-1");
+                stage.told(node.is(EndpointState.UP));
                 Socket first = stage.terminal();
-                Stage.say(first, Stage.query(1, DEADLINE_MS));
-                Stage.Line line = node.withCommand();
-                exchange(stage, Stage.query(2, DEADLINE_MS), advice ? "-BUSY 2000\r\n" : "-BUSY\r\n");
+                RespTestBed.say(first, RespTestBed.query(1, DEADLINE_MS));
+                RespTestBed.BackendConnection line = node.withCommand();
+                exchange(stage, RespTestBed.query(2, DEADLINE_MS), advice ? "-BUSY 2000\r\n" : "-BUSY\r\n");
                 line.command();
                 line.serve("value");
-                assertEquals(Stage.answer(first), "value");
+                assertEquals(RespTestBed.answer(first), "value");
                 assertTrue(stage.figure("refused.too_many_open") == 1);
             }
         }
--- a/gateway/src/test/java/opalcove/platform/Stage.java
+++ b/gateway/src/test/java/opalcove/resp/RespTestBed.java
@@ -1,4 +1,4 @@
-package opalcove.platform;
+package opalcove.resp;
 
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertNotNull;
@@ -24,60 +24,62 @@
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
 import java.util.function.Supplier;
-import opalcove.Facts;
-import opalcove.decision.Admission;
-import opalcove.gateway.Answer;
-import opalcove.gateway.AppNode;
-import opalcove.gateway.Ask;
-import opalcove.gateway.Clock;
-import opalcove.gateway.Endpoint;
-import opalcove.gateway.Fields;
-import opalcove.gateway.Gateway;
-import opalcove.gateway.LinkPool;
-import opalcove.gateway.Phases;
-import opalcove.gateway.Program;
-import opalcove.gateway.Rule;
-import opalcove.gateway.SettingsReader;
+import opalcove.TestSettings;
+import opalcove.backend.ConnectionPool;
+import opalcove.config.Backend;
+import opalcove.config.Clock;
+import opalcove.config.HostAndPort;
+import opalcove.config.JsonFields;
+import opalcove.config.SettingsReader;
+import opalcove.core.Request;
+import opalcove.core.RequestDispatcher;
+import opalcove.core.Response;
+import opalcove.decision.DecisionSettings;
+import opalcove.decision.Endpoint;
+import opalcove.decision.EndpointState;
+import opalcove.lifecycle.Application;
+import opalcove.lifecycle.Lifecycle;
+import opalcove.metrics.Invariant;
 
 /**
  * A gateway on loopback sockets between terminals and app nodes of a test, which hold and release bytes, links and the
  * event loop itself on command: so the order in which two events meet is the test's, every time.
  */
-final class Stage implements Closeable {
+public final class RespTestBed implements Closeable {
     static final int PATIENCE_S = 20;
     static final String PING = "*1\r\n$4\r\nPING\r\n";
 
-    final Vertx vertx = Program.eventLoop();
-    final Phases phases = new Phases();
-    final Gateway gateway;
-    final RespFront front;
+    final Vertx vertx = Application.eventLoop();
+    final Lifecycle phases = new Lifecycle();
+    final RequestDispatcher gateway;
+    final RespServer front;
     private final int port;
     private final List<Closeable> open = new ArrayList<>();
     /** Links that are up and not handed over yet; null where links are handed over at once. */
     private BlockingQueue<Runnable> withheld;
 
     /** Starts with the settings of the tests, changed by pairs of a text and what is in its place. */
-    Stage(String... changes) throws Exception {
-        String json = Facts.JSON.replace("\"max_open\":4", "\"max_open\":1000");
+    RespTestBed(String... changes) throws Exception {
+        String json = TestSettings.JSON.replace("\"max_open\":4", "\"max_open\":1000");
         for (int i = 0; i < changes.length; i += 2) {
             assertTrue(json.contains(changes[i]), changes[i]);
             json = json.replace(changes[i], changes[i + 1]);
         }
-        Admission.Settings settings = SettingsReader.checked(Fields.parse(json));
+        DecisionSettings settings = SettingsReader.checked(JsonFields.parse(json));
         CompletableFuture<Integer> listening = new CompletableFuture<>();
         CompletableFuture<Object[]> parts = new CompletableFuture<>();
         vertx.runOnContext(start -> {
-            LinkPool.Dialler sockets = new RespDialler(vertx, settings);
-            LinkPool links = new LinkPool(vertx, settings, address -> withhold(sockets.dial(address)), 64);
-            Gateway core = new Gateway(vertx, new Clock(), settings, 1, links);
-            phases.enter(Phases.Phase.SERVING);
-            RespFront resp = new RespFront(vertx, core, phases, 64);
+            ConnectionPool.Connector sockets = new RespConnector(vertx, settings);
+            ConnectionPool links = new ConnectionPool(vertx, settings, address -> withhold(sockets.dial(address)), 64);
+            RequestDispatcher core = new RequestDispatcher(vertx, new Clock(), settings, 1, links);
+            phases.enter(Lifecycle.Phase.SERVING);
+            RespServer resp = new RespServer(vertx, core, phases, 64);
             parts.complete(new Object[] {core, resp});
-            resp.listen(new Endpoint("127.0.0.1", 0)).onSuccess(listening::complete);
+            resp.listen(new HostAndPort("127.0.0.1", 0)).onSuccess(listening::complete);
         });
         Object[] made = parts.get(PATIENCE_S, TimeUnit.SECONDS);
-        gateway = (Gateway) made[0];
-        front = (RespFront) made[1];
+        gateway = (RequestDispatcher) made[0];
+        front = (RespServer) made[1];
         port = listening.get(PATIENCE_S, TimeUnit.SECONDS);
     }
 
@@ -88,18 +90,18 @@
         }
         vertx.close();
         // Late answers are the machine's where a test holds the event loop up.
-        for (Rule rule : EnumSet.complementOf(EnumSet.of(Rule.ANSWER_IN_TIME))) {
+        for (Invariant rule : EnumSet.complementOf(EnumSet.of(Invariant.ANSWER_IN_TIME))) {
             assertEquals(gateway.checks().broken(rule), 0, "the gateway has broken " + rule);
         }
     }
 
     // Links that come up late.
 
-    private Future<LinkPool.Line> withhold(Future<LinkPool.Line> line) {
+    private Future<ConnectionPool.BackendConnection> withhold(Future<ConnectionPool.BackendConnection> line) {
         if (withheld == null) {
             return line;
         }
-        Promise<LinkPool.Line> handed = Promise.promise();
+        Promise<ConnectionPool.BackendConnection> handed = Promise.promise();
         BlockingQueue<Runnable> queue = withheld;
         line.onComplete(up -> queue.add(() -> line.onComplete(handed)));
         return handed.future();
@@ -207,14 +209,14 @@
         return node;
     }
 
-    void told(AppNode... lines) throws Exception {
+    void told(Backend... lines) throws Exception {
         onLoop(() -> gateway.nodesTold(true, List.of(lines)));
     }
 
     /** An app node. What its lines bring waits until the test looks; what they send is what the test says. */
     static final class Node implements Closeable {
         final String name;
-        private final List<Line> quiet = new ArrayList<>();
+        private final List<BackendConnection> quiet = new ArrayList<>();
         private final ServerSocket server = new ServerSocket(0, 64, InetAddress.getLoopbackAddress());
 
         Node(String name) throws Exception {
@@ -222,26 +224,26 @@
             server.setSoTimeout(PATIENCE_S * 1000);
         }
 
-        AppNode is(Admission.State state) {
+        Backend is(EndpointState state) {
             return is(state, 0);
         }
 
-        AppNode is(Admission.State state, int cell) {
-            return new AppNode(
-                    new Admission.Host(name, "room-a", "app", cell, state, 1, 0), "127.0.0.1:" + server.getLocalPort());
+        Backend is(EndpointState state, int cell) {
+            return new Backend(
+                    new Endpoint(name, "room-a", "app", cell, state, 1, 0), "127.0.0.1:" + server.getLocalPort());
         }
 
-        Line accept() throws Exception {
-            return new Line(server.accept());
+        BackendConnection accept() throws Exception {
+            return new BackendConnection(server.accept());
         }
 
         /** The line on which a command comes next, of all those that were not told by this call before. */
-        Line withCommand() throws Exception {
+        BackendConnection withCommand() throws Exception {
             long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(PATIENCE_S);
             server.setSoTimeout(1);
             try {
                 while (System.nanoTime() < end) {
-                    for (Line each : quiet) {
+                    for (BackendConnection each : quiet) {
                         if (each.socket.getInputStream().available() > 0) {
                             quiet.remove(each);
                             return each;
@@ -264,7 +266,7 @@
          * did not give; lines that end without one are passed over.
          */
         boolean gotNothing() throws Exception {
-            for (Line each : quiet) {
+            for (BackendConnection each : quiet) {
                 if (each.socket.getInputStream().available() > 0) {
                     return false;
                 }
@@ -293,11 +295,11 @@
     }
 
     /** A node's end of a link. */
-    static final class Line {
+    static final class BackendConnection {
         final Socket socket;
         private final InputStream in;
 
-        Line(Socket socket) throws Exception {
+        BackendConnection(Socket socket) throws Exception {
             this.socket = socket;
             socket.setSoTimeout(PATIENCE_S * 1000);
             in = socket.getInputStream();
@@ -354,7 +356,7 @@
     }
 
     /** The next answer: a line, or a string's value. */
-    static String answer(Socket terminal) throws Exception {
+    public static String answer(Socket terminal) throws Exception {
         String line = line(terminal.getInputStream());
         if (!line.startsWith("$")) {
             return line;
@@ -381,7 +383,7 @@
     }
 
     /** An ask that may be repeated. */
-    static String query(int number, int waitMs) {
+    public static String query(int number, int waitMs) {
         return words(
                 "SVC.QUERY",
                 "00000000000000b2",
@@ -399,7 +401,7 @@
                 "body");
     }
 
-    static String words(String... words) {
+    public static String words(String... words) {
         StringBuilder command = new StringBuilder("*" + words.length + "\r\n");
         for (String word : words) {
             command.append('$')
@@ -414,9 +416,9 @@
     /** Has the gateway serve an ask from within the loop; the answer's text is added to the list. */
     void serve(int number, int waitMs, BlockingQueue<String> answers) {
         gateway.serve(
-                new Ask(id(number), "00000000000000b2", "slot-status", "start", 1, waitMs, null, false, 1, 0, null),
+                new Request(id(number), "00000000000000b2", "slot-status", "start", 1, waitMs, null, false, 1, 0, null),
                 answer -> {
-                    ByteBuf value = answer instanceof Answer.Served served ? served.value() : null;
+                    ByteBuf value = answer instanceof Response.Served served ? served.value() : null;
                     answers.add(value == null ? answer.toString() : value.toString(StandardCharsets.ISO_8859_1));
                 });
     }
--- a/gateway/src/test/java/opalcove/platform/SendAwayTest.java
+++ b/gateway/src/test/java/opalcove/resp/ShedClientsTest.java
@@ -1,4 +1,4 @@
-package opalcove.platform;
+package opalcove.resp;
 
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertTrue;
@@ -11,20 +11,20 @@
 import java.nio.charset.StandardCharsets;
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.TimeUnit;
-import opalcove.Facts;
-import opalcove.gateway.AppNode;
-import opalcove.gateway.Ask;
-import opalcove.gateway.Clock;
-import opalcove.gateway.Endpoint;
-import opalcove.gateway.Gateway;
-import opalcove.gateway.Phases;
-import opalcove.gateway.QuietLinks;
+import opalcove.TestSettings;
+import opalcove.config.Backend;
+import opalcove.config.Clock;
+import opalcove.config.HostAndPort;
+import opalcove.core.NoOpBackendTransport;
+import opalcove.core.Request;
+import opalcove.core.RequestDispatcher;
+import opalcove.lifecycle.Lifecycle;
 import org.testng.annotations.AfterMethod;
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
 /** An operator's drain on the client port, by the bytes that a terminal sends and gets. */
-public class SendAwayTest {
+public class ShedClientsTest {
     /** PINGs that may come before the event loop has taken the operator's word. */
     private static final int MOST_LOOKS = 10_000;
 
@@ -35,9 +35,9 @@
             + "00000000000000b2\r\n$" + MARKS.length() + "\r\n" + MARKS + "\r\n";
 
     private Vertx vertx;
-    private Gateway gateway;
-    private RespFront front;
-    private Phases phases;
+    private RequestDispatcher gateway;
+    private RespServer front;
+    private Lifecycle phases;
     private int port;
 
     @BeforeMethod
@@ -45,11 +45,11 @@
         vertx = Vertx.vertx();
         CompletableFuture<Integer> listening = new CompletableFuture<>();
         vertx.runOnContext(start -> {
-            gateway = new Gateway(vertx, new Clock(), Facts.settings(), 1, new NoLinks());
-            phases = new Phases();
-            phases.enter(Phases.Phase.SERVING);
-            front = new RespFront(vertx, gateway, phases, 64);
-            front.listen(new Endpoint("127.0.0.1", 0)).onSuccess(listening::complete);
+            gateway = new RequestDispatcher(vertx, new Clock(), TestSettings.settings(), 1, new NoLinks());
+            phases = new Lifecycle();
+            phases.enter(Lifecycle.Phase.SERVING);
+            front = new RespServer(vertx, gateway, phases, 64);
+            front.listen(new HostAndPort("127.0.0.1", 0)).onSuccess(listening::complete);
         });
         port = listening.get(10, TimeUnit.SECONDS);
     }
@@ -94,7 +94,7 @@
             terminal.getOutputStream().write(PING.getBytes(StandardCharsets.US_ASCII));
             terminal.getOutputStream().flush();
             vertx.runOnContext(told -> {
-                phases.enter(Phases.Phase.DRAINING);
+                phases.enter(Lifecycle.Phase.DRAINING);
                 front.drain(() -> {});
             });
             assertEquals(say(terminal, "", 7), "+PONG\r\n");
@@ -109,7 +109,7 @@
             terminal.getOutputStream().write(PING.substring(0, 10).getBytes(StandardCharsets.US_ASCII));
             terminal.getOutputStream().flush();
             vertx.runOnContext(told -> {
-                phases.enter(Phases.Phase.DRAINING);
+                phases.enter(Lifecycle.Phase.DRAINING);
                 front.drain(() -> {});
             });
             assertEquals(say(terminal, PING.substring(10), 7), "+PONG\r\n");
@@ -156,9 +156,9 @@
     }
 
     /** No app node is asked in this test. */
-    private static final class NoLinks extends QuietLinks {
+    private static final class NoLinks extends NoOpBackendTransport {
         @Override
-        public Attempt attempt(AppNode node, Ask ask, double waitMs, Ended ended) {
+        public Attempt attempt(Backend node, Request ask, double waitMs, Ended ended) {
             throw new AssertionError("no attempt is made here");
         }
     }
--- a/gateway/src/test/java/opalcove/platform/StalledClientTest.java
+++ b/gateway/src/test/java/opalcove/resp/StalledClientTest.java
@@ -1,4 +1,4 @@
-package opalcove.platform;
+package opalcove.resp;
 
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertTrue;
@@ -6,7 +6,7 @@
 import java.net.Socket;
 import java.nio.charset.StandardCharsets;
 import java.util.concurrent.TimeUnit;
-import opalcove.decision.Admission;
+import opalcove.decision.EndpointState;
 import org.testng.annotations.Test;
 
 /** Clients that stop in the middle of a request and stay get their error, or their connection closed, soon. */
@@ -15,10 +15,10 @@
 
     @Test
     public void oneThatStopsBehindAnAnswerIsClosed() throws Exception {
-        try (Stage stage = new Stage()) {
+        try (RespTestBed stage = new RespTestBed()) {
             Socket terminal = stage.terminal();
-            Stage.say(terminal, Stage.PING + Stage.PING.substring(0, 8));
-            assertEquals(Stage.answer(terminal), "+PONG");
+            RespTestBed.say(terminal, RespTestBed.PING + RespTestBed.PING.substring(0, 8));
+            assertEquals(RespTestBed.answer(terminal), "+PONG");
             assertEquals(terminal.getInputStream().read(), -1);
             assertEquals(stage.figure("connections_ended.stalled"), 1);
         }
@@ -26,19 +26,20 @@
 
     @Test
     public void oneThatStopsBehindAnOpenRequestIsClosedRightAfterItsAnswer() throws Exception {
-        try (Stage stage = new Stage()) {
-            Stage.Node node = stage.node("n1");
-            stage.told(node.is(Admission.State.UP));
+        try (RespTestBed stage = new RespTestBed()) {
+            RespTestBed.Node node = stage.node("n1");
+            stage.told(node.is(EndpointState.UP));
             Socket terminal = stage.terminal();
-            Stage.say(
+            RespTestBed.say(
                     terminal,
-                    Stage.submit(1, 7000, "key") + Stage.query(2, 4000).substring(0, 40));
-            Stage.Line line = node.withCommand();
+                    RespTestBed.submit(1, 7000, "key")
+                            + RespTestBed.query(2, 4000).substring(0, 40));
+            RespTestBed.BackendConnection line = node.withCommand();
             line.command();
             // Well after the time for which half a command may stand still, and before its request's time is over.
             TimeUnit.MILLISECONDS.sleep(STALLED_MS);
             line.serve("first");
-            assertEquals(Stage.answer(terminal), "first");
+            assertEquals(RespTestBed.answer(terminal), "first");
             // Its error and the end, or the end alone on a machine so slow that the answer came first.
             String rest = new String(terminal.getInputStream().readAllBytes(), StandardCharsets.US_ASCII);
             assertTrue(rest.isEmpty() || rest.equals("-ERR Protocol error: half a command\r\n"), rest);
--- a/gateway/src/test/java/opalcove/platform/LongValueTest.java
+++ b/gateway/src/test/java/opalcove/resp/StreamedValueTest.java
@@ -1,4 +1,4 @@
-package opalcove.platform;
+package opalcove.resp;
 
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertFalse;
@@ -17,25 +17,28 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
-import opalcove.Facts;
-import opalcove.decision.Admission;
-import opalcove.gateway.AppNode;
-import opalcove.gateway.Ask;
-import opalcove.gateway.Clock;
-import opalcove.gateway.Endpoint;
-import opalcove.gateway.Gateway;
-import opalcove.gateway.LinkPool;
-import opalcove.gateway.LongValue;
-import opalcove.gateway.NodeEnd;
-import opalcove.gateway.NodeLinks;
-import opalcove.gateway.Phases;
-import opalcove.gateway.QuietLinks;
+import opalcove.TestSettings;
+import opalcove.backend.ConnectionPool;
+import opalcove.config.Backend;
+import opalcove.config.Clock;
+import opalcove.config.HostAndPort;
+import opalcove.core.AttemptResult;
+import opalcove.core.BackendTransport;
+import opalcove.core.NoOpBackendTransport;
+import opalcove.core.Request;
+import opalcove.core.RequestDispatcher;
+import opalcove.core.StreamedValue;
+import opalcove.decision.AttemptStatus;
+import opalcove.decision.DecisionSettings;
+import opalcove.decision.Endpoint;
+import opalcove.decision.EndpointState;
+import opalcove.lifecycle.Lifecycle;
 import org.testng.annotations.AfterMethod;
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
 /** Long values on the platform's front: passed on while they come, held back for a slow terminal, cut with their line. */
-public class LongValueTest {
+public class StreamedValueTest {
     private static final int LENGTH = 1 << 20;
     private static final String HEAD = "$" + LENGTH + "\r\n";
     private static final String MARKS = "c=slot-status,t=start,d=4000,units=1,spread=1,first=0";
@@ -63,10 +66,10 @@
         CountDownLatch begunAtTerminal = new CountDownLatch(1);
         try (ServerSocket node = new ServerSocket(0, 8, InetAddress.getLoopbackAddress())) {
             CompletableFuture<Void> given = CompletableFuture.runAsync(() -> give(node, value, begunAtTerminal));
-            Admission.Settings settings = Facts.settings();
+            DecisionSettings settings = TestSettings.settings();
             int port = front(
                     "127.0.0.1:" + node.getLocalPort(),
-                    new LinkPool(vertx, settings, new RespDialler(vertx, settings), 8));
+                    new ConnectionPool(vertx, settings, new RespConnector(vertx, settings), 8));
             try (Socket terminal = ask(port)) {
                 InputStream in = terminal.getInputStream();
                 assertEquals(text(in, HEAD.length()), HEAD);
@@ -86,19 +89,19 @@
     public void aSlowTerminalHoldsItsValueBackAtTheNodeAndLetsItOnOnceItReads() throws Exception {
         try (Socket terminal = ask(front("127.0.0.1:1", held))) {
             FakeValue value = new FakeValue();
-            NodeLinks.Ended attempt = held.attempt.get(10, TimeUnit.SECONDS);
+            BackendTransport.Ended attempt = held.attempt.get(10, TimeUnit.SECONDS);
             onLoop(() -> {
                 assertTrue(attempt.began(value));
                 assertTrue(value.reads);
                 // Nothing leaves within this turn: as at a terminal that does not read.
-                value.sink.part(Unpooled.wrappedBuffer(new byte[RespDialler.PORTION]));
+                value.sink.part(Unpooled.wrappedBuffer(new byte[RespConnector.PORTION]));
                 assertTrue(value.reads);
-                value.sink.part(Unpooled.wrappedBuffer(new byte[2 * RespDialler.PORTION]));
+                value.sink.part(Unpooled.wrappedBuffer(new byte[2 * RespConnector.PORTION]));
                 assertFalse(value.reads, "no more is read while that much waits to leave");
             });
             InputStream in = terminal.getInputStream();
             assertEquals(text(in, HEAD.length()), HEAD);
-            assertEquals(in.readNBytes(3 * RespDialler.PORTION).length, 3 * RespDialler.PORTION);
+            assertEquals(in.readNBytes(3 * RespConnector.PORTION).length, 3 * RespConnector.PORTION);
             value.readOn.get(10, TimeUnit.SECONDS);
         }
     }
@@ -107,13 +110,13 @@
     public void aValueCutOffByItsNodeEndsTheConnectionAndCountsAsFailed() throws Exception {
         try (Socket terminal = ask(front("127.0.0.1:1", held))) {
             FakeValue value = new FakeValue();
-            NodeLinks.Ended attempt = held.attempt.get(10, TimeUnit.SECONDS);
+            BackendTransport.Ended attempt = held.attempt.get(10, TimeUnit.SECONDS);
             onLoop(() -> {
                 attempt.began(value);
                 value.sink.part(Unpooled.wrappedBuffer(new byte[100]));
                 assertTrue(gateway.metrics().lines().contains("gateway.inflight:1|g"), "not ended yet");
                 value.sink.cut();
-                attempt.ended(NodeEnd.silent(Admission.Result.BROKEN));
+                attempt.ended(AttemptResult.silent(AttemptStatus.BROKEN));
             });
             assertEquals(terminal.getInputStream().readAllBytes().length, HEAD.length() + 100);
             assertTrue(gateway.metrics().lines().contains("gateway.failure.slot-status:1|c"));
@@ -125,7 +128,7 @@
     public void aTerminalThatLeavesAmidItsValueGivesItsAttemptUp() throws Exception {
         try (Socket terminal = ask(front("127.0.0.1:1", held))) {
             FakeValue value = new FakeValue();
-            NodeLinks.Ended attempt = held.attempt.get(10, TimeUnit.SECONDS);
+            BackendTransport.Ended attempt = held.attempt.get(10, TimeUnit.SECONDS);
             onLoop(() -> attempt.began(value));
             terminal.setSoLinger(true, 0);
         }
@@ -133,90 +136,91 @@
     }
 
     /** Two requests that were written one behind the other, and the links that carry them. */
-    private record Pipelined(Socket terminal, Stage.Line first, Stage.Line second) {
+    private record Pipelined(
+            Socket terminal, RespTestBed.BackendConnection first, RespTestBed.BackendConnection second) {
         /** The first of them waits so long. */
-        static Pipelined on(Stage stage, int firstWaitMs) throws Exception {
-            Stage.Node node = stage.node("n1");
-            stage.told(node.is(Admission.State.UP));
+        static Pipelined on(RespTestBed stage, int firstWaitMs) throws Exception {
+            RespTestBed.Node node = stage.node("n1");
+            stage.told(node.is(EndpointState.UP));
             Socket terminal = stage.terminal();
-            Stage.say(terminal, Stage.query(1, firstWaitMs) + Stage.query(2, 4000));
-            Stage.Line first = node.withCommand();
-            Stage.Line second = node.withCommand();
-            assertTrue(first.command().contains(Stage.id(1)));
-            assertTrue(second.command().contains(Stage.id(2)));
+            RespTestBed.say(terminal, RespTestBed.query(1, firstWaitMs) + RespTestBed.query(2, 4000));
+            RespTestBed.BackendConnection first = node.withCommand();
+            RespTestBed.BackendConnection second = node.withCommand();
+            assertTrue(first.command().contains(RespTestBed.id(1)));
+            assertTrue(second.command().contains(RespTestBed.id(2)));
             return new Pipelined(terminal, first, second);
         }
     }
 
     @Test
     public void aValueThatIsCutLosesNoRequestThatCameBehindIt() throws Exception {
-        try (Stage stage = new Stage()) {
+        try (RespTestBed stage = new RespTestBed()) {
             Pipelined asks = Pipelined.on(stage, 4000);
             asks.first().say("*3\r\n" + HEAD + "v".repeat(100_000));
             asks.second().serve("second");
             stage.until("attempts_served", 1);
             asks.first().reset();
-            assertTrue(Stage.answer(asks.terminal()).startsWith("-ERR"), "the value that was cut has failed");
-            assertEquals(Stage.answer(asks.terminal()), "second");
+            assertTrue(RespTestBed.answer(asks.terminal()).startsWith("-ERR"), "the value that was cut has failed");
+            assertEquals(RespTestBed.answer(asks.terminal()), "second");
         }
     }
 
     @Test
     public void aRequestThatComesWhileAValueIsPassedOnIsNotReadBeforeItsEnd() throws Exception {
-        try (Stage stage = new Stage()) {
-            Stage.Node node = stage.node("n1");
-            stage.told(node.is(Admission.State.UP));
+        try (RespTestBed stage = new RespTestBed()) {
+            RespTestBed.Node node = stage.node("n1");
+            stage.told(node.is(EndpointState.UP));
             Socket terminal = stage.terminal();
-            Stage.say(terminal, Stage.query(1, 4000));
-            Stage.Line line = node.withCommand();
+            RespTestBed.say(terminal, RespTestBed.query(1, 4000));
+            RespTestBed.BackendConnection line = node.withCommand();
             line.command();
             line.say("*3\r\n" + HEAD + "v".repeat(100_000));
             assertEquals(text(terminal.getInputStream(), HEAD.length()), HEAD);
-            Stage.say(terminal, Stage.query(2, 4000));
+            RespTestBed.say(terminal, RespTestBed.query(2, 4000));
             // A round trip on another connection: the event loop has been to its sockets since.
             Socket other = stage.terminal();
             for (int i = 0; i < 10; i++) {
-                Stage.say(other, Stage.PING);
-                assertEquals(Stage.answer(other), "+PONG");
+                RespTestBed.say(other, RespTestBed.PING);
+                assertEquals(RespTestBed.answer(other), "+PONG");
             }
             assertEquals(stage.figure("taken"), 1, "read behind a value that may still be cut");
             line.say("v".repeat(LENGTH - 100_000) + "\r\n$-1\r\n$-1\r\n");
             assertEquals(terminal.getInputStream().readNBytes(LENGTH + 2).length, LENGTH + 2);
             node.withCommand().serve("second");
-            assertEquals(Stage.answer(terminal), "second");
+            assertEquals(RespTestBed.answer(terminal), "second");
         }
     }
 
     @Test
     public void aValueWithARequestBehindItComesWhole() throws Exception {
-        try (Stage stage = new Stage()) {
+        try (RespTestBed stage = new RespTestBed()) {
             Pipelined asks = Pipelined.on(stage, 4000);
             String value = "v".repeat(LENGTH);
             asks.first().say("*3\r\n" + HEAD + value.substring(0, 100_000));
             asks.second().serve("second");
             asks.first().say(value.substring(100_000) + "\r\n$-1\r\n$-1\r\n");
-            assertEquals(Stage.answer(asks.terminal()), value);
-            assertEquals(Stage.answer(asks.terminal()), "second");
+            assertEquals(RespTestBed.answer(asks.terminal()), value);
+            assertEquals(RespTestBed.answer(asks.terminal()), "second");
         }
     }
 
     @Test
     public void aGatheredValueOfAnyLengthEndsOnce() throws Exception {
-        try (Stage stage = new Stage()) {
-            Stage.Node node = stage.node("n1");
-            stage.told(node.is(Admission.State.UP));
+        try (RespTestBed stage = new RespTestBed()) {
+            RespTestBed.Node node = stage.node("n1");
+            stage.told(node.is(EndpointState.UP));
             Socket terminal = stage.terminal();
             for (int length = 70_000; length < 170_000; length += 5_000) {
-                Stage.say(terminal, Stage.query(length, 4000) + Stage.query(length + 1, 4000));
-                Stage.Line first = node.withCommand();
-                Stage.Line second = node.withCommand();
+                RespTestBed.say(terminal, RespTestBed.query(length, 4000) + RespTestBed.query(length + 1, 4000));
+                RespTestBed.BackendConnection first = node.withCommand();
+                RespTestBed.BackendConnection second = node.withCommand();
                 first.command();
                 second.command();
                 String value = "v".repeat(length);
                 first.say("*3\r\n$" + length + "\r\n" + value + "\r\n$-1\r\n$-1\r\n");
                 second.serve("second");
-                assertEquals(Stage.answer(terminal), value);
-                assertEquals(Stage.answer(terminal), "second");
+                assertEquals(RespTestBed.answer(terminal), value);
+                assertEquals(RespTestBed.answer(terminal), "second");
                 first.reset();
                 second.reset();
             }
@@ -225,12 +229,12 @@
 
     @Test
     public void aGatheredValueThatStandsStillIsAnsweredOtherwiseOnceItsTimeIsOver() throws Exception {
-        try (Stage stage = new Stage()) {
+        try (RespTestBed stage = new RespTestBed()) {
             Pipelined asks = Pipelined.on(stage, 600);
             asks.first().say("*3\r\n" + HEAD + "v".repeat(100_000));
             asks.second().serve("second");
-            assertTrue(Stage.answer(asks.terminal()).startsWith("-ERR"));
-            assertEquals(Stage.answer(asks.terminal()), "second");
+            assertTrue(RespTestBed.answer(asks.terminal()).startsWith("-ERR"));
+            assertEquals(RespTestBed.answer(asks.terminal()), "second");
             assertTrue(asks.first().ended(), "its node is not read on");
             assertTrue(stage.figure("attempts_cancelled") > 0, "given up by the gateway, not ended as one that broke");
         }
@@ -238,30 +242,29 @@
 
     @Test
     public void aValueTooLongToBeGatheredFailsAloneWhereRequestsAreBehindIt() throws Exception {
-        try (Stage stage = new Stage()) {
+        try (RespTestBed stage = new RespTestBed()) {
             Pipelined asks = Pipelined.on(stage, 4000);
-            asks.first().say("*3\r\n$" + (GatheredBytes.MOST + 1) + "\r\n" + "v".repeat(100_000));
+            asks.first().say("*3\r\n$" + (ByteAccumulator.MOST + 1) + "\r\n" + "v".repeat(100_000));
             asks.second().serve("second");
-            assertTrue(Stage.answer(asks.terminal()).startsWith("-ERR"));
-            assertEquals(Stage.answer(asks.terminal()), "second");
+            assertTrue(RespTestBed.answer(asks.terminal()).startsWith("-ERR"));
+            assertEquals(RespTestBed.answer(asks.terminal()), "second");
             assertTrue(asks.first().ended(), "its node is not read on");
         }
     }
 
-    private Gateway gateway;
+    private RequestDispatcher gateway;
 
     /** A front whose only app node is at the address; gives the front's port. */
-    private int front(String node, NodeLinks links) throws Exception {
+    private int front(String node, BackendTransport links) throws Exception {
         CompletableFuture<Integer> listening = new CompletableFuture<>();
         vertx.runOnContext(start -> {
-            gateway = new Gateway(vertx, new Clock(), Facts.settings(), 1, links);
+            gateway = new RequestDispatcher(vertx, new Clock(), TestSettings.settings(), 1, links);
             gateway.nodesTold(
-                    true,
-                    List.of(new AppNode(new Admission.Host("n1", "room-a", "app", 0, Admission.State.UP, 1, 0), node)));
-            Phases phases = new Phases();
-            phases.enter(Phases.Phase.SERVING);
-            new RespFront(vertx, gateway, phases, 64)
-                    .listen(new Endpoint("127.0.0.1", 0))
+                    true, List.of(new Backend(new Endpoint("n1", "room-a", "app", 0, EndpointState.UP, 1, 0), node)));
+            Lifecycle phases = new Lifecycle();
+            phases.enter(Lifecycle.Phase.SERVING);
+            new RespServer(vertx, gateway, phases, 64)
+                    .listen(new HostAndPort("127.0.0.1", 0))
                     .onSuccess(listening::complete);
         });
         return listening.get(10, TimeUnit.SECONDS);
@@ -318,7 +321,7 @@
     }
 
     /** A value of which the test gives the parts. */
-    private static final class FakeValue implements LongValue {
+    private static final class FakeValue implements StreamedValue {
         final CompletableFuture<Void> readOn = new CompletableFuture<>();
         Sink sink;
         boolean reads;
@@ -350,12 +353,12 @@
     }
 
     /** Links whose attempt the test ends. */
-    private static final class HeldLinks extends QuietLinks {
+    private static final class HeldLinks extends NoOpBackendTransport {
         final CompletableFuture<Ended> attempt = new CompletableFuture<>();
         final CompletableFuture<Void> givenUp = new CompletableFuture<>();
 
         @Override
-        public Attempt attempt(AppNode node, Ask ask, double waitMs, Ended ended) {
+        public Attempt attempt(Backend node, Request ask, double waitMs, Ended ended) {
             attempt.complete(ended);
             return () -> givenUp.complete(null);
         }
--- a/gateway/src/test/java/opalcove/platform/UnreadTimeTest.java
+++ b/gateway/src/test/java/opalcove/resp/UnreadTimeTest.java
@@ -1,11 +1,11 @@
-package opalcove.platform;
+package opalcove.resp;
 
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertTrue;
 
 import java.net.Socket;
 import java.util.concurrent.TimeUnit;
-import opalcove.decision.Admission;
+import opalcove.decision.EndpointState;
 import org.testng.annotations.AfterMethod;
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
@@ -21,17 +21,17 @@
     /** Errors after which the reads of a connection were paused for a second by the next. */
     private static final int ERRORS = 20;
 
-    private static final String UNKNOWN_CLASS = Stage.words(
+    private static final String UNKNOWN_CLASS = RespTestBed.words(
             "SVC.QUERY", "00000000000000b2", "00000000000000ff", "c=none,t=start,d=100,units=1,spread=1,first=0");
 
-    private Stage stage;
-    private Stage.Node node;
+    private RespTestBed stage;
+    private RespTestBed.Node node;
 
     @BeforeMethod
     public void open() throws Exception {
-        stage = new Stage();
+        stage = new RespTestBed();
         node = stage.node("n1");
-        stage.told(node.is(Admission.State.UP));
+        stage.told(node.is(EndpointState.UP));
     }
 
     @AfterMethod
@@ -40,7 +40,7 @@
     }
 
     /** Has the time pass with the event loop held up: nothing is read meanwhile. */
-    private void pass(Stage.Deed first) throws Exception {
+    private void pass(RespTestBed.Deed first) throws Exception {
         stage.unread(
                 () -> {
                     first.run();
@@ -58,22 +58,22 @@
     @Test
     public void whileTheEventLoopIsHeldUp() throws Exception {
         Socket terminal = stage.terminal();
-        Stage.say(terminal, Stage.PING);
-        assertEquals(Stage.answer(terminal), "+PONG");
-        pass(() -> Stage.say(terminal, Stage.query(1, WAIT_MS)));
+        RespTestBed.say(terminal, RespTestBed.PING);
+        assertEquals(RespTestBed.answer(terminal), "+PONG");
+        pass(() -> RespTestBed.say(terminal, RespTestBed.query(1, WAIT_MS)));
         assertToldNoMoreThanIsLeft();
     }
 
     @Test
     public void onAConnectionThatIsNewWhileTheEventLoopIsHeldUp() throws Exception {
-        pass(() -> Stage.say(stage.terminal(), Stage.query(1, WAIT_MS)));
+        pass(() -> RespTestBed.say(stage.terminal(), RespTestBed.query(1, WAIT_MS)));
         assertToldNoMoreThanIsLeft();
     }
 
     @Test
     public void whileTheEventLoopIsHeldUpBetweenTheDecisionAndTheWrite() throws Exception {
         stage.withholdLinks();
-        Stage.say(stage.terminal(), Stage.query(1, WAIT_MS));
+        RespTestBed.say(stage.terminal(), RespTestBed.query(1, WAIT_MS));
         Runnable link = stage.linkUp();
         stage.withholdNoMore();
         // The request's bytes wait for the end of this turn, which comes late.
@@ -96,10 +96,10 @@
     @Test
     public void aRequestWhoseTimeWasOverBeforeItWasReadIsRefusedAndNotSent() throws Exception {
         Socket terminal = stage.terminal();
-        Stage.say(terminal, Stage.PING);
-        assertEquals(Stage.answer(terminal), "+PONG");
-        pass(() -> Stage.say(terminal, Stage.query(1, UNREAD_MS / 2)));
-        assertEquals(Stage.answer(terminal), "-BUSY");
+        RespTestBed.say(terminal, RespTestBed.PING);
+        assertEquals(RespTestBed.answer(terminal), "+PONG");
+        pass(() -> RespTestBed.say(terminal, RespTestBed.query(1, UNREAD_MS / 2)));
+        assertEquals(RespTestBed.answer(terminal), "-BUSY");
         assertEquals(stage.figure("attempts"), 0);
         assertEquals(stage.figure("refused.unread_in_time"), 1);
     }
@@ -107,14 +107,14 @@
     @Test
     public void whileTheReadsOfItsConnectionArePausedAfterErrors() throws Exception {
         Socket terminal = stage.terminal();
-        Stage.say(terminal, UNKNOWN_CLASS.repeat(ERRORS));
+        RespTestBed.say(terminal, UNKNOWN_CLASS.repeat(ERRORS));
         for (int i = 0; i < ERRORS; i++) {
-            assertEquals(Stage.answer(terminal), "-ERR unknown class");
+            assertEquals(RespTestBed.answer(terminal), "-ERR unknown class");
         }
         // One more, after the pause for those, and the request right behind its answer.
-        Stage.say(terminal, UNKNOWN_CLASS);
-        assertEquals(Stage.answer(terminal), "-ERR unknown class");
-        pass(() -> Stage.say(terminal, Stage.query(1, WAIT_MS)));
+        RespTestBed.say(terminal, UNKNOWN_CLASS);
+        assertEquals(RespTestBed.answer(terminal), "-ERR unknown class");
+        pass(() -> RespTestBed.say(terminal, RespTestBed.query(1, WAIT_MS)));
         assertToldNoMoreThanIsLeft();
     }
 }
--- a/gateway/src/test/java/opalcove/platform/RehearsalTest.java
+++ b/gateway/src/test/java/opalcove/resp/WarmUpTest.java
@@ -1,4 +1,4 @@
-package opalcove.platform;
+package opalcove.resp;
 
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertFalse;
@@ -12,27 +12,27 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicLong;
 import java.util.stream.Stream;
-import opalcove.Facts;
-import opalcove.gateway.Budget;
+import opalcove.TestSettings;
+import opalcove.lifecycle.TimeBudget;
 import org.testng.annotations.Test;
 
-public class RehearsalTest {
+public class WarmUpTest {
     @Test
     public void allItsAsksAreAnsweredAndItLeavesNothing() throws Exception {
         long before = folders();
-        assertEquals(Rehearsal.play(Vertx::vertx, Facts.settings(), Budget.ofMs(60_000)), Rehearsal.ASKS);
+        assertEquals(WarmUp.play(Vertx::vertx, TestSettings.settings(), TimeBudget.ofMs(60_000)), WarmUp.ASKS);
         assertEquals(folders(), before);
     }
 
     @Test
     public void aBudgetThatIsOverPlaysNothing() {
         assertEquals(
-                Rehearsal.play(
+                WarmUp.play(
                         () -> {
                             throw new AssertionError("no event loop is made for no play");
                         },
-                        Facts.settings(),
-                        new Budget(0, () -> 7)),
+                        TestSettings.settings(),
+                        new TimeBudget(0, () -> 7)),
                 0);
     }
 
@@ -40,19 +40,19 @@
     public void allWaitsOfAPlayThatStandsStillShareOneBudget() throws Exception {
         // Each look at the clock finds 10 ms gone, whatever the wait was: after three looks the budget is over.
         AtomicLong looks = new AtomicLong();
-        Budget budget = new Budget(30, () -> TimeUnit.MILLISECONDS.toNanos(10 * looks.getAndIncrement()));
+        TimeBudget budget = new TimeBudget(30, () -> TimeUnit.MILLISECONDS.toNanos(10 * looks.getAndIncrement()));
         CountDownLatch heldUp = new CountDownLatch(1);
         Vertx vertx = Vertx.vertx(new VertxOptions().setEventLoopPoolSize(1));
         try {
             assertEquals(
-                    Rehearsal.play(
+                    WarmUp.play(
                             () -> {
                                 // The loop that the play is to run on is held up till after its end: no ask can be
                                 // answered.
                                 vertx.runOnContext(held -> hold(heldUp));
                                 return vertx;
                             },
-                            Facts.settings(),
+                            TestSettings.settings(),
                             budget),
                     0);
         } finally {
@@ -72,9 +72,9 @@
     @Test
     public void whereNoSocketCanBeMadeThereIsNoPlay() throws Exception {
         Path tooLong = Path.of(System.getProperty("java.io.tmpdir"), "x".repeat(200));
-        assertFalse(Rehearsal.reached(tooLong));
+        assertFalse(WarmUp.reached(tooLong));
         Path fit = Files.createTempDirectory("reached").resolve("at");
-        assertTrue(Rehearsal.reached(fit));
+        assertTrue(WarmUp.reached(fit));
         assertFalse(Files.exists(fit));
         Files.delete(fit.getParent());
     }
--- a/gateway/src/test/java/opalcove/platform/ConfigRefusalsTest.java
+++ b/gateway/src/test/java/opalcove/server/ConfigRefusalsTest.java
@@ -1,4 +1,4 @@
-package opalcove.platform;
+package opalcove.server;
 
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertNull;
@@ -12,8 +12,8 @@
 import java.util.List;
 import java.util.Map;
 import java.util.concurrent.TimeUnit;
-import opalcove.gateway.BadSettings;
-import opalcove.gateway.Endpoint;
+import opalcove.config.HostAndPort;
+import opalcove.config.InvalidConfigurationException;
 import org.testng.annotations.AfterClass;
 import org.testng.annotations.BeforeClass;
 import org.testng.annotations.Test;
@@ -47,7 +47,8 @@
         Files.writeString(file, json);
         Map<String, String> variables = new java.util.HashMap<>(environment);
         variables.put("GW_CONFIG", file.toString());
-        BadSettings refused = expectThrows(BadSettings.class, () -> Config.read(variables));
+        InvalidConfigurationException refused =
+                expectThrows(InvalidConfigurationException.class, () -> GatewayConfig.read(variables));
         List<String> problems = new ArrayList<>();
         refused.getMessage().lines().forEach(line -> problems.add(line.replace(file + ": ", "FILE: ")));
         return problems;
@@ -109,9 +110,13 @@
                 problems(Map.of("GW_DISCOVERY", "z"), "\"discovery\": \"127.0.0.1:7101\",", ""),
                 List.of("FILE: field discovery must be an address and a port, not z"));
         assertEquals(
-                expectThrows(BadSettings.class, () -> Config.read(Map.of())).getMessage(), "GW_CONFIG is not set");
+                expectThrows(InvalidConfigurationException.class, () -> GatewayConfig.read(Map.of()))
+                        .getMessage(),
+                "GW_CONFIG is not set");
         assertEquals(
-                expectThrows(BadSettings.class, () -> Config.read(Map.of("GW_CONFIG", "/nowhere/config.json")))
+                expectThrows(
+                                InvalidConfigurationException.class,
+                                () -> GatewayConfig.read(Map.of("GW_CONFIG", "/nowhere/config.json")))
                         .getMessage(),
                 "cannot read /nowhere/config.json: /nowhere/config.json");
     }
@@ -120,17 +125,17 @@
     @Test
     public void whichOfTheTwoHolds() throws IOException {
         Files.writeString(file, example);
-        Config config = Config.read(Map.of(
+        GatewayConfig config = GatewayConfig.read(Map.of(
                 "GW_CONFIG", file.toString(),
                 "GW_NAME", "n7",
                 "GW_LISTEN", "127.0.0.1:1",
                 "GW_CONSOLE", "127.0.0.1:2",
                 "GW_DISCOVERY", "127.0.0.1:3"));
         assertEquals(config.name(), "n7");
-        assertEquals(config.listen(), new Endpoint("127.0.0.1", 1));
-        assertEquals(config.console(), new Endpoint("127.0.0.1", 2));
-        assertEquals(config.discovery(), new Endpoint("127.0.0.1", 7101));
-        assertNull(Config.read(Map.of("GW_CONFIG", file.toString())).console());
+        assertEquals(config.listen(), new HostAndPort("127.0.0.1", 1));
+        assertEquals(config.console(), new HostAndPort("127.0.0.1", 2));
+        assertEquals(config.discovery(), new HostAndPort("127.0.0.1", 7101));
+        assertNull(GatewayConfig.read(Map.of("GW_CONFIG", file.toString())).console());
     }
 
     @Test
--- a/gateway/src/test/java/opalcove/platform/DescriptorBudgetTest.java
+++ b/gateway/src/test/java/opalcove/server/DescriptorBudgetTest.java
@@ -1,8 +1,9 @@
-package opalcove.platform;
+package opalcove.server;
 
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertTrue;
 
+import opalcove.resp.RespServer;
 import org.testng.annotations.Test;
 
 /** How descriptors are divided: on paper, for every limit of a platform. */
@@ -34,7 +35,7 @@
     @Test
     public void aFrontHoldsNoMoreThanTheShareOfClients() {
         for (int clients = DescriptorBudget.LEAST_SHARE; clients <= MOST; clients++) {
-            int held = RespFront.mostDescriptors(RespFront.terminalsWithin(clients));
+            int held = RespServer.mostDescriptors(RespServer.terminalsWithin(clients));
             assertTrue(held <= clients, held + " of " + clients);
         }
     }
--- a/gateway/src/test/java/opalcove/platform/DescriptorLimitTest.java
+++ b/gateway/src/test/java/opalcove/server/DescriptorLimitTest.java
@@ -1,4 +1,4 @@
-package opalcove.platform;
+package opalcove.server;
 
 import static org.testng.Assert.assertFalse;
 import static org.testng.Assert.assertTrue;
@@ -25,7 +25,8 @@
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicInteger;
-import opalcove.Facts;
+import opalcove.TestSettings;
+import opalcove.resp.RespTestBed;
 import org.testng.annotations.Test;
 
 /** The program in a process of its own that may hold few descriptors, while idle clients take all that they can get. */
@@ -111,7 +112,8 @@
                     config,
                     "{\"name\":\"n0\",\"listen\":\"" + address(port) + "\",\"discovery\":\"127.0.0.1:"
                             + discovery.port() + "\",\"rehearsal_ms\":0,\"limits\":{\"sockets\":" + LIMIT
-                            + "},\"settings\":" + Facts.JSON.replace("\"max_open\":4", "\"max_open\":1000") + "}");
+                            + "},\"settings\":" + TestSettings.JSON.replace("\"max_open\":4", "\"max_open\":1000")
+                            + "}");
             ProcessBuilder builder = new ProcessBuilder(
                             "sh",
                             "-c",
@@ -279,11 +281,11 @@
 
         /** Whether the connection was kept, or made, and the request served on it. */
         boolean asksAndIsServed() throws IOException {
-            return "done".equals(answer(Stage.query(++number, 4000)));
+            return "done".equals(answer(RespTestBed.query(++number, 4000)));
         }
 
         int figure(String name) throws IOException {
-            String lines = answer(Stage.words("INFO"));
+            String lines = answer(RespTestBed.words("INFO"));
             return lines == null
                     ? 0
                     : lines.lines()
@@ -300,7 +302,7 @@
                     socket.setSoTimeout(10_000);
                 }
                 write(socket, command);
-                return Stage.answer(socket);
+                return RespTestBed.answer(socket);
             } catch (Exception closed) {
                 socket.close();
                 socket = null;
--- a/gateway/src/test/java/opalcove/platform/MembershipSectionTest.java
+++ b/gateway/src/test/java/opalcove/server/MembershipSectionTest.java
@@ -1,4 +1,4 @@
-package opalcove.platform;
+package opalcove.server;
 
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertThrows;
@@ -7,13 +7,13 @@
 
 import java.nio.charset.StandardCharsets;
 import java.util.List;
-import opalcove.cluster.Datagrams;
-import opalcove.cluster.MembershipSettings;
-import opalcove.gateway.BadSettings;
-import opalcove.gateway.Fields;
+import opalcove.cluster.MembershipCodec;
+import opalcove.cluster.MembershipConfig;
+import opalcove.config.InvalidConfigurationException;
+import opalcove.config.JsonFields;
+import opalcove.membership.GossipEntry;
 import opalcove.membership.Member;
-import opalcove.membership.Message;
-import opalcove.membership.Word;
+import opalcove.membership.SwimMessage;
 import org.testng.annotations.Test;
 
 /** The section membership of the configuration, and datagrams between members: bad ones are told with key and reason. */
@@ -22,34 +22,35 @@
 
     @Test
     public void aMessageReadIsTheOneWritten() {
-        Message message = new Message(
-                Message.Kind.PING_REQ,
+        SwimMessage message = new SwimMessage(
+                SwimMessage.Kind.PING_REQ,
                 SELF,
                 42,
                 "g3",
                 "127.0.0.1:7003",
                 List.of(
-                        new Word(new Member("g2", "127.0.0.1:7002", 3, Member.State.SUSPECT), "g4"),
-                        new Word(SELF, "")));
-        assertEquals(Datagrams.read(Datagrams.write(message)), message);
+                        new GossipEntry(new Member("g2", "127.0.0.1:7002", 3, Member.State.SUSPECT), "g4"),
+                        new GossipEntry(SELF, "")));
+        assertEquals(MembershipCodec.read(MembershipCodec.write(message)), message);
     }
 
     @Test
     public void aDatagramThatIsCutOffAtAnyByteOrIsNoMessageIsRefused() {
-        byte[] whole = Datagrams.write(new Message(Message.Kind.PING, SELF, 1, "g2", "", List.of(new Word(SELF, ""))));
+        byte[] whole = MembershipCodec.write(
+                new SwimMessage(SwimMessage.Kind.PING, SELF, 1, "g2", "", List.of(new GossipEntry(SELF, ""))));
         String text = new String(whole, StandardCharsets.UTF_8);
         for (int length = 0; length < whole.length; length++) {
             byte[] torn = text.substring(0, length).getBytes(StandardCharsets.UTF_8);
-            assertThrows(BadSettings.class, () -> Datagrams.read(torn));
+            assertThrows(InvalidConfigurationException.class, () -> MembershipCodec.read(torn));
         }
         for (String[] wrong : new String[][] {
             {"\"k\":\"PING\"", "\"k\":\"DANCE\"", "field k"},
             {"\"n\":\"g1\"", "\"n\":\"\"", "name"},
             {"\"i\":17", "\"i\":\"x\"", "i must be a number"}
         }) {
-            BadSettings refused = expectThrows(
-                    BadSettings.class,
-                    () -> Datagrams.read(text.replace(wrong[0], wrong[1]).getBytes(StandardCharsets.UTF_8)));
+            InvalidConfigurationException refused = expectThrows(
+                    InvalidConfigurationException.class,
+                    () -> MembershipCodec.read(text.replace(wrong[0], wrong[1]).getBytes(StandardCharsets.UTF_8)));
             assertTrue(refused.getMessage().contains(wrong[2]), refused.getMessage());
         }
     }
@@ -57,7 +58,7 @@
     @Test
     public void aSectionWithAWrongValueIsRefusedByItsKey() {
         String good = "{\"listen\":\"127.0.0.1:0\",\"seeds\":[\"127.0.0.1:7001\"],\"probe_ms\":500}";
-        assertEquals(MembershipSettings.read(Fields.parse(good)).figures().ackMs(), 200);
+        assertEquals(MembershipConfig.read(JsonFields.parse(good)).figures().ackMs(), 200);
         for (String[] wrong : new String[][] {
             {"127.0.0.1:0", "nowhere", "membership.listen"},
             {"127.0.0.1:7001", "here", "membership.seeds"},
@@ -65,8 +66,9 @@
             {"500", "\"soon\"", "probe_ms"},
             {"\"listen\"", "\"at\"", "listen is missing"}
         }) {
-            BadSettings refused = expectThrows(
-                    BadSettings.class, () -> MembershipSettings.read(Fields.parse(good.replace(wrong[0], wrong[1]))));
+            InvalidConfigurationException refused = expectThrows(
+                    InvalidConfigurationException.class,
+                    () -> MembershipConfig.read(JsonFields.parse(good.replace(wrong[0], wrong[1]))));
             assertTrue(refused.getMessage().contains(wrong[2]), refused.getMessage());
         }
     }
--- a/gateway/src/test/java/opalcove/platform/NotReadyTextTest.java
+++ b/gateway/src/test/java/opalcove/server/NotReadyTextTest.java
@@ -1,11 +1,11 @@
-package opalcove.platform;
+package opalcove.server;
 
 import static org.testng.Assert.assertEquals;
 
 import io.vertx.core.Vertx;
 import java.util.ArrayList;
 import java.util.List;
-import opalcove.gateway.Phases;
+import opalcove.lifecycle.Lifecycle;
 import org.testng.annotations.Test;
 
 /** What READY says of each phase of the program: operators' checks read it. */
@@ -14,12 +14,12 @@
     public void eachPhaseHasItsWord() {
         Vertx vertx = Vertx.vertx();
         try {
-            Phases phases = new Phases();
-            Serve.Door door = new Serve.Door();
+            Lifecycle phases = new Lifecycle();
+            GatewayServer.AdminCommands door = new GatewayServer.AdminCommands();
             List<String> told = new ArrayList<>();
             told.add(door.notReady());
             door.serve(vertx, null, null, phases);
-            for (Phases.Phase phase : Phases.Phase.values()) {
+            for (Lifecycle.Phase phase : Lifecycle.Phase.values()) {
                 phases.enter(phase);
                 told.add(String.valueOf(door.notReady()));
             }
--- a/gateway/src/test/java/opalcove/platform/ReusePortTest.java
+++ b/gateway/src/test/java/opalcove/server/ReusePortTest.java
@@ -1,19 +1,19 @@
-package opalcove.platform;
+package opalcove.server;
 
 import static org.testng.Assert.assertEquals;
 
 import io.vertx.core.Vertx;
 import io.vertx.core.net.NetServerOptions;
 import java.util.concurrent.TimeUnit;
-import opalcove.gateway.Program;
+import opalcove.lifecycle.Application;
 import org.testng.annotations.Test;
 
 /** A new process of the gateway listens at the port of the old one while that still serves. */
 public class ReusePortTest {
     @Test
     public void twoEventLoopsListenAtOnePort() throws Exception {
-        Vertx old = Program.eventLoop();
-        Vertx next = Program.eventLoop();
+        Vertx old = Application.eventLoop();
+        Vertx next = Application.eventLoop();
         try {
             NetServerOptions options = new NetServerOptions().setReusePort(true).setReuseAddress(true);
             int port = old.createNetServer(options)
--- a/gateway/src/test/java/opalcove/sim/AdapterTest.java
+++ b/gateway/src/test/java/opalcove/simulator/SimulatorAdapterTest.java
@@ -1,4 +1,4 @@
-package opalcove.sim;
+package opalcove.simulator;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertThrows;
@@ -7,10 +7,10 @@
 import java.io.ByteArrayInputStream;
 import java.io.ByteArrayOutputStream;
 import java.nio.charset.StandardCharsets;
-import opalcove.gateway.BadSettings;
+import opalcove.config.InvalidConfigurationException;
 import org.junit.jupiter.api.Test;
 
-class AdapterTest {
+class SimulatorAdapterTest {
     private static final String FACTS = "{\"balancers\":1,\"ceilings\":{\"max_attempts\":3,\"may_cancel\":true,"
             + "\"retry_after\":true,\"max_retry_after_ms\":500,\"unheard_of\":1},\"costs\":{},\"feedback\":{\"how\":\"off\"},"
             + "\"obligations\":{},\"locality\":\"z\",\"me\":0,\"tick_ms\":2,\"specifics\":{\"meter_period_ms\":1000},"
@@ -27,7 +27,7 @@
 
     private static String play(String input) throws Exception {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
-        new Adapter(new ByteArrayInputStream(input.getBytes(StandardCharsets.UTF_8)), out).run();
+        new SimulatorAdapter(new ByteArrayInputStream(input.getBytes(StandardCharsets.UTF_8)), out).run();
         return out.toString(StandardCharsets.UTF_8);
     }
 
@@ -97,8 +97,8 @@
             BORN.replace("\"quota_rate\":5", "\"quota_rate\":-5"),
             BORN.replace("\"stage_state\":\"on\"", "\"stage_state\":\"odd\"")
         }) {
-            assertThrows(BadSettings.class, () -> play(bad), bad);
+            assertThrows(InvalidConfigurationException.class, () -> play(bad), bad);
         }
-        assertThrows(BadSettings.class, () -> play("{\"verb\":"));
+        assertThrows(InvalidConfigurationException.class, () -> play("{\"verb\":"));
     }
 }
--- a/gateway/src/test/java/opalcove/sim/AdapterTranscriptTest.java
+++ b/gateway/src/test/java/opalcove/simulator/SimulatorAdapterTranscriptTest.java
@@ -1,4 +1,4 @@
-package opalcove.sim;
+package opalcove.simulator;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertThrows;
@@ -11,11 +11,11 @@
 import java.nio.charset.StandardCharsets;
 import java.util.List;
 import java.util.stream.Collectors;
-import opalcove.gateway.BadSettings;
+import opalcove.config.InvalidConfigurationException;
 import org.junit.jupiter.api.Test;
 
 /** The simulator's wire, held to recorded transcripts ({@code >} to the adapter, {@code <} from it) and literal errors. */
-class AdapterTranscriptTest {
+class SimulatorAdapterTranscriptTest {
     private static final String SYNC = "{\"verb\":\"Sync\",\"time_ms\":10}\n";
     private static final String FLUSH = "{\"verb\":\"Flush\"}\n";
     private static final String CLASS = "{\"name\":\"look\",\"value\":1,\"aim_ms\":500,\"deadline_ms\":2000,"
@@ -31,12 +31,13 @@
 
     private static String play(String input) throws IOException {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
-        new Adapter(new ByteArrayInputStream(input.getBytes(StandardCharsets.UTF_8)), out).run();
+        new SimulatorAdapter(new ByteArrayInputStream(input.getBytes(StandardCharsets.UTF_8)), out).run();
         return out.toString(StandardCharsets.UTF_8);
     }
 
     private static void replay(String name) throws IOException {
-        try (InputStream recorded = AdapterTranscriptTest.class.getResourceAsStream("/transcripts/" + name + ".txt")) {
+        try (InputStream recorded =
+                SimulatorAdapterTranscriptTest.class.getResourceAsStream("/transcripts/" + name + ".txt")) {
             List<String> lines = new String(recorded.readAllBytes(), StandardCharsets.UTF_8)
                     .lines()
                     .toList();
@@ -56,7 +57,8 @@
     private static void refused(String message, String input) {
         assertEquals(
                 message,
-                assertThrows(BadSettings.class, () -> play(input), input).getMessage());
+                assertThrows(InvalidConfigurationException.class, () -> play(input), input)
+                        .getMessage());
     }
 
     @Test
--- a/gateway/src/test/java/opalcove/loop/SocketPollsTest.java
+++ b/gateway/src/test/java/opalcove/transport/SocketPollerTest.java
@@ -1,4 +1,4 @@
-package opalcove.loop;
+package opalcove.transport;
 
 import static org.testng.Assert.assertTrue;
 
@@ -6,11 +6,11 @@
 import org.testng.annotations.Test;
 
 /** Since when what a loop reads may have lain unread, by what the loop has seen of its own time. */
-public class SocketPollsTest {
+public class SocketPollerTest {
     private static final long LATE_MS = 60;
     private static final long SLEEP_MS = 30;
 
-    private final SocketPolls polls = new SocketPolls();
+    private final SocketPoller polls = new SocketPoller();
 
     /** One turn: asks, waits so long, though it should have been no longer than that, and reads so many sockets. */
     private void turn(long sleepsAtMostMs, long waitsMs, int handled) throws Exception {
--- a/laboratory/src/main/java/opalcove/laboratory/AgreementModel.java
+++ b/laboratory/src/main/java/opalcove/laboratory/AgreementModel.java
@@ -10,10 +10,10 @@
 import java.util.Random;
 import java.util.SplittableRandom;
 import java.util.TreeMap;
-import opalcove.agreement.Standing;
-import opalcove.gateway.BadSettings;
-import opalcove.versions.Packet;
-import opalcove.versions.VersionDesk;
+import opalcove.config.InvalidConfigurationException;
+import opalcove.configlease.LeaseState;
+import opalcove.replication.ConfigReplica;
+import opalcove.replication.ReplicationMessage;
 
 /**
  * Agreed versions in virtual time, without sockets: the gateways' desks are the real ones, voters and all; the network between
@@ -46,20 +46,20 @@
         }
     }
 
-    private final class Node extends Process implements VersionDesk.Host {
+    private final class Node extends Process implements ConfigReplica.Host {
         private final String name;
         private final long skew;
-        private final VersionDesk desk;
+        private final ConfigReplica desk;
         private long tickAt = Long.MAX_VALUE;
 
         Node(String name, boolean votes, long skew) {
             this.name = name;
             this.skew = skew;
-            desk = new VersionDesk(
-                    new VersionDesk.Setup(
+            desk = new ConfigReplica(
+                    new ConfigReplica.Setup(
                             name, name, voters, votes, null, leaseMs, new Random(random.nextLong()), text -> {
                                 if (text.isEmpty()) {
-                                    throw new BadSettings("it is empty");
+                                    throw new InvalidConfigurationException("it is empty");
                                 }
                             }),
                     this);
@@ -71,7 +71,7 @@
         }
 
         @Override
-        public void send(String address, Packet packet) {
+        public void send(String address, ReplicationMessage packet) {
             carry(name, address, packet);
         }
 
@@ -81,10 +81,10 @@
         }
 
         @Override
-        public void stands(Standing before, Standing after, String text) {
+        public void stands(LeaseState before, LeaseState after, String text) {
             long at = AgreementModel.this.now();
-            long ended = before.mode() == Standing.Mode.FULL ? before.untilMs() - skew : at;
-            acted.stands(name, after.version(), after.mode() == Standing.Mode.FULL, at, ended);
+            long ended = before.mode() == LeaseState.Mode.FULL ? before.untilMs() - skew : at;
+            acted.stands(name, after.version(), after.mode() == LeaseState.Mode.FULL, at, ended);
             adopted.computeIfAbsent(after.version(), version -> new TreeMap<>()).putIfAbsent(name, at);
         }
 
@@ -107,7 +107,7 @@
     private final Map<String, String> voters = new LinkedHashMap<>();
     private final Map<String, Node> nodes = new TreeMap<>();
     private final Map<String, Proposed> proposals = new HashMap<>();
-    private final Contradictions acted = new Contradictions();
+    private final ConflictDetector acted = new ConflictDetector();
     private final Map<Long, Map<String, Long>> adopted = new TreeMap<>();
     private long messages;
 
@@ -126,15 +126,15 @@
         }
     }
 
-    private void carry(String from, String to, Packet packet) {
+    private void carry(String from, String to, ReplicationMessage packet) {
         messages++;
         byte[] bytes = packet.bytes();
-        carry(from, to, () -> arrive(to, Packet.read(bytes)));
+        carry(from, to, () -> arrive(to, ReplicationMessage.read(bytes)));
     }
 
-    private void arrive(String to, Packet packet) {
+    private void arrive(String to, ReplicationMessage packet) {
         Proposed proposed = proposals.get(to);
-        if (proposed != null && packet.kind() == Packet.Kind.DECIDED) {
+        if (proposed != null && packet.kind() == ReplicationMessage.Kind.DECIDED) {
             proposed.answer = packet.body();
         }
         Node node = nodes.get(to);
@@ -161,16 +161,16 @@
         carry(
                 client,
                 voter,
-                new Packet(
+                new ReplicationMessage(
                         client,
                         client,
-                        Packet.Kind.PROPOSE,
+                        ReplicationMessage.Kind.PROPOSE,
                         tries,
                         Json.object()
                                 .add("id", client)
                                 .add("base", base)
                                 .add("by", client)
-                                .add("t", Packet.packed(text))));
+                                .add("t", ReplicationMessage.packed(text))));
         at(now() + 300, () -> call(client, through, base, text, tries + 1));
     }
 
@@ -191,7 +191,7 @@
     }
 
     /** What was acted on so far. */
-    public Contradictions acted() {
+    public ConflictDetector acted() {
         return acted;
     }
 
@@ -205,8 +205,8 @@
     }
 
     /** What each gateway that runs acts on. */
-    public Map<String, Standing> standings() {
-        Map<String, Standing> standings = new TreeMap<>();
+    public Map<String, LeaseState> standings() {
+        Map<String, LeaseState> standings = new TreeMap<>();
         nodes.values().stream()
                 .filter(Node::isUp)
                 .forEach(each -> standings.put(each.name, each.desk.lease().standing()));
@@ -221,7 +221,7 @@
     /** Whether all that run act fully on this version. */
     public boolean allActOn(long version) {
         return standings().values().stream()
-                .allMatch(each -> each.version() == version && each.mode() == Standing.Mode.FULL);
+                .allMatch(each -> each.version() == version && each.mode() == LeaseState.Mode.FULL);
     }
 
     /** Names of all gateways. */
--- a/laboratory/src/main/java/opalcove/laboratory/AgreementTrial.java
+++ b/laboratory/src/main/java/opalcove/laboratory/AgreementTrial.java
@@ -12,8 +12,8 @@
 import java.util.concurrent.Executors;
 import java.util.concurrent.ScheduledExecutorService;
 import java.util.concurrent.TimeUnit;
-import opalcove.agreement.Registry;
-import opalcove.agreement.Standing;
+import opalcove.configlease.LeaseState;
+import opalcove.configlease.VersionLog;
 import org.HdrHistogram.Histogram;
 
 /**
@@ -111,7 +111,7 @@
         /** Outcomes of all proposals, taken or not; null for one that is not known yet. */
         List<Boolean> outcomes();
 
-        List<Contradictions.Case> over(long boundMs);
+        List<ConflictDetector.Case> over(long boundMs);
     }
 
     private static final long MOST_MS = 60_000;
@@ -158,10 +158,10 @@
         Histogram each = new Histogram(3);
         Histogram all = new Histogram(3);
         List<String> names = names(plan);
-        try (ClusterRig rig = rig(plan, plan.seed())) {
+        try (TestCluster rig = rig(plan, plan.seed())) {
             for (int round = 1; round <= plan.rounds(); round++) {
                 long at = System.currentTimeMillis();
-                rig.operator("g1").propose(round - 1, "trial", ClusterRig.document(1 + round % 6));
+                rig.operator("g1").propose(round - 1, "trial", TestCluster.document(1 + round % 6));
                 String wanted = round + " FULL";
                 if (!rig.await(
                         r -> names.stream().allMatch(name -> r.actsOn(name).equals(wanted)), MOST_MS)) {
@@ -182,10 +182,10 @@
         return report("rig", plan, each, all);
     }
 
-    private static ClusterRig rig(Plan plan, long seed) throws IOException, InterruptedException {
+    private static TestCluster rig(Plan plan, long seed) throws IOException, InterruptedException {
         List<String> names = names(plan);
-        ClusterRig rig =
-                new ClusterRig(seed, 500, names.subList(0, 2), names.subList(0, plan.voters()), plan.leaseMs());
+        TestCluster rig =
+                new TestCluster(seed, 500, names.subList(0, 2), names.subList(0, plan.voters()), plan.leaseMs());
         for (String name : names) {
             rig.start(name);
         }
@@ -258,7 +258,7 @@
                     taken,
                     STEPS - taken,
                     fleet.over(0).stream()
-                            .mapToLong(Contradictions.Case::ms)
+                            .mapToLong(ConflictDetector.Case::ms)
                             .findFirst()
                             .orElse(0),
                     wrong);
@@ -318,7 +318,7 @@
         @Override
         public long newest() {
             return model.standings().values().stream()
-                    .mapToLong(Standing::version)
+                    .mapToLong(LeaseState::version)
                     .max()
                     .orElse(0);
         }
@@ -336,7 +336,7 @@
         }
 
         @Override
-        public List<Contradictions.Case> over(long boundMs) {
+        public List<ConflictDetector.Case> over(long boundMs) {
             return model.acted().over(boundMs, model.now());
         }
 
@@ -345,9 +345,9 @@
     }
 
     private static final class RigFleet implements Fleet {
-        private final ClusterRig rig;
+        private final TestCluster rig;
         private final List<String> running;
-        private final List<CompletableFuture<Registry.Outcome>> proposals = new ArrayList<>();
+        private final List<CompletableFuture<VersionLog.Outcome>> proposals = new ArrayList<>();
         private final ScheduledExecutorService later = Executors.newScheduledThreadPool(2 * STEPS);
 
         RigFleet(Plan plan, long seed) throws IOException, InterruptedException {
@@ -360,7 +360,7 @@
             proposals.add(CompletableFuture.supplyAsync(
                     () -> {
                         try {
-                            return rig.operator(through).propose(base, "trial", ClusterRig.document(1 + turn % 6));
+                            return rig.operator(through).propose(base, "trial", TestCluster.document(1 + turn % 6));
                         } catch (IOException e) {
                             throw new java.io.UncheckedIOException(e);
                         }
@@ -435,7 +435,7 @@
         }
 
         @Override
-        public List<Contradictions.Case> over(long boundMs) {
+        public List<ConflictDetector.Case> over(long boundMs) {
             return rig.contradictions(boundMs);
         }
 
--- a/laboratory/src/main/java/opalcove/laboratory/AppNodeStandIn.java
+++ b/laboratory/src/main/java/opalcove/laboratory/BackendEmulator.java
@@ -21,18 +21,18 @@
  * An app node on a loopback port that answers each command with the same value after a set time, on one thread of its
  * own. It parses no more than it must, so that it is not what is measured.
  */
-public final class AppNodeStandIn implements AutoCloseable {
+public final class BackendEmulator implements AutoCloseable {
     private final EventLoopGroup group;
     private final ByteBuf bytes;
     private final Channel server;
 
     /** Opens the node; a value has that many bytes, work takes that many milliseconds (0: none). */
-    public AppNodeStandIn(int valueBytes, long workMs) throws InterruptedException {
+    public BackendEmulator(int valueBytes, long workMs) throws InterruptedException {
         this(new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory()), valueBytes, workMs);
     }
 
     /** On a loop that becomes this node's own. */
-    AppNodeStandIn(EventLoopGroup group, int valueBytes, long workMs) throws InterruptedException {
+    BackendEmulator(EventLoopGroup group, int valueBytes, long workMs) throws InterruptedException {
         this.group = group;
         String head = "*3\r\n$" + valueBytes + "\r\n";
         String tail = "\r\n$14\r\nused=12,cost=1\r\n$8\r\nsvc_ms=5\r\n";
--- a/laboratory/src/main/java/opalcove/laboratory/CeilingModel.java
+++ b/laboratory/src/main/java/opalcove/laboratory/CeilingModel.java
@@ -7,8 +7,17 @@
 import java.util.Map;
 import java.util.PriorityQueue;
 import java.util.SplittableRandom;
-import opalcove.decision.Admission;
-import opalcove.decision.Policy;
+import opalcove.decision.AdmissionController;
+import opalcove.decision.AdmissionRequest;
+import opalcove.decision.AttemptOutcome;
+import opalcove.decision.AttemptStatus;
+import opalcove.decision.DecisionActions;
+import opalcove.decision.DecisionSettings;
+import opalcove.decision.DeduplicationScope;
+import opalcove.decision.Endpoint;
+import opalcove.decision.EndpointState;
+import opalcove.decision.Idempotency;
+import opalcove.decision.LoadReportSource;
 
 /**
  * Gateways that hold a plan's hard ceiling, in virtual time: the project's own decision module at each of them,
@@ -95,17 +104,17 @@
     private record Event(double at, long order, Runnable action) {}
 
     /** One process of a gateway: the decision module and the requests that it has taken. */
-    private final class Process implements Admission.Actions {
+    private final class Process implements DecisionActions {
         private final Map<String, Arrival> requests = new HashMap<>();
         private final Map<String, Integer> attempts = new HashMap<>();
-        private final Policy policy;
+        private final AdmissionController policy;
         boolean killed;
 
         Process(int gateway, long seed) {
-            policy = new Policy(now, settings(gateway), seed, this);
-            List<Admission.Host> hosts = new ArrayList<>();
+            policy = new AdmissionController(now, settings(gateway), seed, this);
+            List<Endpoint> hosts = new ArrayList<>();
             for (int i = 0; i < BACKENDS; i++) {
-                hosts.add(new Admission.Host("backend-" + i, "room", "kind", 0, Admission.State.UP, 1, 0));
+                hosts.add(new Endpoint("backend-" + i, "room", "kind", 0, EndpointState.UP, 1, 0));
             }
             policy.hosts(now, true, hosts);
         }
@@ -114,7 +123,7 @@
             requests.put(id, arrival);
             policy.request(
                     now,
-                    new Admission.Request(
+                    new AdmissionRequest(
                             id,
                             "lookup",
                             plan.name(),
@@ -125,18 +134,18 @@
                             false));
         }
 
-        private void end(String id, int attempt, Admission.Result result) {
+        private void end(String id, int attempt, AttemptStatus result) {
             if (killed) return;
             Account account = requests.get(id).account;
             policy.outcome(
                     now,
-                    new Admission.Outcome(
+                    new AttemptOutcome(
                             id,
                             "",
                             attempt,
                             result,
                             serviceMs,
-                            result == Admission.Result.SERVED,
+                            result == AttemptStatus.SERVED,
                             told(account),
                             0,
                             null));
@@ -146,7 +155,7 @@
         public void send(String id, String host, double timeoutMs) {
             int attempt = attempts.merge(id, 1, Integer::sum) - 1;
             if (attempt == 0) sentOn(requests.get(id));
-            schedule(now + serviceMs, () -> end(id, attempt, Admission.Result.SERVED));
+            schedule(now + serviceMs, () -> end(id, attempt, AttemptStatus.SERVED));
         }
 
         @Override
@@ -179,7 +188,7 @@
     private final SplittableRandom world;
     private final PriorityQueue<Event> events =
             new PriorityQueue<>(Comparator.comparingDouble(Event::at).thenComparingLong(Event::order));
-    private final Admission.Plan plan;
+    private final DecisionSettings.Plan plan;
     private final boolean ceilingHeld;
     private final Process[] processes = new Process[GATEWAYS];
     /** Processes that still take requests beside the one that takes over from them; null where there is none. */
@@ -201,7 +210,8 @@
         double burst = Math.max(4 * LARGEST_UNITS, rate * traffic.nextDouble(1.6, 2.6));
         double multiple = traffic.nextDouble(1.6, 2.5);
         double slack = Math.max(LARGEST_UNITS, 0.1 * multiple * burst);
-        plan = new Admission.Plan("capped", rate, burst, 0, 1.6, 0.3, 0, multiple * rate, multiple * burst, slack);
+        plan = new DecisionSettings.Plan(
+                "capped", rate, burst, 0, 1.6, 0.3, 0, multiple * rate, multiple * burst, slack);
         meterDelayMs = traffic.nextDouble(350, 1500);
         serviceMs = traffic.nextDouble(120, 250);
     }
@@ -220,25 +230,25 @@
         return new Result(model.insideUnits, model.sentInsideUnits, model.lowestCeiling);
     }
 
-    private Admission.Settings settings(int gateway) {
-        Admission.Plan told = ceilingHeld
+    private DecisionSettings settings(int gateway) {
+        DecisionSettings.Plan told = ceilingHeld
                 ? plan
-                : new Admission.Plan(
+                : new DecisionSettings.Plan(
                         plan.name(), plan.rate(), plan.burst(), 0, plan.price(), plan.beyondWorth(), 0, 0, 0, 0);
-        return new Admission.Settings(
+        return new DecisionSettings(
                 gateway,
                 GATEWAYS,
                 "room",
                 2,
                 METER_PERIOD_MS,
                 false,
-                List.of(new Admission.RequestClass(
-                        "lookup", 1, 0, 1500, 6000, Admission.Effect.SAFE, Admission.Reach.ALL, 0, false)),
+                List.of(new DecisionSettings.RequestClass(
+                        "lookup", 1, 0, 1500, 6000, Idempotency.SAFE, DeduplicationScope.ALL, 0, false)),
                 List.of(told),
-                new Admission.Limits(5, true, true, false, true, 2000, 15_000, true),
-                new Admission.Duties(8, 0.18, 17_000, 3, 1000, false, 0),
-                new Admission.Prices(0, 0.077, 0.01, 0.05),
-                Admission.Reports.NONE,
+                new DecisionSettings.Limits(5, true, true, false, true, 2000, 15_000, true),
+                new DecisionSettings.Obligations(8, 0.18, 17_000, 3, 1000, false, 0),
+                new DecisionSettings.Costs(0, 0.077, 0.01, 0.05),
+                LoadReportSource.NONE,
                 List.of());
     }
 
--- a/laboratory/src/main/java/opalcove/laboratory/RigScenario.java
+++ b/laboratory/src/main/java/opalcove/laboratory/ClusterScenario.java
@@ -6,15 +6,15 @@
 import java.util.List;
 import java.util.Set;
 import java.util.function.Consumer;
-import opalcove.gateway.BadSettings;
-import opalcove.gateway.Check;
-import opalcove.gateway.Fields;
+import opalcove.config.ConfigValidator;
+import opalcove.config.InvalidConfigurationException;
+import opalcove.config.JsonFields;
 
 /**
  * A scenario for the cluster rig, from a file: members, and steps that start, pause, kill or end them, cut and heal their
  * ways, wait for what they tell of one another, and say what they must not have told. Seeded, each wait bounded.
  */
-public record RigScenario(
+public record ClusterScenario(
         long seed, int probeMs, List<String> seeds, List<String> voters, int leaseMs, long mostMs, List<Step> steps) {
     /** What a step does. */
     public enum Action {
@@ -58,9 +58,9 @@
     private static final long ROUNDING_MS = 5;
 
     /** Reads a scenario; all that is wrong with it is told at once, by file, key and reason. */
-    public static RigScenario read(Path file) {
-        Check check = new Check(file);
-        Fields fields = check.fields(KEYS);
+    public static ClusterScenario read(Path file) {
+        ConfigValidator check = new ConfigValidator(file);
+        JsonFields fields = check.fields(KEYS);
         List<String> members = check.ask(() -> fields.texts("members"), List.of());
         if (members.isEmpty() || members.size() > MOST_MEMBERS) {
             check.problem("field members must name 1 to " + MOST_MEMBERS + " members");
@@ -80,7 +80,7 @@
             check.problem("field probe_ms must be at least 20, and most_s from 1 to 3600");
         }
         List<Step> steps = new ArrayList<>();
-        for (Fields each : check.ask(() -> fields.objects("steps"), List.<Fields>of())) {
+        for (JsonFields each : check.ask(() -> fields.objects("steps"), List.<JsonFields>of())) {
             Step step = check.ask(() -> step(each, members), null);
             if (step != null) {
                 known(check, each.path() + ".who", step.who(), members);
@@ -96,23 +96,23 @@
         }
         long seed = check.ask(() -> fields.has("seed") ? fields.serial("seed") : 1L, 1L);
         check.end();
-        return new RigScenario(seed, probeMs, seeds, voters, leaseMs, mostS * 1000L, steps);
+        return new ClusterScenario(seed, probeMs, seeds, voters, leaseMs, mostS * 1000L, steps);
     }
 
-    private static void known(Check check, String key, List<String> names, List<String> members) {
+    private static void known(ConfigValidator check, String key, List<String> names, List<String> members) {
         names.stream()
                 .filter(name -> !members.contains(name))
                 .forEach(name -> check.problem("field " + key + " names " + name + ", which is no member"));
     }
 
-    private static Step step(Fields f, List<String> members) {
+    private static Step step(JsonFields f, List<String> members) {
         Action action = f.choice("do", Action.class);
         List<String> who = f.has("who") ? f.texts("who") : action == Action.NET ? List.of() : members;
         List<String> of = f.has("of") ? f.texts("of") : members;
         boolean tells = action == Action.AWAIT || action == Action.NEVER;
         String state = tells || action == Action.ACTS ? f.text("state") : "";
         if (tells && !STATES.contains(state)) {
-            throw new BadSettings("field " + f.path() + ".state must be one of " + STATES);
+            throw new InvalidConfigurationException("field " + f.path() + ".state must be one of " + STATES);
         }
         int forMs = f.wholeOr("for_ms", 0);
         double loss = f.numberOr("loss", 0);
@@ -120,7 +120,8 @@
         int least = f.wholeOr("least_ms", 0);
         int most = f.wholeOr("most_ms", least);
         if (loss < 0 || loss > 1 || repeated < 0 || repeated > 1 || least < 0 || most < least || forMs < 0) {
-            throw new BadSettings("field " + f.path() + " must have shares from 0 to 1 and times that are not below 0");
+            throw new InvalidConfigurationException(
+                    "field " + f.path() + " must have shares from 0 to 1 and times that are not below 0");
         }
         return new Step(
                 action,
@@ -137,9 +138,9 @@
      * Plays the scenario with real processes. Gives what did not come to be, empty where all did; the history so far is in
      * the consumer's hands, each event once, when it ends.
      */
-    public List<String> play(Consumer<ClusterRig.Event> events) throws IOException, InterruptedException {
+    public List<String> play(Consumer<TestCluster.Event> events) throws IOException, InterruptedException {
         List<String> wrong = new ArrayList<>();
-        try (ClusterRig rig = new ClusterRig(seed, probeMs, seeds, voters, leaseMs)) {
+        try (TestCluster rig = new TestCluster(seed, probeMs, seeds, voters, leaseMs)) {
             for (int i = 0; i < steps.size() && wrong.isEmpty(); i++) {
                 if (!play(rig, steps.get(i))) {
                     wrong.add("steps[" + i + "] " + steps.get(i).action() + ": "
@@ -152,7 +153,7 @@
         return wrong;
     }
 
-    private boolean play(ClusterRig rig, Step step) throws IOException, InterruptedException {
+    private boolean play(TestCluster rig, Step step) throws IOException, InterruptedException {
         switch (step.action()) {
             case NET -> {
                 if (step.who().isEmpty()) {
@@ -175,7 +176,7 @@
             }
             case PROPOSE -> {
                 return rig.operator(step.who().get(0))
-                        .propose(step.base(), "scenario", ClusterRig.document(step.attempts()))
+                        .propose(step.base(), "scenario", TestCluster.document(step.attempts()))
                         .taken();
             }
             case ACTS -> {
@@ -194,7 +195,7 @@
         return true;
     }
 
-    private static void act(ClusterRig rig, Step step, String who) throws IOException, InterruptedException {
+    private static void act(TestCluster rig, Step step, String who) throws IOException, InterruptedException {
         switch (step.action()) {
             case START -> rig.start(who);
             case KILL -> rig.kill(who);
--- a/laboratory/src/main/java/opalcove/laboratory/Pair.java
+++ b/laboratory/src/main/java/opalcove/laboratory/ComparisonBenchmark.java
@@ -19,7 +19,7 @@
  * Runs programs against the same app node and load, in turns, so that what the machine does meanwhile strikes all alike:
  * processor time an ask, from the process's own clock, and the time from the start to the first PONG.
  */
-public final class Pair {
+public final class ComparisonBenchmark {
     private static final int PATIENCE_S = 60;
 
     /** A program's figures, a run each. */
@@ -45,7 +45,7 @@
      *
      * @param warm requests before each measurement
      */
-    public Pair(List<String> commands, LoadPlan plan, Meter.Nodes nodes, int warm) {
+    public ComparisonBenchmark(List<String> commands, LoadPlan plan, Meter.Nodes nodes, int warm) {
         this.commands = commands;
         this.plan = plan;
         this.nodes = nodes;
@@ -57,7 +57,7 @@
         List<Runs> all = new ArrayList<>();
         commands.forEach(each -> all.add(new Runs(each, new ArrayList<>(), new ArrayList<>(), new ArrayList<>())));
         Vertx vertx = Vertx.vertx();
-        try (AppNodeStandIn node = new AppNodeStandIn(nodes.valueBytes(), nodes.workMs())) {
+        try (BackendEmulator node = new BackendEmulator(nodes.valueBytes(), nodes.workMs())) {
             HttpServer discovery = vertx.createHttpServer()
                     .requestHandler(request -> {
                         if (request.uri().contains("since=")) {
--- a/laboratory/src/main/java/opalcove/laboratory/Contradictions.java
+++ b/laboratory/src/main/java/opalcove/laboratory/ConflictDetector.java
@@ -9,7 +9,7 @@
  * What gateways acted on, from when to when, gathered over the whole fleet: tells the longest time for which two of them acted
  * on different versions, and every case over a bound. Strict standings count for none: what they keep cannot contradict.
  */
-public final class Contradictions {
+public final class ConflictDetector {
     /** A gateway acted on all of a version, from one moment to another, ms of one clock. */
     public record Spell(String gateway, long version, long fromMs, long toMs) {}
 
--- a/laboratory/src/main/java/opalcove/laboratory/Guard.java
+++ b/laboratory/src/main/java/opalcove/laboratory/CostRegressionCheck.java
@@ -15,7 +15,7 @@
  * before the counting. As fast as they could, asks alone took as many lines as the machine was quick, and each stall
  * dialled more of them: the same program cost 1,791 to 2,196 bytes an ask.
  */
-public final class Guard {
+public final class CostRegressionCheck {
     /** What a count may grow by before it fails. */
     public static final double MOST_GROWTH = 0.05;
     /** Growth below this is none, whatever its share: parts of a byte or of a call. */
@@ -44,7 +44,7 @@
             new Case("resp, 16 pipelined, records of 1 KiB", false, 16, 0, 16, 1, 1024, 3200),
             new Case("mqtt, 16 pipelined, 16 B", true, 16, 0, 16, 0, 0, 3200));
 
-    private Guard() {}
+    private CostRegressionCheck() {}
 
     /** Counts all cases: by case, then by count. */
     public static Map<String, Map<String, Double>> count(Consumer<String> progress) throws Exception {
--- a/laboratory/src/main/java/opalcove/laboratory/CountingTransport.java
+++ b/laboratory/src/main/java/opalcove/laboratory/CountingTransport.java
@@ -21,14 +21,14 @@
 import java.nio.channels.SocketChannel;
 import java.util.List;
 import java.util.concurrent.ThreadFactory;
-import opalcove.loop.AroundHandler;
-import opalcove.loop.PatientTransport;
+import opalcove.transport.CoarseWaitTransport;
+import opalcove.transport.DelegatingIoHandler;
 
 /**
  * The gateway's own transport, which counts what it does at the sockets of the one event loop. The counts need no privileges;
  * {@code meter --verify} compares them with what strace sees.
  */
-final class CountingTransport extends PatientTransport {
+final class CountingTransport extends CoarseWaitTransport {
     private final Counts counts;
     private final Lockstep.Asking lockstep;
 
@@ -62,7 +62,7 @@
         return domainSocket ? super.serverChannelFactory(true) : CountingServer::new;
     }
 
-    private final class CountingHandler extends AroundHandler {
+    private final class CountingHandler extends DelegatingIoHandler {
         CountingHandler(IoHandler handler) {
             super(handler);
         }
--- a/laboratory/src/main/java/opalcove/laboratory/FaultProxy.java
+++ b/laboratory/src/main/java/opalcove/laboratory/FaultProxy.java
@@ -17,7 +17,7 @@
 import java.util.SplittableRandom;
 import java.util.concurrent.TimeUnit;
 import java.util.function.Function;
-import opalcove.gateway.BadSettings;
+import opalcove.config.InvalidConfigurationException;
 
 /**
  * Stands between every pair of members: each member tells the others an address of this proxy, which passes datagrams on
@@ -34,17 +34,17 @@
     private final Map<String, SocketAddress> real = new HashMap<>();
     private final PriorityQueue<Held> held =
             new PriorityQueue<>(Comparator.comparingLong(Held::dueNanos).thenComparingLong(Held::order));
-    private final Faults faults;
+    private final MessageFaults faults;
     private final Function<byte[], String> sender;
     private final Thread thread = new Thread(this::run, "fault-proxy");
     private long order;
     private long offered;
     private long bytes;
 
-    /** Faults are drawn by the seed; sender tells a datagram's sender, or fails with {@link BadSettings}. */
+    /** Faults are drawn by the seed; sender tells a datagram's sender, or fails with {@link InvalidConfigurationException}. */
     FaultProxy(long seed, Function<byte[], String> sender) throws IOException {
         this.sender = sender;
-        faults = new Faults(new SplittableRandom(seed), new MembershipModel.Net(0, 0, 0, 0));
+        faults = new MessageFaults(new SplittableRandom(seed), new MembershipModel.Net(0, 0, 0, 0));
         thread.setDaemon(true);
         thread.start();
     }
@@ -129,7 +129,7 @@
             String from;
             try {
                 from = sender.apply(datagram);
-            } catch (BadSettings e) {
+            } catch (InvalidConfigurationException e) {
                 continue;
             }
             real.put(from, source);
--- a/laboratory/src/main/java/opalcove/laboratory/Laboratory.java
+++ b/laboratory/src/main/java/opalcove/laboratory/Laboratory.java
@@ -2,17 +2,17 @@
 
 import java.io.IOException;
 import java.nio.charset.StandardCharsets;
-import opalcove.decision.Admission;
-import opalcove.gateway.Fields;
-import opalcove.gateway.SettingsReader;
+import opalcove.config.JsonFields;
+import opalcove.config.SettingsReader;
+import opalcove.decision.DecisionSettings;
 
 /** What all of the laboratory's programs share. */
 public final class Laboratory {
     private Laboratory() {}
 
     /** Settings under which no quota and no limit is met by any load. */
-    public static Admission.Settings settings() {
-        return SettingsReader.checked(Fields.parse(settingsText()));
+    public static DecisionSettings settings() {
+        return SettingsReader.checked(JsonFields.parse(settingsText()));
     }
 
     static String settingsText() {
--- a/laboratory/src/main/java/opalcove/laboratory/Load.java
+++ b/laboratory/src/main/java/opalcove/laboratory/Load.java
@@ -43,7 +43,7 @@
     private final Consumer<String> progress;
     private final List<Channel> channels = new ArrayList<>();
     private final List<Wire> wires = new ArrayList<>();
-    private final Asks asks;
+    private final RequestGenerator asks;
     private Histogram latency;
     private CompletableFuture<Void> done;
     private long due;
@@ -64,7 +64,7 @@
         this.group = group;
         this.plan = plan;
         this.progress = progress;
-        asks = new Asks(plan);
+        asks = new RequestGenerator(plan);
         for (int i = 0; i < plan.connections(); i++) {
             CompletableFuture<Wire> ready = new CompletableFuture<>();
             Bootstrap bootstrap = new Bootstrap()
--- a/laboratory/src/main/java/opalcove/laboratory/Lockstep.java
+++ b/laboratory/src/main/java/opalcove/laboratory/Lockstep.java
@@ -18,7 +18,7 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicReference;
 import java.util.concurrent.locks.LockSupport;
-import opalcove.loop.AroundHandler;
+import opalcove.transport.DelegatingIoHandler;
 
 /**
  * Has a metered loop look at its sockets only once all others have done what they can: it asks here before each look and is
@@ -126,7 +126,7 @@
             still.orTimeout(MOST_SECONDS, TimeUnit.SECONDS).join();
         }
 
-        private final class Watched extends AroundHandler {
+        private final class Watched extends DelegatingIoHandler {
             private boolean hurried;
 
             Watched(IoHandler handler) {
--- a/laboratory/src/main/java/opalcove/laboratory/MembershipModel.java
+++ b/laboratory/src/main/java/opalcove/laboratory/MembershipModel.java
@@ -5,10 +5,10 @@
 import java.util.Map;
 import java.util.SplittableRandom;
 import java.util.TreeMap;
-import opalcove.membership.Figures;
+import opalcove.membership.FailureDetector;
 import opalcove.membership.Member;
-import opalcove.membership.Message;
-import opalcove.membership.Swim;
+import opalcove.membership.SwimConfig;
+import opalcove.membership.SwimMessage;
 
 /**
  * The membership protocol in virtual time, without sockets: the members' parts are the real ones, the network between them
@@ -27,23 +27,24 @@
     private final class Node extends Process {
         final String name;
         final long incarnation;
-        final Swim swim;
+        final FailureDetector swim;
         long tickAt = Long.MAX_VALUE;
 
         Node(String name) {
             this.name = name;
             incarnation = now() + 1;
-            swim = new Swim(now(), name, name, incarnation, seeds, figures, random.split(), new Swim.Host() {
-                @Override
-                public void send(String address, Message message) {
-                    carry(name, address, message);
-                }
-
-                @Override
-                public void changed(Member before, Member after) {
-                    history.add(new Change(now(), name, before, after));
-                }
-            });
+            swim = new FailureDetector(
+                    now(), name, name, incarnation, seeds, figures, random.split(), new FailureDetector.Host() {
+                        @Override
+                        public void send(String address, SwimMessage message) {
+                            carry(name, address, message);
+                        }
+
+                        @Override
+                        public void changed(Member before, Member after) {
+                            history.add(new Change(now(), name, before, after));
+                        }
+                    });
         }
 
         @Override
@@ -61,7 +62,7 @@
         }
     }
 
-    private final Figures figures;
+    private final SwimConfig figures;
     private final List<String> seeds;
     private final Map<String, Node> nodes = new TreeMap<>();
     private final List<Change> history = new ArrayList<>();
@@ -73,7 +74,7 @@
      *
      * @param seed of the random numbers
      */
-    public MembershipModel(long seed, Figures figures, List<String> seeds) {
+    public MembershipModel(long seed, SwimConfig figures, List<String> seeds) {
         super(1000, new SplittableRandom(seed));
         this.figures = figures;
         this.seeds = List.copyOf(seeds);
@@ -114,7 +115,7 @@
         at(now() + 500, node::end);
     }
 
-    private void carry(String from, String to, Message message) {
+    private void carry(String from, String to, SwimMessage message) {
         messages++;
         words += message.gossip().size();
         Node target = nodes.get(to);
@@ -139,7 +140,7 @@
     }
 
     /** What one member holds of the others. */
-    public Swim member(String name) {
+    public FailureDetector member(String name) {
         return nodes.get(name).swim;
     }
 
--- a/laboratory/src/main/java/opalcove/laboratory/MembershipTrial.java
+++ b/laboratory/src/main/java/opalcove/laboratory/MembershipTrial.java
@@ -9,8 +9,8 @@
 import java.util.SplittableRandom;
 import java.util.concurrent.TimeUnit;
 import java.util.function.Predicate;
-import opalcove.membership.Figures;
 import opalcove.membership.Member.State;
+import opalcove.membership.SwimConfig;
 import org.HdrHistogram.Histogram;
 
 /**
@@ -104,7 +104,8 @@
     /** By the model, in virtual time. */
     public static Report model(Plan plan) {
         MembershipTrial trial = new MembershipTrial(plan);
-        MembershipModel model = new MembershipModel(plan.seed(), Figures.of(plan.probeMs()), trial.names.subList(0, 2));
+        MembershipModel model =
+                new MembershipModel(plan.seed(), SwimConfig.of(plan.probeMs()), trial.names.subList(0, 2));
         model.net(trial.net());
         if (plan.members() > MOST_JOINING) {
             model.startKnown(trial.names);
@@ -152,7 +153,7 @@
     /** By real processes on this machine. */
     public static Report rig(Plan plan) throws IOException, InterruptedException {
         MembershipTrial trial = new MembershipTrial(plan);
-        try (ClusterRig rig = new ClusterRig(plan.seed(), plan.probeMs(), trial.names.subList(0, 2))) {
+        try (TestCluster rig = new TestCluster(plan.seed(), plan.probeMs(), trial.names.subList(0, 2))) {
             rig.net(trial.net());
             for (String name : trial.names) {
                 rig.start(name);
@@ -189,7 +190,7 @@
                                     .allMatch(name -> name.equals(victim)
                                             || r.view(name, victim).equals(end)),
                             victim + " to be told " + end);
-                    for (ClusterRig.Event each :
+                    for (TestCluster.Event each :
                             rig.history().subList(from, rig.history().size())) {
                         boolean its = each.name().equals(victim);
                         if (its && each.state().equals(end)) {
@@ -205,7 +206,7 @@
         }
     }
 
-    private static void wait(ClusterRig rig, Predicate<ClusterRig> wanted, String what)
+    private static void wait(TestCluster rig, Predicate<TestCluster> wanted, String what)
             throws IOException, InterruptedException {
         if (!rig.await(wanted, MOST_MS)) {
             throw new IOException("waited " + MOST_MS + " ms in vain for " + what);
--- a/laboratory/src/main/java/opalcove/laboratory/Faults.java
+++ b/laboratory/src/main/java/opalcove/laboratory/MessageFaults.java
@@ -7,7 +7,7 @@
 import java.util.SplittableRandom;
 
 /** What a network does to each message, by draws of the random numbers given: the same for real datagrams and for models. */
-final class Faults {
+final class MessageFaults {
     private static final long[] LOST = {};
 
     private final SplittableRandom random;
@@ -15,7 +15,7 @@
     private final Map<String, MembershipModel.Net> nets = new HashMap<>();
     private MembershipModel.Net net;
 
-    Faults(SplittableRandom random, MembershipModel.Net net) {
+    MessageFaults(SplittableRandom random, MembershipModel.Net net) {
         this.random = random;
         this.net = net;
     }
--- a/laboratory/src/main/java/opalcove/laboratory/Meter.java
+++ b/laboratory/src/main/java/opalcove/laboratory/Meter.java
@@ -67,7 +67,7 @@
         }
     }
 
-    private final AppNodeStandIn node;
+    private final BackendEmulator node;
     private final Process gateway;
     private final BufferedReader answers;
     private final PrintStream commands;
@@ -82,7 +82,7 @@
             throws Exception {
         Lockstep.Still nodeLoop = new Lockstep.Still();
         Lockstep.Still loadLoop = new Lockstep.Still();
-        node = new AppNodeStandIn(nodeLoop.group(), nodes.valueBytes(), nodes.workMs());
+        node = new BackendEmulator(nodeLoop.group(), nodes.valueBytes(), nodes.workMs());
         this.lockstep = lockstep ? new Lockstep(List.of(nodeLoop, loadLoop)) : null;
         List<String> command = new ArrayList<>(List.of(java()));
         command.addAll(FLAGS);
--- a/laboratory/src/main/java/opalcove/laboratory/MeteredGateway.java
+++ b/laboratory/src/main/java/opalcove/laboratory/MeteredGateway.java
@@ -21,16 +21,18 @@
 import java.util.concurrent.CompletableFuture;
 import javax.management.JMException;
 import javax.management.ObjectName;
-import opalcove.decision.Admission;
-import opalcove.gateway.AppNode;
-import opalcove.gateway.Clock;
-import opalcove.gateway.Endpoint;
-import opalcove.gateway.Gateway;
-import opalcove.gateway.LinkPool;
-import opalcove.gateway.Phases;
-import opalcove.mqtt.MqttFront;
-import opalcove.platform.RespDialler;
-import opalcove.platform.RespFront;
+import opalcove.backend.ConnectionPool;
+import opalcove.config.Backend;
+import opalcove.config.Clock;
+import opalcove.config.HostAndPort;
+import opalcove.core.RequestDispatcher;
+import opalcove.decision.DecisionSettings;
+import opalcove.decision.Endpoint;
+import opalcove.decision.EndpointState;
+import opalcove.lifecycle.Lifecycle;
+import opalcove.mqtt.MqttRequestServer;
+import opalcove.resp.RespConnector;
+import opalcove.resp.RespServer;
 
 /**
  * A gateway in a process of its own that counts what its event loop does: the parts that {@code serve} and {@code mqtt}
@@ -78,28 +80,28 @@
     private void start(String kind, int nodes, int nodePort) {
         vertx.runOnContext(start -> {
             loopThread = Thread.currentThread().getId();
-            Admission.Settings settings = Laboratory.settings();
-            Phases phases = new Phases();
+            DecisionSettings settings = Laboratory.settings();
+            Lifecycle phases = new Lifecycle();
             Clock clock = new Clock();
-            Gateway gateway = new Gateway(
+            RequestDispatcher gateway = new RequestDispatcher(
                     vertx,
                     clock,
                     settings,
                     7,
-                    new LinkPool(vertx, settings, new RespDialler(vertx, settings), MOST_LINKS));
-            List<AppNode> list = new ArrayList<>();
+                    new ConnectionPool(vertx, settings, new RespConnector(vertx, settings), MOST_LINKS));
+            List<Backend> list = new ArrayList<>();
             for (int i = 0; i < nodes; i++) {
-                list.add(new AppNode(
-                        new Admission.Host("node-" + i, settings.zone(), "std-3", i, Admission.State.UP, 1, 0),
+                list.add(new Backend(
+                        new Endpoint("node-" + i, settings.zone(), "std-3", i, EndpointState.UP, 1, 0),
                         "127.0.0.1:" + nodePort));
             }
             gateway.nodesTold(true, list);
-            Endpoint any = new Endpoint("127.0.0.1", 0);
+            HostAndPort any = new HostAndPort("127.0.0.1", 0);
             Future<Integer> listening = kind.equals("mqtt")
-                    ? new MqttFront(vertx, gateway, phases, clock, 1000).listen(any)
-                    : new RespFront(vertx, gateway, phases, 1000).listen(any);
+                    ? new MqttRequestServer(vertx, gateway, phases, clock, 1000).listen(any)
+                    : new RespServer(vertx, gateway, phases, 1000).listen(any);
             listening.onSuccess(port::complete).onFailure(port::completeExceptionally);
-            phases.enter(Phases.Phase.SERVING);
+            phases.enter(Lifecycle.Phase.SERVING);
         });
     }
 
--- a/laboratory/src/main/java/opalcove/laboratory/MqttWire.java
+++ b/laboratory/src/main/java/opalcove/laboratory/MqttWire.java
@@ -28,7 +28,7 @@
     private static final int MOST_PACKET = 80 * 1024;
 
     private final String client;
-    private final Asks asks;
+    private final RequestGenerator asks;
     private final Load.Answers answers;
     private final CompletableFuture<Load.Wire> ready;
     private final byte[] body;
@@ -38,7 +38,7 @@
     private int number;
     private int packets;
 
-    private MqttWire(String client, Asks asks, Load.Answers answers, CompletableFuture<Load.Wire> ready) {
+    private MqttWire(String client, RequestGenerator asks, Load.Answers answers, CompletableFuture<Load.Wire> ready) {
         this.client = client;
         this.asks = asks;
         this.answers = answers;
@@ -47,7 +47,11 @@
     }
 
     static void open(
-            Channel channel, String client, Asks asks, Load.Answers answers, CompletableFuture<Load.Wire> ready) {
+            Channel channel,
+            String client,
+            RequestGenerator asks,
+            Load.Answers answers,
+            CompletableFuture<Load.Wire> ready) {
         channel.pipeline()
                 .addLast(
                         MqttEncoder.INSTANCE, new MqttDecoder(MOST_PACKET), new MqttWire(client, asks, answers, ready));
--- a/laboratory/src/main/java/opalcove/laboratory/Asks.java
+++ b/laboratory/src/main/java/opalcove/laboratory/RequestGenerator.java
@@ -1,11 +1,11 @@
 package opalcove.laboratory;
 
 /** The asks of a load, numbered from 0: which operator asks, what, and under which id. Equal numbers, equal asks. */
-final class Asks {
+final class RequestGenerator {
     private final LoadPlan plan;
     private final long base = System.nanoTime() << 24;
 
-    Asks(LoadPlan plan) {
+    RequestGenerator(LoadPlan plan) {
         this.plan = plan;
     }
 
--- a/laboratory/src/main/java/opalcove/laboratory/RespWire.java
+++ b/laboratory/src/main/java/opalcove/laboratory/RespWire.java
@@ -13,7 +13,7 @@
 final class RespWire extends ByteToMessageDecoder implements Load.Wire {
     private static final int MOST_OUT = 1 << 16;
 
-    private final Asks asks;
+    private final RequestGenerator asks;
     private final Load.Answers answers;
     private final byte[] body;
     private final long[] startedAt = new long[MOST_OUT];
@@ -23,13 +23,13 @@
     private int answered;
     private int number;
 
-    private RespWire(Asks asks, Load.Answers answers) {
+    private RespWire(RequestGenerator asks, Load.Answers answers) {
         this.asks = asks;
         this.answers = answers;
         body = asks.body();
     }
 
-    static void open(Channel channel, Asks asks, Load.Answers answers, CompletableFuture<Load.Wire> ready) {
+    static void open(Channel channel, RequestGenerator asks, Load.Answers answers, CompletableFuture<Load.Wire> ready) {
         RespWire wire = new RespWire(asks, answers);
         channel.pipeline().addLast(wire);
         ready.complete(wire);
@@ -61,11 +61,11 @@
         char kind = (char) in.getByte(start);
         if (kind == '*') {
             // A node's own answer, which a bare relay passes on.
-            if (AppNodeStandIn.skipCommand(in)) {
+            if (BackendEmulator.skipCommand(in)) {
                 came(Load.Answer.SERVED);
             }
         } else if (kind == '$') {
-            int length = AppNodeStandIn.number(in, '$');
+            int length = BackendEmulator.number(in, '$');
             if (length < 0 || in.readableBytes() < length + 2) {
                 in.readerIndex(start);
                 return;
