--- a/laboratory/src/main/java/opalcove/laboratory/GatewayStarts.java
+++ b/laboratory/src/main/java/opalcove/laboratory/StartupBenchmark.java
@@ -17,16 +17,16 @@
 import java.util.concurrent.Executors;
 import java.util.concurrent.Future;
 import java.util.concurrent.TimeUnit;
-import opalcove.gateway.AppNode;
-import opalcove.gateway.Fields;
-import opalcove.gateway.NodeLines;
+import opalcove.config.Backend;
+import opalcove.config.EndpointCodec;
+import opalcove.config.JsonFields;
 
 /**
  * Starts many gateways at once, as after the loss of a machine, and measures how long each takes to its first answer to a
  * PING. Discovery is away all the while: it answers no call before all gateways are ready, and none after. Each gateway
  * has a known list in its configuration, whose backends are one stand-in.
  */
-public final class GatewayStarts implements AutoCloseable {
+public final class StartupBenchmark implements AutoCloseable {
     /** In which way discovery is away, which is also how the gateways come by their list. */
     public enum Away {
         /** Lists are pushed by an agent: it takes connections and says nothing. */
@@ -57,7 +57,7 @@
     private static final String PONG = "+PONG\r\n";
 
     private final Path folder = Files.createTempDirectory("starts");
-    private final AppNodeStandIn backend = new AppNodeStandIn(16, 1);
+    private final BackendEmulator backend = new BackendEmulator(16, 1);
     private final List<Process> processes = new ArrayList<>();
     private final List<Socket> reserved = new ArrayList<>();
     private final List<Socket> calls = new ArrayList<>();
@@ -66,7 +66,7 @@
     private ServerSocket silent;
 
     /** The command starts one gateway, which is to read its configuration from the file that GW_CONFIG names. */
-    public GatewayStarts(List<String> command, Away away) throws IOException, InterruptedException {
+    public StartupBenchmark(List<String> command, Away away) throws IOException, InterruptedException {
         this.command = List.copyOf(command);
         this.away = away;
     }
@@ -147,14 +147,14 @@
     }
 
     private String configuration(int number, int port, String discovery) {
-        List<AppNode> known =
-                NodeLines.read(Fields.parse(Pair.list(backend.port(), BACKENDS)).objects("endpoints"));
+        List<Backend> known = EndpointCodec.read(JsonFields.parse(ComparisonBenchmark.list(backend.port(), BACKENDS))
+                .objects("endpoints"));
         JsonObject settings = Json.parse(Laboratory.settingsText()).asObject().set("discovery", away.discovery);
         return Json.object()
                 .add("name", "gateway-" + number)
                 .add("listen", "127.0.0.1:" + port)
                 .add("discovery", discovery)
-                .add("known", NodeLines.write(1, true, known))
+                .add("known", EndpointCodec.write(1, true, known))
                 .add("settings", settings)
                 .toString();
     }
@@ -179,7 +179,7 @@
             Thread.sleep(PING_EVERY_MS);
         }
         double readyMs = (System.nanoTime() - startedAt) / 1e6;
-        return new Start(readyMs, Pair.cpuUs(process) / 1000, "");
+        return new Start(readyMs, ComparisonBenchmark.cpuUs(process) / 1000, "");
     }
 
     private static boolean answersPing(int port) {
--- a/laboratory/src/main/java/opalcove/laboratory/ClusterRig.java
+++ b/laboratory/src/main/java/opalcove/laboratory/TestCluster.java
@@ -16,17 +16,17 @@
 import java.util.Map;
 import java.util.concurrent.TimeUnit;
 import java.util.function.Predicate;
-import opalcove.cluster.Datagrams;
-import opalcove.gateway.Endpoint;
-import opalcove.versions.Packet;
-import opalcove.versions.VersionClient;
+import opalcove.cluster.MembershipCodec;
+import opalcove.config.HostAndPort;
+import opalcove.replication.ReplicationClient;
+import opalcove.replication.ReplicationMessage;
 
 /**
  * Several processes of the real program on loopback, with a fault proxy between every pair. Processes are paused and
  * resumed by SIGSTOP and SIGCONT, killed, ended well, and started again; the events that they write as JSON lines are
  * gathered into one history. Whoever waits, waits for what the history shows and not for time to go by.
  */
-public final class ClusterRig implements AutoCloseable {
+public final class TestCluster implements AutoCloseable {
     /** A change that one process told of a member. */
     public record Event(long atMs, String observer, String name, String state, String before, long incarnation) {}
 
@@ -43,20 +43,21 @@
     private final Map<String, Process> processes = new LinkedHashMap<>();
     private final List<Event> history = new ArrayList<>();
     private final List<JsonObject> versionEvents = new ArrayList<>();
-    private final Contradictions acted = new Contradictions();
+    private final ConflictDetector acted = new ConflictDetector();
 
     /** A rig whose faults are drawn by the seed; its members join through those of the names given. */
-    public ClusterRig(long seed, int probeMs, List<String> seedMembers) throws IOException {
+    public TestCluster(long seed, int probeMs, List<String> seedMembers) throws IOException {
         this(seed, probeMs, seedMembers, List.of(), 0);
     }
 
     /** A rig whose members also agree on versions, by the votes of those named and on leases of that length. */
-    public ClusterRig(long seed, int probeMs, List<String> seedMembers, List<String> voters, int leaseMs)
+    public TestCluster(long seed, int probeMs, List<String> seedMembers, List<String> voters, int leaseMs)
             throws IOException {
         folder = Files.createTempDirectory("rig");
-        proxy = new FaultProxy(seed, datagram -> Datagrams.read(datagram).from().name());
-        versionProxy =
-                new FaultProxy(seed + 1, datagram -> Packet.read(datagram).from());
+        proxy = new FaultProxy(
+                seed, datagram -> MembershipCodec.read(datagram).from().name());
+        versionProxy = new FaultProxy(
+                seed + 1, datagram -> ReplicationMessage.read(datagram).from());
         this.voters = List.copyOf(voters);
         this.leaseMs = leaseMs;
         Thread calls = new Thread(this::endCalls, "no-discovery");
@@ -154,13 +155,13 @@
     }
 
     /** Asks the voters as an operator's command does, past all faults between members; this one first. */
-    public VersionClient operator(String first) throws IOException {
-        List<Endpoint> doors = new ArrayList<>();
-        doors.add(Endpoint.read(versionProxy.door(first), "door"));
+    public ReplicationClient operator(String first) throws IOException {
+        List<HostAndPort> doors = new ArrayList<>();
+        doors.add(HostAndPort.read(versionProxy.door(first), "door"));
         for (String each : voters) {
-            doors.add(Endpoint.read(versionProxy.door(each), "door"));
+            doors.add(HostAndPort.read(versionProxy.door(each), "door"));
         }
-        return new VersionClient(doors, OPERATOR_MS);
+        return new ReplicationClient(doors, OPERATOR_MS);
     }
 
     /** Ends each call for a node list at once: the port is the rig's own, so that no member ever calls somebody else. */
@@ -249,7 +250,7 @@
     }
 
     /** Cases in which two members acted on different versions for longer than that. */
-    public synchronized List<Contradictions.Case> contradictions(long boundMs) {
+    public synchronized List<ConflictDetector.Case> contradictions(long boundMs) {
         return acted.over(boundMs, System.currentTimeMillis());
     }
 
@@ -346,7 +347,7 @@
     }
 
     /** Waits until the history is as wanted, for so long at most; tells whether it came to be. */
-    public synchronized boolean await(Predicate<ClusterRig> wanted, long mostMs) throws InterruptedException {
+    public synchronized boolean await(Predicate<TestCluster> wanted, long mostMs) throws InterruptedException {
         long end = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(mostMs);
         while (!wanted.test(this)) {
             long left = TimeUnit.NANOSECONDS.toMillis(end - System.nanoTime());
--- a/laboratory/src/main/java/opalcove/laboratory/VirtualNet.java
+++ b/laboratory/src/main/java/opalcove/laboratory/VirtualNet.java
@@ -52,14 +52,14 @@
     final SplittableRandom random;
     private final PriorityQueue<Event> events =
             new PriorityQueue<>(Comparator.comparingLong(Event::at).thenComparingLong(Event::order));
-    private final Faults faults;
+    private final MessageFaults faults;
     private long now;
     private long order;
 
     VirtualNet(long start, SplittableRandom random) {
         now = start;
         this.random = random;
-        faults = new Faults(random, MembershipModel.Net.SOUND);
+        faults = new MessageFaults(random, MembershipModel.Net.SOUND);
     }
 
     void at(long time, Runnable what) {
--- a/laboratory/src/main/java/opalcove/laboratory/coldstart/ModelBackend.java
+++ b/laboratory/src/main/java/opalcove/laboratory/coldstart/ModelBackend.java
@@ -4,9 +4,9 @@
 import java.util.ArrayList;
 import java.util.Deque;
 import java.util.List;
-import opalcove.decision.Admission.Host;
-import opalcove.decision.Admission.Result;
-import opalcove.decision.Admission.State;
+import opalcove.decision.AttemptStatus;
+import opalcove.decision.Endpoint;
+import opalcove.decision.EndpointState;
 
 /** A backend with cores, a queue that is served in order, and a capacity that follows the ramp after each start. */
 final class ModelBackend {
@@ -23,24 +23,24 @@
 
     /** Hears how an attempt ended. */
     interface Ended {
-        void ended(Result result);
+        void ended(AttemptStatus result);
     }
 
     private final VirtualClock clock;
-    private final ColdStartRule rule;
+    private final SlowStartRule rule;
     private final String name;
     private final String zone;
     private final Shape shape;
     private final double meanWorkMs;
     private final Deque<Attempt> waiting = new ArrayDeque<>();
     private final List<Attempt> running = new ArrayList<>();
-    private final List<ColdPeriod> coldPeriods = new ArrayList<>();
+    private final List<SlowStartPeriod> coldPeriods = new ArrayList<>();
     private double startedMs;
     private boolean up;
     private boolean draining;
     private int starts;
 
-    ModelBackend(VirtualClock clock, ColdStartRule rule, String name, String zone, Shape shape, double meanWorkMs) {
+    ModelBackend(VirtualClock clock, SlowStartRule rule, String name, String zone, Shape shape, double meanWorkMs) {
         this.clock = clock;
         this.rule = rule;
         this.name = name;
@@ -60,7 +60,7 @@
         up = true;
         starts++;
         startedMs = clock.nowMs();
-        coldPeriods.add(new ColdPeriod(rule, startedMs, shape.capacity() / meanWorkMs));
+        coldPeriods.add(new SlowStartPeriod(rule, startedMs, shape.capacity() / meanWorkMs));
     }
 
     /** Takes the backend out of service: the list says so, and what still comes is served. */
@@ -76,20 +76,20 @@
         held.addAll(waiting);
         running.clear();
         waiting.clear();
-        held.forEach(attempt -> attempt.ended().ended(Result.BROKEN));
+        held.forEach(attempt -> attempt.ended().ended(AttemptStatus.BROKEN));
     }
 
     void offer(Attempt attempt) {
         if (!up) {
-            attempt.ended().ended(Result.UNREACHABLE);
+            attempt.ended().ended(AttemptStatus.UNREACHABLE);
             return;
         }
         if (!coldPeriods.isEmpty()) {
-            ColdPeriod latest = coldPeriods.get(coldPeriods.size() - 1);
+            SlowStartPeriod latest = coldPeriods.get(coldPeriods.size() - 1);
             latest.arrived(clock.nowMs(), attempt.workMs() / meanWorkMs, attempt.informed());
         }
         if (waiting.size() >= shape.queuePerCore() * shape.cores()) {
-            attempt.ended().ended(Result.TURNED_AWAY);
+            attempt.ended().ended(AttemptStatus.REJECTED);
             return;
         }
         waiting.add(attempt);
@@ -110,7 +110,7 @@
             clock.after(tookMs, () -> {
                 if (start == starts) {
                     running.remove(attempt);
-                    attempt.ended().ended(Result.SERVED);
+                    attempt.ended().ended(AttemptStatus.SERVED);
                     work();
                 }
             });
@@ -118,8 +118,8 @@
     }
 
     /** The backend's line in the list; its start time is 0 where it has been warm for long. */
-    Host line(double sizeOfOne) {
-        return new Host(
+    Endpoint line(double sizeOfOne) {
+        return new Endpoint(
                 name,
                 zone,
                 "kind-" + shape.cores(),
@@ -129,11 +129,11 @@
                 startedMs > 0 ? startedMs : 0);
     }
 
-    private State state() {
+    private EndpointState state() {
         if (!up) {
-            return State.GONE;
+            return EndpointState.REMOVED;
         }
-        return draining ? State.DRAINING : State.UP;
+        return draining ? EndpointState.DRAINING : EndpointState.UP;
     }
 
     String name() {
@@ -148,7 +148,7 @@
         return shape.capacity();
     }
 
-    List<ColdPeriod> coldPeriods() {
+    List<SlowStartPeriod> coldPeriods() {
         return coldPeriods;
     }
 }
--- a/laboratory/src/main/java/opalcove/laboratory/coldstart/ModelGateway.java
+++ b/laboratory/src/main/java/opalcove/laboratory/coldstart/ModelGateway.java
@@ -7,13 +7,13 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.SplittableRandom;
-import opalcove.decision.Admission.Actions;
-import opalcove.decision.Admission.Host;
-import opalcove.decision.Admission.Outcome;
-import opalcove.decision.Admission.Request;
-import opalcove.decision.Admission.Result;
-import opalcove.decision.Admission.Settings;
-import opalcove.decision.Policy;
+import opalcove.decision.AdmissionController;
+import opalcove.decision.AdmissionRequest;
+import opalcove.decision.AttemptOutcome;
+import opalcove.decision.AttemptStatus;
+import opalcove.decision.DecisionActions;
+import opalcove.decision.DecisionSettings;
+import opalcove.decision.Endpoint;
 
 /** A gateway of the model: it hosts a decision module and carries out its actions. A restart brings a new module. */
 final class ModelGateway {
@@ -52,7 +52,7 @@
     }
 
     private final VirtualClock clock;
-    private final Settings settings;
+    private final DecisionSettings settings;
     private final Map<String, ModelBackend> backends;
     private final SplittableRandom random;
     private final Listener listener;
@@ -60,7 +60,7 @@
 
     ModelGateway(
             VirtualClock clock,
-            Settings settings,
+            DecisionSettings settings,
             Map<String, ModelBackend> backends,
             SplittableRandom random,
             Listener listener) {
@@ -71,7 +71,7 @@
         this.listener = listener;
     }
 
-    void start(List<Host> list) {
+    void start(List<Endpoint> list) {
         incarnation = new Incarnation();
         incarnation.listed(true, list);
     }
@@ -86,25 +86,25 @@
     }
 
     /** Changed lines of the list arrive; a process that is down hears nothing. */
-    void listed(List<Host> lines) {
+    void listed(List<Endpoint> lines) {
         if (isUp()) {
             incarnation.listed(false, lines);
         }
     }
 
-    void request(Request request, double workMs) {
+    void request(AdmissionRequest request, double workMs) {
         incarnation.requests.put(request.id(), new OpenRequest(clock.nowMs(), workMs));
         incarnation.policy.request(clock.nowMs(), request);
     }
 
     /** One life of the process. */
-    private final class Incarnation implements Actions {
+    private final class Incarnation implements DecisionActions {
         final Map<String, OpenRequest> requests = new HashMap<>();
         final Map<String, Double> knownStarts = new HashMap<>();
         final Set<Long> forgottenTimers = new HashSet<>();
-        final Policy policy = new Policy(clock.nowMs(), settings, random.nextLong(), this);
+        final AdmissionController policy = new AdmissionController(clock.nowMs(), settings, random.nextLong(), this);
 
-        void listed(boolean whole, List<Host> lines) {
+        void listed(boolean whole, List<Endpoint> lines) {
             lines.forEach(line -> knownStarts.put(line.id(), line.startedMs()));
             policy.hosts(clock.nowMs(), whole, lines);
         }
@@ -127,7 +127,7 @@
             request.attempts.add(attempt);
             boolean informed = knownStarts.get(host) >= backend.startedMs();
             attempt.work = new ModelBackend.Attempt(request.workMs, informed, result -> {
-                double delayMs = result == Result.UNREACHABLE ? CONNECT_FAILED_MS : NETWORK_MS;
+                double delayMs = result == AttemptStatus.UNREACHABLE ? CONNECT_FAILED_MS : NETWORK_MS;
                 after(delayMs, () -> attemptEnded(id, number, result));
             });
             clock.after(NETWORK_MS, () -> {
@@ -137,21 +137,22 @@
             });
         }
 
-        private void attemptEnded(String id, int number, Result result) {
+        private void attemptEnded(String id, int number, AttemptStatus result) {
             OpenRequest request = requests.get(id);
             if (request == null || request.attempts.get(number).ended) {
                 return;
             }
             OpenAttempt attempt = request.attempts.get(number);
             attempt.ended = true;
-            if (result == Result.SERVED && !request.answered) {
+            if (result == AttemptStatus.SERVED && !request.answered) {
                 request.answered = true;
                 listener.served(clock.nowMs() - request.arrivedMs);
             }
             forgetIfSettled(id, request);
             double tookMs = clock.nowMs() - attempt.sentMs;
             String host = attempt.backend.name();
-            policy.outcome(clock.nowMs(), new Outcome(id, host, number, result, tookMs, request.answered, -1, 0, null));
+            policy.outcome(
+                    clock.nowMs(), new AttemptOutcome(id, host, number, result, tookMs, request.answered, -1, 0, null));
         }
 
         @Override
@@ -159,7 +160,7 @@
             OpenRequest request = requests.get(id);
             if (request != null) {
                 request.attempts.get(number).backend.cancel(request.attempts.get(number).work);
-                after(0, () -> attemptEnded(id, number, Result.CANCELLED));
+                after(0, () -> attemptEnded(id, number, AttemptStatus.CANCELLED));
             }
         }
 
--- a/laboratory/src/main/java/opalcove/laboratory/coldstart/ColdStartModel.java
+++ b/laboratory/src/main/java/opalcove/laboratory/coldstart/SlowStartModel.java
@@ -7,16 +7,16 @@
 import java.util.SplittableRandom;
 import java.util.function.ToDoubleFunction;
 import java.util.stream.IntStream;
-import opalcove.decision.Admission;
-import opalcove.decision.Admission.Duties;
-import opalcove.decision.Admission.Effect;
-import opalcove.decision.Admission.Host;
-import opalcove.decision.Admission.Limits;
-import opalcove.decision.Admission.Prices;
-import opalcove.decision.Admission.Reach;
-import opalcove.decision.Admission.Request;
-import opalcove.decision.Admission.RequestClass;
-import opalcove.decision.Admission.Settings;
+import opalcove.decision.AdmissionRequest;
+import opalcove.decision.DecisionSettings;
+import opalcove.decision.DecisionSettings.Costs;
+import opalcove.decision.DecisionSettings.Limits;
+import opalcove.decision.DecisionSettings.Obligations;
+import opalcove.decision.DecisionSettings.RequestClass;
+import opalcove.decision.DeduplicationScope;
+import opalcove.decision.Endpoint;
+import opalcove.decision.Idempotency;
+import opalcove.decision.LoadReportSource;
 
 /**
  * One seeded run of the model. A fleet under uneven load loses a part of its backends, which return cold, or a part is
@@ -24,7 +24,7 @@
  * gateways restart in the middle of the ramp.
  * Sizes, loads and times are drawn from the seed: the same seed and plan give the same run.
  */
-final class ColdStartModel {
+final class SlowStartModel {
     private static final double FIRST_CRASH_MS = 10_000;
     private static final double TICK_MS = 2;
     private static final double AIM_MS = 2000;
@@ -43,7 +43,7 @@
     static final ModelBackend.Shape LARGE = new ModelBackend.Shape(3, 1, 15);
     private static final ModelBackend.Shape SMALL = new ModelBackend.Shape(2, 0.6, 15);
 
-    private final ColdStartPlan plan;
+    private final SlowStartPlan plan;
     private final SplittableRandom random;
     private final VirtualClock clock = new VirtualClock();
     private final Map<String, ModelBackend> backends = new HashMap<>();
@@ -59,7 +59,7 @@
     private long requests;
     private long servedInTime;
 
-    private ColdStartModel(ColdStartPlan plan, long seed) {
+    private SlowStartModel(SlowStartPlan plan, long seed) {
         this.plan = plan;
         random = new SplittableRandom(seed);
         meanWorkMs = between(110, 280);
@@ -79,8 +79,8 @@
     private static final double MOST_JOIN_DELAY_MS = 5000;
 
     /** Plays one seed. */
-    static ColdStartReport play(ColdStartPlan plan, long seed) {
-        ColdStartModel model = new ColdStartModel(plan, seed);
+    static SlowStartReport play(SlowStartPlan plan, long seed) {
+        SlowStartModel model = new SlowStartModel(plan, seed);
         model.schedule();
         model.clock.runUntil(model.endMs);
         return model.report(seed);
@@ -103,7 +103,7 @@
     private void schedule() {
         drawWeights();
         for (int i = 0; i < plan.gateways(); i++) {
-            Settings settings = settings(plan, i);
+            DecisionSettings settings = settings(plan, i);
             ModelGateway gateway = new ModelGateway(clock, settings, backends, random.split(), this::served);
             gateways.add(gateway);
             clock.after(between(0, 250), () -> gateway.start(wholeList()));
@@ -179,17 +179,17 @@
         }
     }
 
-    private List<Host> wholeList() {
+    private List<Endpoint> wholeList() {
         return inOrder.stream().map(this::line).toList();
     }
 
-    private Host line(ModelBackend backend) {
+    private Endpoint line(ModelBackend backend) {
         return backend.line(LARGE.capacity());
     }
 
     /** Each gateway hears of a change a little later, each with a delay of its own. */
     private void announce(ModelBackend backend) {
-        Host line = line(backend);
+        Endpoint line = line(backend);
         for (ModelGateway gateway : gateways) {
             clock.after(between(0, MOST_LIST_DELAY_MS), () -> {
                 // A later change has gone out meanwhile; the list never goes back.
@@ -222,7 +222,8 @@
             String id = "r" + requests++;
             double workMs = meanWorkMs * (kind == 0 ? logNormal() : exponential());
             gateway.request(
-                    new Request(id, CLASSES[kind], PLAN, "c" + requests % 200, 1, DEADLINE_MS, plan.gateways(), false),
+                    new AdmissionRequest(
+                            id, CLASSES[kind], PLAN, "c" + requests % 200, 1, DEADLINE_MS, plan.gateways(), false),
                     workMs);
         }
         clock.after(exponential() / (warmRatePerMs * utilization * burstFactor), this::nextRequest);
@@ -253,38 +254,41 @@
         servedInTime += tookMs <= AIM_MS ? 1 : 0;
     }
 
-    private ColdStartReport report(long seed) {
-        List<ColdPeriod> periods =
+    private SlowStartReport report(long seed) {
+        List<SlowStartPeriod> periods =
                 inOrder.stream().flatMap(each -> each.coldPeriods().stream()).toList();
-        return new ColdStartReport(
+        return new SlowStartReport(
                 seed,
                 periods.size(),
-                over(periods, ColdPeriod::worstRatio),
-                over(periods, ColdPeriod::worstWorkRatio),
-                worst(periods, ColdPeriod::worstRatio),
-                worst(periods, ColdPeriod::worstWorkRatio),
-                periods.stream().mapToDouble(ColdPeriod::usedShare).average().orElse(0),
+                over(periods, SlowStartPeriod::worstRatio),
+                over(periods, SlowStartPeriod::worstWorkRatio),
+                worst(periods, SlowStartPeriod::worstRatio),
+                worst(periods, SlowStartPeriod::worstWorkRatio),
+                periods.stream()
+                        .mapToDouble(SlowStartPeriod::usedShare)
+                        .average()
+                        .orElse(0),
                 (double) servedInTime / Math.max(1, requests));
     }
 
-    private static int over(List<ColdPeriod> periods, ToDoubleFunction<ColdPeriod> ratio) {
+    private static int over(List<SlowStartPeriod> periods, ToDoubleFunction<SlowStartPeriod> ratio) {
         return (int)
                 periods.stream().filter(each -> ratio.applyAsDouble(each) > 1).count();
     }
 
-    private static double worst(List<ColdPeriod> periods, ToDoubleFunction<ColdPeriod> ratio) {
+    private static double worst(List<SlowStartPeriod> periods, ToDoubleFunction<SlowStartPeriod> ratio) {
         return periods.stream().mapToDouble(ratio).max().orElse(0);
     }
 
     /** What the module of that gateway is told at its start. */
-    static Settings settings(ColdStartPlan plan, int gateway) {
+    static DecisionSettings settings(SlowStartPlan plan, int gateway) {
         List<RequestClass> classes = new ArrayList<>();
         for (int i = 0; i < CLASSES.length; i++) {
-            classes.add(
-                    new RequestClass(CLASSES[i], WORTH[i], 0, AIM_MS, DEADLINE_MS, Effect.SAFE, Reach.ALL, 0, false));
+            classes.add(new RequestClass(
+                    CLASSES[i], WORTH[i], 0, AIM_MS, DEADLINE_MS, Idempotency.SAFE, DeduplicationScope.ALL, 0, false));
         }
-        ColdStartRule rule = plan.rule();
-        return new Settings(
+        SlowStartRule rule = plan.rule();
+        return new DecisionSettings(
                 gateway,
                 plan.gateways(),
                 ZONES[gateway % ZONES.length],
@@ -292,12 +296,12 @@
                 0,
                 false,
                 classes,
-                List.of(new Admission.Plan(PLAN, 0, 0, 0, 1, 0, 0, 0, 0, 0)),
+                List.of(new DecisionSettings.Plan(PLAN, 0, 0, 0, 1, 0, 0, 0, 0, 0)),
                 new Limits(6, false, true, false, true, AIM_MS, 30_000, false),
-                new Duties(
+                new Obligations(
                         8, rule.coldShare(), rule.warmAfterMs(), rule.overloadFactor(), rule.windowMs(), false, 10_000),
-                new Prices(0.01, 0.03, 0, 0.08),
-                Admission.Reports.NONE,
+                new Costs(0.01, 0.03, 0, 0.08),
+                LoadReportSource.NONE,
                 List.of());
     }
 }
--- a/laboratory/src/main/java/opalcove/laboratory/coldstart/ColdPeriod.java
+++ b/laboratory/src/main/java/opalcove/laboratory/coldstart/SlowStartPeriod.java
@@ -4,7 +4,7 @@
 import java.util.Deque;
 
 /** What reaches one backend from its start until it is warm, held against the rule. */
-final class ColdPeriod {
+final class SlowStartPeriod {
     /** The part of the work in a window beyond which the gateways that knew of the start answer for a fall. */
     private static final double INFORMED_PART = 2.0 / 3;
 
@@ -28,7 +28,7 @@
         }
     }
 
-    private final ColdStartRule rule;
+    private final SlowStartRule rule;
     private final double startedMs;
     private final double warmRatePerMs;
     private final Deque<Arrival> window = new ArrayDeque<>();
@@ -37,7 +37,7 @@
     private int requestsInAll;
 
     /** @param warmRatePerMs requests of mean work a millisecond that the backend serves when warm */
-    ColdPeriod(ColdStartRule rule, double startedMs, double warmRatePerMs) {
+    SlowStartPeriod(SlowStartRule rule, double startedMs, double warmRatePerMs) {
         this.rule = rule;
         this.startedMs = startedMs;
         this.warmRatePerMs = warmRatePerMs;
--- a/laboratory/src/main/java/opalcove/laboratory/coldstart/ColdStartReport.java
+++ b/laboratory/src/main/java/opalcove/laboratory/coldstart/SlowStartReport.java
@@ -16,7 +16,7 @@
  * @param usedShare requests of the ramp over what the overload factor allows, the mean over the starts
  * @param servedShare requests served within their aim over requests
  */
-public record ColdStartReport(
+public record SlowStartReport(
         long seed,
         int coldStarts,
         int falls,
--- a/laboratory/src/main/java/opalcove/laboratory/coldstart/ColdStartRule.java
+++ b/laboratory/src/main/java/opalcove/laboratory/coldstart/SlowStartRule.java
@@ -10,9 +10,9 @@
  * @param coldShare part of the full capacity at the start, 0 to 1
  * @param warmAfterMs time from the start to the full capacity, ms
  */
-public record ColdStartRule(double overloadFactor, double windowMs, double coldShare, double warmAfterMs) {
+public record SlowStartRule(double overloadFactor, double windowMs, double coldShare, double warmAfterMs) {
     /** Checks the figures. */
-    public ColdStartRule {
+    public SlowStartRule {
         if (!(overloadFactor > 0 && windowMs > 0 && coldShare > 0 && coldShare <= 1 && warmAfterMs > 0)) {
             throw new IllegalArgumentException("a cold start needs figures over 0, and a cold share of at most 1");
         }
--- a/laboratory/src/main/java/opalcove/laboratory/coldstart/ColdStartTrial.java
+++ b/laboratory/src/main/java/opalcove/laboratory/coldstart/SlowStartTrial.java
@@ -10,60 +10,60 @@
 import java.util.stream.LongStream;
 
 /** Plays the model on many seeds and sums up what they gave. */
-public record ColdStartTrial(ColdStartPlan plan, List<ColdStartReport> reports) {
+public record SlowStartTrial(SlowStartPlan plan, List<SlowStartReport> reports) {
     /** Plays all seeds of the plan, one after another. */
-    public static ColdStartTrial play(ColdStartPlan plan) {
-        return new ColdStartTrial(
+    public static SlowStartTrial play(SlowStartPlan plan) {
+        return new SlowStartTrial(
                 plan,
                 LongStream.range(plan.firstSeed(), plan.firstSeed() + plan.seeds())
-                        .mapToObj(seed -> ColdStartModel.play(plan, seed))
+                        .mapToObj(seed -> SlowStartModel.play(plan, seed))
                         .toList());
     }
 
     /** Starts of backends over all seeds. */
     public int coldStarts() {
-        return sum(ColdStartReport::coldStarts);
+        return sum(SlowStartReport::coldStarts);
     }
 
     /** Falls over all seeds. */
     public int falls() {
-        return sum(ColdStartReport::falls);
+        return sum(SlowStartReport::falls);
     }
 
     /** Falls over all seeds, with each request counted by its own work. */
     public int workFalls() {
-        return sum(ColdStartReport::workFalls);
+        return sum(SlowStartReport::workFalls);
     }
 
     /** The highest ratio of the requests in any window to what a backend bears; above 1 it falls. */
     public double worstRatio() {
-        return worst(ColdStartReport::worstRatio);
+        return worst(SlowStartReport::worstRatio);
     }
 
     /** The same with each request counted by its own work. */
     public double worstWorkRatio() {
-        return worst(ColdStartReport::worstWorkRatio);
+        return worst(SlowStartReport::worstWorkRatio);
     }
 
     /** The used share of the budget over the ramp, the mean over the seeds. */
     public double usedShare() {
-        return mean(ColdStartReport::usedShare);
+        return mean(SlowStartReport::usedShare);
     }
 
     /** The share of requests served within their aim, the mean over the seeds. */
     public double servedShare() {
-        return mean(ColdStartReport::servedShare);
+        return mean(SlowStartReport::servedShare);
     }
 
-    private int sum(ToIntFunction<ColdStartReport> figure) {
+    private int sum(ToIntFunction<SlowStartReport> figure) {
         return reports.stream().mapToInt(figure).sum();
     }
 
-    private double worst(ToDoubleFunction<ColdStartReport> figure) {
+    private double worst(ToDoubleFunction<SlowStartReport> figure) {
         return reports.stream().mapToDouble(figure).max().orElse(0);
     }
 
-    private double mean(ToDoubleFunction<ColdStartReport> figure) {
+    private double mean(ToDoubleFunction<SlowStartReport> figure) {
         return reports.stream().mapToDouble(figure).average().orElse(0);
     }
 
--- a/laboratory/src/main/java/opalcove/laboratory/soak/BackendLink.java
+++ b/laboratory/src/main/java/opalcove/laboratory/soak/BackendConnection.java
@@ -27,7 +27,7 @@
  * The fault proxy between one gateway and one backend: the gateway is told this address as the backend's. It records each
  * attempt as its bytes come, and makes the troubles of connections. Used on its event loop alone.
  */
-final class BackendLink {
+final class BackendConnection {
     /** A listener that takes no connection holds so few that further ones never come up. */
     private static final int BACKLOG = 1;
 
@@ -49,7 +49,7 @@
     private double resetShare;
     private boolean pieces;
 
-    BackendLink(int gateway, int backend, EventLoopGroup loop, SoakClock clock, History history, long seed)
+    BackendConnection(int gateway, int backend, EventLoopGroup loop, SoakClock clock, History history, long seed)
             throws IOException {
         this.gateway = gateway;
         this.backend = backend;
--- a/laboratory/src/main/java/opalcove/laboratory/soak/Coverage.java
+++ b/laboratory/src/main/java/opalcove/laboratory/soak/Coverage.java
@@ -11,14 +11,14 @@
     /** With more pairs than this that never met, they are counted and not named. */
     private static final int MOST_NAMED = 250;
 
-    private final Map<TroubleKind, Integer> made = new EnumMap<>(TroubleKind.class);
+    private final Map<FaultType, Integer> made = new EnumMap<>(FaultType.class);
     private final Map<String, Integer> met = new TreeMap<>();
 
     /** Takes in the troubles of one run that were really made. */
-    public synchronized void add(List<Trouble> troubles) {
-        for (Trouble first : troubles) {
+    public synchronized void add(List<Fault> troubles) {
+        for (Fault first : troubles) {
             made.merge(first.kind(), 1, Integer::sum);
-            for (Trouble second : troubles) {
+            for (Fault second : troubles) {
                 if (first.number() < second.number() && first.overlaps(second)) {
                     met.merge(pair(first.kind(), second.kind()), 1, Integer::sum);
                 }
@@ -26,7 +26,7 @@
         }
     }
 
-    private static String pair(TroubleKind first, TroubleKind second) {
+    private static String pair(FaultType first, FaultType second) {
         boolean inOrder = first.ordinal() <= second.ordinal();
         return inOrder ? first + " with " + second : second + " with " + first;
     }
@@ -34,12 +34,12 @@
     /** The kinds with how often each was made, and the pairs that have never met. */
     public synchronized String text() {
         StringBuilder text = new StringBuilder("troubles made:");
-        for (TroubleKind kind : TroubleKind.values()) {
+        for (FaultType kind : FaultType.values()) {
             text.append(' ').append(kind).append('=').append(made.getOrDefault(kind, 0));
         }
         List<String> never = new ArrayList<>();
         int all = 0;
-        TroubleKind[] kinds = TroubleKind.values();
+        FaultType[] kinds = FaultType.values();
         for (int i = 0; i < kinds.length; i++) {
             for (int j = i; j < kinds.length; j++) {
                 all++;
--- a/laboratory/src/main/java/opalcove/laboratory/soak/Trouble.java
+++ b/laboratory/src/main/java/opalcove/laboratory/soak/Fault.java
@@ -11,12 +11,12 @@
  * @param lengthMs how long it lasts
  * @param draw from 0 to 1, by which the trouble picks its size or variant
  */
-public record Trouble(int number, TroubleKind kind, int target, int startMs, int lengthMs, double draw) {
+public record Fault(int number, FaultType kind, int target, int startMs, int lengthMs, double draw) {
     int endMs() {
         return startMs + lengthMs;
     }
 
-    boolean overlaps(Trouble other) {
+    boolean overlaps(Fault other) {
         return startMs < other.endMs() && other.startMs < endMs();
     }
 
--- a/laboratory/src/main/java/opalcove/laboratory/soak/FaultCase.java
+++ b/laboratory/src/main/java/opalcove/laboratory/soak/FaultCase.java
@@ -136,7 +136,7 @@
         }
 
         @Override
-        public void begin(SoakRig rig) throws Exception {
+        public void begin(SoakCluster rig) throws Exception {
             FaultShim shim = rig.gateway(0).shim().orElseThrow();
             kinds.forEach(kind -> shim.fail(call, kind, oneIn, errno));
             if (FaultCase.this == STOPPED_500_MS) {
@@ -150,7 +150,7 @@
             }
         }
 
-        private void stopAgainAndAgain(SoakRig rig) throws InterruptedException {
+        private void stopAgainAndAgain(SoakCluster rig) throws InterruptedException {
             for (int i = 0; i < lengthMs / STOP_EVERY_MS - 1; i++) {
                 TimeUnit.MILLISECONDS.sleep(STOP_EVERY_MS - STOP_MS);
                 rig.gateway(0).signal("STOP");
@@ -161,7 +161,7 @@
         }
 
         @Override
-        public void end(SoakRig rig) {
+        public void end(SoakCluster rig) {
             FaultShim shim = rig.gateway(0).shim().orElseThrow();
             hits += shim.clockHits();
             hits += shim.hits().values().stream().mapToLong(Long::longValue).sum();
--- a/laboratory/src/main/java/opalcove/laboratory/soak/Troublemaker.java
+++ b/laboratory/src/main/java/opalcove/laboratory/soak/FaultInjector.java
@@ -15,34 +15,34 @@
 import opalcove.laboratory.soak.SoakBackend.Behaviour;
 
 /** Makes the troubles of a plan on the processes and connections of a run, each on a thread of its own. */
-final class Troublemaker implements AutoCloseable {
+final class FaultInjector implements AutoCloseable {
     private static final int PAUSE_MOST_MS = 400;
     private static final long HOUR_MS = 3_600_000;
 
-    private final SoakRig rig;
-    private final List<Trouble> made = Collections.synchronizedList(new ArrayList<>());
+    private final SoakCluster rig;
+    private final List<Fault> made = Collections.synchronizedList(new ArrayList<>());
     private final ExecutorService threads = Executors.newCachedThreadPool();
     private final List<CompletableFuture<Void>> running = new ArrayList<>();
 
-    Troublemaker(SoakRig rig) {
+    FaultInjector(SoakCluster rig) {
         this.rig = rig;
     }
 
     /** Begins: each trouble comes at its time from now. */
-    void begin(List<Trouble> troubles) {
+    void begin(List<Fault> troubles) {
         double from = rig.clock.now();
-        for (Trouble each : troubles) {
+        for (Fault each : troubles) {
             running.add(CompletableFuture.runAsync(() -> run(each, from), threads));
         }
     }
 
     /** Waits for the end of all troubles; those that were made. */
-    List<Trouble> await() {
+    List<Fault> await() {
         running.forEach(CompletableFuture::join);
         return List.copyOf(made);
     }
 
-    private void run(Trouble trouble, double from) {
+    private void run(Fault trouble, double from) {
         try {
             sleep(from + trouble.startMs() - rig.clock.now());
             if (make(trouble)) {
@@ -59,7 +59,7 @@
         TimeUnit.MICROSECONDS.sleep((long) Math.max(0, ms * 1000));
     }
 
-    private boolean make(Trouble trouble) throws IOException, InterruptedException {
+    private boolean make(Fault trouble) throws IOException, InterruptedException {
         return switch (trouble.kind().place) {
             case GATEWAY -> makeAtGateway(trouble);
             case BACKEND -> makeAtBackend(trouble);
@@ -67,7 +67,7 @@
         };
     }
 
-    private boolean makeAtGateway(Trouble trouble) throws IOException, InterruptedException {
+    private boolean makeAtGateway(Fault trouble) throws IOException, InterruptedException {
         int gateway = trouble.target();
         switch (trouble.kind()) {
             case GATEWAY_TERM -> restart(gateway, true);
@@ -110,7 +110,7 @@
         return true;
     }
 
-    private void during(Trouble trouble, Runnable begin, Runnable end) throws InterruptedException {
+    private void during(Fault trouble, Runnable begin, Runnable end) throws InterruptedException {
         rig.onLoop(begin);
         sleep(trouble.lengthMs());
         rig.onLoop(end);
@@ -128,7 +128,7 @@
         }
     }
 
-    private void pause(Trouble trouble) throws InterruptedException {
+    private void pause(Fault trouble) throws InterruptedException {
         SplittableRandom random = new SplittableRandom((long) (trouble.draw() * Long.MAX_VALUE));
         double endAt = rig.clock.now() + trouble.lengthMs();
         while (rig.clock.now() < endAt) {
@@ -139,7 +139,7 @@
         }
     }
 
-    private void reload(Trouble trouble) throws IOException, InterruptedException {
+    private void reload(Fault trouble) throws IOException, InterruptedException {
         int times = 1 + (int) (trouble.draw() * 4);
         for (int i = 0; i < times; i++) {
             synchronized (rig.gateway(trouble.target())) {
@@ -150,14 +150,14 @@
         }
     }
 
-    private void cut(Trouble trouble) throws InterruptedException {
-        List<BackendLink> all = rig.links(trouble.target());
+    private void cut(Fault trouble) throws InterruptedException {
+        List<BackendConnection> all = rig.links(trouble.target());
         int count = Math.max(1, (int) (all.size() * (0.2 + 0.6 * trouble.draw())));
-        List<BackendLink> cut = all.subList(0, count);
+        List<BackendConnection> cut = all.subList(0, count);
         during(trouble, () -> cut.forEach(link -> link.cut(true)), () -> cut.forEach(link -> link.cut(false)));
     }
 
-    private boolean makeAtBackend(Trouble trouble) throws IOException, InterruptedException {
+    private boolean makeAtBackend(Fault trouble) throws IOException, InterruptedException {
         int backend = trouble.target();
         double share = 0.2 + 0.8 * trouble.draw();
         switch (trouble.kind()) {
@@ -194,18 +194,18 @@
     }
 
     /** One that does not is drained or gone for the rest of the run, which what was missed of the list has to outlast. */
-    private static boolean comesBack(Trouble trouble) {
+    private static boolean comesBack(Fault trouble) {
         return trouble.draw() < 0.5;
     }
 
-    private void behave(Trouble trouble, Behaviour behaviour, double value) throws InterruptedException {
+    private void behave(Fault trouble, Behaviour behaviour, double value) throws InterruptedException {
         rig.backend(trouble.target()).behave(behaviour, value);
         sleep(trouble.lengthMs());
         rig.backend(trouble.target()).behave(behaviour, behaviour.first);
     }
 
     /** Gives whether the shim has hit. */
-    private boolean makeInSystem(Trouble trouble) throws InterruptedException {
+    private boolean makeInSystem(Fault trouble) throws InterruptedException {
         FaultShim shim = rig.gateway(trouble.target()).shim().orElse(null);
         if (shim == null) {
             return false;
@@ -250,7 +250,7 @@
         return hits(shim) > before;
     }
 
-    private static Errno acceptError(Trouble trouble) {
+    private static Errno acceptError(Fault trouble) {
         Errno[] errors = {Errno.ECONNABORTED, Errno.ENFILE, Errno.EMFILE, Errno.ENOBUFS};
         return errors[(int) (trouble.draw() * 1000) % errors.length];
     }
@@ -260,14 +260,14 @@
                 + shim.hits().values().stream().mapToLong(Long::longValue).sum();
     }
 
-    private static void failing(Trouble trouble, FaultShim shim, Call call, List<Kind> kinds, int oneIn, Errno errno)
+    private static void failing(Fault trouble, FaultShim shim, Call call, List<Kind> kinds, int oneIn, Errno errno)
             throws InterruptedException {
         kinds.forEach(kind -> shim.fail(call, kind, oneIn, errno));
         sleep(trouble.lengthMs());
         kinds.forEach(kind -> shim.heal(call, kind));
     }
 
-    private static void shortCalls(Trouble trouble, FaultShim shim) throws InterruptedException {
+    private static void shortCalls(Fault trouble, FaultShim shim) throws InterruptedException {
         List<Kind> kinds = List.of(Kind.CLIENT, Kind.BACKEND, Kind.DISCOVERY);
         for (Call call : List.of(Call.READ, Call.WRITE)) {
             kinds.forEach(kind -> shim.fail(call, kind, 2, Errno.SHORT_TRANSFER));
--- a/laboratory/src/main/java/opalcove/laboratory/soak/TroubleKind.java
+++ b/laboratory/src/main/java/opalcove/laboratory/soak/FaultType.java
@@ -1,7 +1,7 @@
 package opalcove.laboratory.soak;
 
 /** The kinds of trouble that the soak makes. */
-public enum TroubleKind {
+public enum FaultType {
     /** A gateway is told to end by SIGTERM and started again at its address. */
     GATEWAY_TERM(Place.GATEWAY),
     /** A gateway is killed and started again. */
@@ -87,7 +87,7 @@
 
     final Place place;
 
-    TroubleKind(Place place) {
+    FaultType(Place place) {
         this.place = place;
     }
 }
--- a/laboratory/src/main/java/opalcove/laboratory/soak/GatewayProcess.java
+++ b/laboratory/src/main/java/opalcove/laboratory/soak/GatewayProcess.java
@@ -227,7 +227,7 @@
                 || line.startsWith("ended_by_deadline_guard");
         return late
                 && plan.troubles().stream()
-                        .anyMatch(trouble -> trouble.kind() == TroubleKind.GATEWAY_PAUSE && trouble.target() == number);
+                        .anyMatch(trouble -> trouble.kind() == FaultType.GATEWAY_PAUSE && trouble.target() == number);
     }
 
     private String tail() {
--- a/laboratory/src/main/java/opalcove/laboratory/soak/Soak.java
+++ b/laboratory/src/main/java/opalcove/laboratory/soak/Soak.java
@@ -46,10 +46,10 @@
         }
 
         /** The traffic begins. */
-        default void begin(SoakRig rig) throws Exception {}
+        default void begin(SoakCluster rig) throws Exception {}
 
         /** The run is over; its history is whole. */
-        default void end(SoakRig rig) {}
+        default void end(SoakCluster rig) {}
     }
 
     /** Plays a plan. The files of the run stay in the folder where a rule was broken or that is asked for. */
@@ -76,14 +76,14 @@
     }
 
     private SoakResult play(SoakPlan plan, Path own, Setting setting) throws Exception {
-        try (SoakRig rig = new SoakRig(plan, own, means, setting.clockAheadMs());
-                Troublemaker troublemaker = new Troublemaker(rig)) {
+        try (SoakCluster rig = new SoakCluster(plan, own, means, setting.clockAheadMs());
+                FaultInjector troublemaker = new FaultInjector(rig)) {
             rig.startTraffic();
             double from = rig.clock.now();
             troublemaker.begin(plan.troubles());
             setting.begin(rig);
             TimeUnit.MILLISECONDS.sleep((long) Math.max(0, from + plan.lengthMs() - rig.clock.now()));
-            List<Trouble> made = troublemaker.await();
+            List<Fault> made = troublemaker.await();
             rig.stopTraffic();
             TimeUnit.MILLISECONDS.sleep(REST_MS);
             double capacity = capacityPerS(rig, from);
@@ -100,7 +100,7 @@
      * What a warm backend can do, requests a second. A stand-in has no capacity of its own, so the pace of this run's busiest
      * backend stands for it, as the settings' ramp is a share of what a warm one does.
      */
-    private static double capacityPerS(SoakRig rig, double from) {
+    private static double capacityPerS(SoakCluster rig, double from) {
         Map<Integer, Integer> counts = new TreeMap<>();
         rig.history.attempts.forEach(attempt -> counts.merge(attempt.backend, 1, Integer::sum));
         int most = counts.values().stream().mapToInt(Integer::intValue).max().orElse(1);
@@ -116,7 +116,7 @@
     /** Leaves out one trouble after another while the rule is still broken; gives the shortest plan that was seen to fail. */
     public SoakPlan shrink(SoakPlan plan, SoakRule rule) throws Exception {
         SoakPlan shortest = plan;
-        for (Trouble each : plan.troubles()) {
+        for (Fault each : plan.troubles()) {
             SoakPlan shorter = shortest.without(Set.of(each.number()));
             if (fails(shorter, rule)) {
                 shortest = shorter;
--- a/laboratory/src/main/java/opalcove/laboratory/soak/SoakRig.java
+++ b/laboratory/src/main/java/opalcove/laboratory/soak/SoakCluster.java
@@ -13,7 +13,7 @@
 import java.util.concurrent.TimeUnit;
 
 /** The processes of one run, the connections between them and what stands in for discovery. */
-final class SoakRig implements AutoCloseable {
+final class SoakCluster implements AutoCloseable {
     private static final int LAG_LOOK_MS = 5;
     private static final int SAMPLE_MS = 100;
     /** Held up for less than this the recording counts as on time, ms. */
@@ -28,7 +28,7 @@
     private final Fleet fleet;
     private final List<BackendProcess> backends = new ArrayList<>();
     private final List<GatewayProcess> gateways = new ArrayList<>();
-    private final List<List<BackendLink>> links = new ArrayList<>();
+    private final List<List<BackendConnection>> links = new ArrayList<>();
     private final List<List<DiscoveryAgent>> agents = new ArrayList<>();
     private final List<Traffic> traffics = new ArrayList<>();
     private final int[] followed;
@@ -36,7 +36,7 @@
     private final Thread killing = new Thread(this::killAll, "kill-processes");
 
     /** Starts all processes; the gateways' wall clocks are so far ahead from their start on. */
-    SoakRig(SoakPlan plan, Path folder, GatewayProcess.Means means, long clockAheadMs) throws Exception {
+    SoakCluster(SoakPlan plan, Path folder, GatewayProcess.Means means, long clockAheadMs) throws Exception {
         this.plan = plan;
         followed = new int[plan.gateways()];
         for (int i = 0; i < plan.backends(); i++) {
@@ -69,10 +69,11 @@
     }
 
     private void connect(int gateway, Path folder, GatewayProcess.Means means) throws IOException {
-        List<BackendLink> own = new ArrayList<>();
+        List<BackendConnection> own = new ArrayList<>();
         List<String> addresses = new ArrayList<>();
         for (int i = 0; i < backends.size(); i++) {
-            BackendLink link = new BackendLink(gateway, i, loop, clock, history, plan.seed() * 1000 + gateway * 50 + i);
+            BackendConnection link =
+                    new BackendConnection(gateway, i, loop, clock, history, plan.seed() * 1000 + gateway * 50 + i);
             link.open(backends.get(i).port());
             own.add(link);
             addresses.add(link.address());
@@ -132,7 +133,7 @@
             two.get(now).followed(true, move);
         });
         List<String> addresses =
-                links.get(gateway).stream().map(BackendLink::address).toList();
+                links.get(gateway).stream().map(BackendConnection::address).toList();
         CompletableFuture<JsonObject> known = new CompletableFuture<>();
         loop.execute(() -> known.complete(fleet.whole(addresses, true)));
         gateways.get(gateway).configure(two.get(now).port(), plan.setup().maxAttempts() + moreAttempts, known.join());
@@ -146,7 +147,7 @@
         return backends.get(number);
     }
 
-    List<BackendLink> links(int gateway) {
+    List<BackendConnection> links(int gateway) {
         return links.get(gateway);
     }
 
@@ -247,8 +248,8 @@
             each.close();
         }
         loop.shutdownGracefully(0, 1, TimeUnit.SECONDS).syncUninterruptibly();
-        for (List<BackendLink> own : links) {
-            for (BackendLink each : own) {
+        for (List<BackendConnection> own : links) {
+            for (BackendConnection each : own) {
                 each.release();
             }
         }
--- a/laboratory/src/main/java/opalcove/laboratory/soak/SoakPlan.java
+++ b/laboratory/src/main/java/opalcove/laboratory/soak/SoakPlan.java
@@ -14,7 +14,7 @@
  * overlap in time by construction.
  */
 public record SoakPlan(
-        long seed, int gateways, int backends, int lengthMs, double requestsPerS, Setup setup, List<Trouble> troubles) {
+        long seed, int gateways, int backends, int lengthMs, double requestsPerS, Setup setup, List<Fault> troubles) {
     private static final int FIRST_MS = 500;
     private static final int LEAST_LENGTH_MS = 400;
     private static final int MORE_LENGTH_MS = 3200;
@@ -48,11 +48,11 @@
 
     /** Draws a plan whose troubles are of any kind. */
     public static SoakPlan of(long seed, Size size) {
-        return of(seed, size, List.of(TroubleKind.values()));
+        return of(seed, size, List.of(FaultType.values()));
     }
 
     /** Draws a plan whose troubles are of these kinds. */
-    public static SoakPlan of(long seed, Size size, List<TroubleKind> kinds) {
+    public static SoakPlan of(long seed, Size size, List<FaultType> kinds) {
         SplittableRandom random = new SplittableRandom(seed);
         int gateways = size.gateways() > 0 ? size.gateways() : random.nextInt(3, 6);
         int backends = size.backends() > 0 ? size.backends() : random.nextInt(7, 11);
@@ -66,13 +66,13 @@
                 List.of("all", "zone", "cell").get(random.nextInt(3)),
                 random.nextBoolean() ? 30_000 : 3000);
         double requestsPerS = random.nextDouble(15, 45);
-        List<Trouble> troubles = troubles(random, gateways, backends, lengthMs, kinds);
+        List<Fault> troubles = troubles(random, gateways, backends, lengthMs, kinds);
         return new SoakPlan(seed, gateways, backends, lengthMs, requestsPerS, setup, troubles);
     }
 
-    private static List<Trouble> troubles(
-            SplittableRandom random, int gateways, int backends, int lengthMs, List<TroubleKind> kinds) {
-        List<Trouble> troubles = new ArrayList<>();
+    private static List<Fault> troubles(
+            SplittableRandom random, int gateways, int backends, int lengthMs, List<FaultType> kinds) {
+        List<Fault> troubles = new ArrayList<>();
         int groups = Math.max(2, lengthMs / 3000);
         for (int group = 0; group < groups; group++) {
             int size = random.nextInt(2, 4);
@@ -80,30 +80,30 @@
             int gateway = random.nextInt(gateways);
             int backend = random.nextInt(backends);
             for (int i = 0; i < size; i++) {
-                TroubleKind kind = kinds.get(random.nextInt(kinds.size()));
+                FaultType kind = kinds.get(random.nextInt(kinds.size()));
                 int startMs = middleMs - random.nextInt(LEAST_LENGTH_MS);
                 int lengthOfIt = middleMs - startMs + LEAST_LENGTH_MS + random.nextInt(MORE_LENGTH_MS);
                 boolean same = random.nextDouble() < SAME_TARGET;
-                int target = kind.place == TroubleKind.Place.BACKEND
+                int target = kind.place == FaultType.Place.BACKEND
                         ? same ? backend : random.nextInt(backends)
                         : same ? gateway : random.nextInt(gateways);
-                troubles.add(new Trouble(troubles.size(), kind, target, startMs, lengthOfIt, random.nextDouble()));
+                troubles.add(new Fault(troubles.size(), kind, target, startMs, lengthOfIt, random.nextDouble()));
             }
         }
-        troubles.sort(Comparator.comparingInt(Trouble::startMs));
+        troubles.sort(Comparator.comparingInt(Fault::startMs));
         return List.copyOf(troubles);
     }
 
     /** The same plan without the troubles of these numbers. */
     public SoakPlan without(Set<Integer> numbers) {
-        List<Trouble> left = troubles.stream()
+        List<Fault> left = troubles.stream()
                 .filter(trouble -> !numbers.contains(trouble.number()))
                 .toList();
         return new SoakPlan(seed, gateways, backends, lengthMs, requestsPerS, setup, left);
     }
 
     /** The same fleet and settings with these troubles. */
-    public SoakPlan with(List<Trouble> chosen) {
+    public SoakPlan with(List<Fault> chosen) {
         return new SoakPlan(seed, gateways, backends, lengthMs, requestsPerS, setup, List.copyOf(chosen));
     }
 
--- a/laboratory/src/main/java/opalcove/laboratory/soak/SoakResult.java
+++ b/laboratory/src/main/java/opalcove/laboratory/soak/SoakResult.java
@@ -16,7 +16,7 @@
 public record SoakResult(
         SoakPlan plan,
         List<SoakViolation> violations,
-        List<Trouble> made,
+        List<Fault> made,
         Map<String, Integer> ends,
         int attempts,
         double mostLagMs) {
--- a/laboratory/src/main/java/opalcove/laboratory/soak/Traffic.java
+++ b/laboratory/src/main/java/opalcove/laboratory/soak/Traffic.java
@@ -37,7 +37,7 @@
     private final SoakClock clock;
     private final History history;
     private final SplittableRandom random;
-    private final Set<TroubleKind> manners = EnumSet.noneOf(TroubleKind.class);
+    private final Set<FaultType> manners = EnumSet.noneOf(FaultType.class);
     private final List<ClientConnection> connections = new ArrayList<>();
     private int requests;
     private int connected;
@@ -71,10 +71,10 @@
     }
 
     /** Clients have this bad manner, or have it no more. */
-    void manner(TroubleKind kind, boolean on) {
+    void manner(FaultType kind, boolean on) {
         if (on) {
             manners.add(kind);
-            if (kind == TroubleKind.CLIENT_CROWD) {
+            if (kind == FaultType.CLIENT_CROWD) {
                 crowd();
             }
         } else {
@@ -86,7 +86,7 @@
         if (!running) {
             return;
         }
-        double rate = plan.requestsPerS() * (manners.contains(TroubleKind.CLIENT_BURST) ? BURST_FACTOR : 1);
+        double rate = plan.requestsPerS() * (manners.contains(FaultType.CLIENT_BURST) ? BURST_FACTOR : 1);
         double waitMs = -1000 / rate * Math.log(1 - random.nextDouble());
         loop.schedule(this::arrive, (long) (waitMs * 1000), TimeUnit.MICROSECONDS);
     }
@@ -99,12 +99,12 @@
         }
     }
 
-    private boolean odd(TroubleKind manner) {
+    private boolean odd(FaultType manner) {
         return manners.contains(manner) && random.nextDouble() < ODD_SHARE;
     }
 
     private void oneRequest() {
-        if (odd(TroubleKind.CLIENT_STALLS)) {
+        if (odd(FaultType.CLIENT_STALLS)) {
             stall();
             return;
         }
@@ -112,16 +112,16 @@
         if (connection == null) {
             return;
         }
-        if (odd(TroubleKind.CLIENT_ERRORS)) {
+        if (odd(FaultType.CLIENT_ERRORS)) {
             sendErrors(connection);
         }
-        int count = odd(TroubleKind.CLIENT_PIPELINES) ? random.nextInt(2, MOST_PIPELINED) : 1;
-        boolean slow = odd(TroubleKind.CLIENT_SLOW);
+        int count = odd(FaultType.CLIENT_PIPELINES) ? random.nextInt(2, MOST_PIPELINED) : 1;
+        boolean slow = odd(FaultType.CLIENT_SLOW);
         for (int i = 0; i < count; i++) {
             Request request = request(connection);
             connection.send(request, text(request), slow && count == 1 ? 3 : 1, random.nextInt(50, 500));
         }
-        if (odd(TroubleKind.CLIENT_LEAVES)) {
+        if (odd(FaultType.CLIENT_LEAVES)) {
             boolean reset = random.nextBoolean();
             loop.schedule(() -> connection.leave(reset), random.nextInt(200), TimeUnit.MILLISECONDS);
         }
@@ -211,7 +211,7 @@
         for (int i = 0; i < CROWD; i++) {
             loop.schedule(
                     () -> {
-                        if (running && manners.contains(TroubleKind.CLIENT_CROWD)) {
+                        if (running && manners.contains(FaultType.CLIENT_CROWD)) {
                             ClientConnection.open(-1, port, gateway, loop, clock);
                         }
                     },
--- a/laboratory/src/test/java/opalcove/laboratory/AgreementModelTest.java
+++ b/laboratory/src/test/java/opalcove/laboratory/AgreementModelTest.java
@@ -5,7 +5,7 @@
 import static org.testng.Assert.assertTrue;
 
 import java.util.List;
-import opalcove.agreement.Standing;
+import opalcove.configlease.LeaseState;
 import org.testng.annotations.Test;
 
 /** Agreed versions in virtual time: the hard cases, and drawn faults by seed. Clocks are off by 200 ms either way. */
@@ -73,7 +73,7 @@
         assertTrue(second.taken(), "the others go on");
         for (String mine : List.of(cut, fellow)) {
             assertEquals(model.standings().get(mine).version(), 1);
-            assertEquals(model.standings().get(mine).mode(), Standing.Mode.STRICT);
+            assertEquals(model.standings().get(mine).mode(), LeaseState.Mode.STRICT);
         }
         model.heal();
         model.run(3 * LEASE);
--- a/laboratory/src/test/java/opalcove/laboratory/AgreementRigTest.java
+++ b/laboratory/src/test/java/opalcove/laboratory/AgreementRigTest.java
@@ -12,7 +12,7 @@
 import java.util.Arrays;
 import java.util.List;
 import java.util.concurrent.CompletableFuture;
-import opalcove.agreement.Registry;
+import opalcove.configlease.VersionLog;
 import org.testng.annotations.Test;
 
 /**
@@ -28,12 +28,12 @@
     /** The document of so many attempts drains its node. */
     private static final int DRAINS = 3;
 
-    private static ClusterRig fleet(long seed) throws Exception {
-        ClusterRig rig = new ClusterRig(seed, 500, List.of("g1", "g2"), VOTERS, LEASE_MS);
+    private static TestCluster fleet(long seed) throws Exception {
+        TestCluster rig = new TestCluster(seed, 500, List.of("g1", "g2"), VOTERS, LEASE_MS);
         for (String name : ALL) {
             rig.start(name);
         }
-        assertEquals(rig.operator("g1").propose(0, "ops", document(6)), new Registry.Outcome(true, 1, ""));
+        assertEquals(rig.operator("g1").propose(0, "ops", document(6)), new VersionLog.Outcome(true, 1, ""));
         awaitAll(rig, ALL, "1 FULL");
         return rig;
     }
@@ -52,7 +52,7 @@
                 .toString();
     }
 
-    private static void awaitAll(ClusterRig rig, List<String> names, String acting) throws InterruptedException {
+    private static void awaitAll(TestCluster rig, List<String> names, String acting) throws InterruptedException {
         assertTrue(
                 rig.await(r -> names.stream().allMatch(name -> r.actsOn(name).equals(acting)), MOST_MS),
                 acting + ": " + rig.versionEvents());
@@ -64,8 +64,8 @@
         return rest;
     }
 
-    private static CompletableFuture<Registry.Outcome> propose(
-            ClusterRig rig, String through, long base, int attempts) {
+    private static CompletableFuture<VersionLog.Outcome> propose(
+            TestCluster rig, String through, long base, int attempts) {
         return CompletableFuture.supplyAsync(() -> {
             try {
                 return rig.operator(through).propose(base, "ops at " + through, document(attempts));
@@ -77,25 +77,25 @@
 
     @Test
     public void aLeaderIsKilledAmidTwoChangesOfWhichOneWins() throws Exception {
-        try (ClusterRig rig = fleet(11)) {
+        try (TestCluster rig = fleet(11)) {
             assertTrue(rig.await(r -> !r.leader().isEmpty(), MOST_MS));
             String leader = rig.leader();
-            CompletableFuture<Registry.Outcome> a = propose(rig, "g1", 1, 5);
-            CompletableFuture<Registry.Outcome> b = propose(rig, "g2", 1, 4);
+            CompletableFuture<VersionLog.Outcome> a = propose(rig, "g1", 1, 5);
+            CompletableFuture<VersionLog.Outcome> b = propose(rig, "g2", 1, 4);
             rig.kill(leader);
             assertTrue(a.get().taken() ^ b.get().taken(), a.get() + " " + b.get());
-            Registry.Outcome lost = a.get().taken() ? b.get() : a.get();
+            VersionLog.Outcome lost = a.get().taken() ? b.get() : a.get();
             assertTrue(lost.reason().contains("version 2 by ops at g"), lost.reason());
             awaitAll(rig, but(leader), "2 FULL");
             rig.start(leader);
             awaitAll(rig, ALL, "2 FULL");
-            Registry.Outcome broken = rig.operator("g1").propose(2, "ops", "{\"settings\":{}}");
+            VersionLog.Outcome broken = rig.operator("g1").propose(2, "ops", "{\"settings\":{}}");
             assertFalse(broken.taken());
             assertTrue(broken.reason().contains("field "), broken.reason());
             assertEquals(rig.operator("g1").show().number(), 2);
             assertEquals(
                     rig.operator("g1").history().stream()
-                            .map(Registry.Version::number)
+                            .map(VersionLog.Version::number)
                             .toList(),
                     List.of(1L, 2L));
             assertEquals(rig.contradictions(LEASE_MS + ROUNDING_MS), List.of());
@@ -104,7 +104,7 @@
 
     @Test
     public void aPauseAndAOneSidedCutFromTheLeaderLetNoVersionOutliveItsLease() throws Exception {
-        try (ClusterRig rig = fleet(12)) {
+        try (TestCluster rig = fleet(12)) {
             rig.cut(rig.leader(), "g4");
             rig.pause("g5");
             assertTrue(propose(rig, "g1", 1, 3).get().taken());
@@ -128,7 +128,7 @@
 
     @Test
     public void aMinorityIsStrictAndATornStateIsRefusedAndCaughtUp() throws Exception {
-        try (ClusterRig rig = fleet(13)) {
+        try (TestCluster rig = fleet(13)) {
             assertTrue(rig.await(r -> !r.leader().isEmpty(), MOST_MS));
             String alone = rig.leader();
             for (String each : but(alone)) {
--- a/laboratory/src/test/java/opalcove/laboratory/ClusterRigTest.java
+++ b/laboratory/src/test/java/opalcove/laboratory/ClusterRigTest.java
@@ -8,7 +8,7 @@
 import java.nio.file.Path;
 import java.util.ArrayList;
 import java.util.List;
-import opalcove.gateway.BadSettings;
+import opalcove.config.InvalidConfigurationException;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
@@ -21,8 +21,8 @@
     private static final long MOST_MS = 60_000;
     private static final int PROBE_MS = 500;
 
-    private static ClusterRig fleet(long seed) throws Exception {
-        ClusterRig rig = new ClusterRig(seed, PROBE_MS, List.of("g1", "g2"));
+    private static TestCluster fleet(long seed) throws Exception {
+        TestCluster rig = new TestCluster(seed, PROBE_MS, List.of("g1", "g2"));
         for (String name : ALL) {
             rig.start(name);
         }
@@ -30,12 +30,12 @@
         return rig;
     }
 
-    private static boolean allHold(ClusterRig rig, String name, String state) {
+    private static boolean allHold(TestCluster rig, String name, String state) {
         return ALL.stream().filter(each -> !each.equals(name)).allMatch(each -> rig.view(each, name)
                 .equals(state));
     }
 
-    private static List<ClusterRig.Event> deathsBut(ClusterRig rig, String name) {
+    private static List<TestCluster.Event> deathsBut(TestCluster rig, String name) {
         return rig.history().stream()
                 .filter(each -> each.state().equals("DEAD") && !each.name().equals(name))
                 .toList();
@@ -48,8 +48,8 @@
      */
     @Test(dataProvider = "examples")
     public void theExampleComesOutAsItWants(String example) throws Exception {
-        List<ClusterRig.Event> events = new ArrayList<>();
-        List<String> wrong = RigScenario.read(Path.of("example", example)).play(events::add);
+        List<TestCluster.Event> events = new ArrayList<>();
+        List<String> wrong = ClusterScenario.read(Path.of("example", example)).play(events::add);
         assertEquals(wrong, List.of(), events.toString());
         assertTrue(example.contains("agreement")
                 || events.stream()
@@ -73,7 +73,7 @@
                             .replace("[\"g1\"], \"of\"", "[\"g9\"], \"of\"")
                             .replace("\"do\": \"kill\"", "\"do\": \"hit\"")
                             .replace("\"most_s\"", "\"most\""));
-            String told = expectThrows(BadSettings.class, () -> RigScenario.read(file))
+            String told = expectThrows(InvalidConfigurationException.class, () -> ClusterScenario.read(file))
                     .getMessage();
             for (String part : List.of(
                     "field most is not known",
@@ -90,13 +90,13 @@
 
     @Test
     public void aLongPauseIsADeathThatIsRefutedOnceAndALeaveIsNoDeath() throws Exception {
-        try (ClusterRig rig = fleet(2)) {
+        try (TestCluster rig = fleet(2)) {
             rig.pause("g3");
             assertTrue(rig.await(r -> allHold(r, "g3", "DEAD"), MOST_MS), "told dead: " + rig.history());
             rig.resume("g3");
             assertTrue(rig.await(r -> allHold(r, "g3", "ALIVE"), MOST_MS), "refuted: " + rig.history());
             for (String observer : ALL) {
-                List<ClusterRig.Event> told = rig.history().stream()
+                List<TestCluster.Event> told = rig.history().stream()
                         .filter(each ->
                                 each.observer().equals(observer) && each.name().equals("g3"))
                         .toList();
@@ -123,7 +123,7 @@
 
     @Test
     public void halvesCutApartComeTogetherAgain() throws Exception {
-        try (ClusterRig rig = fleet(3)) {
+        try (TestCluster rig = fleet(3)) {
             for (String a : List.of("g1", "g2")) {
                 for (String b : List.of("g3", "g4", "g5")) {
                     rig.cut(a, b);
--- a/laboratory/src/test/java/opalcove/laboratory/GatewayStartsTest.java
+++ b/laboratory/src/test/java/opalcove/laboratory/GatewayStartsTest.java
@@ -31,15 +31,15 @@
 
     @DataProvider
     public Object[][] away() {
-        return new Object[][] {{GatewayStarts.Away.SILENT}, {GatewayStarts.Away.REFUSED}};
+        return new Object[][] {{StartupBenchmark.Away.SILENT}, {StartupBenchmark.Away.REFUSED}};
     }
 
     @Test(dataProvider = "away")
-    public void allOpenOnTheirKnownListWhileDiscoveryIsAway(GatewayStarts.Away away) throws Exception {
-        try (GatewayStarts rig = new GatewayStarts(GATEWAY, away)) {
-            List<GatewayStarts.Start> starts = rig.run(GATEWAYS);
+    public void allOpenOnTheirKnownListWhileDiscoveryIsAway(StartupBenchmark.Away away) throws Exception {
+        try (StartupBenchmark rig = new StartupBenchmark(GATEWAY, away)) {
+            List<StartupBenchmark.Start> starts = rig.run(GATEWAYS);
             assertEquals(starts.size(), GATEWAYS);
-            for (GatewayStarts.Start each : starts) {
+            for (StartupBenchmark.Start each : starts) {
                 assertTrue(each.phases().contains("FRONT_OPEN"), each.toString());
             }
         }
@@ -52,11 +52,11 @@
         try {
             List<String> command = new ArrayList<>(GATEWAY);
             command.add(1, "-Xlog:class+load:file=" + loaded);
-            try (GatewayStarts rig = new GatewayStarts(command, GatewayStarts.Away.REFUSED)) {
+            try (StartupBenchmark rig = new StartupBenchmark(command, StartupBenchmark.Away.REFUSED)) {
                 rig.run(1);
             }
             String classes = Files.readString(loaded);
-            assertTrue(classes.contains("opalcove.platform.Serve "));
+            assertTrue(classes.contains("opalcove.server.GatewayServer "));
             for (String each : List.of(
                     "io.vertx.core.logging.JULLogDelegate ",
                     "io.netty.util.internal.logging.JdkLogger ",
--- a/laboratory/src/test/java/opalcove/laboratory/MembershipModelTest.java
+++ b/laboratory/src/test/java/opalcove/laboratory/MembershipModelTest.java
@@ -9,8 +9,8 @@
 import java.util.Map;
 import opalcove.laboratory.MembershipModel.Change;
 import opalcove.laboratory.MembershipModel.Net;
-import opalcove.membership.Figures;
 import opalcove.membership.Member.State;
+import opalcove.membership.SwimConfig;
 import org.testng.annotations.Test;
 
 /** The hard cases of membership in virtual time: seeded, so each run gives the same verdict. */
@@ -31,7 +31,7 @@
 
     /** A fleet that has come together: each holds all others for alive. */
     private static MembershipModel fleet(long seed, int members) {
-        MembershipModel model = new MembershipModel(seed, Figures.of(500), List.of(name(0), name(1)));
+        MembershipModel model = new MembershipModel(seed, SwimConfig.of(500), List.of(name(0), name(1)));
         names(members).forEach(model::start);
         model.run(15_000);
         names(members).forEach(name -> assertEquals(model.fleet(name).size(), members, name));
--- a/laboratory/src/test/java/opalcove/laboratory/RecoveryRigTest.java
+++ b/laboratory/src/test/java/opalcove/laboratory/RecoveryRigTest.java
@@ -9,7 +9,7 @@
 import java.util.Arrays;
 import java.util.List;
 import java.util.concurrent.CompletableFuture;
-import opalcove.agreement.Registry;
+import opalcove.configlease.VersionLog;
 import org.testng.annotations.Test;
 
 /** The whole fleet loses its power and comes back, by real processes that are all killed at once. */
@@ -19,19 +19,19 @@
     private static final int LEASE_MS = 1500;
     private static final long ROUNDING_MS = 5;
 
-    private static void powerLoss(ClusterRig rig) throws InterruptedException {
+    private static void powerLoss(TestCluster rig) throws InterruptedException {
         for (String name : ALL) {
             rig.kill(name);
         }
     }
 
-    private static void start(ClusterRig rig, List<String> names) throws IOException {
+    private static void start(TestCluster rig, List<String> names) throws IOException {
         for (String name : names) {
             rig.start(name);
         }
     }
 
-    private static List<JsonObject> recoveries(ClusterRig rig, String name, int from) {
+    private static List<JsonObject> recoveries(TestCluster rig, String name, int from) {
         List<JsonObject> all = rig.versionEvents();
         return all.subList(Math.min(from, all.size()), all.size()).stream()
                 .filter(each -> each.getString("event", "").equals("recovery")
@@ -39,17 +39,17 @@
                 .toList();
     }
 
-    private static boolean told(ClusterRig rig, String name, int from, String phase) {
+    private static boolean told(TestCluster rig, String name, int from, String phase) {
         return recoveries(rig, name, from).stream()
                 .anyMatch(each -> each.getString("phase", "").equals(phase));
     }
 
     @Test
     public void theFleetComesBackOnOneVersionWithWhatItMayTrust() throws Exception {
-        try (ClusterRig rig = new ClusterRig(21, 500, List.of("g1", "g2"), List.of("g1", "g2", "g3"), LEASE_MS)) {
+        try (TestCluster rig = new TestCluster(21, 500, List.of("g1", "g2"), List.of("g1", "g2", "g3"), LEASE_MS)) {
             start(rig, ALL);
             assertEquals(
-                    rig.operator("g1").propose(0, "ops", ClusterRig.document(6)), new Registry.Outcome(true, 1, ""));
+                    rig.operator("g1").propose(0, "ops", TestCluster.document(6)), new VersionLog.Outcome(true, 1, ""));
             assertTrue(
                     rig.await(
                             r -> ALL.stream()
@@ -63,9 +63,9 @@
                     rig.versionEvents().toString());
 
             // The power goes while a change is half agreed; one snapshot is torn by it, one is missing.
-            CompletableFuture<Registry.Outcome> half = CompletableFuture.supplyAsync(() -> {
+            CompletableFuture<VersionLog.Outcome> half = CompletableFuture.supplyAsync(() -> {
                 try {
-                    return rig.operator("g2").propose(1, "ops", ClusterRig.document(3));
+                    return rig.operator("g2").propose(1, "ops", TestCluster.document(3));
                 } catch (IOException e) {
                     throw new java.io.UncheckedIOException(e);
                 }
@@ -102,7 +102,7 @@
     }
 
     /** Each gateway went through the phases in order, and trusted no backend to be warm. */
-    private static void assertEachCameBackInOrder(ClusterRig rig, int from) {
+    private static void assertEachCameBackInOrder(TestCluster rig, int from) {
         for (String name : ALL) {
             List<JsonObject> phases = recoveries(rig, name, from);
             assertEquals(
@@ -114,7 +114,7 @@
     }
 
     /** The torn snapshot and the missing one were refused, each for its reason. */
-    private static void assertRefusedSnapshots(ClusterRig rig, int from) {
+    private static void assertRefusedSnapshots(TestCluster rig, int from) {
         assertTrue(recoveries(rig, "g4", from).get(0).get("refused").toString().contains("torn"));
         assertTrue(recoveries(rig, "g5", from).get(0).get("refused").toString().contains("there is none"));
     }
--- a/laboratory/src/test/java/opalcove/laboratory/coldstart/ColdStartTrialTest.java
+++ b/laboratory/src/test/java/opalcove/laboratory/coldstart/ColdStartTrialTest.java
@@ -8,16 +8,16 @@
 import java.util.List;
 import java.util.Map;
 import java.util.SplittableRandom;
-import opalcove.decision.Admission.Host;
-import opalcove.decision.Admission.Request;
+import opalcove.decision.AdmissionRequest;
+import opalcove.decision.Endpoint;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
 /** A few seeds of the model, in virtual time: counts and ratios, the same in each run. */
 public class ColdStartTrialTest {
     private static final int SEEDS = 10;
-    private static final ColdStartRule LONG_WINDOW = new ColdStartRule(2.5, 3000, 0.17, 18_000);
-    private static final ColdStartRule SHORT_WINDOW = new ColdStartRule(3, 1000, 0.18, 17_000);
+    private static final SlowStartRule LONG_WINDOW = new SlowStartRule(2.5, 3000, 0.17, 18_000);
+    private static final SlowStartRule SHORT_WINDOW = new SlowStartRule(3, 1000, 0.18, 17_000);
 
     @DataProvider
     public Object[][] fleets() {
@@ -27,8 +27,8 @@
     }
 
     @Test(dataProvider = "fleets")
-    public void noColdBackendFallsAndTheBudgetIsUsed(ColdStartRule rule, int gateways, double leastUsed) {
-        ColdStartTrial trial = ColdStartTrial.play(new ColdStartPlan(gateways, rule, 1, SEEDS));
+    public void noColdBackendFallsAndTheBudgetIsUsed(SlowStartRule rule, int gateways, double leastUsed) {
+        SlowStartTrial trial = SlowStartTrial.play(new SlowStartPlan(gateways, rule, 1, SEEDS));
         assertTrue(trial.coldStarts() > 3 * SEEDS, trial.line());
         assertEquals(trial.falls(), 0, trial.line());
         assertTrue(trial.usedShare() > leastUsed, trial.line());
@@ -37,14 +37,14 @@
     /** Small backends start among large ones: each is given work by its own size, not by what a usual one takes. */
     @Test
     public void aSmallBackendAmongLargeOnesKeepsFarFromItsLimit() {
-        ColdStartTrial trial = ColdStartTrial.play(new ColdStartPlan(30, LONG_WINDOW, 166, 1));
+        SlowStartTrial trial = SlowStartTrial.play(new SlowStartPlan(30, LONG_WINDOW, 166, 1));
         assertTrue(trial.worstRatio() < 0.5, trial.line());
     }
 
     @Test
     public void theSameSeedGivesTheSameRun() {
-        ColdStartPlan plan = new ColdStartPlan(8, SHORT_WINDOW, 5, 1);
-        assertEquals(ColdStartTrial.play(plan), ColdStartTrial.play(plan));
+        SlowStartPlan plan = new SlowStartPlan(8, SHORT_WINDOW, 5, 1);
+        assertEquals(SlowStartTrial.play(plan), SlowStartTrial.play(plan));
     }
 
     @Test
@@ -64,7 +64,7 @@
     }
 
     private static double ratioOfBurst(boolean informed) {
-        ColdPeriod period = new ColdPeriod(LONG_WINDOW, 1000, 0.015);
+        SlowStartPeriod period = new SlowStartPeriod(LONG_WINDOW, 1000, 0.015);
         for (int i = 0; i < 40; i++) {
             period.arrived(1000 + i, 1, informed);
         }
@@ -78,14 +78,14 @@
         List<ModelBackend> backends = new ArrayList<>();
         Map<String, ModelBackend> byName = new HashMap<>();
         for (int i = 0; i < 4; i++) {
-            ModelBackend backend = new ModelBackend(clock, LONG_WINDOW, "b" + i, "zone-1", ColdStartModel.LARGE, 200);
+            ModelBackend backend = new ModelBackend(clock, LONG_WINDOW, "b" + i, "zone-1", SlowStartModel.LARGE, 200);
             backend.startWarm();
             backends.add(backend);
             byName.put(backend.name(), backend);
         }
-        ColdStartPlan plan = new ColdStartPlan(1, LONG_WINDOW, 1, 1);
+        SlowStartPlan plan = new SlowStartPlan(1, LONG_WINDOW, 1, 1);
         ModelGateway gateway = new ModelGateway(
-                clock, ColdStartModel.settings(plan, 0), byName, new SplittableRandom(1), tookMs -> {});
+                clock, SlowStartModel.settings(plan, 0), byName, new SplittableRandom(1), tookMs -> {});
         gateway.start(lines(backends));
         for (int i = 0; i < 600; i++) {
             String id = "r" + i;
@@ -99,20 +99,20 @@
         gateway.listed(lines(backends));
         clock.runUntil(24_000);
         for (ModelBackend backend : backends) {
-            ColdPeriod period = backend.coldPeriods().get(0);
+            SlowStartPeriod period = backend.coldPeriods().get(0);
             assertTrue(period.usedShare() > 0.05, backend.name() + " " + period.usedShare());
             assertTrue(period.worstRatio() < 1, backend.name() + " " + period.worstRatio());
         }
     }
 
-    private static List<Host> lines(List<ModelBackend> backends) {
+    private static List<Endpoint> lines(List<ModelBackend> backends) {
         return backends.stream()
-                .map(each -> each.line(ColdStartModel.LARGE.capacity()))
+                .map(each -> each.line(SlowStartModel.LARGE.capacity()))
                 .toList();
     }
 
-    private static Request request(String id) {
-        return new Request(
-                id, ColdStartModel.CLASSES[0], ColdStartModel.PLAN, "c", 1, ColdStartModel.DEADLINE_MS, 1, false);
+    private static AdmissionRequest request(String id) {
+        return new AdmissionRequest(
+                id, SlowStartModel.CLASSES[0], SlowStartModel.PLAN, "c", 1, SlowStartModel.DEADLINE_MS, 1, false);
     }
 }
--- a/laboratory/src/test/java/opalcove/laboratory/soak/SoakTest.java
+++ b/laboratory/src/test/java/opalcove/laboratory/soak/SoakTest.java
@@ -25,24 +25,24 @@
             SoakRule.DESCRIPTORS);
 
     private static final SoakPlan.Size SHORT = new SoakPlan.Size(2, 4, 6000);
-    private static final List<TroubleKind> OF_CLIENTS_AND_BACKENDS = List.of(
-            TroubleKind.BACKEND_LONG,
-            TroubleKind.BACKEND_SPOILT,
-            TroubleKind.BACKEND_KILL,
-            TroubleKind.CLIENT_PIPELINES,
-            TroubleKind.CLIENT_ERRORS,
-            TroubleKind.CLIENT_LEAVES,
-            TroubleKind.CLIENT_STALLS,
-            TroubleKind.LINK_RESET);
-    private static final List<TroubleKind> OF_THE_SYSTEM = List.of(
-            TroubleKind.ACCEPT_FAILS,
-            TroubleKind.SOCKET_FAILS,
-            TroubleKind.CONNECT_FAILS,
-            TroubleKind.READ_FAILS,
-            TroubleKind.SHORT_CALLS,
-            TroubleKind.WAIT_INTERRUPTED,
-            TroubleKind.CLOCK_STEP,
-            TroubleKind.GATEWAY_TERM);
+    private static final List<FaultType> OF_CLIENTS_AND_BACKENDS = List.of(
+            FaultType.BACKEND_LONG,
+            FaultType.BACKEND_SPOILT,
+            FaultType.BACKEND_KILL,
+            FaultType.CLIENT_PIPELINES,
+            FaultType.CLIENT_ERRORS,
+            FaultType.CLIENT_LEAVES,
+            FaultType.CLIENT_STALLS,
+            FaultType.LINK_RESET);
+    private static final List<FaultType> OF_THE_SYSTEM = List.of(
+            FaultType.ACCEPT_FAILS,
+            FaultType.SOCKET_FAILS,
+            FaultType.CONNECT_FAILS,
+            FaultType.READ_FAILS,
+            FaultType.SHORT_CALLS,
+            FaultType.WAIT_INTERRUPTED,
+            FaultType.CLOCK_STEP,
+            FaultType.GATEWAY_TERM);
 
     @DataProvider
     public Object[][] plans() {
@@ -50,7 +50,7 @@
     }
 
     @Test(dataProvider = "plans")
-    public void noRuleIsBrokenThatKnowsNoTime(long seed, List<TroubleKind> kinds) throws Exception {
+    public void noRuleIsBrokenThatKnowsNoTime(long seed, List<FaultType> kinds) throws Exception {
         Soak soak = new Soak(Files.createTempDirectory("soak-test"));
         assertTrue(soak.hasShim(), "a C compiler (cc) is needed to fail system calls: install gcc and libc6-dev");
         SoakResult result = soak.run(SoakPlan.of(seed, SHORT, kinds), false);
@@ -72,7 +72,7 @@
     @Test
     public void troublesOfAGroupOverlapAndCanBeLeftOut() {
         SoakPlan plan = SoakPlan.of(7, new SoakPlan.Size(0, 0, 0));
-        for (Trouble each : plan.troubles()) {
+        for (Fault each : plan.troubles()) {
             assertTrue(
                     plan.troubles().stream().anyMatch(other -> other.number() != each.number() && other.overlaps(each)),
                     each.toString());
--- a/membership/src/main/java/opalcove/membership/Swim.java
+++ b/membership/src/main/java/opalcove/membership/FailureDetector.java
@@ -15,7 +15,7 @@
 import java.util.function.Predicate;
 import java.util.random.RandomGenerator;
 import opalcove.membership.Member.State;
-import opalcove.membership.Message.Kind;
+import opalcove.membership.SwimMessage.Kind;
 
 /**
  * One member's part of the SWIM protocol (Das, Gupta and Motivala, 2002) with the Lifeguard refinements (Dadgar, Phillips
@@ -25,11 +25,11 @@
  * <p>Beside a member in turn, each member probes the next one on a ring of all names, so that a crash is met within one
  * period whoever's turn it is. Helpers that find a member silent are witnesses of their own.
  */
-public final class Swim {
+public final class FailureDetector {
     /** What a member's part has its host do. */
     public interface Host {
         /** Sends a message; it may be lost, and nothing tells so. */
-        void send(String address, Message message);
+        void send(String address, SwimMessage message);
 
         /** What is held of a member has changed; before is null for one that was not known. Comes once a change. */
         void changed(Member before, Member after);
@@ -84,22 +84,22 @@
         }
     }
 
-    private static final class News {
-        final Word word;
+    private static final class Broadcast {
+        final GossipEntry word;
         int passed;
 
-        News(Word word) {
+        Broadcast(GossipEntry word) {
             this.word = word;
         }
     }
 
-    private final Figures figures;
+    private final SwimConfig figures;
     private final List<String> seeds;
     private final RandomGenerator random;
     private final Host host;
     private final TreeMap<String, Entry> others = new TreeMap<>();
     private final Map<Long, Probe> probes = new LinkedHashMap<>();
-    private final Map<String, News> news = new HashMap<>();
+    private final Map<String, Broadcast> news = new HashMap<>();
     private final List<String> turn = new ArrayList<>();
     /** Those of the others that are present, until one of them changes. */
     private List<Entry> present;
@@ -125,13 +125,13 @@
      * A member that starts at the time given. Its incarnation must be higher than that of any earlier process of its name;
      * the time of the start will do.
      */
-    public Swim(
+    public FailureDetector(
             long now,
             String name,
             String address,
             long incarnation,
             List<String> seeds,
-            Figures figures,
+            SwimConfig figures,
             RandomGenerator random,
             Host host) {
         self = new Member(name, address, incarnation, State.ALIVE);
@@ -145,7 +145,7 @@
         nextGossip = now + random.nextLong(figures.gossipMs());
         nextRejoin = now;
         nextSync = now + random.nextLong(figures.syncMs());
-        pass(Word.of(self));
+        pass(GossipEntry.of(self));
     }
 
     /**
@@ -388,7 +388,7 @@
         } else if (entry.member.state() == State.SUSPECT
                 && entry.accusers.size() <= figures.helpers()
                 && entry.accusers.add(accuser)) {
-            pass(new Word(entry.member, accuser));
+            pass(new GossipEntry(entry.member, accuser));
         }
     }
 
@@ -417,7 +417,7 @@
         }
         version++;
         present = null;
-        pass(new Word(next, accuser));
+        pass(new GossipEntry(next, accuser));
         if (next.state() == State.SUSPECT) {
             witness(now, entry);
         }
@@ -429,8 +429,8 @@
         }
     }
 
-    private void pass(Word word) {
-        news.put(word.member().name() + " " + word.by(), new News(word));
+    private void pass(GossipEntry word) {
+        news.put(word.member().name() + " " + word.by(), new Broadcast(word));
     }
 
     /** One call at a time to a seed that is not known, or to a member held for dead: so a healed cut is found. */
@@ -450,10 +450,10 @@
     }
 
     private void sync(Kind kind, String address, long number) {
-        List<Word> all = new ArrayList<>();
-        all.add(Word.of(self));
+        List<GossipEntry> all = new ArrayList<>();
+        all.add(GossipEntry.of(self));
         for (Entry entry : others.values()) {
-            all.add(new Word(
+            all.add(new GossipEntry(
                     entry.member,
                     entry.member.state() == State.SUSPECT
                             ? entry.accusers.iterator().next()
@@ -463,7 +463,7 @@
         for (int from = 0; from < all.size(); from += MOST_SYNC) {
             host.send(
                     address,
-                    new Message(
+                    new SwimMessage(
                             from == 0 ? kind : Kind.SYNC_ACK,
                             self,
                             number,
@@ -482,26 +482,27 @@
             return;
         }
         for (Entry entry : pick(figures.fanout(), each -> true)) {
-            List<Word> words = words(entry.member.name());
+            List<GossipEntry> words = words(entry.member.name());
             if (!words.isEmpty()) {
-                host.send(entry.member.address(), new Message(Kind.GOSSIP, self, 0, "", "", words));
+                host.send(entry.member.address(), new SwimMessage(Kind.GOSSIP, self, 0, "", "", words));
             }
         }
     }
 
     /** The news told least often so far; first of all, what is held against the receiver (Lifeguard's buddy). */
-    private List<Word> words(String receiver) {
-        List<Word> words = new ArrayList<>();
+    private List<GossipEntry> words(String receiver) {
+        List<GossipEntry> words = new ArrayList<>();
         Entry about = others.get(receiver);
         if (about != null && about.member.state() != State.ALIVE && about.member.state() != State.LEFT) {
-            words.add(new Word(about.member, about.accusers.stream().findFirst().orElse("")));
+            words.add(new GossipEntry(
+                    about.member, about.accusers.stream().findFirst().orElse("")));
         }
         int most = figures.passes(members());
-        List<News> order = new ArrayList<>(news.values());
-        order.sort(Comparator.<News>comparingInt(each -> each.passed)
+        List<Broadcast> order = new ArrayList<>(news.values());
+        order.sort(Comparator.<Broadcast>comparingInt(each -> each.passed)
                 .thenComparing(each -> each.word.member().name())
                 .thenComparing(each -> each.word.by()));
-        for (News each : order) {
+        for (Broadcast each : order) {
             if (words.size() >= figures.gossipMost()) {
                 break;
             }
@@ -516,7 +517,7 @@
 
     private void send(String address, Kind kind, long number, String target, String targetAddress) {
         String receiver = kind == Kind.PING ? target : nameAt(address);
-        host.send(address, new Message(kind, self, number, target, targetAddress, words(receiver)));
+        host.send(address, new SwimMessage(kind, self, number, target, targetAddress, words(receiver)));
     }
 
     private String nameAt(String address) {
@@ -529,12 +530,12 @@
     }
 
     /** Takes a message in. */
-    public void receive(long now, Message message) {
+    public void receive(long now, SwimMessage message) {
         if (self.state() == State.LEFT) {
             return;
         }
         boolean whole = message.kind() == Kind.SYNC || message.kind() == Kind.SYNC_ACK;
-        heard(now, Word.of(message.from()), false);
+        heard(now, GossipEntry.of(message.from()), false);
         message.gossip().forEach(word -> heard(now, word, whole));
         String back = message.from().address();
         switch (message.kind()) {
@@ -565,7 +566,7 @@
         }
     }
 
-    private void acked(Message message) {
+    private void acked(SwimMessage message) {
         Probe probe = probes.get(message.sequence());
         if (probe == null || !probe.target.equals(message.target())) {
             return;
@@ -580,7 +581,7 @@
     }
 
     /** Takes one word in. In a SYNC a death is but a suspicion: after a cut each side holds the other for dead. */
-    private void heard(long now, Word word, boolean whole) {
+    private void heard(long now, GossipEntry word, boolean whole) {
         Member told = word.member();
         if (told.name().equals(self.name())) {
             aboutSelf(told);
@@ -615,14 +616,14 @@
         health(1);
         self = new Member(self.name(), self.address(), told.incarnation() + 1, State.ALIVE);
         version++;
-        pass(Word.of(self));
+        pass(GossipEntry.of(self));
     }
 
     /** Tells the others that this member goes; the host ticks on for a few gossip periods, then ends. */
     public void leave(long now) {
         self = self.as(State.LEFT);
         news.clear();
-        pass(Word.of(self));
+        pass(GossipEntry.of(self));
         nextGossip = now;
         tick(now);
     }
--- a/membership/src/main/java/opalcove/membership/Figures.java
+++ b/membership/src/main/java/opalcove/membership/SwimConfig.java
@@ -17,7 +17,7 @@
  * @param syncMs in each period of so long all that is known is exchanged with one member
  * @param forgetMs a member that is dead or has left is forgotten after so long
  */
-public record Figures(
+public record SwimConfig(
         long probeMs,
         long ackMs,
         int helpers,
@@ -36,7 +36,7 @@
      *
      * @throws IllegalArgumentException if it cannot
      */
-    public Figures {
+    public SwimConfig {
         if (probeMs <= 0
                 || ackMs <= 0
                 || 2 * ackMs > probeMs
@@ -57,8 +57,8 @@
     }
 
     /** The usual figures for a probe period. */
-    public static Figures of(long probeMs) {
-        return new Figures(
+    public static SwimConfig of(long probeMs) {
+        return new SwimConfig(
                 probeMs,
                 probeMs * 2 / 5,
                 3,
--- a/membership/src/main/java/opalcove/membership/Message.java
+++ b/membership/src/main/java/opalcove/membership/SwimMessage.java
@@ -12,7 +12,8 @@
  * @param targetAddress where that one is, for PING_REQ; else empty
  * @param gossip word of members, of the sender too where it is news
  */
-public record Message(Kind kind, Member from, long sequence, String target, String targetAddress, List<Word> gossip) {
+public record SwimMessage(
+        Kind kind, Member from, long sequence, String target, String targetAddress, List<GossipEntry> gossip) {
     /** What a message asks or answers. */
     public enum Kind {
         /** Asks for an ACK. */
@@ -32,7 +33,7 @@
     }
 
     /** Copies the gossip, so that a message never changes. */
-    public Message {
+    public SwimMessage {
         gossip = List.copyOf(gossip);
     }
 }
--- a/membership/src/test/java/opalcove/membership/SameSeedSameMessagesTest.java
+++ b/membership/src/test/java/opalcove/membership/SameSeedSameMessagesTest.java
@@ -28,7 +28,7 @@
         private final PriorityQueue<Task> tasks =
                 new PriorityQueue<>(Comparator.comparingLong(Task::atMs).thenComparingLong(Task::order));
         private final SplittableRandom random;
-        private final Map<String, Swim> members = new LinkedHashMap<>();
+        private final Map<String, FailureDetector> members = new LinkedHashMap<>();
         private final Map<String, Long> ticksAt = new LinkedHashMap<>();
         private final Map<String, Long> pausedTill = new LinkedHashMap<>();
         private final List<String> killed = new ArrayList<>();
@@ -50,17 +50,17 @@
 
         private void start(String name) {
             killed.remove(name);
-            Swim member = new Swim(
+            FailureDetector member = new FailureDetector(
                     nowMs,
                     name,
                     name,
                     nowMs + 1,
                     List.of("m00", "m01"),
-                    Figures.of(500),
+                    SwimConfig.of(500),
                     random.split(),
-                    new Swim.Host() {
+                    new FailureDetector.Host() {
                         @Override
-                        public void send(String address, Message message) {
+                        public void send(String address, SwimMessage message) {
                             carry(name, address, message);
                         }
 
@@ -101,7 +101,7 @@
             arm(name);
         }
 
-        private void carry(String from, String to, Message message) {
+        private void carry(String from, String to, SwimMessage message) {
             messages++;
             words += message.gossip().size();
             StringBuilder text = new StringBuilder(
@@ -156,7 +156,7 @@
 
         /** Checksum, numbers of messages, words and changes, and what one member counts and knows. */
         private String result() {
-            Swim.Counts counts = members.get("m00").counts();
+            FailureDetector.Counts counts = members.get("m00").counts();
             return Long.toHexString(sum.getValue()) + " " + messages + " " + words + " " + changes + " "
                     + members.get("m00").fleet().size() + " "
                     + members.get("m00").version() + " "
--- a/mqtt/src/main/java/opalcove/mqtt/MqttDialler.java
+++ b/mqtt/src/main/java/opalcove/mqtt/MqttConnector.java
@@ -24,27 +24,29 @@
 import io.vertx.core.net.NetSocket;
 import java.util.Arrays;
 import java.util.List;
-import opalcove.decision.Admission;
-import opalcove.gateway.Ask;
-import opalcove.gateway.Endpoint;
-import opalcove.gateway.LinkPool;
-import opalcove.gateway.NodeEnd;
+import opalcove.backend.ConnectionPool;
+import opalcove.config.HostAndPort;
+import opalcove.core.AttemptResult;
+import opalcove.core.Request;
+import opalcove.decision.AttemptStatus;
+import opalcove.decision.DecisionSettings;
+import opalcove.decision.LoadMetric;
 import org.tinylog.Logger;
 
 /**
  * Opens lines to app nodes that are MQTT 5 servers: connected, and subscribed to the topic of their answers. It stands
  * on Netty's codec, since vertx-mqtt's client speaks MQTT 3.1.1 only and sends unacknowledged messages again by itself.
  */
-public final class MqttDialler implements LinkPool.Dialler {
+public final class MqttConnector implements ConnectionPool.Connector {
     public static final String SCHEME = "mqtt://";
-    private static final int MOST_PACKET = AskMessage.MOST_BODY + 8 * 1024;
+    private static final int MOST_PACKET = RequestMessage.MOST_BODY + 8 * 1024;
     private static final int MESSAGE_ID = 1;
 
     private final Vertx vertx;
     private final NetClient client;
     private final String name;
     private final long dialMs;
-    private final List<Admission.Gauge> gauges;
+    private final List<LoadMetric> gauges;
     private long lines;
 
     /**
@@ -52,7 +54,7 @@
      *
      * @param name prefix of the client identifiers
      */
-    public MqttDialler(Vertx vertx, Admission.Settings settings, String name) {
+    public MqttConnector(Vertx vertx, DecisionSettings settings, String name) {
         this.vertx = vertx;
         this.name = name;
         dialMs = (long) Math.max(1, settings.limits().dialTimeoutMs());
@@ -62,9 +64,9 @@
     }
 
     @Override
-    public Future<LinkPool.Line> dial(String address) {
-        Endpoint node = Endpoint.read(address.substring(SCHEME.length()), "address");
-        Promise<LinkPool.Line> ready = Promise.promise();
+    public Future<ConnectionPool.BackendConnection> dial(String address) {
+        HostAndPort node = HostAndPort.read(address.substring(SCHEME.length()), "address");
+        Promise<ConnectionPool.BackendConnection> ready = Promise.promise();
         client.connect(node.port(), node.address())
                 .onSuccess(socket -> {
                     MqttLine line = new MqttLine(socket, name + "-" + ++lines, ready);
@@ -76,14 +78,14 @@
         return ready.future();
     }
 
-    private final class MqttLine implements LinkPool.Line {
+    private final class MqttLine implements ConnectionPool.BackendConnection {
         private final NetSocketInternal socket;
         private final String responseTopic;
-        private final Promise<LinkPool.Line> ready;
+        private final Promise<ConnectionPool.BackendConnection> ready;
         private User user;
         private byte[] correlation;
 
-        MqttLine(NetSocket socket, String clientId, Promise<LinkPool.Line> ready) {
+        MqttLine(NetSocket socket, String clientId, Promise<ConnectionPool.BackendConnection> ready) {
             this.socket = (NetSocketInternal) socket;
             this.ready = ready;
             responseTopic = "opalcove/answer/" + clientId;
@@ -112,13 +114,13 @@
         }
 
         @Override
-        public void send(Ask ask, double waitMs) {
-            correlation = AskMessage.correlation(ask);
+        public void send(Request ask, double waitMs) {
+            correlation = RequestMessage.correlation(ask);
             socket.writeMessage(MqttMessageBuilders.publish()
-                            .topicName(AskMessage.TOPIC + ask.requestClass())
+                            .topicName(RequestMessage.TOPIC + ask.requestClass())
                             .qos(MqttQoS.AT_LEAST_ONCE)
                             .messageId(MESSAGE_ID)
-                            .properties(AskMessage.properties(ask, waitMs, responseTopic))
+                            .properties(RequestMessage.properties(ask, waitMs, responseTopic))
                             .payload(
                                     ask.body() == null
                                             ? Unpooled.EMPTY_BUFFER
@@ -186,9 +188,9 @@
                         .build());
             }
             if (correlation != null
-                    && Arrays.equals(correlation, AskMessage.bytes(properties, MqttProperties.CORRELATION_DATA))) {
+                    && Arrays.equals(correlation, RequestMessage.bytes(properties, MqttProperties.CORRELATION_DATA))) {
                 // Lent: the packet is released once this call has returned.
-                answered(AnswerMessage.read(properties, message.payload(), gauges));
+                answered(ResponseMessage.read(properties, message.payload(), gauges));
             }
         }
 
@@ -197,11 +199,11 @@
             if (correlation != null
                     && message.variableHeader() instanceof MqttPubReplyMessageVariableHeader header
                     && (header.reasonCode() & 0xff) >= 0x10) {
-                answered(NodeEnd.silent(Admission.Result.TURNED_AWAY));
+                answered(AttemptResult.silent(AttemptStatus.REJECTED));
             }
         }
 
-        private void answered(NodeEnd end) {
+        private void answered(AttemptResult end) {
             correlation = null;
             user.replied(end);
         }
--- a/mqtt/src/main/java/opalcove/mqtt/MqttFront.java
+++ b/mqtt/src/main/java/opalcove/mqtt/MqttRequestServer.java
@@ -21,14 +21,14 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import opalcove.decision.Admission;
-import opalcove.gateway.Answer;
-import opalcove.gateway.Ask;
-import opalcove.gateway.Clock;
-import opalcove.gateway.Endpoint;
-import opalcove.gateway.Gateway;
-import opalcove.gateway.Marks;
-import opalcove.gateway.Phases;
+import opalcove.config.Clock;
+import opalcove.config.HostAndPort;
+import opalcove.core.InvalidRequestException;
+import opalcove.core.Request;
+import opalcove.core.RequestDispatcher;
+import opalcove.core.Response;
+import opalcove.decision.Idempotency;
+import opalcove.lifecycle.Lifecycle;
 import org.tinylog.Logger;
 
 /**
@@ -36,19 +36,19 @@
  * A publication of QoS 1 is acknowledged once its answer is published, so a terminal that lost its connection delivers
  * it again: it then joins the request under way, or gets the answer that was given.
  */
-public final class MqttFront {
+public final class MqttRequestServer {
     /** Unacknowledged asks of one terminal; told to it at its connect. */
     private static final int MOST_OPEN = 64;
 
-    private static final int MOST_PACKET = AskMessage.MOST_BODY + 8 * 1024;
+    private static final int MOST_PACKET = RequestMessage.MOST_BODY + 8 * 1024;
 
-    private final Gateway gateway;
-    private final Phases phases;
+    private final RequestDispatcher gateway;
+    private final Lifecycle phases;
     private final Clock clock;
     private final MqttServer server;
     private final Map<String, Terminal> terminals = new HashMap<>();
     private final Map<String, OpenAsk> open = new HashMap<>();
-    private final RecentAnswers recent = new RecentAnswers();
+    private final ResponseCache recent = new ResponseCache();
     private Runnable whenEmpty = () -> {};
 
     /**
@@ -56,7 +56,7 @@
      *
      * @param mostTerminals how many client connections may be open at once
      */
-    public MqttFront(Vertx vertx, Gateway gateway, Phases phases, Clock clock, int mostTerminals) {
+    public MqttRequestServer(Vertx vertx, RequestDispatcher gateway, Lifecycle phases, Clock clock, int mostTerminals) {
         this.gateway = gateway;
         this.phases = phases;
         this.clock = clock;
@@ -66,7 +66,7 @@
     }
 
     /** Opens the front; gives the port. */
-    public Future<Integer> listen(Endpoint at) {
+    public Future<Integer> listen(HostAndPort at) {
         return server.listen(at.port(), at.address()).map(MqttServer::actualPort);
     }
 
@@ -85,7 +85,7 @@
     }
 
     private boolean draining() {
-        return phases.now().ordinal() >= Phases.Phase.DRAINING.ordinal();
+        return phases.now().ordinal() >= Lifecycle.Phase.DRAINING.ordinal();
     }
 
     private void connect(MqttEndpoint endpoint, int mostTerminals) {
@@ -108,9 +108,9 @@
     }
 
     /** An ask under way, and the connection and packet by which it was delivered last. */
-    private final class OpenAsk implements Gateway.Asker {
+    private final class OpenAsk implements RequestDispatcher.ResponseHandler {
         final String id;
-        Gateway.UnderWay underWay;
+        RequestDispatcher.RequestHandle underWay;
         double until;
         final String responseTopic;
         final byte[] correlation;
@@ -125,9 +125,9 @@
         }
 
         @Override
-        public void answered(Answer answer) {
+        public void answered(Response answer) {
             open.remove(id);
-            AnswerMessage message = AnswerMessage.of(answer, correlation);
+            ResponseMessage message = ResponseMessage.of(answer, correlation);
             recent.keep(id, message, clock.now(), until);
             terminal.answer(this, message);
             checkEmpty();
@@ -191,8 +191,8 @@
                 part(MqttDisconnectReasonCode.QOS_NOT_SUPPORTED);
                 return;
             }
-            String responseTopic = AskMessage.text(message.properties(), MqttProperties.RESPONSE_TOPIC);
-            byte[] correlation = AskMessage.bytes(message.properties(), MqttProperties.CORRELATION_DATA);
+            String responseTopic = RequestMessage.text(message.properties(), MqttProperties.RESPONSE_TOPIC);
+            byte[] correlation = RequestMessage.bytes(message.properties(), MqttProperties.CORRELATION_DATA);
             if (responseTopic == null || correlation == null) {
                 reject(
                         message,
@@ -201,10 +201,10 @@
             } else if (!filters.cover(responseTopic)) {
                 reject(message, MqttPubAckReasonCode.TOPIC_NAME_INVALID, "the response topic is not subscribed to");
             } else {
-                String id = AskMessage.id(endpoint.clientIdentifier(), correlation);
+                String id = RequestMessage.id(endpoint.clientIdentifier(), correlation);
                 OpenAsk known = open.get(id);
                 // Without DUP it is a new ask, whose terminal merely uses its correlation data again.
-                AnswerMessage given = message.isDup() ? recent.find(id, clock.now()) : null;
+                ResponseMessage given = message.isDup() ? recent.find(id, clock.now()) : null;
                 if (known != null) {
                     // Guards against a redelivery becoming a second request: it joins the one under way.
                     known.deliveredBy(this, message);
@@ -223,18 +223,18 @@
         }
 
         private void take(String id, OpenAsk opened, MqttPublishMessage message) {
-            Ask ask;
+            Request ask;
             try {
-                ask = AskMessage.read(
+                ask = RequestMessage.read(
                         gateway.rules(), id, message.topicName(), message.properties(), message.payload());
-                Admission.Effect effect =
+                Idempotency effect =
                         gateway.rules().requestClass(ask.requestClass()).effect();
-                if (message.isDup() && effect != Admission.Effect.SAFE) {
+                if (message.isDup() && effect != Idempotency.SAFE) {
                     // Guards against a second effect: who had the first delivery, and when, is not known here any more.
-                    throw new Marks.Unfit("redelivered after its time, it may have had its effect");
+                    throw new InvalidRequestException("redelivered after its time, it may have had its effect");
                 }
-            } catch (Marks.Unfit e) {
-                answer(opened, AnswerMessage.of(new Answer.Failed(e.getMessage()), opened.correlation));
+            } catch (InvalidRequestException e) {
+                answer(opened, ResponseMessage.of(new Response.Failed(e.getMessage()), opened.correlation));
                 return;
             }
             if (open.values().stream().filter(each -> each.terminal == this).count() >= MOST_OPEN) {
@@ -247,7 +247,7 @@
         }
 
         /** Publishes the answer and then settles the ask. Where the terminal is away it asks for it by redelivery. */
-        private void answer(OpenAsk ask, AnswerMessage answer) {
+        private void answer(OpenAsk ask, ResponseMessage answer) {
             if (endpoint.isConnected()) {
                 messages = messages % 65_535 + 1;
                 endpoint.publish(
--- a/mqtt/src/main/java/opalcove/mqtt/AskMessage.java
+++ b/mqtt/src/main/java/opalcove/mqtt/RequestMessage.java
@@ -15,17 +15,19 @@
 import java.util.HashMap;
 import java.util.HexFormat;
 import java.util.Map;
-import opalcove.decision.Admission;
-import opalcove.gateway.Ask;
-import opalcove.gateway.AskRules;
-import opalcove.gateway.Marks;
+import opalcove.core.InvalidRequestException;
+import opalcove.core.Request;
+import opalcove.core.RequestParameters;
+import opalcove.core.RequestValidator;
+import opalcove.decision.DecisionSettings;
+import opalcove.decision.Idempotency;
 
 /** An ask as an MQTT 5 publication: read at the front, written at the links. docs/mqtt.md has its form. */
-final class AskMessage {
+final class RequestMessage {
     static final String TOPIC = "opalcove/ask/";
     static final int MOST_BODY = 64 * 1024;
 
-    private AskMessage() {}
+    private RequestMessage() {}
 
     /** The ask's id: the same for each delivery of the same publication by the same terminal. */
     static String id(String clientId, byte[] correlation) {
@@ -39,35 +41,35 @@
         }
     }
 
-    static Ask read(AskRules rules, String id, String topic, MqttProperties properties, Buffer body)
-            throws Marks.Unfit {
+    static Request read(RequestValidator rules, String id, String topic, MqttProperties properties, Buffer body)
+            throws InvalidRequestException {
         if (!topic.startsWith(TOPIC)) {
-            throw new Marks.Unfit("asks are published below " + TOPIC);
+            throw new InvalidRequestException("asks are published below " + TOPIC);
         }
-        Admission.RequestClass requestClass = rules.requestClass(topic.substring(TOPIC.length()));
-        boolean safe = requestClass.effect() == Admission.Effect.SAFE;
+        DecisionSettings.RequestClass requestClass = rules.requestClass(topic.substring(TOPIC.length()));
+        boolean safe = requestClass.effect() == Idempotency.SAFE;
         if (safe && body.length() > 0) {
-            throw new Marks.Unfit(requestClass.name() + " carries no body");
+            throw new InvalidRequestException(requestClass.name() + " carries no body");
         }
         if (body.length() > MOST_BODY) {
-            throw new Marks.Unfit("the body is larger than " + MOST_BODY + " bytes");
+            throw new InvalidRequestException("the body is larger than " + MOST_BODY + " bytes");
         }
         Integer expiry = number(properties, MqttProperties.PUBLICATION_EXPIRY_INTERVAL);
         if (expiry != null && expiry == 0) {
-            throw new Marks.Unfit("expired");
+            throw new InvalidRequestException("expired");
         }
         // The expiry is an unsigned 32-bit number of seconds.
         double waitMs = Math.min(
                 requestClass.deadlineMs(), expiry == null ? Double.MAX_VALUE : Integer.toUnsignedLong(expiry) * 1000.0);
-        Marks marks = new Marks(userProperties(properties));
-        return rules.check(new Ask(
+        RequestParameters marks = new RequestParameters(userProperties(properties));
+        return rules.check(new Request(
                 id,
                 marks.need("operator"),
                 requestClass.name(),
                 marks.need("plan"),
                 marks.number("units"),
                 waitMs,
-                requestClass.effect() == Admission.Effect.KEYED ? marks.need("key") : null,
+                requestClass.effect() == Idempotency.KEYED ? marks.need("key") : null,
                 marks.set("retry"),
                 marks.whole("entry-points"),
                 marks.whole("first-entry"),
@@ -75,7 +77,7 @@
     }
 
     /** The properties of the publication that passes the ask on. Its expiry is in whole seconds, rounded up. */
-    static MqttProperties properties(Ask ask, double waitMs, String responseTopic) {
+    static MqttProperties properties(Request ask, double waitMs, String responseTopic) {
         MqttProperties properties = new MqttProperties();
         properties.add(new IntegerProperty(
                 MqttProperties.PUBLICATION_EXPIRY_INTERVAL, (int) Math.max(1, Math.ceil(waitMs / 1000))));
@@ -96,7 +98,7 @@
     }
 
     /** What ties a node's answer to an ask. */
-    static byte[] correlation(Ask ask) {
+    static byte[] correlation(Request ask) {
         return ask.id().getBytes(StandardCharsets.US_ASCII);
     }
 
--- a/mqtt/src/main/java/opalcove/mqtt/RecentAnswers.java
+++ b/mqtt/src/main/java/opalcove/mqtt/ResponseCache.java
@@ -8,16 +8,16 @@
  * Answers given of late, so that a publication redelivered after its answer gets the same one and no second request.
  * An answer is kept until its ask's own time is over; number and size are bounded, the oldest go first.
  */
-final class RecentAnswers {
+final class ResponseCache {
     private static final int MOST = 1024;
     private static final int MOST_BYTES = 4 * 1024 * 1024;
 
-    private record Kept(AnswerMessage answer, double until) {}
+    private record Kept(ResponseMessage answer, double until) {}
 
     private final Map<String, Kept> answers = new LinkedHashMap<>();
     private int bytes;
 
-    void keep(String id, AnswerMessage answer, double now, double until) {
+    void keep(String id, ResponseMessage answer, double now, double until) {
         drop(answers.remove(id));
         answers.put(id, new Kept(answer, until));
         bytes += answer.payload().length();
@@ -33,7 +33,7 @@
     }
 
     /** The answer, or null where none is known any more. */
-    AnswerMessage find(String id, double now) {
+    ResponseMessage find(String id, double now) {
         Kept kept = answers.get(id);
         return kept == null || kept.until <= now ? null : kept.answer;
     }
--- a/mqtt/src/main/java/opalcove/mqtt/AnswerMessage.java
+++ b/mqtt/src/main/java/opalcove/mqtt/ResponseMessage.java
@@ -8,42 +8,43 @@
 import io.vertx.core.buffer.Buffer;
 import java.util.List;
 import java.util.Map;
-import opalcove.decision.Admission;
-import opalcove.gateway.Answer;
-import opalcove.gateway.NodeEnd;
-import opalcove.gateway.SettingsReader;
+import opalcove.config.SettingsReader;
+import opalcove.core.AttemptResult;
+import opalcove.core.Response;
+import opalcove.decision.AttemptStatus;
+import opalcove.decision.LoadMetric;
 import org.tinylog.Logger;
 
 /** An answer as an MQTT 5 publication: written at the front, read at the links. */
-record AnswerMessage(MqttProperties properties, Buffer payload) {
+record ResponseMessage(MqttProperties properties, Buffer payload) {
     private static final String STATUS = "status";
     private static final String SERVED = "served";
     private static final String REFUSED = "refused";
     private static final String FAILED = "failed";
 
-    static AnswerMessage of(Answer answer, byte[] correlation) {
+    static ResponseMessage of(Response answer, byte[] correlation) {
         MqttProperties properties = new MqttProperties();
         properties.add(new BinaryProperty(MqttProperties.CORRELATION_DATA, correlation));
         Buffer payload = Buffer.buffer();
-        if (answer instanceof Answer.Served served) {
+        if (answer instanceof Response.Served served) {
             properties.add(new UserProperty(STATUS, SERVED));
             // Kept for redeliveries, and the value is lent.
             payload = Buffer.buffer(ByteBufUtil.getBytes(served.value()));
-        } else if (answer instanceof Answer.Refused refused) {
+        } else if (answer instanceof Response.Refused refused) {
             properties.add(new UserProperty(STATUS, REFUSED));
             if (refused.comeBackMs() > 0) {
                 properties.add(new UserProperty("retry-after-ms", Long.toString(refused.comeBackMs())));
             }
         } else {
             properties.add(new UserProperty(STATUS, FAILED));
-            properties.add(new UserProperty("reason", ((Answer.Failed) answer).reason()));
+            properties.add(new UserProperty("reason", ((Response.Failed) answer).reason()));
         }
-        return new AnswerMessage(properties, payload);
+        return new ResponseMessage(properties, payload);
     }
 
     /** How an attempt ended, by the node's answer: refused is "never ran", all but served and refused "may have". */
-    static NodeEnd read(MqttProperties properties, ByteBuf payload, List<Admission.Gauge> gauges) {
-        Map<String, String> told = AskMessage.userProperties(properties);
+    static AttemptResult read(MqttProperties properties, ByteBuf payload, List<LoadMetric> gauges) {
+        Map<String, String> told = RequestMessage.userProperties(properties);
         double[] load = null;
         int used = -1;
         double cost = 0;
@@ -63,9 +64,9 @@
             }
         }
         return switch (told.getOrDefault(STATUS, "")) {
-            case SERVED -> new NodeEnd(Admission.Result.SERVED, payload, used, cost, load);
-            case REFUSED -> new NodeEnd(Admission.Result.TURNED_AWAY, null, used, cost, load);
-            default -> new NodeEnd(Admission.Result.ERROR, null, used, cost, load);
+            case SERVED -> new AttemptResult(AttemptStatus.SERVED, payload, used, cost, load);
+            case REFUSED -> new AttemptResult(AttemptStatus.REJECTED, null, used, cost, load);
+            default -> new AttemptResult(AttemptStatus.ERROR, null, used, cost, load);
         };
     }
 }
--- a/mqtt/src/main/java/opalcove/plan/ControlDesk.java
+++ b/mqtt/src/main/java/opalcove/plan/PlanControlService.java
@@ -7,39 +7,39 @@
 import io.vertx.core.http.HttpServer;
 import io.vertx.core.http.HttpServerOptions;
 import io.vertx.core.http.HttpServerRequest;
-import opalcove.gateway.BadSettings;
-import opalcove.gateway.Endpoint;
-import opalcove.gateway.Gateway;
-import opalcove.gateway.NodeLines;
+import opalcove.config.EndpointCodec;
+import opalcove.config.HostAndPort;
+import opalcove.config.InvalidConfigurationException;
+import opalcove.core.RequestDispatcher;
 import org.tinylog.Logger;
 
 /**
  * Where a running gateway shows its node list and takes plans: GET and POST on /v1/endpoints; GET /v1/counters. It is
  * on a loopback address and off unless the settings file names it.
  */
-public final class ControlDesk {
+public final class PlanControlService {
     private static final int MOST_BODY = 1024 * 1024;
 
-    private final Gateway gateway;
+    private final RequestDispatcher gateway;
     private final HttpServer server;
     private long index = 1;
 
     /** Takes plans of the backend list for this gateway. */
-    public ControlDesk(Vertx vertx, Gateway gateway) {
+    public PlanControlService(Vertx vertx, RequestDispatcher gateway) {
         this.gateway = gateway;
         server = vertx.createHttpServer(new HttpServerOptions().setIdleTimeout(30));
         server.requestHandler(this::request);
     }
 
     /** Opens the desk; gives the port. */
-    public Future<Integer> listen(Endpoint at) {
+    public Future<Integer> listen(HostAndPort at) {
         return server.listen(at.port(), at.address()).map(HttpServer::actualPort);
     }
 
     private void request(HttpServerRequest request) {
         String what = request.method() + " " + request.path();
         if (what.equals("GET /v1/endpoints")) {
-            answer(request, 200, NodeLines.write(index, true, gateway.nodes()) + "\n");
+            answer(request, 200, EndpointCodec.write(index, true, gateway.nodes()) + "\n");
         } else if (what.equals("GET /v1/counters")) {
             answer(request, 200, gateway.figures());
         } else if (request.path().equals("/v1/endpoints") && request.method() == HttpMethod.POST) {
@@ -59,10 +59,10 @@
     }
 
     private void apply(HttpServerRequest request, String text) {
-        NodePlan plan;
+        EndpointPlan plan;
         try {
-            plan = NodePlan.read(text);
-        } catch (BadSettings e) {
+            plan = EndpointPlan.read(text);
+        } catch (InvalidConfigurationException e) {
             answer(request, 400, e.getMessage() + "\n");
             return;
         }
--- a/mqtt/src/main/java/opalcove/plan/Planner.java
+++ b/mqtt/src/main/java/opalcove/plan/Planner.java
@@ -15,11 +15,11 @@
 import java.util.concurrent.CompletionException;
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.TimeoutException;
-import opalcove.gateway.AppNode;
-import opalcove.gateway.BadSettings;
-import opalcove.gateway.Endpoint;
-import opalcove.gateway.Fields;
-import opalcove.gateway.NodeLines;
+import opalcove.config.Backend;
+import opalcove.config.EndpointCodec;
+import opalcove.config.HostAndPort;
+import opalcove.config.InvalidConfigurationException;
+import opalcove.config.JsonFields;
 
 /** The operators' commands: makes a plan of what a settings file changes in a running gateway, and applies it. */
 public final class Planner {
@@ -35,26 +35,26 @@
     }
 
     /** Compares the running gateway with the wanted nodes, writes the plan's file and tells what it would do. */
-    public String plan(Endpoint control, List<AppNode> wanted, Path planFile) throws IOException {
-        Fields list = Fields.parse(call(control, HttpMethod.GET, ""));
-        List<AppNode> now = NodeLines.read(list.objects("endpoints"));
-        NodePlan plan = new NodePlan(control, list.serial("index"), NodePlan.between(now, wanted));
+    public String plan(HostAndPort control, List<Backend> wanted, Path planFile) throws IOException {
+        JsonFields list = JsonFields.parse(call(control, HttpMethod.GET, ""));
+        List<Backend> now = EndpointCodec.read(list.objects("endpoints"));
+        EndpointPlan plan = new EndpointPlan(control, list.serial("index"), EndpointPlan.between(now, wanted));
         Files.writeString(planFile, plan.write());
-        return NodePlan.describe(now, plan.changes());
+        return EndpointPlan.describe(now, plan.changes());
     }
 
     /** Sends a plan's file to the gateway of which it was made; one that is out of date is refused there. */
     public String apply(Path planFile) throws IOException {
-        NodePlan plan;
+        EndpointPlan plan;
         try {
-            plan = NodePlan.read(Files.readString(planFile));
-        } catch (BadSettings e) {
-            throw new BadSettings(planFile + ": " + e.getMessage());
+            plan = EndpointPlan.read(Files.readString(planFile));
+        } catch (InvalidConfigurationException e) {
+            throw new InvalidConfigurationException(planFile + ": " + e.getMessage());
         }
         return call(plan.control(), HttpMethod.POST, plan.write());
     }
 
-    private String call(Endpoint control, HttpMethod method, String body) {
+    private String call(HostAndPort control, HttpMethod method, String body) {
         CompletableFuture<String> answer = new CompletableFuture<>();
         // On the event loop, or the body may have come and gone before this thread asks for it.
         vertx.runOnContext(go -> client.request(new RequestOptions()
@@ -72,7 +72,8 @@
             String reason = e.getCause() instanceof TimeoutException
                     ? "no answer"
                     : e.getCause().getMessage();
-            throw new BadSettings("the gateway at " + control.address() + ":" + control.port() + ": " + reason);
+            throw new InvalidConfigurationException(
+                    "the gateway at " + control.address() + ":" + control.port() + ": " + reason);
         }
     }
 
--- a/mqtt/src/test/java/opalcove/ExchangeTest.java
+++ b/mqtt/src/test/java/opalcove/ExchangeTest.java
@@ -27,18 +27,20 @@
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 import java.util.stream.Stream;
-import opalcove.decision.Admission;
-import opalcove.gateway.AppNode;
-import opalcove.gateway.Clock;
-import opalcove.gateway.Endpoint;
-import opalcove.gateway.Gateway;
-import opalcove.gateway.LinkPool;
-import opalcove.gateway.Phases;
-import opalcove.mqtt.MqttDialler;
-import opalcove.mqtt.MqttFront;
-import opalcove.platform.DiscoveryWatch;
-import opalcove.platform.RespDialler;
-import opalcove.platform.RespFront;
+import opalcove.backend.ConnectionPool;
+import opalcove.config.Backend;
+import opalcove.config.Clock;
+import opalcove.config.HostAndPort;
+import opalcove.core.RequestDispatcher;
+import opalcove.decision.DecisionSettings;
+import opalcove.decision.Endpoint;
+import opalcove.decision.EndpointState;
+import opalcove.discovery.DiscoveryClient;
+import opalcove.lifecycle.Lifecycle;
+import opalcove.mqtt.MqttConnector;
+import opalcove.mqtt.MqttRequestServer;
+import opalcove.resp.RespConnector;
+import opalcove.resp.RespServer;
 import org.testng.annotations.AfterClass;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
@@ -88,7 +90,7 @@
     /** In none of the exchanges, ends and breaks among them, was a buffer let go of without a release. */
     @AfterClass
     public void nothingLeaked() {
-        assertEquals(Leaks.found(), 0);
+        assertEquals(LeakCounter.found(), 0);
     }
 
     /** A gateway with its front, and the stand-ins around it. */
@@ -98,7 +100,7 @@
 
         private final CompletableFuture<Integer> stallPort = new CompletableFuture<>();
         private final SynchronousQueue<Integer> stalls = new SynchronousQueue<>();
-        private final Phases phases = new Phases();
+        private final Lifecycle phases = new Lifecycle();
         private final Map<String, ServerSocket> nodes = new HashMap<>();
         private final Map<String, Socket> parties = new HashMap<>();
         private final Map<String, String> unread = new HashMap<>();
@@ -106,38 +108,38 @@
         private final CompletableFuture<Integer> port = new CompletableFuture<>();
         private final CompletableFuture<Integer> mqttPort = new CompletableFuture<>();
         private final CompletableFuture<Void> stopped = new CompletableFuture<>();
-        private final Endpoint discovery;
-        private Gateway gateway;
-        private RespFront front;
-        private MqttFront mqttFront;
+        private final HostAndPort discovery;
+        private RequestDispatcher gateway;
+        private RespServer front;
+        private MqttRequestServer mqttFront;
         private boolean listed;
 
         Stage() throws Exception {
-            discovery = new Endpoint("127.0.0.1", node("discovery").getLocalPort());
+            discovery = new HostAndPort("127.0.0.1", node("discovery").getLocalPort());
             onLoop(() -> {
-                Admission.Settings settings = Facts.settings();
-                LinkPool.Dialler resp = new RespDialler(vertx, settings);
-                LinkPool.Dialler mqtt = new MqttDialler(vertx, settings, "gateway");
+                DecisionSettings settings = TestSettings.settings();
+                ConnectionPool.Connector resp = new RespConnector(vertx, settings);
+                ConnectionPool.Connector mqtt = new MqttConnector(vertx, settings, "gateway");
                 Clock clock = new Clock();
-                gateway = new Gateway(
+                gateway = new RequestDispatcher(
                         vertx,
                         clock,
                         settings,
                         7,
-                        new LinkPool(
+                        new ConnectionPool(
                                 vertx,
                                 settings,
-                                address -> (address.startsWith(MqttDialler.SCHEME) ? mqtt : resp).dial(address),
+                                address -> (address.startsWith(MqttConnector.SCHEME) ? mqtt : resp).dial(address),
                                 50));
-                mqttFront = new MqttFront(vertx, gateway, phases, clock, 50);
-                mqttFront.listen(new Endpoint("127.0.0.1", 0)).onSuccess(mqttPort::complete);
-                front = new RespFront(vertx, gateway, phases, 4);
-                front.listen(new Endpoint("127.0.0.1", 0)).onSuccess(port::complete);
+                mqttFront = new MqttRequestServer(vertx, gateway, phases, clock, 50);
+                mqttFront.listen(new HostAndPort("127.0.0.1", 0)).onSuccess(mqttPort::complete);
+                front = new RespServer(vertx, gateway, phases, 4);
+                front.listen(new HostAndPort("127.0.0.1", 0)).onSuccess(port::complete);
                 vertx.createNetServer()
                         .connectHandler(socket -> socket.handler(read -> stalled()))
                         .listen(0, "127.0.0.1")
                         .onSuccess(server -> stallPort.complete(server.actualPort()));
-                phases.enter(Phases.Phase.SERVING);
+                phases.enter(Lifecycle.Phase.SERVING);
             });
         }
 
@@ -160,16 +162,18 @@
                 case "list" -> list(line.split(" "));
                 case "node" -> node(words[1]).close();
                 case "discovery" ->
-                    onLoop(() -> new DiscoveryWatch(
+                    onLoop(() -> new DiscoveryClient(
                                     vertx,
                                     discovery,
-                                    words.length == 1 ? Facts.settings() : Facts.settingsOfAListThatIsAskedFor(),
+                                    words.length == 1
+                                            ? TestSettings.settings()
+                                            : TestSettings.settingsOfAListThatIsAskedFor(),
                                     new SplittableRandom(1),
                                     gateway::nodesTold)
                             .start());
                 case "phase" ->
                     onLoop(() -> {
-                        phases.enter(Phases.Phase.valueOf(words[1]));
+                        phases.enter(Lifecycle.Phase.valueOf(words[1]));
                         front.drain(() -> mqttFront.drain(() -> stopped.complete(null)));
                     });
                 case "stall" -> stall(Integer.parseInt(words[1]));
@@ -204,19 +208,18 @@
             return nodes.get(name);
         }
 
+        /** The state by its word in the recorded exchanges. */
+        private static EndpointState state(String word) {
+            return word.equals("gone") ? EndpointState.REMOVED : EndpointState.valueOf(word.toUpperCase(Locale.ROOT));
+        }
+
         /** The first list is the whole one, whose nodes are warm; later ones tell changes. */
         private void list(String[] words) throws Exception {
-            List<AppNode> lines = new ArrayList<>();
+            List<Backend> lines = new ArrayList<>();
             for (int i = 1; i < words.length; i += 3) {
-                lines.add(new AppNode(
-                        new Admission.Host(
-                                words[i],
-                                "room-a",
-                                "std-3",
-                                Integer.parseInt(words[i + 2]),
-                                Admission.State.valueOf(words[i + 1].toUpperCase(Locale.ROOT)),
-                                1,
-                                0),
+                lines.add(new Backend(
+                        new Endpoint(
+                                words[i], "room-a", "std-3", Integer.parseInt(words[i + 2]), state(words[i + 1]), 1, 0),
                         (words[i].startsWith("m") ? "mqtt://" : "") + "127.0.0.1:"
                                 + node(words[i]).getLocalPort()));
             }
--- a/mqtt/src/test/java/opalcove/MqttNodesTest.java
+++ b/mqtt/src/test/java/opalcove/MqttBackendsTest.java
@@ -20,21 +20,23 @@
 import java.util.Set;
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.TimeUnit;
-import opalcove.decision.Admission;
-import opalcove.gateway.AppNode;
-import opalcove.gateway.Clock;
-import opalcove.gateway.Endpoint;
-import opalcove.gateway.Gateway;
-import opalcove.gateway.LinkPool;
-import opalcove.gateway.Phases;
-import opalcove.mqtt.MqttDialler;
-import opalcove.mqtt.MqttFront;
+import opalcove.backend.ConnectionPool;
+import opalcove.config.Backend;
+import opalcove.config.Clock;
+import opalcove.config.HostAndPort;
+import opalcove.core.RequestDispatcher;
+import opalcove.decision.DecisionSettings;
+import opalcove.decision.Endpoint;
+import opalcove.decision.EndpointState;
+import opalcove.lifecycle.Lifecycle;
+import opalcove.mqtt.MqttConnector;
+import opalcove.mqtt.MqttRequestServer;
 import org.testng.annotations.AfterMethod;
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
 /** A terminal asks on while its MQTT nodes die, drain and start cold; answers and attempts are counted by ask. */
-public class MqttNodesTest {
+public class MqttBackendsTest {
     private static final long PATIENCE_MS = 20_000;
     private static final int ASKS = 120;
 
@@ -46,7 +48,7 @@
 
     private final Map<String, Integer> out = new HashMap<>();
     private final Set<String> twoOut = new HashSet<>();
-    private Gateway gateway;
+    private RequestDispatcher gateway;
     private int port;
 
     /** A stand-in MQTT server that takes some time for each ask. */
@@ -145,12 +147,12 @@
         return done.get(PATIENCE_MS, TimeUnit.MILLISECONDS);
     }
 
-    private void tell(boolean whole, Admission.State state, double startedMs, String... names) throws Exception {
+    private void tell(boolean whole, EndpointState state, double startedMs, String... names) throws Exception {
         onLoop(() -> {
-            List<AppNode> lines = new ArrayList<>();
+            List<Backend> lines = new ArrayList<>();
             for (String name : names) {
-                lines.add(new AppNode(
-                        new Admission.Host(name, "room-a", "std-3", 1, state, 1, startedMs),
+                lines.add(new Backend(
+                        new Endpoint(name, "room-a", "std-3", 1, state, 1, startedMs),
                         "mqtt://127.0.0.1:" + nodes.get(name).at));
             }
             gateway.nodesTold(whole, lines);
@@ -165,21 +167,21 @@
             nodes.put(name, node);
             onLoop(node::start).get(PATIENCE_MS, TimeUnit.MILLISECONDS);
         }
-        Admission.Settings settings = Facts.settings(200);
+        DecisionSettings settings = TestSettings.settings(200);
         port = onLoop(() -> {
-                    gateway = new Gateway(
+                    gateway = new RequestDispatcher(
                             vertx,
                             clock,
                             settings,
                             7,
-                            new LinkPool(vertx, settings, new MqttDialler(vertx, settings, "gateway"), 100));
-                    return new MqttFront(vertx, gateway, new Phases(), clock, 10)
-                            .listen(new Endpoint("127.0.0.1", 0))
+                            new ConnectionPool(vertx, settings, new MqttConnector(vertx, settings, "gateway"), 100));
+                    return new MqttRequestServer(vertx, gateway, new Lifecycle(), clock, 10)
+                            .listen(new HostAndPort("127.0.0.1", 0))
                             .toCompletionStage()
                             .toCompletableFuture();
                 })
                 .get(PATIENCE_MS, TimeUnit.MILLISECONDS);
-        tell(true, Admission.State.UP, 0, "m1", "m2", "m3");
+        tell(true, EndpointState.UP, 0, "m1", "m2", "m3");
     }
 
     @AfterMethod
@@ -201,14 +203,14 @@
             for (int i = 0; i < ASKS; i++) {
                 if (i == ASKS / 4) {
                     onLoop(nodes.get("m1")::kill).get(PATIENCE_MS, TimeUnit.MILLISECONDS);
-                    tell(false, Admission.State.GONE, 0, "m1");
+                    tell(false, EndpointState.REMOVED, 0, "m1");
                 }
                 if (i == ASKS / 2) {
-                    tell(false, Admission.State.DRAINING, 0, "m2");
+                    tell(false, EndpointState.DRAINING, 0, "m2");
                     onLoop(nodes.get("m1")::start).get(PATIENCE_MS, TimeUnit.MILLISECONDS);
                     coldAt = onLoop(() -> nodes.get("m1").received);
                     warmBefore = onLoop(() -> nodes.get("m3").received);
-                    tell(false, Admission.State.UP, clock.now(), "m1");
+                    tell(false, EndpointState.UP, clock.now(), "m1");
                 }
                 String record = i % 2 == 0 ? "swap-record" : "slot-status";
                 send(
--- a/mqtt/src/test/java/opalcove/MqttBytesTest.java
+++ b/mqtt/src/test/java/opalcove/MqttBytesTest.java
@@ -13,15 +13,17 @@
 import java.util.List;
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.TimeUnit;
-import opalcove.decision.Admission;
-import opalcove.gateway.AppNode;
-import opalcove.gateway.Clock;
-import opalcove.gateway.Endpoint;
-import opalcove.gateway.Gateway;
-import opalcove.gateway.LinkPool;
-import opalcove.gateway.Phases;
-import opalcove.mqtt.MqttDialler;
-import opalcove.mqtt.MqttFront;
+import opalcove.backend.ConnectionPool;
+import opalcove.config.Backend;
+import opalcove.config.Clock;
+import opalcove.config.HostAndPort;
+import opalcove.core.RequestDispatcher;
+import opalcove.decision.DecisionSettings;
+import opalcove.decision.Endpoint;
+import opalcove.decision.EndpointState;
+import opalcove.lifecycle.Lifecycle;
+import opalcove.mqtt.MqttConnector;
+import opalcove.mqtt.MqttRequestServer;
 import org.testng.annotations.AfterMethod;
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
@@ -31,37 +33,37 @@
     private static final int PATIENCE_MS = 10_000;
 
     private MqttText packets;
-    private Phases phases;
+    private Lifecycle phases;
     private Vertx vertx;
-    private Gateway gateway;
-    private MqttFront front;
+    private RequestDispatcher gateway;
+    private MqttRequestServer front;
     private ServerSocket node;
     private Socket terminal;
 
     @BeforeMethod
     public void start() throws Exception {
         packets = new MqttText();
-        phases = new Phases();
+        phases = new Lifecycle();
         vertx = Vertx.vertx();
         node = new ServerSocket(0, 5, InetAddress.getLoopbackAddress());
         node.setSoTimeout(PATIENCE_MS);
         CompletableFuture<Integer> port = new CompletableFuture<>();
         vertx.runOnContext(go -> {
-            Admission.Settings settings = Facts.settings();
+            DecisionSettings settings = TestSettings.settings();
             Clock clock = new Clock();
-            gateway = new Gateway(
+            gateway = new RequestDispatcher(
                     vertx,
                     clock,
                     settings,
                     7,
-                    new LinkPool(vertx, settings, new MqttDialler(vertx, settings, "gateway"), 5));
+                    new ConnectionPool(vertx, settings, new MqttConnector(vertx, settings, "gateway"), 5));
             gateway.nodesTold(
                     true,
-                    List.of(new AppNode(
-                            new Admission.Host("m1", "room-a", "std-3", 1, Admission.State.UP, 1, 0),
+                    List.of(new Backend(
+                            new Endpoint("m1", "room-a", "std-3", 1, EndpointState.UP, 1, 0),
                             "mqtt://127.0.0.1:" + node.getLocalPort())));
-            front = new MqttFront(vertx, gateway, phases, clock, 1);
-            front.listen(new Endpoint("127.0.0.1", 0)).onSuccess(port::complete);
+            front = new MqttRequestServer(vertx, gateway, phases, clock, 1);
+            front.listen(new HostAndPort("127.0.0.1", 0)).onSuccess(port::complete);
         });
         terminal = connect(port.get(PATIENCE_MS, TimeUnit.MILLISECONDS));
     }
@@ -151,8 +153,8 @@
         }
         CompletableFuture<Void> drained = new CompletableFuture<>();
         vertx.runOnContext(go -> {
-            phases.enter(Phases.Phase.SERVING);
-            phases.enter(Phases.Phase.DRAINING);
+            phases.enter(Lifecycle.Phase.SERVING);
+            phases.enter(Lifecycle.Phase.DRAINING);
             front.drain(() -> drained.complete(null));
         });
         assertEquals(read(terminal), "e002 8b00");
--- a/mqtt/src/test/java/opalcove/mqtt/MessageFormTest.java
+++ b/mqtt/src/test/java/opalcove/mqtt/MessageFormTest.java
@@ -15,16 +15,16 @@
 import java.util.Arrays;
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.TimeUnit;
-import opalcove.Facts;
-import opalcove.decision.Admission;
-import opalcove.gateway.Answer;
-import opalcove.gateway.Ask;
-import opalcove.gateway.AskRules;
-import opalcove.gateway.Clock;
-import opalcove.gateway.Gateway;
-import opalcove.gateway.LinkPool;
-import opalcove.gateway.Marks;
-import opalcove.gateway.NodeEnd;
+import opalcove.TestSettings;
+import opalcove.backend.ConnectionPool;
+import opalcove.config.Clock;
+import opalcove.core.AttemptResult;
+import opalcove.core.InvalidRequestException;
+import opalcove.core.Request;
+import opalcove.core.RequestDispatcher;
+import opalcove.core.RequestValidator;
+import opalcove.core.Response;
+import opalcove.decision.AttemptStatus;
 import org.testng.annotations.AfterClass;
 import org.testng.annotations.BeforeClass;
 import org.testng.annotations.DataProvider;
@@ -33,18 +33,19 @@
 /** Properties and payloads of asks and answers, and the reasons for which an ask fails, as literal text. */
 public class MessageFormTest {
     private Vertx vertx;
-    private AskRules rules;
+    private RequestValidator rules;
 
     @BeforeClass
     public void start() throws Exception {
         vertx = Vertx.vertx();
-        CompletableFuture<AskRules> ready = new CompletableFuture<>();
-        vertx.runOnContext(go -> ready.complete(new Gateway(
+        CompletableFuture<RequestValidator> ready = new CompletableFuture<>();
+        vertx.runOnContext(go -> ready.complete(new RequestDispatcher(
                         vertx,
                         new Clock(),
-                        Facts.settings(),
+                        TestSettings.settings(),
                         7,
-                        new LinkPool(vertx, Facts.settings(), address -> Future.failedFuture("no node here"), 1))
+                        new ConnectionPool(
+                                vertx, TestSettings.settings(), address -> Future.failedFuture("no node here"), 1))
                 .rules()));
         rules = ready.get(20, TimeUnit.SECONDS);
     }
@@ -90,8 +91,8 @@
         return text.toString().strip();
     }
 
-    private Ask ask(String requestClass, String properties, String body) throws Marks.Unfit {
-        return AskMessage.read(
+    private Request ask(String requestClass, String properties, String body) throws InvalidRequestException {
+        return RequestMessage.read(
                 rules, "0123456789abcdef", "opalcove/ask/" + requestClass, user(properties), Buffer.buffer(body));
     }
 
@@ -100,11 +101,11 @@
     @Test
     public void anAskAsItIsForwarded() throws Exception {
         assertEquals(
-                text(AskMessage.properties(ask("swap-record", MARKS + " key=5c0f retry=1", "x"), 3001, "back")),
+                text(RequestMessage.properties(ask("swap-record", MARKS + " key=5c0f retry=1", "x"), 3001, "back")),
                 "8=back 9=0123456789abcdef 2=4 operator=00000000b4d65521 plan=start units=2 entry-points=1 first-entry=0"
                         + " key=5c0f retry=1");
         assertEquals(
-                text(AskMessage.properties(ask("slot-status", MARKS, ""), 0, "back")),
+                text(RequestMessage.properties(ask("slot-status", MARKS, ""), 0, "back")),
                 "8=back 9=0123456789abcdef 2=1 operator=00000000b4d65521 plan=start units=2 entry-points=1 first-entry=0");
     }
 
@@ -147,28 +148,29 @@
     @Test(dataProvider = "unfit")
     public void anUnfitAskFailsWithItsReason(String requestClass, String properties, String body, String reason) {
         assertEquals(
-                expectThrows(Marks.Unfit.class, () -> ask(requestClass, properties, body))
+                expectThrows(InvalidRequestException.class, () -> ask(requestClass, properties, body))
                         .getMessage(),
                 reason);
     }
 
     @Test
     public void theIdOfAnAskComesFromClientAndCorrelation() {
-        assertEquals(AskMessage.id("rack-7", "c1".getBytes(StandardCharsets.US_ASCII)), "cf868f049e4a937e");
+        assertEquals(RequestMessage.id("rack-7", "c1".getBytes(StandardCharsets.US_ASCII)), "cf868f049e4a937e");
     }
 
     @Test
     public void answersAsTheyAreGiven() {
         byte[] correlation = "c1".getBytes(StandardCharsets.US_ASCII);
         ByteBuf value = Unpooled.copiedBuffer("done", StandardCharsets.US_ASCII);
-        AnswerMessage served = AnswerMessage.of(new Answer.Served(value), correlation);
+        ResponseMessage served = ResponseMessage.of(new Response.Served(value), correlation);
         assertEquals(text(served.properties()), "9=c1 status=served");
         assertEquals(served.payload().toString(), "done");
-        AnswerMessage refused = AnswerMessage.of(new Answer.Refused(250), correlation);
+        ResponseMessage refused = ResponseMessage.of(new Response.Refused(250), correlation);
         assertEquals(text(refused.properties()), "9=c1 status=refused retry-after-ms=250");
         assertEquals(refused.payload().length(), 0);
-        assertEquals(text(AnswerMessage.of(new Answer.Refused(0), correlation).properties()), "9=c1 status=refused");
-        AnswerMessage failed = AnswerMessage.of(new Answer.Failed("late"), correlation);
+        assertEquals(
+                text(ResponseMessage.of(new Response.Refused(0), correlation).properties()), "9=c1 status=refused");
+        ResponseMessage failed = ResponseMessage.of(new Response.Failed("late"), correlation);
         assertEquals(text(failed.properties()), "9=c1 status=failed reason=late");
         assertEquals(failed.payload().length(), 0);
     }
@@ -176,23 +178,23 @@
     @DataProvider
     public Object[][] ends() {
         return new Object[][] {
-            {"status=served used=37 cost=4 svc_ms=14.5", Admission.Result.SERVED, "37 4.0 [14.5]"},
-            {"status=served", Admission.Result.SERVED, "-1 0.0 null"},
-            {"status=refused used=3", Admission.Result.TURNED_AWAY, "3 0.0 null"},
-            {"status=failed cost=1.5", Admission.Result.ERROR, "-1 1.5 null"},
-            {"status=odd", Admission.Result.ERROR, "-1 0.0 null"},
-            {"", Admission.Result.ERROR, "-1 0.0 null"},
-            {"status=served used=x cost=y svc_ms=z", Admission.Result.SERVED, "-1 0.0 [0.0]"},
-            {"status=served queue=3", Admission.Result.SERVED, "-1 0.0 null"},
+            {"status=served used=37 cost=4 svc_ms=14.5", AttemptStatus.SERVED, "37 4.0 [14.5]"},
+            {"status=served", AttemptStatus.SERVED, "-1 0.0 null"},
+            {"status=refused used=3", AttemptStatus.REJECTED, "3 0.0 null"},
+            {"status=failed cost=1.5", AttemptStatus.ERROR, "-1 1.5 null"},
+            {"status=odd", AttemptStatus.ERROR, "-1 0.0 null"},
+            {"", AttemptStatus.ERROR, "-1 0.0 null"},
+            {"status=served used=x cost=y svc_ms=z", AttemptStatus.SERVED, "-1 0.0 [0.0]"},
+            {"status=served queue=3", AttemptStatus.SERVED, "-1 0.0 null"},
         };
     }
 
     @Test(dataProvider = "ends")
-    public void whatANodesAnswerMeans(String properties, Admission.Result result, String facts) {
-        NodeEnd end = AnswerMessage.read(
-                user(properties), Unpooled.EMPTY_BUFFER, Facts.settings().gauges());
+    public void whatANodesAnswerMeans(String properties, AttemptStatus result, String facts) {
+        AttemptResult end = ResponseMessage.read(
+                user(properties), Unpooled.EMPTY_BUFFER, TestSettings.settings().gauges());
         assertEquals(end.result(), result);
         assertEquals(end.usedPercent() + " " + end.trueUnits() + " " + Arrays.toString(end.load()), facts);
-        assertEquals(end.value() != null, result == Admission.Result.SERVED);
+        assertEquals(end.value() != null, result == AttemptStatus.SERVED);
     }
 }
--- a/mqtt/src/test/java/opalcove/mqtt/MqttSettingsTest.java
+++ b/mqtt/src/test/java/opalcove/mqtt/MqttConfigTest.java
@@ -6,18 +6,18 @@
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
-import opalcove.gateway.BadSettings;
-import opalcove.gateway.Endpoint;
+import opalcove.config.HostAndPort;
+import opalcove.config.InvalidConfigurationException;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-public class MqttSettingsTest {
+public class MqttConfigTest {
     private static final Path GOOD = Path.of("deploy/mqtt.json");
 
     @Test
     public void theFileUnderDeployIsGood() {
-        MqttSettings settings = MqttSettings.read(GOOD);
-        assertEquals(settings.listen(), new Endpoint("127.0.0.1", 1883));
+        MqttConfig settings = MqttConfig.read(GOOD);
+        assertEquals(settings.listen(), new HostAndPort("127.0.0.1", 1883));
         assertEquals(settings.nodes().size(), 2);
         assertEquals(settings.settings().classes().size(), 3);
     }
@@ -63,7 +63,7 @@
         Path file = Files.createTempFile("mqtt", ".json");
         try {
             Files.writeString(file, Files.readString(GOOD).replace(good, wrong));
-            String message = expectThrows(BadSettings.class, () -> MqttSettings.read(file))
+            String message = expectThrows(InvalidConfigurationException.class, () -> MqttConfig.read(file))
                     .getMessage();
             return message.replace(file + ": ", "");
         } finally {
--- a/mqtt/src/test/java/opalcove/mqtt/MqttSettingsFormTest.java
+++ b/mqtt/src/test/java/opalcove/mqtt/MqttSettingsFormTest.java
@@ -7,12 +7,12 @@
 
 import java.nio.file.Files;
 import java.nio.file.Path;
-import opalcove.gateway.BadSettings;
-import opalcove.gateway.Endpoint;
+import opalcove.config.HostAndPort;
+import opalcove.config.InvalidConfigurationException;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** Keys of the MQTT front's settings file that {@link MqttSettingsTest} leaves out, and their defaults. */
+/** Keys of the MQTT front's settings file that {@link MqttConfigTest} leaves out, and their defaults. */
 public class MqttSettingsFormTest {
     private static final Path GOOD = Path.of("deploy/mqtt.json");
 
@@ -43,7 +43,7 @@
         try {
             Files.writeString(file, text.replace(good, wrong));
             assertEquals(
-                    expectThrows(BadSettings.class, () -> MqttSettings.read(file))
+                    expectThrows(InvalidConfigurationException.class, () -> MqttConfig.read(file))
                             .getMessage()
                             .replace(file + ": ", ""),
                     problem);
@@ -62,9 +62,9 @@
                             .replace("\"name\": \"opalcove-mqtt\", ", "")
                             .replace("\"control\": \"127.0.0.1:1890\", ", "")
                             .replace("\"max_terminals\": 200, \"max_node_links\": 200,", ""));
-            MqttSettings settings = MqttSettings.read(file);
+            MqttConfig settings = MqttConfig.read(file);
             assertEquals(settings.name(), "opalcove");
-            assertEquals(settings.listen(), new Endpoint("127.0.0.1", 1883));
+            assertEquals(settings.listen(), new HostAndPort("127.0.0.1", 1883));
             assertNull(settings.control());
             assertEquals(settings.mostTerminals(), 200);
             assertEquals(settings.mostLinks(), 200);
--- a/mqtt/src/test/java/opalcove/plan/PlanFormTest.java
+++ b/mqtt/src/test/java/opalcove/plan/PlanFormTest.java
@@ -16,14 +16,15 @@
 import java.util.List;
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.TimeUnit;
-import opalcove.Facts;
-import opalcove.decision.Admission;
-import opalcove.gateway.AppNode;
-import opalcove.gateway.BadSettings;
-import opalcove.gateway.Clock;
-import opalcove.gateway.Endpoint;
-import opalcove.gateway.Gateway;
-import opalcove.gateway.LinkPool;
+import opalcove.TestSettings;
+import opalcove.backend.ConnectionPool;
+import opalcove.config.Backend;
+import opalcove.config.Clock;
+import opalcove.config.HostAndPort;
+import opalcove.config.InvalidConfigurationException;
+import opalcove.core.RequestDispatcher;
+import opalcove.decision.Endpoint;
+import opalcove.decision.EndpointState;
 import org.testng.annotations.AfterMethod;
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.DataProvider;
@@ -32,19 +33,19 @@
 /** Plan files, their descriptions and the replies of the HTTP service that takes them, as literal text. */
 public class PlanFormTest {
     private Vertx vertx;
-    private Gateway gateway;
-    private Endpoint control;
+    private RequestDispatcher gateway;
+    private HostAndPort control;
     private Path file;
 
-    private static AppNode node(String name, Admission.State state, String zone, String kind, int pod, double weight) {
-        return new AppNode(new Admission.Host(name, zone, kind, pod, state, weight, 1234), "mqtt://127.0.0.1:1" + pod);
+    private static Backend node(String name, EndpointState state, String zone, String kind, int pod, double weight) {
+        return new Backend(new Endpoint(name, zone, kind, pod, state, weight, 1234), "mqtt://127.0.0.1:1" + pod);
     }
 
-    private static List<AppNode> running() {
+    private static List<Backend> running() {
         return List.of(
-                node("app-1", Admission.State.UP, "room-a", "std-3", 1, 1),
-                node("app-2", Admission.State.UP, "room-a", "std-3", 2, 1),
-                node("app-3", Admission.State.DRAINING, "room-a", "std-3", 3, 1));
+                node("app-1", EndpointState.UP, "room-a", "std-3", 1, 1),
+                node("app-2", EndpointState.UP, "room-a", "std-3", 2, 1),
+                node("app-3", EndpointState.DRAINING, "room-a", "std-3", 3, 1));
     }
 
     @BeforeMethod
@@ -53,12 +54,15 @@
         file = Files.createTempFile("plan", ".json");
         CompletableFuture<Integer> port = new CompletableFuture<>();
         vertx.runOnContext(go -> {
-            LinkPool links = new LinkPool(vertx, Facts.settings(), address -> Future.failedFuture("no node here"), 5);
-            gateway = new Gateway(vertx, new Clock(), Facts.settings(), 7, links);
+            ConnectionPool links = new ConnectionPool(
+                    vertx, TestSettings.settings(), address -> Future.failedFuture("no node here"), 5);
+            gateway = new RequestDispatcher(vertx, new Clock(), TestSettings.settings(), 7, links);
             gateway.nodesTold(true, running());
-            new ControlDesk(vertx, gateway).listen(new Endpoint("127.0.0.1", 0)).onSuccess(port::complete);
+            new PlanControlService(vertx, gateway)
+                    .listen(new HostAndPort("127.0.0.1", 0))
+                    .onSuccess(port::complete);
         });
-        control = new Endpoint("127.0.0.1", port.get(20, TimeUnit.SECONDS));
+        control = new HostAndPort("127.0.0.1", port.get(20, TimeUnit.SECONDS));
     }
 
     @AfterMethod
@@ -163,7 +167,7 @@
         assertReply("POST", "/v1/endpoints", plan, 400, problem + "\n");
         Files.writeString(file, plan);
         assertEquals(
-                expectThrows(BadSettings.class, () -> new Planner(vertx).apply(file))
+                expectThrows(InvalidConfigurationException.class, () -> new Planner(vertx).apply(file))
                         .getMessage(),
                 file + ": " + problem);
     }
@@ -246,11 +250,11 @@
 
     @Test
     public void aPlanFileAndItsDescription() throws Exception {
-        List<AppNode> wanted = List.of(
-                node("app-1", Admission.State.UP, "room-b", "std-4", 5, 2.5),
-                node("app-4", Admission.State.UP, "room-a", "std-3", 4, 1),
-                node("app-5", Admission.State.DRAINING, "room-a", "std-3", 5, 1),
-                node("app-6", Admission.State.GONE, "room-a", "std-3", 6, 1));
+        List<Backend> wanted = List.of(
+                node("app-1", EndpointState.UP, "room-b", "std-4", 5, 2.5),
+                node("app-4", EndpointState.UP, "room-a", "std-3", 4, 1),
+                node("app-5", EndpointState.DRAINING, "room-a", "std-3", 5, 1),
+                node("app-6", EndpointState.REMOVED, "room-a", "std-3", 6, 1));
         assertEquals(
                 new Planner(vertx).plan(control, wanted, file),
                 """
@@ -265,7 +269,7 @@
         assertEquals(Files.readString(file), PLAN_FILE.formatted(control.port()));
         assertEquals(new Planner(vertx).apply(file), "index 2\n");
         assertEquals(
-                expectThrows(BadSettings.class, () -> new Planner(vertx).apply(file))
+                expectThrows(InvalidConfigurationException.class, () -> new Planner(vertx).apply(file))
                         .getMessage(),
                 "the gateway at 127.0.0.1:" + control.port() + ": the plan is of index 1, the node list has 2");
         assertEquals(new Planner(vertx).plan(control, wanted.subList(0, 3), file), "no changes\n");
--- a/mqtt/src/test/java/opalcove/plan/PlanTest.java
+++ b/mqtt/src/test/java/opalcove/plan/PlanTest.java
@@ -11,15 +11,16 @@
 import java.util.List;
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.TimeUnit;
-import opalcove.Facts;
-import opalcove.decision.Admission;
-import opalcove.gateway.AppNode;
-import opalcove.gateway.Ask;
-import opalcove.gateway.BadSettings;
-import opalcove.gateway.Clock;
-import opalcove.gateway.Endpoint;
-import opalcove.gateway.Gateway;
-import opalcove.gateway.LinkPool;
+import opalcove.TestSettings;
+import opalcove.backend.ConnectionPool;
+import opalcove.config.Backend;
+import opalcove.config.Clock;
+import opalcove.config.HostAndPort;
+import opalcove.config.InvalidConfigurationException;
+import opalcove.core.Request;
+import opalcove.core.RequestDispatcher;
+import opalcove.decision.Endpoint;
+import opalcove.decision.EndpointState;
 import org.testng.annotations.AfterMethod;
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
@@ -28,13 +29,13 @@
 public class PlanTest {
     private final CompletableFuture<String> dialled = new CompletableFuture<>();
     private Vertx vertx;
-    private Gateway gateway;
-    private Endpoint control;
+    private RequestDispatcher gateway;
+    private HostAndPort control;
     private Path file;
     private Planner planner;
 
-    private static AppNode node(String name, Admission.State state, int pod) {
-        return new AppNode(new Admission.Host(name, "room-a", "std-3", pod, state, 1, 0), "mqtt://127.0.0.1:1" + pod);
+    private static Backend node(String name, EndpointState state, int pod) {
+        return new Backend(new Endpoint(name, "room-a", "std-3", pod, state, 1, 0), "mqtt://127.0.0.1:1" + pod);
     }
 
     @BeforeMethod
@@ -44,24 +45,26 @@
         file = Files.createTempFile("plan", ".json");
         CompletableFuture<Integer> port = new CompletableFuture<>();
         vertx.runOnContext(go -> {
-            LinkPool links = new LinkPool(
+            ConnectionPool links = new ConnectionPool(
                     vertx,
-                    Facts.settings(),
+                    TestSettings.settings(),
                     address -> {
                         dialled.complete(address);
                         return Future.failedFuture("no node here");
                     },
                     5);
-            gateway = new Gateway(vertx, new Clock(), Facts.settings(), 7, links);
+            gateway = new RequestDispatcher(vertx, new Clock(), TestSettings.settings(), 7, links);
             gateway.nodesTold(
                     true,
                     List.of(
-                            node("app-1", Admission.State.UP, 1),
-                            node("app-2", Admission.State.UP, 2),
-                            node("app-3", Admission.State.DRAINING, 3)));
-            new ControlDesk(vertx, gateway).listen(new Endpoint("127.0.0.1", 0)).onSuccess(port::complete);
+                            node("app-1", EndpointState.UP, 1),
+                            node("app-2", EndpointState.UP, 2),
+                            node("app-3", EndpointState.DRAINING, 3)));
+            new PlanControlService(vertx, gateway)
+                    .listen(new HostAndPort("127.0.0.1", 0))
+                    .onSuccess(port::complete);
         });
-        control = new Endpoint("127.0.0.1", port.get(20, TimeUnit.SECONDS));
+        control = new HostAndPort("127.0.0.1", port.get(20, TimeUnit.SECONDS));
     }
 
     @AfterMethod
@@ -72,10 +75,10 @@
 
     @Test
     public void aPlanTellsWhatItDoesAndIsAppliedOnce() throws Exception {
-        List<AppNode> wanted = List.of(
-                node("app-1", Admission.State.DRAINING, 1),
-                node("app-3", Admission.State.UP, 3),
-                node("app-4", Admission.State.DRAINING, 4));
+        List<Backend> wanted = List.of(
+                node("app-1", EndpointState.DRAINING, 1),
+                node("app-3", EndpointState.UP, 3),
+                node("app-4", EndpointState.DRAINING, 4));
         List<String> lines = planner.plan(control, wanted, file).lines().toList();
         assertEquals(lines.size(), 4);
         assertEquals(lines.get(0), "~ app-1: status from \"up\" to \"draining\"");
@@ -88,7 +91,7 @@
         assertEquals(planner.plan(control, wanted, file), "no changes\n");
         // The core goes by the new list at once: of the three, only app-3 takes new work.
         vertx.runOnContext(go -> gateway.serve(
-                new Ask(
+                new Request(
                         "00000000000000a1",
                         "0000000000000001",
                         "slot-status",
@@ -104,14 +107,14 @@
         assertEquals(dialled.get(20, TimeUnit.SECONDS), "mqtt://127.0.0.1:13");
 
         Files.writeString(file, first);
-        assertTrue(expectThrows(BadSettings.class, () -> planner.apply(file))
+        assertTrue(expectThrows(InvalidConfigurationException.class, () -> planner.apply(file))
                 .getMessage()
                 .endsWith("the plan is of index 1, the node list has 2"));
     }
 
     @Test
     public void aWrongPlanChangesNothing() throws Exception {
-        planner.plan(control, List.of(node("app-1", Admission.State.UP, 1)), file);
+        planner.plan(control, List.of(node("app-1", EndpointState.UP, 1)), file);
         String good = Files.readString(file);
         for (String[] wrong : new String[][] {
             {"\"removed\"", "\"away\"", "status has an unknown value away"},
@@ -119,20 +122,22 @@
             {"\"index\"", "\"indices\"", "field index is missing"}
         }) {
             Files.writeString(file, good.replace(wrong[0], wrong[1]));
-            String message =
-                    expectThrows(BadSettings.class, () -> planner.apply(file)).getMessage();
+            String message = expectThrows(InvalidConfigurationException.class, () -> planner.apply(file))
+                    .getMessage();
             assertTrue(message.startsWith(file + ": ") && message.contains(wrong[2]), message);
         }
         assertEquals(
                 planner.plan(
                         control,
                         List.of(
-                                node("app-1", Admission.State.UP, 1),
-                                node("app-2", Admission.State.UP, 2),
-                                node("app-3", Admission.State.DRAINING, 3)),
+                                node("app-1", EndpointState.UP, 1),
+                                node("app-2", EndpointState.UP, 2),
+                                node("app-3", EndpointState.DRAINING, 3)),
                         file),
                 "no changes\n");
-        assertTrue(expectThrows(BadSettings.class, () -> planner.plan(new Endpoint("127.0.0.1", 1), List.of(), file))
+        assertTrue(expectThrows(
+                        InvalidConfigurationException.class,
+                        () -> planner.plan(new HostAndPort("127.0.0.1", 1), List.of(), file))
                 .getMessage()
                 .startsWith("the gateway at 127.0.0.1:1: "));
     }
--- a/versions/src/main/java/opalcove/versions/StateFile.java
+++ b/replication/src/main/java/opalcove/replication/AtomicFile.java
@@ -1,4 +1,4 @@
-package opalcove.versions;
+package opalcove.replication;
 
 import java.io.IOException;
 import java.nio.ByteBuffer;
@@ -6,7 +6,7 @@
 import java.nio.file.Path;
 import java.util.Arrays;
 import java.util.zip.CRC32C;
-import opalcove.gateway.BadSettings;
+import opalcove.config.InvalidConfigurationException;
 import org.tinylog.Logger;
 
 /**
@@ -17,18 +17,18 @@
  * <p>A write that has failed in any step has not been done: its caller must not count on it. What was written by then is
  * deleted and not synced once more, for after a failed sync the system may take what it could not write for written.
  */
-final class StateFile {
+final class AtomicFile {
     private static final byte[] MARK = {'o', 'p', 'l', 'v'};
     private static final int FORM = 1;
     private static final int HEAD = MARK.length + 3 * Integer.BYTES;
 
-    private StateFile() {}
+    private AtomicFile() {}
 
     static void write(Path file, byte[] content) throws IOException {
-        write(Disk.REAL, file, content);
+        write(FileOperations.REAL, file, content);
     }
 
-    static void write(Disk disk, Path file, byte[] content) throws IOException {
+    static void write(FileOperations disk, Path file, byte[] content) throws IOException {
         ByteBuffer bytes = ByteBuffer.allocate(HEAD + content.length)
                 .put(MARK)
                 .putInt(FORM)
@@ -51,7 +51,7 @@
     }
 
     /** Keeps the content before under its own name, where it is whole. */
-    private static void keepBefore(Disk disk, Path file) throws IOException {
+    private static void keepBefore(FileOperations disk, Path file) throws IOException {
         if (Files.exists(file) && isWhole(file)) {
             Path before = beside(file, ".before");
             disk.delete(before);
@@ -59,7 +59,7 @@
         }
     }
 
-    private static void deleteAfter(IOException failure, Disk disk, Path part) {
+    private static void deleteAfter(IOException failure, FileOperations disk, Path part) {
         try {
             disk.delete(part);
         } catch (IOException e) {
@@ -71,7 +71,7 @@
         try {
             readOne(file);
             return true;
-        } catch (BadSettings torn) {
+        } catch (InvalidConfigurationException torn) {
             return false;
         }
     }
@@ -102,7 +102,7 @@
         }
         try {
             return readOne(file);
-        } catch (BadSettings refused) {
+        } catch (InvalidConfigurationException refused) {
             if (!Files.exists(before)) {
                 throw refused;
             }
@@ -117,19 +117,19 @@
         byte[] mark = new byte[MARK.length];
         bytes.get(mark, 0, Math.min(mark.length, bytes.remaining()));
         if (bytes.capacity() < HEAD || !Arrays.equals(mark, MARK)) {
-            throw new BadSettings(
+            throw new InvalidConfigurationException(
                     file + ": " + (bytes.capacity() == 0 ? "it is empty" : "it is no state of this program"));
         }
         int form = bytes.getInt();
         if (form != FORM) {
-            throw new BadSettings(file + ": its form is " + form + ", not " + FORM);
+            throw new InvalidConfigurationException(file + ": its form is " + form + ", not " + FORM);
         }
         int length = bytes.getInt();
         int sum = bytes.getInt();
         byte[] content = new byte[bytes.remaining()];
         bytes.get(content);
         if (length != content.length || sum != sum(content)) {
-            throw new BadSettings(file + ": it is torn (" + content.length + " of " + length
+            throw new InvalidConfigurationException(file + ": it is torn (" + content.length + " of " + length
                     + " bytes, or their checksum does not hold)");
         }
         return content;
--- a/versions/src/main/java/opalcove/versions/Document.java
+++ b/replication/src/main/java/opalcove/replication/ConfigDocument.java
@@ -1,4 +1,4 @@
-package opalcove.versions;
+package opalcove.replication;
 
 import java.util.ArrayList;
 import java.util.HashSet;
@@ -6,39 +6,41 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.stream.Collectors;
-import opalcove.decision.Admission;
-import opalcove.gateway.AppNode;
-import opalcove.gateway.BadSettings;
-import opalcove.gateway.Fields;
-import opalcove.gateway.NodeLines;
-import opalcove.gateway.SettingsReader;
+import opalcove.config.Backend;
+import opalcove.config.EndpointCodec;
+import opalcove.config.InvalidConfigurationException;
+import opalcove.config.JsonFields;
+import opalcove.config.SettingsReader;
+import opalcove.decision.DecisionSettings;
+import opalcove.decision.EndpointState;
 
 /** A version's text read: {@code settings} as in the configuration file, and {@code nodes}, null where discovery has the list. */
-record Document(Admission.Settings settings, List<AppNode> nodes) {
+record ConfigDocument(DecisionSettings settings, List<Backend> nodes) {
     private static final Set<String> KEYS = Set.of("settings", "nodes");
 
     /** Reads and checks a text, as a file is at SIGHUP: one that is broken is refused with key and reason. */
-    static Document read(String text) {
-        Fields fields = Fields.parse(text);
+    static ConfigDocument read(String text) {
+        JsonFields fields = JsonFields.parse(text);
         for (String name : fields.names()) {
             if (!KEYS.contains(name)) {
-                throw new BadSettings("field " + name + " is not known; there are settings and nodes");
+                throw new InvalidConfigurationException(
+                        "field " + name + " is not known; there are settings and nodes");
             }
         }
         Set<String> names = new HashSet<>();
-        List<AppNode> nodes = fields.has("nodes") ? NodeLines.read(fields.objects("nodes")) : null;
-        for (AppNode each : nodes == null ? List.<AppNode>of() : nodes) {
+        List<Backend> nodes = fields.has("nodes") ? EndpointCodec.read(fields.objects("nodes")) : null;
+        for (Backend each : nodes == null ? List.<Backend>of() : nodes) {
             if (!names.add(each.name())) {
-                throw new BadSettings("field nodes names " + each.name() + " twice");
+                throw new InvalidConfigurationException("field nodes names " + each.name() + " twice");
             }
         }
-        return new Document(SettingsReader.checked(fields.object("settings")), nodes);
+        return new ConfigDocument(SettingsReader.checked(fields.object("settings")), nodes);
     }
 
     /** The same for one gateway: which one it is, and where, stays its own. */
-    Document at(Admission.Settings own) {
-        return new Document(
-                new Admission.Settings(
+    ConfigDocument at(DecisionSettings own) {
+        return new ConfigDocument(
+                new DecisionSettings(
                         own.self(),
                         settings.gateways(),
                         own.zone(),
@@ -59,15 +61,15 @@
      * What cannot contradict, as far as a gateway can know that only knows this version and the one before: one attempt, each
      * plan's lesser quota, and only nodes that take new work by both.
      */
-    Document strict(Document before) {
-        Map<String, Admission.Plan> earlier = before.settings.plans().stream()
-                .collect(Collectors.toMap(Admission.Plan::name, plan -> plan, (one, other) -> one));
-        List<Admission.Plan> plans = new ArrayList<>();
-        for (Admission.Plan plan : settings.plans()) {
+    ConfigDocument strict(ConfigDocument before) {
+        Map<String, DecisionSettings.Plan> earlier = before.settings.plans().stream()
+                .collect(Collectors.toMap(DecisionSettings.Plan::name, plan -> plan, (one, other) -> one));
+        List<DecisionSettings.Plan> plans = new ArrayList<>();
+        for (DecisionSettings.Plan plan : settings.plans()) {
             plans.add(lesser(plan, earlier.getOrDefault(plan.name(), plan)));
         }
-        Admission.Limits l = settings.limits();
-        Admission.Limits limits = new Admission.Limits(
+        DecisionSettings.Limits l = settings.limits();
+        DecisionSettings.Limits limits = new DecisionSettings.Limits(
                 1,
                 false,
                 l.mayCancel(),
@@ -82,10 +84,10 @@
         Set<String> closed = before.nodes == null
                 ? Set.of()
                 : before.nodes.stream()
-                        .filter(node -> node.host().state() != Admission.State.UP)
-                        .map(AppNode::name)
+                        .filter(node -> node.host().state() != EndpointState.UP)
+                        .map(Backend::name)
                         .collect(Collectors.toSet());
-        return new Document(
+        return new ConfigDocument(
                 with(plans, limits),
                 nodes == null
                         ? null
@@ -94,8 +96,8 @@
                                 .toList());
     }
 
-    private static Admission.Plan lesser(Admission.Plan a, Admission.Plan b) {
-        return new Admission.Plan(
+    private static DecisionSettings.Plan lesser(DecisionSettings.Plan a, DecisionSettings.Plan b) {
+        return new DecisionSettings.Plan(
                 a.name(),
                 least(a.rate(), b.rate()),
                 least(a.burst(), b.burst()),
@@ -109,15 +111,15 @@
     }
 
     /** The same with no node that takes new work, where the list is agreed on. */
-    Document closed() {
-        return nodes == null ? this : new Document(settings, List.of());
+    ConfigDocument closed() {
+        return nodes == null ? this : new ConfigDocument(settings, List.of());
     }
 
     /** The same with each plan's burst cut to one gateway's part of it. */
-    Document held() {
+    ConfigDocument held() {
         int gateways = Math.max(1, settings.gateways());
-        List<Admission.Plan> plans = settings.plans().stream()
-                .map(p -> new Admission.Plan(
+        List<DecisionSettings.Plan> plans = settings.plans().stream()
+                .map(p -> new DecisionSettings.Plan(
                         p.name(),
                         p.rate(),
                         p.burst() / gateways,
@@ -129,11 +131,11 @@
                         p.ceilingBurst() / gateways,
                         p.ceilingSlack()))
                 .toList();
-        return new Document(with(plans, settings.limits()), nodes);
+        return new ConfigDocument(with(plans, settings.limits()), nodes);
     }
 
-    private Admission.Settings with(List<Admission.Plan> plans, Admission.Limits limits) {
-        return new Admission.Settings(
+    private DecisionSettings with(List<DecisionSettings.Plan> plans, DecisionSettings.Limits limits) {
+        return new DecisionSettings(
                 settings.self(),
                 settings.gateways(),
                 settings.zone(),
--- a/versions/src/main/java/opalcove/versions/VersionDesk.java
+++ b/replication/src/main/java/opalcove/replication/ConfigReplica.java
@@ -1,4 +1,4 @@
-package opalcove.versions;
+package opalcove.replication;
 
 import com.eclipsesource.json.Json;
 import com.eclipsesource.json.JsonArray;
@@ -15,30 +15,31 @@
 import java.util.Random;
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
-import opalcove.agreement.Lease;
-import opalcove.agreement.Registry;
-import opalcove.agreement.Standing;
-import opalcove.gateway.BadSettings;
+import opalcove.config.InvalidConfigurationException;
+import opalcove.configlease.ConfigLease;
+import opalcove.configlease.LeaseConfig;
+import opalcove.configlease.LeaseState;
+import opalcove.configlease.VersionLog;
 
 /**
- * One gateway's part in agreed versions, without sockets and timers of its own: its {@link Lease} and, where it votes, its
- * {@link Voter}, and what the packets between gateways do to them. The program's host runs it on datagrams, the laboratory's
+ * One gateway's part in agreed versions, without sockets and timers of its own: its {@link ConfigLease} and, where it votes, its
+ * {@link RaftVoter}, and what the packets between gateways do to them. The program's host runs it on datagrams, the laboratory's
  * in virtual time. All on one thread.
  */
-public final class VersionDesk {
+public final class ConfigReplica {
     /** What a desk has its host do. */
     public interface Host {
         /** Milliseconds that only go forward, of this gateway alone. */
         long now();
 
         /** Sends a packet to an address; it may be lost. */
-        void send(String address, Packet packet);
+        void send(String address, ReplicationMessage packet);
 
         /** Runs the task so much later, never within this call. */
         void later(long ms, Runnable task);
 
         /** What may be acted on has changed. */
-        void stands(Standing before, Standing after, String text);
+        void stands(LeaseState before, LeaseState after, String text);
     }
 
     /** A gateway; voters: name and address; store: where its vote is kept, null in a model or where it does not vote. */
@@ -47,7 +48,7 @@
             String address,
             Map<String, String> voters,
             boolean votes,
-            VoterStore store,
+            RaftVoterStore store,
             long leaseMs,
             Random random,
             Consumer<String> check) {}
@@ -57,41 +58,42 @@
 
     private final Setup setup;
     private final Host host;
-    private final Lease lease;
-    private final Voter voter;
+    private final ConfigLease lease;
+    private final RaftVoter voter;
     /** Who asked within a lease's time, and is told of news: by address. */
     private final Map<String, Long> askers = new HashMap<>();
 
     /** Acts on packets for this process by its setup; the host sends and stores for it. */
-    public VersionDesk(Setup setup, Host host) {
+    public ConfigReplica(Setup setup, Host host) {
         this.setup = setup;
         this.host = host;
         List<String> names = new ArrayList<>(setup.voters().keySet());
-        lease = new Lease(
+        lease = new ConfigLease(
                 host.now(),
                 names,
                 names.contains(setup.name())
                         ? names.indexOf(setup.name())
                         : setup.random().nextInt(names.size()),
-                Lease.Figures.of(setup.leaseMs()),
-                new Lease.Host() {
+                LeaseConfig.of(setup.leaseMs()),
+                new ConfigLease.Host() {
                     @Override
                     public void ask(String asked, long number, long version) {
                         ours(asked, number, version);
                     }
 
                     @Override
-                    public void stands(Standing before, Standing after, String text) {
+                    public void stands(LeaseState before, LeaseState after, String text) {
                         host.stands(before, after, text);
                     }
                 });
         voter = !setup.votes()
                 ? null
-                : new Voter(
-                        new Voter.Setup(
+                : new RaftVoter(
+                        new RaftVoter.Setup(
                                 setup.name(), names, setup.store(), new Executor(), new PacedClock(), setup.random()),
-                        (to, message) ->
-                                host.send(setup.voters().get(to), packet(Packet.Kind.RAFT, 0, Packet.raft(message))),
+                        (to, message) -> host.send(
+                                setup.voters().get(to),
+                                packet(ReplicationMessage.Kind.RAFT, 0, ReplicationMessage.raft(message))),
                         this::agreed);
     }
 
@@ -103,7 +105,7 @@
     }
 
     /** The lease, to be looked at. */
-    public Lease lease() {
+    public ConfigLease lease() {
         return lease;
     }
 
@@ -122,12 +124,13 @@
         lease.tick(host.now());
     }
 
-    private Packet packet(Packet.Kind kind, long number, JsonObject body) {
-        return new Packet(setup.name(), setup.address(), kind, number, body);
+    private ReplicationMessage packet(ReplicationMessage.Kind kind, long number, JsonObject body) {
+        return new ReplicationMessage(setup.name(), setup.address(), kind, number, body);
     }
 
     private void ours(String asked, long number, long version) {
-        Packet question = packet(Packet.Kind.ASK, number, Json.object().add("v", version));
+        ReplicationMessage question =
+                packet(ReplicationMessage.Kind.ASK, number, Json.object().add("v", version));
         if (asked.equals(setup.name()) && voter != null) {
             // Its own voter needs no network; the answer takes the usual way, past the leader where that is another.
             host.later(0, () -> asked(question));
@@ -137,7 +140,7 @@
     }
 
     /** Takes a packet in; one that makes no sense fails and changes nothing. */
-    public void received(Packet packet) {
+    public void received(ReplicationMessage packet) {
         switch (packet.kind()) {
             case RAFT -> {
                 if (voter != null) {
@@ -146,15 +149,15 @@
             }
             case ASK -> asked(packet);
             case PROPOSE -> proposed(packet);
-            case HISTORY -> answer(packet, Packet.Kind.VERSIONS, history());
+            case HISTORY -> answer(packet, ReplicationMessage.Kind.VERSIONS, history());
             case TOLD, DECIDED -> answered(packet);
             case NEWS -> lease.news(host.now(), packet.version());
-            default -> throw new BadSettings("nobody here asked for " + packet.kind());
+            default -> throw new InvalidConfigurationException("nobody here asked for " + packet.kind());
         }
     }
 
     /** Has the leader see to a question, where this voter is not it: who asks knows any voter. False where it is up to it. */
-    private boolean passedOn(Packet packet) {
+    private boolean passedOn(ReplicationMessage packet) {
         if (voter == null) {
             return true;
         }
@@ -170,7 +173,7 @@
         return true;
     }
 
-    private void asked(Packet packet) {
+    private void asked(ReplicationMessage packet) {
         if (voter != null && packet.origin() == null) {
             askers.put(packet.address(), host.now());
         }
@@ -181,14 +184,14 @@
                 newest -> {
                     JsonObject body = Json.object().add("v", newest.number());
                     if (newest.number() != packet.version()) {
-                        body.add("t", Packet.packed(newest.text()));
+                        body.add("t", ReplicationMessage.packed(newest.text()));
                     }
-                    answer(packet, Packet.Kind.TOLD, body);
+                    answer(packet, ReplicationMessage.Kind.TOLD, body);
                 },
                 () -> {});
     }
 
-    private void proposed(Packet packet) {
+    private void proposed(ReplicationMessage packet) {
         if (passedOn(packet)) {
             return;
         }
@@ -196,26 +199,26 @@
         String id = packet.body().getString("id", "");
         try {
             setup.check().accept(text == null ? "" : text);
-            int packed = Packet.packed(text).length();
-            if (id.isEmpty() || packed > Packet.MOST_BYTES / 2) {
-                throw new BadSettings(
+            int packed = ReplicationMessage.packed(text).length();
+            if (id.isEmpty() || packed > ReplicationMessage.MOST_BYTES / 2) {
+                throw new InvalidConfigurationException(
                         id.isEmpty()
                                 ? "a proposal needs an id"
                                 : "the document is too large: " + packed + " bytes deflated, of "
-                                        + Packet.MOST_BYTES / 2);
+                                        + ReplicationMessage.MOST_BYTES / 2);
             }
-        } catch (BadSettings e) {
-            answer(packet, Packet.Kind.DECIDED, decided(new Registry.Outcome(false, 0, e.getMessage())));
+        } catch (InvalidConfigurationException e) {
+            answer(packet, ReplicationMessage.Kind.DECIDED, decided(new VersionLog.Outcome(false, 0, e.getMessage())));
             return;
         }
         voter.propose(
-                new Registry.Proposal(
+                new VersionLog.Proposal(
                         id, packet.body().getLong("base", 0), packet.body().getString("by", ""), text),
-                outcome -> answer(packet, Packet.Kind.DECIDED, decided(outcome)),
+                outcome -> answer(packet, ReplicationMessage.Kind.DECIDED, decided(outcome)),
                 () -> {});
     }
 
-    private static JsonObject decided(Registry.Outcome outcome) {
+    private static JsonObject decided(VersionLog.Outcome outcome) {
         return Json.object()
                 .add("taken", outcome.taken())
                 .add("v", outcome.version())
@@ -224,7 +227,7 @@
 
     private JsonObject history() {
         JsonArray versions = new JsonArray();
-        for (Registry.Version each : voter == null ? List.<Registry.Version>of() : voter.history()) {
+        for (VersionLog.Version each : voter == null ? List.<VersionLog.Version>of() : voter.history()) {
             versions.add(Json.object()
                     .add("number", each.number())
                     .add("by", each.by())
@@ -233,19 +236,19 @@
         return Json.object().add("versions", versions);
     }
 
-    private void answer(Packet question, Packet.Kind kind, JsonObject body) {
+    private void answer(ReplicationMessage question, ReplicationMessage.Kind kind, JsonObject body) {
         if (question.origin() != null) {
             body.add("o", question.origin());
         }
         host.send(question.address(), packet(kind, question.number(), body));
     }
 
-    private void answered(Packet packet) {
+    private void answered(ReplicationMessage packet) {
         if (packet.origin() != null) {
             String to = packet.origin().getString("a", "");
             packet.body().remove("o");
             host.send(to, packet.by(setup.name(), setup.address(), packet.body()));
-        } else if (packet.kind() == Packet.Kind.TOLD) {
+        } else if (packet.kind() == ReplicationMessage.Kind.TOLD) {
             lease.told(host.now(), packet.number(), packet.version(), packet.text());
         }
     }
@@ -255,7 +258,8 @@
         long oldest = host.now() - setup.leaseMs();
         askers.values().removeIf(at -> at < oldest);
         for (String each : askers.keySet()) {
-            host.send(each, packet(Packet.Kind.NEWS, 0, Json.object().add("v", version)));
+            host.send(
+                    each, packet(ReplicationMessage.Kind.NEWS, 0, Json.object().add("v", version)));
         }
     }
 
--- a/versions/src/main/java/opalcove/versions/Disk.java
+++ b/replication/src/main/java/opalcove/replication/FileOperations.java
@@ -1,4 +1,4 @@
-package opalcove.versions;
+package opalcove.replication;
 
 import java.io.IOException;
 import java.nio.ByteBuffer;
@@ -9,9 +9,9 @@
 import java.nio.file.StandardOpenOption;
 
 /** The steps by which a file is replaced; each may fail, and the process may end after each. */
-interface Disk {
+interface FileOperations {
     /** The machine's own. */
-    Disk REAL = new Disk() {};
+    FileOperations REAL = new FileOperations() {};
 
     /** Writes the bytes into a new file, which must not be there. */
     default void write(Path file, ByteBuffer bytes) throws IOException {
--- a/versions/src/main/java/opalcove/versions/Voter.java
+++ b/replication/src/main/java/opalcove/replication/RaftVoter.java
@@ -1,4 +1,4 @@
-package opalcove.versions;
+package opalcove.replication;
 
 import io.microraft.Ordered;
 import io.microraft.QueryPolicy;
@@ -18,18 +18,18 @@
 import java.util.function.BiConsumer;
 import java.util.function.Consumer;
 import java.util.function.LongConsumer;
-import opalcove.agreement.Registry;
+import opalcove.configlease.VersionLog;
 
 /**
  * One of the gateways that agree on the order of versions: a member of a Raft group (MicroRaft) whose state machine is the
- * {@link Registry}. Sockets, timers and clock are its host's, so that the same voter runs in virtual time. All on one thread.
+ * {@link VersionLog}. Sockets, timers and clock are its host's, so that the same voter runs in virtual time. All on one thread.
  */
-public final class Voter {
+public final class RaftVoter {
     /** What a voter is given: its name, those of all voters, where its vote is kept (null: nowhere, for a model). */
     public record Setup(
             String name,
             List<String> voters,
-            VoterStore store,
+            RaftVoterStore store,
             RaftNodeExecutor executor,
             Clock clock,
             Random random) {}
@@ -41,20 +41,20 @@
         }
     }
 
-    private record Waiting(Consumer<Registry.Version> answer, Runnable lost) {}
+    private record Waiting(Consumer<VersionLog.Version> answer, Runnable lost) {}
 
     private static final String READ = "read";
     private static final String NEW_TERM = "term";
-    private static final Registry.Version NO_VERSION = new Registry.Version(0, "", "", "");
+    private static final VersionLog.Version NO_VERSION = new VersionLog.Version(0, "", "", "");
 
-    private final Registry registry = new Registry();
+    private final VersionLog registry = new VersionLog();
     private final List<Waiting> waiting = new ArrayList<>();
     private final LongConsumer decided;
     private final RaftNode node;
     private boolean reading;
 
     /** send: carries bytes to a voter of that name, or loses them; decided: told each new version's number. */
-    public Voter(Setup setup, BiConsumer<String, byte[]> send, LongConsumer decided) {
+    public RaftVoter(Setup setup, BiConsumer<String, byte[]> send, LongConsumer decided) {
         this.decided = decided;
         RaftNode.RaftNodeBuilder builder = RaftNode.newBuilder()
                 .setGroupId("versions")
@@ -68,7 +68,7 @@
                         if (setup.store() != null && !setup.store().isWritten()) {
                             return;
                         }
-                        send.accept(target.getId().toString(), Objects.write(message));
+                        send.accept(target.getId().toString(), SerializedForm.write(message));
                     }
 
                     @Override
@@ -105,7 +105,7 @@
 
     /** Takes in what another voter sent. */
     public void handle(byte[] message) {
-        node.handle(Objects.read(message, RaftMessage.class));
+        node.handle(SerializedForm.read(message, RaftMessage.class));
     }
 
     /** The voter that leads, as far as this one knows; null where it knows none. */
@@ -115,7 +115,7 @@
     }
 
     /** The versions as this voter has them, which may lie behind. */
-    public List<Registry.Version> history() {
+    public List<VersionLog.Version> history() {
         return registry.history();
     }
 
@@ -123,7 +123,7 @@
      * Tells the newest version at some moment after this call, number 0 where there is none; lost where this voter does not
      * lead or loses the lead. Calls that come while the voters are being asked share one later round.
      */
-    public void confirm(Consumer<Registry.Version> answer, Runnable lost) {
+    public void confirm(Consumer<VersionLog.Version> answer, Runnable lost) {
         waiting.add(new Waiting(answer, lost));
         if (!reading) {
             read();
@@ -134,7 +134,7 @@
         reading = true;
         List<Waiting> round = List.copyOf(waiting);
         waiting.clear();
-        node.<Registry.Version>query(READ, QueryPolicy.LINEARIZABLE, Optional.empty(), Optional.empty())
+        node.<VersionLog.Version>query(READ, QueryPolicy.LINEARIZABLE, Optional.empty(), Optional.empty())
                 .whenComplete((read, failure) -> {
                     reading = false;
                     round.forEach(each -> {
@@ -151,14 +151,15 @@
     }
 
     /** Has the voters decide on a proposal; lost where this voter does not lead, or the outcome is not known. */
-    public void propose(Registry.Proposal proposal, Consumer<Registry.Outcome> outcome, Runnable lost) {
-        node.<Registry.Outcome>replicate(proposal).whenComplete((Ordered<Registry.Outcome> done, Throwable failure) -> {
-            if (failure == null) {
-                outcome.accept(done.getResult());
-            } else {
-                lost.run();
-            }
-        });
+    public void propose(VersionLog.Proposal proposal, Consumer<VersionLog.Outcome> outcome, Runnable lost) {
+        node.<VersionLog.Outcome>replicate(proposal)
+                .whenComplete((Ordered<VersionLog.Outcome> done, Throwable failure) -> {
+                    if (failure == null) {
+                        outcome.accept(done.getResult());
+                    } else {
+                        lost.run();
+                    }
+                });
     }
 
     /** Ends this voter's part. */
@@ -169,8 +170,8 @@
     private final class Machine implements StateMachine {
         @Override
         public Object runOperation(long index, Object operation) {
-            if (operation instanceof Registry.Proposal proposal) {
-                Registry.Outcome outcome = registry.decide(proposal);
+            if (operation instanceof VersionLog.Proposal proposal) {
+                VersionLog.Outcome outcome = registry.decide(proposal);
                 if (outcome.taken()) {
                     decided.accept(outcome.version());
                 }
@@ -187,7 +188,7 @@
         @Override
         @SuppressWarnings("unchecked")
         public void installSnapshot(long index, List<Object> chunks) {
-            registry.restore((List<Registry.Version>) chunks.get(0));
+            registry.restore((List<VersionLog.Version>) chunks.get(0));
         }
 
         @Override
