--- a/versions/src/main/java/opalcove/versions/VoterStore.java
+++ b/replication/src/main/java/opalcove/replication/RaftVoterStore.java
@@ -1,4 +1,4 @@
-package opalcove.versions;
+package opalcove.replication;
 
 import io.microraft.model.impl.DefaultRaftModelFactory;
 import io.microraft.model.log.LogEntry;
@@ -20,9 +20,9 @@
 
 /**
  * What a voter must not forget: its vote, and the log since the last snapshot. It is small, a few versions, and so is written
- * whole at each flush ({@link StateFile}).
+ * whole at each flush ({@link AtomicFile}).
  */
-public final class VoterStore implements RaftStore {
+public final class RaftVoterStore implements RaftStore {
     /** All of it, as it lies in the file. */
     static final class State implements Serializable {
         private static final long serialVersionUID = 1;
@@ -33,26 +33,26 @@
         private SnapshotChunk snapshot;
     }
 
-    private final Disk disk;
+    private final FileOperations disk;
     private final Path file;
     private final State state;
     /** The last flush has failed: what this voter holds is not in its file. */
     private boolean failed;
 
-    private VoterStore(Disk disk, Path file, State state) {
+    private RaftVoterStore(FileOperations disk, Path file, State state) {
         this.disk = disk;
         this.file = file;
         this.state = state;
     }
 
     /** The store in that file, new where there is none; one that is torn or foreign is refused with the reason. */
-    static VoterStore open(Path file) throws IOException {
-        return open(Disk.REAL, file);
+    static RaftVoterStore open(Path file) throws IOException {
+        return open(FileOperations.REAL, file);
     }
 
-    static VoterStore open(Disk disk, Path file) throws IOException {
-        State state = Files.exists(file) ? Objects.read(StateFile.read(file), State.class) : new State();
-        return new VoterStore(disk, file, state);
+    static RaftVoterStore open(FileOperations disk, Path file) throws IOException {
+        State state = Files.exists(file) ? SerializedForm.read(AtomicFile.read(file), State.class) : new State();
+        return new RaftVoterStore(disk, file, state);
     }
 
     /**
@@ -143,7 +143,7 @@
         boolean before = failed;
         failed = true;
         try {
-            StateFile.write(disk, file, Objects.write(state));
+            AtomicFile.write(disk, file, SerializedForm.write(state));
             failed = false;
         } catch (IOException e) {
             if (!before) {
--- a/versions/src/main/java/opalcove/versions/VersionedState.java
+++ b/replication/src/main/java/opalcove/replication/ReplicatedConfigService.java
@@ -1,4 +1,4 @@
-package opalcove.versions;
+package opalcove.replication;
 
 import com.eclipsesource.json.Json;
 import com.eclipsesource.json.JsonArray;
@@ -18,30 +18,30 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
 import java.util.function.Supplier;
-import opalcove.agreement.Lease;
-import opalcove.agreement.Standing;
-import opalcove.cluster.AgreedState;
-import opalcove.decision.Admission;
-import opalcove.gateway.BadSettings;
-import opalcove.gateway.Clock;
-import opalcove.gateway.Endpoint;
-import opalcove.gateway.Fields;
+import opalcove.config.Clock;
+import opalcove.config.HostAndPort;
+import opalcove.config.InvalidConfigurationException;
+import opalcove.config.JsonFields;
+import opalcove.config.ReplicatedConfig;
+import opalcove.configlease.ConfigLease;
+import opalcove.configlease.LeaseState;
+import opalcove.decision.DecisionSettings;
 import opalcove.membership.Member;
 import opalcove.recovery.Recovery;
 import opalcove.recovery.Snapshot;
 import org.tinylog.Logger;
 
 /**
- * This process's part in agreed versions, on datagrams and timers: its {@link Lease} and, where it is one of them, its
- * {@link Voter}. It runs on an event loop of its own, apart from client work.
+ * This process's part in agreed versions, on datagrams and timers: its {@link ConfigLease} and, where it is one of them, its
+ * {@link RaftVoter}. It runs on an event loop of its own, apart from client work.
  */
-public final class VersionedState implements AgreedState {
+public final class ReplicatedConfigService implements ReplicatedConfig {
     /** Makes it for the program that serves. */
     public static final class Maker implements Provider {
         @Override
-        public AgreedState make(
-                Vertx own, String name, Fields section, Admission.Settings settings, Consumer<String> events) {
-            return new VersionedState(own, name, VersionSettings.read(name, section), settings, events);
+        public ReplicatedConfig make(
+                Vertx own, String name, JsonFields section, DecisionSettings settings, Consumer<String> events) {
+            return new ReplicatedConfigService(own, name, ReplicationConfig.read(name, section), settings, events);
         }
     }
 
@@ -53,14 +53,14 @@
 
     private final Vertx vertx;
     private final String name;
-    private final VersionSettings settings;
-    private final Admission.Settings own;
+    private final ReplicationConfig settings;
+    private final DecisionSettings own;
     private final Consumer<String> events;
     private final DatagramSocket socket;
     private final Promise<Void> heard = Promise.promise();
     private Consumer<Acting> act;
     private Supplier<List<Member>> fleet;
-    private VersionDesk desk;
+    private ConfigReplica desk;
     /** Goes with the monotonic clock: a step of the wall clock neither delays the way back nor skips it. */
     private final Clock clock = new Clock();
 
@@ -70,8 +70,8 @@
     private final Recovery recovery;
 
     private Recovery.Plan plan;
-    private Document held;
-    private Document before;
+    private ConfigDocument held;
+    private ConfigDocument before;
     private long timer = -1;
     private long unreadable;
     private boolean stateRefused;
@@ -88,8 +88,8 @@
     private volatile long lapsesAt = Long.MAX_VALUE;
     private volatile String lines = "";
 
-    VersionedState(
-            Vertx own, String name, VersionSettings settings, Admission.Settings ownSettings, Consumer<String> events) {
+    ReplicatedConfigService(
+            Vertx own, String name, ReplicationConfig settings, DecisionSettings ownSettings, Consumer<String> events) {
         vertx = own;
         this.name = name;
         this.settings = settings;
@@ -100,7 +100,7 @@
         if (settings.snapshotFile() != null) {
             try {
                 found = SnapshotFile.read(settings.snapshotFile(), name);
-            } catch (IOException | BadSettings e) {
+            } catch (IOException | InvalidConfigurationException e) {
                 whyNone = e.getMessage();
                 Logger.warn("recovery: the snapshot is refused: {}", whyNone);
             }
@@ -138,9 +138,9 @@
                             : settings.advertise();
                     open.handler(this::received);
                     open.exceptionHandler(e -> Logger.debug("agreement: {}", e.getMessage()));
-                    VoterStore store = store();
-                    desk = new VersionDesk(
-                            new VersionDesk.Setup(
+                    RaftVoterStore store = store();
+                    desk = new ConfigReplica(
+                            new ConfigReplica.Setup(
                                     name,
                                     address,
                                     settings.voters(),
@@ -148,7 +148,7 @@
                                     store,
                                     settings.leaseMs(),
                                     new SecureRandom(),
-                                    Document::read),
+                                    ConfigDocument::read),
                             new Host());
                     desk.start();
                     Logger.info(
@@ -239,15 +239,15 @@
 
     /** Has the gateway act on what holds now. */
     private void act() {
-        Standing standing = desk.lease().standing();
+        LeaseState standing = desk.lease().standing();
         long coldSince = plan != null && plan.nodesCold() ? startedMs : 0;
-        Document base = held != null ? held : new Document(own, null);
-        boolean isStrict = standing.version() > 0 && standing.mode() != Standing.Mode.FULL;
+        ConfigDocument base = held != null ? held : new ConfigDocument(own, null);
+        boolean isStrict = standing.version() > 0 && standing.mode() != LeaseState.Mode.FULL;
         if (standing.version() == 0 && plan != null && plan.fromSnapshot()) {
-            base = Document.read(snapshot.text()).at(own);
+            base = ConfigDocument.read(snapshot.text()).at(own);
             isStrict = true;
         }
-        Document least = base.strict(before == null ? base : before);
+        ConfigDocument least = base.strict(before == null ? base : before);
         boolean holds = plan != null && plan.quotasHeld();
         // A version that it did not hear of may have drained any node: at first a lapsed lease sends nothing to any.
         strict = acting(standing.version(), (holds ? least.held() : least).closed(), true, coldSince);
@@ -260,18 +260,18 @@
         act.accept(next);
     }
 
-    private static Acting acting(long version, Document document, boolean strict, long coldSince) {
+    private static Acting acting(long version, ConfigDocument document, boolean strict, long coldSince) {
         return new Acting(version, document.settings(), document.nodes(), strict, coldSince);
     }
 
     /** Where this gateway's vote is kept; null where it does not vote, or must not, since its state is refused. */
-    private VoterStore store() {
+    private RaftVoterStore store() {
         if (!settings.voters().containsKey(name)) {
             return null;
         }
         try {
-            return VoterStore.open(settings.stateFile());
-        } catch (IOException | BadSettings e) {
+            return RaftVoterStore.open(settings.stateFile());
+        } catch (IOException | InvalidConfigurationException e) {
             // Without its vote and its log it could undo what was agreed: it follows the others and votes no more.
             stateRefused = true;
             Logger.error("agreement: the state is refused and {} does not vote: {}", name, e.getMessage());
@@ -292,8 +292,8 @@
         } else if (desk.lease().heard()) {
             heard.tryComplete();
         }
-        Standing standing = desk.lease().standing();
-        lapsesAt = standing.mode() == Standing.Mode.FULL ? standing.untilMs() : Long.MAX_VALUE;
+        LeaseState standing = desk.lease().standing();
+        lapsesAt = standing.mode() == LeaseState.Mode.FULL ? standing.untilMs() : Long.MAX_VALUE;
         publish();
         if (timer >= 0) {
             vertx.cancelTimer(timer);
@@ -306,9 +306,9 @@
 
     private void received(DatagramPacket datagram) {
         try {
-            desk.received(Packet.read(datagram.data().getBytes()));
+            desk.received(ReplicationMessage.read(datagram.data().getBytes()));
             settle();
-        } catch (BadSettings | IllegalArgumentException | UnsupportedOperationException e) {
+        } catch (InvalidConfigurationException | IllegalArgumentException | UnsupportedOperationException e) {
             unreadable++;
             Logger.debug("agreement: a datagram is not read: {}", e.getMessage());
         }
@@ -338,10 +338,10 @@
             led = desk.leads();
             event(Json.object().add("event", "leads").add("leads", led));
         }
-        Lease.Counts counts = desk.lease().counts();
+        ConfigLease.Counts counts = desk.lease().counts();
         StringBuilder text = new StringBuilder(256);
         figure(text, "version", desk.lease().standing().version(), 'g');
-        figure(text, "behind", desk.lease().standing().mode() == Standing.Mode.FULL ? 0 : 1, 'g');
+        figure(text, "behind", desk.lease().standing().mode() == LeaseState.Mode.FULL ? 0 : 1, 'g');
         figure(text, "voter", desk.votes() ? 1 : 0, 'g');
         figure(text, "leader", desk.leads() ? 1 : 0, 'g');
         figure(text, "state_refused", stateRefused ? 1 : 0, 'c');
@@ -374,21 +374,21 @@
                 .append('\n');
     }
 
-    private final class Host implements VersionDesk.Host {
+    private final class Host implements ConfigReplica.Host {
         @Override
         public long now() {
-            return VersionedState.now();
+            return ReplicatedConfigService.now();
         }
 
         @Override
-        public void send(String address, Packet packet) {
+        public void send(String address, ReplicationMessage packet) {
             byte[] bytes = packet.bytes();
-            if (bytes.length > Packet.MOST_BYTES) {
+            if (bytes.length > ReplicationMessage.MOST_BYTES) {
                 Logger.error(
                         "agreement: {} of {} bytes is not sent: too large for a datagram", packet.kind(), bytes.length);
                 return;
             }
-            Endpoint to = Endpoint.read(address, "address");
+            HostAndPort to = HostAndPort.read(address, "address");
             socket.send(Buffer.buffer(bytes), to.port(), to.address())
                     .onFailure(e -> Logger.debug("agreement: not sent to {}: {}", to, e.getMessage()));
         }
@@ -403,12 +403,12 @@
         }
 
         @Override
-        public void stands(Standing was, Standing is, String text) {
+        public void stands(LeaseState was, LeaseState is, String text) {
             if (is.version() != was.version()) {
                 before = held;
-                held = Document.read(text).at(own);
+                held = ConfigDocument.read(text).at(own);
             }
-            if (is.mode() == Standing.Mode.STRICT) {
+            if (is.mode() == LeaseState.Mode.STRICT) {
                 long graceMs = settings.leaseMs() / 4;
                 closedTill = now() + graceMs;
                 vertx.setTimer(graceMs, due -> act());
--- a/versions/src/main/java/opalcove/versions/Packet.java
+++ b/replication/src/main/java/opalcove/replication/ReplicationMessage.java
@@ -1,18 +1,18 @@
-package opalcove.versions;
+package opalcove.replication;
 
 import com.eclipsesource.json.Json;
 import com.eclipsesource.json.JsonObject;
 import com.eclipsesource.json.JsonValue;
 import java.nio.charset.StandardCharsets;
 import java.util.Base64;
-import opalcove.gateway.BadSettings;
-import opalcove.gateway.Fields;
+import opalcove.config.InvalidConfigurationException;
+import opalcove.config.JsonFields;
 
 /**
  * A message between gateways about versions, one JSON object in a datagram: who sends it, what it is, its number, and what
  * goes with its kind. {@code o} is who asked, where another gateway passes the question or the answer on.
  */
-public record Packet(String from, String address, Kind kind, long number, JsonObject body) {
+public record ReplicationMessage(String from, String address, Kind kind, long number, JsonObject body) {
     /**
      * RAFT: between voters ({@code b}). ASK: which version is in force ({@code v}: the one held). TOLD: its number, and its
      * text ({@code t}) where it is another. NEWS: there may be version {@code v}. PROPOSE: id, base, by, t. DECIDED: taken, v,
@@ -45,21 +45,22 @@
     }
 
     /** Reads a packet; one that is none fails with key and reason. */
-    public static Packet read(byte[] bytes) {
+    public static ReplicationMessage read(byte[] bytes) {
         String text = new String(bytes, StandardCharsets.UTF_8);
-        Fields fields = Fields.parse(text);
+        JsonFields fields = JsonFields.parse(text);
         String name = fields.object("f").text("n");
         if (name.isEmpty() || name.length() > LONGEST) {
-            throw new BadSettings("field f.n must be a name");
+            throw new InvalidConfigurationException("field f.n must be a name");
         }
         JsonObject body = Json.parse(text).asObject();
         body.remove("f").remove("k").remove("s");
-        return new Packet(name, fields.object("f").text("a"), fields.choice("k", Kind.class), fields.serial("s"), body);
+        return new ReplicationMessage(
+                name, fields.object("f").text("a"), fields.choice("k", Kind.class), fields.serial("s"), body);
     }
 
     /** The same from another sender. */
-    Packet by(String sender, String senderAddress, JsonObject changed) {
-        return new Packet(sender, senderAddress, kind, number, changed);
+    ReplicationMessage by(String sender, String senderAddress, JsonObject changed) {
+        return new ReplicationMessage(sender, senderAddress, kind, number, changed);
     }
 
     long version() {
@@ -83,11 +84,11 @@
     /** A version's text, which goes deflated. */
     String text() {
         String packed = body.getString("t", null);
-        return packed == null ? null : Objects.read(Base64.getDecoder().decode(packed), String.class);
+        return packed == null ? null : SerializedForm.read(Base64.getDecoder().decode(packed), String.class);
     }
 
     /** A version's text as it goes in a packet. */
     public static String packed(String text) {
-        return Base64.getEncoder().encodeToString(Objects.write(text));
+        return Base64.getEncoder().encodeToString(SerializedForm.write(text));
     }
 }
--- a/versions/src/main/java/opalcove/versions/Objects.java
+++ b/replication/src/main/java/opalcove/replication/SerializedForm.java
@@ -1,4 +1,4 @@
-package opalcove.versions;
+package opalcove.replication;
 
 import java.io.ByteArrayInputStream;
 import java.io.ByteArrayOutputStream;
@@ -8,18 +8,18 @@
 import java.io.ObjectOutputStream;
 import java.util.zip.DeflaterOutputStream;
 import java.util.zip.InflaterInputStream;
-import opalcove.gateway.BadSettings;
+import opalcove.config.InvalidConfigurationException;
 
 /**
  * The consensus library's messages and records as bytes. They are serializable Java objects; what is read back may be of its
  * model, of the project's {@link WrittenClass}es and of the plainest classes alone, and is bounded in size and depth.
  */
-final class Objects {
+final class SerializedForm {
     private static final ObjectInputFilter ALLOWED = ObjectInputFilter.Config.createFilter(
             "maxbytes=16777216;maxdepth=24;maxarray=65536;io.microraft.model.**;io.microraft.MembershipChangeMode;"
                     + WrittenClass.filterPatterns() + ";java.util.*;java.lang.*;!*");
 
-    private Objects() {}
+    private SerializedForm() {}
 
     static byte[] write(Object object) {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream();
@@ -36,7 +36,7 @@
             in.setObjectInputFilter(ALLOWED);
             return type.cast(in.readObject());
         } catch (IOException | ClassNotFoundException | ClassCastException e) {
-            throw new BadSettings("not a record of this program: " + e.getMessage());
+            throw new InvalidConfigurationException("not a record of this program: " + e.getMessage());
         }
     }
 }
--- a/versions/src/main/java/opalcove/versions/SnapshotFile.java
+++ b/replication/src/main/java/opalcove/replication/SnapshotFile.java
@@ -1,4 +1,4 @@
-package opalcove.versions;
+package opalcove.replication;
 
 import com.eclipsesource.json.Json;
 import com.eclipsesource.json.JsonArray;
@@ -7,11 +7,11 @@
 import java.nio.charset.StandardCharsets;
 import java.nio.file.Path;
 import java.util.List;
-import opalcove.gateway.BadSettings;
-import opalcove.gateway.Fields;
+import opalcove.config.InvalidConfigurationException;
+import opalcove.config.JsonFields;
 import opalcove.recovery.Snapshot;
 
-/** A gateway's snapshot as JSON in a {@link StateFile}. */
+/** A gateway's snapshot as JSON in a {@link AtomicFile}. */
 public final class SnapshotFile {
     private static final int FORM = 1;
 
@@ -34,19 +34,19 @@
                 .add("version", snapshot.version())
                 .add("text", snapshot.text())
                 .add("members", members);
-        StateFile.write(file, object.toString().getBytes(StandardCharsets.UTF_8));
+        AtomicFile.write(file, object.toString().getBytes(StandardCharsets.UTF_8));
     }
 
     /** Reads a snapshot; one that is not there, torn, of another form or no snapshot at all is refused with the reason. */
     public static Snapshot read(Path file) throws IOException {
-        if (!StateFile.existsOrBefore(file)) {
-            throw new BadSettings(file + ": there is none");
+        if (!AtomicFile.existsOrBefore(file)) {
+            throw new InvalidConfigurationException(file + ": there is none");
         }
-        Fields f;
+        JsonFields f;
         try {
-            f = Fields.parse(new String(StateFile.readOrBefore(file), StandardCharsets.UTF_8));
+            f = JsonFields.parse(new String(AtomicFile.readOrBefore(file), StandardCharsets.UTF_8));
             if (f.whole("snapshot") != FORM) {
-                throw new BadSettings("its form is " + f.whole("snapshot") + ", not " + FORM);
+                throw new InvalidConfigurationException("its form is " + f.whole("snapshot") + ", not " + FORM);
             }
             List<Snapshot.Peer> members = f.objects("members").stream()
                     .map(each -> new Snapshot.Peer(each.text("name"), each.text("address"), each.serial("incarnation")))
@@ -59,8 +59,10 @@
                     f.serial("version"),
                     f.text("text"),
                     members);
-        } catch (BadSettings e) {
-            throw e.getMessage().startsWith(file.toString()) ? e : new BadSettings(file + ": " + e.getMessage());
+        } catch (InvalidConfigurationException e) {
+            throw e.getMessage().startsWith(file.toString())
+                    ? e
+                    : new InvalidConfigurationException(file + ": " + e.getMessage());
         }
     }
 
@@ -68,7 +70,7 @@
     static Snapshot read(Path file, String gateway) throws IOException {
         Snapshot snapshot = read(file);
         if (!snapshot.gateway().equals(gateway)) {
-            throw new BadSettings(file + ": it is of " + snapshot.gateway());
+            throw new InvalidConfigurationException(file + ": it is of " + snapshot.gateway());
         }
         return snapshot;
     }
--- a/versions/src/main/java/opalcove/versions/WrittenClass.java
+++ b/replication/src/main/java/opalcove/replication/WrittenClass.java
@@ -1,4 +1,4 @@
-package opalcove.versions;
+package opalcove.replication;
 
 import java.io.IOException;
 import java.io.InputStream;
@@ -12,7 +12,7 @@
 import java.util.List;
 import java.util.stream.Collectors;
 import java.util.stream.Stream;
-import opalcove.agreement.Registry;
+import opalcove.configlease.VersionLog;
 
 /**
  * The project's classes in serialized streams. Stored states and the messages between voters outlive a build, and an older process
@@ -20,13 +20,13 @@
  * its fields are called in the code. Fields are named in the order of the stream, primitive ones first.
  */
 enum WrittenClass {
-    PROPOSAL("opalcove.agreement.Registry$Proposal", Registry.Proposal.class, "base", "by", "id", "text"),
-    VERSION("opalcove.agreement.Registry$Version", Registry.Version.class, "number", "by", "id", "text"),
-    OUTCOME("opalcove.agreement.Registry$Outcome", Registry.Outcome.class, "taken", "version", "reason"),
-    VOTER_NAME("opalcove.versions.Voter$Named", Voter.Named.class, "id"),
+    PROPOSAL("opalcove.agreement.Registry$Proposal", VersionLog.Proposal.class, "base", "by", "id", "text"),
+    VERSION("opalcove.agreement.Registry$Version", VersionLog.Version.class, "number", "by", "id", "text"),
+    OUTCOME("opalcove.agreement.Registry$Outcome", VersionLog.Outcome.class, "taken", "version", "reason"),
+    VOTER_NAME("opalcove.versions.Voter$Named", RaftVoter.Named.class, "id"),
     VOTER_STATE(
             "opalcove.versions.VoterStore$State",
-            VoterStore.State.class,
+            RaftVoterStore.State.class,
             "endpoint",
             "entries",
             "members",
--- a/versions/src/test/java/opalcove/versions/AgreementOutputTest.java
+++ b/replication/src/test/java/opalcove/replication/AgreementOutputTest.java
@@ -1,4 +1,4 @@
-package opalcove.versions;
+package opalcove.replication;
 
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertTrue;
@@ -13,11 +13,11 @@
 import java.util.concurrent.CopyOnWriteArrayList;
 import java.util.concurrent.TimeUnit;
 import java.util.function.BooleanSupplier;
-import opalcove.Facts;
-import opalcove.agreement.Registry;
-import opalcove.cluster.AgreedState;
-import opalcove.gateway.Endpoint;
-import opalcove.gateway.Fields;
+import opalcove.TestSettings;
+import opalcove.config.HostAndPort;
+import opalcove.config.JsonFields;
+import opalcove.config.ReplicatedConfig;
+import opalcove.configlease.VersionLog;
 import org.testng.annotations.Test;
 
 /** What agreed versions show to the outside: figures and events. */
@@ -38,16 +38,17 @@
         }
     }
 
-    private static AgreedState state(Vertx vertx, int port, Path folder, List<String> events) {
+    private static ReplicatedConfig state(Vertx vertx, int port, Path folder, List<String> events) {
         String section =
                 """
                 {"listen":"127.0.0.1:%d","voters":[{"name":"g1","address":"127.0.0.1:%d"}],
                  "state_file":"%s/state","snapshot_file":"%s/snapshot","events":true}"""
                         .formatted(port, port, folder, folder);
-        return new VersionedState.Maker().make(vertx, "g1", Fields.parse(section), Facts.settings(), events::add);
+        return new ReplicatedConfigService.Maker()
+                .make(vertx, "g1", JsonFields.parse(section), TestSettings.settings(), events::add);
     }
 
-    private static List<String> keys(AgreedState state) {
+    private static List<String> keys(ReplicatedConfig state) {
         return state.lines()
                 .lines()
                 .map(line -> line.replaceFirst(":-?\\d+\\|", "|"))
@@ -67,11 +68,12 @@
         try {
             int port = freePort();
             List<String> events = new CopyOnWriteArrayList<>();
-            AgreedState state = state(vertx, port, folder, events);
+            ReplicatedConfig state = state(vertx, port, folder, events);
             state.start(acting -> {}, List::of).await(1, TimeUnit.MINUTES);
-            VersionClient client = new VersionClient(List.of(Endpoint.read("127.0.0.1:" + port, "address")), 60_000);
-            Registry.Outcome outcome = client.propose(0, "ops", "{\"settings\":" + Facts.JSON + "}");
-            assertEquals(outcome, new Registry.Outcome(true, 1, ""));
+            ReplicationClient client =
+                    new ReplicationClient(List.of(HostAndPort.read("127.0.0.1:" + port, "address")), 60_000);
+            VersionLog.Outcome outcome = client.propose(0, "ops", "{\"settings\":" + TestSettings.JSON + "}");
+            assertEquals(outcome, new VersionLog.Outcome(true, 1, ""));
             String acting = "{\"event\":\"acting\",\"version\":1,\"mode\":\"FULL\",\"nodes\":-1,\"ended_ms\":0,"
                     + "\"at_ms\":0,\"observer\":\"g1\"}";
             await(events, () -> plain(events, folder).contains(acting));
@@ -125,7 +127,7 @@
         try {
             Files.writeString(folder.resolve("state"), "nothing of this program");
             List<String> events = new CopyOnWriteArrayList<>();
-            AgreedState state = state(vertx, freePort(), folder, events);
+            ReplicatedConfig state = state(vertx, freePort(), folder, events);
             state.start(acting -> {}, List::of);
             await(events, () -> !events.isEmpty());
             assertEquals(
--- a/versions/src/test/java/opalcove/versions/FolderFaultsTest.java
+++ b/replication/src/test/java/opalcove/replication/FolderFaultsTest.java
@@ -1,4 +1,4 @@
-package opalcove.versions;
+package opalcove.replication;
 
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertFalse;
@@ -13,7 +13,7 @@
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.List;
-import opalcove.gateway.BadSettings;
+import opalcove.config.InvalidConfigurationException;
 import opalcove.recovery.Snapshot;
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.DataProvider;
@@ -38,8 +38,8 @@
     @BeforeMethod
     public void folder() throws Exception {
         file = Files.createTempDirectory("folder").resolve("state");
-        StateFile.write(file, "what was before that".getBytes(StandardCharsets.UTF_8));
-        StateFile.write(file, OLD);
+        AtomicFile.write(file, "what was before that".getBytes(StandardCharsets.UTF_8));
+        AtomicFile.write(file, OLD);
     }
 
     @DataProvider
@@ -48,7 +48,7 @@
     }
 
     /** A disk that fails one step: the process ends there, having done half of it, or the system says no. */
-    private static final class Failing implements Disk {
+    private static final class Failing implements FileOperations {
         private final Step step;
         private final boolean ends;
         private boolean healed;
@@ -74,25 +74,25 @@
                 Files.write(name, new byte[] {bytes.get(0), bytes.get(1)});
             }
             at(Step.WRITE);
-            Disk.REAL.write(name, bytes);
+            FileOperations.REAL.write(name, bytes);
         }
 
         @Override
         public void sync(Path name) throws IOException {
             at(Files.isDirectory(name) ? Step.SYNC_FOLDER : Step.SYNC_FILE);
-            Disk.REAL.sync(name);
+            FileOperations.REAL.sync(name);
         }
 
         @Override
         public void link(Path name, Path of) throws IOException {
             at(Step.LINK);
-            Disk.REAL.link(name, of);
+            FileOperations.REAL.link(name, of);
         }
 
         @Override
         public void rename(Path from, Path to) throws IOException {
             at(Step.RENAME);
-            Disk.REAL.rename(from, to);
+            FileOperations.REAL.rename(from, to);
         }
 
         /** Stands for a kill: nothing that comes after it in the write is done. */
@@ -103,26 +103,26 @@
 
     @Test(dataProvider = "steps")
     public void aProcessThatEndsAtAnyStepLeavesTheOldOrTheNewContentWhole(Step step) throws Exception {
-        assertThrows(Failing.EndOfProcess.class, () -> StateFile.write(new Failing(step, true), file, NEW));
-        assertEquals(StateFile.read(file), step == Step.SYNC_FOLDER ? NEW : OLD);
-        StateFile.write(file, NEW);
-        assertEquals(StateFile.read(file), NEW, "what the kill left behind is in nobody's way");
+        assertThrows(Failing.EndOfProcess.class, () -> AtomicFile.write(new Failing(step, true), file, NEW));
+        assertEquals(AtomicFile.read(file), step == Step.SYNC_FOLDER ? NEW : OLD);
+        AtomicFile.write(file, NEW);
+        assertEquals(AtomicFile.read(file), NEW, "what the kill left behind is in nobody's way");
     }
 
     @Test(dataProvider = "steps")
     public void aStepThatFailsIsToldAndTheNextWriteIsWhole(Step step) throws Exception {
         Failing disk = new Failing(step, false);
-        assertThrows(IOException.class, () -> StateFile.write(disk, file, NEW));
-        assertEquals(StateFile.read(file), step == Step.SYNC_FOLDER ? NEW : OLD);
+        assertThrows(IOException.class, () -> AtomicFile.write(disk, file, NEW));
+        assertEquals(AtomicFile.read(file), step == Step.SYNC_FOLDER ? NEW : OLD);
         disk.healed = true;
-        StateFile.write(disk, file, NEW);
-        assertEquals(StateFile.read(file), NEW);
+        AtomicFile.write(disk, file, NEW);
+        assertEquals(AtomicFile.read(file), NEW);
     }
 
     @Test
     public void afterAFailedSyncTheSameFileIsNotSyncedOnceMore() throws Exception {
         Failing disk = new Failing(Step.SYNC_FILE, false);
-        assertThrows(IOException.class, () -> StateFile.write(disk, file, NEW));
+        assertThrows(IOException.class, () -> AtomicFile.write(disk, file, NEW));
         assertFalse(Files.exists(file.resolveSibling("state.part")), "a page may be marked clean: it is written anew");
     }
 
@@ -138,7 +138,7 @@
         for (int cut = 0; cut < whole.length; cut++) {
             Files.write(snapshots, java.util.Arrays.copyOf(whole, cut));
             assertEquals(SnapshotFile.read(snapshots), before);
-            assertThrows(BadSettings.class, () -> VoterStore.open(snapshots));
+            assertThrows(InvalidConfigurationException.class, () -> RaftVoterStore.open(snapshots));
         }
         Files.delete(snapshots);
         assertEquals(SnapshotFile.read(snapshots), before);
@@ -148,7 +148,7 @@
     public void aVoterThatCannotWriteSaysNothingTillItCan(Step step) throws Exception {
         Path vote = file.resolveSibling("vote");
         Failing disk = new Failing(step, false);
-        VoterStore store = VoterStore.open(disk, vote);
+        RaftVoterStore store = RaftVoterStore.open(disk, vote);
         disk.healed = true;
         store.persistAndFlushTerm(term(1));
         assertTrue(store.isWritten());
@@ -159,7 +159,7 @@
         assertFalse(store.isWritten(), "nor is it after another try");
         disk.healed = true;
         assertTrue(store.isWritten());
-        VoterStore back = VoterStore.open(vote);
+        RaftVoterStore back = RaftVoterStore.open(vote);
         back.persistAndFlushInitialGroupMembers(new DefaultRaftModelFactory()
                 .createRaftGroupMembersViewBuilder()
                 .setLogIndex(0)
--- a/versions/src/test/java/opalcove/versions/PacketFormTest.java
+++ b/replication/src/test/java/opalcove/replication/PacketFormTest.java
@@ -1,4 +1,4 @@
-package opalcove.versions;
+package opalcove.replication;
 
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertNull;
@@ -17,7 +17,7 @@
 import java.util.PriorityQueue;
 import java.util.Random;
 import java.util.zip.InflaterInputStream;
-import opalcove.agreement.Standing;
+import opalcove.configlease.LeaseState;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
@@ -32,27 +32,31 @@
     public Object[][] forms() {
         JsonObject origin = Json.object().add("n", "g9").add("a", "127.0.0.1:9");
         return new Object[][] {
-            {Packet.Kind.RAFT, Packet.raft(new byte[] {1, 2, -1}), "\"k\":\"RAFT\",\"s\":7,\"b\":\"AQL/\""},
-            {Packet.Kind.ASK, Json.object().add("v", 3), "\"k\":\"ASK\",\"s\":7,\"v\":3"},
             {
-                Packet.Kind.TOLD,
+                ReplicationMessage.Kind.RAFT,
+                ReplicationMessage.raft(new byte[] {1, 2, -1}),
+                "\"k\":\"RAFT\",\"s\":7,\"b\":\"AQL/\""
+            },
+            {ReplicationMessage.Kind.ASK, Json.object().add("v", 3), "\"k\":\"ASK\",\"s\":7,\"v\":3"},
+            {
+                ReplicationMessage.Kind.TOLD,
                 Json.object().add("v", 3).add("t", PACKED_ONE).add("o", origin),
                 "\"k\":\"TOLD\",\"s\":7,\"v\":3,\"t\":\"" + PACKED_ONE + "\",\"o\":{\"n\":\"g9\",\"a\":\"127.0.0.1:9\"}"
             },
-            {Packet.Kind.NEWS, Json.object().add("v", 4), "\"k\":\"NEWS\",\"s\":7,\"v\":4"},
+            {ReplicationMessage.Kind.NEWS, Json.object().add("v", 4), "\"k\":\"NEWS\",\"s\":7,\"v\":4"},
             {
-                Packet.Kind.PROPOSE,
+                ReplicationMessage.Kind.PROPOSE,
                 Json.object().add("id", "x").add("base", 1).add("by", "ops").add("t", PACKED_ONE),
                 "\"k\":\"PROPOSE\",\"s\":7,\"id\":\"x\",\"base\":1,\"by\":\"ops\",\"t\":\"" + PACKED_ONE + "\""
             },
             {
-                Packet.Kind.DECIDED,
+                ReplicationMessage.Kind.DECIDED,
                 Json.object().add("taken", true).add("v", 2).add("reason", ""),
                 "\"k\":\"DECIDED\",\"s\":7,\"taken\":true,\"v\":2,\"reason\":\"\""
             },
-            {Packet.Kind.HISTORY, Json.object(), "\"k\":\"HISTORY\",\"s\":7"},
+            {ReplicationMessage.Kind.HISTORY, Json.object(), "\"k\":\"HISTORY\",\"s\":7"},
             {
-                Packet.Kind.VERSIONS,
+                ReplicationMessage.Kind.VERSIONS,
                 Json.object()
                         .add(
                                 "versions",
@@ -68,11 +72,11 @@
     }
 
     @Test(dataProvider = "forms")
-    public void eachKindIsWrittenAndReadInItsForm(Packet.Kind kind, JsonObject body, String form) {
+    public void eachKindIsWrittenAndReadInItsForm(ReplicationMessage.Kind kind, JsonObject body, String form) {
         String whole = "{\"f\":{\"n\":\"g1\",\"a\":\"127.0.0.1:7000\"}," + form + "}";
-        Packet packet = new Packet("g1", "127.0.0.1:7000", kind, 7, body);
+        ReplicationMessage packet = new ReplicationMessage("g1", "127.0.0.1:7000", kind, 7, body);
         assertEquals(new String(packet.bytes(), StandardCharsets.UTF_8), whole);
-        Packet read = Packet.read(whole.getBytes(StandardCharsets.UTF_8));
+        ReplicationMessage read = ReplicationMessage.read(whole.getBytes(StandardCharsets.UTF_8));
         assertEquals(read, packet);
         if (body.get("t") != null) {
             assertEquals(read.text(), "one");
@@ -84,12 +88,12 @@
 
     @Test
     public void theFormsAreOfAllKinds() {
-        assertEquals(forms().length, Packet.Kind.values().length);
+        assertEquals(forms().length, ReplicationMessage.Kind.values().length);
     }
 
     @Test
     public void aTextIsPackedAsADeflatedSerializedString() throws IOException {
-        byte[] packed = Base64.getDecoder().decode(Packet.packed("one"));
+        byte[] packed = Base64.getDecoder().decode(ReplicationMessage.packed("one"));
         byte[] plain = new InflaterInputStream(new ByteArrayInputStream(packed)).readAllBytes();
         assertEquals(plain, new byte[] {(byte) 0xac, (byte) 0xed, 0, 5, 't', 0, 3, 'o', 'n', 'e'});
     }
@@ -97,7 +101,7 @@
     private record Task(long atMs, long order, Runnable run) {}
 
     /** A gateway in virtual time that notes what it sends to others; itself it reaches. */
-    private static final class Host implements VersionDesk.Host {
+    private static final class Host implements ConfigReplica.Host {
         private final PriorityQueue<Task> tasks =
                 new PriorityQueue<>(Comparator.comparingLong(Task::atMs).thenComparingLong(Task::order));
         private final List<String> sent = new ArrayList<>();
@@ -110,7 +114,7 @@
         }
 
         @Override
-        public void send(String address, Packet packet) {
+        public void send(String address, ReplicationMessage packet) {
             sent.add(address + " " + new String(packet.bytes(), StandardCharsets.UTF_8));
         }
 
@@ -120,7 +124,7 @@
         }
 
         @Override
-        public void stands(Standing before, Standing after, String text) {
+        public void stands(LeaseState before, LeaseState after, String text) {
             sent.add(after.version() + " " + after.mode().name() + " " + text);
         }
 
@@ -141,19 +145,19 @@
         }
     }
 
-    private static VersionDesk desk(Host host, Map<String, String> voters, boolean votes) {
-        return new VersionDesk(
-                new VersionDesk.Setup("g1", "a:1", voters, votes, null, 2000, new Random(5), text -> {}), host);
+    private static ConfigReplica desk(Host host, Map<String, String> voters, boolean votes) {
+        return new ConfigReplica(
+                new ConfigReplica.Setup("g1", "a:1", voters, votes, null, 2000, new Random(5), text -> {}), host);
     }
 
-    private static Packet packet(String body) {
-        return Packet.read(("{\"f\":" + CLIENT + "," + body + "}").getBytes(StandardCharsets.UTF_8));
+    private static ReplicationMessage packet(String body) {
+        return ReplicationMessage.read(("{\"f\":" + CLIENT + "," + body + "}").getBytes(StandardCharsets.UTF_8));
     }
 
     @Test
     public void aVoterAnswersEachQuestionInItsForm() {
         Host host = new Host();
-        VersionDesk desk = desk(host, Map.of("g1", "a:1"), true);
+        ConfigReplica desk = desk(host, Map.of("g1", "a:1"), true);
         desk.start();
         host.run(5000);
         assertTrue(desk.leads());
@@ -196,7 +200,7 @@
     @Test
     public void aGatewayAsksAVoterAndTakesItsAnswer() {
         Host host = new Host();
-        VersionDesk desk = desk(host, Map.of("g2", "b:2"), false);
+        ConfigReplica desk = desk(host, Map.of("g2", "b:2"), false);
         desk.tick();
         assertEquals(
                 host.takeSent(), List.of("b:2 {\"f\":{\"n\":\"g1\",\"a\":\"a:1\"},\"k\":\"ASK\",\"s\":1,\"v\":0}"));
--- a/versions/src/test/java/opalcove/versions/VersionsTest.java
+++ b/replication/src/test/java/opalcove/replication/ReplicationTest.java
@@ -1,4 +1,4 @@
-package opalcove.versions;
+package opalcove.replication;
 
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertNotNull;
@@ -11,35 +11,36 @@
 import java.nio.file.Path;
 import java.util.Arrays;
 import java.util.List;
-import opalcove.Facts;
-import opalcove.agreement.Registry;
-import opalcove.gateway.AppNode;
-import opalcove.gateway.BadSettings;
-import opalcove.gateway.Fields;
+import opalcove.TestSettings;
+import opalcove.config.Backend;
+import opalcove.config.InvalidConfigurationException;
+import opalcove.config.JsonFields;
+import opalcove.configlease.VersionLog;
 import opalcove.recovery.Snapshot;
 import org.testng.annotations.Test;
 
 /** A version's document and its strict rules, a voter's file, the section's checks. */
-public class VersionsTest {
+public class ReplicationTest {
     private static final String NODES =
             """
             [{"name":"n1","address":"127.0.0.1:1"},{"name":"n2","address":"127.0.0.1:2","status":"%s"}]""";
 
-    private static Document document(String settings, String secondNode) {
-        return Document.read("{\"settings\":" + settings + ",\"nodes\":" + NODES.formatted(secondNode) + "}");
+    private static ConfigDocument document(String settings, String secondNode) {
+        return ConfigDocument.read("{\"settings\":" + settings + ",\"nodes\":" + NODES.formatted(secondNode) + "}");
     }
 
     @Test
     public void strictKeepsTheLesserQuotaOneAttemptAndADrainOfEitherVersion() {
-        Document drained = document(
-                Facts.JSON.replace("\"quota_rate\":50,\"peak_units\":100}]", "\"quota_rate\":20,\"peak_units\":200}]"),
+        ConfigDocument drained = document(
+                TestSettings.JSON.replace(
+                        "\"quota_rate\":50,\"peak_units\":100}]", "\"quota_rate\":20,\"peak_units\":200}]"),
                 "draining");
-        Document again = document(Facts.JSON, "up");
-        Document strict = again.strict(drained);
+        ConfigDocument again = document(TestSettings.JSON, "up");
+        ConfigDocument strict = again.strict(drained);
         assertEquals(strict.settings().limits().maxAttempts(), 1);
         assertEquals(strict.settings().plans().get(1).rate(), 20.0);
         assertEquals(strict.settings().plans().get(1).burst(), 100.0);
-        assertEquals(strict.nodes().stream().map(AppNode::name).toList(), List.of("n1"));
+        assertEquals(strict.nodes().stream().map(Backend::name).toList(), List.of("n1"));
     }
 
     @Test
@@ -47,15 +48,18 @@
         for (String[] each : new String[][] {
             {"", "JSON"},
             {"{\"settings\":{}}", "profiles"},
-            {"{\"settings\":" + Facts.JSON + ",\"node\":[]}", "field node is not known"},
-            {"{\"settings\":" + Facts.JSON.replace("\"max_attempts\":6", "\"max_attempts\":0") + "}", "max_attempts"},
+            {"{\"settings\":" + TestSettings.JSON + ",\"node\":[]}", "field node is not known"},
             {
-                "{\"settings\":" + Facts.JSON + ",\"nodes\":"
+                "{\"settings\":" + TestSettings.JSON.replace("\"max_attempts\":6", "\"max_attempts\":0") + "}",
+                "max_attempts"
+            },
+            {
+                "{\"settings\":" + TestSettings.JSON + ",\"nodes\":"
                         + NODES.formatted("up").replace("n2", "n1") + "}",
                 "n1 twice"
             }
         }) {
-            String told = expectThrows(BadSettings.class, () -> Document.read(each[0]))
+            String told = expectThrows(InvalidConfigurationException.class, () -> ConfigDocument.read(each[0]))
                     .getMessage();
             assertTrue(told.contains(each[1]), told);
         }
@@ -64,10 +68,10 @@
     @Test
     public void aVotersFileIsReadBackWholeOrRefusedWithTheReason() throws Exception {
         Path file = Files.createTempDirectory("vote").resolve("state");
-        VoterStore store = VoterStore.open(file);
+        RaftVoterStore store = RaftVoterStore.open(file);
         assertNull(store.restored());
         DefaultRaftModelFactory factory = new DefaultRaftModelFactory();
-        Registry.Proposal proposal = new Registry.Proposal("id", 0, "ops", "text");
+        VersionLog.Proposal proposal = new VersionLog.Proposal("id", 0, "ops", "text");
         store.persistLogEntries(List.of(factory.createLogEntryBuilder()
                 .setIndex(1)
                 .setTerm(1)
@@ -85,21 +89,21 @@
         store.persistAndFlushLocalEndpoint(factory.createRaftEndpointPersistentStateBuilder()
                 .setVoting(true)
                 .build());
-        VoterStore back = VoterStore.open(file);
+        RaftVoterStore back = RaftVoterStore.open(file);
         assertNotNull(back.restored());
         assertEquals(back.restored().getTermPersistentState().getTerm(), 3);
         assertEquals(back.restored().getLogEntries().get(0).getOperation(), proposal);
         byte[] whole = Files.readAllBytes(file);
         for (int cut = 0; cut < whole.length; cut++) {
             Files.write(file, Arrays.copyOf(whole, cut));
-            String told =
-                    expectThrows(BadSettings.class, () -> VoterStore.open(file)).getMessage();
+            String told = expectThrows(InvalidConfigurationException.class, () -> RaftVoterStore.open(file))
+                    .getMessage();
             assertTrue(told.contains(file.toString()) && told.matches("(?s).*(empty|no state|torn).*"), told);
         }
         byte[] changed = whole.clone();
         changed[whole.length - 3] ^= 1;
         Files.write(file, changed);
-        assertTrue(expectThrows(BadSettings.class, () -> VoterStore.open(file))
+        assertTrue(expectThrows(InvalidConfigurationException.class, () -> RaftVoterStore.open(file))
                 .getMessage()
                 .contains("torn"));
     }
@@ -107,32 +111,32 @@
     @Test
     public void aSnapshotIsReadBackWholeOrRefusedWithTheReason() throws Exception {
         Path file = Files.createTempDirectory("snapshot").resolve("g1");
-        assertTrue(expectThrows(BadSettings.class, () -> SnapshotFile.read(file, "g1"))
+        assertTrue(expectThrows(InvalidConfigurationException.class, () -> SnapshotFile.read(file, "g1"))
                 .getMessage()
                 .contains("there is none"));
         Snapshot snapshot =
                 new Snapshot("g1", 5, 4, true, 3, "{\"settings\":{}}", List.of(new Snapshot.Peer("g2", "a:1", 9)));
         SnapshotFile.write(file, snapshot);
         assertEquals(SnapshotFile.read(file, "g1"), snapshot);
-        assertTrue(expectThrows(BadSettings.class, () -> SnapshotFile.read(file, "g2"))
+        assertTrue(expectThrows(InvalidConfigurationException.class, () -> SnapshotFile.read(file, "g2"))
                 .getMessage()
                 .contains("is of g1"));
         byte[] whole = Files.readAllBytes(file);
         for (int cut = 0; cut < whole.length; cut++) {
             Files.write(file, Arrays.copyOf(whole, cut));
-            String told = expectThrows(BadSettings.class, () -> SnapshotFile.read(file, "g1"))
+            String told = expectThrows(InvalidConfigurationException.class, () -> SnapshotFile.read(file, "g1"))
                     .getMessage();
             assertTrue(told.matches("(?s).*(empty|no state|torn).*"), told);
         }
-        StateFile.write(file, "{\"snapshot\":2}".getBytes(java.nio.charset.StandardCharsets.UTF_8));
-        assertTrue(expectThrows(BadSettings.class, () -> SnapshotFile.read(file, "g1"))
+        AtomicFile.write(file, "{\"snapshot\":2}".getBytes(java.nio.charset.StandardCharsets.UTF_8));
+        assertTrue(expectThrows(InvalidConfigurationException.class, () -> SnapshotFile.read(file, "g1"))
                 .getMessage()
                 .contains("its form is 2, not 1"));
     }
 
     @Test
     public void heldCutsEachBurstToOneGatewaysPart() {
-        Document held = document(Facts.JSON.replace("\"balancers\":1", "\"balancers\":4"), "up")
+        ConfigDocument held = document(TestSettings.JSON.replace("\"balancers\":1", "\"balancers\":4"), "up")
                 .held();
         assertEquals(held.settings().plans().get(0).burst(), 25.0);
         assertEquals(held.settings().plans().get(0).rate(), 50.0);
@@ -141,8 +145,9 @@
     @Test
     public void whatIsNoRecordOfThisProgramIsNotRead() {
         assertTrue(expectThrows(
-                        BadSettings.class,
-                        () -> Objects.read(Objects.write(new java.io.File("x")), java.io.Serializable.class))
+                        InvalidConfigurationException.class,
+                        () -> SerializedForm.read(
+                                SerializedForm.write(new java.io.File("x")), java.io.Serializable.class))
                 .getMessage()
                 .contains("REJECTED"));
     }
@@ -152,14 +157,16 @@
         String good =
                 """
                 {"listen":"127.0.0.1:0","voters":[{"name":"g1","address":"127.0.0.1:1"}],"state_file":"/tmp/x"}""";
-        assertEquals(VersionSettings.read("g1", Fields.parse(good)).leaseMs(), 2000);
+        assertEquals(ReplicationConfig.read("g1", JsonFields.parse(good)).leaseMs(), 2000);
         for (String[] each : new String[][] {
             {good.replace("/tmp/x", ""), "state_file"},
             {good.replace("\"state_file\"", "\"lease_ms\":1,\"state_file\""), "lease_ms"},
             {good.replace("\"state_file\"", "\"state\""), "agreement.state is not known"},
             {good.replace("}]", "},{\"name\":\"g2\",\"address\":\"127.0.0.1:2\"}]"), "1, 3, 5"}
         }) {
-            String told = expectThrows(BadSettings.class, () -> VersionSettings.read("g1", Fields.parse(each[0])))
+            String told = expectThrows(
+                            InvalidConfigurationException.class,
+                            () -> ReplicationConfig.read("g1", JsonFields.parse(each[0])))
                     .getMessage();
             assertTrue(told.contains(each[1]), told);
         }
--- a/versions/src/test/java/opalcove/versions/VirtualVoters.java
+++ b/replication/src/test/java/opalcove/replication/VirtualVoters.java
@@ -1,4 +1,4 @@
-package opalcove.versions;
+package opalcove.replication;
 
 import io.microraft.executor.RaftNodeExecutor;
 import java.time.Clock;
@@ -17,7 +17,7 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.BiConsumer;
 import java.util.function.BooleanSupplier;
-import opalcove.agreement.Registry;
+import opalcove.configlease.VersionLog;
 
 /** Voters in virtual time, each on its own store: messages take one ms, and none goes to or from one that is cut off. */
 final class VirtualVoters {
@@ -28,17 +28,17 @@
 
     private final PriorityQueue<Task> tasks =
             new PriorityQueue<>(Comparator.comparingLong(Task::atMs).thenComparingLong(Task::order));
-    private final Map<String, Voter> voters = new LinkedHashMap<>();
+    private final Map<String, RaftVoter> voters = new LinkedHashMap<>();
     private final Set<String> cutOff = new HashSet<>();
     private long nowMs = 1_000_000;
     private long order;
 
     /** Starts a voter for each store; {@code sent} sees each message, be it carried or lost. */
-    VirtualVoters(Map<String, VoterStore> stores, BiConsumer<String, byte[]> sent) {
+    VirtualVoters(Map<String, RaftVoterStore> stores, BiConsumer<String, byte[]> sent) {
         stores.forEach((name, store) -> voters.put(
                 name,
-                new Voter(
-                        new Voter.Setup(
+                new RaftVoter(
+                        new RaftVoter.Setup(
                                 name, NAMES, store, new Executor(), new VirtualClock(), new Random(name.hashCode())),
                         (to, message) -> {
                             sent.accept(name, message);
@@ -49,10 +49,10 @@
                             });
                         },
                         version -> {})));
-        voters.values().forEach(Voter::start);
+        voters.values().forEach(RaftVoter::start);
     }
 
-    Voter voter(String name) {
+    RaftVoter voter(String name) {
         return voters.get(name);
     }
 
@@ -79,8 +79,8 @@
     }
 
     /** Has the leader decide on a proposal. */
-    Registry.Outcome propose(Registry.Proposal proposal) {
-        List<Registry.Outcome> outcome = new ArrayList<>();
+    VersionLog.Outcome propose(VersionLog.Proposal proposal) {
+        List<VersionLog.Outcome> outcome = new ArrayList<>();
         String leader = awaitLeader();
         voters.get(leader).propose(proposal, outcome::add, () -> {
             throw new IllegalStateException(leader + " lost the proposal");
--- a/versions/src/test/java/opalcove/versions/WrittenFormTest.java
+++ b/replication/src/test/java/opalcove/replication/WrittenFormTest.java
@@ -1,4 +1,4 @@
-package opalcove.versions;
+package opalcove.replication;
 
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertFalse;
@@ -26,9 +26,9 @@
 import java.util.stream.Stream;
 import java.util.zip.DeflaterOutputStream;
 import java.util.zip.InflaterInputStream;
-import opalcove.agreement.Registry;
-import opalcove.agreement.Standing;
-import opalcove.gateway.BadSettings;
+import opalcove.config.InvalidConfigurationException;
+import opalcove.configlease.LeaseState;
+import opalcove.configlease.VersionLog;
 import opalcove.recovery.Snapshot;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
@@ -144,9 +144,9 @@
     @Test(dataProvider = "messages")
     public void aMessageIsReadAndWrittenInItsForm(String kind, String... names) {
         byte[] before = resource(kind + ".message");
-        RaftMessage message = Objects.read(before, RaftMessage.class);
+        RaftMessage message = SerializedForm.read(before, RaftMessage.class);
         assertEquals(message.getClass().getSimpleName(), "Default" + kind + "OrBuilder");
-        byte[] now = Objects.write(message);
+        byte[] now = SerializedForm.write(message);
         assertWritten(classes(before), names);
         assertWritten(classes(now), names);
         assertEquals(plain(now), plain(before));
@@ -159,8 +159,8 @@
 
     @Test(dataProvider = "states")
     public void aVotersStateIsReadAndWrittenInItsForm(String name) throws IOException {
-        byte[] before = StateFile.read(copy(name).resolve(name));
-        byte[] now = Objects.write(Objects.read(before, Serializable.class));
+        byte[] before = AtomicFile.read(copy(name).resolve(name));
+        byte[] now = SerializedForm.write(SerializedForm.read(before, Serializable.class));
         String[] names = {
             "opalcove.agreement.Registry$Proposal",
             "opalcove.agreement.Registry$Version",
@@ -174,39 +174,39 @@
 
     @Test
     public void anOutcomeIsWrittenInItsForm() {
-        byte[] written = Objects.write(new Registry.Outcome(true, 3, "why"));
+        byte[] written = SerializedForm.write(new VersionLog.Outcome(true, 3, "why"));
         assertWritten(classes(written), "opalcove.agreement.Registry$Outcome");
-        assertEquals(Objects.read(written, Registry.Outcome.class), new Registry.Outcome(true, 3, "why"));
+        assertEquals(SerializedForm.read(written, VersionLog.Outcome.class), new VersionLog.Outcome(true, 3, "why"));
     }
 
     @Test
     public void votersGoOnFromTheirFilesAndOneThatStartsAnewIsBroughtUpToDate() throws IOException {
         Path folder = copy("g1.state", "g2.state", "g3.state");
-        Map<String, VoterStore> stores = new LinkedHashMap<>();
+        Map<String, RaftVoterStore> stores = new LinkedHashMap<>();
         for (String name : VirtualVoters.NAMES) {
-            stores.put(name, VoterStore.open(folder.resolve(name + ".state")));
+            stores.put(name, RaftVoterStore.open(folder.resolve(name + ".state")));
             assertTrue(stores.get(name).restored().getTermPersistentState().getTerm() > 0, name);
         }
         VirtualVoters voters = new VirtualVoters(stores, (from, message) -> {});
         String leader = voters.awaitLeader();
         assertEquals(
-                voters.propose(new Registry.Proposal("id-24", 23, "ops", "again")),
-                new Registry.Outcome(true, 24, ""),
+                voters.propose(new VersionLog.Proposal("id-24", 23, "ops", "again")),
+                new VersionLog.Outcome(true, 24, ""),
                 "what was taken before the restart is known");
         assertEquals(
-                voters.propose(new Registry.Proposal("id-new", 23, "ops", "late")),
-                new Registry.Outcome(false, 24, "it changes version 23, but version 24 by ops is in force"));
+                voters.propose(new VersionLog.Proposal("id-new", 23, "ops", "late")),
+                new VersionLog.Outcome(false, 24, "it changes version 23, but version 24 by ops is in force"));
         assertEquals(
-                voters.propose(new Registry.Proposal("id-25", 24, "ops", "{\"text\":25}")),
-                new Registry.Outcome(true, 25, ""));
+                voters.propose(new VersionLog.Proposal("id-25", 24, "ops", "{\"text\":25}")),
+                new VersionLog.Outcome(true, 25, ""));
         voters.run(10_000);
         for (String name : VirtualVoters.NAMES) {
-            List<Registry.Version> history = voters.voter(name).history();
+            List<VersionLog.Version> history = voters.voter(name).history();
             assertEquals(
-                    history.stream().map(Registry.Version::number).toList(),
+                    history.stream().map(VersionLog.Version::number).toList(),
                     LongStream.rangeClosed(10, 25).boxed().toList(),
                     name + " of " + leader);
-            assertEquals(history.get(15), new Registry.Version(25, "id-25", "ops", "{\"text\":25}"));
+            assertEquals(history.get(15), new VersionLog.Version(25, "id-25", "ops", "{\"text\":25}"));
         }
     }
 
@@ -228,7 +228,7 @@
                                 new Snapshot.Peer("g2", "127.0.0.1:7002", 1_690_000_000_002L),
                                 new Snapshot.Peer("g3", "127.0.0.1:7003", 1_690_000_000_003L))));
         assertEquals(
-                new String(StateFile.read(file), StandardCharsets.UTF_8),
+                new String(AtomicFile.read(file), StandardCharsets.UTF_8),
                 "{\"snapshot\":1,\"gateway\":\"g1\",\"written_ms\":1700000000002,\"incarnation\":1690000000000,"
                         + "\"clean\":true,\"version\":24,\"text\":\"{\\\"settings\\\":{},\\\"nodes\\\":[\\\"\u00e9\\\"]}\","
                         + "\"members\":[{\"name\":\"g2\",\"address\":\"127.0.0.1:7002\",\"incarnation\":1690000000002},"
@@ -242,8 +242,10 @@
 
     @Test
     public void aClassOfTheProjectThatIsNoRecordIsNotRead() {
-        for (Serializable other : new Serializable[] {Packet.Kind.ASK, Standing.Mode.FULL}) {
-            String told = expectThrows(BadSettings.class, () -> Objects.read(Objects.write(other), Serializable.class))
+        for (Serializable other : new Serializable[] {ReplicationMessage.Kind.ASK, LeaseState.Mode.FULL}) {
+            String told = expectThrows(
+                            InvalidConfigurationException.class,
+                            () -> SerializedForm.read(SerializedForm.write(other), Serializable.class))
                     .getMessage();
             assertTrue(told.startsWith("not a record of this program: opalcove."), told);
         }
@@ -251,7 +253,7 @@
 
     @Test
     public void aRecordWithOtherFieldsIsNotRead() {
-        byte[] written = Objects.write(new Registry.Outcome(true, 3, "why"));
+        byte[] written = SerializedForm.write(new VersionLog.Outcome(true, 3, "why"));
         byte[] plain = plain(written);
         int at = new String(plain, StandardCharsets.ISO_8859_1).indexOf("reason");
         plain[at] = 'R';
@@ -261,7 +263,9 @@
         } catch (IOException e) {
             throw new java.io.UncheckedIOException(e);
         }
-        String told = expectThrows(BadSettings.class, () -> Objects.read(changed.toByteArray(), Serializable.class))
+        String told = expectThrows(
+                        InvalidConfigurationException.class,
+                        () -> SerializedForm.read(changed.toByteArray(), Serializable.class))
                 .getMessage();
         assertTrue(told.contains("its fields are not those of this program"), told);
     }
