--- a/benchmarks/src/main/java/opalcove/resp/ReaderBenchmark.java
+++ b/benchmarks/src/main/java/opalcove/resp/ReaderBenchmark.java
@@ -34,10 +34,10 @@
             + "$53\r\nc=slot-status,t=start,d=4000,units=2,spread=1,first=0\r\n";
     private static final String REPLY = "*3\r\n$16\r\nvvvvvvvvvvvvvvvv\r\n$14\r\nused=12,cost=1\r\n$8\r\nsvc_ms=5\r\n";
 
-    private final ByteBuf ask = bytes(ASK);
+    private final ByteBuf request = bytes(ASK);
     private final ByteBuf reply = bytes(REPLY);
     private io.vertx.core.Vertx vertx;
-    private RespDecoder asks;
+    private RespDecoder requests;
     private RespDecoder replies;
     private Object read;
 
@@ -56,13 +56,13 @@
                 settings,
                 1,
                 new ConnectionPool(vertx, settings, new RespConnector(vertx, settings), 1));
-        RequestDecoder askReader = new RequestDecoder(gateway::rules);
+        RequestDecoder requestDecoder = new RequestDecoder(gateway::rules);
         BackendReplyDecoder nodeReply = new BackendReplyDecoder(settings);
-        asks = new RespDecoder(8, new RespDecoder.User() {
+        requests = new RespDecoder(8, new RespDecoder.User() {
             @Override
             public void value(RespDecoder value) {
                 try {
-                    read = askReader.read(value, null);
+                    read = requestDecoder.read(value, null);
                 } catch (opalcove.core.InvalidRequestException e) {
                     throw new IllegalStateException(e);
                 }
@@ -94,8 +94,8 @@
 
     /** Parses one request of a client. */
     @Benchmark
-    public Object anAsk() {
-        asks.take(ask.retainedDuplicate());
+    public Object aRequest() {
+        requests.take(request.retainedDuplicate());
         return read;
     }
 
--- a/cli/src/main/java/opalcove/cli/LoadCommand.java
+++ b/cli/src/main/java/opalcove/cli/LoadCommand.java
@@ -30,7 +30,7 @@
         HostAndPort at = HostAndPort.read(address, "ADDRESS");
         LoadPlan plan = options.plan(at.address(), at.port());
         try (Load load = new Load(plan, System.err::println)) {
-            LoadReport report = load.run(plan.asks());
+            LoadReport report = load.run(plan.requests());
             System.out.print(json ? report.json() + "\n" : report.table());
             return report.failed() == 0 ? 0 : 1;
         }
--- a/cli/src/main/java/opalcove/cli/LoadOptions.java
+++ b/cli/src/main/java/opalcove/cli/LoadOptions.java
@@ -27,10 +27,10 @@
     private double rate;
 
     @Option(names = "--asks", paramLabel = "N", defaultValue = "12000", description = "(default: ${DEFAULT-VALUE})")
-    private int asks;
+    private int requests;
 
     @Option(names = "--operators", paramLabel = "N", defaultValue = "40", description = "(default: ${DEFAULT-VALUE})")
-    private int operators;
+    private int tenants;
 
     @Option(
             names = "--records",
@@ -51,7 +51,7 @@
 
     LoadPlan plan(String host, int port) {
         try {
-            return new LoadPlan(mqtt, host, port, connections, depth, rate, asks, operators, records, body, waitMs);
+            return new LoadPlan(mqtt, host, port, connections, depth, rate, requests, tenants, records, body, waitMs);
         } catch (IllegalArgumentException e) {
             throw new InvalidConfigurationException(e.getMessage());
         }
--- a/cli/src/main/java/opalcove/cli/MeterCommand.java
+++ b/cli/src/main/java/opalcove/cli/MeterCommand.java
@@ -75,14 +75,14 @@
         }
         LoadPlan plan = options.plan("127.0.0.1", 0);
         try (Meter meter = new Meter(plan, new Meter.Nodes(nodes, value, work), lockstep, warm, System.err::println)) {
-            Meter.Costs costs = meter.measure(plan.asks(), classes);
+            Meter.Costs costs = meter.measure(plan.requests(), classes);
             JsonObject told = costs.json();
             if (!json) {
                 System.out.print(table(costs));
             }
             if (verify) {
                 JsonObject checks = Json.object();
-                for (Meter.Check each : meter.verify(plan.asks())) {
+                for (Meter.Check each : meter.verify(plan.requests())) {
                     checks.add(
                             each.what(),
                             Json.object().add("meter", each.meter()).add("strace", each.strace()));
--- a/cli/src/main/java/opalcove/cli/PlanCommand.java
+++ b/cli/src/main/java/opalcove/cli/PlanCommand.java
@@ -36,7 +36,7 @@
         }
         Vertx vertx = Application.eventLoop();
         try {
-            String text = new Planner(vertx).plan(wanted.control(), wanted.nodes(), planFile);
+            String text = new Planner(vertx).plan(wanted.control(), wanted.backends(), planFile);
             System.out.print(json ? Files.readString(planFile) : text);
         } finally {
             vertx.close();
--- a/config/src/main/java/opalcove/config/ConfigValidator.java
+++ b/config/src/main/java/opalcove/config/ConfigValidator.java
@@ -39,7 +39,7 @@
     }
 
     /** The value, or the other one where it has a problem. */
-    public <T> T ask(Supplier<T> value, T otherwise) {
+    public <T> T valueOr(Supplier<T> value, T otherwise) {
         try {
             return value.get();
         } catch (InvalidConfigurationException e) {
--- a/config/src/main/java/opalcove/config/EndpointCodec.java
+++ b/config/src/main/java/opalcove/config/EndpointCodec.java
@@ -17,7 +17,7 @@
      * @throws InvalidConfigurationException if an entry cannot be read, with its place
      */
     public static List<Backend> read(List<JsonFields> lines) {
-        List<Backend> nodes = new ArrayList<>();
+        List<Backend> backends = new ArrayList<>();
         for (JsonFields line : lines) {
             String status = line.textOr("status", "up");
             EndpointState state =
@@ -29,7 +29,7 @@
                             throw new InvalidConfigurationException(
                                     line.at("status"), "has an unknown value " + status);
                     };
-            nodes.add(new Backend(
+            backends.add(new Backend(
                     new Endpoint(
                             line.text("name"),
                             line.textOr("zone", ""),
@@ -40,12 +40,12 @@
                             line.numberOr("since_ms", 0)),
                     line.text("address")));
         }
-        return nodes;
+        return backends;
     }
 
     /** Writes one line. */
-    public static JsonObject write(Backend node) {
-        Endpoint host = node.host();
+    public static JsonObject write(Backend backend) {
+        Endpoint host = backend.host();
         String status =
                 switch (host.state()) {
                     case UP -> "up";
@@ -54,7 +54,7 @@
                 };
         return new JsonObject()
                 .add("name", host.id())
-                .add("address", node.address())
+                .add("address", backend.address())
                 .add("zone", host.zone())
                 .add("type", host.kind())
                 .add("group", host.cell())
@@ -64,9 +64,9 @@
     }
 
     /** Writes a whole list, or its changed lines, with the index that they have or build on. */
-    public static JsonObject write(long index, boolean whole, List<Backend> nodes) {
+    public static JsonObject write(long index, boolean whole, List<Backend> backends) {
         JsonArray lines = new JsonArray();
-        nodes.forEach(node -> lines.add(write(node)));
+        backends.forEach(backend -> lines.add(write(backend)));
         return new JsonObject().add("index", index).add("snapshot", whole).add("endpoints", lines);
     }
 }
--- a/config/src/main/java/opalcove/config/ReplicatedConfig.java
+++ b/config/src/main/java/opalcove/config/ReplicatedConfig.java
@@ -17,7 +17,8 @@
      * What to act on; nodes is null where the list stays discovery's; strict: only what cannot contradict others is in it;
      * coldSinceMs: no node counts as started before it, Unix ms, 0 where the list's word holds.
      */
-    record Acting(long version, DecisionSettings settings, List<Backend> nodes, boolean strict, long coldSinceMs) {}
+    record EffectiveConfig(
+            long version, DecisionSettings settings, List<Backend> backends, boolean strict, long coldSinceMs) {}
 
     /** Makes the part of this process; found by the service loader. */
     interface Provider {
@@ -33,13 +34,13 @@
      * Begins; done once clients may be taken: the others have said which version is in force, or that there is none, and, where
      * the fleet lost its power, how they came back. act: on any thread; fleet: the gateways that are there, this one among them.
      */
-    Future<Void> start(Consumer<Acting> act, Supplier<List<Member>> fleet);
+    Future<Void> start(Consumer<EffectiveConfig> act, Supplier<List<Member>> fleet);
 
     /** The process ends well. */
     void leave();
 
     /** What to act on where a confirmed version has lapsed and was not yet told so; null else. For any thread. */
-    Acting lapsed();
+    EffectiveConfig lapsed();
 
     /** The figures, a line each. For any thread. */
     String lines();
--- a/control/src/main/java/opalcove/control/server/ControlConfig.java
+++ b/control/src/main/java/opalcove/control/server/ControlConfig.java
@@ -45,15 +45,15 @@
     public static ControlConfig read(Path file) {
         ConfigValidator check = new ConfigValidator(file);
         JsonFields fields = check.fields(KEYS);
-        String name = check.ask(() -> fields.textOr("name", "control"), "");
-        HostAndPort listen = check.ask(() -> HostAndPort.read(fields.text("listen"), "listen"), null);
-        HostAndPort status = check.ask(() -> status(fields), null);
-        Path nodes = check.ask(() -> file.toAbsolutePath().resolveSibling(fields.text("nodes")), null);
-        double shrink = check.ask(() -> share(fields), 0.0);
-        Set<String> admit = check.ask(() -> Set.copyOf(fields.texts("admit")), Set.of());
-        List<ClusterState.Cluster> clusters = check.ask(() -> clusters(fields), List.of());
-        List<Listener> listeners = check.ask(() -> listeners(fields, clusters), List.of());
-        DecisionSettings settings = check.ask(() -> SettingsReader.checked(fields.object("settings")), null);
+        String name = check.valueOr(() -> fields.textOr("name", "control"), "");
+        HostAndPort listen = check.valueOr(() -> HostAndPort.read(fields.text("listen"), "listen"), null);
+        HostAndPort status = check.valueOr(() -> status(fields), null);
+        Path nodes = check.valueOr(() -> file.toAbsolutePath().resolveSibling(fields.text("nodes")), null);
+        double shrink = check.valueOr(() -> share(fields), 0.0);
+        Set<String> admit = check.valueOr(() -> Set.copyOf(fields.texts("admit")), Set.of());
+        List<ClusterState.Cluster> clusters = check.valueOr(() -> clusters(fields), List.of());
+        List<Listener> listeners = check.valueOr(() -> listeners(fields, clusters), List.of());
+        DecisionSettings settings = check.valueOr(() -> SettingsReader.checked(fields.object("settings")), null);
         check.end();
         return new ControlConfig(name, listen, status, nodes, shrink, admit, clusters, listeners, settings);
     }
--- a/decision/src/main/java/opalcove/decision/DecisionSettings.java
+++ b/decision/src/main/java/opalcove/decision/DecisionSettings.java
@@ -81,9 +81,9 @@
             double maxRetryAfterMs,
             double idleCloseMs,
             boolean counter,
-            double dialTimeoutMs,
+            double connectTimeoutMs,
             int maxOpen,
-            double mostUnits) {
+            double maxUnits) {
         /** Limits for a module on its own. */
         public Limits(
                 int maxAttempts,
--- a/gateway/src/main/java/opalcove/backend/ConnectionPool.java
+++ b/gateway/src/main/java/opalcove/backend/ConnectionPool.java
@@ -77,7 +77,7 @@
         }
 
         /** Sends an attempt, by the end of this turn of the event loop. */
-        void send(Request ask, double waitMs);
+        void send(Request request, double waitMs);
 
         /** Ends the connection; an attempt whose bytes still wait for the end of this turn is not sent any more. */
         void close();
@@ -126,7 +126,7 @@
     private final Vertx vertx;
     private final EventExecutor loop;
     /** By node; a shelf leaves with its node. */
-    private final Map<String, HostPool> shelves = new HashMap<>();
+    private final Map<String, HostPool> hostPools = new HashMap<>();
     /** Lines that carried an answer of late, the earliest first. */
     private final Deque<PooledConnection> settling = new ArrayDeque<>();
 
@@ -155,7 +155,7 @@
         this.connector = connector;
         this.most = most;
         fewToRest = Math.max(1, most - Math.max(1, most / SPARE_PART));
-        mostRoomWaitMs = settings.limits().dialTimeoutMs();
+        mostRoomWaitMs = settings.limits().connectTimeoutMs();
         double told = settings.limits().idleCloseMs();
         idleMs = (told > 0 ? told : IDLE_DEFAULT_MS) * IDLE_PART;
         sureMs = (told > 0 ? told : IDLE_DEFAULT_MS) * SURE_PART;
@@ -163,9 +163,9 @@
     }
 
     @Override
-    public Attempt attempt(Backend node, Request ask, double waitMs, Ended ended) {
-        PooledCall attempt = new PooledCall(ask, waitMs, ended);
-        connect(node, attempt, FIRST_ROOM_WAIT_MS);
+    public Attempt attempt(Backend backend, Request request, double waitMs, Ended ended) {
+        PooledCall attempt = new PooledCall(request, waitMs, ended);
+        connect(backend, attempt, FIRST_ROOM_WAIT_MS);
         return attempt;
     }
 
@@ -173,25 +173,25 @@
      * Puts the attempt on a line at rest or a new one; where this machine has no room for a new one now, after a wait. Guards
      * nodes against blame for what this machine lacks, and the ask against failing for it.
      */
-    private void connect(Backend node, PooledCall attempt, long waitMs) {
-        HostPool shelf = shelf(node);
-        PooledConnection rested = take(shelf.idle);
+    private void connect(Backend backend, PooledCall attempt, long waitMs) {
+        HostPool hostPool = hostPool(backend);
+        PooledConnection rested = take(hostPool.idle);
         if (rested != null) {
             attempt.sendOn(rested);
         } else if (descriptors.held() >= most) {
             // Guards the descriptors that terminals need.
             makeRoom();
-            connectLater(node, attempt, waitMs);
+            connectLater(backend, attempt, waitMs);
         } else {
             makeRoom();
             links++;
             descriptors.opened();
             attempt.dialling = true;
-            dial(node, shelf, attempt, waitMs);
+            dial(backend, hostPool, attempt, waitMs);
         }
     }
 
-    private void connectLater(Backend node, PooledCall attempt, long waitMs) {
+    private void connectLater(Backend backend, PooledCall attempt, long waitMs) {
         attempt.dialling = false;
         if (attempt.ageMs() + waitMs > mostRoomWaitMs) {
             attempt.finish(AttemptResult.silent(AttemptStatus.NOT_SENT));
@@ -199,7 +199,7 @@
         }
         vertx.setTimer(waitMs, due -> {
             if (attempt.isStillWanted()) {
-                connect(node, attempt, Math.min(2 * waitMs, LONGEST_ROOM_WAIT_MS));
+                connect(backend, attempt, Math.min(2 * waitMs, LONGEST_ROOM_WAIT_MS));
             }
         });
     }
@@ -210,7 +210,7 @@
     }
 
     @Override
-    public void probe(Backend node, Consumer<Boolean> reached) {
+    public void probe(Backend backend, Consumer<Boolean> reached) {
         if (descriptors.held() >= most) {
             // Guards the descriptors that terminals need.
             reached.accept(false);
@@ -218,19 +218,19 @@
         }
         links++;
         descriptors.opened();
-        HostPool shelf = shelf(node);
-        dial(node.address()).onComplete(dialled -> {
+        HostPool hostPool = hostPool(backend);
+        dial(backend.address()).onComplete(dialled -> {
             if (dialled.failed()) {
                 linkEnded();
             } else {
-                new PooledConnection(dialled.result(), shelf).rest();
+                new PooledConnection(dialled.result(), hostPool).rest();
             }
             reached.accept(dialled.succeeded());
         });
     }
 
-    private HostPool shelf(Backend node) {
-        return shelves.computeIfAbsent(node.name(), name -> new HostPool());
+    private HostPool hostPool(Backend backend) {
+        return hostPools.computeIfAbsent(backend.name(), name -> new HostPool());
     }
 
     /** Guards the way to a node that has no line yet against lines at rest of others that have taken all the room. */
@@ -239,8 +239,8 @@
             return;
         }
         PooledConnection longest = null;
-        for (HostPool shelf : shelves.values()) {
-            PooledConnection last = shelf.idle.peekLast();
+        for (HostPool hostPool : hostPools.values()) {
+            PooledConnection last = hostPool.idle.peekLast();
             if (last != null && (longest == null || last.idleSince - longest.idleSince < 0)) {
                 longest = last;
             }
@@ -270,18 +270,18 @@
         return link;
     }
 
-    private void dial(Backend node, HostPool shelf, PooledCall attempt, long waitMs) {
-        dial(node.address()).onComplete(dialled -> {
+    private void dial(Backend backend, HostPool hostPool, PooledCall attempt, long waitMs) {
+        dial(backend.address()).onComplete(dialled -> {
             if (dialled.failed()) {
                 linkEnded();
                 if (Errno.of(dialled.cause()).isOfThisMachine()) {
                     connectFailedHere.accept(dialled.cause());
-                    connectLater(node, attempt, waitMs);
+                    connectLater(backend, attempt, waitMs);
                 } else {
                     attempt.finish(AttemptResult.silent(AttemptStatus.UNREACHABLE));
                 }
             } else {
-                attempt.dialled(new PooledConnection(dialled.result(), shelf));
+                attempt.dialled(new PooledConnection(dialled.result(), hostPool));
             }
         });
     }
@@ -297,11 +297,11 @@
     }
 
     @Override
-    public void forget(Backend node) {
-        HostPool shelf = shelves.remove(node.name());
-        if (shelf != null) {
-            shelf.open = false;
-            List.copyOf(shelf.idle).forEach(link -> link.line.close());
+    public void forget(Backend backend) {
+        HostPool hostPool = hostPools.remove(backend.name());
+        if (hostPool != null) {
+            hostPool.open = false;
+            List.copyOf(hostPool.idle).forEach(link -> link.line.close());
         }
     }
 
@@ -312,7 +312,9 @@
 
     @Override
     public int resting() {
-        return shelves.values().stream().mapToInt(shelf -> shelf.idle.size()).sum();
+        return hostPools.values().stream()
+                .mapToInt(hostPool -> hostPool.idle.size())
+                .sum();
     }
 
     private boolean reusable() {
@@ -323,14 +325,14 @@
     private void distrust() {
         distrusted = true;
         brokeAt = System.nanoTime();
-        shelves.values().forEach(shelf -> List.copyOf(shelf.idle).forEach(link -> link.line.close()));
+        hostPools.values().forEach(hostPool -> List.copyOf(hostPool.idle).forEach(link -> link.line.close()));
     }
 
     private void closeIdle() {
         long now = System.nanoTime();
-        for (HostPool shelf : shelves.values()) {
-            while (!shelf.idle.isEmpty() && (now - shelf.idle.peekLast().idleSince) / 1e6 > idleMs) {
-                shelf.idle.pollLast().line.close();
+        for (HostPool hostPool : hostPools.values()) {
+            while (!hostPool.idle.isEmpty() && (now - hostPool.idle.peekLast().idleSince) / 1e6 > idleMs) {
+                hostPool.idle.pollLast().line.close();
             }
         }
     }
@@ -398,16 +400,16 @@
     /** A line and the attempt that it carries. */
     private final class PooledConnection implements BackendConnection.User {
         final BackendConnection line;
-        final HostPool shelf;
+        final HostPool hostPool;
         PooledCall user;
         long idleSince;
         long answeredAt;
         boolean used;
         boolean ended;
 
-        PooledConnection(BackendConnection line, HostPool shelf) {
+        PooledConnection(BackendConnection line, HostPool hostPool) {
             this.line = line;
-            this.shelf = shelf;
+            this.hostPool = hostPool;
             line.attach(this);
         }
 
@@ -448,9 +450,9 @@
             if (ended) {
                 return;
             }
-            if (shelf.open && reusable() && links <= fewToRest) {
+            if (hostPool.open && reusable() && links <= fewToRest) {
                 idleSince = System.nanoTime();
-                shelf.idle.addFirst(this);
+                hostPool.idle.addFirst(this);
             } else {
                 // Guards also a new node at the same place, and a drained one, against lines of the one that left, and
                 // the
@@ -470,7 +472,7 @@
         public void gone() {
             ended = true;
             linkEnded();
-            shelf.idle.remove(this);
+            hostPool.idle.remove(this);
             if (user != null) {
                 if (used && !user.givenUp && !user.withdrawn) {
                     distrust();
@@ -483,7 +485,7 @@
     /** One attempt on one line. */
     private static final class PooledCall implements Attempt {
         private final Ended waiting;
-        private final Request ask;
+        private final Request request;
         private final double waitMs;
         private final long startedAt = System.nanoTime();
         private PooledConnection link;
@@ -500,8 +502,8 @@
 
         private boolean ended;
 
-        PooledCall(Request ask, double waitMs, Ended waiting) {
-            this.ask = ask;
+        PooledCall(Request request, double waitMs, Ended waiting) {
+            this.request = request;
             this.waitMs = waitMs;
             this.waiting = waiting;
         }
@@ -534,7 +536,7 @@
             link = free;
             link.user = this;
             toldMs = Math.max(1, waitMs - ageMs());
-            link.line.send(ask, toldMs);
+            link.line.send(request, toldMs);
         }
 
         /**
--- a/gateway/src/main/java/opalcove/core/AttemptGuard.java
+++ b/gateway/src/main/java/opalcove/core/AttemptGuard.java
@@ -27,14 +27,14 @@
     /** Why something may not be done, and by which rule. */
     record Veto(Invariant rule, String cause) {}
 
-    private final EndpointList nodes;
+    private final EndpointList backends;
     /** Attempts that an ask may have, by the newest settings: fewer bind also the asks under way. */
     private int mostAttempts;
     /** Attempts of one ask that may be out at once, by the newest settings: two where they allow a second copy. */
     private int mostOut;
 
-    AttemptGuard(DecisionSettings settings, EndpointList nodes) {
-        this.nodes = nodes;
+    AttemptGuard(DecisionSettings settings, EndpointList backends) {
+        this.backends = backends;
         limit(settings);
     }
 
@@ -45,48 +45,48 @@
     }
 
     /** Why this attempt may not be made, or null where it may. */
-    Veto objection(InFlightRequest life, String node, double now) {
-        Backend target = nodes.open(node);
+    Veto objection(InFlightRequest inFlight, String backend, double now) {
+        Backend target = backends.open(backend);
         if (target == null) {
-            return new Veto(Invariant.LISTED, "the node list does not offer " + node);
+            return new Veto(Invariant.LISTED, "the node list does not offer " + backend);
         }
-        if (life.attemptsOut() >= mostOut) {
+        if (inFlight.attemptsOut() >= mostOut) {
             return new Veto(Invariant.ATTEMPTS, mostOut + " of its attempts still out");
         }
-        if (life.tries.size() >= mostAttempts) {
+        if (inFlight.attempts.size() >= mostAttempts) {
             return new Veto(Invariant.ATTEMPTS, "it has had all its attempts");
         }
-        return objectionToRepeat(life, life.ranFirst(), target, now);
+        return objectionToRepeat(inFlight, inFlight.ranFirst(), target, now);
     }
 
     /** Why an attempt that was decided on may not be written any more, or null where it may. */
-    Veto lapsed(InFlightRequest life, InFlightRequest.Attempt attempt, double now) {
-        if (life.over) {
+    Veto lapsed(InFlightRequest inFlight, InFlightRequest.Attempt attempt, double now) {
+        if (inFlight.over) {
             return new Veto(Invariant.CLIENT_WAITS, "it is over");
         }
-        Backend target = nodes.open(attempt.node.name());
-        if (target == null || !target.address().equals(attempt.node.address())) {
+        Backend target = backends.open(attempt.backend.name());
+        if (target == null || !target.address().equals(attempt.backend.address())) {
             return new Veto(
-                    Invariant.LISTED, "the node list does not offer " + attempt.node.name() + " there any more");
+                    Invariant.LISTED, "the node list does not offer " + attempt.backend.name() + " there any more");
         }
-        InFlightRequest.Attempt first = life.ranFirst();
-        return objectionToRepeat(life, first == attempt ? null : first, target, now);
+        InFlightRequest.Attempt first = inFlight.ranFirst();
+        return objectionToRepeat(inFlight, first == attempt ? null : first, target, now);
     }
 
     /** Why an attempt whose bytes tell its node to wait so long may not leave now, or null where it may. */
-    Veto objectionToLeave(InFlightRequest life, InFlightRequest.Attempt attempt, double toldMs, double now) {
-        double left = life.takenAt + life.ask.waitMs() - now;
+    Veto objectionToLeave(InFlightRequest inFlight, InFlightRequest.Attempt attempt, double toldMs, double now) {
+        double left = inFlight.takenAt + inFlight.request.waitMs() - now;
         if (toldMs > Math.max(0, left) + DEADLINE_SLACK_MS) {
             return new Veto(
                     Invariant.DEADLINE_PASSED_ON,
                     "held up, it tells " + (long) toldMs + " ms with " + (long) left + " left");
         }
-        return lapsed(life, attempt, now);
+        return lapsed(inFlight, attempt, now);
     }
 
     private static Veto objectionToRepeat(
-            InFlightRequest life, InFlightRequest.Attempt first, Backend target, double now) {
-        DecisionSettings.RequestClass c = life.requestClass;
+            InFlightRequest inFlight, InFlightRequest.Attempt first, Backend target, double now) {
+        DecisionSettings.RequestClass c = inFlight.requestClass;
         if (first == null || c.effect() == Idempotency.SAFE) {
             return null;
         }
@@ -96,7 +96,7 @@
         if (now >= first.sentAt + c.windowMs() - Math.min(WINDOW_MARGIN_MS, c.windowMs() / 4)) {
             return new Veto(Invariant.REPEAT, "its repeat window is over");
         }
-        Endpoint a = first.node.host();
+        Endpoint a = first.backend.host();
         Endpoint b = target.host();
         boolean shared =
                 switch (c.reach()) {
@@ -108,9 +108,9 @@
     }
 
     /** Whether a refusal's promise, that trying again is harmless, may be given. */
-    boolean mayRefuse(InFlightRequest life) {
-        DecisionSettings.RequestClass c = life.requestClass;
-        return life.ranFirst() == null
+    boolean mayRefuse(InFlightRequest inFlight) {
+        DecisionSettings.RequestClass c = inFlight.requestClass;
+        return inFlight.ranFirst() == null
                 || c.effect() == Idempotency.SAFE
                 || c.effect() == Idempotency.KEYED && c.reach() == DeduplicationScope.ALL;
     }
--- a/gateway/src/main/java/opalcove/core/BackendTransport.java
+++ b/gateway/src/main/java/opalcove/core/BackendTransport.java
@@ -45,19 +45,19 @@
     }
 
     /** Starts an attempt; waitMs is how long this gateway will wait at most. */
-    Attempt attempt(Backend node, Request ask, double waitMs, Ended ended);
+    Attempt attempt(Backend backend, Request request, double waitMs, Ended ended);
 
     /**
      * Looks whether a node can be reached, by opening a link to it on which nothing is sent, and tells the answer once,
      * perhaps before this call returns.
      */
-    void probe(Backend node, Consumer<Boolean> reached);
+    void probe(Backend backend, Consumer<Boolean> reached);
 
     /** Has this told each time that no connection could be made for want of something on this machine. */
     default void whenConnectFailsHere(Consumer<Throwable> action) {}
 
     /** The node takes no new work, or has moved: links to it are closed once they carry nothing. */
-    void forget(Backend node);
+    void forget(Backend backend);
 
     /** How many there are, or are being opened. */
     int open();
--- a/gateway/src/main/java/opalcove/core/EndpointList.java
+++ b/gateway/src/main/java/opalcove/core/EndpointList.java
@@ -9,27 +9,27 @@
 
 /** The node list as this gateway was last told it. */
 final class EndpointList {
-    private final Map<String, Backend> nodes = new LinkedHashMap<>();
+    private final Map<String, Backend> backends = new LinkedHashMap<>();
 
     /** Takes in the whole list or the changed lines; gives the nodes that took new work before and do not now, or elsewhere. */
     List<Backend> told(boolean whole, List<Backend> lines) {
-        Map<String, Backend> before = new LinkedHashMap<>(nodes);
+        Map<String, Backend> before = new LinkedHashMap<>(backends);
         if (whole) {
-            nodes.clear();
+            backends.clear();
         }
         for (Backend line : lines) {
             if (line.host().state() == EndpointState.REMOVED) {
-                nodes.remove(line.name());
+                backends.remove(line.name());
             } else {
-                nodes.put(line.name(), line);
+                backends.put(line.name(), line);
             }
         }
         List<Backend> left = new ArrayList<>();
-        before.forEach((name, node) -> {
+        before.forEach((name, backend) -> {
             Backend now = open(name);
-            if (node.host().state() == EndpointState.UP
-                    && (now == null || !now.address().equals(node.address()))) {
-                left.add(node);
+            if (backend.host().state() == EndpointState.UP
+                    && (now == null || !now.address().equals(backend.address()))) {
+                left.add(backend);
             }
         });
         return left;
@@ -37,12 +37,12 @@
 
     /** The node if the list says that it takes new work, else null. */
     Backend open(String name) {
-        Backend node = nodes.get(name);
-        return node != null && node.host().state() == EndpointState.UP ? node : null;
+        Backend backend = backends.get(name);
+        return backend != null && backend.host().state() == EndpointState.UP ? backend : null;
     }
 
     /** All nodes that the list names. */
     List<Backend> all() {
-        return List.copyOf(nodes.values());
+        return List.copyOf(backends.values());
     }
 }
--- a/gateway/src/main/java/opalcove/core/InFlightRequest.java
+++ b/gateway/src/main/java/opalcove/core/InFlightRequest.java
@@ -11,7 +11,7 @@
     /** What the module wants done next. */
     sealed interface Step {
         /** An attempt at a node. */
-        record SendTo(String node, double timeoutMs) implements Step {}
+        record SendTo(String backend, double timeoutMs) implements Step {}
 
         /** The final answer. */
         record Final(Response answer) implements Step {}
@@ -22,16 +22,16 @@
 
     /** One attempt, in the module's numbering. */
     final class Attempt implements BackendTransport.Ended {
-        final Backend node;
+        final Backend backend;
         final int number;
         final double sentAt;
         BackendTransport.Attempt running;
         AttemptStatus result;
 
-        Attempt(Backend node, double sentAt) {
-            this.node = node;
+        Attempt(Backend backend, double sentAt) {
+            this.backend = backend;
             this.sentAt = sentAt;
-            number = tries.size();
+            number = attempts.size();
         }
 
         boolean ranMaybe() {
@@ -59,13 +59,13 @@
         }
     }
 
-    final Request ask;
+    final Request request;
     /** The settings and module that it was taken under, which decide on it to its end. */
     final RequestDispatcher.ConfigGeneration generation;
 
     final DecisionSettings.RequestClass requestClass;
     final double takenAt;
-    final List<Attempt> tries = new ArrayList<>(2);
+    final List<Attempt> attempts = new ArrayList<>(2);
     /** The long value that is being passed on: the ask is bound to its attempt, and its deadline has been met. */
     Passing passing;
 
@@ -76,22 +76,22 @@
     boolean hurried;
 
     private final RequestDispatcher gateway;
-    private final RequestDispatcher.ResponseHandler asker;
+    private final RequestDispatcher.ResponseHandler responseHandler;
     private final TimerQueue.Alarm deadline;
     private boolean settled;
 
     InFlightRequest(
             RequestDispatcher gateway,
             RequestDispatcher.ConfigGeneration generation,
-            Request ask,
+            Request request,
             DecisionSettings.RequestClass requestClass,
-            RequestDispatcher.ResponseHandler asker,
+            RequestDispatcher.ResponseHandler responseHandler,
             double takenAt) {
         this.gateway = gateway;
         this.generation = generation;
-        this.ask = ask;
+        this.request = request;
         this.requestClass = requestClass;
-        this.asker = asker;
+        this.responseHandler = responseHandler;
         this.takenAt = takenAt;
         deadline = new TimerQueue.Alarm() {
             @Override
@@ -112,8 +112,8 @@
     }
 
     @Override
-    public double leftMs() {
-        return gateway.leftMs(this);
+    public double remainingMs() {
+        return gateway.remainingMs(this);
     }
 
     @Override
@@ -128,12 +128,12 @@
 
     /** Whether its client is still connected, as far as can be known now. */
     boolean isConnected() {
-        return asker.isConnected();
+        return responseHandler.isConnected();
     }
 
     /** Hands a long value on; tells whether the terminal's side takes it. */
     boolean pass(Attempt attempt, StreamedValue begun) {
-        if (over || passing != null || attempt.result != null || !asker.passes(begun)) {
+        if (over || passing != null || attempt.result != null || !responseHandler.passes(begun)) {
             return false;
         }
         passing = new Passing(attempt, begun);
@@ -144,7 +144,7 @@
     void finish(Response answer) {
         over = true;
         if (answer != null) {
-            asker.answered(answer);
+            responseHandler.answered(answer);
         }
         settleIfDone();
     }
@@ -154,14 +154,14 @@
         if (over && !settled && attemptsOut() == 0) {
             settled = true;
             gateway.settled(this);
-            asker.settled();
+            responseHandler.settled();
         }
     }
 
     int attemptsOut() {
         int out = 0;
-        for (int i = 0; i < tries.size(); i++) {
-            if (tries.get(i).result == null) {
+        for (int i = 0; i < attempts.size(); i++) {
+            if (attempts.get(i).result == null) {
                 out++;
             }
         }
@@ -170,9 +170,9 @@
 
     /** The first attempt that may have run, or null. */
     Attempt ranFirst() {
-        for (int i = 0; i < tries.size(); i++) {
-            if (tries.get(i).ranMaybe()) {
-                return tries.get(i);
+        for (int i = 0; i < attempts.size(); i++) {
+            if (attempts.get(i).ranMaybe()) {
+                return attempts.get(i);
             }
         }
         return null;
--- a/gateway/src/main/java/opalcove/core/Request.java
+++ b/gateway/src/main/java/opalcove/core/Request.java
@@ -10,7 +10,7 @@
  */
 public record Request(
         String id,
-        String operator,
+        String tenant,
         String requestClass,
         String plan,
         double units,
@@ -24,7 +24,7 @@
     Request waiting(double ms) {
         return ms == waitMs
                 ? this
-                : new Request(id, operator, requestClass, plan, units, ms, key, retry, gateways, firstGateway, body);
+                : new Request(id, tenant, requestClass, plan, units, ms, key, retry, gateways, firstGateway, body);
     }
 
     /** The units as a text, without a point where they are whole. */
--- a/gateway/src/main/java/opalcove/core/RequestDispatcher.java
+++ b/gateway/src/main/java/opalcove/core/RequestDispatcher.java
@@ -65,14 +65,14 @@
     private final Clock clock;
     private final TimerQueue alarms;
     private final BackendTransport links;
-    private final EndpointList nodes = new EndpointList();
+    private final EndpointList backends = new EndpointList();
     private final SlowStartTimes starts = new SlowStartTimes();
     private final AttemptGuard guards;
     private final Counters counters = new Counters();
     private final InvariantMonitor checks = new InvariantMonitor();
     private final SystemCallFailures systemCallFailures = new SystemCallFailures();
     private final Metrics metrics = new Metrics(checks, systemCallFailures);
-    private final Map<String, InFlightRequest> lives = new HashMap<>();
+    private final Map<String, InFlightRequest> requestsInFlight = new HashMap<>();
     private final ArrayDeque<Runnable> turns = new ArrayDeque<>();
     /** The generations whose modules may still have work: the newest, and older ones with asks open. */
     private final List<ConfigGeneration> generations = new ArrayList<>(2);
@@ -87,8 +87,8 @@
     private double endsAt = Double.MAX_VALUE;
 
     private Runnable whenNoneOpen;
-    private Runnable beforeEachAsk;
-    private EndpointSource nodeListSource = EndpointSource.ALWAYS_CURRENT;
+    private Runnable beforeEachRequest;
+    private EndpointSource endpointSource = EndpointSource.ALWAYS_CURRENT;
 
     /**
      * Hosts a decision module with these settings on the event loop of the caller.
@@ -103,7 +103,7 @@
         this.links = links;
         links.whenConnectFailsHere(failure -> systemCallFailed(SystemCall.CONNECT, failure));
         this.seed = seed;
-        guards = new AttemptGuard(settings, nodes);
+        guards = new AttemptGuard(settings, backends);
         current = new ConfigGeneration(settings, seed);
         generations.add(current);
         alarms.set(beatMs(), new CountAvoided());
@@ -145,18 +145,18 @@
         generations.removeIf(ConfigGeneration::done);
         generations.add(current);
         ConfigGeneration told = current;
-        List<Endpoint> listed = starts.hosts(nodes.all());
+        List<Endpoint> listed = starts.hosts(backends.all());
         tell(() -> told.module.hosts(clock.now(), true, listed));
     }
 
     /** Has this run before each ask is taken: a process that stood still may have settings that hold no more. */
-    public void beforeEachAsk(Runnable look) {
-        beforeEachAsk = look;
+    public void beforeEachRequest(Runnable look) {
+        beforeEachRequest = look;
     }
 
     /** Has attempts wait while this source of the node list is not current. */
-    public void nodeListSource(EndpointSource source) {
-        nodeListSource = source;
+    public void endpointSource(EndpointSource source) {
+        endpointSource = source;
     }
 
     /** Who asked: the front's side of one ask. */
@@ -193,7 +193,7 @@
         default void giveUpValue() {}
 
         /** How much of its time is left, ms; below 0 once it is over. */
-        default double leftMs() {
+        default double remainingMs() {
             return 0;
         }
 
@@ -206,77 +206,80 @@
      * answer ends it, a node gets an attempt ({@link #attempt}), after whose end ({@link #attemptEnded}) the module
      * chooses again. Gives null where the answer was given at once.
      */
-    public RequestHandle serve(Request ask, ResponseHandler asker) {
-        return serve(ask, asker, 0);
+    public RequestHandle serve(Request request, ResponseHandler responseHandler) {
+        return serve(request, responseHandler, 0);
     }
 
     /**
      * The same for an ask that may have lain unread here for so long, ms: its terminal has been waiting since. It is taken off
      * the time that is left, so no node is told more than that.
      */
-    public RequestHandle serve(Request ask, ResponseHandler asker, double unreadMs) {
+    public RequestHandle serve(Request request, ResponseHandler responseHandler, double unreadMs) {
         counters.taken++;
-        if (beforeEachAsk != null) {
-            beforeEachAsk.run();
+        if (beforeEachRequest != null) {
+            beforeEachRequest.run();
         }
         DecisionSettings.RequestClass requestClass;
         try {
-            requestClass = current.rules.requestClass(current.rules.check(ask).requestClass());
+            requestClass =
+                    current.rules.requestClass(current.rules.check(request).requestClass());
         } catch (InvalidRequestException e) {
             // Peers count such a failure in the class that the request names, known or not.
-            return answerAtOnce(asker, ask.requestClass(), new Response.Failed(e.getMessage()));
+            return answerAtOnce(responseHandler, request.requestClass(), new Response.Failed(e.getMessage()));
         }
-        if (lives.containsKey(ask.id())) {
+        if (requestsInFlight.containsKey(request.id())) {
             // Guards an open ask against another terminal that names its id: it is neither joined, answered nor ended.
-            return answerAtOnce(asker, requestClass.name(), new Response.Failed("this id is under way"));
+            return answerAtOnce(responseHandler, requestClass.name(), new Response.Failed("this id is under way"));
         }
-        if (lives.size() >= current.settings.limits().maxOpen()) {
+        if (requestsInFlight.size() >= current.settings.limits().maxOpen()) {
             // Guards memory and descriptors against more open asks than this machine can hold.
             counters.refused(ShedReason.TOO_MANY_OPEN);
-            return answerAtOnce(asker, requestClass.name(), new Response.Refused((long)
+            return answerAtOnce(responseHandler, requestClass.name(), new Response.Refused((long)
                     current.settings.limits().maxRetryAfterMs()));
         }
         double left = endsAt - clock.now();
         if (left < LEAST_WAIT_MS) {
             // Guards an ask that comes late in the end against being taken and never answered.
             counters.refused(ShedReason.ENDING);
-            return answerAtOnce(asker, requestClass.name(), new Response.Refused(0));
+            return answerAtOnce(responseHandler, requestClass.name(), new Response.Refused(0));
         }
-        double waitMs = unreadMs > UNREAD_IGNORED_MS ? ask.waitMs() - unreadMs : ask.waitMs();
+        double waitMs = unreadMs > UNREAD_IGNORED_MS ? request.waitMs() - unreadMs : request.waitMs();
         if (waitMs <= 0) {
             // Its time was over before it was read: nothing may be sent for it any more.
             counters.refused(ShedReason.UNREAD_IN_TIME);
-            return answerAtOnce(asker, requestClass.name(), new Response.Refused(0));
+            return answerAtOnce(responseHandler, requestClass.name(), new Response.Refused(0));
         }
-        InFlightRequest life = take(ask.waiting(Math.min(waitMs, left)), requestClass, asker);
-        askModule(life);
-        return life.over ? null : life;
+        InFlightRequest inFlight = take(request.waiting(Math.min(waitMs, left)), requestClass, responseHandler);
+        submitToModule(inFlight);
+        return inFlight.over ? null : inFlight;
     }
 
     /** The class is null where the ask names none: its end is counted, but in no class. */
-    private RequestHandle answerAtOnce(ResponseHandler asker, String requestClass, Response answer) {
+    private RequestHandle answerAtOnce(ResponseHandler responseHandler, String requestClass, Response answer) {
         count(requestClass, answer);
-        asker.answered(answer);
-        asker.settled();
+        responseHandler.answered(answer);
+        responseHandler.settled();
         return null;
     }
 
     /** Does what the module chose; what it chooses for a life that is over has no effect. */
-    private void follow(InFlightRequest life, InFlightRequest.Step step) {
-        if (life.over || life.passing != null) {
+    private void follow(InFlightRequest inFlight, InFlightRequest.Step step) {
+        if (inFlight.over || inFlight.passing != null) {
             return;
         }
         if (step instanceof InFlightRequest.Step.Final end) {
-            close(life);
-            count(life.requestClass.name(), end.answer());
-            double late = clock.now() - life.takenAt - life.ask.waitMs();
+            close(inFlight);
+            count(inFlight.requestClass.name(), end.answer());
+            double late = clock.now() - inFlight.takenAt - inFlight.request.waitMs();
             if (late > ANSWER_SLACK_MS) {
                 checks.broken(
-                        Invariant.ANSWER_IN_TIME, life.ask.id(), "answered " + (long) late + " ms after its time");
+                        Invariant.ANSWER_IN_TIME,
+                        inFlight.request.id(),
+                        "answered " + (long) late + " ms after its time");
             }
-            life.finish(end.answer());
+            inFlight.finish(end.answer());
         } else {
-            attempt(life, (InFlightRequest.Step.SendTo) step);
+            attempt(inFlight, (InFlightRequest.Step.SendTo) step);
         }
     }
 
@@ -285,52 +288,55 @@
         return current.rules;
     }
 
-    private InFlightRequest take(Request ask, DecisionSettings.RequestClass requestClass, ResponseHandler asker) {
-        InFlightRequest life = new InFlightRequest(this, current, ask, requestClass, asker, clock.now());
+    private InFlightRequest take(
+            Request request, DecisionSettings.RequestClass requestClass, ResponseHandler responseHandler) {
+        InFlightRequest inFlight =
+                new InFlightRequest(this, current, request, requestClass, responseHandler, clock.now());
         current.open++;
-        lives.put(ask.id(), life);
-        metrics.inflight(lives.size());
-        alarms.set(ask.waitMs() - GUARD_MARGIN_MS, life.deadline());
-        return life;
+        requestsInFlight.put(request.id(), inFlight);
+        metrics.inflight(requestsInFlight.size());
+        alarms.set(request.waitMs() - GUARD_MARGIN_MS, inFlight.deadline());
+        return inFlight;
     }
 
-    private void askModule(InFlightRequest life) {
-        tell(() -> life.generation.module.request(clock.now(), request(life.ask)));
+    private void submitToModule(InFlightRequest inFlight) {
+        tell(() -> inFlight.generation.module.request(clock.now(), request(inFlight.request)));
     }
 
-    private static AdmissionRequest request(Request ask) {
+    private static AdmissionRequest request(Request request) {
         return new AdmissionRequest(
-                ask.id(),
-                ask.requestClass(),
-                ask.plan(),
-                ask.operator(),
-                ask.units(),
-                Math.max(1, ask.waitMs() - ANSWER_MARGIN_MS),
-                ask.gateways(),
-                ask.retry());
+                request.id(),
+                request.requestClass(),
+                request.plan(),
+                request.tenant(),
+                request.units(),
+                Math.max(1, request.waitMs() - ANSWER_MARGIN_MS),
+                request.gateways(),
+                request.retry());
     }
 
     /** One attempt: made if the rules allow it and its client is still connected, else ended as not sent. */
-    private void attempt(InFlightRequest life, InFlightRequest.Step.SendTo step) {
+    private void attempt(InFlightRequest inFlight, InFlightRequest.Step.SendTo step) {
         double now = clock.now();
-        AttemptGuard.Veto objection = guards.objection(life, step.node(), now);
-        boolean connected = clientIsConnected(life);
-        InFlightRequest.Attempt attempt = life.new Attempt(objection == null ? nodes.open(step.node()) : null, now);
-        life.tries.add(attempt);
+        AttemptGuard.Veto objection = guards.objection(inFlight, step.backend(), now);
+        boolean connected = clientIsConnected(inFlight);
+        InFlightRequest.Attempt attempt =
+                inFlight.new Attempt(objection == null ? backends.open(step.backend()) : null, now);
+        inFlight.attempts.add(attempt);
         if (objection != null) {
             counters.guarded++;
-            checks.stopped(objection.rule(), life.ask.id(), objection.cause());
-            tellEnd(life, attempt, step.node(), AttemptResult.silent(AttemptStatus.NOT_SENT));
+            checks.stopped(objection.rule(), inFlight.request.id(), objection.cause());
+            tellEnd(inFlight, attempt, step.backend(), AttemptResult.silent(AttemptStatus.NOT_SENT));
             return;
         }
         if (!connected) {
-            tellEnd(life, attempt, step.node(), AttemptResult.silent(AttemptStatus.NOT_SENT));
+            tellEnd(inFlight, attempt, step.backend(), AttemptResult.silent(AttemptStatus.NOT_SENT));
             return;
         }
-        if (now - beatAt > 2 * beatMs() || !nodeListSource.current()) {
-            attempt.running = new DeferredAttempt(life, attempt, step);
+        if (now - beatAt > 2 * beatMs() || !endpointSource.current()) {
+            attempt.running = new DeferredAttempt(inFlight, attempt, step);
         } else {
-            send(life, attempt, step);
+            send(inFlight, attempt, step);
         }
     }
 
@@ -340,12 +346,15 @@
         return Math.max(LEAST_BEAT_MS, Math.min(AVOIDED_MS, part));
     }
 
-    private void send(InFlightRequest life, InFlightRequest.Attempt attempt, InFlightRequest.Step.SendTo step) {
+    private void send(InFlightRequest inFlight, InFlightRequest.Attempt attempt, InFlightRequest.Step.SendTo step) {
         counters.attempts++;
         metrics.backendCall();
-        double left = life.takenAt + life.ask.waitMs() - clock.now();
+        double left = inFlight.takenAt + inFlight.request.waitMs() - clock.now();
         attempt.running = links.attempt(
-                attempt.node, life.ask, step.timeoutMs() > 0 ? Math.min(left, step.timeoutMs()) : left, attempt);
+                attempt.backend,
+                inFlight.request,
+                step.timeoutMs() > 0 ? Math.min(left, step.timeoutMs()) : left,
+                attempt);
     }
 
     /**
@@ -357,19 +366,19 @@
         private final InFlightRequest.Attempt attempt;
         private boolean ended;
 
-        DeferredAttempt(InFlightRequest life, InFlightRequest.Attempt attempt, InFlightRequest.Step.SendTo step) {
+        DeferredAttempt(InFlightRequest inFlight, InFlightRequest.Attempt attempt, InFlightRequest.Step.SendTo step) {
             this.attempt = attempt;
             // By the time that a timer set now is due, the loop has read once more.
-            vertx.setTimer(1, read -> nodeListSource.onceCurrent(() -> sendIfStillWanted(life, step)));
+            vertx.setTimer(1, read -> endpointSource.onceCurrent(() -> sendIfStillWanted(inFlight, step)));
         }
 
-        private void sendIfStillWanted(InFlightRequest life, InFlightRequest.Step.SendTo step) {
+        private void sendIfStillWanted(InFlightRequest inFlight, InFlightRequest.Step.SendTo step) {
             if (ended) {
                 return;
             }
-            if (stillWanted(life, attempt)) {
+            if (stillWanted(inFlight, attempt)) {
                 ended = true;
-                send(life, attempt, step);
+                send(inFlight, attempt, step);
             } else {
                 giveUp();
             }
@@ -387,28 +396,29 @@
     private static final AttemptGuard.Veto LEFT = new AttemptGuard.Veto(Invariant.CLIENT_WAITS, "its client has left");
 
     /** Whether an answer is still awaited by a client that is there; ends the life of one that has left. */
-    boolean clientIsConnected(InFlightRequest life) {
-        if (!life.over && !life.left && !life.isConnected()) {
-            leave(life);
+    boolean clientIsConnected(InFlightRequest inFlight) {
+        if (!inFlight.over && !inFlight.left && !inFlight.isConnected()) {
+            leave(inFlight);
         }
-        return !life.left;
+        return !inFlight.left;
     }
 
     /** A link has come up for the attempt: whether what was decided when it was dialled still holds. */
-    boolean stillWanted(InFlightRequest life, InFlightRequest.Attempt attempt) {
-        return goesOn(life, !clientIsConnected(life) ? LEFT : guards.lapsed(life, attempt, clock.now()));
+    boolean stillWanted(InFlightRequest inFlight, InFlightRequest.Attempt attempt) {
+        return goesOn(inFlight, !clientIsConnected(inFlight) ? LEFT : guards.lapsed(inFlight, attempt, clock.now()));
     }
 
     /** The attempt's bytes, which tell its node to wait so long, are about to leave: whether they still may. */
-    boolean mayLeave(InFlightRequest life, InFlightRequest.Attempt attempt, double toldMs) {
+    boolean mayLeave(InFlightRequest inFlight, InFlightRequest.Attempt attempt, double toldMs) {
         return goesOn(
-                life, !clientIsConnected(life) ? LEFT : guards.objectionToLeave(life, attempt, toldMs, clock.now()));
+                inFlight,
+                !clientIsConnected(inFlight) ? LEFT : guards.objectionToLeave(inFlight, attempt, toldMs, clock.now()));
     }
 
-    private boolean goesOn(InFlightRequest life, AttemptGuard.Veto lapsed) {
+    private boolean goesOn(InFlightRequest inFlight, AttemptGuard.Veto lapsed) {
         if (lapsed != null) {
             counters.lapsed++;
-            checks.stopped(lapsed.rule(), life.ask.id(), lapsed.cause());
+            checks.stopped(lapsed.rule(), inFlight.request.id(), lapsed.cause());
         }
         return lapsed == null;
     }
@@ -417,17 +427,17 @@
      * A long value has begun to come. It is the final answer, for what was passed on cannot be taken back: to the module
      * the attempt is served now, whatever time the terminal takes to read, and its figures follow at the end.
      */
-    boolean valueBegan(InFlightRequest life, InFlightRequest.Attempt attempt, StreamedValue value) {
-        if (!life.pass(attempt, value)) {
+    boolean valueBegan(InFlightRequest inFlight, InFlightRequest.Attempt attempt, StreamedValue value) {
+        if (!inFlight.pass(attempt, value)) {
             return false;
         }
-        alarms.cancel(life.deadline());
+        alarms.cancel(inFlight.deadline());
         double now = clock.now();
-        tell(() -> life.generation.module.outcome(
+        tell(() -> inFlight.generation.module.outcome(
                 now,
                 new AttemptOutcome(
-                        life.ask.id(),
-                        attempt.node.name(),
+                        inFlight.request.id(),
+                        attempt.backend.name(),
                         attempt.number,
                         AttemptStatus.SERVED,
                         now - attempt.sentAt,
@@ -439,60 +449,65 @@
     }
 
     /** The attempt whose value was passed on has ended, the value whole or cut. */
-    private void passed(InFlightRequest life, AttemptResult end) {
-        life.passing.attempt().result = end.result();
+    private void passed(InFlightRequest inFlight, AttemptResult end) {
+        inFlight.passing.attempt().result = end.result();
         tell(() -> {
-            if (!life.over) {
-                close(life);
+            if (!inFlight.over) {
+                close(inFlight);
                 count(
-                        life.requestClass.name(),
-                        life.passing.value().whole() ? new Response.Served(null) : new Response.Failed("cut"));
-                life.finish(null);
+                        inFlight.requestClass.name(),
+                        inFlight.passing.value().whole() ? new Response.Served(null) : new Response.Failed("cut"));
+                inFlight.finish(null);
             }
             if (end.result() == AttemptStatus.SERVED) {
-                life.generation.module.settled(clock.now(), request(life.ask), end.usedPercent(), end.trueUnits());
+                inFlight.generation.module.settled(
+                        clock.now(), request(inFlight.request), end.usedPercent(), end.trueUnits());
             }
         });
     }
 
     /** An attempt was made and has ended. */
-    void attemptEnded(InFlightRequest life, InFlightRequest.Attempt attempt, AttemptResult end) {
+    void attemptEnded(InFlightRequest inFlight, InFlightRequest.Attempt attempt, AttemptResult end) {
         counters.ended(end.result());
-        if (life.passing != null && life.passing.attempt() == attempt) {
-            passed(life, end);
+        if (inFlight.passing != null && inFlight.passing.attempt() == attempt) {
+            passed(inFlight, end);
             return;
         }
         // Guards a node against blame for a link that only had no time to come up: its terminal left meanwhile.
-        boolean blameless = life.left && end.result() == AttemptStatus.UNREACHABLE;
-        tellEnd(life, attempt, attempt.node.name(), blameless ? AttemptResult.silent(AttemptStatus.NOT_SENT) : end);
+        boolean blameless = inFlight.left && end.result() == AttemptStatus.UNREACHABLE;
+        tellEnd(
+                inFlight,
+                attempt,
+                attempt.backend.name(),
+                blameless ? AttemptResult.silent(AttemptStatus.NOT_SENT) : end);
     }
 
     /** Tells the module how an attempt ended. A served value is final; else the module's next step follows. */
-    private void tellEnd(InFlightRequest life, InFlightRequest.Attempt attempt, String node, AttemptResult end) {
+    private void tellEnd(InFlightRequest inFlight, InFlightRequest.Attempt attempt, String backend, AttemptResult end) {
         attempt.result = end.result();
         boolean served = end.result() == AttemptStatus.SERVED;
         // Guards a lent value against being looked at when its time is over: this turn may be taken later.
         ByteBuf value = served && inTurn ? Unpooled.copiedBuffer(end.value()) : end.value();
         double now = clock.now();
         tell(() -> {
-            boolean first = served && !life.over && life.passing == null;
+            boolean first = served && !inFlight.over && inFlight.passing == null;
             if (first) {
-                follow(life, new InFlightRequest.Step.Final(new Response.Served(value)));
-                giveUpCopies(life);
+                follow(inFlight, new InFlightRequest.Step.Final(new Response.Served(value)));
+                giveUpCopies(inFlight);
             }
-            life.generation.module.outcome(
+            inFlight.generation.module.outcome(
                     now,
                     new AttemptOutcome(
-                            life.ask.id(),
-                            node,
+                            inFlight.request.id(),
+                            backend,
                             attempt.number,
                             end.result(),
                             now - attempt.sentAt,
-                            life.over,
+                            inFlight.over,
                             end.usedPercent(),
                             first ? end.trueUnits() : 0,
                             end.load()));
-            life.settleIfDone();
+            inFlight.settleIfDone();
         });
     }
 
@@ -500,13 +515,13 @@
      * Ends what is still out of a served ask: its second copy, where there is one. The module cannot, for the ask is
      * closed by the time that it hears of the answer.
      */
-    private void giveUpCopies(InFlightRequest life) {
-        if (!life.generation.settings.limits().mayCancel()) {
+    private void giveUpCopies(InFlightRequest inFlight) {
+        if (!inFlight.generation.settings.limits().mayCancel()) {
             return;
         }
         // By index: an iterator would be an object for each request.
-        for (int i = 0; i < life.tries.size(); i++) {
-            InFlightRequest.Attempt copy = life.tries.get(i);
+        for (int i = 0; i < inFlight.attempts.size(); i++) {
+            InFlightRequest.Attempt copy = inFlight.attempts.get(i);
             if (copy.result == null) {
                 counters.cancelled++;
                 turns.add(copy.running::giveUp);
@@ -518,9 +533,9 @@
      * Guards the promise of one answer in time against a module that holds an ask too long. Also ends the waiting for an
      * attempt that outlasts its ask, where the settings let none be called off: its node may never answer.
      */
-    void overdue(InFlightRequest life) {
-        if (life.over) {
-            List.copyOf(life.tries).stream()
+    void overdue(InFlightRequest inFlight) {
+        if (inFlight.over) {
+            List.copyOf(inFlight.attempts).stream()
                     .filter(attempt -> attempt.result == null)
                     .forEach(late -> {
                         counters.cancelled++;
@@ -528,72 +543,72 @@
                     });
             return;
         }
-        if (life.hurried) {
+        if (inFlight.hurried) {
             end(
-                    life,
+                    inFlight,
                     () -> follow(
-                            life,
+                            inFlight,
                             new InFlightRequest.Step.Final(
-                                    guards.mayRefuse(life)
+                                    guards.mayRefuse(inFlight)
                                             ? new Response.Refused(0)
                                             : new Response.Failed("the gateway ends"))));
             return;
         }
         counters.overdue++;
-        Logger.error("{} had no answer at its deadline", life.ask.id());
-        end(life, () -> follow(life, new InFlightRequest.Step.Final(new Response.Failed("deadline"))));
+        Logger.error("{} had no answer at its deadline", inFlight.request.id());
+        end(inFlight, () -> follow(inFlight, new InFlightRequest.Step.Final(new Response.Failed("deadline"))));
     }
 
-    double leftMs(InFlightRequest life) {
-        return life.takenAt + life.ask.waitMs() - clock.now();
+    double remainingMs(InFlightRequest inFlight) {
+        return inFlight.takenAt + inFlight.request.waitMs() - clock.now();
     }
 
-    void giveUpValue(InFlightRequest life) {
-        if (!life.over && life.passing != null) {
-            life.passing.attempt().running.giveUp();
+    void giveUpValue(InFlightRequest inFlight) {
+        if (!inFlight.over && inFlight.passing != null) {
+            inFlight.passing.attempt().running.giveUp();
         }
     }
 
-    void hurry(InFlightRequest life) {
-        if (!life.over && life.passing == null && life.takenAt + life.ask.waitMs() > endsAt) {
-            life.hurried = true;
-            alarms.cancel(life.deadline());
-            alarms.setAt(endsAt - GUARD_MARGIN_MS, life.deadline());
+    void hurry(InFlightRequest inFlight) {
+        if (!inFlight.over && inFlight.passing == null && inFlight.takenAt + inFlight.request.waitMs() > endsAt) {
+            inFlight.hurried = true;
+            alarms.cancel(inFlight.deadline());
+            alarms.setAt(endsAt - GUARD_MARGIN_MS, inFlight.deadline());
         }
     }
 
-    void leave(InFlightRequest life) {
-        if (life.over || life.left) {
+    void leave(InFlightRequest inFlight) {
+        if (inFlight.over || inFlight.left) {
             return;
         }
         counters.left++;
-        life.left = true;
-        if (life.passing != null) {
-            life.passing.attempt().running.giveUp();
+        inFlight.left = true;
+        if (inFlight.passing != null) {
+            inFlight.passing.attempt().running.giveUp();
             return;
         }
-        end(life, () -> {
-            if (!life.over) {
-                close(life);
-                life.finish(null);
+        end(inFlight, () -> {
+            if (!inFlight.over) {
+                close(inFlight);
+                inFlight.finish(null);
             }
         });
     }
 
     /** Has the module give up the life's attempts, which needs its ledger, and only then closes the ledger. */
-    private void end(InFlightRequest life, Runnable closing) {
+    private void end(InFlightRequest inFlight, Runnable closing) {
         tell(() -> {
-            life.generation.module.gone(clock.now(), life.ask.id());
+            inFlight.generation.module.gone(clock.now(), inFlight.request.id());
             turns.add(closing);
         });
     }
 
-    private void close(InFlightRequest life) {
-        if (lives.remove(life.ask.id(), life)) {
-            life.generation.open--;
+    private void close(InFlightRequest inFlight) {
+        if (requestsInFlight.remove(inFlight.request.id(), inFlight)) {
+            inFlight.generation.open--;
         }
-        metrics.inflight(lives.size());
-        if (lives.isEmpty() && whenNoneOpen != null) {
+        metrics.inflight(requestsInFlight.size());
+        if (requestsInFlight.isEmpty() && whenNoneOpen != null) {
             // Not within the turn that writes the last answer.
             turns.add(whenNoneOpen);
             whenNoneOpen = null;
@@ -601,8 +616,8 @@
     }
 
     /** Nothing of it is out any more. */
-    void settled(InFlightRequest life) {
-        alarms.cancel(life.deadline());
+    void settled(InFlightRequest inFlight) {
+        alarms.cancel(inFlight.deadline());
     }
 
     /**
@@ -614,21 +629,21 @@
     }
 
     /** Looks for a sign of life of a node that the module avoids: without an answer it would avoid it for ever. */
-    private void probe(ConfigGeneration generation, Backend node) {
+    private void probe(ConfigGeneration generation, Backend backend) {
         counters.probes++;
         double began = clock.now();
         links.probe(
-                node,
+                backend,
                 reached -> tell(() -> {
                     ProbeStatus result = reached ? ProbeStatus.DONE : ProbeStatus.NOT_DONE;
                     double now = clock.now();
-                    generation.module.probed(now, node.name(), result, now - began, null);
+                    generation.module.probed(now, backend.name(), result, now - began, null);
                 }));
     }
 
     /** Runs the action once no ask is open, be it now. */
     public void whenNoneOpen(Runnable action) {
-        if (lives.isEmpty()) {
+        if (requestsInFlight.isEmpty()) {
             action.run();
         } else {
             whenNoneOpen = action;
@@ -653,16 +668,16 @@
     }
 
     /** Takes in the node list, whole or its changed lines. */
-    public void nodesTold(boolean whole, List<Backend> lines) {
-        nodesTold(whole, lines, 0);
+    public void endpointsChanged(boolean whole, List<Backend> lines) {
+        endpointsChanged(whole, lines, 0);
         listHeard();
     }
 
     /**
      * The same by discovery, whose own time was that as it gave the list (0: it is not known); {@link #listHeard} follows.
      */
-    public void nodesTold(boolean whole, List<Backend> lines, double discoveryNow) {
-        nodes.told(whole, lines).forEach(links::forget);
+    public void endpointsChanged(boolean whole, List<Backend> lines, double discoveryNow) {
+        backends.told(whole, lines).forEach(links::forget);
         int apart = starts.apart();
         List<Endpoint> hosts = starts.told(whole, lines, clock.now(), discoveryNow);
         if (starts.apart() > apart) {
@@ -686,9 +701,10 @@
                 used.add(each.host());
             }
         }
-        List<Backend> listed = nodes.all();
-        metrics.hosts(listed.size(), (int)
-                listed.stream().filter(node -> !used.contains(node.name())).count());
+        List<Backend> listed = backends.all();
+        metrics.hosts(listed.size(), (int) listed.stream()
+                .filter(backend -> !used.contains(backend.name()))
+                .count());
     }
 
     private final class CountAvoided extends TimerQueue.Alarm {
@@ -706,8 +722,8 @@
     }
 
     /** The node list as last told. */
-    public List<Backend> nodes() {
-        return nodes.all();
+    public List<Backend> backends() {
+        return backends.all();
     }
 
     /** The source of the node list was heard, with or without news. */
@@ -756,7 +772,7 @@
 
     /** The counters, and what is open at this moment; one name and figure a line. */
     public String figures() {
-        return counters.lines() + checks.lines() + systemCallFailures.lines() + "asks_open=" + lives.size()
+        return counters.lines() + checks.lines() + systemCallFailures.lines() + "asks_open=" + requestsInFlight.size()
                 + "\nlinks_open=" + links.open() + "\nlinks_resting=" + links.resting() + "\n";
     }
 
@@ -813,15 +829,15 @@
         }
 
         /** The ask of that id, where it is one of this generation's: an id may come again under another. */
-        private InFlightRequest life(String id) {
-            InFlightRequest life = lives.get(id);
-            return life != null && life.generation == generation ? life : null;
+        private InFlightRequest inFlight(String id) {
+            InFlightRequest inFlight = requestsInFlight.get(id);
+            return inFlight != null && inFlight.generation == generation ? inFlight : null;
         }
 
         private void decide(String id, InFlightRequest.Step step) {
-            InFlightRequest life = life(id);
-            if (life != null) {
-                turns.add(() -> RequestDispatcher.this.follow(life, step));
+            InFlightRequest inFlight = inFlight(id);
+            if (inFlight != null) {
+                turns.add(() -> RequestDispatcher.this.follow(inFlight, step));
             }
         }
 
@@ -832,8 +848,8 @@
 
         @Override
         public void refuse(String id, double retryAfterMs) {
-            InFlightRequest life = life(id);
-            if (life != null && !guards.mayRefuse(life)) {
+            InFlightRequest inFlight = inFlight(id);
+            if (inFlight != null && !guards.mayRefuse(inFlight)) {
                 // Guards against promising that a repeat is harmless when an attempt may have had its effect.
                 counters.guarded++;
                 checks.stopped(Invariant.REFUSAL, id, "it may have run");
@@ -852,13 +868,13 @@
 
         @Override
         public void cancel(String id, int attempt) {
-            InFlightRequest life = life(id);
-            if (life == null || attempt >= life.tries.size()) {
+            InFlightRequest inFlight = inFlight(id);
+            if (inFlight == null || attempt >= inFlight.attempts.size()) {
                 return;
             }
-            InFlightRequest.Attempt unwanted = life.tries.get(attempt);
+            InFlightRequest.Attempt unwanted = inFlight.attempts.get(attempt);
             // Guards the value that is being passed on; a second copy beside it may go.
-            boolean passing = life.passing != null && life.passing.attempt() == unwanted;
+            boolean passing = inFlight.passing != null && inFlight.passing.attempt() == unwanted;
             if (!passing && unwanted.result == null) {
                 counters.cancelled++;
                 turns.add(unwanted.running::giveUp);
@@ -882,9 +898,9 @@
 
         @Override
         public void probe(String host) {
-            Backend node = nodes.open(host);
-            if (node != null) {
-                turns.add(() -> RequestDispatcher.this.probe(generation, node));
+            Backend backend = backends.open(host);
+            if (backend != null) {
+                turns.add(() -> RequestDispatcher.this.probe(generation, backend));
             }
         }
 
--- a/gateway/src/main/java/opalcove/core/RequestValidator.java
+++ b/gateway/src/main/java/opalcove/core/RequestValidator.java
@@ -21,14 +21,14 @@
     private final Map<String, DecisionSettings.RequestClass> classes = new HashMap<>();
     private final Set<String> plans = new HashSet<>();
     private final int gateways;
-    private final double mostUnits;
+    private final double maxUnits;
 
     /** Checks requests by these settings. */
     public RequestValidator(DecisionSettings settings) {
         settings.classes().forEach(c -> classes.put(c.name(), c));
         settings.plans().forEach(p -> plans.add(p.name()));
         gateways = settings.gateways();
-        mostUnits = settings.limits().mostUnits();
+        maxUnits = settings.limits().maxUnits();
     }
 
     /** The names of the classes, for a front that reads them from bytes. */
@@ -51,29 +51,29 @@
     }
 
     /** The ask as it is, if it may be taken. */
-    public Request check(Request ask) throws InvalidRequestException {
-        DecisionSettings.RequestClass known = requestClass(ask.requestClass());
-        need(plans.contains(ask.plan()), "unknown plan");
+    public Request check(Request request) throws InvalidRequestException {
+        DecisionSettings.RequestClass known = requestClass(request.requestClass());
+        need(plans.contains(request.plan()), "unknown plan");
         need(
                 Long.compareUnsigned(
-                                Long.parseUnsignedLong(RequestParameters.hex(ask.operator(), "the operator"), 16),
+                                Long.parseUnsignedLong(RequestParameters.hex(request.tenant(), "the operator"), 16),
                                 OPERATORS)
                         < 0,
                 "the operator is out of range");
-        need(ask.units() > 0 && ask.units() <= mostUnits, "the units are out of range");
-        need(ask.waitMs() > 0 && ask.waitMs() <= known.deadlineMs(), "the time to wait is out of range");
+        need(request.units() > 0 && request.units() <= maxUnits, "the units are out of range");
+        need(request.waitMs() > 0 && request.waitMs() <= known.deadlineMs(), "the time to wait is out of range");
         need(
-                ask.gateways() >= 1
-                        && ask.gateways() <= gateways
-                        && ask.firstGateway() >= 0
-                        && ask.firstGateway() < gateways,
+                request.gateways() >= 1
+                        && request.gateways() <= gateways
+                        && request.firstGateway() >= 0
+                        && request.firstGateway() < gateways,
                 "the operator's gateways are out of range");
-        need((ask.key() == null) != (known.effect() == Idempotency.KEYED), "a key for a class without, or none");
+        need((request.key() == null) != (known.effect() == Idempotency.KEYED), "a key for a class without, or none");
         // A comma would end the key on the wire to an app node.
         need(
-                ask.key() == null || ask.key().length() <= LONGEST_KEY && passesOn(ask.key()),
+                request.key() == null || request.key().length() <= LONGEST_KEY && passesOn(request.key()),
                 "the key cannot be passed on");
-        return ask;
+        return request;
     }
 
     private static boolean passesOn(String key) {
--- a/gateway/src/main/java/opalcove/core/SlowStartTimes.java
+++ b/gateway/src/main/java/opalcove/core/SlowStartTimes.java
@@ -68,9 +68,10 @@
     }
 
     /** The hosts of nodes that were told before. */
-    List<Endpoint> hosts(List<Backend> nodes) {
-        return nodes.stream()
-                .map(node -> node.host().started(starts.get(node.name()).local()))
+    List<Endpoint> hosts(List<Backend> backends) {
+        return backends.stream()
+                .map(backend ->
+                        backend.host().started(starts.get(backend.name()).local()))
                 .toList();
     }
 
--- a/gateway/src/main/java/opalcove/lifecycle/TimeBudget.java
+++ b/gateway/src/main/java/opalcove/lifecycle/TimeBudget.java
@@ -20,7 +20,7 @@
     }
 
     /** What is left, ms; 0 once it is over. */
-    public long leftMs() {
+    public long remainingMs() {
         return Math.max(0, TimeUnit.NANOSECONDS.toMillis(end - nanos.getAsLong()));
     }
 }
--- a/gateway/src/main/java/opalcove/resp/BackendReplyDecoder.java
+++ b/gateway/src/main/java/opalcove/resp/BackendReplyDecoder.java
@@ -16,7 +16,7 @@
     private static final double MOST_USED = 100_000;
 
     private final List<LoadMetric> gauges;
-    private final double mostUnits;
+    private final double maxUnits;
     /** The name of a gauge that came last, and its column: nodes tell the same ones over and over. */
     private String gauge = "";
 
@@ -28,7 +28,7 @@
 
     BackendReplyDecoder(DecisionSettings settings) {
         gauges = settings.gauges();
-        mostUnits = settings.limits().mostUnits();
+        maxUnits = settings.limits().maxUnits();
     }
 
     /**
@@ -104,7 +104,7 @@
     /** Guards the module's books against figures that cannot be: what is no figure counts as not told. */
     private void figure(RespDecoder reply, int part, int from, int to, double value) {
         boolean costs = reply.is(part, from, to, "cost");
-        if (!(value >= 0 && value <= MOST_USED) || costs && value > mostUnits) {
+        if (!(value >= 0 && value <= MOST_USED) || costs && value > maxUnits) {
             return;
         }
         if (costs) {
--- a/gateway/src/main/java/opalcove/resp/RequestDecoder.java
+++ b/gateway/src/main/java/opalcove/resp/RequestDecoder.java
@@ -40,7 +40,7 @@
     }
 
     /** Whether this is the command of an ask, in letters of either case. */
-    static boolean asks(RespDecoder command) {
+    static boolean requests(RespDecoder command) {
         return named(command, QUERY) || named(command, SUBMIT);
     }
 
@@ -74,7 +74,7 @@
         ByteBuf body = buffers.aside(Math.max(1, command.length(BODY))).writeBytes(command.lend(BODY));
         return new Request(
                 bare.id(),
-                bare.operator(),
+                bare.tenant(),
                 bare.requestClass(),
                 bare.plan(),
                 bare.units(),
@@ -284,53 +284,54 @@
     }
 
     /** Writes the command that passes the ask on; waitMs is how long this gateway will wait. */
-    static void write(Request ask, double waitMs, RawSocket to) {
+    static void write(Request request, double waitMs, RawSocket to) {
         long wait = (long) waitMs;
-        boolean whole = ask.units() == Math.rint(ask.units());
-        String units = whole ? null : ask.unitsText();
+        boolean whole = request.units() == Math.rint(request.units());
+        String units = whole ? null : request.unitsText();
         int length = 2
-                + ask.requestClass().length()
+                + request.requestClass().length()
                 + 3
-                + ask.plan().length()
+                + request.plan().length()
                 + 3
                 + Resp.digits(wait)
-                + (ask.key() == null ? 0 : 3 + ask.key().length())
-                + (ask.retry() ? 4 : 0)
+                + (request.key() == null ? 0 : 3 + request.key().length())
+                + (request.retry() ? 4 : 0)
                 + 7
-                + (whole ? Resp.digits((long) ask.units()) : units.length())
+                + (whole ? Resp.digits((long) request.units()) : units.length())
                 + 8
-                + Resp.digits(ask.gateways())
+                + Resp.digits(request.gateways())
                 + 7
-                + Resp.digits(ask.firstGateway());
-        ByteBuf out = to.room(6 * Resp.HEAD + ask.operator().length() + ask.id().length() + length);
-        Resp.head(out, '*', ask.body() == null ? 4 : 5);
-        Resp.string(out, ask.body() == null ? QUERY : SUBMIT);
-        Resp.string(out, ask.operator());
-        Resp.string(out, ask.id());
+                + Resp.digits(request.firstGateway());
+        ByteBuf out =
+                to.room(6 * Resp.HEAD + request.tenant().length() + request.id().length() + length);
+        Resp.head(out, '*', request.body() == null ? 4 : 5);
+        Resp.string(out, request.body() == null ? QUERY : SUBMIT);
+        Resp.string(out, request.tenant());
+        Resp.string(out, request.id());
         Resp.head(out, '$', length);
-        mark(out, "c=", ask.requestClass());
-        mark(out, ",t=", ask.plan());
+        mark(out, "c=", request.requestClass());
+        mark(out, ",t=", request.plan());
         ByteBufUtil.writeAscii(out, ",d=");
         Resp.number(out, wait);
-        if (ask.key() != null) {
-            mark(out, ",k=", ask.key());
+        if (request.key() != null) {
+            mark(out, ",k=", request.key());
         }
-        if (ask.retry()) {
+        if (request.retry()) {
             ByteBufUtil.writeAscii(out, ",r=1");
         }
         ByteBufUtil.writeAscii(out, ",units=");
         if (whole) {
-            Resp.number(out, (long) ask.units());
+            Resp.number(out, (long) request.units());
         } else {
             ByteBufUtil.writeAscii(out, units);
         }
         ByteBufUtil.writeAscii(out, ",spread=");
-        Resp.number(out, ask.gateways());
+        Resp.number(out, request.gateways());
         ByteBufUtil.writeAscii(out, ",first=");
-        Resp.number(out, ask.firstGateway());
+        Resp.number(out, request.firstGateway());
         Resp.lineEnd(out);
-        if (ask.body() != null) {
-            writeBody(out, ask.body(), to);
+        if (request.body() != null) {
+            writeBody(out, request.body(), to);
         }
     }
 
--- a/gateway/src/main/java/opalcove/resp/RespConnector.java
+++ b/gateway/src/main/java/opalcove/resp/RespConnector.java
@@ -35,8 +35,8 @@
     /** Opens connections to backends with the time limits of the settings. */
     public RespConnector(Vertx vertx, DecisionSettings settings) {
         this(vertx, settings, address -> {
-            HostAndPort node = HostAndPort.read(address, "address");
-            return SocketAddress.inetSocketAddress(node.port(), node.address());
+            HostAndPort backend = HostAndPort.read(address, "address");
+            return SocketAddress.inetSocketAddress(backend.port(), backend.address());
         });
     }
 
@@ -47,7 +47,7 @@
         replies = new BackendReplyDecoder(settings);
         client = vertx.createNetClient(
                 new NetClientOptions().setReconnectAttempts(0).setConnectTimeout((int)
-                        Math.max(1, settings.limits().dialTimeoutMs())));
+                        Math.max(1, settings.limits().connectTimeoutMs())));
     }
 
     @Override
@@ -207,8 +207,8 @@
         }
 
         @Override
-        public void send(Request ask, double waitMs) {
-            RequestDecoder.write(ask, waitMs, raw);
+        public void send(Request request, double waitMs) {
+            RequestDecoder.write(request, waitMs, raw);
         }
 
         @Override
--- a/gateway/src/main/java/opalcove/resp/RespServer.java
+++ b/gateway/src/main/java/opalcove/resp/RespServer.java
@@ -76,16 +76,16 @@
     private final Vertx vertx;
 
     private final RequestDispatcher gateway;
-    private final RequestDecoder asks;
+    private final RequestDecoder requests;
     private final Lifecycle phases;
     /** Of the last try to listen. */
     private NetServer server;
 
-    private final Set<Terminal> terminals = new HashSet<>();
+    private final Set<Terminal> clients = new HashSet<>();
     /** Connections of which the end was told and which their terminals have not closed yet, the oldest first. */
     private final Set<Terminal> farewells = new LinkedHashSet<>();
 
-    private final int mostTerminals;
+    private final int maxClients;
     private final int mostFarewells;
     private final ByteAccumulator gathered = new ByteAccumulator();
     private Runnable whenEmpty = () -> {};
@@ -99,17 +99,17 @@
     /**
      * Serves RESP2 clients from this gateway.
      *
-     * @param mostTerminals how many client connections may be open at once
+     * @param maxClients how many client connections may be open at once
      */
-    public RespServer(Vertx vertx, RequestDispatcher gateway, Lifecycle phases, int mostTerminals) {
+    public RespServer(Vertx vertx, RequestDispatcher gateway, Lifecycle phases, int maxClients) {
         this.vertx = vertx;
         this.gateway = gateway;
-        asks = new RequestDecoder(gateway::rules);
+        requests = new RequestDecoder(gateway::rules);
         this.phases = phases;
         inputs = new DisconnectDetector(vertx);
-        this.mostTerminals = mostTerminals;
-        mostFarewells = Math.max(1, mostTerminals / FAREWELL_PART);
-        Application.limitAccepted(vertx, mostDescriptors(mostTerminals));
+        this.maxClients = maxClients;
+        mostFarewells = Math.max(1, maxClients / FAREWELL_PART);
+        Application.limitAccepted(vertx, mostDescriptors(maxClients));
         Context context = vertx.getOrCreateContext();
         // Told on the acceptor's thread, whose own context is not this one.
         Application.whenAcceptRefused(vertx, refusal -> context.runOnContext(told -> acceptRefused(refusal)));
@@ -126,20 +126,20 @@
     }
 
     /** How many terminals a front may have that holds no more than so many descriptors in all. */
-    public static int terminalsWithin(int descriptors) {
-        int terminals = Math.max(1, (descriptors - ACCEPTED_AHEAD) * FAREWELL_PART / (FAREWELL_PART + 1));
-        return mostDescriptors(terminals) > descriptors && terminals > 1 ? terminals - 1 : terminals;
+    public static int maxClientsWithin(int descriptors) {
+        int clients = Math.max(1, (descriptors - ACCEPTED_AHEAD) * FAREWELL_PART / (FAREWELL_PART + 1));
+        return mostDescriptors(clients) > descriptors && clients > 1 ? clients - 1 : clients;
     }
 
     /** The descriptors that a front of so many terminals holds at most: connections in use, half open, and accepted ahead. */
-    public static int mostDescriptors(int mostTerminals) {
-        return mostTerminals + Math.max(1, mostTerminals / FAREWELL_PART) + ACCEPTED_AHEAD;
+    public static int mostDescriptors(int maxClients) {
+        return maxClients + Math.max(1, maxClients / FAREWELL_PART) + ACCEPTED_AHEAD;
     }
 
     /** Guards memory and descriptors against terminals that ask once, or never to the end of a command, and stay. */
     private void closeResting() {
         long before = System.nanoTime() - TimeUnit.MILLISECONDS.toNanos(goesAway() ? AWAY_REST_MS : REST_MS);
-        for (Terminal each : List.copyOf(terminals)) {
+        for (Terminal each : List.copyOf(clients)) {
             if (!each.endIfStalled() && each.slots.isEmpty() && each.lastUsed - before < 0) {
                 each.partIfQuiet(goesAway() ? ConnectionCloseReason.DRAINED : ConnectionCloseReason.IDLE);
             }
@@ -159,7 +159,7 @@
         Set<Terminal> looked = new HashSet<>();
         while (looked.size() < MOST_LOOKS) {
             Terminal longest = null;
-            for (Terminal each : terminals) {
+            for (Terminal each : clients) {
                 if (each.slots.isEmpty()
                         && (longest == null || each.lastUsed - longest.lastUsed < 0)
                         && !looked.contains(each)) {
@@ -196,7 +196,7 @@
 
     /** Connections in use or at rest. */
     int open() {
-        return terminals.size();
+        return clients.size();
     }
 
     /** Connections that have been ended here and not yet closed. */
@@ -220,13 +220,13 @@
                 .setReuseAddress(true)
                 .setReusePort(true));
         made.connectHandler(socket -> {
-            if (terminals.size() >= mostTerminals && !closeLongestIdle()) {
-                Logger.debug("a terminal's connection is closed: {} are open and busy", terminals.size());
+            if (clients.size() >= maxClients && !closeLongestIdle()) {
+                Logger.debug("a terminal's connection is closed: {} are open and busy", clients.size());
                 gateway.connectionEndedForDescriptors(true);
                 socket.close();
                 return;
             }
-            terminals.add(new Terminal(socket));
+            clients.add(new Terminal(socket));
         });
         return made;
     }
@@ -265,15 +265,15 @@
     }
 
     private void checkEmpty() {
-        if (!coming && terminals.isEmpty() && farewells.isEmpty()) {
+        if (!coming && clients.isEmpty() && farewells.isEmpty()) {
             whenEmpty.run();
         }
     }
 
     /** One command, and room for its answer. */
     private final class Slot implements RequestDispatcher.ResponseHandler {
-        private final Terminal terminal;
-        private RequestDispatcher.RequestHandle ask;
+        private final Terminal client;
+        private RequestDispatcher.RequestHandle request;
         private ByteBuf body;
         private boolean answered;
         /** The answer's bytes, where its turn has not come. */
@@ -281,31 +281,31 @@
         /** A long value that answers it. */
         private ResponseStream passage;
 
-        Slot(Terminal terminal) {
-            this.terminal = terminal;
+        Slot(Terminal client) {
+            this.client = client;
         }
 
         @Override
         public void answered(Response answer) {
-            terminal.answer(this, answer);
+            client.answer(this, answer);
         }
 
         @Override
         public boolean passes(StreamedValue value) {
-            if (terminal.closing) {
+            if (client.closing) {
                 return false;
             }
             passage = new ResponseStream(this, value);
             value.to(passage);
             // Before its turn a value waits at its node.
-            value.reads(terminal.slots.peek() == this);
+            value.reads(client.slots.peek() == this);
             passage.advance();
             return true;
         }
 
         @Override
         public boolean isConnected() {
-            return terminal.input.isConnected();
+            return client.input.isConnected();
         }
 
         /** Lets go of bytes whose turn will not come. */
@@ -357,7 +357,7 @@
 
         @Override
         public void part(ByteBuf bytes) {
-            if (slot.terminal.closing || abandoned) {
+            if (slot.client.closing || abandoned) {
                 bytes.release();
             } else {
                 early.add(bytes);
@@ -367,14 +367,14 @@
 
         @Override
         public void whole() {
-            if (!slot.terminal.closing && !abandoned) {
+            if (!slot.client.closing && !abandoned) {
                 advance();
             }
         }
 
         /** Goes on once it is its turn: writes what has come, or waits for more of it. */
         void advance() {
-            if (abandoned || slot.terminal.slots.peek() != slot) {
+            if (abandoned || slot.client.slots.peek() != slot) {
                 return;
             }
             if (!flowing && !mayBegin()) {
@@ -390,7 +390,7 @@
             if (value.whole()) {
                 return true;
             }
-            if (!early.isEmpty() && !gathers && !slot.terminal.isAlone(slot)) {
+            if (!early.isEmpty() && !gathers && !slot.client.isAlone(slot)) {
                 if (!gathered.take(value.length())) {
                     abandon("requests are behind it, and there is no room to gather it");
                     return false;
@@ -408,13 +408,13 @@
 
         /** Guards the answer against a node that gives the rest of a value late: what is not being written is owed in time. */
         private void waitNoLongerThanItsTime() {
-            if (waits || slot.ask == null) {
+            if (waits || slot.request == null) {
                 return;
             }
             waits = true;
-            long ms = (long) Math.max(0, slot.ask.leftMs()) + VALUE_GRACE_MS;
+            long ms = (long) Math.max(0, slot.request.remainingMs()) + VALUE_GRACE_MS;
             vertx.setTimer(ms, due -> {
-                if (!flowing && !abandoned && !value.whole() && !slot.answered && !slot.terminal.closing) {
+                if (!flowing && !abandoned && !value.whole() && !slot.answered && !slot.client.closing) {
                     abandon("its time is over and it is not whole");
                 }
             });
@@ -423,17 +423,17 @@
         private void begin() {
             flowing = true;
             if (!value.whole()) {
-                slot.terminal.input.hold();
+                slot.client.input.hold();
             }
-            slot.terminal.raw.waitsAtMost(2 * RespConnector.PORTION);
-            Resp.head(slot.terminal.raw.room(Resp.HEAD), '$', value.length());
+            slot.client.raw.waitsAtMost(2 * RespConnector.PORTION);
+            Resp.head(slot.client.raw.room(Resp.HEAD), '$', value.length());
         }
 
         private void flow() {
-            while (!early.isEmpty() && (!value.whole() || slot.terminal.raw.isWritable())) {
+            while (!early.isEmpty() && (!value.whole() || slot.client.raw.isWritable())) {
                 ByteBuf part = early.poll();
                 letGo(part.readableBytes());
-                slot.terminal.raw.pass(part);
+                slot.client.raw.pass(part);
             }
             // A write may have made the socket unwritable, which is told at once and comes back here: it has ended
             // then.
@@ -441,9 +441,9 @@
                 return;
             }
             if (early.isEmpty() && value.whole()) {
-                slot.terminal.valueEnded(slot);
+                slot.client.valueEnded(slot);
             } else {
-                value.reads(slot.terminal.raw.isWritable());
+                value.reads(slot.client.raw.isWritable());
             }
         }
 
@@ -451,11 +451,11 @@
         private void abandon(String cause) {
             Logger.warn("a value of {} bytes is given up: {}", value.length(), cause);
             abandoned = true;
-            RequestDispatcher.RequestHandle ask = slot.ask;
+            RequestDispatcher.RequestHandle request = slot.request;
             drop();
-            slot.terminal.line(slot, "-ERR failed");
-            if (ask != null) {
-                ask.giveUpValue();
+            slot.client.line(slot, "-ERR failed");
+            if (request != null) {
+                request.giveUpValue();
             }
         }
 
@@ -473,16 +473,16 @@
 
         @Override
         public void cut() {
-            slot.ask = null;
-            if (slot.terminal.closing || abandoned) {
+            slot.request = null;
+            if (slot.client.closing || abandoned) {
                 return;
             }
             if (flowing && !value.whole()) {
                 Logger.warn("a value was cut off by its app node");
-                slot.terminal.cut();
+                slot.client.cut();
             } else {
                 slot.drop();
-                slot.terminal.line(slot, "-ERR failed");
+                slot.client.line(slot, "-ERR failed");
             }
         }
     }
@@ -530,8 +530,8 @@
                 error(slot, "expected a command");
                 return;
             }
-            if (RequestDecoder.asks(command)) {
-                ask(slot, command);
+            if (RequestDecoder.requests(command)) {
+                request(slot, command);
             } else {
                 other(slot, command);
             }
@@ -549,10 +549,10 @@
             return strings;
         }
 
-        private void ask(Slot slot, RespDecoder command) {
-            Request ask;
+        private void request(Slot slot, RespDecoder command) {
+            Request request;
             try {
-                ask = asks.read(command, raw);
+                request = requests.read(command, raw);
             } catch (InvalidRequestException e) {
                 if (e.requestClass() != null) {
                     gateway.metrics().ended(e.requestClass(), Metrics.End.FAILURE);
@@ -560,13 +560,13 @@
                 error(slot, e.getMessage());
                 return;
             }
-            slot.body = ask.body();
-            slot.ask = gateway.serve(ask, slot, input.unreadMs());
+            slot.body = request.body();
+            slot.request = gateway.serve(request, slot, input.unreadMs());
             if (phases.now().ordinal() >= Lifecycle.Phase.DRAINING.ordinal()) {
                 // Its answer comes behind those of the asks before it, which may wait longer than this process lasts.
                 slots.forEach(before -> {
-                    if (before.ask != null) {
-                        before.ask.hurry();
+                    if (before.request != null) {
+                        before.request.hurry();
                     }
                 });
             }
@@ -633,7 +633,7 @@
         /** Lets out the answers whose turn has come: this one if it is the first, and those that waited for it. */
         private void answered(Slot slot) {
             slot.answered = true;
-            slot.ask = null;
+            slot.request = null;
             if (slots.peek() != slot) {
                 return;
             }
@@ -803,7 +803,7 @@
         private void end() {
             closing = true;
             input.end();
-            terminals.remove(this);
+            clients.remove(this);
         }
 
         private void gone() {
@@ -816,8 +816,8 @@
         private void dropSlots() {
             for (Slot slot = slots.poll(); slot != null; slot = slots.poll()) {
                 slot.drop();
-                if (slot.ask != null) {
-                    slot.ask.leave();
+                if (slot.request != null) {
+                    slot.request.leave();
                 }
             }
         }
--- a/gateway/src/main/java/opalcove/resp/WarmUp.java
+++ b/gateway/src/main/java/opalcove/resp/WarmUp.java
@@ -69,9 +69,9 @@
         WarmUp rehearsal = new WarmUp(settings);
         try {
             Path folder = privateFolder();
-            Path node = folder.resolve("node");
+            Path backend = folder.resolve("node");
             Path front = folder.resolve("front");
-            if (budget.leftMs() == 0 || !reached(node)) {
+            if (budget.remainingMs() == 0 || !reached(backend)) {
                 Files.delete(folder);
                 Logger.info("no rehearsal: nobody is reached at a UNIX socket here, or there is no time");
                 return 0;
@@ -81,16 +81,16 @@
                 vertx.runOnContext(start -> rehearsal
                         .open(
                                 vertx,
-                                SocketAddress.domainSocketAddress(node.toString()),
+                                SocketAddress.domainSocketAddress(backend.toString()),
                                 SocketAddress.domainSocketAddress(front.toString()))
                         .onFailure(rehearsal.played::tryFail));
                 rehearsal.end(budget);
             } finally {
                 Future<Void> closed = vertx.close();
                 try {
-                    closed.toCompletionStage().toCompletableFuture().get(budget.leftMs(), TimeUnit.MILLISECONDS);
+                    closed.toCompletionStage().toCompletableFuture().get(budget.remainingMs(), TimeUnit.MILLISECONDS);
                 } finally {
-                    for (Path each : List.of(node, front, folder)) {
+                    for (Path each : List.of(backend, front, folder)) {
                         Files.deleteIfExists(each);
                     }
                 }
@@ -141,29 +141,30 @@
     private void end(TimeBudget budget) throws ExecutionException, InterruptedException, TimeoutException {
         CompletableFuture<Void> over = played.future().toCompletionStage().toCompletableFuture();
         try {
-            over.get(budget.leftMs() * 3 / 4, TimeUnit.MILLISECONDS);
+            over.get(budget.remainingMs() * 3 / 4, TimeUnit.MILLISECONDS);
         } catch (TimeoutException e) {
             Logger.debug("the rehearsal took its time");
             most = 0;
-            over.get(budget.leftMs() / 2, TimeUnit.MILLISECONDS);
+            over.get(budget.remainingMs() / 2, TimeUnit.MILLISECONDS);
         }
     }
 
-    private Future<?> open(Vertx vertx, SocketAddress node, SocketAddress at) {
+    private Future<?> open(Vertx vertx, SocketAddress backend, SocketAddress at) {
         ConnectionPool links =
-                new ConnectionPool(vertx, settings, new RespConnector(vertx, settings, address -> node), MOST_LINKS);
+                new ConnectionPool(vertx, settings, new RespConnector(vertx, settings, address -> backend), MOST_LINKS);
         RequestDispatcher gateway = new RequestDispatcher(vertx, new Clock(), settings, 1, links);
-        List<Backend> nodes = new ArrayList<>();
+        List<Backend> backends = new ArrayList<>();
         for (int i = 0; i < NODES; i++) {
-            nodes.add(new Backend(new Endpoint("rehearsal-" + i, settings.zone(), "", i, EndpointState.UP, 1, 0), ""));
+            backends.add(
+                    new Backend(new Endpoint("rehearsal-" + i, settings.zone(), "", i, EndpointState.UP, 1, 0), ""));
         }
-        gateway.nodesTold(true, nodes);
+        gateway.endpointsChanged(true, backends);
         return vertx.createNetServer()
                 .connectHandler(WarmUp::work)
-                .listen(node)
+                .listen(backend)
                 .compose(open -> new RespServer(vertx, gateway, new Lifecycle(), WINDOW).listen(at))
                 .compose(open -> vertx.createNetClient().connect(at))
-                .onSuccess(this::ask);
+                .onSuccess(this::request);
     }
 
     /** A party of the play: hears values, and writes at the end of each turn. */
@@ -214,8 +215,8 @@
                 reason -> socket.close());
     }
 
-    private void ask(NetSocket socket) {
-        Party terminal = new Party(
+    private void request(NetSocket socket) {
+        Party client = new Party(
                 socket,
                 (answer, raw) -> {
                     answered++;
@@ -227,7 +228,7 @@
                 },
                 played::tryFail);
         while (sent < WINDOW) {
-            next(terminal.raw);
+            next(client.raw);
         }
     }
 
--- a/gateway/src/main/java/opalcove/server/GatewayConfig.java
+++ b/gateway/src/main/java/opalcove/server/GatewayConfig.java
@@ -58,18 +58,18 @@
         ConfigValidator check = new ConfigValidator(Path.of(file));
         JsonFields fields = check.fields();
         GatewayConfig config = new GatewayConfig(
-                check.ask(() -> environment.getOrDefault("GW_NAME", fields.textOr("name", "")), ""),
-                check.ask(() -> listen(fields, environment), null),
-                check.ask(() -> console(fields, environment), null),
-                check.ask(() -> discovery(fields, environment), null),
-                check.ask(() -> seed(fields), 0L),
-                check.ask(() -> sockets(fields), SOCKETS),
-                check.ask(() -> known(fields), List.of()),
-                check.ask(() -> knownIndex(fields), DiscoveryClient.NO_INDEX),
-                check.ask(() -> SettingsReader.checked(fields.object("settings")), null),
-                check.ask(() -> rehearsalMs(fields), 0),
-                check.ask(() -> membership(fields), null),
-                check.ask(() -> fields.has("agreement") ? fields.object("agreement") : null, null));
+                check.valueOr(() -> environment.getOrDefault("GW_NAME", fields.textOr("name", "")), ""),
+                check.valueOr(() -> listen(fields, environment), null),
+                check.valueOr(() -> console(fields, environment), null),
+                check.valueOr(() -> discovery(fields, environment), null),
+                check.valueOr(() -> seed(fields), 0L),
+                check.valueOr(() -> sockets(fields), SOCKETS),
+                check.valueOr(() -> known(fields), List.of()),
+                check.valueOr(() -> knownIndex(fields), DiscoveryClient.NO_INDEX),
+                check.valueOr(() -> SettingsReader.checked(fields.object("settings")), null),
+                check.valueOr(() -> rehearsalMs(fields), 0),
+                check.valueOr(() -> membership(fields), null),
+                check.valueOr(() -> fields.has("agreement") ? fields.object("agreement") : null, null));
         check.end();
         return config;
     }
--- a/gateway/src/main/java/opalcove/server/GatewayServer.java
+++ b/gateway/src/main/java/opalcove/server/GatewayServer.java
@@ -93,17 +93,17 @@
                 vertx, config.settings(), new RespConnector(vertx, config.settings()), budget.backends());
         RequestDispatcher gateway = new RequestDispatcher(vertx, new Clock(), config.settings(), config.seed(), links);
         RespServer front =
-                new RespServer(vertx, gateway, program.phases(), RespServer.terminalsWithin(budget.clients()));
+                new RespServer(vertx, gateway, program.phases(), RespServer.maxClientsWithin(budget.clients()));
         Versions versions = new Versions(gateway);
         DiscoveryClient discovery = new DiscoveryClient(
                 vertx, config.discovery(), config.settings(), new SplittableRandom(config.seed()), versions);
-        gateway.nodeListSource(discovery);
+        gateway.endpointSource(discovery);
         program.atEnd(gateway, front::drain);
         leaveWith(program, parts);
         parts.door().serve(vertx, gateway, front, program.phases());
         if (!config.known().isEmpty()) {
             // An empty list would make every node of discovery's first one look newly started, and cold.
-            gateway.nodesTold(true, config.known(), 0);
+            gateway.endpointsChanged(true, config.known(), 0);
         }
         parts.hangups().listen(() -> reload(config, vertx, discovery, gateway, versions));
         listKnown(vertx, discovery, versions, parts).onComplete(ready -> {
@@ -188,7 +188,7 @@
     /** The gateway by agreed versions; without any, by its own file and by discovery. On the gateway's event loop. */
     private static final class Versions implements DiscoveryClient.Listener {
         private final RequestDispatcher gateway;
-        private ReplicatedConfig.Acting acting;
+        private ReplicatedConfig.EffectiveConfig acting;
 
         Versions(RequestDispatcher gateway) {
             this.gateway = gateway;
@@ -196,8 +196,8 @@
 
         /** Acts on what is agreed from now on; done once that is known, or after so long that clients are taken without. */
         Future<Void> follow(Vertx vertx, ReplicatedConfig agreed, Supplier<List<Member>> fleet) {
-            gateway.beforeEachAsk(() -> {
-                ReplicatedConfig.Acting lapsed = agreed.lapsed();
+            gateway.beforeEachRequest(() -> {
+                ReplicatedConfig.EffectiveConfig lapsed = agreed.lapsed();
                 if (lapsed != null && acting != null && !acting.strict()) {
                     act(lapsed);
                 }
@@ -218,32 +218,32 @@
             return known.future();
         }
 
-        private void act(ReplicatedConfig.Acting next) {
+        private void act(ReplicatedConfig.EffectiveConfig next) {
             boolean colder = next.coldSinceMs() > 0 && (acting == null || acting.coldSinceMs() != next.coldSinceMs());
             acting = next;
             gateway.retune(next.settings());
-            if (next.nodes() != null) {
-                gateway.nodesTold(true, cold(next.nodes()));
+            if (next.backends() != null) {
+                gateway.endpointsChanged(true, cold(next.backends()));
             } else if (colder) {
-                gateway.nodesTold(true, cold(gateway.nodes()));
+                gateway.endpointsChanged(true, cold(gateway.backends()));
             }
         }
 
         /** After a power loss the list may be of before: no node counts as started earlier than this gateway. */
-        private List<Backend> cold(List<Backend> nodes) {
+        private List<Backend> cold(List<Backend> backends) {
             if (acting == null || acting.coldSinceMs() == 0) {
-                return nodes;
+                return backends;
             }
-            return nodes.stream()
-                    .map(node -> new Backend(node.host().startedSince(acting.coldSinceMs()), node.address()))
+            return backends.stream()
+                    .map(backend -> new Backend(backend.host().startedSince(acting.coldSinceMs()), backend.address()))
                     .toList();
         }
 
         /** Discovery's word holds where no agreed version has the list. */
         @Override
         public void told(boolean whole, List<Backend> lines, double discoveryNow) {
-            if (acting == null || acting.nodes() == null) {
-                gateway.nodesTold(whole, cold(lines), discoveryNow);
+            if (acting == null || acting.backends() == null) {
+                gateway.endpointsChanged(whole, cold(lines), discoveryNow);
             }
         }
 
--- a/gateway/src/main/java/opalcove/transport/AcceptLimiter.java
+++ b/gateway/src/main/java/opalcove/transport/AcceptLimiter.java
@@ -137,12 +137,12 @@
         if (!waiting) {
             waiting = true;
             server.config().setAutoRead(false);
-            server.eventLoop().schedule(this::askAgain, waitMs, TimeUnit.MILLISECONDS);
+            server.eventLoop().schedule(this::requestAgain, waitMs, TimeUnit.MILLISECONDS);
             waitMs = Math.min(2 * waitMs, LONGEST_WAIT_MS);
         }
     }
 
-    private void askAgain() {
+    private void requestAgain() {
         waiting = false;
         if (!paused) {
             server.config().setAutoRead(true);
--- a/gateway/src/main/java/opalcove/transport/CoarseWaitTransport.java
+++ b/gateway/src/main/java/opalcove/transport/CoarseWaitTransport.java
@@ -212,7 +212,7 @@
 
         @Override
         public int run(IoHandlerContext context) {
-            polls.asks();
+            polls.requests();
             int handled = super.run(context);
             polls.read(handled);
             return handled;
--- a/gateway/src/main/java/opalcove/transport/SocketPoller.java
+++ b/gateway/src/main/java/opalcove/transport/SocketPoller.java
@@ -37,7 +37,7 @@
     private long wakesAt = polledAt;
 
     /** The sockets are about to be asked. */
-    void asks() {
+    void requests() {
         askedAt = System.nanoTime();
         wakesAt = askedAt;
     }
--- a/gateway/src/test/java/opalcove/backend/ConnectionPoolCapacityTest.java
+++ b/gateway/src/test/java/opalcove/backend/ConnectionPoolCapacityTest.java
@@ -47,8 +47,8 @@
             for (int i = 0; i < MOST; i++) {
                 descriptorsFreed();
                 List<AttemptResult> ends = new ArrayList<>();
-                String node = "new-" + i;
-                assertTrue(onLoop(() -> attempt(pool, node, ends)), "dialled: " + node);
+                String backend = "new-" + i;
+                assertTrue(onLoop(() -> attempt(pool, backend, ends)), "dialled: " + backend);
                 assertEquals(ends, List.of());
             }
         } finally {
@@ -59,9 +59,9 @@
     /** Makes an attempt, tells whether a line was dialled for it. */
     private boolean attempt(ConnectionPool pool, String name, List<AttemptResult> ends) {
         int before = lines.size();
-        Backend node = new Backend(new Endpoint(name, "room-a", "app", 0, EndpointState.UP, 1, 0), name);
-        Request ask = new Request("id", "operator", "slot-status", "start", 1, 4000, null, false, 1, 0, null);
-        pool.attempt(node, ask, 4000, ends::add);
+        Backend backend = new Backend(new Endpoint(name, "room-a", "app", 0, EndpointState.UP, 1, 0), name);
+        Request request = new Request("id", "operator", "slot-status", "start", 1, 4000, null, false, 1, 0, null);
+        pool.attempt(backend, request, 4000, ends::add);
         return lines.size() > before;
     }
 
@@ -100,7 +100,7 @@
         }
 
         @Override
-        public void send(Request ask, double waitMs) {}
+        public void send(Request request, double waitMs) {}
 
         @Override
         public void close() {
--- a/gateway/src/test/java/opalcove/backend/LocalConnectFailureTest.java
+++ b/gateway/src/test/java/opalcove/backend/LocalConnectFailureTest.java
@@ -108,8 +108,8 @@
         }
 
         @Override
-        public void send(Request ask, double waitMs) {
-            sent.add(ask.id());
+        public void send(Request request, double waitMs) {
+            sent.add(request.id());
         }
 
         @Override
--- a/gateway/src/test/java/opalcove/config/OutsideTextsTest.java
+++ b/gateway/src/test/java/opalcove/config/OutsideTextsTest.java
@@ -171,7 +171,7 @@
 
     @Test
     public void theEndpointListIsWrittenInThisForm() {
-        List<Backend> nodes = List.of(
+        List<Backend> backends = List.of(
                 new Backend(
                         new Endpoint("n1", "room-a", "app", 3, EndpointState.UP, 1, 1700000000123.0), "127.0.0.1:7001"),
                 new Backend(new Endpoint("n2", "", "", 0, EndpointState.DRAINING, 2.5, 0), "10.0.0.2:7002"),
@@ -183,12 +183,12 @@
                 + "\"status\":\"draining\",\"weight\":2.5,\"since_ms\":0},"
                 + "{\"name\":\"n3\",\"address\":\"10.0.0.3:1\",\"zone\":\"room-b\",\"type\":\"db\",\"group\":-1,"
                 + "\"status\":\"removed\",\"weight\":0,\"since_ms\":0}]}";
-        assertEquals(EndpointCodec.write(42, true, nodes).toString(), written);
+        assertEquals(EndpointCodec.write(42, true, backends).toString(), written);
         assertEquals(
                 EndpointCodec.write(7, false, List.of()).toString(),
                 "{\"index\":7,\"snapshot\":false,\"endpoints\":[]}");
         List<Backend> read = EndpointCodec.read(JsonFields.parse(written).objects("endpoints"));
-        assertEquals(read.subList(0, 2), nodes.subList(0, 2));
+        assertEquals(read.subList(0, 2), backends.subList(0, 2));
         assertEquals(EndpointCodec.write(42, true, read).toString(), written);
     }
 
@@ -229,40 +229,42 @@
     public void requestsThatCannotBeTakenAreRefusedWithTheseTexts() {
         RequestValidator rules = new RequestValidator(TestSettings.settings());
         assertEquals(unfit(() -> rules.requestClass("other")), "unknown class");
-        assertEquals(unfit(() -> rules.check(ask(OPERATOR, "other", "start", 1, 4000, null, 1, 0))), "unknown class");
         assertEquals(
-                unfit(() -> rules.check(ask(OPERATOR, "slot-status", "other", 1, 4000, null, 1, 0))), "unknown plan");
+                unfit(() -> rules.check(request(OPERATOR, "other", "start", 1, 4000, null, 1, 0))), "unknown class");
         assertEquals(
-                unfit(() -> rules.check(ask("0000000200000000", "slot-status", "start", 1, 4000, null, 1, 0))),
+                unfit(() -> rules.check(request(OPERATOR, "slot-status", "other", 1, 4000, null, 1, 0))),
+                "unknown plan");
+        assertEquals(
+                unfit(() -> rules.check(request("0000000200000000", "slot-status", "start", 1, 4000, null, 1, 0))),
                 "the operator is out of range");
         assertEquals(
-                unfit(() -> rules.check(ask("2", "slot-status", "start", 1, 4000, null, 1, 0))),
+                unfit(() -> rules.check(request("2", "slot-status", "start", 1, 4000, null, 1, 0))),
                 "the operator must be 16 hex digits");
         for (double units : new double[] {0, -1, 8.5, Double.NaN}) {
             assertEquals(
-                    unfit(() -> rules.check(ask(OPERATOR, "slot-status", "start", units, 4000, null, 1, 0))),
+                    unfit(() -> rules.check(request(OPERATOR, "slot-status", "start", units, 4000, null, 1, 0))),
                     "the units are out of range");
         }
         for (double waitMs : new double[] {0, -1, 4001, Double.NaN}) {
             assertEquals(
-                    unfit(() -> rules.check(ask(OPERATOR, "slot-status", "start", 1, waitMs, null, 1, 0))),
+                    unfit(() -> rules.check(request(OPERATOR, "slot-status", "start", 1, waitMs, null, 1, 0))),
                     "the time to wait is out of range");
         }
         for (int[] gateways : new int[][] {{0, 0}, {2, 0}, {1, -1}, {1, 1}}) {
             assertEquals(
                     unfit(() -> rules.check(
-                            ask(OPERATOR, "slot-status", "start", 1, 4000, null, gateways[0], gateways[1]))),
+                            request(OPERATOR, "slot-status", "start", 1, 4000, null, gateways[0], gateways[1]))),
                     "the operator's gateways are out of range");
         }
         assertEquals(
-                unfit(() -> rules.check(ask(OPERATOR, "slot-status", "start", 1, 4000, "k", 1, 0))),
+                unfit(() -> rules.check(request(OPERATOR, "slot-status", "start", 1, 4000, "k", 1, 0))),
                 "a key for a class without, or none");
         assertEquals(
-                unfit(() -> rules.check(ask(OPERATOR, "swap-record", "start", 1, 4000, null, 1, 0))),
+                unfit(() -> rules.check(request(OPERATOR, "swap-record", "start", 1, 4000, null, 1, 0))),
                 "a key for a class without, or none");
         for (String key : List.of("a,b", "a b", "\u007f", "k".repeat(65))) {
             assertEquals(
-                    unfit(() -> rules.check(ask(OPERATOR, "swap-record", "start", 1, 4000, key, 1, 0))),
+                    unfit(() -> rules.check(request(OPERATOR, "swap-record", "start", 1, 4000, key, 1, 0))),
                     "the key cannot be passed on");
         }
     }
@@ -275,12 +277,12 @@
             onLoop(vertx, () -> {
                 RequestDispatcher gateway =
                         new RequestDispatcher(vertx, new Clock(), TestSettings.settings(2), 1, new HeldLinks());
-                gateway.nodesTold(
+                gateway.endpointsChanged(
                         true,
                         List.of(new Backend(new Endpoint("n1", "room-a", "app", 0, EndpointState.UP, 1, 0), "a:1")));
-                gateway.serve(ask(OPERATOR, "slot-status", "start", 1, 4000, null, 1, 0), answer -> {});
-                gateway.serve(ask(OPERATOR, "slot-status", "start", 1, 4000, null, 1, 0), answers::add);
-                gateway.serve(ask(OPERATOR, "other", "start", 1, 4000, null, 1, 0), answers::add);
+                gateway.serve(request(OPERATOR, "slot-status", "start", 1, 4000, null, 1, 0), answer -> {});
+                gateway.serve(request(OPERATOR, "slot-status", "start", 1, 4000, null, 1, 0), answers::add);
+                gateway.serve(request(OPERATOR, "other", "start", 1, 4000, null, 1, 0), answers::add);
                 Request second = new Request(
                         "00000000000000a2", OPERATOR, "slot-status", "start", 1, 4000, null, false, 1, 0, null);
                 gateway.serve(second, answer -> {});
@@ -300,8 +302,8 @@
         }
     }
 
-    private static Request ask(
-            String operator,
+    private static Request request(
+            String tenant,
             String requestClass,
             String plan,
             double units,
@@ -309,7 +311,7 @@
             String key,
             int gateways,
             int firstGateway) {
-        return new Request(ID, operator, requestClass, plan, units, waitMs, key, false, gateways, firstGateway, null);
+        return new Request(ID, tenant, requestClass, plan, units, waitMs, key, false, gateways, firstGateway, null);
     }
 
     private interface Read {
@@ -334,7 +336,7 @@
 
     private static final class HeldLinks extends NoOpBackendTransport {
         @Override
-        public Attempt attempt(Backend node, Request ask, double waitMs, Ended ended) {
+        public Attempt attempt(Backend backend, Request request, double waitMs, Ended ended) {
             return () -> {};
         }
     }
--- a/gateway/src/test/java/opalcove/core/ClocksApartTest.java
+++ b/gateway/src/test/java/opalcove/core/ClocksApartTest.java
@@ -46,10 +46,10 @@
     @Test(dataProvider = "offsets")
     public void aRestartThatIsToldMakesItsBackendColdFromThenOn(double offsetMs) throws Exception {
         double discoveryNow = System.currentTimeMillis() + offsetMs;
-        told(node("a", discoveryNow - LONG_AGO_MS), node("b", discoveryNow - LONG_AGO_MS));
+        told(backend("a", discoveryNow - LONG_AGO_MS), backend("b", discoveryNow - LONG_AGO_MS));
         assertEquals(share("a"), 1.0);
         assertEquals(share("b"), 1.0);
-        told(node("a", discoveryNow - LONG_AGO_MS), node("b", discoveryNow));
+        told(backend("a", discoveryNow - LONG_AGO_MS), backend("b", discoveryNow));
         assertEquals(share("a"), 1.0);
         double cold = TestSettings.settings().duties().coldShare();
         assertTrue(share("b") > 0 && share("b") < 1.5 * cold, "b has a share of " + share("b"));
@@ -58,8 +58,8 @@
     @Test(dataProvider = "offsets")
     public void aNewBackendIsColdFromWhenItWasTold(double offsetMs) throws Exception {
         double discoveryNow = System.currentTimeMillis() + offsetMs;
-        told(node("a", discoveryNow - LONG_AGO_MS));
-        told(node("a", discoveryNow - LONG_AGO_MS), node("b", discoveryNow));
+        told(backend("a", discoveryNow - LONG_AGO_MS));
+        told(backend("a", discoveryNow - LONG_AGO_MS), backend("b", discoveryNow));
         double cold = TestSettings.settings().duties().coldShare();
         assertTrue(share("b") > 0 && share("b") < 1.5 * cold, "b has a share of " + share("b"));
     }
@@ -67,17 +67,17 @@
     @Test
     public void aStartTimeThatGoesBackIsARestart() throws Exception {
         double now = System.currentTimeMillis();
-        told(node("a", now - HOUR_MS));
-        told(node("a", now - 2 * HOUR_MS));
+        told(backend("a", now - HOUR_MS));
+        told(backend("a", now - 2 * HOUR_MS));
         assertTrue(share("a") < 0.5, "a has a share of " + share("a"));
     }
 
     @Test
     public void theSameListAgainChangesNothing() throws Exception {
         double now = System.currentTimeMillis();
-        told(node("a", now - LONG_AGO_MS), node("b", now + HOUR_MS));
+        told(backend("a", now - LONG_AGO_MS), backend("b", now + HOUR_MS));
         double before = share("b");
-        told(node("a", now - LONG_AGO_MS), node("b", now + HOUR_MS));
+        told(backend("a", now - LONG_AGO_MS), backend("b", now + HOUR_MS));
         assertEquals(share("a"), 1.0);
         assertTrue(share("b") >= before, "not cold anew");
     }
@@ -86,22 +86,22 @@
     public void backendsOfTheFirstListAreComparedWithTheYoungestWhereDiscoverysClockIsAhead() throws Exception {
         double discoveryNow = System.currentTimeMillis() + HOUR_MS;
         told(
-                node("old", discoveryNow - LONG_AGO_MS),
-                node("older", discoveryNow - HOUR_MS / 2),
-                node("new", discoveryNow));
+                backend("old", discoveryNow - LONG_AGO_MS),
+                backend("older", discoveryNow - HOUR_MS / 2),
+                backend("new", discoveryNow));
         assertEquals(share("old"), 1.0);
         assertEquals(share("older"), 1.0, "half an hour older than the youngest");
         assertTrue(share("new") < 0.5, "the youngest has a share of " + share("new"));
     }
 
-    private void told(Backend... nodes) throws Exception {
+    private void told(Backend... backends) throws Exception {
         onLoop(() -> {
-            gateway.nodesTold(true, List.of(nodes));
+            gateway.endpointsChanged(true, List.of(backends));
             return null;
         });
     }
 
-    private static Backend node(String name, double startedMs) {
+    private static Backend backend(String name, double startedMs) {
         return new Backend(new Endpoint(name, "room-a", "app", 0, EndpointState.UP, 1, startedMs), "127.0.0.1:1");
     }
 
@@ -128,7 +128,7 @@
     /** No attempt is made in this test. */
     private static final class NoLinks extends NoOpBackendTransport {
         @Override
-        public Attempt attempt(Backend node, Request ask, double waitMs, Ended ended) {
+        public Attempt attempt(Backend backend, Request request, double waitMs, Ended ended) {
             throw new AssertionError("no attempt is made here");
         }
     }
--- a/gateway/src/test/java/opalcove/core/ConfigGenerationTest.java
+++ b/gateway/src/test/java/opalcove/core/ConfigGenerationTest.java
@@ -43,7 +43,7 @@
         out.clear();
         onLoop(() -> {
             gateway = new RequestDispatcher(vertx, new Clock(), TestSettings.settings(16), 1, new HeldLinks());
-            gateway.nodesTold(true, List.of(node("n1"), node("n2"), node("n3")));
+            gateway.endpointsChanged(true, List.of(backend("n1"), backend("n2"), backend("n3")));
             return null;
         });
     }
@@ -56,14 +56,14 @@
     @Test
     public void aClassOfTheNewSettingsIsTakenAndOneThatVanishedIsNot() throws Exception {
         List<Response> answers = new ArrayList<>();
-        onLoop(() -> gateway.serve(ask("a1", "battery-update-ii"), answers::add));
+        onLoop(() -> gateway.serve(request("a1", "battery-update-ii"), answers::add));
         assertEquals(answers.size(), 1);
         assertEquals(((Response.Failed) answers.get(0)).reason(), "unknown class");
         onLoop(() -> {
             gateway.retune(settings(TestSettings.JSON
                     .replace("\"profiles\":[", "\"profiles\":[" + NEW_CLASS)
                     .replace(",\n  {\"name\":\"slot-status\"", "\n  {\"name\":\"slot-status\"")));
-            return gateway.serve(ask("a2", "battery-update-ii"), answers::add);
+            return gateway.serve(request("a2", "battery-update-ii"), answers::add);
         });
         assertEquals(attempts, List.of("a2"), "the new class's ask is sent on");
         assertEquals(
@@ -78,7 +78,7 @@
     @Test
     public void fewerAttemptsBindAnAskUnderWayWhichKeepsItsClass() throws Exception {
         List<Response> answers = new ArrayList<>();
-        onLoop(() -> gateway.serve(ask("a1", "slot-status"), answers::add));
+        onLoop(() -> gateway.serve(request("a1", "slot-status"), answers::add));
         assertEquals(attempts, List.of("a1"));
         // slot-status vanishes, and one attempt is all that an ask may have now.
         String fewer = TestSettings.JSON
@@ -95,20 +95,20 @@
                 answers.get(0) instanceof Response.Refused || answers.get(0) instanceof Response.Failed,
                 String.valueOf(answers.get(0)));
         List<Response> later = new ArrayList<>();
-        onLoop(() -> gateway.serve(ask("a3", "slot-status"), later::add));
+        onLoop(() -> gateway.serve(request("a3", "slot-status"), later::add));
         assertEquals(((Response.Failed) later.get(0)).reason(), "unknown class");
     }
 
     @Test
     public void aNodeThatIsAvoidedAfterFailedConnectsCountsAsDown() throws Exception {
         onLoop(() -> {
-            gateway.nodesTold(true, List.of(node("n1"), node("n2")));
-            return gateway.serve(ask("a1", "slot-status"), answer -> {});
+            gateway.endpointsChanged(true, List.of(backend("n1"), backend("n2")));
+            return gateway.serve(request("a1", "slot-status"), answer -> {});
         });
         assertTrue(figures().containsAll(List.of("gateway.hosts_listed:2|g", "gateway.hosts_down:0|g")));
         onLoop(() -> {
             out.remove(0).ended(AttemptResult.silent(AttemptStatus.UNREACHABLE));
-            gateway.nodesTold(false, List.of());
+            gateway.endpointsChanged(false, List.of());
             return null;
         });
         assertTrue(
@@ -138,11 +138,11 @@
         return SettingsReader.checked(JsonFields.parse(json));
     }
 
-    private static Request ask(String id, String requestClass) {
+    private static Request request(String id, String requestClass) {
         return new Request(id, "00000000000000b2", requestClass, "start", 1, 3000, null, false, 1, 0, null);
     }
 
-    private static Backend node(String name) {
+    private static Backend backend(String name) {
         return new Backend(new Endpoint(name, "room-a", "app", 0, EndpointState.UP, 1, 0), "127.0.0.1:1");
     }
 
@@ -160,8 +160,8 @@
 
     private final class HeldLinks extends NoOpBackendTransport {
         @Override
-        public Attempt attempt(Backend node, Request ask, double waitMs, Ended ended) {
-            attempts.add(ask.id());
+        public Attempt attempt(Backend backend, Request request, double waitMs, Ended ended) {
+            attempts.add(request.id());
             out.add(ended);
             return () -> {};
         }
--- a/gateway/src/test/java/opalcove/core/HealthCheckTest.java
+++ b/gateway/src/test/java/opalcove/core/HealthCheckTest.java
@@ -51,7 +51,7 @@
         AwayNode links = new AwayNode();
         RequestDispatcher gateway = onLoop(() -> {
             RequestDispatcher made = new RequestDispatcher(vertx, new Clock(), settings(), 1, links);
-            made.nodesTold(true, List.of(node("127.0.0.1:1")));
+            made.endpointsChanged(true, List.of(backend("127.0.0.1:1")));
             return made;
         });
         List<Response> served = new ArrayList<>();
@@ -68,7 +68,7 @@
             if (condition.get()) {
                 return true;
             }
-            gateway.serve(ask("a" + requests++), answer -> {
+            gateway.serve(request("a" + requests++), answer -> {
                 if (answer instanceof Response.Served) {
                     served.add(answer);
                 }
@@ -113,7 +113,7 @@
 
     private boolean probe(ConnectionPool pool, int port) throws Exception {
         CompletableFuture<Boolean> reached = new CompletableFuture<>();
-        vertx.runOnContext(run -> pool.probe(node("127.0.0.1:" + port), reached::complete));
+        vertx.runOnContext(run -> pool.probe(backend("127.0.0.1:" + port), reached::complete));
         return reached.get(PATIENCE_S, TimeUnit.SECONDS);
     }
 
@@ -122,11 +122,11 @@
                 TestSettings.JSON.replace("\"max_attempts\":6", "\"max_attempts\":6,\"may_probe\":true")));
     }
 
-    private static Request ask(String id) {
+    private static Request request(String id) {
         return new Request(id, "00000000000000b2", "slot-status", "start", 1, 4000, null, false, 1, 0, null);
     }
 
-    private static Backend node(String address) {
+    private static Backend backend(String address) {
         return new Backend(new Endpoint("n1", "room-a", "app", 0, EndpointState.UP, 1, 0), address);
     }
 
@@ -148,7 +148,7 @@
         private int probes;
 
         @Override
-        public Attempt attempt(Backend node, Request ask, double waitMs, Ended ended) {
+        public Attempt attempt(Backend backend, Request request, double waitMs, Ended ended) {
             attempts++;
             ended.ended(
                     probes == 0
@@ -158,7 +158,7 @@
         }
 
         @Override
-        public void probe(Backend node, Consumer<Boolean> reached) {
+        public void probe(Backend backend, Consumer<Boolean> reached) {
             probes++;
             reached.accept(true);
         }
--- a/gateway/src/test/java/opalcove/core/HedgedRequestTest.java
+++ b/gateway/src/test/java/opalcove/core/HedgedRequestTest.java
@@ -48,7 +48,7 @@
         List<Response> answers = serveUntilTwoAreOut(gateway);
         HeldAttempt hanging = out.get(0);
         HeldAttempt copy = out.get(1);
-        assertTrue(!copy.node.equals(hanging.node), "the copy goes to another node");
+        assertTrue(!copy.backend.equals(hanging.backend), "the copy goes to another node");
         onLoop(() -> {
             copy.serve();
             return null;
@@ -67,16 +67,16 @@
     /** What the guard says to a first attempt, a second and a third while all before are out. */
     private static String objections(boolean copies) {
         DecisionSettings settings = settings(copies);
-        EndpointList nodes = new EndpointList();
-        nodes.told(true, List.of(node("n1"), node("n2"), node("n3")));
-        AttemptGuard guards = new AttemptGuard(settings, nodes);
-        InFlightRequest life =
-                new InFlightRequest(null, null, ask("a1"), settings.classes().get(0), null, 0);
+        EndpointList backends = new EndpointList();
+        backends.told(true, List.of(backend("n1"), backend("n2"), backend("n3")));
+        AttemptGuard guards = new AttemptGuard(settings, backends);
+        InFlightRequest inFlight = new InFlightRequest(
+                null, null, request("a1"), settings.classes().get(0), null, 0);
         List<String> objections = new ArrayList<>();
         for (String name : List.of("n1", "n2", "n3")) {
-            AttemptGuard.Veto objection = guards.objection(life, name, 0);
+            AttemptGuard.Veto objection = guards.objection(inFlight, name, 0);
             objections.add(objection == null ? "null" : objection.cause());
-            life.tries.add(life.new Attempt(nodes.open(name), 0));
+            inFlight.attempts.add(inFlight.new Attempt(backends.open(name), 0));
         }
         return String.join(", ", objections);
     }
@@ -89,13 +89,13 @@
             List<Response> answers = new ArrayList<>();
             for (int served = 0; served < 20; served++) {
                 String id = hanging + "-" + served;
-                onLoop(() -> gateway.serve(ask(id), answer -> {}));
+                onLoop(() -> gateway.serve(request(id), answer -> {}));
                 onLoop(() -> {
                     List.copyOf(out).forEach(HeldAttempt::serve);
                     return null;
                 });
             }
-            onLoop(() -> gateway.serve(ask(hanging), answers::add));
+            onLoop(() -> gateway.serve(request(hanging), answers::add));
             // A starved machine may be late for the copy: then the request ends without one, and the next one is tried.
             while (onLoop(() -> out.size() < 2 && answers.isEmpty()) && System.nanoTime() < end) {
                 Thread.sleep(5);
@@ -110,7 +110,7 @@
     private RequestDispatcher gateway(boolean copies) throws Exception {
         return onLoop(() -> {
             RequestDispatcher gateway = new RequestDispatcher(vertx, new Clock(), settings(copies), 1, new HeldLinks());
-            gateway.nodesTold(true, List.of(node("n1"), node("n2"), node("n3")));
+            gateway.endpointsChanged(true, List.of(backend("n1"), backend("n2"), backend("n3")));
             return gateway;
         });
     }
@@ -130,11 +130,11 @@
                 .replace("\"aim_ms\":2000", "\"aim_ms\":400")));
     }
 
-    private static Request ask(String id) {
+    private static Request request(String id) {
         return new Request(id, "00000000000000b2", "slot-status", "start", 1, 4000, null, false, 1, 0, null);
     }
 
-    private static Backend node(String name) {
+    private static Backend backend(String name) {
         return new Backend(new Endpoint(name, "room-a", "app", 0, EndpointState.UP, 1, 0), "127.0.0.1:1");
     }
 
@@ -152,12 +152,12 @@
 
     /** An attempt that ends when the test serves it, or when it is given up. */
     private final class HeldAttempt implements BackendTransport.Attempt {
-        final String node;
+        final String backend;
         private final BackendTransport.Ended ended;
         boolean givenUp;
 
-        HeldAttempt(Backend node, BackendTransport.Ended ended) {
-            this.node = node.name();
+        HeldAttempt(Backend backend, BackendTransport.Ended ended) {
+            this.backend = backend.name();
             this.ended = ended;
         }
 
@@ -176,8 +176,8 @@
 
     private final class HeldLinks extends NoOpBackendTransport {
         @Override
-        public Attempt attempt(Backend node, Request ask, double waitMs, Ended ended) {
-            HeldAttempt attempt = new HeldAttempt(node, ended);
+        public Attempt attempt(Backend backend, Request request, double waitMs, Ended ended) {
+            HeldAttempt attempt = new HeldAttempt(backend, ended);
             out.add(attempt);
             return attempt;
         }
--- a/gateway/src/test/java/opalcove/core/NoOpBackendTransport.java
+++ b/gateway/src/test/java/opalcove/core/NoOpBackendTransport.java
@@ -6,10 +6,10 @@
 /** Links of a test, of which only what an attempt does matters. */
 public abstract class NoOpBackendTransport implements BackendTransport {
     @Override
-    public void probe(Backend node, Consumer<Boolean> reached) {}
+    public void probe(Backend backend, Consumer<Boolean> reached) {}
 
     @Override
-    public void forget(Backend node) {}
+    public void forget(Backend backend) {}
 
     @Override
     public int open() {
--- a/gateway/src/test/java/opalcove/discovery/DiscoveryClientTest.java
+++ b/gateway/src/test/java/opalcove/discovery/DiscoveryClientTest.java
@@ -548,18 +548,18 @@
                 .get(20, TimeUnit.SECONDS)
                 .actualPort();
         Backoff waits = new Backoff(2, 64, new Shortest(told));
-        Queue<Backend> nodes = new ConcurrentLinkedQueue<>();
+        Queue<Backend> backends = new ConcurrentLinkedQueue<>();
         CompletableFuture<Void> first = new CompletableFuture<>();
         vertx.runOnContext(start -> new DiscoveryClient(
                         vertx,
                         new HostAndPort("127.0.0.1", port),
                         new DiscoveryClient.PollSchedule(10_000, 20_000, 1, waits),
-                        (whole, lines, discoveryNow) -> nodes.addAll(lines))
+                        (whole, lines, discoveryNow) -> backends.addAll(lines))
                 .startFrom(known)
                 .onSuccess(first::complete));
         over.get(20, TimeUnit.SECONDS);
         assertTrue(first.isDone());
-        assertEquals(nodes.size(), 2);
+        assertEquals(backends.size(), 2);
         // Four waits were drawn; the answers in between had them start from the shortest again.
         List<String> calls = List.copyOf(told);
         assertEquals(waits.next(), 2);
--- a/gateway/src/test/java/opalcove/metrics/OutsideNamesTest.java
+++ b/gateway/src/test/java/opalcove/metrics/OutsideNamesTest.java
@@ -264,7 +264,7 @@
 
     private static final class NoLinks extends NoOpBackendTransport {
         @Override
-        public Attempt attempt(Backend node, Request ask, double waitMs, Ended ended) {
+        public Attempt attempt(Backend backend, Request request, double waitMs, Ended ended) {
             throw new AssertionError("no attempt is made in this test");
         }
     }
--- a/gateway/src/test/java/opalcove/resp/BackendCommandsTest.java
+++ b/gateway/src/test/java/opalcove/resp/BackendCommandsTest.java
@@ -101,7 +101,7 @@
     }
 
     /** Has the request sent on a new connection, which then ends; all that came. */
-    private static String sent(Request ask, double waitMs) throws Exception {
+    private static String sent(Request request, double waitMs) throws Exception {
         Vertx vertx = Application.eventLoop();
         try (ServerSocket backend = new ServerSocket(0, 8, InetAddress.getLoopbackAddress())) {
             backend.setSoTimeout(PATIENCE_S * 1000);
@@ -109,7 +109,7 @@
                     .dial("127.0.0.1:" + backend.getLocalPort())
                     .onSuccess(line -> {
                         line.attach(new Ignored());
-                        line.send(ask, waitMs);
+                        line.send(request, waitMs);
                         vertx.setTimer(20, left -> line.close());
                     }));
             try (Socket connection = backend.accept()) {
@@ -118,8 +118,8 @@
             }
         } finally {
             vertx.close().toCompletionStage().toCompletableFuture().get(PATIENCE_S, TimeUnit.SECONDS);
-            if (ask.body() != null) {
-                ask.body().release();
+            if (request.body() != null) {
+                request.body().release();
             }
         }
     }
--- a/gateway/src/test/java/opalcove/resp/ClientLeftTest.java
+++ b/gateway/src/test/java/opalcove/resp/ClientLeftTest.java
@@ -50,15 +50,15 @@
     @Test(dataProvider = "leavings")
     public void heldByTheDecisionModule(Leaving leaving) throws Exception {
         try (RespTestBed stage = new RespTestBed(PATIENT)) {
-            RespTestBed.Node node = stage.node("n1");
-            stage.told(node.is(EndpointState.DRAINING));
-            Socket client = stage.terminal();
+            RespTestBed.Node backend = stage.backend("n1");
+            stage.told(backend.is(EndpointState.DRAINING));
+            Socket client = stage.client();
             RespTestBed.say(client, RespTestBed.query(1, WAIT_MS));
             stage.until("asks_open", 1);
             stage.unread(
                     () -> leave(leaving, client),
-                    () -> stage.gateway.nodesTold(true, List.of(node.is(EndpointState.UP))));
-            nothingWasSent(stage, node, 1);
+                    () -> stage.gateway.endpointsChanged(true, List.of(backend.is(EndpointState.UP))));
+            nothingWasSent(stage, backend, 1);
         }
     }
 
@@ -66,10 +66,10 @@
     @Test(dataProvider = "leavings")
     public void betweenAttempts(Leaving leaving) throws Exception {
         try (RespTestBed stage = new RespTestBed(PATIENT)) {
-            RespTestBed.Node first = stage.node("n1");
-            RespTestBed.Node second = stage.node("n2");
+            RespTestBed.Node first = stage.backend("n1");
+            RespTestBed.Node second = stage.backend("n2");
             stage.told(first.is(EndpointState.UP));
-            Socket client = stage.terminal();
+            Socket client = stage.client();
             RespTestBed.say(client, RespTestBed.query(1, WAIT_MS));
             RespTestBed.BackendConnection line = first.accept();
             assertTrue(line.command().contains(RespTestBed.id(1)));
@@ -89,11 +89,11 @@
     @Test(dataProvider = "leavings")
     public void readAfterItHadLeft(Leaving leaving) throws Exception {
         try (RespTestBed stage = new RespTestBed(PATIENT)) {
-            RespTestBed.Node node = stage.node("n1");
-            stage.told(node.is(EndpointState.UP));
-            Socket client = stage.terminal();
+            RespTestBed.Node backend = stage.backend("n1");
+            stage.told(backend.is(EndpointState.UP));
+            Socket client = stage.client();
             RespTestBed.say(client, RespTestBed.query(1, WAIT_MS));
-            RespTestBed.BackendConnection line = node.accept();
+            RespTestBed.BackendConnection line = backend.accept();
             line.command();
             line.serve("one");
             assertEquals(RespTestBed.answer(client), "one");
@@ -105,10 +105,10 @@
                     },
                     () -> {});
             stage.until("asks_open", 0);
-            Socket next = stage.terminal();
+            Socket next = stage.client();
             RespTestBed.say(next, RespTestBed.query(99, WAIT_MS));
             assertTrue(line.command().contains(RespTestBed.id(99)), "a request of a client that had left was sent on");
-            assertTrue(node.gotNothing(), "a request of a client that had left was sent on");
+            assertTrue(backend.gotNothing(), "a request of a client that had left was sent on");
         }
     }
 
@@ -149,10 +149,10 @@
     @Test(dataProvider = "leavings")
     public void behindWhatTheSameTurnHasRead(Leaving leaving) throws Exception {
         try (RespTestBed stage = new RespTestBed(PATIENT)) {
-            RespTestBed.Node node = stage.node("n1");
-            stage.told(node.is(EndpointState.UP));
+            RespTestBed.Node backend = stage.backend("n1");
+            stage.told(backend.is(EndpointState.UP));
             stage.withholdLinks();
-            Socket client = stage.terminal();
+            Socket client = stage.client();
             RespTestBed.say(client, RespTestBed.query(1, WAIT_MS));
             Runnable link = stage.linkUp();
             stage.unread(
@@ -165,7 +165,7 @@
                         // So that it is due in the next turn, once that has read its sockets.
                         sleep(5);
                     });
-            nothingWasSent(stage, node, 1);
+            nothingWasSent(stage, backend, 1);
         }
     }
 
@@ -174,13 +174,13 @@
     public void inABurstOfLeavingClients(Leaving leaving) throws Exception {
         int clients = 12;
         try (RespTestBed stage = new RespTestBed(PATIENT)) {
-            RespTestBed.Node node = stage.node("n1");
-            stage.told(node.is(EndpointState.UP));
+            RespTestBed.Node backend = stage.backend("n1");
+            stage.told(backend.is(EndpointState.UP));
             stage.withholdLinks();
             List<Socket> all = new ArrayList<>();
             List<Runnable> links = new ArrayList<>();
             for (int i = 1; i <= clients; i++) {
-                Socket client = stage.terminal();
+                Socket client = stage.client();
                 RespTestBed.say(client, RespTestBed.query(i, WAIT_MS));
                 stage.until("taken", i);
                 links.add(stage.linkUp());
@@ -194,7 +194,7 @@
                         Thread.sleep(OUTDATED_MS);
                     },
                     () -> links.forEach(Runnable::run));
-            nothingWasSent(stage, node, clients);
+            nothingWasSent(stage, backend, clients);
         }
     }
 
@@ -202,10 +202,10 @@
     @Test(dataProvider = "leavings")
     public void inTheTurnThatMadeTheAttempt(Leaving leaving) throws Exception {
         try (RespTestBed stage = new RespTestBed(PATIENT)) {
-            RespTestBed.Node node = stage.node("n1");
-            stage.told(node.is(EndpointState.UP));
+            RespTestBed.Node backend = stage.backend("n1");
+            stage.told(backend.is(EndpointState.UP));
             stage.withholdLinks();
-            Socket client = stage.terminal();
+            Socket client = stage.client();
             RespTestBed.say(client, RespTestBed.query(1, WAIT_MS));
             Runnable link = stage.linkUp();
             stage.onLoop(() -> {
@@ -218,7 +218,7 @@
                     throw new IllegalStateException(e);
                 }
             });
-            nothingWasSent(stage, node, 1);
+            nothingWasSent(stage, backend, 1);
         }
     }
 
@@ -226,10 +226,10 @@
     @Test
     public void oneThatStaysIsAnsweredInOrder() throws Exception {
         try (RespTestBed stage = new RespTestBed(PATIENT)) {
-            RespTestBed.Node node = stage.node("n1");
-            stage.told(node.is(EndpointState.UP));
+            RespTestBed.Node backend = stage.backend("n1");
+            stage.told(backend.is(EndpointState.UP));
             stage.withholdLinks();
-            Socket client = stage.terminal();
+            Socket client = stage.client();
             RespTestBed.say(client, RespTestBed.query(1, WAIT_MS));
             Runnable first = stage.linkUp();
             // Looked at with a command and a half unread, though the connection is read.
@@ -241,7 +241,7 @@
                     },
                     first);
             RespTestBed.say(client, next.substring(9) + RespTestBed.PING);
-            RespTestBed.BackendConnection line = node.withCommand();
+            RespTestBed.BackendConnection line = backend.withCommand();
             assertTrue(line.command().contains(RespTestBed.id(1)));
             line.serve("one");
             for (String answer : List.of("one", "two", "two", "+PONG")) {
@@ -252,17 +252,17 @@
 
     private static void leavesBeforeItsLinks(Leaving leaving, String commands, int requests) throws Exception {
         try (RespTestBed stage = new RespTestBed(PATIENT)) {
-            RespTestBed.Node node = stage.node("n1");
-            stage.told(node.is(EndpointState.UP));
+            RespTestBed.Node backend = stage.backend("n1");
+            stage.told(backend.is(EndpointState.UP));
             stage.withholdLinks();
-            Socket client = stage.terminal();
+            Socket client = stage.client();
             RespTestBed.say(client, commands);
             List<Runnable> links = new ArrayList<>();
             for (int i = 0; i < requests; i++) {
                 links.add(stage.linkUp());
             }
             stage.unread(() -> leave(leaving, client), () -> links.forEach(Runnable::run));
-            nothingWasSent(stage, node, requests);
+            nothingWasSent(stage, backend, requests);
         }
     }
 
@@ -280,17 +280,17 @@
     }
 
     /** The client's requests have ended, and the next client's request is the first that the backend gets after that. */
-    private static void nothingWasSent(RespTestBed stage, RespTestBed.Node node, int requests) throws Exception {
+    private static void nothingWasSent(RespTestBed stage, RespTestBed.Node backend, int requests) throws Exception {
         stage.until("terminals_left", requests);
         stage.until("asks_open", 0);
         stage.withholdNoMore();
-        Socket next = stage.terminal();
+        Socket next = stage.client();
         RespTestBed.say(next, RespTestBed.query(99, WAIT_MS));
-        RespTestBed.BackendConnection line = node.withCommand();
+        RespTestBed.BackendConnection line = backend.withCommand();
         assertTrue(line.command().contains(RespTestBed.id(99)), "a request of a client that had left was sent on");
         line.serve("next");
         assertEquals(RespTestBed.answer(next), "next");
-        assertTrue(node.gotNothing(), "a request of a client that had left was sent on");
+        assertTrue(backend.gotNothing(), "a request of a client that had left was sent on");
     }
 
     /** A request, and as many commands and another request that the connection is not read after them. */
--- a/gateway/src/test/java/opalcove/resp/ConnectionCrossingsTest.java
+++ b/gateway/src/test/java/opalcove/resp/ConnectionCrossingsTest.java
@@ -53,8 +53,8 @@
     public void anAskIsNotSentToANodeWhoseDrainLiesUnreadBehindIt(int graceMs, int pauseMs) throws Exception {
         try (RespTestBed stage = new RespTestBed(FALL, FALL + ",\"stop_sending_within_ms\":" + graceMs);
                 ServerSocket discovery = new ServerSocket(0, 8, InetAddress.getByName("127.0.0.1"))) {
-            RespTestBed.Node first = stage.node("n1");
-            RespTestBed.Node second = stage.node("n2");
+            RespTestBed.Node first = stage.backend("n1");
+            RespTestBed.Node second = stage.backend("n2");
             discovery.setSoTimeout(20_000);
             stage.onLoop(() -> {
                 new DiscoveryClient(
@@ -62,23 +62,23 @@
                                 new HostAndPort("127.0.0.1", discovery.getLocalPort()),
                                 new DiscoveryClient.PollSchedule(
                                         60_000, 20_000, 0, new Backoff(1, 2, new SplittableRandom(1))),
-                                stage.gateway::nodesTold)
+                                stage.gateway::endpointsChanged)
                         .start();
             });
             try (Socket agent = discovery.accept()) {
                 DiscoveryClientTest.call(agent);
                 list(agent, 4, first.is(EndpointState.UP), second.is(EndpointState.DRAINING));
                 DiscoveryClientTest.call(agent);
-                Socket terminal = stage.terminal();
-                RespTestBed.say(terminal, RespTestBed.query(1, 4000));
+                Socket client = stage.client();
+                RespTestBed.say(client, RespTestBed.query(1, 4000));
                 RespTestBed.BackendConnection rested = first.accept();
                 rested.command();
                 rested.serve("one");
-                assertEquals(RespTestBed.answer(terminal), "one");
+                assertEquals(RespTestBed.answer(client), "one");
                 stage.until("links_resting", 1);
                 stage.unread(
                         () -> {
-                            RespTestBed.say(terminal, RespTestBed.query(2, 4000));
+                            RespTestBed.say(client, RespTestBed.query(2, 4000));
                             list(agent, 5, first.is(EndpointState.DRAINING), second.is(EndpointState.UP));
                             Thread.sleep(pauseMs);
                         },
@@ -86,7 +86,7 @@
                 RespTestBed.BackendConnection line = second.accept();
                 assertTrue(line.command().contains(RespTestBed.id(2)));
                 line.serve("two");
-                assertEquals(RespTestBed.answer(terminal), "two");
+                assertEquals(RespTestBed.answer(client), "two");
                 assertTrue(rested.ended(), "its node got a request");
             }
         }
@@ -101,8 +101,8 @@
     public void anAskIsNotSentToANodeWhoseDrainTheNextWatchTells(int graceMs, int pauseMs) throws Exception {
         try (RespTestBed stage = new RespTestBed(FALL, FALL + ",\"stop_sending_within_ms\":" + graceMs);
                 ServerSocket discovery = new ServerSocket(0, 8, InetAddress.getByName("127.0.0.1"))) {
-            RespTestBed.Node first = stage.node("n1");
-            RespTestBed.Node second = stage.node("n2");
+            RespTestBed.Node first = stage.backend("n1");
+            RespTestBed.Node second = stage.backend("n2");
             discovery.setSoTimeout(20_000);
             Backoff again = new Backoff(1, 2, new SplittableRandom(1));
             // Watches wait for 1 ms, so that an answer is late without regard to how long the test took before.
@@ -113,28 +113,28 @@
                         stage.vertx,
                         new HostAndPort("127.0.0.1", discovery.getLocalPort()),
                         pace,
-                        stage.gateway::nodesTold);
-                stage.gateway.nodeListSource(watch);
+                        stage.gateway::endpointsChanged);
+                stage.gateway.endpointSource(watch);
                 watch.start();
             });
             try (Socket agent = discovery.accept()) {
                 DiscoveryClientTest.call(agent);
                 list(agent, 4, first.is(EndpointState.UP), second.is(EndpointState.DRAINING));
                 DiscoveryClientTest.call(agent);
-                Socket terminal = stage.terminal();
+                Socket client = stage.client();
                 stage.unread(
                         () -> {
-                            RespTestBed.say(terminal, RespTestBed.query(1, 4000));
+                            RespTestBed.say(client, RespTestBed.query(1, 4000));
                             answer(agent, "{\"index\":4,\"snapshot\":false,\"endpoints\":[]}");
                             Thread.sleep(pauseMs);
                         },
                         () -> {});
                 DiscoveryClientTest.call(agent);
-                Socket later = stage.terminal();
+                Socket later = stage.client();
                 RespTestBed.say(later, RespTestBed.query(2, 4000));
                 stage.until("asks_open", 2);
                 list(agent, 5, first.is(EndpointState.DRAINING), second.is(EndpointState.UP));
-                for (Socket each : List.of(terminal, later)) {
+                for (Socket each : List.of(client, later)) {
                     RespTestBed.BackendConnection line = second.withCommand();
                     line.command();
                     line.serve("two");
@@ -145,8 +145,8 @@
         }
     }
 
-    private static void list(Socket agent, long index, Backend... nodes) throws Exception {
-        answer(agent, EndpointCodec.write(index, true, List.of(nodes)).toString());
+    private static void list(Socket agent, long index, Backend... backends) throws Exception {
+        answer(agent, EndpointCodec.write(index, true, List.of(backends)).toString());
     }
 
     private static void answer(Socket agent, String list) throws Exception {
@@ -158,12 +158,12 @@
     @Test
     public void anAskIsNotSentToANodeThatWasDrainedWhileItsLinkCameUp() throws Exception {
         try (RespTestBed stage = new RespTestBed()) {
-            RespTestBed.Node first = stage.node("n1");
-            RespTestBed.Node second = stage.node("n2");
+            RespTestBed.Node first = stage.backend("n1");
+            RespTestBed.Node second = stage.backend("n2");
             stage.told(first.is(EndpointState.UP), second.is(EndpointState.DRAINING));
             stage.withholdLinks();
-            Socket terminal = stage.terminal();
-            RespTestBed.say(terminal, RespTestBed.query(1, 4000));
+            Socket client = stage.client();
+            RespTestBed.say(client, RespTestBed.query(1, 4000));
             Runnable late = stage.linkUp();
             stage.told(first.is(EndpointState.DRAINING), second.is(EndpointState.UP));
             stage.handOver(late);
@@ -172,7 +172,7 @@
             RespTestBed.BackendConnection line = second.accept();
             assertTrue(line.command().contains(RespTestBed.id(1)));
             line.serve("two");
-            assertEquals(RespTestBed.answer(terminal), "two");
+            assertEquals(RespTestBed.answer(client), "two");
             assertTrue(first.gotNothing(), "a drained node got an ask");
             assertEquals(stage.figure("lapsed_while_dialled"), 1);
         }
@@ -181,12 +181,12 @@
     @Test
     public void anAskIsNotSentToThePlaceThatItsNodeHasLeftWhileTheLinkCameUp() throws Exception {
         try (RespTestBed stage = new RespTestBed()) {
-            RespTestBed.Node before = stage.node("n1");
-            RespTestBed.Node after = stage.node("n1");
+            RespTestBed.Node before = stage.backend("n1");
+            RespTestBed.Node after = stage.backend("n1");
             stage.told(before.is(EndpointState.UP));
             stage.withholdLinks();
-            Socket terminal = stage.terminal();
-            RespTestBed.say(terminal, RespTestBed.query(1, 4000));
+            Socket client = stage.client();
+            RespTestBed.say(client, RespTestBed.query(1, 4000));
             Runnable late = stage.linkUp();
             stage.told(after.is(EndpointState.UP));
             stage.handOver(late);
@@ -194,7 +194,7 @@
             RespTestBed.BackendConnection line = after.accept();
             assertTrue(line.command().contains(RespTestBed.id(1)));
             line.serve("moved");
-            assertEquals(RespTestBed.answer(terminal), "moved");
+            assertEquals(RespTestBed.answer(client), "moved");
             assertTrue(before.gotNothing(), "who is at the old place got an ask");
         }
     }
@@ -202,20 +202,20 @@
     @Test(dataProvider = "mayCancel")
     public void anAskIsNotSentOnceItsTerminalHasLeftWhileTheLinkCameUp(String mayCancel) throws Exception {
         try (RespTestBed stage = new RespTestBed(NO_CANCEL, "\"may_cancel\":" + mayCancel)) {
-            RespTestBed.Node node = stage.node("n1");
-            stage.told(node.is(EndpointState.UP));
+            RespTestBed.Node backend = stage.backend("n1");
+            stage.told(backend.is(EndpointState.UP));
             stage.withholdLinks();
-            Socket terminal = stage.terminal();
-            RespTestBed.say(terminal, RespTestBed.query(1, 4000));
+            Socket client = stage.client();
+            RespTestBed.say(client, RespTestBed.query(1, 4000));
             Runnable late = stage.linkUp();
-            terminal.close();
+            client.close();
             stage.until("terminals_left", 1);
             stage.handOver(late);
             // The link is kept, and a later ask is the first that the node gets on it.
             stage.until("links_resting", 1);
-            Socket other = stage.terminal();
+            Socket other = stage.client();
             RespTestBed.say(other, RespTestBed.query(2, 4000));
-            RespTestBed.BackendConnection line = node.accept();
+            RespTestBed.BackendConnection line = backend.accept();
             assertTrue(line.command().contains(RespTestBed.id(2)), "the ask of one who left was sent");
             line.serve("two");
             assertEquals(RespTestBed.answer(other), "two");
@@ -226,14 +226,14 @@
     @Test
     public void aNodeIsNotBlamedForALinkThatATerminalDidNotWaitFor() throws Exception {
         try (RespTestBed stage = new RespTestBed()) {
-            RespTestBed.Node node = stage.node("n1");
-            stage.told(node.is(EndpointState.UP));
+            RespTestBed.Node backend = stage.backend("n1");
+            stage.told(backend.is(EndpointState.UP));
             stage.withholdLinks();
             for (int leaving = 1; leaving <= 4; leaving++) {
-                Socket terminal = stage.terminal();
-                RespTestBed.say(terminal, RespTestBed.query(leaving, 4000));
+                Socket client = stage.client();
+                RespTestBed.say(client, RespTestBed.query(leaving, 4000));
                 stage.linkUp();
-                terminal.close();
+                client.close();
                 stage.until("terminals_left", leaving);
                 assertEquals(stage.figure("attempts"), leaving);
             }
@@ -245,29 +245,29 @@
     @Test(dataProvider = "mayCancel")
     public void anAskIsNotSentOnceItHasItsAnswerWhileTheLinkCameUp(String mayCancel) throws Exception {
         try (RespTestBed stage = new RespTestBed(NO_CANCEL, "\"may_cancel\":" + mayCancel)) {
-            RespTestBed.Node node = stage.node("n1");
-            stage.told(node.is(EndpointState.UP));
+            RespTestBed.Node backend = stage.backend("n1");
+            stage.told(backend.is(EndpointState.UP));
             stage.withholdLinks();
-            Socket terminal = stage.terminal();
-            RespTestBed.say(terminal, RespTestBed.query(1, 100));
+            Socket client = stage.client();
+            RespTestBed.say(client, RespTestBed.query(1, 100));
             Runnable late = stage.linkUp();
-            assertTrue(RespTestBed.answer(terminal).startsWith("-"), "a final answer in time, though no link came up");
+            assertTrue(RespTestBed.answer(client).startsWith("-"), "a final answer in time, though no link came up");
             stage.handOver(late);
             stage.until("asks_open", 0);
-            assertTrue(node.gotNothing(), "an ask that was answered was sent");
+            assertTrue(backend.gotNothing(), "an ask that was answered was sent");
         }
     }
 
     @Test
     public void anAttemptThatMayNotBeCalledOffEndsWithItsAsksTime() throws Exception {
         try (RespTestBed stage = new RespTestBed(NO_CANCEL, "\"may_cancel\":false")) {
-            RespTestBed.Node node = stage.node("n1");
-            stage.told(node.is(EndpointState.UP));
-            Socket terminal = stage.terminal();
-            RespTestBed.say(terminal, RespTestBed.query(1, 100));
-            RespTestBed.BackendConnection line = node.accept();
+            RespTestBed.Node backend = stage.backend("n1");
+            stage.told(backend.is(EndpointState.UP));
+            Socket client = stage.client();
+            RespTestBed.say(client, RespTestBed.query(1, 100));
+            RespTestBed.BackendConnection line = backend.accept();
             line.command();
-            assertTrue(RespTestBed.answer(terminal).startsWith("-"));
+            assertTrue(RespTestBed.answer(client).startsWith("-"));
             assertTrue(line.ended(), "the link is kept for an answer that nobody awaits");
             stage.until("links_open", 0);
         }
@@ -277,19 +277,19 @@
     public void aRepeatWhoseWindowEndedWhileTheLinkCameUpIsNotSent() throws Exception {
         try (RespTestBed stage =
                 new RespTestBed("\"window_ms\":4000", "\"window_ms\":700", "\"group\":\"cell\"", "\"group\":\"all\"")) {
-            RespTestBed.Node node = stage.node("n1");
-            RespTestBed.Node other = stage.node("n2");
-            stage.told(node.is(EndpointState.UP), other.is(EndpointState.DRAINING));
+            RespTestBed.Node backend = stage.backend("n1");
+            RespTestBed.Node other = stage.backend("n2");
+            stage.told(backend.is(EndpointState.UP), other.is(EndpointState.DRAINING));
             // The module makes a priced repeat for each ten first attempts.
-            RespTestBed.BackendConnection line = rested(stage, node);
+            RespTestBed.BackendConnection line = rested(stage, backend);
             for (int i = 0; i < 10; i++) {
                 again(stage, line);
             }
-            Socket terminal = stage.terminal();
-            RespTestBed.say(terminal, RespTestBed.submit(99, 2000, "k1"));
+            Socket client = stage.client();
+            RespTestBed.say(client, RespTestBed.submit(99, 2000, "k1"));
             line.command();
             long ran = System.nanoTime();
-            stage.told(node.is(EndpointState.DRAINING), other.is(EndpointState.UP));
+            stage.told(backend.is(EndpointState.DRAINING), other.is(EndpointState.UP));
             stage.withholdLinks();
             // The first attempt may have run: only within the window may the other node see it.
             line.reset();
@@ -298,7 +298,7 @@
                 Thread.onSpinWait();
             }
             stage.handOver(late);
-            assertTrue(RespTestBed.answer(terminal).startsWith("-"));
+            assertTrue(RespTestBed.answer(client).startsWith("-"));
             assertTrue(other.gotNothing(), "a repeat was sent after its window");
         }
     }
@@ -306,9 +306,9 @@
     @Test
     public void aLineThatItsNodeHasClosedAtRestIsNotWrittenTo() throws Exception {
         try (RespTestBed stage = new RespTestBed(IDLE)) {
-            RespTestBed.Node node = stage.node("n1");
-            stage.told(node.is(EndpointState.UP));
-            RespTestBed.BackendConnection line = rested(stage, node);
+            RespTestBed.Node backend = stage.backend("n1");
+            stage.told(backend.is(EndpointState.UP));
+            RespTestBed.BackendConnection line = rested(stage, backend);
             BlockingQueue<String> answers = new LinkedBlockingQueue<>();
             stage.unread(
                     () -> {
@@ -316,7 +316,7 @@
                         line.socket.close();
                     },
                     () -> stage.serve(2, 4000, answers));
-            RespTestBed.BackendConnection fresh = node.accept();
+            RespTestBed.BackendConnection fresh = backend.accept();
             assertTrue(fresh.command().contains(RespTestBed.id(2)));
             fresh.serve("two");
             assertEquals(answers.poll(RespTestBed.PATIENCE_S, TimeUnit.SECONDS), "two");
@@ -328,9 +328,9 @@
     @Test
     public void aSecondAnswerIsNotTakenForTheNextAskThoughItWasNotReadYet() throws Exception {
         try (RespTestBed stage = new RespTestBed(IDLE)) {
-            RespTestBed.Node node = stage.node("n1");
-            stage.told(node.is(EndpointState.UP));
-            RespTestBed.BackendConnection line = rested(stage, node);
+            RespTestBed.Node backend = stage.backend("n1");
+            stage.told(backend.is(EndpointState.UP));
+            RespTestBed.BackendConnection line = rested(stage, backend);
             BlockingQueue<String> answers = new LinkedBlockingQueue<>();
             stage.unread(
                     () -> {
@@ -338,7 +338,7 @@
                         line.serve("one again");
                     },
                     () -> stage.serve(2, 4000, answers));
-            RespTestBed.BackendConnection fresh = node.accept();
+            RespTestBed.BackendConnection fresh = backend.accept();
             assertTrue(fresh.command().contains(RespTestBed.id(2)));
             fresh.serve("two");
             assertEquals(answers.poll(RespTestBed.PATIENCE_S, TimeUnit.SECONDS), "two");
@@ -350,16 +350,16 @@
     @Test
     public void afterASecondAnswerALineThatRestedShortlyIsLookedAtToo() throws Exception {
         try (RespTestBed stage = new RespTestBed()) {
-            RespTestBed.Node node = stage.node("n1");
-            stage.told(node.is(EndpointState.UP));
-            RespTestBed.BackendConnection line = rested(stage, node);
+            RespTestBed.Node backend = stage.backend("n1");
+            stage.told(backend.is(EndpointState.UP));
+            RespTestBed.BackendConnection line = rested(stage, backend);
             line.serve("one again");
             assertTrue(line.ended());
             for (int round = 0; round < 10; round++) {
-                RespTestBed.BackendConnection next = rested(stage, node);
+                RespTestBed.BackendConnection next = rested(stage, backend);
                 BlockingQueue<String> answers = new LinkedBlockingQueue<>();
                 stage.unread(() -> next.serve("one again"), () -> stage.serve(2, 4000, answers));
-                RespTestBed.BackendConnection fresh = node.accept();
+                RespTestBed.BackendConnection fresh = backend.accept();
                 assertTrue(fresh.command().contains(RespTestBed.id(2)));
                 fresh.serve("two");
                 assertEquals(answers.poll(RespTestBed.PATIENCE_S, TimeUnit.SECONDS), "two");
@@ -378,21 +378,21 @@
     @Test
     public void aNodesAnswerThatCrossesTheTerminalsLeavingIsNobodysElse() throws Exception {
         try (RespTestBed stage = new RespTestBed()) {
-            RespTestBed.Node node = stage.node("n1");
-            stage.told(node.is(EndpointState.UP));
-            Socket terminal = stage.terminal();
-            RespTestBed.say(terminal, RespTestBed.query(1, 4000));
-            RespTestBed.BackendConnection line = node.accept();
+            RespTestBed.Node backend = stage.backend("n1");
+            stage.told(backend.is(EndpointState.UP));
+            Socket client = stage.client();
+            RespTestBed.say(client, RespTestBed.query(1, 4000));
+            RespTestBed.BackendConnection line = backend.accept();
             line.command();
             BlockingQueue<String> answers = new LinkedBlockingQueue<>();
             // Both lie unread when the next ask is taken; whichever is read first, the next ask's answer is its own.
             stage.unread(
                     () -> {
                         line.serve("one");
-                        terminal.close();
+                        client.close();
                     },
                     () -> stage.serve(2, 4000, answers));
-            RespTestBed.BackendConnection other = node.accept();
+            RespTestBed.BackendConnection other = backend.accept();
             assertTrue(other.command().contains(RespTestBed.id(2)));
             other.serve("two");
             assertEquals(answers.poll(RespTestBed.PATIENCE_S, TimeUnit.SECONDS), "two");
@@ -404,13 +404,13 @@
     @Test
     public void anAnswerThatCrossesTheEndOfItsAsksTimeGivesOneAnswerAndSparesTheNextAsk() throws Exception {
         try (RespTestBed stage = new RespTestBed()) {
-            RespTestBed.Node node = stage.node("n1");
-            stage.told(node.is(EndpointState.UP));
-            Socket terminal = stage.terminal();
-            RespTestBed.say(terminal, RespTestBed.query(1, 150));
-            RespTestBed.BackendConnection line = node.accept();
+            RespTestBed.Node backend = stage.backend("n1");
+            stage.told(backend.is(EndpointState.UP));
+            Socket client = stage.client();
+            RespTestBed.say(client, RespTestBed.query(1, 150));
+            RespTestBed.BackendConnection line = backend.accept();
             line.command();
-            String first = RespTestBed.answer(terminal);
+            String first = RespTestBed.answer(client);
             assertNotEquals(first, "one");
             // The attempt was given up with that answer; what its node says now is on a line that is gone.
             try {
@@ -418,22 +418,22 @@
             } catch (java.net.SocketException gone) {
                 assertTrue(line.ended());
             }
-            RespTestBed.say(terminal, RespTestBed.query(2, 4000));
-            RespTestBed.BackendConnection fresh = node.accept();
+            RespTestBed.say(client, RespTestBed.query(2, 4000));
+            RespTestBed.BackendConnection fresh = backend.accept();
             assertTrue(fresh.command().contains(RespTestBed.id(2)));
             fresh.serve("two");
-            assertEquals(RespTestBed.answer(terminal), "two");
+            assertEquals(RespTestBed.answer(client), "two");
         }
     }
 
     /** A line that has carried an answer and rests. */
-    private static RespTestBed.BackendConnection rested(RespTestBed stage, RespTestBed.Node node) throws Exception {
-        Socket terminal = stage.terminal();
-        RespTestBed.say(terminal, RespTestBed.query(1, 4000));
-        RespTestBed.BackendConnection line = node.accept();
+    private static RespTestBed.BackendConnection rested(RespTestBed stage, RespTestBed.Node backend) throws Exception {
+        Socket client = stage.client();
+        RespTestBed.say(client, RespTestBed.query(1, 4000));
+        RespTestBed.BackendConnection line = backend.accept();
         line.command();
         line.serve("one");
-        assertEquals(RespTestBed.answer(terminal), "one");
+        assertEquals(RespTestBed.answer(client), "one");
         stage.until("links_resting", 1);
         return line;
     }
--- a/gateway/src/test/java/opalcove/resp/EndCrossingsTest.java
+++ b/gateway/src/test/java/opalcove/resp/EndCrossingsTest.java
@@ -32,16 +32,16 @@
     @Test
     public void anAskTakenLateInTheEndIsAnsweredBeforeTheProcessIsKilled() throws Exception {
         try (RespTestBed stage = new RespTestBed(LONG)) {
-            RespTestBed.Node node = stage.node("n1");
-            stage.told(node.is(EndpointState.UP));
-            Socket terminal = stage.terminal();
-            halfway(stage, terminal, RespTestBed.query(1, LONG_MS));
+            RespTestBed.Node backend = stage.backend("n1");
+            stage.told(backend.is(EndpointState.UP));
+            Socket client = stage.client();
+            halfway(stage, client, RespTestBed.query(1, LONG_MS));
             ends(stage, 300);
-            RespTestBed.say(terminal, rest(RespTestBed.query(1, LONG_MS)));
-            RespTestBed.BackendConnection line = node.accept();
+            RespTestBed.say(client, rest(RespTestBed.query(1, LONG_MS)));
+            RespTestBed.BackendConnection line = backend.accept();
             // Its node is told how long it is waited for.
             assertTrue(line.command().matches(".*,d=[0-3]?[0-9]?[0-9](\\.[0-9]+)?,.*"));
-            assertTrue(RespTestBed.answer(terminal).startsWith("-"));
+            assertTrue(RespTestBed.answer(client).startsWith("-"));
             assertTrue(line.ended(), "its attempt is given up");
             assertEquals(stage.figure("ended_by_deadline_guard"), 0);
         }
@@ -51,34 +51,34 @@
     @Test
     public void theAskBeforeOneThatCameLateInTheEndDoesNotHoldItsAnswerBack() throws Exception {
         try (RespTestBed stage = new RespTestBed(LONG)) {
-            RespTestBed.Node node = stage.node("n1");
-            stage.told(node.is(EndpointState.UP));
-            Socket terminal = stage.terminal();
-            RespTestBed.say(terminal, RespTestBed.query(1, LONG_MS));
-            RespTestBed.BackendConnection first = node.accept();
+            RespTestBed.Node backend = stage.backend("n1");
+            stage.told(backend.is(EndpointState.UP));
+            Socket client = stage.client();
+            RespTestBed.say(client, RespTestBed.query(1, LONG_MS));
+            RespTestBed.BackendConnection first = backend.accept();
             first.command();
             ends(stage, 300);
-            RespTestBed.say(terminal, RespTestBed.query(2, LONG_MS));
-            RespTestBed.BackendConnection second = node.accept();
+            RespTestBed.say(client, RespTestBed.query(2, LONG_MS));
+            RespTestBed.BackendConnection second = backend.accept();
             second.command();
             second.serve("two");
-            assertTrue(RespTestBed.answer(terminal).startsWith("-"));
-            assertEquals(RespTestBed.answer(terminal), "two");
+            assertTrue(RespTestBed.answer(client).startsWith("-"));
+            assertEquals(RespTestBed.answer(client), "two");
         }
     }
 
     @Test
     public void anAskForWhichNoTimeIsLeftIsRefusedAtOnceAndTheConnectionClosed() throws Exception {
         try (RespTestBed stage = new RespTestBed()) {
-            RespTestBed.Node node = stage.node("n1");
-            stage.told(node.is(EndpointState.UP));
-            Socket terminal = stage.terminal();
-            halfway(stage, terminal, RespTestBed.query(1, WAIT_MS));
+            RespTestBed.Node backend = stage.backend("n1");
+            stage.told(backend.is(EndpointState.UP));
+            Socket client = stage.client();
+            halfway(stage, client, RespTestBed.query(1, WAIT_MS));
             ends(stage, 0);
-            RespTestBed.say(terminal, rest(RespTestBed.query(1, WAIT_MS)));
-            assertEquals(RespTestBed.answer(terminal), "-BUSY");
-            assertEquals(terminal.getInputStream().read(), -1);
-            assertTrue(node.gotNothing());
+            RespTestBed.say(client, rest(RespTestBed.query(1, WAIT_MS)));
+            assertEquals(RespTestBed.answer(client), "-BUSY");
+            assertEquals(client.getInputStream().read(), -1);
+            assertTrue(backend.gotNothing());
         }
     }
 
@@ -97,11 +97,11 @@
     @Test
     public void theEndWaitsForAsksOfOlderSettings() throws Exception {
         try (RespTestBed stage = new RespTestBed()) {
-            RespTestBed.Node node = stage.node("n1");
-            stage.told(node.is(EndpointState.UP));
-            Socket terminal = stage.terminal();
-            RespTestBed.say(terminal, RespTestBed.query(1, WAIT_MS));
-            RespTestBed.BackendConnection line = node.accept();
+            RespTestBed.Node backend = stage.backend("n1");
+            stage.told(backend.is(EndpointState.UP));
+            Socket client = stage.client();
+            RespTestBed.say(client, RespTestBed.query(1, WAIT_MS));
+            RespTestBed.BackendConnection line = backend.accept();
             line.command();
             stage.onLoop(() -> stage.gateway.retune(SettingsReader.checked(
                     JsonFields.parse(TestSettings.JSON.replaceAll("\"deadline_ms\":\\d+", "\"deadline_ms\":300")))));
@@ -110,7 +110,7 @@
             stage.onLoop(() -> stage.gateway.whenNoneOpen(() -> none.complete(null)));
             assertFalse(none.isDone());
             line.serve("one");
-            assertEquals(RespTestBed.answer(terminal), "one");
+            assertEquals(RespTestBed.answer(client), "one");
             none.get(RespTestBed.PATIENCE_S, TimeUnit.SECONDS);
             assertEquals((long) stage.onLoop(() -> stage.gateway.longestDeadlineMs()), 300);
         }
@@ -119,31 +119,31 @@
     @Test
     public void aCommandThatLiesUnreadAsTheEndClosesWhatIsIdleIsAnswered() throws Exception {
         try (RespTestBed stage = new RespTestBed()) {
-            Socket terminal = stage.terminal();
-            RespTestBed.say(terminal, RespTestBed.PING);
-            assertEquals(RespTestBed.answer(terminal), "+PONG");
-            stage.unread(() -> RespTestBed.say(terminal, RespTestBed.PING), () -> {
+            Socket client = stage.client();
+            RespTestBed.say(client, RespTestBed.PING);
+            assertEquals(RespTestBed.answer(client), "+PONG");
+            stage.unread(() -> RespTestBed.say(client, RespTestBed.PING), () -> {
                 stage.phases.enter(Lifecycle.Phase.DRAINING);
                 stage.front.drain(() -> {});
             });
-            assertEquals(RespTestBed.answer(terminal), "+PONG");
-            assertEquals(terminal.getInputStream().read(), -1);
+            assertEquals(RespTestBed.answer(client), "+PONG");
+            assertEquals(client.getInputStream().read(), -1);
         }
     }
 
     @Test
     public void aDrainAndItsEndInOneTurnLeaveTheConnectionInUse() throws Exception {
         try (RespTestBed stage = new RespTestBed()) {
-            Socket terminal = stage.terminal();
-            RespTestBed.say(terminal, RespTestBed.PING);
-            assertEquals(RespTestBed.answer(terminal), "+PONG");
-            stage.unread(() -> RespTestBed.say(terminal, RespTestBed.PING), () -> {
+            Socket client = stage.client();
+            RespTestBed.say(client, RespTestBed.PING);
+            assertEquals(RespTestBed.answer(client), "+PONG");
+            stage.unread(() -> RespTestBed.say(client, RespTestBed.PING), () -> {
                 stage.front.sendAway(true);
                 stage.front.sendAway(false);
             });
-            assertEquals(RespTestBed.answer(terminal), "+PONG");
-            RespTestBed.say(terminal, RespTestBed.PING);
-            assertEquals(RespTestBed.answer(terminal), "+PONG");
+            assertEquals(RespTestBed.answer(client), "+PONG");
+            RespTestBed.say(client, RespTestBed.PING);
+            assertEquals(RespTestBed.answer(client), "+PONG");
         }
     }
 
@@ -158,12 +158,12 @@
                     door.sendAway(false);
                 }
                 stage.onLoop(() -> door.serve(stage.vertx, stage.gateway, stage.front, stage.phases));
-                Socket terminal = stage.terminal();
-                RespTestBed.say(terminal, RespTestBed.PING);
-                assertEquals(RespTestBed.answer(terminal), taken ? "+PONG" : "-ERR draining");
+                Socket client = stage.client();
+                RespTestBed.say(client, RespTestBed.PING);
+                assertEquals(RespTestBed.answer(client), taken ? "+PONG" : "-ERR draining");
                 door.sendAway(false);
                 stage.onLoop(() -> {});
-                Socket next = stage.terminal();
+                Socket next = stage.client();
                 RespTestBed.say(next, RespTestBed.PING);
                 assertEquals(RespTestBed.answer(next), "+PONG");
             }
@@ -185,9 +185,9 @@
     }
 
     /** Brings the first half of a command, and sees that the gateway has read what was sent before it. */
-    private static void halfway(RespTestBed stage, Socket terminal, String command) throws Exception {
-        RespTestBed.say(terminal, RespTestBed.PING + command.substring(0, command.length() / 2));
-        assertEquals(RespTestBed.answer(terminal), "+PONG");
+    private static void halfway(RespTestBed stage, Socket client, String command) throws Exception {
+        RespTestBed.say(client, RespTestBed.PING + command.substring(0, command.length() / 2));
+        assertEquals(RespTestBed.answer(client), "+PONG");
     }
 
     private static String rest(String command) {
--- a/gateway/src/test/java/opalcove/resp/FullServerTest.java
+++ b/gateway/src/test/java/opalcove/resp/FullServerTest.java
@@ -35,11 +35,11 @@
     @Test
     public void idleConnectionsGiveWayAndOneWithAnOpenRequestStays() throws Exception {
         try (RespTestBed stage = stage()) {
-            RespTestBed.Node node = stage.node("h1");
-            stage.told(node.is(EndpointState.UP));
-            Socket busy = stage.terminal();
+            RespTestBed.Node backend = stage.backend("h1");
+            stage.told(backend.is(EndpointState.UP));
+            Socket busy = stage.client();
             RespTestBed.say(busy, RespTestBed.query(1, DEADLINE_MS));
-            RespTestBed.BackendConnection line = node.withCommand();
+            RespTestBed.BackendConnection line = backend.withCommand();
             Socket idle = answered(stage);
             for (int i = 0; i < MOST; i++) {
                 answered(stage);
@@ -58,15 +58,15 @@
     @Test
     public void aNewConnectionIsRefusedWhereAllAreInUse() throws Exception {
         try (RespTestBed stage = stage()) {
-            RespTestBed.Node node = stage.node("h1");
-            stage.told(node.is(EndpointState.UP));
+            RespTestBed.Node backend = stage.backend("h1");
+            stage.told(backend.is(EndpointState.UP));
             List<Socket> busy = new ArrayList<>();
             for (int i = 0; i < MOST; i++) {
-                busy.add(stage.terminal());
+                busy.add(stage.client());
                 RespTestBed.say(busy.get(i), RespTestBed.query(i, DEADLINE_MS));
             }
             stage.until("asks_open", MOST);
-            assertEquals(stage.terminal().getInputStream().read(), -1);
+            assertEquals(stage.client().getInputStream().read(), -1);
             assertEquals(stage.figure(REFUSED), 1);
             assertEquals(stage.figure(CLOSED), 0);
         }
@@ -76,12 +76,12 @@
     @Test
     public void aConnectionWithHalfACommandDoesNotHideThoseAtRest() throws Exception {
         try (RespTestBed stage = new RespTestBed()) {
-            Socket half = stage.terminal();
+            Socket half = stage.client();
             RespTestBed.say(half, HALF);
             Socket idle = answered(stage);
             List<Socket> others = new ArrayList<>();
             for (int i = 0; i < MOST - 1; i++) {
-                others.add(stage.terminal());
+                others.add(stage.client());
                 RespTestBed.say(half, "x");
             }
             assertEquals(RespTestBed.answer(said(others.get(MOST - 2))), "+PONG");
@@ -98,7 +98,7 @@
         int mostHalfOpen = MOST / 8;
         List<Socket> silent = new ArrayList<>();
         try (RespTestBed stage = stage()) {
-            int port = stage.terminal().getPort();
+            int port = stage.client().getPort();
             for (int i = 0; i < mostHalfOpen + 4; i++) {
                 Socket client = new Socket();
                 silent.add(client);
@@ -130,13 +130,13 @@
     }
 
     private static Socket answered(RespTestBed stage) throws Exception {
-        Socket terminal = said(stage.terminal());
-        assertEquals(RespTestBed.answer(terminal), "+PONG");
-        return terminal;
+        Socket client = said(stage.client());
+        assertEquals(RespTestBed.answer(client), "+PONG");
+        return client;
     }
 
-    private static Socket said(Socket terminal) throws Exception {
-        RespTestBed.say(terminal, RespTestBed.PING);
-        return terminal;
+    private static Socket said(Socket client) throws Exception {
+        RespTestBed.say(client, RespTestBed.PING);
+        return client;
     }
 }
--- a/gateway/src/test/java/opalcove/resp/LeavingClientTest.java
+++ b/gateway/src/test/java/opalcove/resp/LeavingClientTest.java
@@ -24,53 +24,53 @@
     @Test
     public void heldWhileNoNodeMayHaveIt() throws Exception {
         try (RespTestBed stage = new RespTestBed(PATIENT)) {
-            RespTestBed.Node node = stage.node("n1");
-            stage.told(node.is(EndpointState.DRAINING));
-            Socket terminal = stage.terminal();
-            RespTestBed.say(terminal, RespTestBed.query(1, WAIT_MS));
+            RespTestBed.Node backend = stage.backend("n1");
+            stage.told(backend.is(EndpointState.DRAINING));
+            Socket client = stage.client();
+            RespTestBed.say(client, RespTestBed.query(1, WAIT_MS));
             stage.until("asks_open", 1);
-            terminal.close();
+            client.close();
             stage.until("terminals_left", 1);
-            stage.told(node.is(EndpointState.UP));
-            isTheFirstToCome(stage, node);
+            stage.told(backend.is(EndpointState.UP));
+            isTheFirstToCome(stage, backend);
         }
     }
 
     @Test
     public void waitingForAnotherAttempt() throws Exception {
         try (RespTestBed stage = new RespTestBed(PATIENT)) {
-            RespTestBed.Node node = stage.node("n1");
-            stage.told(node.is(EndpointState.UP));
-            Socket terminal = stage.terminal();
-            RespTestBed.say(terminal, RespTestBed.query(1, WAIT_MS));
-            RespTestBed.BackendConnection line = node.accept();
+            RespTestBed.Node backend = stage.backend("n1");
+            stage.told(backend.is(EndpointState.UP));
+            Socket client = stage.client();
+            RespTestBed.say(client, RespTestBed.query(1, WAIT_MS));
+            RespTestBed.BackendConnection line = backend.accept();
             assertTrue(line.command().contains(RespTestBed.id(1)));
-            stage.told(node.is(EndpointState.DRAINING));
+            stage.told(backend.is(EndpointState.DRAINING));
             line.say("-BUSY\r\n");
             stage.until("attempts_turned_away", 1);
-            terminal.close();
+            client.close();
             stage.until("terminals_left", 1);
-            stage.told(node.is(EndpointState.UP));
-            isTheFirstToCome(stage, node);
+            stage.told(backend.is(EndpointState.UP));
+            isTheFirstToCome(stage, backend);
         }
     }
 
     @Test
     public void behindOthersOnItsConnection() throws Exception {
         try (RespTestBed stage = new RespTestBed(PATIENT)) {
-            RespTestBed.Node node = stage.node("n1");
-            stage.told(node.is(EndpointState.UP));
+            RespTestBed.Node backend = stage.backend("n1");
+            stage.told(backend.is(EndpointState.UP));
             stage.withholdLinks();
-            Socket terminal = stage.terminal();
-            RespTestBed.say(terminal, RespTestBed.query(1, WAIT_MS) + RespTestBed.PING + RespTestBed.query(2, WAIT_MS));
+            Socket client = stage.client();
+            RespTestBed.say(client, RespTestBed.query(1, WAIT_MS) + RespTestBed.PING + RespTestBed.query(2, WAIT_MS));
             Runnable first = stage.linkUp();
             Runnable second = stage.linkUp();
-            terminal.close();
+            client.close();
             stage.until("terminals_left", 2);
             stage.handOver(first);
             stage.handOver(second);
             stage.until("links_resting", 2);
-            isTheFirstToCome(stage, node);
+            isTheFirstToCome(stage, backend);
         }
     }
 
@@ -86,38 +86,38 @@
 
     private static void leavesUnread(String behind) throws Exception {
         try (RespTestBed stage = new RespTestBed(PATIENT)) {
-            RespTestBed.Node node = stage.node("n1");
-            stage.told(node.is(EndpointState.UP));
+            RespTestBed.Node backend = stage.backend("n1");
+            stage.told(backend.is(EndpointState.UP));
             stage.withholdLinks();
-            Socket terminal = stage.terminal();
-            RespTestBed.say(terminal, unread());
+            Socket client = stage.client();
+            RespTestBed.say(client, unread());
             stage.until("taken", 2);
             Runnable first = stage.linkUp();
             Runnable second = stage.linkUp();
-            RespTestBed.say(terminal, behind);
-            terminal.close();
+            RespTestBed.say(client, behind);
+            client.close();
             stage.until("terminals_left", 2);
             stage.handOver(first);
             stage.handOver(second);
             stage.until("links_resting", 2);
-            isTheFirstToCome(stage, node);
+            isTheFirstToCome(stage, backend);
         }
     }
 
     @Test
     public void whileItsConnectionIsNotReadForWhatIsNoCommand() throws Exception {
         try (RespTestBed stage = new RespTestBed(PATIENT)) {
-            RespTestBed.Node node = stage.node("n1");
-            stage.told(node.is(EndpointState.UP));
+            RespTestBed.Node backend = stage.backend("n1");
+            stage.told(backend.is(EndpointState.UP));
             stage.withholdLinks();
-            Socket terminal = stage.terminal();
-            RespTestBed.say(terminal, RespTestBed.query(1, WAIT_MS) + "no command\r\n" + "x".repeat(300_000));
+            Socket client = stage.client();
+            RespTestBed.say(client, RespTestBed.query(1, WAIT_MS) + "no command\r\n" + "x".repeat(300_000));
             Runnable late = stage.linkUp();
-            terminal.close();
+            client.close();
             stage.until("terminals_left", 1);
             stage.handOver(late);
             stage.until("links_resting", 1);
-            isTheFirstToCome(stage, node);
+            isTheFirstToCome(stage, backend);
         }
     }
 
@@ -125,17 +125,17 @@
     @Test
     public void whoStaysGetsTheAnswersToAllThatWasReadMeanwhile() throws Exception {
         try (RespTestBed stage = new RespTestBed(PATIENT)) {
-            RespTestBed.Node node = stage.node("n1");
-            stage.told(node.is(EndpointState.UP));
+            RespTestBed.Node backend = stage.backend("n1");
+            stage.told(backend.is(EndpointState.UP));
             stage.withholdLinks();
-            Socket terminal = stage.terminal();
-            RespTestBed.say(terminal, unread());
+            Socket client = stage.client();
+            RespTestBed.say(client, unread());
             stage.until("taken", 2);
             Runnable first = stage.linkUp();
             Runnable second = stage.linkUp();
-            RespTestBed.say(terminal, RespTestBed.words("PING", "behind").repeat(3000) + RespTestBed.query(3, WAIT_MS));
+            RespTestBed.say(client, RespTestBed.words("PING", "behind").repeat(3000) + RespTestBed.query(3, WAIT_MS));
             // Another terminal's leaving is noticed by the same look that reads what lies behind here.
-            Socket other = stage.terminal();
+            Socket other = stage.client();
             RespTestBed.say(other, RespTestBed.query(4, WAIT_MS) + "no command\r\n");
             Runnable others = stage.linkUp();
             other.close();
@@ -144,16 +144,16 @@
             stage.handOver(first);
             stage.handOver(second);
             for (int answered = 0; answered < 2; answered++) {
-                RespTestBed.BackendConnection line = node.withCommand();
+                RespTestBed.BackendConnection line = backend.withCommand();
                 line.serve("value");
             }
-            assertEquals(RespTestBed.answer(terminal), "value");
+            assertEquals(RespTestBed.answer(client), "value");
             for (int i = 0; i < PIPELINED - 1; i++) {
-                assertEquals(RespTestBed.answer(terminal), "+PONG");
+                assertEquals(RespTestBed.answer(client), "+PONG");
             }
-            assertEquals(RespTestBed.answer(terminal), "value");
+            assertEquals(RespTestBed.answer(client), "value");
             for (int i = 0; i < 3000; i++) {
-                assertEquals(RespTestBed.answer(terminal), "behind");
+                assertEquals(RespTestBed.answer(client), "behind");
             }
             stage.until("taken", 4);
         }
@@ -164,10 +164,10 @@
         return RespTestBed.query(1, WAIT_MS) + RespTestBed.PING.repeat(PIPELINED - 1) + RespTestBed.query(2, WAIT_MS);
     }
 
-    private static void isTheFirstToCome(RespTestBed stage, RespTestBed.Node node) throws Exception {
-        Socket next = stage.terminal();
+    private static void isTheFirstToCome(RespTestBed stage, RespTestBed.Node backend) throws Exception {
+        Socket next = stage.client();
         RespTestBed.say(next, RespTestBed.query(9, WAIT_MS));
-        RespTestBed.BackendConnection line = node.withCommand();
+        RespTestBed.BackendConnection line = backend.withCommand();
         assertTrue(line.command().contains(RespTestBed.id(9)), "the ask of one who left was sent on");
         line.serve("nine");
         assertEquals(RespTestBed.answer(next), "nine");
