--- a/gateway/src/test/java/opalcove/resp/RespRepliesTest.java
+++ b/gateway/src/test/java/opalcove/resp/RespRepliesTest.java
@@ -80,7 +80,7 @@
 
     /** Sends the bytes on a new connection; whether what comes back begins with the reply. */
     private static void exchange(RespTestBed stage, String sent, String reply) throws Exception {
-        exchange(stage.terminal(), sent, reply);
+        exchange(stage.client(), sent, reply);
     }
 
     private static void exchange(Socket client, String sent, String reply) throws Exception {
@@ -161,7 +161,7 @@
     public void invalidRequestsAndTheConnectionAfterThem() throws Exception {
         try (RespTestBed stage = new RespTestBed()) {
             for (String[] each : invalidRequests()) {
-                Socket client = stage.terminal();
+                Socket client = stage.client();
                 exchange(client, each[0], "-ERR " + each[1] + "\r\n");
                 exchange(client, RespTestBed.PING, "+PONG\r\n");
             }
@@ -185,7 +185,7 @@
         };
         try (RespTestBed stage = new RespTestBed()) {
             for (String[] each : cases) {
-                Socket client = stage.terminal();
+                Socket client = stage.client();
                 exchange(client, each[0], "-ERR Protocol error: " + each[1] + "\r\n");
                 assertEquals(client.getInputStream().read(), -1, each[1]);
             }
@@ -195,25 +195,25 @@
     @Test
     public void aServedValueAndABackendsError() throws Exception {
         try (RespTestBed stage = new RespTestBed()) {
-            RespTestBed.Node node = stage.node("s-1");
-            stage.told(node.is(EndpointState.UP));
-            Socket client = stage.terminal();
+            RespTestBed.Node backend = stage.backend("s-1");
+            stage.told(backend.is(EndpointState.UP));
+            Socket client = stage.client();
             RespTestBed.say(client, RespTestBed.query(1, DEADLINE_MS));
-            RespTestBed.BackendConnection line = node.withCommand();
+            RespTestBed.BackendConnection line = backend.withCommand();
             line.command();
             line.serve("value");
             exchange(client, "", "$5\r\nvalue\r\n");
         }
         try (RespTestBed stage = new RespTestBed(
                 "\"max_attempts\":6", "\"max_attempts\":1", "\"profiles\":[", "\"profiles\":[" + UNSAFE)) {
-            RespTestBed.Node node = stage.node("s-1");
-            stage.told(node.is(EndpointState.UP));
-            Socket client = stage.terminal();
+            RespTestBed.Node backend = stage.backend("s-1");
+            stage.told(backend.is(EndpointState.UP));
+            Socket client = stage.client();
             String marks = MARKS.replace("slot-status", "lock");
             // In one write, so that the second is read before the first can be answered.
             String command = RespTestBed.words("SVC.SUBMIT", CUSTOMER, ID, marks, "body");
             RespTestBed.say(client, command + command);
-            RespTestBed.BackendConnection line = node.withCommand();
+            RespTestBed.BackendConnection line = backend.withCommand();
             line.command();
             line.say("-ERR failed\r\n");
             exchange(client, "", "-ERR failed\r\n-ERR this id is under way\r\n");
@@ -227,11 +227,11 @@
             String most = "\"max_retry_after_ms\":2000";
             try (RespTestBed stage = new RespTestBed(
                     "\"max_open\":1000", "\"max_open\":1", most, advice ? most : "\"max_retry_after_ms\":0")) {
-                RespTestBed.Node node = stage.node("s-1");
-                stage.told(node.is(EndpointState.UP));
-                Socket first = stage.terminal();
+                RespTestBed.Node backend = stage.backend("s-1");
+                stage.told(backend.is(EndpointState.UP));
+                Socket first = stage.client();
                 RespTestBed.say(first, RespTestBed.query(1, DEADLINE_MS));
-                RespTestBed.BackendConnection line = node.withCommand();
+                RespTestBed.BackendConnection line = backend.withCommand();
                 exchange(stage, RespTestBed.query(2, DEADLINE_MS), advice ? "-BUSY 2000\r\n" : "-BUSY\r\n");
                 line.command();
                 line.serve("value");
--- a/gateway/src/test/java/opalcove/resp/RespTestBed.java
+++ b/gateway/src/test/java/opalcove/resp/RespTestBed.java
@@ -203,14 +203,14 @@
 
     // App nodes.
 
-    Node node(String name) throws Exception {
-        Node node = new Node(name);
-        open.add(node);
-        return node;
+    Node backend(String name) throws Exception {
+        Node backend = new Node(name);
+        open.add(backend);
+        return backend;
     }
 
     void told(Backend... lines) throws Exception {
-        onLoop(() -> gateway.nodesTold(true, List.of(lines)));
+        onLoop(() -> gateway.endpointsChanged(true, List.of(lines)));
     }
 
     /** An app node. What its lines bring waits until the test looks; what they send is what the test says. */
@@ -344,26 +344,26 @@
 
     // Terminals.
 
-    Socket terminal() throws Exception {
-        Socket terminal = new Socket(InetAddress.getLoopbackAddress(), port);
-        terminal.setSoTimeout(PATIENCE_S * 1000);
-        open.add(terminal);
-        return terminal;
+    Socket client() throws Exception {
+        Socket client = new Socket(InetAddress.getLoopbackAddress(), port);
+        client.setSoTimeout(PATIENCE_S * 1000);
+        open.add(client);
+        return client;
     }
 
-    static void say(Socket terminal, String bytes) throws Exception {
-        terminal.getOutputStream().write(bytes.getBytes(StandardCharsets.ISO_8859_1));
+    static void say(Socket client, String bytes) throws Exception {
+        client.getOutputStream().write(bytes.getBytes(StandardCharsets.ISO_8859_1));
     }
 
     /** The next answer: a line, or a string's value. */
-    public static String answer(Socket terminal) throws Exception {
-        String line = line(terminal.getInputStream());
+    public static String answer(Socket client) throws Exception {
+        String line = line(client.getInputStream());
         if (!line.startsWith("$")) {
             return line;
         }
         String value = new String(
-                terminal.getInputStream().readNBytes(Integer.parseInt(line.substring(1))), StandardCharsets.ISO_8859_1);
-        terminal.getInputStream().readNBytes(2);
+                client.getInputStream().readNBytes(Integer.parseInt(line.substring(1))), StandardCharsets.ISO_8859_1);
+        client.getInputStream().readNBytes(2);
         return value;
     }
 
--- a/gateway/src/test/java/opalcove/resp/ShedClientsTest.java
+++ b/gateway/src/test/java/opalcove/resp/ShedClientsTest.java
@@ -78,8 +78,8 @@
 
     @Test
     public void aRequestOfAnUnknownClassFailsAndCountsInThatClass() throws Exception {
-        try (Socket terminal = connect()) {
-            assertEquals(say(terminal, UNKNOWN_CLASS, 64), "-ERR unknown class\r\n");
+        try (Socket client = connect()) {
+            assertEquals(say(client, UNKNOWN_CLASS, 64), "-ERR unknown class\r\n");
         }
         assertTrue(
                 gateway.metrics().lines().lines().toList().contains("gateway.failure.battery-update-ii:1|c"),
@@ -88,32 +88,32 @@
 
     @Test
     public void aRequestUnreadBehindAnErrorIsAnsweredBeforeADrainClosesTheConnection() throws Exception {
-        try (Socket terminal = connect()) {
-            assertEquals(say(terminal, UNKNOWN_CLASS, 64), "-ERR unknown class\r\n");
+        try (Socket client = connect()) {
+            assertEquals(say(client, UNKNOWN_CLASS, 64), "-ERR unknown class\r\n");
             // The error pauses the connection's reads: this PING lies unread when the drain looks at the connection.
-            terminal.getOutputStream().write(PING.getBytes(StandardCharsets.US_ASCII));
-            terminal.getOutputStream().flush();
+            client.getOutputStream().write(PING.getBytes(StandardCharsets.US_ASCII));
+            client.getOutputStream().flush();
             vertx.runOnContext(told -> {
                 phases.enter(Lifecycle.Phase.DRAINING);
                 front.drain(() -> {});
             });
-            assertEquals(say(terminal, "", 7), "+PONG\r\n");
-            assertEquals(terminal.getInputStream().read(), -1);
+            assertEquals(say(client, "", 7), "+PONG\r\n");
+            assertEquals(client.getInputStream().read(), -1);
         }
     }
 
     @Test
     public void halfACommandKeepsTheConnectionThroughADrainTillItsRestCame() throws Exception {
-        try (Socket terminal = connect()) {
-            assertEquals(say(terminal, PING, 7), "+PONG\r\n");
-            terminal.getOutputStream().write(PING.substring(0, 10).getBytes(StandardCharsets.US_ASCII));
-            terminal.getOutputStream().flush();
+        try (Socket client = connect()) {
+            assertEquals(say(client, PING, 7), "+PONG\r\n");
+            client.getOutputStream().write(PING.substring(0, 10).getBytes(StandardCharsets.US_ASCII));
+            client.getOutputStream().flush();
             vertx.runOnContext(told -> {
                 phases.enter(Lifecycle.Phase.DRAINING);
                 front.drain(() -> {});
             });
-            assertEquals(say(terminal, PING.substring(10), 7), "+PONG\r\n");
-            assertEquals(terminal.getInputStream().read(), -1);
+            assertEquals(say(client, PING.substring(10), 7), "+PONG\r\n");
+            assertEquals(client.getInputStream().read(), -1);
         }
     }
 
@@ -158,7 +158,7 @@
     /** No app node is asked in this test. */
     private static final class NoLinks extends NoOpBackendTransport {
         @Override
-        public Attempt attempt(Backend node, Request ask, double waitMs, Ended ended) {
+        public Attempt attempt(Backend backend, Request request, double waitMs, Ended ended) {
             throw new AssertionError("no attempt is made here");
         }
     }
--- a/gateway/src/test/java/opalcove/resp/StalledClientTest.java
+++ b/gateway/src/test/java/opalcove/resp/StalledClientTest.java
@@ -16,10 +16,10 @@
     @Test
     public void oneThatStopsBehindAnAnswerIsClosed() throws Exception {
         try (RespTestBed stage = new RespTestBed()) {
-            Socket terminal = stage.terminal();
-            RespTestBed.say(terminal, RespTestBed.PING + RespTestBed.PING.substring(0, 8));
-            assertEquals(RespTestBed.answer(terminal), "+PONG");
-            assertEquals(terminal.getInputStream().read(), -1);
+            Socket client = stage.client();
+            RespTestBed.say(client, RespTestBed.PING + RespTestBed.PING.substring(0, 8));
+            assertEquals(RespTestBed.answer(client), "+PONG");
+            assertEquals(client.getInputStream().read(), -1);
             assertEquals(stage.figure("connections_ended.stalled"), 1);
         }
     }
@@ -27,21 +27,21 @@
     @Test
     public void oneThatStopsBehindAnOpenRequestIsClosedRightAfterItsAnswer() throws Exception {
         try (RespTestBed stage = new RespTestBed()) {
-            RespTestBed.Node node = stage.node("n1");
-            stage.told(node.is(EndpointState.UP));
-            Socket terminal = stage.terminal();
+            RespTestBed.Node backend = stage.backend("n1");
+            stage.told(backend.is(EndpointState.UP));
+            Socket client = stage.client();
             RespTestBed.say(
-                    terminal,
+                    client,
                     RespTestBed.submit(1, 7000, "key")
                             + RespTestBed.query(2, 4000).substring(0, 40));
-            RespTestBed.BackendConnection line = node.withCommand();
+            RespTestBed.BackendConnection line = backend.withCommand();
             line.command();
             // Well after the time for which half a command may stand still, and before its request's time is over.
             TimeUnit.MILLISECONDS.sleep(STALLED_MS);
             line.serve("first");
-            assertEquals(RespTestBed.answer(terminal), "first");
+            assertEquals(RespTestBed.answer(client), "first");
             // Its error and the end, or the end alone on a machine so slow that the answer came first.
-            String rest = new String(terminal.getInputStream().readAllBytes(), StandardCharsets.US_ASCII);
+            String rest = new String(client.getInputStream().readAllBytes(), StandardCharsets.US_ASCII);
             assertTrue(rest.isEmpty() || rest.equals("-ERR Protocol error: half a command\r\n"), rest);
             assertEquals(stage.figure("connections_ended.stalled"), 1);
         }
--- a/gateway/src/test/java/opalcove/resp/StreamedValueTest.java
+++ b/gateway/src/test/java/opalcove/resp/StreamedValueTest.java
@@ -64,21 +64,21 @@
             value[i] = (byte) ('a' + i % 23);
         }
         CountDownLatch begunAtTerminal = new CountDownLatch(1);
-        try (ServerSocket node = new ServerSocket(0, 8, InetAddress.getLoopbackAddress())) {
-            CompletableFuture<Void> given = CompletableFuture.runAsync(() -> give(node, value, begunAtTerminal));
+        try (ServerSocket backend = new ServerSocket(0, 8, InetAddress.getLoopbackAddress())) {
+            CompletableFuture<Void> given = CompletableFuture.runAsync(() -> give(backend, value, begunAtTerminal));
             DecisionSettings settings = TestSettings.settings();
             int port = front(
-                    "127.0.0.1:" + node.getLocalPort(),
+                    "127.0.0.1:" + backend.getLocalPort(),
                     new ConnectionPool(vertx, settings, new RespConnector(vertx, settings), 8));
-            try (Socket terminal = ask(port)) {
-                InputStream in = terminal.getInputStream();
+            try (Socket client = request(port)) {
+                InputStream in = client.getInputStream();
                 assertEquals(text(in, HEAD.length()), HEAD);
                 byte[] got = Arrays.copyOf(in.readNBytes(1000), LENGTH);
                 begunAtTerminal.countDown();
                 assertEquals(in.readNBytes(got, 1000, LENGTH - 1000), LENGTH - 1000);
                 assertTrue(Arrays.equals(got, value), "the value as its node gave it");
                 assertEquals(text(in, 2), "\r\n");
-                say(terminal, "*1\r\n$4\r\nPING\r\n");
+                say(client, "*1\r\n$4\r\nPING\r\n");
                 assertEquals(text(in, 7), "+PONG\r\n");
             }
             given.get(10, TimeUnit.SECONDS);
@@ -87,7 +87,7 @@
 
     @Test
     public void aSlowTerminalHoldsItsValueBackAtTheNodeAndLetsItOnOnceItReads() throws Exception {
-        try (Socket terminal = ask(front("127.0.0.1:1", held))) {
+        try (Socket client = request(front("127.0.0.1:1", held))) {
             FakeValue value = new FakeValue();
             BackendTransport.Ended attempt = held.attempt.get(10, TimeUnit.SECONDS);
             onLoop(() -> {
@@ -99,7 +99,7 @@
                 value.sink.part(Unpooled.wrappedBuffer(new byte[2 * RespConnector.PORTION]));
                 assertFalse(value.reads, "no more is read while that much waits to leave");
             });
-            InputStream in = terminal.getInputStream();
+            InputStream in = client.getInputStream();
             assertEquals(text(in, HEAD.length()), HEAD);
             assertEquals(in.readNBytes(3 * RespConnector.PORTION).length, 3 * RespConnector.PORTION);
             value.readOn.get(10, TimeUnit.SECONDS);
@@ -108,7 +108,7 @@
 
     @Test
     public void aValueCutOffByItsNodeEndsTheConnectionAndCountsAsFailed() throws Exception {
-        try (Socket terminal = ask(front("127.0.0.1:1", held))) {
+        try (Socket client = request(front("127.0.0.1:1", held))) {
             FakeValue value = new FakeValue();
             BackendTransport.Ended attempt = held.attempt.get(10, TimeUnit.SECONDS);
             onLoop(() -> {
@@ -118,7 +118,7 @@
                 value.sink.cut();
                 attempt.ended(AttemptResult.silent(AttemptStatus.BROKEN));
             });
-            assertEquals(terminal.getInputStream().readAllBytes().length, HEAD.length() + 100);
+            assertEquals(client.getInputStream().readAllBytes().length, HEAD.length() + 100);
             assertTrue(gateway.metrics().lines().contains("gateway.failure.slot-status:1|c"));
             assertTrue(gateway.metrics().lines().contains("gateway.inflight:0|g"));
         }
@@ -126,101 +126,100 @@
 
     @Test
     public void aTerminalThatLeavesAmidItsValueGivesItsAttemptUp() throws Exception {
-        try (Socket terminal = ask(front("127.0.0.1:1", held))) {
+        try (Socket client = request(front("127.0.0.1:1", held))) {
             FakeValue value = new FakeValue();
             BackendTransport.Ended attempt = held.attempt.get(10, TimeUnit.SECONDS);
             onLoop(() -> attempt.began(value));
-            terminal.setSoLinger(true, 0);
+            client.setSoLinger(true, 0);
         }
         held.givenUp.get(10, TimeUnit.SECONDS);
     }
 
     /** Two requests that were written one behind the other, and the links that carry them. */
-    private record Pipelined(
-            Socket terminal, RespTestBed.BackendConnection first, RespTestBed.BackendConnection second) {
+    private record Pipelined(Socket client, RespTestBed.BackendConnection first, RespTestBed.BackendConnection second) {
         /** The first of them waits so long. */
         static Pipelined on(RespTestBed stage, int firstWaitMs) throws Exception {
-            RespTestBed.Node node = stage.node("n1");
-            stage.told(node.is(EndpointState.UP));
-            Socket terminal = stage.terminal();
-            RespTestBed.say(terminal, RespTestBed.query(1, firstWaitMs) + RespTestBed.query(2, 4000));
-            RespTestBed.BackendConnection first = node.withCommand();
-            RespTestBed.BackendConnection second = node.withCommand();
+            RespTestBed.Node backend = stage.backend("n1");
+            stage.told(backend.is(EndpointState.UP));
+            Socket client = stage.client();
+            RespTestBed.say(client, RespTestBed.query(1, firstWaitMs) + RespTestBed.query(2, 4000));
+            RespTestBed.BackendConnection first = backend.withCommand();
+            RespTestBed.BackendConnection second = backend.withCommand();
             assertTrue(first.command().contains(RespTestBed.id(1)));
             assertTrue(second.command().contains(RespTestBed.id(2)));
-            return new Pipelined(terminal, first, second);
+            return new Pipelined(client, first, second);
         }
     }
 
     @Test
     public void aValueThatIsCutLosesNoRequestThatCameBehindIt() throws Exception {
         try (RespTestBed stage = new RespTestBed()) {
-            Pipelined asks = Pipelined.on(stage, 4000);
-            asks.first().say("*3\r\n" + HEAD + "v".repeat(100_000));
-            asks.second().serve("second");
+            Pipelined requests = Pipelined.on(stage, 4000);
+            requests.first().say("*3\r\n" + HEAD + "v".repeat(100_000));
+            requests.second().serve("second");
             stage.until("attempts_served", 1);
-            asks.first().reset();
-            assertTrue(RespTestBed.answer(asks.terminal()).startsWith("-ERR"), "the value that was cut has failed");
-            assertEquals(RespTestBed.answer(asks.terminal()), "second");
+            requests.first().reset();
+            assertTrue(RespTestBed.answer(requests.client()).startsWith("-ERR"), "the value that was cut has failed");
+            assertEquals(RespTestBed.answer(requests.client()), "second");
         }
     }
 
     @Test
     public void aRequestThatComesWhileAValueIsPassedOnIsNotReadBeforeItsEnd() throws Exception {
         try (RespTestBed stage = new RespTestBed()) {
-            RespTestBed.Node node = stage.node("n1");
-            stage.told(node.is(EndpointState.UP));
-            Socket terminal = stage.terminal();
-            RespTestBed.say(terminal, RespTestBed.query(1, 4000));
-            RespTestBed.BackendConnection line = node.withCommand();
+            RespTestBed.Node backend = stage.backend("n1");
+            stage.told(backend.is(EndpointState.UP));
+            Socket client = stage.client();
+            RespTestBed.say(client, RespTestBed.query(1, 4000));
+            RespTestBed.BackendConnection line = backend.withCommand();
             line.command();
             line.say("*3\r\n" + HEAD + "v".repeat(100_000));
-            assertEquals(text(terminal.getInputStream(), HEAD.length()), HEAD);
-            RespTestBed.say(terminal, RespTestBed.query(2, 4000));
+            assertEquals(text(client.getInputStream(), HEAD.length()), HEAD);
+            RespTestBed.say(client, RespTestBed.query(2, 4000));
             // A round trip on another connection: the event loop has been to its sockets since.
-            Socket other = stage.terminal();
+            Socket other = stage.client();
             for (int i = 0; i < 10; i++) {
                 RespTestBed.say(other, RespTestBed.PING);
                 assertEquals(RespTestBed.answer(other), "+PONG");
             }
             assertEquals(stage.figure("taken"), 1, "read behind a value that may still be cut");
             line.say("v".repeat(LENGTH - 100_000) + "\r\n$-1\r\n$-1\r\n");
-            assertEquals(terminal.getInputStream().readNBytes(LENGTH + 2).length, LENGTH + 2);
-            node.withCommand().serve("second");
-            assertEquals(RespTestBed.answer(terminal), "second");
+            assertEquals(client.getInputStream().readNBytes(LENGTH + 2).length, LENGTH + 2);
+            backend.withCommand().serve("second");
+            assertEquals(RespTestBed.answer(client), "second");
         }
     }
 
     @Test
     public void aValueWithARequestBehindItComesWhole() throws Exception {
         try (RespTestBed stage = new RespTestBed()) {
-            Pipelined asks = Pipelined.on(stage, 4000);
+            Pipelined requests = Pipelined.on(stage, 4000);
             String value = "v".repeat(LENGTH);
-            asks.first().say("*3\r\n" + HEAD + value.substring(0, 100_000));
-            asks.second().serve("second");
-            asks.first().say(value.substring(100_000) + "\r\n$-1\r\n$-1\r\n");
-            assertEquals(RespTestBed.answer(asks.terminal()), value);
-            assertEquals(RespTestBed.answer(asks.terminal()), "second");
+            requests.first().say("*3\r\n" + HEAD + value.substring(0, 100_000));
+            requests.second().serve("second");
+            requests.first().say(value.substring(100_000) + "\r\n$-1\r\n$-1\r\n");
+            assertEquals(RespTestBed.answer(requests.client()), value);
+            assertEquals(RespTestBed.answer(requests.client()), "second");
         }
     }
 
     @Test
     public void aGatheredValueOfAnyLengthEndsOnce() throws Exception {
         try (RespTestBed stage = new RespTestBed()) {
-            RespTestBed.Node node = stage.node("n1");
-            stage.told(node.is(EndpointState.UP));
-            Socket terminal = stage.terminal();
+            RespTestBed.Node backend = stage.backend("n1");
+            stage.told(backend.is(EndpointState.UP));
+            Socket client = stage.client();
             for (int length = 70_000; length < 170_000; length += 5_000) {
-                RespTestBed.say(terminal, RespTestBed.query(length, 4000) + RespTestBed.query(length + 1, 4000));
-                RespTestBed.BackendConnection first = node.withCommand();
-                RespTestBed.BackendConnection second = node.withCommand();
+                RespTestBed.say(client, RespTestBed.query(length, 4000) + RespTestBed.query(length + 1, 4000));
+                RespTestBed.BackendConnection first = backend.withCommand();
+                RespTestBed.BackendConnection second = backend.withCommand();
                 first.command();
                 second.command();
                 String value = "v".repeat(length);
                 first.say("*3\r\n$" + length + "\r\n" + value + "\r\n$-1\r\n$-1\r\n");
                 second.serve("second");
-                assertEquals(RespTestBed.answer(terminal), value);
-                assertEquals(RespTestBed.answer(terminal), "second");
+                assertEquals(RespTestBed.answer(client), value);
+                assertEquals(RespTestBed.answer(client), "second");
                 first.reset();
                 second.reset();
             }
@@ -230,12 +229,12 @@
     @Test
     public void aGatheredValueThatStandsStillIsAnsweredOtherwiseOnceItsTimeIsOver() throws Exception {
         try (RespTestBed stage = new RespTestBed()) {
-            Pipelined asks = Pipelined.on(stage, 600);
-            asks.first().say("*3\r\n" + HEAD + "v".repeat(100_000));
-            asks.second().serve("second");
-            assertTrue(RespTestBed.answer(asks.terminal()).startsWith("-ERR"));
-            assertEquals(RespTestBed.answer(asks.terminal()), "second");
-            assertTrue(asks.first().ended(), "its node is not read on");
+            Pipelined requests = Pipelined.on(stage, 600);
+            requests.first().say("*3\r\n" + HEAD + "v".repeat(100_000));
+            requests.second().serve("second");
+            assertTrue(RespTestBed.answer(requests.client()).startsWith("-ERR"));
+            assertEquals(RespTestBed.answer(requests.client()), "second");
+            assertTrue(requests.first().ended(), "its node is not read on");
             assertTrue(stage.figure("attempts_cancelled") > 0, "given up by the gateway, not ended as one that broke");
         }
     }
@@ -243,24 +242,25 @@
     @Test
     public void aValueTooLongToBeGatheredFailsAloneWhereRequestsAreBehindIt() throws Exception {
         try (RespTestBed stage = new RespTestBed()) {
-            Pipelined asks = Pipelined.on(stage, 4000);
-            asks.first().say("*3\r\n$" + (ByteAccumulator.MOST + 1) + "\r\n" + "v".repeat(100_000));
-            asks.second().serve("second");
-            assertTrue(RespTestBed.answer(asks.terminal()).startsWith("-ERR"));
-            assertEquals(RespTestBed.answer(asks.terminal()), "second");
-            assertTrue(asks.first().ended(), "its node is not read on");
+            Pipelined requests = Pipelined.on(stage, 4000);
+            requests.first().say("*3\r\n$" + (ByteAccumulator.MOST + 1) + "\r\n" + "v".repeat(100_000));
+            requests.second().serve("second");
+            assertTrue(RespTestBed.answer(requests.client()).startsWith("-ERR"));
+            assertEquals(RespTestBed.answer(requests.client()), "second");
+            assertTrue(requests.first().ended(), "its node is not read on");
         }
     }
 
     private RequestDispatcher gateway;
 
     /** A front whose only app node is at the address; gives the front's port. */
-    private int front(String node, BackendTransport links) throws Exception {
+    private int front(String backend, BackendTransport links) throws Exception {
         CompletableFuture<Integer> listening = new CompletableFuture<>();
         vertx.runOnContext(start -> {
             gateway = new RequestDispatcher(vertx, new Clock(), TestSettings.settings(), 1, links);
-            gateway.nodesTold(
-                    true, List.of(new Backend(new Endpoint("n1", "room-a", "app", 0, EndpointState.UP, 1, 0), node)));
+            gateway.endpointsChanged(
+                    true,
+                    List.of(new Backend(new Endpoint("n1", "room-a", "app", 0, EndpointState.UP, 1, 0), backend)));
             Lifecycle phases = new Lifecycle();
             phases.enter(Lifecycle.Phase.SERVING);
             new RespServer(vertx, gateway, phases, 64)
@@ -270,18 +270,18 @@
         return listening.get(10, TimeUnit.SECONDS);
     }
 
-    private static Socket ask(int port) throws Exception {
-        Socket terminal = new Socket("127.0.0.1", port);
-        terminal.setSoTimeout(20_000);
+    private static Socket request(int port) throws Exception {
+        Socket client = new Socket("127.0.0.1", port);
+        client.setSoTimeout(20_000);
         say(
-                terminal,
+                client,
                 "*4\r\n$9\r\nSVC.QUERY\r\n$16\r\n00000000000000a1\r\n$16\r\n00000000000000b2\r\n$" + MARKS.length()
                         + "\r\n" + MARKS + "\r\n");
-        return terminal;
+        return client;
     }
 
-    private static void say(Socket terminal, String bytes) throws Exception {
-        terminal.getOutputStream().write(bytes.getBytes(StandardCharsets.US_ASCII));
+    private static void say(Socket client, String bytes) throws Exception {
+        client.getOutputStream().write(bytes.getBytes(StandardCharsets.US_ASCII));
     }
 
     private static String text(InputStream in, int length) throws Exception {
@@ -289,8 +289,8 @@
     }
 
     /** An app node that gives the value's first part, and the rest once the terminal has some of it. */
-    private static void give(ServerSocket node, byte[] value, CountDownLatch goOn) {
-        try (Socket line = node.accept()) {
+    private static void give(ServerSocket backend, byte[] value, CountDownLatch goOn) {
+        try (Socket line = backend.accept()) {
             InputStream in = line.getInputStream();
             StringBuilder command = new StringBuilder();
             while (command.indexOf("first=0\r\n") < 0) {
@@ -358,7 +358,7 @@
         final CompletableFuture<Void> givenUp = new CompletableFuture<>();
 
         @Override
-        public Attempt attempt(Backend node, Request ask, double waitMs, Ended ended) {
+        public Attempt attempt(Backend backend, Request request, double waitMs, Ended ended) {
             attempt.complete(ended);
             return () -> givenUp.complete(null);
         }
--- a/gateway/src/test/java/opalcove/resp/UnreadTimeTest.java
+++ b/gateway/src/test/java/opalcove/resp/UnreadTimeTest.java
@@ -25,13 +25,13 @@
             "SVC.QUERY", "00000000000000b2", "00000000000000ff", "c=none,t=start,d=100,units=1,spread=1,first=0");
 
     private RespTestBed stage;
-    private RespTestBed.Node node;
+    private RespTestBed.Node backend;
 
     @BeforeMethod
     public void open() throws Exception {
         stage = new RespTestBed();
-        node = stage.node("n1");
-        stage.told(node.is(EndpointState.UP));
+        backend = stage.backend("n1");
+        stage.told(backend.is(EndpointState.UP));
     }
 
     @AfterMethod
@@ -50,30 +50,30 @@
     }
 
     private void assertToldNoMoreThanIsLeft() throws Exception {
-        String command = node.withCommand().command();
+        String command = backend.withCommand().command();
         int told = Integer.parseInt(command.replaceAll(".*,d=(\\d+).*", "$1"));
         assertTrue(told <= WAIT_MS - UNREAD_MS + SLACK_MS, command);
     }
 
     @Test
     public void whileTheEventLoopIsHeldUp() throws Exception {
-        Socket terminal = stage.terminal();
-        RespTestBed.say(terminal, RespTestBed.PING);
-        assertEquals(RespTestBed.answer(terminal), "+PONG");
-        pass(() -> RespTestBed.say(terminal, RespTestBed.query(1, WAIT_MS)));
+        Socket client = stage.client();
+        RespTestBed.say(client, RespTestBed.PING);
+        assertEquals(RespTestBed.answer(client), "+PONG");
+        pass(() -> RespTestBed.say(client, RespTestBed.query(1, WAIT_MS)));
         assertToldNoMoreThanIsLeft();
     }
 
     @Test
     public void onAConnectionThatIsNewWhileTheEventLoopIsHeldUp() throws Exception {
-        pass(() -> RespTestBed.say(stage.terminal(), RespTestBed.query(1, WAIT_MS)));
+        pass(() -> RespTestBed.say(stage.client(), RespTestBed.query(1, WAIT_MS)));
         assertToldNoMoreThanIsLeft();
     }
 
     @Test
     public void whileTheEventLoopIsHeldUpBetweenTheDecisionAndTheWrite() throws Exception {
         stage.withholdLinks();
-        RespTestBed.say(stage.terminal(), RespTestBed.query(1, WAIT_MS));
+        RespTestBed.say(stage.client(), RespTestBed.query(1, WAIT_MS));
         Runnable link = stage.linkUp();
         stage.withholdNoMore();
         // The request's bytes wait for the end of this turn, which comes late.
@@ -95,26 +95,26 @@
 
     @Test
     public void aRequestWhoseTimeWasOverBeforeItWasReadIsRefusedAndNotSent() throws Exception {
-        Socket terminal = stage.terminal();
-        RespTestBed.say(terminal, RespTestBed.PING);
-        assertEquals(RespTestBed.answer(terminal), "+PONG");
-        pass(() -> RespTestBed.say(terminal, RespTestBed.query(1, UNREAD_MS / 2)));
-        assertEquals(RespTestBed.answer(terminal), "-BUSY");
+        Socket client = stage.client();
+        RespTestBed.say(client, RespTestBed.PING);
+        assertEquals(RespTestBed.answer(client), "+PONG");
+        pass(() -> RespTestBed.say(client, RespTestBed.query(1, UNREAD_MS / 2)));
+        assertEquals(RespTestBed.answer(client), "-BUSY");
         assertEquals(stage.figure("attempts"), 0);
         assertEquals(stage.figure("refused.unread_in_time"), 1);
     }
 
     @Test
     public void whileTheReadsOfItsConnectionArePausedAfterErrors() throws Exception {
-        Socket terminal = stage.terminal();
-        RespTestBed.say(terminal, UNKNOWN_CLASS.repeat(ERRORS));
+        Socket client = stage.client();
+        RespTestBed.say(client, UNKNOWN_CLASS.repeat(ERRORS));
         for (int i = 0; i < ERRORS; i++) {
-            assertEquals(RespTestBed.answer(terminal), "-ERR unknown class");
+            assertEquals(RespTestBed.answer(client), "-ERR unknown class");
         }
         // One more, after the pause for those, and the request right behind its answer.
-        RespTestBed.say(terminal, UNKNOWN_CLASS);
-        assertEquals(RespTestBed.answer(terminal), "-ERR unknown class");
-        pass(() -> RespTestBed.say(terminal, RespTestBed.query(1, WAIT_MS)));
+        RespTestBed.say(client, UNKNOWN_CLASS);
+        assertEquals(RespTestBed.answer(client), "-ERR unknown class");
+        pass(() -> RespTestBed.say(client, RespTestBed.query(1, WAIT_MS)));
         assertToldNoMoreThanIsLeft();
     }
 }
--- a/gateway/src/test/java/opalcove/resp/WarmUpTest.java
+++ b/gateway/src/test/java/opalcove/resp/WarmUpTest.java
@@ -58,7 +58,7 @@
         } finally {
             heldUp.countDown();
         }
-        assertEquals(budget.leftMs(), 0);
+        assertEquals(budget.remainingMs(), 0);
     }
 
     private static void hold(CountDownLatch until) {
--- a/gateway/src/test/java/opalcove/transport/SocketPollerTest.java
+++ b/gateway/src/test/java/opalcove/transport/SocketPollerTest.java
@@ -14,7 +14,7 @@
 
     /** One turn: asks, waits so long, though it should have been no longer than that, and reads so many sockets. */
     private void turn(long sleepsAtMostMs, long waitsMs, int handled) throws Exception {
-        polls.asks();
+        polls.requests();
         polls.sleepsAtMost(TimeUnit.MILLISECONDS.toNanos(sleepsAtMostMs));
         TimeUnit.MILLISECONDS.sleep(waitsMs);
         polls.polled();
--- a/laboratory/src/main/java/opalcove/laboratory/ClusterScenario.java
+++ b/laboratory/src/main/java/opalcove/laboratory/ClusterScenario.java
@@ -61,27 +61,27 @@
     public static ClusterScenario read(Path file) {
         ConfigValidator check = new ConfigValidator(file);
         JsonFields fields = check.fields(KEYS);
-        List<String> members = check.ask(() -> fields.texts("members"), List.of());
+        List<String> members = check.valueOr(() -> fields.texts("members"), List.of());
         if (members.isEmpty() || members.size() > MOST_MEMBERS) {
             check.problem("field members must name 1 to " + MOST_MEMBERS + " members");
         }
-        List<String> seeds = check.ask(() -> fields.texts("seeds"), List.of());
+        List<String> seeds = check.valueOr(() -> fields.texts("seeds"), List.of());
         known(check, "seeds", seeds, members);
         List<String> voters =
-                check.ask(() -> fields.has("voters") ? fields.texts("voters") : List.<String>of(), List.of());
+                check.valueOr(() -> fields.has("voters") ? fields.texts("voters") : List.<String>of(), List.of());
         known(check, "voters", voters, members);
-        int leaseMs = check.ask(() -> fields.wholeOr("lease_ms", 2000), 2000);
+        int leaseMs = check.valueOr(() -> fields.wholeOr("lease_ms", 2000), 2000);
         if (leaseMs < 200 || leaseMs > 60_000 || !voters.isEmpty() && voters.size() % 2 == 0) {
             check.problem("field lease_ms must be from 200 to 60000, and voters an odd number of members");
         }
-        int probeMs = check.ask(() -> fields.wholeOr("probe_ms", 500), 500);
-        int mostS = check.ask(() -> fields.wholeOr("most_s", 60), 60);
+        int probeMs = check.valueOr(() -> fields.wholeOr("probe_ms", 500), 500);
+        int mostS = check.valueOr(() -> fields.wholeOr("most_s", 60), 60);
         if (probeMs < 20 || mostS < 1 || mostS > 3600) {
             check.problem("field probe_ms must be at least 20, and most_s from 1 to 3600");
         }
         List<Step> steps = new ArrayList<>();
-        for (JsonFields each : check.ask(() -> fields.objects("steps"), List.<JsonFields>of())) {
-            Step step = check.ask(() -> step(each, members), null);
+        for (JsonFields each : check.valueOr(() -> fields.objects("steps"), List.<JsonFields>of())) {
+            Step step = check.valueOr(() -> step(each, members), null);
             if (step != null) {
                 known(check, each.path() + ".who", step.who(), members);
                 known(check, each.path() + ".of", step.of(), members);
@@ -94,7 +94,7 @@
         if (steps.isEmpty()) {
             check.problem("field steps must hold a step");
         }
-        long seed = check.ask(() -> fields.has("seed") ? fields.serial("seed") : 1L, 1L);
+        long seed = check.valueOr(() -> fields.has("seed") ? fields.serial("seed") : 1L, 1L);
         check.end();
         return new ClusterScenario(seed, probeMs, seeds, voters, leaseMs, mostS * 1000L, steps);
     }
--- a/laboratory/src/main/java/opalcove/laboratory/ComparisonBenchmark.java
+++ b/laboratory/src/main/java/opalcove/laboratory/ComparisonBenchmark.java
@@ -136,11 +136,11 @@
                 try (Load load = new Load(plan.at(port), line -> {})) {
                     load.run(warm);
                     double before = cpuUs(program);
-                    LoadReport report = load.run(plan.asks());
-                    if (report.served() != plan.asks()) {
+                    LoadReport report = load.run(plan.requests());
+                    if (report.served() != plan.requests()) {
                         throw new IllegalStateException(runs.name() + ": not all asks were served\n" + report.table());
                     }
-                    runs.cpuUs().add((cpuUs(program) - before) / plan.asks());
+                    runs.cpuUs().add((cpuUs(program) - before) / plan.requests());
                     runs.memoryMb().add(memoryMb(program));
                 }
             } finally {
--- a/laboratory/src/main/java/opalcove/laboratory/CostRegressionCheck.java
+++ b/laboratory/src/main/java/opalcove/laboratory/CostRegressionCheck.java
@@ -34,7 +34,7 @@
             int valueBytes,
             double records,
             int bodyBytes,
-            int asks) {}
+            int requests) {}
 
     private static final List<Case> CASES = List.of(
             new Case("resp, alone, 500 a second, 16 B", false, 1, 500, 16, 0, 0, 2000),
@@ -58,7 +58,7 @@
                     1,
                     each.depth(),
                     each.rate(),
-                    each.asks(),
+                    each.requests(),
                     40,
                     each.records(),
                     each.bodyBytes(),
@@ -67,8 +67,8 @@
                     new Meter(plan, new Meter.Nodes(12, each.valueBytes(), 0), each.depth() > 1, WARM, progress)) {
                 Map<String, Double> row = new LinkedHashMap<>();
                 for (int i = 0; i < REPEATS; i++) {
-                    Meter.Costs costs = meter.measure(each.asks(), true);
-                    if (costs.load().served() != each.asks()) {
+                    Meter.Costs costs = meter.measure(each.requests(), true);
+                    if (costs.load().served() != each.requests()) {
                         throw new IllegalStateException(each.name() + ": not all asks were served");
                     }
                     row.merge("allocated bytes", costs.allocatedBytes(), Math::min);
--- a/laboratory/src/main/java/opalcove/laboratory/Load.java
+++ b/laboratory/src/main/java/opalcove/laboratory/Load.java
@@ -35,7 +35,7 @@
     /** One connection on some wire. */
     interface Wire {
         /** Writes an ask, without flushing. */
-        void ask(Channel channel, long number, long startedAt);
+        void request(Channel channel, long number, long startedAt);
     }
 
     private final EventLoopGroup group;
@@ -43,7 +43,7 @@
     private final Consumer<String> progress;
     private final List<Channel> channels = new ArrayList<>();
     private final List<Wire> wires = new ArrayList<>();
-    private final RequestGenerator asks;
+    private final RequestGenerator requests;
     private Histogram latency;
     private CompletableFuture<Void> done;
     private long due;
@@ -64,7 +64,7 @@
         this.group = group;
         this.plan = plan;
         this.progress = progress;
-        asks = new RequestGenerator(plan);
+        requests = new RequestGenerator(plan);
         for (int i = 0; i < plan.connections(); i++) {
             CompletableFuture<Wire> ready = new CompletableFuture<>();
             Bootstrap bootstrap = new Bootstrap()
@@ -75,9 +75,9 @@
                         @Override
                         protected void initChannel(Channel channel) {
                             if (plan.mqtt()) {
-                                MqttWire.open(channel, "load-" + channels.size(), asks, Load.this::answered, ready);
+                                MqttWire.open(channel, "load-" + channels.size(), requests, Load.this::answered, ready);
                             } else {
-                                RespWire.open(channel, asks, Load.this::answered, ready);
+                                RespWire.open(channel, requests, Load.this::answered, ready);
                             }
                         }
                     });
@@ -124,7 +124,7 @@
         long dueNow = Math.min(due, (long) ((System.nanoTime() - startedAt) / 1e9 * plan.rate()) + 1);
         while (sent < dueNow) {
             int i = next++ % channels.size();
-            wires.get(i).ask(channels.get(i), numbers++, startedAt + (long) (sent++ / plan.rate() * 1e9));
+            wires.get(i).request(channels.get(i), numbers++, startedAt + (long) (sent++ / plan.rate() * 1e9));
         }
         channels.forEach(Channel::flush);
         if (sent < due) {
@@ -135,7 +135,7 @@
     private void fill(int i, int number) {
         for (int k = 0; k < number && sent < due; k++) {
             sent++;
-            wires.get(i).ask(channels.get(i), numbers++, System.nanoTime());
+            wires.get(i).request(channels.get(i), numbers++, System.nanoTime());
         }
         channels.get(i).flush();
     }
--- a/laboratory/src/main/java/opalcove/laboratory/LoadPlan.java
+++ b/laboratory/src/main/java/opalcove/laboratory/LoadPlan.java
@@ -12,8 +12,8 @@
         int connections,
         int depth,
         double rate,
-        int asks,
-        int operators,
+        int requests,
+        int tenants,
         double records,
         int bodyBytes,
         int waitMs) {
@@ -26,8 +26,8 @@
         need(connections >= 1 && connections <= 10_000, "connections must be from 1 to 10,000");
         need(depth >= 1 && depth <= 256, "the depth must be from 1 to 256");
         need(rate >= 0 && rate <= 1e6, "the rate must be from 0 to 1,000,000 asks a second");
-        need(asks >= 1, "there must be asks");
-        need(operators >= 1, "there must be operators");
+        need(requests >= 1, "there must be asks");
+        need(tenants >= 1, "there must be operators");
         need(records >= 0 && records <= 1, "the share of records must be from 0 to 1");
         need(bodyBytes >= 0 && bodyBytes <= 64 * 1024, "a body has 0 to 65,536 bytes");
         need(waitMs >= 100 && waitMs <= 7500, "the time to wait must be from 100 to 7,500 ms");
@@ -41,6 +41,6 @@
 
     LoadPlan at(int otherPort) {
         return new LoadPlan(
-                mqtt, host, otherPort, connections, depth, rate, asks, operators, records, bodyBytes, waitMs);
+                mqtt, host, otherPort, connections, depth, rate, requests, tenants, records, bodyBytes, waitMs);
     }
 }
--- a/laboratory/src/main/java/opalcove/laboratory/Meter.java
+++ b/laboratory/src/main/java/opalcove/laboratory/Meter.java
@@ -78,7 +78,7 @@
      * Starts gateway and node, opens the connections of the plan and warms the gateway with that many asks. In
      * lockstep the gateway's loop looks at its sockets only when load and node have done all they can.
      */
-    public Meter(LoadPlan plan, Nodes nodes, boolean lockstep, int warmAsks, Consumer<String> progress)
+    public Meter(LoadPlan plan, Nodes nodes, boolean lockstep, int warmUpRequests, Consumer<String> progress)
             throws Exception {
         Lockstep.Still nodeLoop = new Lockstep.Still();
         Lockstep.Still loadLoop = new Lockstep.Still();
@@ -100,7 +100,7 @@
         answers = gateway.inputReader(StandardCharsets.UTF_8);
         commands = new PrintStream(gateway.getOutputStream(), true, StandardCharsets.UTF_8);
         load = new Load(loadLoop.group(), plan.at(Integer.parseInt(line())), progress);
-        load.run(warmAsks);
+        load.run(warmUpRequests);
     }
 
     static String java() {
@@ -113,43 +113,43 @@
     }
 
     /** Counts over so many asks; objects by class only where asked for, which takes a pass over the heap. */
-    public Costs measure(int asks, boolean byClass) throws Exception {
-        ask("collect");
-        JsonObject classesBefore = byClass ? ask("classes") : Json.object();
-        JsonObject before = ask("mark");
-        LoadReport report = load.run(asks);
-        JsonObject after = ask("mark");
+    public Costs measure(int requests, boolean byClass) throws Exception {
+        request("collect");
+        JsonObject classesBefore = byClass ? request("classes") : Json.object();
+        JsonObject before = request("mark");
+        LoadReport report = load.run(requests);
+        JsonObject after = request("mark");
         if (byClass && after.getInt("collections", 0) != before.getInt("collections", 0)) {
             throw new IllegalStateException("garbage was collected on the way: objects can be counted over fewer asks");
         }
         Map<String, double[]> classes = new TreeMap<>();
         double objects = 0;
         if (byClass) {
-            for (JsonObject.Member each : ask("classes")) {
+            for (JsonObject.Member each : request("classes")) {
                 JsonArray was = classesBefore.get(each.getName()) == null
                         ? Json.array(0, 0)
                         : classesBefore.get(each.getName()).asArray();
                 JsonArray is = each.getValue().asArray();
                 double more = is.get(0).asDouble() - was.get(0).asDouble();
-                if (more / asks >= 0.01) {
-                    objects += more / asks;
+                if (more / requests >= 0.01) {
+                    objects += more / requests;
                     classes.put(each.getName(), new double[] {
-                        more / asks, (is.get(1).asDouble() - was.get(1).asDouble()) / asks
+                        more / requests, (is.get(1).asDouble() - was.get(1).asDouble()) / requests
                     });
                 }
             }
         }
         double timers = classes.getOrDefault("io.netty.util.concurrent.ScheduledFutureTask", new double[2])[0];
         return new Costs(
-                each(after, before, "allocated", asks),
+                each(after, before, "allocated", requests),
                 objects,
-                each(after, before, "reads", asks),
-                each(after, before, "writes", asks),
-                each(after, before, "waits", asks),
-                each(after, before, "tasks", asks),
+                each(after, before, "reads", requests),
+                each(after, before, "writes", requests),
+                each(after, before, "waits", requests),
+                each(after, before, "tasks", requests),
                 timers,
-                each(after, before, "copied_out", asks),
-                each(after, before, "cpu_ns", asks) / 1000,
+                each(after, before, "copied_out", requests),
+                each(after, before, "cpu_ns", requests) / 1000,
                 classes,
                 report);
     }
@@ -158,33 +158,33 @@
     public record Check(String what, double meter, double strace) {}
 
     /** Counts over so many asks once more, with strace attached. Fails where strace is not there or may not attach. */
-    public List<Check> verify(int asks) throws Exception {
+    public List<Check> verify(int requests) throws Exception {
         if (!Strace.isThere()) {
             throw new IOException("there is no strace on this machine");
         }
         try (Strace strace = new Strace(gateway.pid())) {
-            Costs costs = measure(asks, false);
+            Costs costs = measure(requests, false);
             Map<String, Long> calls = strace.stop();
             return List.of(
-                    new Check("reads", costs.reads(), sum(calls, asks, "read", "readv", "recvfrom", "recvmsg")),
-                    new Check("writes", costs.writes(), sum(calls, asks, "write", "writev", "sendto", "sendmsg")),
-                    new Check("waits", costs.waits(), sum(calls, asks, "epoll_wait", "epoll_pwait")));
+                    new Check("reads", costs.reads(), sum(calls, requests, "read", "readv", "recvfrom", "recvmsg")),
+                    new Check("writes", costs.writes(), sum(calls, requests, "write", "writev", "sendto", "sendmsg")),
+                    new Check("waits", costs.waits(), sum(calls, requests, "epoll_wait", "epoll_pwait")));
         }
     }
 
-    private static double sum(Map<String, Long> calls, int asks, String... names) {
+    private static double sum(Map<String, Long> calls, int requests, String... names) {
         double sum = 0;
         for (String each : names) {
             sum += calls.getOrDefault(each, 0L);
         }
-        return sum / asks;
+        return sum / requests;
     }
 
-    private static double each(JsonObject after, JsonObject before, String name, int asks) {
-        return (after.getDouble(name, 0) - before.getDouble(name, 0)) / asks;
+    private static double each(JsonObject after, JsonObject before, String name, int requests) {
+        return (after.getDouble(name, 0) - before.getDouble(name, 0)) / requests;
     }
 
-    private JsonObject ask(String command) throws IOException {
+    private JsonObject request(String command) throws IOException {
         commands.println(command);
         return Json.parse(line()).asObject();
     }
--- a/laboratory/src/main/java/opalcove/laboratory/MeteredGateway.java
+++ b/laboratory/src/main/java/opalcove/laboratory/MeteredGateway.java
@@ -95,7 +95,7 @@
                         new Endpoint("node-" + i, settings.zone(), "std-3", i, EndpointState.UP, 1, 0),
                         "127.0.0.1:" + nodePort));
             }
-            gateway.nodesTold(true, list);
+            gateway.endpointsChanged(true, list);
             HostAndPort any = new HostAndPort("127.0.0.1", 0);
             Future<Integer> listening = kind.equals("mqtt")
                     ? new MqttRequestServer(vertx, gateway, phases, clock, 1000).listen(any)
--- a/laboratory/src/main/java/opalcove/laboratory/MqttWire.java
+++ b/laboratory/src/main/java/opalcove/laboratory/MqttWire.java
@@ -28,7 +28,7 @@
     private static final int MOST_PACKET = 80 * 1024;
 
     private final String client;
-    private final RequestGenerator asks;
+    private final RequestGenerator requests;
     private final Load.Answers answers;
     private final CompletableFuture<Load.Wire> ready;
     private final byte[] body;
@@ -38,23 +38,26 @@
     private int number;
     private int packets;
 
-    private MqttWire(String client, RequestGenerator asks, Load.Answers answers, CompletableFuture<Load.Wire> ready) {
+    private MqttWire(
+            String client, RequestGenerator requests, Load.Answers answers, CompletableFuture<Load.Wire> ready) {
         this.client = client;
-        this.asks = asks;
+        this.requests = requests;
         this.answers = answers;
         this.ready = ready;
-        body = asks.body();
+        body = requests.body();
     }
 
     static void open(
             Channel channel,
             String client,
-            RequestGenerator asks,
+            RequestGenerator requests,
             Load.Answers answers,
             CompletableFuture<Load.Wire> ready) {
         channel.pipeline()
                 .addLast(
-                        MqttEncoder.INSTANCE, new MqttDecoder(MOST_PACKET), new MqttWire(client, asks, answers, ready));
+                        MqttEncoder.INSTANCE,
+                        new MqttDecoder(MOST_PACKET),
+                        new MqttWire(client, requests, answers, ready));
     }
 
     @Override
@@ -68,21 +71,21 @@
     }
 
     @Override
-    public void ask(Channel channel, long n, long started) {
-        String correlation = asks.id(n);
-        boolean record = asks.record(n);
+    public void request(Channel channel, long n, long started) {
+        String correlation = requests.id(n);
+        boolean record = requests.record(n);
         open.put(correlation, started);
         MqttProperties properties = new MqttProperties();
         properties.add(new StringProperty(MqttProperties.RESPONSE_TOPIC, "answers/" + client));
         properties.add(
                 new BinaryProperty(MqttProperties.CORRELATION_DATA, correlation.getBytes(StandardCharsets.US_ASCII)));
-        properties.add(new UserProperty("operator", asks.operator(n)));
-        properties.add(new UserProperty("plan", asks.operatorsPlan(n)));
+        properties.add(new UserProperty("operator", requests.tenant(n)));
+        properties.add(new UserProperty("plan", requests.operatorsPlan(n)));
         properties.add(new UserProperty("units", "1"));
         properties.add(new UserProperty("entry-points", "1"));
         properties.add(new UserProperty("first-entry", "0"));
         if (record) {
-            properties.add(new UserProperty("key", asks.key(n)));
+            properties.add(new UserProperty("key", requests.key(n)));
         }
         packets = packets % 65_535 + 1;
         channel.write(MqttMessageBuilders.publish()
--- a/laboratory/src/main/java/opalcove/laboratory/RequestGenerator.java
+++ b/laboratory/src/main/java/opalcove/laboratory/RequestGenerator.java
@@ -13,8 +13,8 @@
         return Math.floor((number + 1) * plan.records()) > Math.floor(number * plan.records());
     }
 
-    String operator(long number) {
-        return hex(number % plan.operators());
+    String tenant(long number) {
+        return hex(number % plan.tenants());
     }
 
     /** An id that no other run of this machine has used of late. */
@@ -27,7 +27,7 @@
     }
 
     String operatorsPlan(long number) {
-        return number % plan.operators() % 2 == 0 ? "start" : "flotte";
+        return number % plan.tenants() % 2 == 0 ? "start" : "flotte";
     }
 
     byte[] body() {
--- a/laboratory/src/main/java/opalcove/laboratory/RespWire.java
+++ b/laboratory/src/main/java/opalcove/laboratory/RespWire.java
@@ -13,7 +13,7 @@
 final class RespWire extends ByteToMessageDecoder implements Load.Wire {
     private static final int MOST_OUT = 1 << 16;
 
-    private final RequestGenerator asks;
+    private final RequestGenerator requests;
     private final Load.Answers answers;
     private final byte[] body;
     private final long[] startedAt = new long[MOST_OUT];
@@ -23,30 +23,32 @@
     private int answered;
     private int number;
 
-    private RespWire(RequestGenerator asks, Load.Answers answers) {
-        this.asks = asks;
+    private RespWire(RequestGenerator requests, Load.Answers answers) {
+        this.requests = requests;
         this.answers = answers;
-        body = asks.body();
+        body = requests.body();
     }
 
-    static void open(Channel channel, RequestGenerator asks, Load.Answers answers, CompletableFuture<Load.Wire> ready) {
-        RespWire wire = new RespWire(asks, answers);
+    static void open(
+            Channel channel, RequestGenerator requests, Load.Answers answers, CompletableFuture<Load.Wire> ready) {
+        RespWire wire = new RespWire(requests, answers);
         channel.pipeline().addLast(wire);
         ready.complete(wire);
     }
 
     @Override
-    public void ask(Channel channel, long n, long started) {
+    public void request(Channel channel, long n, long started) {
         startedAt[out++ & MOST_OUT - 1] = started;
-        boolean record = asks.record(n);
-        String marks = (record ? "c=swap-record,k=" + asks.key(n) : "c=slot-status") + ",t=" + asks.operatorsPlan(n)
-                + ",d=" + asks.waitMs() + ",units=1,spread=1,first=0";
+        boolean record = requests.record(n);
+        String marks = (record ? "c=swap-record,k=" + requests.key(n) : "c=slot-status") + ",t="
+                + requests.operatorsPlan(n) + ",d=" + requests.waitMs() + ",units=1,spread=1,first=0";
         ByteBuf bytes = channel.alloc().directBuffer(160 + (record ? body.length : 0));
         ByteBufUtil.writeAscii(
                 bytes, record ? "*5\r\n$10\r\nSVC.SUBMIT\r\n$16\r\n" : "*4\r\n$9\r\nSVC.QUERY\r\n$16\r\n");
         ByteBufUtil.writeAscii(
                 bytes,
-                asks.operator(n) + "\r\n$16\r\n" + asks.id(n) + "\r\n$" + marks.length() + "\r\n" + marks + "\r\n");
+                requests.tenant(n) + "\r\n$16\r\n" + requests.id(n) + "\r\n$" + marks.length() + "\r\n" + marks
+                        + "\r\n");
         if (record) {
             ByteBufUtil.writeAscii(bytes, "$" + body.length + "\r\n");
             bytes.writeBytes(body);
--- a/mqtt/src/main/java/opalcove/mqtt/MqttConfig.java
+++ b/mqtt/src/main/java/opalcove/mqtt/MqttConfig.java
@@ -18,9 +18,9 @@
         String name,
         HostAndPort listen,
         HostAndPort control,
-        int mostTerminals,
+        int maxClients,
         int mostLinks,
-        List<Backend> nodes,
+        List<Backend> backends,
         DecisionSettings settings) {
     private static final Set<String> KEYS =
             Set.of("name", "listen", "max_terminals", "max_node_links", "nodes", "control", "settings");
@@ -29,15 +29,15 @@
     public static MqttConfig read(Path file) {
         ConfigValidator check = new ConfigValidator(file);
         JsonFields fields = check.fields(KEYS);
-        String name = check.ask(() -> fields.textOr("name", "opalcove"), "");
-        HostAndPort listen = check.ask(() -> HostAndPort.read(fields.text("listen"), "listen"), null);
-        HostAndPort control = check.ask(() -> control(fields), null);
-        int terminals = check.ask(() -> between(fields, "max_terminals", 200), 0);
-        int links = check.ask(() -> between(fields, "max_node_links", 200), 0);
-        List<Backend> nodes = check.ask(() -> nodes(fields), List.of());
-        DecisionSettings settings = check.ask(() -> SettingsReader.checked(fields.object("settings")), null);
+        String name = check.valueOr(() -> fields.textOr("name", "opalcove"), "");
+        HostAndPort listen = check.valueOr(() -> HostAndPort.read(fields.text("listen"), "listen"), null);
+        HostAndPort control = check.valueOr(() -> control(fields), null);
+        int clients = check.valueOr(() -> between(fields, "max_terminals", 200), 0);
+        int links = check.valueOr(() -> between(fields, "max_node_links", 200), 0);
+        List<Backend> backends = check.valueOr(() -> backends(fields), List.of());
+        DecisionSettings settings = check.valueOr(() -> SettingsReader.checked(fields.object("settings")), null);
         check.end();
-        return new MqttConfig(name, listen, control, terminals, links, nodes, settings);
+        return new MqttConfig(name, listen, control, clients, links, backends, settings);
     }
 
     /** Where plans are taken; it asks for no credentials, so it may be reached from this machine alone. */
@@ -61,25 +61,25 @@
         return value;
     }
 
-    private static List<Backend> nodes(JsonFields fields) {
-        List<Backend> nodes = EndpointCodec.read(fields.objects("nodes"));
+    private static List<Backend> backends(JsonFields fields) {
+        List<Backend> backends = EndpointCodec.read(fields.objects("nodes"));
         Set<String> names = new HashSet<>();
-        for (int i = 0; i < nodes.size(); i++) {
+        for (int i = 0; i < backends.size(); i++) {
             String key = "nodes[" + i + "]";
-            Backend node = nodes.get(i);
-            if (!names.add(node.name())) {
-                throw new InvalidConfigurationException("field " + key + ".name is there twice: " + node.name());
+            Backend backend = backends.get(i);
+            if (!names.add(backend.name())) {
+                throw new InvalidConfigurationException("field " + key + ".name is there twice: " + backend.name());
             }
-            String address = node.address();
+            String address = backend.address();
             HostAndPort.read(
                     address.startsWith(MqttConnector.SCHEME)
                             ? address.substring(MqttConnector.SCHEME.length())
                             : address,
                     key + ".address");
         }
-        if (nodes.isEmpty()) {
+        if (backends.isEmpty()) {
             throw new InvalidConfigurationException("field nodes names no app node");
         }
-        return nodes;
+        return backends;
     }
 }
--- a/mqtt/src/main/java/opalcove/mqtt/MqttConnector.java
+++ b/mqtt/src/main/java/opalcove/mqtt/MqttConnector.java
@@ -57,7 +57,7 @@
     public MqttConnector(Vertx vertx, DecisionSettings settings, String name) {
         this.vertx = vertx;
         this.name = name;
-        dialMs = (long) Math.max(1, settings.limits().dialTimeoutMs());
+        dialMs = (long) Math.max(1, settings.limits().connectTimeoutMs());
         gauges = settings.gauges();
         client = vertx.createNetClient(
                 new NetClientOptions().setReconnectAttempts(0).setConnectTimeout((int) dialMs));
@@ -65,9 +65,9 @@
 
     @Override
     public Future<ConnectionPool.BackendConnection> dial(String address) {
-        HostAndPort node = HostAndPort.read(address.substring(SCHEME.length()), "address");
+        HostAndPort backend = HostAndPort.read(address.substring(SCHEME.length()), "address");
         Promise<ConnectionPool.BackendConnection> ready = Promise.promise();
-        client.connect(node.port(), node.address())
+        client.connect(backend.port(), backend.address())
                 .onSuccess(socket -> {
                     MqttLine line = new MqttLine(socket, name + "-" + ++lines, ready);
                     // Guards against a node that takes the connection and says nothing.
@@ -114,17 +114,17 @@
         }
 
         @Override
-        public void send(Request ask, double waitMs) {
-            correlation = RequestMessage.correlation(ask);
+        public void send(Request request, double waitMs) {
+            correlation = RequestMessage.correlation(request);
             socket.writeMessage(MqttMessageBuilders.publish()
-                            .topicName(RequestMessage.TOPIC + ask.requestClass())
+                            .topicName(RequestMessage.TOPIC + request.requestClass())
                             .qos(MqttQoS.AT_LEAST_ONCE)
                             .messageId(MESSAGE_ID)
-                            .properties(RequestMessage.properties(ask, waitMs, responseTopic))
+                            .properties(RequestMessage.properties(request, waitMs, responseTopic))
                             .payload(
-                                    ask.body() == null
+                                    request.body() == null
                                             ? Unpooled.EMPTY_BUFFER
-                                            : ask.body().retainedDuplicate())
+                                            : request.body().retainedDuplicate())
                             .build())
                     .onFailure(cut -> user.unwritten());
         }
--- a/mqtt/src/main/java/opalcove/mqtt/MqttGateway.java
+++ b/mqtt/src/main/java/opalcove/mqtt/MqttGateway.java
@@ -27,9 +27,9 @@
             RequestDispatcher gateway =
                     new RequestDispatcher(vertx, clock, config.settings(), System.nanoTime(), links);
             MqttRequestServer front =
-                    new MqttRequestServer(vertx, gateway, program.phases(), clock, config.mostTerminals());
+                    new MqttRequestServer(vertx, gateway, program.phases(), clock, config.maxClients());
             program.atEnd(gateway, front::drain);
-            gateway.nodesTold(true, config.nodes());
+            gateway.endpointsChanged(true, config.backends());
             Future<Integer> desk = config.control() == null
                     ? Future.succeededFuture(0)
                     : new PlanControlService(vertx, gateway).listen(config.control());
--- a/mqtt/src/main/java/opalcove/mqtt/MqttRequestServer.java
+++ b/mqtt/src/main/java/opalcove/mqtt/MqttRequestServer.java
@@ -46,7 +46,7 @@
     private final Lifecycle phases;
     private final Clock clock;
     private final MqttServer server;
-    private final Map<String, Terminal> terminals = new HashMap<>();
+    private final Map<String, Terminal> clients = new HashMap<>();
     private final Map<String, OpenAsk> open = new HashMap<>();
     private final ResponseCache recent = new ResponseCache();
     private Runnable whenEmpty = () -> {};
@@ -54,15 +54,15 @@
     /**
      * Serves MQTT clients from this gateway.
      *
-     * @param mostTerminals how many client connections may be open at once
+     * @param maxClients how many client connections may be open at once
      */
-    public MqttRequestServer(Vertx vertx, RequestDispatcher gateway, Lifecycle phases, Clock clock, int mostTerminals) {
+    public MqttRequestServer(Vertx vertx, RequestDispatcher gateway, Lifecycle phases, Clock clock, int maxClients) {
         this.gateway = gateway;
         this.phases = phases;
         this.clock = clock;
         server = MqttServer.create(vertx, new MqttServerOptions().setMaxMessageSize(MOST_PACKET));
         server.exceptionHandler(e -> Logger.debug("a connection is no terminal's: {}", e.getMessage()));
-        server.endpointHandler(endpoint -> connect(endpoint, mostTerminals));
+        server.endpointHandler(endpoint -> connect(endpoint, maxClients));
     }
 
     /** Opens the front; gives the port. */
@@ -73,12 +73,12 @@
     /** Turns new terminals away and parts from each that is owed nothing; runs the action once none is left. */
     public void drain(Runnable action) {
         whenEmpty = action;
-        List.copyOf(terminals.values()).forEach(Terminal::partIfIdle);
+        List.copyOf(clients.values()).forEach(Terminal::partIfIdle);
         checkEmpty();
     }
 
     private void checkEmpty() {
-        if (draining() && terminals.isEmpty() && open.isEmpty()) {
+        if (draining() && clients.isEmpty() && open.isEmpty()) {
             server.close();
             whenEmpty.run();
         }
@@ -88,13 +88,13 @@
         return phases.now().ordinal() >= Lifecycle.Phase.DRAINING.ordinal();
     }
 
-    private void connect(MqttEndpoint endpoint, int mostTerminals) {
+    private void connect(MqttEndpoint endpoint, int maxClients) {
         if (endpoint.protocolVersion() != 5) {
             endpoint.reject(MqttConnectReturnCode.CONNECTION_REFUSED_UNACCEPTABLE_PROTOCOL_VERSION);
             return;
         }
-        Terminal before = terminals.get(endpoint.clientIdentifier());
-        if (draining() || before == null && terminals.size() >= mostTerminals) {
+        Terminal before = clients.get(endpoint.clientIdentifier());
+        if (draining() || before == null && clients.size() >= maxClients) {
             endpoint.reject(
                     draining()
                             ? MqttConnectReturnCode.CONNECTION_REFUSED_SERVER_UNAVAILABLE_5
@@ -104,7 +104,7 @@
         if (before != null) {
             before.part(MqttDisconnectReasonCode.SESSION_TAKEN_OVER);
         }
-        terminals.put(endpoint.clientIdentifier(), new Terminal(endpoint));
+        clients.put(endpoint.clientIdentifier(), new Terminal(endpoint));
     }
 
     /** An ask under way, and the connection and packet by which it was delivered last. */
@@ -114,7 +114,7 @@
         double until;
         final String responseTopic;
         final byte[] correlation;
-        Terminal terminal;
+        Terminal client;
         MqttQoS qos;
         int messageId;
 
@@ -129,12 +129,12 @@
             open.remove(id);
             ResponseMessage message = ResponseMessage.of(answer, correlation);
             recent.keep(id, message, clock.now(), until);
-            terminal.answer(this, message);
+            client.answer(this, message);
             checkEmpty();
         }
 
         void deliveredBy(Terminal by, MqttPublishMessage message) {
-            terminal = by;
+            client = by;
             qos = message.qosLevel();
             messageId = message.messageId();
         }
@@ -210,25 +210,25 @@
                     known.deliveredBy(this, message);
                     gateway.joined();
                 } else {
-                    OpenAsk ask = new OpenAsk(id, responseTopic, correlation);
-                    ask.deliveredBy(this, message);
+                    OpenAsk request = new OpenAsk(id, responseTopic, correlation);
+                    request.deliveredBy(this, message);
                     if (given != null) {
                         gateway.joined();
-                        answer(ask, given);
+                        answer(request, given);
                     } else {
-                        take(id, ask, message);
+                        take(id, request, message);
                     }
                 }
             }
         }
 
         private void take(String id, OpenAsk opened, MqttPublishMessage message) {
-            Request ask;
+            Request request;
             try {
-                ask = RequestMessage.read(
+                request = RequestMessage.read(
                         gateway.rules(), id, message.topicName(), message.properties(), message.payload());
                 Idempotency effect =
-                        gateway.rules().requestClass(ask.requestClass()).effect();
+                        gateway.rules().requestClass(request.requestClass()).effect();
                 if (message.isDup() && effect != Idempotency.SAFE) {
                     // Guards against a second effect: who had the first delivery, and when, is not known here any more.
                     throw new InvalidRequestException("redelivered after its time, it may have had its effect");
@@ -237,24 +237,30 @@
                 answer(opened, ResponseMessage.of(new Response.Failed(e.getMessage()), opened.correlation));
                 return;
             }
-            if (open.values().stream().filter(each -> each.terminal == this).count() >= MOST_OPEN) {
+            if (open.values().stream().filter(each -> each.client == this).count() >= MOST_OPEN) {
                 part(MqttDisconnectReasonCode.RECEIVE_MAXIMUM_EXCEEDED);
                 return;
             }
             open.put(id, opened);
-            opened.until = clock.now() + ask.waitMs();
-            opened.underWay = gateway.serve(ask, opened);
+            opened.until = clock.now() + request.waitMs();
+            opened.underWay = gateway.serve(request, opened);
         }
 
         /** Publishes the answer and then settles the ask. Where the terminal is away it asks for it by redelivery. */
-        private void answer(OpenAsk ask, ResponseMessage answer) {
+        private void answer(OpenAsk request, ResponseMessage answer) {
             if (endpoint.isConnected()) {
                 messages = messages % 65_535 + 1;
                 endpoint.publish(
-                        ask.responseTopic, answer.payload(), ask.qos, false, false, messages, answer.properties());
-                if (ask.qos == MqttQoS.AT_LEAST_ONCE) {
+                        request.responseTopic,
+                        answer.payload(),
+                        request.qos,
+                        false,
+                        false,
+                        messages,
+                        answer.properties());
+                if (request.qos == MqttQoS.AT_LEAST_ONCE) {
                     endpoint.publishAcknowledge(
-                            ask.messageId, MqttPubAckReasonCode.SUCCESS, MqttProperties.NO_PROPERTIES);
+                            request.messageId, MqttPubAckReasonCode.SUCCESS, MqttProperties.NO_PROPERTIES);
                 }
                 partIfIdle();
             }
@@ -271,7 +277,7 @@
         }
 
         void partIfIdle() {
-            if (draining() && open.values().stream().noneMatch(each -> each.terminal == this)) {
+            if (draining() && open.values().stream().noneMatch(each -> each.client == this)) {
                 part(MqttDisconnectReasonCode.SERVER_SHUTTING_DOWN);
             }
         }
@@ -284,9 +290,9 @@
 
         /** Asks of QoS 0 cannot come again and go along; the others are finished, for the terminal may come back. */
         private void gone() {
-            terminals.remove(endpoint.clientIdentifier(), this);
+            clients.remove(endpoint.clientIdentifier(), this);
             for (OpenAsk each : List.copyOf(open.values())) {
-                if (each.terminal == this && each.qos == MqttQoS.AT_MOST_ONCE) {
+                if (each.client == this && each.qos == MqttQoS.AT_MOST_ONCE) {
                     open.remove(each.id);
                     each.underWay.leave();
                 }
--- a/mqtt/src/main/java/opalcove/mqtt/RequestMessage.java
+++ b/mqtt/src/main/java/opalcove/mqtt/RequestMessage.java
@@ -77,29 +77,29 @@
     }
 
     /** The properties of the publication that passes the ask on. Its expiry is in whole seconds, rounded up. */
-    static MqttProperties properties(Request ask, double waitMs, String responseTopic) {
+    static MqttProperties properties(Request request, double waitMs, String responseTopic) {
         MqttProperties properties = new MqttProperties();
         properties.add(new IntegerProperty(
                 MqttProperties.PUBLICATION_EXPIRY_INTERVAL, (int) Math.max(1, Math.ceil(waitMs / 1000))));
         properties.add(new StringProperty(MqttProperties.RESPONSE_TOPIC, responseTopic));
-        properties.add(new BinaryProperty(MqttProperties.CORRELATION_DATA, correlation(ask)));
-        properties.add(new UserProperty("operator", ask.operator()));
-        properties.add(new UserProperty("plan", ask.plan()));
-        properties.add(new UserProperty("units", ask.unitsText()));
-        properties.add(new UserProperty("entry-points", Integer.toString(ask.gateways())));
-        properties.add(new UserProperty("first-entry", Integer.toString(ask.firstGateway())));
-        if (ask.key() != null) {
-            properties.add(new UserProperty("key", ask.key()));
+        properties.add(new BinaryProperty(MqttProperties.CORRELATION_DATA, correlation(request)));
+        properties.add(new UserProperty("operator", request.tenant()));
+        properties.add(new UserProperty("plan", request.plan()));
+        properties.add(new UserProperty("units", request.unitsText()));
+        properties.add(new UserProperty("entry-points", Integer.toString(request.gateways())));
+        properties.add(new UserProperty("first-entry", Integer.toString(request.firstGateway())));
+        if (request.key() != null) {
+            properties.add(new UserProperty("key", request.key()));
         }
-        if (ask.retry()) {
+        if (request.retry()) {
             properties.add(new UserProperty("retry", "1"));
         }
         return properties;
     }
 
     /** What ties a node's answer to an ask. */
-    static byte[] correlation(Request ask) {
-        return ask.id().getBytes(StandardCharsets.US_ASCII);
+    static byte[] correlation(Request request) {
+        return request.id().getBytes(StandardCharsets.US_ASCII);
     }
 
     /** The user properties by name; of a name that comes twice, the last counts. */
--- a/mqtt/src/main/java/opalcove/plan/EndpointPlan.java
+++ b/mqtt/src/main/java/opalcove/plan/EndpointPlan.java
@@ -22,18 +22,18 @@
     /** The changes that lead from one list to the other. */
     static List<Backend> between(List<Backend> now, List<Backend> wanted) {
         Map<String, Backend> left = new LinkedHashMap<>();
-        now.forEach(node -> left.put(node.name(), node));
+        now.forEach(backend -> left.put(backend.name(), backend));
         List<Backend> changes = new ArrayList<>();
-        for (Backend node : wanted) {
-            if (!node.equals(left.remove(node.name()))) {
-                changes.add(node);
+        for (Backend backend : wanted) {
+            if (!backend.equals(left.remove(backend.name()))) {
+                changes.add(backend);
             }
         }
-        for (Backend node : left.values()) {
-            Endpoint h = node.host();
+        for (Backend backend : left.values()) {
+            Endpoint h = backend.host();
             changes.add(new Backend(
                     new Endpoint(h.id(), h.zone(), h.kind(), h.cell(), EndpointState.REMOVED, h.size(), h.startedMs()),
-                    node.address()));
+                    backend.address()));
         }
         return changes;
     }
--- a/mqtt/src/main/java/opalcove/plan/PlanControlService.java
+++ b/mqtt/src/main/java/opalcove/plan/PlanControlService.java
@@ -39,7 +39,7 @@
     private void request(HttpServerRequest request) {
         String what = request.method() + " " + request.path();
         if (what.equals("GET /v1/endpoints")) {
-            answer(request, 200, EndpointCodec.write(index, true, gateway.nodes()) + "\n");
+            answer(request, 200, EndpointCodec.write(index, true, gateway.backends()) + "\n");
         } else if (what.equals("GET /v1/counters")) {
             answer(request, 200, gateway.figures());
         } else if (request.path().equals("/v1/endpoints") && request.method() == HttpMethod.POST) {
@@ -73,7 +73,7 @@
         }
         if (!plan.changes().isEmpty()) {
             index++;
-            gateway.nodesTold(false, plan.changes());
+            gateway.endpointsChanged(false, plan.changes());
         }
         Logger.info(
                 "applied {} changes, the node list has index {}", plan.changes().size(), index);
--- a/mqtt/src/test/java/opalcove/ExchangeTest.java
+++ b/mqtt/src/test/java/opalcove/ExchangeTest.java
@@ -50,10 +50,10 @@
  * one core. A line is
  * {@code PARTY > bytes} (the party sends), {@code PARTY >> bytes} (byte by byte), {@code PARTY < bytes} (the party
  * receives just these; {n} stands for digits, {any} for anything), {@code PARTY closed} (sees the end of its
- * connection), {@code PARTY close}, {@code list NODE STATE POD ...}, {@code node NODE refuses}, {@code discovery}
+ * connection), {@code PARTY close}, {@code list NODE STATE POD ...}, {@code backend NODE refuses}, {@code discovery}
  * (the gateway follows it from now on, as an agent's pushed list; {@code discovery asked}: as a service's), {@code stall MS} (from now on the event loop is held up for so long),
  * {@code counters A=1 B=2} (the figures come to be so), {@code phase NAME} or {@code stopped} (the front has drained). A party is
- * {@code terminal/1}, {@code mqtt-terminal/1} or, for the first connection to a node, {@code n1/1}; nodes whose names
+ * {@code client/1}, {@code mqtt-client/1} or, for the first connection to a node, {@code n1/1}; nodes whose names
  * begin with m are MQTT servers. The bytes of MQTT parties
  * are written as {@link MqttText}.
  */
@@ -101,7 +101,7 @@
         private final CompletableFuture<Integer> stallPort = new CompletableFuture<>();
         private final SynchronousQueue<Integer> stalls = new SynchronousQueue<>();
         private final Lifecycle phases = new Lifecycle();
-        private final Map<String, ServerSocket> nodes = new HashMap<>();
+        private final Map<String, ServerSocket> backends = new HashMap<>();
         private final Map<String, Socket> parties = new HashMap<>();
         private final Map<String, String> unread = new HashMap<>();
         private final Map<String, MqttText> packets = new HashMap<>();
@@ -115,7 +115,7 @@
         private boolean listed;
 
         Stage() throws Exception {
-            discovery = new HostAndPort("127.0.0.1", node("discovery").getLocalPort());
+            discovery = new HostAndPort("127.0.0.1", backend("discovery").getLocalPort());
             onLoop(() -> {
                 DecisionSettings settings = TestSettings.settings();
                 ConnectionPool.Connector resp = new RespConnector(vertx, settings);
@@ -160,7 +160,7 @@
             String[] words = line.split(" ", 3);
             switch (words[0]) {
                 case "list" -> list(line.split(" "));
-                case "node" -> node(words[1]).close();
+                case "node" -> backend(words[1]).close();
                 case "discovery" ->
                     onLoop(() -> new DiscoveryClient(
                                     vertx,
@@ -169,7 +169,7 @@
                                             ? TestSettings.settings()
                                             : TestSettings.settingsOfAListThatIsAskedFor(),
                                     new SplittableRandom(1),
-                                    gateway::nodesTold)
+                                    gateway::endpointsChanged)
                             .start());
                 case "phase" ->
                     onLoop(() -> {
@@ -201,11 +201,11 @@
             }
         }
 
-        private ServerSocket node(String name) throws IOException {
-            if (!nodes.containsKey(name)) {
-                nodes.put(name, new ServerSocket(0, 50, InetAddress.getLoopbackAddress()));
+        private ServerSocket backend(String name) throws IOException {
+            if (!backends.containsKey(name)) {
+                backends.put(name, new ServerSocket(0, 50, InetAddress.getLoopbackAddress()));
             }
-            return nodes.get(name);
+            return backends.get(name);
         }
 
         /** The state by its word in the recorded exchanges. */
@@ -221,11 +221,11 @@
                         new Endpoint(
                                 words[i], "room-a", "std-3", Integer.parseInt(words[i + 2]), state(words[i + 1]), 1, 0),
                         (words[i].startsWith("m") ? "mqtt://" : "") + "127.0.0.1:"
-                                + node(words[i]).getLocalPort()));
+                                + backend(words[i]).getLocalPort()));
             }
             boolean whole = !listed;
             listed = true;
-            onLoop(() -> gateway.nodesTold(whole, lines));
+            onLoop(() -> gateway.endpointsChanged(whole, lines));
         }
 
         /** The figures may come to this a little later, so they are asked for until they have. */
@@ -268,7 +268,7 @@
         private String addresses(String text) throws IOException {
             return Pattern.compile("\\{(n\\d)}").matcher(text).replaceAll(m -> {
                 try {
-                    return "127.0.0.1:" + node(m.group(1)).getLocalPort();
+                    return "127.0.0.1:" + backend(m.group(1)).getLocalPort();
                 } catch (IOException e) {
                     throw new UncheckedIOException(e);
                 }
@@ -286,9 +286,9 @@
                             InetAddress.getLoopbackAddress(),
                             (party.startsWith("m") ? mqttPort : port).get(PATIENCE_MS, TimeUnit.MILLISECONDS));
                 } else {
-                    ServerSocket node = node(party.substring(0, party.indexOf('/')));
-                    node.setSoTimeout(PATIENCE_MS);
-                    socket = node.accept();
+                    ServerSocket backend = backend(party.substring(0, party.indexOf('/')));
+                    backend.setSoTimeout(PATIENCE_MS);
+                    socket = backend.accept();
                 }
                 socket.setTcpNoDelay(true);
                 socket.setSoTimeout(PATIENCE_MS);
@@ -355,7 +355,7 @@
             for (Socket each : parties.values()) {
                 each.close();
             }
-            for (ServerSocket each : nodes.values()) {
+            for (ServerSocket each : backends.values()) {
                 each.close();
             }
             vertx.close()
--- a/mqtt/src/test/java/opalcove/MqttBackendsTest.java
+++ b/mqtt/src/test/java/opalcove/MqttBackendsTest.java
@@ -42,7 +42,7 @@
 
     private final Vertx vertx = Vertx.vertx();
     private final Clock clock = new Clock();
-    private final Map<String, Node> nodes = new HashMap<>();
+    private final Map<String, Node> backends = new HashMap<>();
     /** By ask, the attempts that nodes have received, and those that are out now. */
     private final Map<Integer, List<String>> attempts = new HashMap<>();
 
@@ -69,7 +69,7 @@
                 lines.add(line);
                 line.subscribeHandler(s -> line.subscribeAcknowledge(s.messageId(), List.of(MqttQoS.AT_LEAST_ONCE)));
                 line.publishAutoAck(true);
-                line.publishHandler(ask -> received(line, ask));
+                line.publishHandler(request -> received(line, request));
                 line.accept();
             });
             alive = true;
@@ -79,10 +79,10 @@
                     .toCompletableFuture();
         }
 
-        private void received(MqttEndpoint line, MqttPublishMessage ask) {
-            String id = correlation(ask.properties());
+        private void received(MqttEndpoint line, MqttPublishMessage request) {
+            String id = correlation(request.properties());
             received++;
-            attempts.computeIfAbsent(number(ask.properties()), i -> new ArrayList<>())
+            attempts.computeIfAbsent(number(request.properties()), i -> new ArrayList<>())
                     .add(name);
             if (out.merge(id, 1, Integer::sum) > 1) {
                 twoOut.add(id);
@@ -95,7 +95,7 @@
                     properties.add(new MqttProperties.BinaryProperty(MqttProperties.CORRELATION_DATA, id.getBytes()));
                     properties.add(new MqttProperties.UserProperty("status", "served"));
                     line.publish(
-                            property(ask.properties(), MqttProperties.RESPONSE_TOPIC),
+                            property(request.properties(), MqttProperties.RESPONSE_TOPIC),
                             Buffer.buffer(name),
                             MqttQoS.AT_MOST_ONCE,
                             false,
@@ -153,9 +153,9 @@
             for (String name : names) {
                 lines.add(new Backend(
                         new Endpoint(name, "room-a", "std-3", 1, state, 1, startedMs),
-                        "mqtt://127.0.0.1:" + nodes.get(name).at));
+                        "mqtt://127.0.0.1:" + backends.get(name).at));
             }
-            gateway.nodesTold(whole, lines);
+            gateway.endpointsChanged(whole, lines);
             return null;
         });
     }
@@ -163,9 +163,9 @@
     @BeforeMethod
     public void start() throws Exception {
         for (String name : List.of("m1", "m2", "m3")) {
-            Node node = new Node(name);
-            nodes.put(name, node);
-            onLoop(node::start).get(PATIENCE_MS, TimeUnit.MILLISECONDS);
+            Node backend = new Node(name);
+            backends.put(name, backend);
+            onLoop(backend::start).get(PATIENCE_MS, TimeUnit.MILLISECONDS);
         }
         DecisionSettings settings = TestSettings.settings(200);
         port = onLoop(() -> {
@@ -192,43 +192,43 @@
     @Test
     public void everyAskHasOneAnswerAndNoneTwoAttemptsOut() throws Exception {
         Map<String, List<String>> answers = new HashMap<>();
-        try (Socket terminal = new Socket(InetAddress.getLoopbackAddress(), port)) {
-            terminal.setSoTimeout((int) PATIENCE_MS);
-            terminal.setTcpNoDelay(true);
+        try (Socket client = new Socket(InetAddress.getLoopbackAddress(), port)) {
+            client.setSoTimeout((int) PATIENCE_MS);
+            client.setTcpNoDelay(true);
             MqttText packets = new MqttText();
-            send(terminal, packets, "CONNECT client=rack-7");
-            send(terminal, packets, "SUBSCRIBE id=1 filter=a");
+            send(client, packets, "CONNECT client=rack-7");
+            send(client, packets, "SUBSCRIBE id=1 filter=a");
             double coldAt = 0;
             int warmBefore = 0;
             for (int i = 0; i < ASKS; i++) {
                 if (i == ASKS / 4) {
-                    onLoop(nodes.get("m1")::kill).get(PATIENCE_MS, TimeUnit.MILLISECONDS);
+                    onLoop(backends.get("m1")::kill).get(PATIENCE_MS, TimeUnit.MILLISECONDS);
                     tell(false, EndpointState.REMOVED, 0, "m1");
                 }
                 if (i == ASKS / 2) {
                     tell(false, EndpointState.DRAINING, 0, "m2");
-                    onLoop(nodes.get("m1")::start).get(PATIENCE_MS, TimeUnit.MILLISECONDS);
-                    coldAt = onLoop(() -> nodes.get("m1").received);
-                    warmBefore = onLoop(() -> nodes.get("m3").received);
+                    onLoop(backends.get("m1")::start).get(PATIENCE_MS, TimeUnit.MILLISECONDS);
+                    coldAt = onLoop(() -> backends.get("m1").received);
+                    warmBefore = onLoop(() -> backends.get("m3").received);
                     tell(false, EndpointState.UP, clock.now(), "m1");
                 }
                 String record = i % 2 == 0 ? "swap-record" : "slot-status";
                 send(
-                        terminal,
+                        client,
                         packets,
                         "PUBLISH topic=opalcove/ask/" + record + " qos=1 id=" + (i + 1)
                                 + " response=a correlation=c" + i + " operator=" + String.format("%016d", i)
                                 + " plan=start units=1 entry-points=1 first-entry=0"
                                 + (i % 2 == 0 ? " key=k" + i + " payload=BODY" : ""));
-                read(terminal, packets, answers, i);
+                read(client, packets, answers, i);
             }
-            read(terminal, packets, answers, ASKS);
-            int cold = (int) (onLoop(() -> nodes.get("m1").received) - coldAt);
-            int warm = onLoop(() -> nodes.get("m3").received) - warmBefore;
+            read(client, packets, answers, ASKS);
+            int cold = (int) (onLoop(() -> backends.get("m1").received) - coldAt);
+            int warm = onLoop(() -> backends.get("m3").received) - warmBefore;
             assertTrue(cold < warm, "the cold node had " + cold + " attempts, the warm one " + warm);
         }
         assertEquals(answers.size(), ASKS);
-        answers.forEach((ask, given) -> assertEquals(given.size(), 1, ask + " " + given));
+        answers.forEach((request, given) -> assertEquals(given.size(), 1, request + " " + given));
         assertEquals(twoOut, Set.of());
         List<String> counted = onLoop(() -> gateway.figures().lines().toList());
         assertTrue(
@@ -237,9 +237,9 @@
                         && counted.contains("ended_by_deadline_guard=0"),
                 counted.toString());
         // A swap-record that one node has received is sent again only to its pod; here all are of one, so at most 6.
-        attempts.forEach((ask, at) -> assertTrue(at.size() <= 6, ask + " " + at));
+        attempts.forEach((request, at) -> assertTrue(at.size() <= 6, request + " " + at));
         // What was asked after the drain was told has not gone to the node that drains.
-        attempts.forEach((ask, at) -> assertTrue(ask < ASKS / 2 || !at.contains("m2"), ask + " " + at));
+        attempts.forEach((request, at) -> assertTrue(request < ASKS / 2 || !at.contains("m2"), request + " " + at));
         assertTrue(attempts.values().stream().anyMatch(at -> at.contains("m2")), attempts.toString());
         assertTrue(
                 answers.values().stream()
@@ -249,16 +249,16 @@
                 answers.toString());
     }
 
-    private static void send(Socket terminal, MqttText packets, String line) throws Exception {
-        terminal.getOutputStream().write(packets.bytes(line));
+    private static void send(Socket client, MqttText packets, String line) throws Exception {
+        client.getOutputStream().write(packets.bytes(line));
     }
 
     /** Reads until this many asks have an answer, which paces the asks by their answers. */
-    private static void read(Socket terminal, MqttText packets, Map<String, List<String>> answers, int least)
+    private static void read(Socket client, MqttText packets, Map<String, List<String>> answers, int least)
             throws Exception {
         byte[] bytes = new byte[8192];
         while (answers.size() < least - 4 || least == ASKS && answers.size() < ASKS) {
-            int length = terminal.getInputStream().read(bytes);
+            int length = client.getInputStream().read(bytes);
             assertTrue(length > 0, "the front closed the connection");
             for (String line : packets.text(bytes, length).split("\n")) {
                 if (line.startsWith("PUBLISH")) {
--- a/mqtt/src/test/java/opalcove/MqttBytesTest.java
+++ b/mqtt/src/test/java/opalcove/MqttBytesTest.java
@@ -37,16 +37,16 @@
     private Vertx vertx;
     private RequestDispatcher gateway;
     private MqttRequestServer front;
-    private ServerSocket node;
-    private Socket terminal;
+    private ServerSocket backend;
+    private Socket client;
 
     @BeforeMethod
     public void start() throws Exception {
         packets = new MqttText();
         phases = new Lifecycle();
         vertx = Vertx.vertx();
-        node = new ServerSocket(0, 5, InetAddress.getLoopbackAddress());
-        node.setSoTimeout(PATIENCE_MS);
+        backend = new ServerSocket(0, 5, InetAddress.getLoopbackAddress());
+        backend.setSoTimeout(PATIENCE_MS);
         CompletableFuture<Integer> port = new CompletableFuture<>();
         vertx.runOnContext(go -> {
             DecisionSettings settings = TestSettings.settings();
@@ -57,15 +57,15 @@
                     settings,
                     7,
                     new ConnectionPool(vertx, settings, new MqttConnector(vertx, settings, "gateway"), 5));
-            gateway.nodesTold(
+            gateway.endpointsChanged(
                     true,
                     List.of(new Backend(
                             new Endpoint("m1", "room-a", "std-3", 1, EndpointState.UP, 1, 0),
-                            "mqtt://127.0.0.1:" + node.getLocalPort())));
+                            "mqtt://127.0.0.1:" + backend.getLocalPort())));
             front = new MqttRequestServer(vertx, gateway, phases, clock, 1);
             front.listen(new HostAndPort("127.0.0.1", 0)).onSuccess(port::complete);
         });
-        terminal = connect(port.get(PATIENCE_MS, TimeUnit.MILLISECONDS));
+        client = connect(port.get(PATIENCE_MS, TimeUnit.MILLISECONDS));
     }
 
     private static Socket connect(int port) throws IOException {
@@ -76,8 +76,8 @@
 
     @AfterMethod
     public void stop() throws Exception {
-        terminal.close();
-        node.close();
+        client.close();
+        backend.close();
         vertx.close().toCompletionStage().toCompletableFuture().get(20, TimeUnit.SECONDS);
     }
 
@@ -122,32 +122,32 @@
 
     @Test
     public void whatTheFrontWritesToATerminal() throws Exception {
-        write(terminal, "CONNECT client=rack-7");
-        assertEquals(read(terminal), "2011 00000e2100402401250027000120002a00");
-        write(terminal, "SUBSCRIBE id=1 filter=a");
-        assertEquals(read(terminal), "9004 00010001");
-        write(terminal, "PUBLISH topic=opalcove/ask/slot-status qos=1 id=5 correlation=c1 " + MARKS);
-        assertEquals(read(terminal), "4039 000599351f00\"2an ask needs a response topic and correlation data\"");
-        write(terminal, "PUBLISH topic=opalcove/ask/slot-status qos=1 id=6 response=b correlation=c1 " + MARKS);
-        assertEquals(read(terminal), "402e 0006902a1f00\"'the response topic is not subscribed to\"");
-        write(terminal, "PUBLISH topic=opalcove/ask/odd qos=1 id=7 response=a correlation=c1 " + MARKS);
+        write(client, "CONNECT client=rack-7");
+        assertEquals(read(client), "2011 00000e2100402401250027000120002a00");
+        write(client, "SUBSCRIBE id=1 filter=a");
+        assertEquals(read(client), "9004 00010001");
+        write(client, "PUBLISH topic=opalcove/ask/slot-status qos=1 id=5 correlation=c1 " + MARKS);
+        assertEquals(read(client), "4039 000599351f00\"2an ask needs a response topic and correlation data\"");
+        write(client, "PUBLISH topic=opalcove/ask/slot-status qos=1 id=6 response=b correlation=c1 " + MARKS);
+        assertEquals(read(client), "402e 0006902a1f00\"'the response topic is not subscribed to\"");
+        write(client, "PUBLISH topic=opalcove/ask/odd qos=1 id=7 response=a correlation=c1 " + MARKS);
         assertEquals(
-                read(terminal),
+                read(client),
                 "3234 00016100012e090002\"c1&\"0006\"status\"0006\"failed&\"0006\"reason\"000d\"unknown class\"");
-        assertEquals(read(terminal), "4002 0007");
-        write(terminal, "PUBLISH topic=opalcove/ask/slot-status qos=2 id=8 response=a correlation=c1 " + MARKS);
-        assertEquals(read(terminal), "e002 9b00");
+        assertEquals(read(client), "4002 0007");
+        write(client, "PUBLISH topic=opalcove/ask/slot-status qos=2 id=8 response=a correlation=c1 " + MARKS);
+        assertEquals(read(client), "e002 9b00");
     }
 
     @Test
     public void howATerminalIsNotTaken() throws Exception {
-        write(terminal, "CONNECT client=rack-7");
-        read(terminal);
-        try (Socket second = connect(terminal.getPort())) {
+        write(client, "CONNECT client=rack-7");
+        read(client);
+        try (Socket second = connect(client.getPort())) {
             write(second, "CONNECT client=rack-8");
             assertEquals(read(second), "2003 009700");
         }
-        try (Socket old = connect(terminal.getPort())) {
+        try (Socket old = connect(client.getPort())) {
             write(old, "CONNECT client=rack-7 version=4");
             assertEquals(read(old), "2002 0001");
         }
@@ -157,22 +157,22 @@
             phases.enter(Lifecycle.Phase.DRAINING);
             front.drain(() -> drained.complete(null));
         });
-        assertEquals(read(terminal), "e002 8b00");
-        terminal.close();
+        assertEquals(read(client), "e002 8b00");
+        client.close();
         drained.get(PATIENCE_MS, TimeUnit.MILLISECONDS);
     }
 
     @Test
     public void whatALinkWritesToANodeAndWhatComesOfItsAnswer() throws Exception {
-        write(terminal, "CONNECT client=rack-7");
-        read(terminal);
-        write(terminal, "SUBSCRIBE id=1 filter=a");
-        read(terminal);
+        write(client, "CONNECT client=rack-7");
+        read(client);
+        write(client, "SUBSCRIBE id=1 filter=a");
+        read(client);
         write(
-                terminal,
+                client,
                 "PUBLISH topic=opalcove/ask/swap-record qos=1 id=5 expiry=3 response=a correlation=c1 key=5c0f retry=1 "
                         + MARKS + " payload=BODY");
-        try (Socket link = node.accept()) {
+        try (Socket link = backend.accept()) {
             link.setSoTimeout(PATIENCE_MS);
             assertEquals(read(link), "1016 0004\"MQTT\"05020000000009\"gateway-1\"");
             write(link, "CONNACK code=0");
@@ -189,8 +189,8 @@
                     link,
                     "PUBLISH topic=opalcove/answer/gateway-1 qos=1 id=9 correlation=cf868f049e4a937e status=served payload=done");
             assertEquals(read(link), "4002 0009");
-            assertEquals(read(terminal), "3220 000161000116090002\"c1&\"0006\"status\"0006\"serveddone\"");
-            assertEquals(read(terminal), "4002 0005");
+            assertEquals(read(client), "3220 000161000116090002\"c1&\"0006\"status\"0006\"serveddone\"");
+            assertEquals(read(client), "4002 0005");
         }
     }
 }
--- a/mqtt/src/test/java/opalcove/mqtt/MessageFormTest.java
+++ b/mqtt/src/test/java/opalcove/mqtt/MessageFormTest.java
@@ -91,7 +91,7 @@
         return text.toString().strip();
     }
 
-    private Request ask(String requestClass, String properties, String body) throws InvalidRequestException {
+    private Request request(String requestClass, String properties, String body) throws InvalidRequestException {
         return RequestMessage.read(
                 rules, "0123456789abcdef", "opalcove/ask/" + requestClass, user(properties), Buffer.buffer(body));
     }
@@ -101,19 +101,19 @@
     @Test
     public void anAskAsItIsForwarded() throws Exception {
         assertEquals(
-                text(RequestMessage.properties(ask("swap-record", MARKS + " key=5c0f retry=1", "x"), 3001, "back")),
+                text(RequestMessage.properties(request("swap-record", MARKS + " key=5c0f retry=1", "x"), 3001, "back")),
                 "8=back 9=0123456789abcdef 2=4 operator=00000000b4d65521 plan=start units=2 entry-points=1 first-entry=0"
                         + " key=5c0f retry=1");
         assertEquals(
-                text(RequestMessage.properties(ask("slot-status", MARKS, ""), 0, "back")),
+                text(RequestMessage.properties(request("slot-status", MARKS, ""), 0, "back")),
                 "8=back 9=0123456789abcdef 2=1 operator=00000000b4d65521 plan=start units=2 entry-points=1 first-entry=0");
     }
 
     @Test
     public void theTimeOfAnAskIsItsExpiryOrItsClasssDeadline() throws Exception {
-        assertEquals(ask("slot-status", MARKS, "").waitMs(), 4000.0);
-        assertEquals(ask("slot-status", MARKS + " expiry=3", "").waitMs(), 3000.0);
-        assertEquals(ask("slot-status", MARKS + " expiry=4294967295", "").waitMs(), 4000.0);
+        assertEquals(request("slot-status", MARKS, "").waitMs(), 4000.0);
+        assertEquals(request("slot-status", MARKS + " expiry=3", "").waitMs(), 3000.0);
+        assertEquals(request("slot-status", MARKS + " expiry=4294967295", "").waitMs(), 4000.0);
     }
 
     @DataProvider
@@ -148,7 +148,7 @@
     @Test(dataProvider = "unfit")
     public void anUnfitAskFailsWithItsReason(String requestClass, String properties, String body, String reason) {
         assertEquals(
-                expectThrows(InvalidRequestException.class, () -> ask(requestClass, properties, body))
+                expectThrows(InvalidRequestException.class, () -> request(requestClass, properties, body))
                         .getMessage(),
                 reason);
     }
--- a/mqtt/src/test/java/opalcove/mqtt/MqttConfigTest.java
+++ b/mqtt/src/test/java/opalcove/mqtt/MqttConfigTest.java
@@ -18,7 +18,7 @@
     public void theFileUnderDeployIsGood() {
         MqttConfig settings = MqttConfig.read(GOOD);
         assertEquals(settings.listen(), new HostAndPort("127.0.0.1", 1883));
-        assertEquals(settings.nodes().size(), 2);
+        assertEquals(settings.backends().size(), 2);
         assertEquals(settings.settings().classes().size(), 3);
     }
 
--- a/mqtt/src/test/java/opalcove/mqtt/MqttSettingsFormTest.java
+++ b/mqtt/src/test/java/opalcove/mqtt/MqttSettingsFormTest.java
@@ -66,9 +66,9 @@
             assertEquals(settings.name(), "opalcove");
             assertEquals(settings.listen(), new HostAndPort("127.0.0.1", 1883));
             assertNull(settings.control());
-            assertEquals(settings.mostTerminals(), 200);
+            assertEquals(settings.maxClients(), 200);
             assertEquals(settings.mostLinks(), 200);
-            assertEquals(settings.nodes().get(0).address(), "mqtt://127.0.0.1:1884");
+            assertEquals(settings.backends().get(0).address(), "mqtt://127.0.0.1:1884");
         } finally {
             Files.delete(file);
         }
--- a/mqtt/src/test/java/opalcove/plan/PlanFormTest.java
+++ b/mqtt/src/test/java/opalcove/plan/PlanFormTest.java
@@ -37,15 +37,15 @@
     private HostAndPort control;
     private Path file;
 
-    private static Backend node(String name, EndpointState state, String zone, String kind, int pod, double weight) {
+    private static Backend backend(String name, EndpointState state, String zone, String kind, int pod, double weight) {
         return new Backend(new Endpoint(name, zone, kind, pod, state, weight, 1234), "mqtt://127.0.0.1:1" + pod);
     }
 
     private static List<Backend> running() {
         return List.of(
-                node("app-1", EndpointState.UP, "room-a", "std-3", 1, 1),
-                node("app-2", EndpointState.UP, "room-a", "std-3", 2, 1),
-                node("app-3", EndpointState.DRAINING, "room-a", "std-3", 3, 1));
+                backend("app-1", EndpointState.UP, "room-a", "std-3", 1, 1),
+                backend("app-2", EndpointState.UP, "room-a", "std-3", 2, 1),
+                backend("app-3", EndpointState.DRAINING, "room-a", "std-3", 3, 1));
     }
 
     @BeforeMethod
@@ -57,7 +57,7 @@
             ConnectionPool links = new ConnectionPool(
                     vertx, TestSettings.settings(), address -> Future.failedFuture("no node here"), 5);
             gateway = new RequestDispatcher(vertx, new Clock(), TestSettings.settings(), 7, links);
-            gateway.nodesTold(true, running());
+            gateway.endpointsChanged(true, running());
             new PlanControlService(vertx, gateway)
                     .listen(new HostAndPort("127.0.0.1", 0))
                     .onSuccess(port::complete);
@@ -251,10 +251,10 @@
     @Test
     public void aPlanFileAndItsDescription() throws Exception {
         List<Backend> wanted = List.of(
-                node("app-1", EndpointState.UP, "room-b", "std-4", 5, 2.5),
-                node("app-4", EndpointState.UP, "room-a", "std-3", 4, 1),
-                node("app-5", EndpointState.DRAINING, "room-a", "std-3", 5, 1),
-                node("app-6", EndpointState.REMOVED, "room-a", "std-3", 6, 1));
+                backend("app-1", EndpointState.UP, "room-b", "std-4", 5, 2.5),
+                backend("app-4", EndpointState.UP, "room-a", "std-3", 4, 1),
+                backend("app-5", EndpointState.DRAINING, "room-a", "std-3", 5, 1),
+                backend("app-6", EndpointState.REMOVED, "room-a", "std-3", 6, 1));
         assertEquals(
                 new Planner(vertx).plan(control, wanted, file),
                 """
--- a/mqtt/src/test/java/opalcove/plan/PlanTest.java
+++ b/mqtt/src/test/java/opalcove/plan/PlanTest.java
@@ -34,7 +34,7 @@
     private Path file;
     private Planner planner;
 
-    private static Backend node(String name, EndpointState state, int pod) {
+    private static Backend backend(String name, EndpointState state, int pod) {
         return new Backend(new Endpoint(name, "room-a", "std-3", pod, state, 1, 0), "mqtt://127.0.0.1:1" + pod);
     }
 
@@ -54,12 +54,12 @@
                     },
                     5);
             gateway = new RequestDispatcher(vertx, new Clock(), TestSettings.settings(), 7, links);
-            gateway.nodesTold(
+            gateway.endpointsChanged(
                     true,
                     List.of(
-                            node("app-1", EndpointState.UP, 1),
-                            node("app-2", EndpointState.UP, 2),
-                            node("app-3", EndpointState.DRAINING, 3)));
+                            backend("app-1", EndpointState.UP, 1),
+                            backend("app-2", EndpointState.UP, 2),
+                            backend("app-3", EndpointState.DRAINING, 3)));
             new PlanControlService(vertx, gateway)
                     .listen(new HostAndPort("127.0.0.1", 0))
                     .onSuccess(port::complete);
@@ -76,9 +76,9 @@
     @Test
     public void aPlanTellsWhatItDoesAndIsAppliedOnce() throws Exception {
         List<Backend> wanted = List.of(
-                node("app-1", EndpointState.DRAINING, 1),
-                node("app-3", EndpointState.UP, 3),
-                node("app-4", EndpointState.DRAINING, 4));
+                backend("app-1", EndpointState.DRAINING, 1),
+                backend("app-3", EndpointState.UP, 3),
+                backend("app-4", EndpointState.DRAINING, 4));
         List<String> lines = planner.plan(control, wanted, file).lines().toList();
         assertEquals(lines.size(), 4);
         assertEquals(lines.get(0), "~ app-1: status from \"up\" to \"draining\"");
@@ -114,7 +114,7 @@
 
     @Test
     public void aWrongPlanChangesNothing() throws Exception {
-        planner.plan(control, List.of(node("app-1", EndpointState.UP, 1)), file);
+        planner.plan(control, List.of(backend("app-1", EndpointState.UP, 1)), file);
         String good = Files.readString(file);
         for (String[] wrong : new String[][] {
             {"\"removed\"", "\"away\"", "status has an unknown value away"},
@@ -130,9 +130,9 @@
                 planner.plan(
                         control,
                         List.of(
-                                node("app-1", EndpointState.UP, 1),
-                                node("app-2", EndpointState.UP, 2),
-                                node("app-3", EndpointState.DRAINING, 3)),
+                                backend("app-1", EndpointState.UP, 1),
+                                backend("app-2", EndpointState.UP, 2),
+                                backend("app-3", EndpointState.DRAINING, 3)),
                         file),
                 "no changes\n");
         assertTrue(expectThrows(
--- a/replication/src/main/java/opalcove/replication/ConfigDocument.java
+++ b/replication/src/main/java/opalcove/replication/ConfigDocument.java
@@ -78,9 +78,9 @@
                 l.maxRetryAfterMs(),
                 l.idleCloseMs(),
                 l.counter(),
-                l.dialTimeoutMs(),
+                l.connectTimeoutMs(),
                 l.maxOpen(),
-                l.mostUnits());
+                l.maxUnits());
         Set<String> closed = before.nodes == null
                 ? Set.of()
                 : before.nodes.stream()
--- a/replication/src/main/java/opalcove/replication/ReplicatedConfigService.java
+++ b/replication/src/main/java/opalcove/replication/ReplicatedConfigService.java
@@ -58,7 +58,7 @@
     private final Consumer<String> events;
     private final DatagramSocket socket;
     private final Promise<Void> heard = Promise.promise();
-    private Consumer<Acting> act;
+    private Consumer<EffectiveConfig> act;
     private Supplier<List<Member>> fleet;
     private ConfigReplica desk;
     /** Goes with the monotonic clock: a step of the wall clock neither delays the way back nor skips it. */
@@ -83,7 +83,7 @@
     /** Whether this process has written a snapshot. */
     private boolean kept;
     /** What others read: what to act on once the lease has lapsed, and when that is (Long.MAX_VALUE: it cannot). */
-    private volatile Acting strict;
+    private volatile EffectiveConfig strict;
 
     private volatile long lapsesAt = Long.MAX_VALUE;
     private volatile String lines = "";
@@ -127,7 +127,7 @@
     }
 
     @Override
-    public Future<Void> start(Consumer<Acting> acting, Supplier<List<Member>> members) {
+    public Future<Void> start(Consumer<EffectiveConfig> acting, Supplier<List<Member>> members) {
         act = acting;
         fleet = members;
         return socket.listen(settings.listen().port(), settings.listen().address())
@@ -251,17 +251,17 @@
         boolean holds = plan != null && plan.quotasHeld();
         // A version that it did not hear of may have drained any node: at first a lapsed lease sends nothing to any.
         strict = acting(standing.version(), (holds ? least.held() : least).closed(), true, coldSince);
-        Acting next = !isStrict
+        EffectiveConfig next = !isStrict
                 ? acting(standing.version(), holds ? base.held() : base, false, coldSince)
                 : now() < closedTill
                         ? strict
                         : acting(standing.version(), holds ? least.held() : least, true, coldSince);
-        openNodes = next.nodes() == null ? -1 : next.nodes().size();
+        openNodes = next.backends() == null ? -1 : next.backends().size();
         act.accept(next);
     }
 
-    private static Acting acting(long version, ConfigDocument document, boolean strict, long coldSince) {
-        return new Acting(version, document.settings(), document.nodes(), strict, coldSince);
+    private static EffectiveConfig acting(long version, ConfigDocument document, boolean strict, long coldSince) {
+        return new EffectiveConfig(version, document.settings(), document.nodes(), strict, coldSince);
     }
 
     /** Where this gateway's vote is kept; null where it does not vote, or must not, since its state is refused. */
@@ -315,7 +315,7 @@
     }
 
     @Override
-    public Acting lapsed() {
+    public EffectiveConfig lapsed() {
         return now() >= lapsesAt ? strict : null;
     }
 
