--- a/control/src/main/java/opalcove/control/cluster/ClusterState.java
+++ b/control/src/main/java/opalcove/control/cluster/ClusterState.java
@@ -221,7 +221,7 @@
 
     private void noteDrains() {
         Map<String, Long> serials = new HashMap<>();
-        views.forEach((room, view) -> serials.put(room, view.serial()));
+        views.forEach((room, view) -> serials.put(room, view.revision()));
         drains.look(now, nodes, serials);
     }
 
@@ -238,7 +238,7 @@
     }
 
     private Resource endpoints(Cluster cluster, String room) {
-        Map<String, List<ResourceFactory.Target>> byRoom = new TreeMap<>();
+        Map<String, List<ResourceFactory.WeightedEndpoint>> byRoom = new TreeMap<>();
         for (Backend node : nodes.values()) {
             if (cluster.holds(node.host())) {
                 byRoom.computeIfAbsent(node.host().zone(), any -> new ArrayList<>())
@@ -250,26 +250,26 @@
             order.add(room);
         }
         order.addAll(byRoom.keySet());
-        List<ResourceFactory.Group> groups = new ArrayList<>();
+        List<ResourceFactory.Locality> groups = new ArrayList<>();
         for (String each : order) {
-            List<ResourceFactory.Target> targets = byRoom.get(each);
+            List<ResourceFactory.WeightedEndpoint> targets = byRoom.get(each);
             int weight = Math.max(
                     1,
                     targets.stream()
                             .filter(target -> !target.draining())
-                            .mapToInt(ResourceFactory.Target::weight)
+                            .mapToInt(ResourceFactory.WeightedEndpoint::weight)
                             .sum());
-            groups.add(new ResourceFactory.Group(
+            groups.add(new ResourceFactory.Locality(
                     each, each.equals(room) || !byRoom.containsKey(room) ? 0 : 1, weight, targets));
         }
         return ResourceFactory.endpoints(cluster.name(), cluster.leaseMs(), groups);
     }
 
-    private ResourceFactory.Target target(Backend node) {
+    private ResourceFactory.WeightedEndpoint target(Backend node) {
         double share = shares.getOrDefault(node.name(), 0.0);
         boolean takesNew = share > 0 && node.host().state() == EndpointState.UP;
         int colon = node.address().lastIndexOf(':');
-        return new ResourceFactory.Target(
+        return new ResourceFactory.WeightedEndpoint(
                 node.address().substring(0, colon),
                 Integer.parseInt(node.address().substring(colon + 1)),
                 takesNew ? Math.max(1, (int) (FULL * share * node.host().size())) : 1,
--- a/control/src/main/java/opalcove/control/server/ControlService.java
+++ b/control/src/main/java/opalcove/control/server/ControlService.java
@@ -156,15 +156,15 @@
             JsonObject types = new JsonObject();
             each.types()
                     .forEach((type, knows) -> types.add(
-                            type.name().toLowerCase(java.util.Locale.ROOT),
+                            type.key(),
                             Json.object()
                                     .add(
                                             "behind",
-                                            fleet.view(each.proxy().room()).serial() - knows.acknowledged())
-                                    .add("waiting_ms", Math.round(knows.waitingMs()))
-                                    .add("taken", knows.taken())
-                                    .add("refused", knows.refused())
-                                    .add("reason", knows.reason())));
+                                            fleet.view(each.proxy().room()).revision() - knows.acknowledgedRevision())
+                                    .add("waiting_ms", Math.round(knows.oldestPendingMs()))
+                                    .add("taken", knows.acceptedCount())
+                                    .add("refused", knows.rejectedCount())
+                                    .add("reason", knows.rejectionReason())));
             proxies.add(Json.object()
                     .add("id", each.proxy().id())
                     .add("cluster", each.proxy().cluster())
@@ -212,7 +212,7 @@
     private boolean knows(SessionRegistry.Known proxy, DrainTracker.Drain drain) {
         ClientVersions knows = proxy.types().get(ResourceType.ENDPOINTS);
         return knows == null
-                || knows.acknowledged()
+                || knows.acknowledgedRevision()
                         >= drain.serial(fleet.viewOf(proxy.proxy().room()));
     }
 
--- a/control/src/main/java/opalcove/control/server/SessionRegistry.java
+++ b/control/src/main/java/opalcove/control/server/SessionRegistry.java
@@ -76,7 +76,7 @@
                 .map(each -> {
                     Map<ResourceType, ClientVersions> types = new EnumMap<>(ResourceType.class);
                     for (ResourceType type : ResourceType.values()) {
-                        ClientVersions knows = each.knowledge(type);
+                        ClientVersions knows = each.clientVersions(type);
                         if (knows != null) {
                             types.put(type, knows);
                         }
@@ -90,8 +90,9 @@
     public Set<String> reasons(ResourceType type) {
         Set<String> reasons = new LinkedHashSet<>();
         open.forEach(each -> {
-            if (each.knowledge(type) != null && !each.knowledge(type).reason().isEmpty()) {
-                reasons.add(each.knowledge(type).reason());
+            if (each.clientVersions(type) != null
+                    && !each.clientVersions(type).rejectionReason().isEmpty()) {
+                reasons.add(each.clientVersions(type).rejectionReason());
             }
         });
         return reasons;
--- a/control/src/main/java/opalcove/control/server/XdsSession.java
+++ b/control/src/main/java/opalcove/control/server/XdsSession.java
@@ -53,7 +53,7 @@
             sessions.opened(this);
         }
         String url = variant.typeUrl().apply(request);
-        ResourceType type = url.isEmpty() ? only : ResourceType.of(url);
+        ResourceType type = url.isEmpty() ? only : ResourceType.forUrl(url);
         if (type == null && url.isEmpty() || only != null && type != only) {
             refuse(Status.INVALID_ARGUMENT.withDescription("type " + url + " is not served on this stream"));
             return;
@@ -63,7 +63,7 @@
             Logger.info("proxy {} asks for {}, which is not served", proxy.id(), url);
             return;
         }
-        stream.request(type, request);
+        stream.onRequest(type, request);
         tell();
     }
 
@@ -88,7 +88,7 @@
             return;
         }
         double now = sessions.desk().now();
-        stream.due(view, now).forEach(out::onNext);
+        stream.nextResponses(view, now).forEach(out::onNext);
         lookAgain(now);
     }
 
@@ -97,15 +97,16 @@
             look.cancel(false);
             look = null;
         }
-        if (Double.isFinite(stream.lookAgainAt())) {
-            look = sessions.desk().in(stream.lookAgainAt() - now, this::tell);
+        if (Double.isFinite(stream.nextCheckAtMs())) {
+            look = sessions.desk().in(stream.nextCheckAtMs() - now, this::tell);
         }
     }
 
     /** Renews lifetimes; a proxy whose transport is full is not renewed, as it would not hear of changes either. */
     void renew() {
         if (!ended && stream != null && out.isReady()) {
-            stream.renewals(sessions.views().of(proxy), sessions.desk().now()).forEach(out::onNext);
+            stream.nextRenewals(sessions.views().of(proxy), sessions.desk().now())
+                    .forEach(out::onNext);
         }
     }
 
@@ -113,8 +114,8 @@
         return proxy;
     }
 
-    ClientVersions knowledge(ResourceType type) {
-        return stream.knowledge(type, sessions.desk().now());
+    ClientVersions clientVersions(ResourceType type) {
+        return stream.clientVersions(type, sessions.desk().now());
     }
 
     @Override
--- a/control/src/main/java/opalcove/control/xds/ClientVersions.java
+++ b/control/src/main/java/opalcove/control/xds/ClientVersions.java
@@ -1,15 +1,21 @@
 package opalcove.control.xds;
 
 /**
- * What a proxy is known to know of one type.
+ * What the client of a stream has of one resource type, as far as it was sent and acknowledged.
  *
- * @param sent the serial of the last view that it was told all of
- * @param acknowledged the serial of the last view all of whose news it has answered for, taken or refused
- * @param waitingMs how long the oldest answer has been owed, ms; 0: none is
- * @param taken responses it took
- * @param refused responses it refused
- * @param reason why it refused the last one it refused; empty where it refused none, or took it since
- * @param refusedNames how many resources it does not take in the version they have
+ * @param sentRevision the last snapshot revision that it was sent completely; -1: none
+ * @param acknowledgedRevision the last snapshot revision all of whose changes it has accepted or rejected; -1: none
+ * @param oldestPendingMs for how long the oldest acknowledgement has been outstanding, ms; 0: none is
+ * @param acceptedCount responses that it accepted
+ * @param rejectedCount responses that it rejected
+ * @param rejectionReason why it rejected the last response; empty if it accepted the last one
+ * @param withheldCount resources that are withheld since it rejects them in the version they have
  */
 public record ClientVersions(
-        long sent, long acknowledged, double waitingMs, long taken, long refused, String reason, int refusedNames) {}
+        long sentRevision,
+        long acknowledgedRevision,
+        double oldestPendingMs,
+        long acceptedCount,
+        long rejectedCount,
+        String rejectionReason,
+        int withheldCount) {}
--- a/control/src/main/java/opalcove/control/xds/ConfigSnapshot.java
+++ b/control/src/main/java/opalcove/control/xds/ConfigSnapshot.java
@@ -11,66 +11,71 @@
 import java.util.Set;
 
 /**
- * What proxies of one kind are to know, as it stands after some number of changes. Immutable; the next view is made of this
- * one and what changed. It remembers which names its last changes touched, so that telling a proxy costs what has changed.
+ * All resources that one kind of proxy is to have, as of one revision. Immutable; the next snapshot is made of this one and what
+ * changed. It remembers the names that its last changes touched, so the cost of an update to a proxy is that of the changes.
  */
 public final class ConfigSnapshot {
-    /** So many changes back it knows what they touched; a stream that is further behind compares all. */
-    private static final int REMEMBERED = 128;
-    /** The view before any change. */
+    /** How many changes of a type are remembered; a stream that is further behind compares all resources. */
+    private static final int MAX_REMEMBERED_CHANGES = 128;
+    /** The snapshot before any change. */
     public static final ConfigSnapshot EMPTY = new ConfigSnapshot(null, 0, Map.of());
 
-    /** A type's resources, and the names touched by its last changes, oldest first. */
-    private record Kind(Map<String, Resource> all, List<Touched> recent, long since) {
-        static final Kind NONE = new Kind(Map.of(), List.of(), 0);
+    /**
+     * One type.
+     *
+     * @param resources by name
+     * @param recent the last changes, oldest first
+     * @param comparableSince the revision from which on {@code recent} is complete
+     */
+    private record TypeState(Map<String, Resource> resources, List<Change> recent, long comparableSince) {
+        static final TypeState NONE = new TypeState(Map.of(), List.of(), 0);
     }
 
-    private record Touched(long serial, Set<String> names) {}
+    private record Change(long revision, Set<String> names) {}
 
-    /** All views made of one another have the same; serials of others are not to be compared. */
-    private final Object line;
+    private final Object lineage;
+    private final long revision;
+    private final Map<ResourceType, TypeState> types;
 
-    private final long serial;
-    private final Map<ResourceType, Kind> kinds;
-
-    private ConfigSnapshot(Object line, long serial, Map<ResourceType, Kind> kinds) {
-        this.line = line;
-        this.serial = serial;
-        this.kinds = kinds;
+    private ConfigSnapshot(Object lineage, long revision, Map<ResourceType, TypeState> types) {
+        this.lineage = lineage;
+        this.revision = revision;
+        this.types = types;
     }
 
-    /** Counts the changes that led here; never told to proxies. */
-    public long serial() {
-        return serial;
+    /** The number of changes that led here; comparable within one {@link #lineage} alone, and never sent to proxies. */
+    public long revision() {
+        return revision;
     }
 
-    Object line() {
-        return line;
+    /** The same object for all snapshots made of one another. */
+    Object lineage() {
+        return lineage;
     }
 
-    /** The resource with that name, or null. */
-    public Resource get(ResourceType type, String name) {
-        return kind(type).all.get(name);
+    /** The resource of this name, or null. */
+    public Resource resource(ResourceType type, String name) {
+        return state(type).resources.get(name);
     }
 
     /** All resources of a type, by name. */
-    public Map<String, Resource> all(ResourceType type) {
-        return kind(type).all;
+    public Map<String, Resource> resources(ResourceType type) {
+        return state(type).resources;
     }
 
-    private Kind kind(ResourceType type) {
-        return kinds.getOrDefault(type, Kind.NONE);
+    private TypeState state(ResourceType type) {
+        return types.getOrDefault(type, TypeState.NONE);
     }
 
-    /** The names of a type that were touched after that serial, or null where that is too long ago to tell. */
-    Set<String> touchedSince(ResourceType type, long since) {
-        Kind kind = kind(type);
-        if (since < kind.since) {
+    /** The names of a type that changed after this revision, or null if that is too many changes ago. */
+    Set<String> namesChangedSince(ResourceType type, long since) {
+        TypeState state = state(type);
+        if (since < state.comparableSince) {
             return null;
         }
-        List<Touched> recent = kind.recent;
+        List<Change> recent = state.recent;
         int from = recent.size();
-        while (from > 0 && recent.get(from - 1).serial > since) {
+        while (from > 0 && recent.get(from - 1).revision > since) {
             from--;
         }
         if (from == recent.size()) {
@@ -84,55 +89,72 @@
         return names;
     }
 
-    /** The view with these resources set and these names removed by type; this one where that changes nothing. */
+    /**
+     * Returns the next snapshot, or this one if nothing changes.
+     *
+     * @param set resources that are added or replace those of their type and name
+     * @param removed names of removed resources, by type
+     */
     public ConfigSnapshot with(Collection<Resource> set, Map<ResourceType, ? extends Collection<String>> removed) {
-        Map<ResourceType, Set<String>> touched = new EnumMap<>(ResourceType.class);
+        Map<ResourceType, Set<String>> changedNames = new EnumMap<>(ResourceType.class);
         Map<ResourceType, Map<String, Resource>> changed = new EnumMap<>(ResourceType.class);
         for (Resource each : set) {
-            Resource before = get(each.type(), each.name());
+            Resource before = resource(each.type(), each.name());
             if (before == null || !before.version().equals(each.version())) {
-                changed.computeIfAbsent(each.type(), type -> new HashMap<>(all(type)))
-                        .put(each.name(), each);
-                touched.computeIfAbsent(each.type(), type -> new LinkedHashSet<>())
-                        .add(each.name());
+                copy(changed, each.type()).put(each.name(), each);
+                names(changedNames, each.type()).add(each.name());
             }
         }
         removed.forEach((type, names) -> names.forEach(name -> {
-            if (get(type, name) != null) {
-                changed.computeIfAbsent(type, any -> new HashMap<>(all(any))).remove(name);
-                touched.computeIfAbsent(type, any -> new LinkedHashSet<>()).add(name);
+            if (resource(type, name) != null) {
+                copy(changed, type).remove(name);
+                names(changedNames, type).add(name);
             }
         }));
         if (changed.isEmpty()) {
             return this;
         }
-        Map<ResourceType, Kind> next = new EnumMap<>(ResourceType.class);
-        next.putAll(kinds);
-        changed.forEach((type, all) -> {
-            Kind before = kind(type);
-            List<Touched> recent = new ArrayList<>(before.recent);
-            long since = before.since;
-            if (recent.size() == REMEMBERED) {
-                since = recent.remove(0).serial;
-            }
-            recent.add(new Touched(serial + 1, Collections.unmodifiableSet(touched.get(type))));
-            next.put(type, new Kind(Collections.unmodifiableMap(all), List.copyOf(recent), since));
-        });
-        return new ConfigSnapshot(line == null ? new Object() : line, serial + 1, next);
+        Map<ResourceType, TypeState> next = copyOfTypes();
+        changed.forEach((type, resources) -> next.put(type, changed(type, resources, changedNames.get(type))));
+        return new ConfigSnapshot(lineage == null ? new Object() : lineage, revision + 1, next);
+    }
+
+    private Map<String, Resource> copy(Map<ResourceType, Map<String, Resource>> changed, ResourceType type) {
+        return changed.computeIfAbsent(type, any -> new HashMap<>(resources(any)));
+    }
+
+    private static Set<String> names(Map<ResourceType, Set<String>> changedNames, ResourceType type) {
+        return changedNames.computeIfAbsent(type, any -> new LinkedHashSet<>());
+    }
+
+    private Map<ResourceType, TypeState> copyOfTypes() {
+        Map<ResourceType, TypeState> copy = new EnumMap<>(ResourceType.class);
+        copy.putAll(types);
+        return copy;
+    }
+
+    private TypeState changed(ResourceType type, Map<String, Resource> resources, Set<String> names) {
+        TypeState before = state(type);
+        List<Change> recent = new ArrayList<>(before.recent);
+        long comparableSince = before.comparableSince;
+        if (recent.size() == MAX_REMEMBERED_CHANGES) {
+            comparableSince = recent.remove(0).revision;
+        }
+        recent.add(new Change(revision + 1, Collections.unmodifiableSet(names)));
+        return new TypeState(Collections.unmodifiableMap(resources), List.copyOf(recent), comparableSince);
     }
 
-    /** This view with what an earlier one has of a type beside; this one where there is nothing to keep. */
-    ConfigSnapshot keeping(ConfigSnapshot earlier, ResourceType type) {
-        Kind now = kind(type);
-        if (earlier.kind(type) == now
-                || now.all.keySet().containsAll(earlier.all(type).keySet())) {
+    /** This snapshot with the resources of a type that an earlier one has besides; this one if there are none. */
+    ConfigSnapshot withRetained(ConfigSnapshot earlier, ResourceType type) {
+        TypeState now = state(type);
+        if (earlier.state(type) == now
+                || now.resources.keySet().containsAll(earlier.resources(type).keySet())) {
             return this;
         }
-        Map<String, Resource> all = new HashMap<>(earlier.all(type));
-        all.putAll(now.all);
-        Map<ResourceType, Kind> next = new EnumMap<>(ResourceType.class);
-        next.putAll(kinds);
-        next.put(type, new Kind(Collections.unmodifiableMap(all), now.recent, now.since));
-        return new ConfigSnapshot(line, serial, next);
+        Map<String, Resource> resources = new HashMap<>(earlier.resources(type));
+        resources.putAll(now.resources);
+        Map<ResourceType, TypeState> next = copyOfTypes();
+        next.put(type, new TypeState(Collections.unmodifiableMap(resources), now.recent, now.comparableSince));
+        return new ConfigSnapshot(lineage, revision, next);
     }
 }
--- a/control/src/main/java/opalcove/control/xds/DeltaSubscription.java
+++ b/control/src/main/java/opalcove/control/xds/DeltaSubscription.java
@@ -6,51 +6,53 @@
 import java.util.Map;
 import java.util.Set;
 
-/** The incremental variant: only what changed is told, with a version for each resource, and what is gone by its name. */
+/**
+ * The incremental variant: only changes are sent, with a version for each resource, and removed resources by name.
+ *
+ * <p>Owned by the thread of its {@link XdsStream}.
+ */
 final class DeltaSubscription extends ResourceSubscription<DeltaDiscoveryRequest, DeltaDiscoveryResponse> {
-    private static final String ALL = "*";
-
     DeltaSubscription(ResourceType type, String noncePrefix) {
         super(type, noncePrefix);
     }
 
-    /** Each response has an answer of its own (xDS protocol, "Incremental xDS"). */
+    /** Each response has an acknowledgement of its own (xDS protocol, "Incremental xDS"). */
     @Override
-    boolean answersForEarlier() {
+    boolean acknowledgesCumulatively() {
         return false;
     }
 
     @Override
-    boolean whole() {
+    boolean sendsCompleteState() {
         return false;
     }
 
     @Override
-    void request(DeltaDiscoveryRequest request) {
+    void onRequest(DeltaDiscoveryRequest request) {
         if (!request.getResponseNonce().isEmpty()) {
-            answered(request.getResponseNonce(), request.hasErrorDetail() ? request.getErrorDetail() : null);
+            onAcknowledged(request.getResponseNonce(), request.hasErrorDetail() ? request.getErrorDetail() : null);
         }
-        boolean first = !opened;
+        boolean first = !isOpened();
         if (first) {
             open();
-            // What the proxy kept from an earlier stream is not told again in the version it has.
-            request.getInitialResourceVersionsMap().forEach(this::has);
-            if (request.getResourceNamesSubscribeCount() == 0 && type.whole()) {
-                wildcard(true);
+            // What the client kept from an earlier stream is not sent again in the version it has.
+            request.getInitialResourceVersionsMap().forEach(this::onInitialVersion);
+            if (request.getResourceNamesSubscribeCount() == 0 && type.isCompleteInSotw()) {
+                setWildcard(true);
             }
         }
         for (String name : request.getResourceNamesUnsubscribeList()) {
-            if (!name.equals(ALL)) {
+            if (!isWildcardName(name)) {
                 unsubscribe(name);
-            } else if (wildcard) {
-                wildcard(false);
+            } else if (isWildcard()) {
+                setWildcard(false);
             }
         }
         for (String name : request.getResourceNamesSubscribeList()) {
-            if (name.equals(ALL)) {
-                wildcard(true);
+            if (isWildcardName(name)) {
+                setWildcard(true);
             } else if (first && request.containsInitialResourceVersions(name)) {
-                names.add(name);
+                resume(name);
             } else {
                 subscribe(name);
             }
@@ -58,37 +60,37 @@
     }
 
     @Override
-    boolean says(Map<String, Resource> resources, Set<String> absent) {
-        return wildcard || !resources.isEmpty() || !absent.isEmpty();
+    boolean isMeaningful(Map<String, Resource> resources, Set<String> absent) {
+        return isWildcard() || !resources.isEmpty() || !absent.isEmpty();
     }
 
     @Override
-    DeltaDiscoveryResponse heartbeat(String nonce, ConfigSnapshot view, List<Resource> resources) {
-        DeltaDiscoveryResponse.Builder response =
-                DeltaDiscoveryResponse.newBuilder().setTypeUrl(type.url()).setNonce(nonce);
-        resources.forEach(each -> response.addResourcesBuilder()
-                .setName(each.name())
-                .setVersion(each.version())
-                .setTtl(each.ttl()));
+    DeltaDiscoveryResponse renewal(String nonce, ConfigSnapshot snapshot, List<Resource> resources) {
+        DeltaDiscoveryResponse.Builder response = builder(nonce);
+        resources.forEach(each -> envelope(response, each).setTtl(each.ttl()));
         return response.build();
     }
 
     @Override
     DeltaDiscoveryResponse response(
-            String nonce, ConfigSnapshot view, Map<String, Resource> resources, Set<String> absent) {
-        DeltaDiscoveryResponse.Builder response = DeltaDiscoveryResponse.newBuilder()
-                .setTypeUrl(type.url())
-                .setNonce(nonce)
-                .addAllRemovedResources(absent);
+            String nonce, ConfigSnapshot snapshot, Map<String, Resource> resources, Set<String> absent) {
+        DeltaDiscoveryResponse.Builder response = builder(nonce).addAllRemovedResources(absent);
         for (Resource each : resources.values()) {
-            io.envoyproxy.envoy.service.discovery.v3.Resource.Builder resource = response.addResourcesBuilder()
-                    .setName(each.name())
-                    .setVersion(each.version())
-                    .setResource(each.body());
+            io.envoyproxy.envoy.service.discovery.v3.Resource.Builder resource =
+                    envelope(response, each).setResource(each.body());
             if (each.ttlMs() > 0) {
                 resource.setTtl(each.ttl());
             }
         }
         return response.build();
     }
+
+    private DeltaDiscoveryResponse.Builder builder(String nonce) {
+        return DeltaDiscoveryResponse.newBuilder().setTypeUrl(type.url()).setNonce(nonce);
+    }
+
+    private static io.envoyproxy.envoy.service.discovery.v3.Resource.Builder envelope(
+            DeltaDiscoveryResponse.Builder response, Resource resource) {
+        return response.addResourcesBuilder().setName(resource.name()).setVersion(resource.version());
+    }
 }
--- a/control/src/main/java/opalcove/control/xds/Resource.java
+++ b/control/src/main/java/opalcove/control/xds/Resource.java
@@ -13,25 +13,32 @@
 import java.util.HexFormat;
 
 /**
- * A resource as all proxies get it: encoded once, with a version that comes from its content alone, so that instances and
+ * A resource as all proxies receive it: encoded once, with a version that comes from its content alone, so that instances and
  * restarts agree on it.
  *
+ * @param type its type
+ * @param name its name, unique within the type
  * @param version 16 hexadecimal digits
- * @param ttlMs how long a proxy may use it without hearing of it again, ms; 0: as long as it likes
+ * @param ttlMs its lifetime unless it is renewed, ms; 0: unlimited
+ * @param body the encoded message
  */
 public record Resource(ResourceType type, String name, String version, long ttlMs, Any body) {
-    /** Encodes a message. Maps in it are encoded in the order of their keys, so equal content has equal bytes. */
+    /**
+     * Encodes a message. Its maps are encoded in the order of their keys, so equal content has equal bytes.
+     *
+     * @param ttlMs its lifetime unless it is renewed, ms; 0: unlimited
+     */
     public static Resource of(ResourceType type, String name, long ttlMs, Message message) {
-        ByteString.Output bytes = ByteString.newOutput(message.getSerializedSize());
+        ByteString.Output buffer = ByteString.newOutput(message.getSerializedSize());
         try {
-            CodedOutputStream out = CodedOutputStream.newInstance(bytes);
-            out.useDeterministicSerialization();
-            message.writeTo(out);
-            out.flush();
+            CodedOutputStream output = CodedOutputStream.newInstance(buffer);
+            output.useDeterministicSerialization();
+            message.writeTo(output);
+            output.flush();
         } catch (IOException e) {
             throw new UncheckedIOException(e);
         }
-        ByteString value = bytes.toByteString();
+        ByteString value = buffer.toByteString();
         return new Resource(
                 type,
                 name,
@@ -51,7 +58,7 @@
         }
     }
 
-    /** The lifetime as it goes on the wire. */
+    /** The lifetime as a protocol message. */
     Duration ttl() {
         return Duration.newBuilder()
                 .setSeconds(ttlMs / 1000)
@@ -59,8 +66,8 @@
                 .build();
     }
 
-    /** The version as a number, which a set's version is the sum of. */
-    long weight() {
+    /** The version as a number; the version of a set of resources is the sum of theirs. */
+    long versionNumber() {
         return Long.parseUnsignedLong(version, 16);
     }
 }
--- a/control/src/main/java/opalcove/control/xds/ResourceFactory.java
+++ b/control/src/main/java/opalcove/control/xds/ResourceFactory.java
@@ -9,7 +9,6 @@
 import io.envoyproxy.envoy.config.core.v3.ApiVersion;
 import io.envoyproxy.envoy.config.core.v3.ConfigSource;
 import io.envoyproxy.envoy.config.core.v3.HealthStatus;
-import io.envoyproxy.envoy.config.core.v3.Locality;
 import io.envoyproxy.envoy.config.core.v3.SelfConfigSource;
 import io.envoyproxy.envoy.config.core.v3.SocketAddress;
 import io.envoyproxy.envoy.config.endpoint.v3.ClusterLoadAssignment;
@@ -29,32 +28,40 @@
 import io.envoyproxy.envoy.extensions.filters.network.http_connection_manager.v3.Rds;
 import java.util.List;
 
-/** Builds the resources that proxies are told, in the form that both Envoy and a proxyless gRPC client take. */
+/** Builds the resources for proxies, in the form that both Envoy and a proxyless gRPC client accept. */
 public final class ResourceFactory {
-    /** Connecting to an endpoint, and reading the listener's routes, takes no longer, s. */
-    private static final long CONNECT_SECONDS = 1;
+    private static final long CONNECT_TIMEOUT_SECONDS = 1;
 
     /**
      * An endpoint as a proxy is to see it.
      *
-     * @param weight its share beside others of its group, above 0; one of weight 0 is left out by the caller
-     * @param draining proxies finish what they have there and send nothing new
+     * @param address its IP address
+     * @param port its port
+     * @param weight its share of the load beside others of its locality, above 0
+     * @param draining proxies finish what they have in flight there and send nothing new
      */
-    public record Target(String address, int port, int weight, boolean draining) {}
+    public record WeightedEndpoint(String address, int port, int weight, boolean draining) {}
 
-    /** Endpoints of one room: priority 0 is used first, weight divides the load among rooms of a priority. */
-    public record Group(String room, int priority, int weight, List<Target> targets) {}
+    /**
+     * The endpoints of one zone.
+     *
+     * @param zone its name
+     * @param priority 0 is used first
+     * @param weight its share of the load beside other localities of its priority, above 0
+     * @param endpoints those in the zone; a locality without any is left out of the resource
+     */
+    public record Locality(String zone, int priority, int weight, List<WeightedEndpoint> endpoints) {}
 
     private ResourceFactory() {}
 
-    private static ConfigSource overAds() {
+    private static ConfigSource adsConfigSource() {
         return ConfigSource.newBuilder()
                 .setResourceApiVersion(ApiVersion.V3)
                 .setAds(AggregatedConfigSource.getDefaultInstance())
                 .build();
     }
 
-    /** A cluster whose endpoints are told over the aggregated stream, and whose load is reported to whoever told it. */
+    /** A cluster whose endpoints come over the aggregated stream, and whose load is reported to the server that sent it. */
     public static Resource cluster(String name) {
         return Resource.of(
                 ResourceType.CLUSTER,
@@ -64,8 +71,8 @@
                         .setName(name)
                         .setType(Cluster.DiscoveryType.EDS)
                         .setEdsClusterConfig(
-                                Cluster.EdsClusterConfig.newBuilder().setEdsConfig(overAds()))
-                        .setConnectTimeout(Duration.newBuilder().setSeconds(CONNECT_SECONDS))
+                                Cluster.EdsClusterConfig.newBuilder().setEdsConfig(adsConfigSource()))
+                        .setConnectTimeout(Duration.newBuilder().setSeconds(CONNECT_TIMEOUT_SECONDS))
                         .setLbPolicy(Cluster.LbPolicy.ROUND_ROBIN)
                         .setLrsServer(ConfigSource.newBuilder()
                                 .setResourceApiVersion(ApiVersion.V3)
@@ -73,21 +80,26 @@
                         .build());
     }
 
-    /** The endpoints of a cluster, with a lifetime, ms (0: none). Groups without endpoints are left out. */
-    public static Resource endpoints(String cluster, long ttlMs, List<Group> groups) {
+    /**
+     * The endpoints of a cluster.
+     *
+     * @param ttlMs their lifetime unless it is renewed, ms; 0: unlimited
+     */
+    public static Resource endpoints(String cluster, long ttlMs, List<Locality> localities) {
         ClusterLoadAssignment.Builder assignment =
                 ClusterLoadAssignment.newBuilder().setClusterName(cluster);
-        for (Group group : groups) {
-            if (group.targets().isEmpty()) {
+        for (Locality locality : localities) {
+            if (locality.endpoints().isEmpty()) {
                 continue;
             }
-            LocalityLbEndpoints.Builder locality = assignment
+            LocalityLbEndpoints.Builder builder = assignment
                     .addEndpointsBuilder()
-                    .setLocality(Locality.newBuilder().setZone(group.room()))
-                    .setPriority(group.priority())
-                    .setLoadBalancingWeight(UInt32Value.of(group.weight()));
-            for (Target each : group.targets()) {
-                locality.addLbEndpoints(LbEndpoint.newBuilder()
+                    .setLocality(io.envoyproxy.envoy.config.core.v3.Locality.newBuilder()
+                            .setZone(locality.zone()))
+                    .setPriority(locality.priority())
+                    .setLoadBalancingWeight(UInt32Value.of(locality.weight()));
+            for (WeightedEndpoint each : locality.endpoints()) {
+                builder.addLbEndpoints(LbEndpoint.newBuilder()
                         .setEndpoint(Endpoint.newBuilder()
                                 .setAddress(Address.newBuilder()
                                         .setSocketAddress(SocketAddress.newBuilder()
@@ -100,11 +112,11 @@
         return Resource.of(ResourceType.ENDPOINTS, cluster, ttlMs, assignment.build());
     }
 
-    /** A listener for proxyless clients that takes its routes over the aggregated stream. */
+    /** A listener for proxyless clients whose routes come over the aggregated stream. */
     public static Resource apiListener(String name, String routes) {
         HttpConnectionManager manager = HttpConnectionManager.newBuilder()
                 .setStatPrefix(name)
-                .setRds(Rds.newBuilder().setRouteConfigName(routes).setConfigSource(overAds()))
+                .setRds(Rds.newBuilder().setRouteConfigName(routes).setConfigSource(adsConfigSource()))
                 .addHttpFilters(
                         HttpFilter.newBuilder().setName("router").setTypedConfig(Any.pack(Router.getDefaultInstance())))
                 .build();
@@ -118,7 +130,7 @@
                         .build());
     }
 
-    /** Routes that lead all requests of all names to one cluster. */
+    /** Routes that send all requests of all host names to one cluster. */
     public static Resource routes(String name, String cluster) {
         return Resource.of(
                 ResourceType.ROUTES,
--- a/control/src/main/java/opalcove/control/xds/ResourceSubscription.java
+++ b/control/src/main/java/opalcove/control/xds/ResourceSubscription.java
@@ -13,50 +13,55 @@
 import java.util.Set;
 
 /**
- * One type on one stream: what the proxy wants, what it was told, what it answered. Free of I/O. It owes the proxy the
- * latest state alone, however many views went by, and never waits for an answer before it tells news.
+ * One resource type on one stream: what the client subscribes to, what it was sent and what it acknowledged. Free of I/O. Only
+ * the latest state is sent, however many snapshots went by, and changes are sent without waiting for acknowledgements.
  *
- * <p>A refusal (NACK) leaves the proxy with its last good state. Of a response with several resources, one may be at
- * fault and the others held up by it: its resources are told again in halves, until the one that is refused alone is known;
- * that one is told again only when it has changed.
+ * <p>A rejected response (NACK) leaves the client with its last good state. Of a response with several resources one may be at
+ * fault and hold up the others: its resources are sent
+ * forced in halves until the one that is rejected alone is known, which is then withheld until it has changed.
  *
- * @param <Q> requests of this variant of the protocol
- * @param <R> its responses
+ * <p>Owned by the thread of its {@link XdsStream}.
+ *
+ * @param <RequestT> requests of this variant of the protocol
+ * @param <ResponseT> responses of this variant
  */
-abstract class ResourceSubscription<Q, R> {
-    /** Answers owed beyond this are no longer waited for, oldest first: a proxy that never answers must not cost memory. */
-    private static final int MOST_OWED = 64;
+abstract class ResourceSubscription<RequestT, ResponseT> {
+    /** Answers pendingAcks beyond this are no longer waited for, oldest first: a proxy that never answers must not cost memory. */
+    private static final int MAX_PENDING_ACKS = 64;
     /** A reason is cut here, characters: it is the proxy's own text. */
-    private static final int MOST_REASON = 500;
-    /** As a version told: the proxy was told that there is no such resource. */
+    private static final int MAX_REASON_LENGTH = 500;
+    /** As a version sent: the proxy was sent that there is no such resource. */
     private static final String ABSENT = "";
 
-    /** A response whose answer is owed: what it told, by name; before: the last view that earlier ones told all of. */
-    private record PendingAck(String nonce, Map<String, String> told, boolean splittable, long before, double at) {}
+    private static final String WILDCARD = "*";
+
+    /** A response whose answer is pendingAcks: what it sent, by name; before: the last snapshot that earlier ones sent all of. */
+    private record PendingAck(
+            String nonce, Map<String, String> versions, boolean splittable, long revisionBefore, double sentAtMs) {}
 
     final ResourceType type;
-    boolean opened;
-    boolean wildcard;
-    final Set<String> names = new LinkedHashSet<>();
-    /** Versions told, by name. */
-    private final Map<String, String> told = new HashMap<>();
-    /** Told in that version, refused alone, not told again. */
-    private final Map<String, String> refusedAlone = new HashMap<>();
-    /** To be told whatever was told before. */
-    private final Set<String> again = new LinkedHashSet<>();
-
-    private final Deque<PendingAck> owed = new ArrayDeque<>();
+    private boolean opened;
+    private boolean wildcard;
+    private final Set<String> names = new LinkedHashSet<>();
+    /** Versions sent, by name. */
+    private final Map<String, String> sent = new HashMap<>();
+    /** Told in that version, refused alone, not sent forced. */
+    private final Map<String, String> withheld = new HashMap<>();
+    /** To be sent whatever was sent before. */
+    private final Set<String> forced = new LinkedHashSet<>();
+
+    private final Deque<PendingAck> pendingAcks = new ArrayDeque<>();
     private final Deque<List<String>> halves = new ArrayDeque<>();
     private final String noncePrefix;
     private long nonces;
-    private boolean unanswered;
-    private boolean bringsNew;
-    private Object line;
-    private long toldSerial = -1;
-    private long answeredSerial = -1;
-    private long taken;
-    private long refused;
-    private String reason = "";
+    private boolean responseDue;
+    private boolean lastResponseHadNewNames;
+    private Object lineage;
+    private long sentRevision = -1;
+    private long acknowledgedRevision = -1;
+    private long acceptedCount;
+    private long rejectedCount;
+    private String rejectionReason = "";
 
     ResourceSubscription(ResourceType type, String noncePrefix) {
         this.type = type;
@@ -64,190 +69,219 @@
     }
 
     /** Takes in a request: its subscriptions, and its answer to an earlier response. */
-    abstract void request(Q request);
+    abstract void onRequest(RequestT request);
 
-    /** Builds a response of these resources; names without one are told as absent, where this variant can. */
-    abstract R response(String nonce, ConfigSnapshot view, Map<String, Resource> resources, Set<String> absent);
+    /** Builds a response of these resources; names without one are sent as absent, where this variant can. */
+    abstract ResponseT response(
+            String nonce, ConfigSnapshot snapshot, Map<String, Resource> resources, Set<String> absent);
 
     /** Builds a response that has the proxy keep these resources for another lifetime. */
-    abstract R heartbeat(String nonce, ConfigSnapshot view, List<Resource> resources);
+    abstract ResponseT renewal(String nonce, ConfigSnapshot snapshot, List<Resource> resources);
 
     /** Whether this variant's response for this type always holds all. */
-    abstract boolean whole();
+    abstract boolean sendsCompleteState();
 
     /** Whether a response of these says anything in this variant. */
-    abstract boolean says(Map<String, Resource> resources, Set<String> absent);
+    abstract boolean isMeaningful(Map<String, Resource> resources, Set<String> absent);
+
+    final boolean isOpened() {
+        return opened;
+    }
 
-    final boolean wants(String name) {
+    final boolean isWildcard() {
+        return wildcard;
+    }
+
+    final Set<String> names() {
+        return names;
+    }
+
+    static boolean isWildcardName(String name) {
+        return name.equals(WILDCARD);
+    }
+
+    private boolean isSubscribed(String name) {
         return wildcard || names.contains(name);
     }
 
-    /** Adds a name; it is told even if it was told before (xDS protocol, "unsubscribing and resubscribing"). */
+    /** Adds a name whose resource the client has from an earlier stream. */
+    final void resume(String name) {
+        names.add(name);
+    }
+
+    /** Adds a name; it is sent even if it was sent before (xDS protocol, "unsubscribing and resubscribing"). */
     final void subscribe(String name) {
         names.add(name);
-        again.add(name);
-        refusedAlone.remove(name);
+        forced.add(name);
+        withheld.remove(name);
     }
 
     final void unsubscribe(String name) {
         names.remove(name);
-        again.remove(name);
+        forced.remove(name);
         if (wildcard) {
-            again.add(name); // it may still be in the wildcard: the proxy is told which
+            forced.add(name); // it may still be in the wildcard: the proxy is sent which
         } else {
-            told.remove(name);
+            sent.remove(name);
         }
     }
 
-    final void wildcard(boolean on) {
+    final void setWildcard(boolean on) {
         if (on) {
-            unanswered = true;
+            responseDue = true;
         } else {
-            told.keySet().removeIf(name -> !names.contains(name));
+            sent.keySet().removeIf(name -> !names.contains(name));
         }
         wildcard = on;
-        toldSerial = -1;
+        sentRevision = -1;
     }
 
     /** A version that the proxy says it has. */
-    final void has(String name, String version) {
-        told.put(name, version);
+    final void onInitialVersion(String name, String version) {
+        sent.put(name, version);
     }
 
     /** The first request of a type gets an answer, even where there is nothing to tell. */
     final void open() {
         opened = true;
-        unanswered = true;
+        responseDue = true;
     }
 
-    final boolean isLast(String nonce) {
+    final boolean isLatestNonce(String nonce) {
         return nonce.equals(noncePrefix + nonces);
     }
 
-    /** Whether an answer stands for those owed before it, too. */
-    abstract boolean answersForEarlier();
+    /** Whether an answer stands for those pendingAcks before it, too. */
+    abstract boolean acknowledgesCumulatively();
 
-    /** Takes in an answer to the response with that nonce; nothing where no such answer is owed. */
-    final void answered(String nonce, Status error) {
-        PendingAck answered = owed.stream()
+    /** Takes in an answer to the response with that nonce; nothing where no such answer is pendingAcks. */
+    final void onAcknowledged(String nonce, Status error) {
+        PendingAck acknowledged = pendingAcks.stream()
                 .filter(each -> each.nonce.equals(nonce))
                 .findFirst()
                 .orElse(null);
-        if (answered == null) {
+        if (acknowledged == null) {
             return;
         }
-        while (answersForEarlier() && owed.peekFirst() != answered) {
-            owed.removeFirst();
+        while (acknowledgesCumulatively() && pendingAcks.peekFirst() != acknowledged) {
+            pendingAcks.removeFirst();
         }
-        owed.remove(answered);
+        pendingAcks.remove(acknowledged);
         if (error == null) {
-            taken++;
-            reason = "";
-            answered.told.forEach(refusedAlone::remove);
+            acceptedCount++;
+            rejectionReason = "";
+            acknowledged.versions.forEach(withheld::remove);
         } else {
-            refused++;
+            rejectedCount++;
             String text = error.getMessage().isEmpty() ? "code " + error.getCode() : error.getMessage();
-            reason = text.length() > MOST_REASON ? text.substring(0, MOST_REASON) : text;
-            refused(answered);
+            rejectionReason = text.length() > MAX_REASON_LENGTH ? text.substring(0, MAX_REASON_LENGTH) : text;
+            onRejected(acknowledged);
         }
-        answeredSerial = owed.isEmpty() ? toldSerial : Math.max(answeredSerial, owed.peekFirst().before);
+        acknowledgedRevision = pendingAcks.isEmpty()
+                ? sentRevision
+                : Math.max(acknowledgedRevision, pendingAcks.peekFirst().revisionBefore);
     }
 
-    private void refused(PendingAck answered) {
+    private void onRejected(PendingAck acknowledged) {
         List<String> suspects = new ArrayList<>();
-        answered.told.forEach((name, version) -> {
-            // What was told anew since has an answer of its own to come.
-            if (!version.equals(ABSENT) && version.equals(told.get(name))) {
+        acknowledged.versions.forEach((name, version) -> {
+            // What was sent anew since has an answer of its own to come.
+            if (!version.equals(ABSENT) && version.equals(sent.get(name))) {
                 suspects.add(name);
             }
         });
         if (suspects.size() == 1) {
-            refusedAlone.put(suspects.get(0), answered.told.get(suspects.get(0)));
-        } else if (answered.splittable && !suspects.isEmpty()) {
+            withheld.put(suspects.get(0), acknowledged.versions.get(suspects.get(0)));
+        } else if (acknowledged.splittable && !suspects.isEmpty()) {
             halves.add(List.copyOf(suspects.subList(0, suspects.size() / 2)));
             halves.add(List.copyOf(suspects.subList(suspects.size() / 2, suspects.size())));
         }
     }
 
-    /** What the proxy is to be told now, or null. */
-    final R due(ConfigSnapshot view, double now) {
+    /** What the proxy is to be sent now, or null. */
+    final ResponseT nextResponse(ConfigSnapshot snapshot, double nowMs) {
         if (!opened) {
             return null;
         }
-        if (view.line() != line) {
-            // Guards a proxy that is shown another line of views: that one's serials say nothing of what it was told.
-            line = view.line();
-            toldSerial = answeredSerial = -1;
+        if (snapshot.lineage() != lineage) {
+            // Guards a proxy that is shown another lineage of views: that one's serials say nothing of what it was
+            // sent.
+            lineage = snapshot.lineage();
+            sentRevision = acknowledgedRevision = -1;
         }
-        Set<String> news = news(view);
-        if (news.isEmpty() && !unanswered) {
-            upTo(view);
-            return owed.isEmpty() ? half(view, now) : null;
+        Set<String> changed = changedNames(snapshot);
+        if (changed.isEmpty() && !responseDue) {
+            coverWithoutResponse(snapshot);
+            return pendingAcks.isEmpty() ? nextHalf(snapshot, nowMs) : null;
         }
         Map<String, Resource> resources = new LinkedHashMap<>();
         Set<String> absent = new LinkedHashSet<>();
-        if (whole()) {
-            for (String name : wildcard ? view.all(type).keySet() : names) {
-                put(view, name, resources, absent);
+        if (sendsCompleteState()) {
+            for (String name : wildcard ? snapshot.resources(type).keySet() : names) {
+                put(snapshot, name, resources, absent);
             }
-            news.stream().filter(name -> view.get(type, name) == null).forEach(absent::add);
+            changed.stream()
+                    .filter(name -> snapshot.resource(type, name) == null)
+                    .forEach(absent::add);
         } else {
-            news.forEach(name -> put(view, name, resources, absent));
+            changed.forEach(name -> put(snapshot, name, resources, absent));
         }
-        unanswered = false;
-        again.clear();
-        if (!says(resources, absent)) {
-            absent.forEach(this::absent);
-            upTo(view);
+        responseDue = false;
+        forced.clear();
+        if (!isMeaningful(resources, absent)) {
+            absent.forEach(this::noteAbsent);
+            coverWithoutResponse(snapshot);
             return null;
         }
-        R response = tell(view, resources, absent, now);
-        toldSerial = view.serial();
+        ResponseT response = prepare(snapshot, resources, absent, nowMs);
+        sentRevision = snapshot.revision();
         return response;
     }
 
-    /** This view has no news for the proxy. */
-    private void upTo(ConfigSnapshot view) {
-        if (owed.isEmpty() && answeredSerial == toldSerial) {
-            answeredSerial = view.serial();
+    /** This snapshot has no changed for the proxy. */
+    private void coverWithoutResponse(ConfigSnapshot snapshot) {
+        if (pendingAcks.isEmpty() && acknowledgedRevision == sentRevision) {
+            acknowledgedRevision = snapshot.revision();
         }
-        toldSerial = view.serial();
+        sentRevision = snapshot.revision();
     }
 
-    private void absent(String name) {
-        refusedAlone.remove(name);
+    private void noteAbsent(String name) {
+        withheld.remove(name);
         if (names.contains(name)) {
-            told.put(name, ABSENT);
+            sent.put(name, ABSENT);
         } else {
-            told.remove(name);
+            sent.remove(name);
         }
     }
 
-    /** The names to tell: asked for anew, or told in another version than they have. */
-    private Set<String> news(ConfigSnapshot view) {
-        Set<String> news = new LinkedHashSet<>();
-        again.stream().filter(this::wants).forEach(news::add);
-        Set<String> touched = toldSerial < 0 || view.line() != line ? null : view.touchedSince(type, toldSerial);
+    /** The names to tell: asked for anew, or sent in another version than they have. */
+    private Set<String> changedNames(ConfigSnapshot snapshot) {
+        Set<String> changed = new LinkedHashSet<>();
+        forced.stream().filter(this::isSubscribed).forEach(changed::add);
+        Set<String> touched = sentRevision < 0 || snapshot.lineage() != lineage
+                ? null
+                : snapshot.namesChangedSince(type, sentRevision);
         if (touched == null) {
-            touched = new HashSet<>(told.keySet());
-            touched.addAll(wildcard ? view.all(type).keySet() : names);
+            touched = new HashSet<>(sent.keySet());
+            touched.addAll(wildcard ? snapshot.resources(type).keySet() : names);
         }
         for (String name : touched) {
-            if (wants(name)) {
-                Resource now = view.get(type, name);
-                String before = told.get(name);
+            if (isSubscribed(name)) {
+                Resource now = snapshot.resource(type, name);
+                String before = sent.get(name);
                 if (now == null
                         ? before != null && !before.equals(ABSENT)
                         : !now.version().equals(before)) {
-                    news.add(name);
+                    changed.add(name);
                 }
             }
         }
-        return news;
+        return changed;
     }
 
-    private void put(ConfigSnapshot view, String name, Map<String, Resource> resources, Set<String> absent) {
-        Resource resource = view.get(type, name);
+    private void put(ConfigSnapshot snapshot, String name, Map<String, Resource> resources, Set<String> absent) {
+        Resource resource = snapshot.resource(type, name);
         if (resource == null) {
             absent.add(name);
         } else {
@@ -255,96 +289,100 @@
         }
     }
 
-    private R tell(ConfigSnapshot view, Map<String, Resource> resources, Set<String> absent, double now) {
+    private ResponseT prepare(
+            ConfigSnapshot snapshot, Map<String, Resource> resources, Set<String> absent, double nowMs) {
         Map<String, String> versions = new LinkedHashMap<>();
-        bringsNew = false;
+        lastResponseHadNewNames = false;
         resources.forEach((name, resource) -> {
-            String before = told.get(name);
-            bringsNew |= before == null || before.equals(ABSENT);
+            String before = sent.get(name);
+            lastResponseHadNewNames |= before == null || before.equals(ABSENT);
             versions.put(name, resource.version());
-            told.put(name, resource.version());
-            if (!resource.version().equals(refusedAlone.get(name))) {
-                refusedAlone.remove(name);
+            sent.put(name, resource.version());
+            if (!resource.version().equals(withheld.get(name))) {
+                withheld.remove(name);
             }
         });
         for (String name : absent) {
             versions.put(name, ABSENT);
-            absent(name);
+            noteAbsent(name);
         }
-        return response(owe(versions, now), view, resources, absent);
+        return response(awaitAck(versions, nowMs), snapshot, resources, absent);
     }
 
-    /** Notes that an answer is owed; gives its nonce. */
-    private String owe(Map<String, String> versions, double now) {
+    /** Notes that an answer is pendingAcks; gives its nonce. */
+    private String awaitAck(Map<String, String> versions, double nowMs) {
         String nonce = noncePrefix + ++nonces;
-        if (owed.size() == MOST_OWED) {
-            owed.removeFirst();
+        if (pendingAcks.size() == MAX_PENDING_ACKS) {
+            pendingAcks.removeFirst();
         }
-        owed.addLast(new PendingAck(nonce, versions, !whole(), toldSerial, now));
+        pendingAcks.addLast(new PendingAck(nonce, versions, !sendsCompleteState(), sentRevision, nowMs));
         return nonce;
     }
 
-    /** Renews the lifetime of all that has one and that the proxy was told in this version; null: there is none. */
-    final R renewal(ConfigSnapshot view, double now) {
+    /** Renews the lifetime of all that has one and that the proxy was sent in this version; null: there is none. */
+    final ResponseT nextRenewal(ConfigSnapshot snapshot, double nowMs) {
         List<Resource> renewed = new ArrayList<>();
-        told.forEach((name, version) -> {
-            Resource resource = view.get(type, name);
+        sent.forEach((name, version) -> {
+            Resource resource = snapshot.resource(type, name);
             if (resource != null
                     && resource.ttlMs() > 0
                     && resource.version().equals(version)
-                    && !version.equals(refusedAlone.get(name))) {
+                    && !version.equals(withheld.get(name))) {
                 renewed.add(resource);
             }
         });
-        return renewed.isEmpty() ? null : heartbeat(owe(Map.of(), now), view, renewed);
+        return renewed.isEmpty() ? null : renewal(awaitAck(Map.of(), nowMs), snapshot, renewed);
     }
 
     /** Whether the proxy still owes an answer to a response that brought names it did not have. */
-    final boolean awaitsNewNames() {
-        return bringsNew && !owed.isEmpty();
+    final boolean awaitsAckOfNewNames() {
+        return lastResponseHadNewNames && !pendingAcks.isEmpty();
     }
 
-    /** Whether it has been told all of this view and has answered for it. */
-    final boolean settled(ConfigSnapshot view) {
-        return !opened || owed.isEmpty() && !unanswered && news(view).isEmpty();
+    /** Whether it has been sent all of this snapshot and has acknowledged for it. */
+    final boolean isUpToDate(ConfigSnapshot snapshot) {
+        return !opened
+                || pendingAcks.isEmpty()
+                        && !responseDue
+                        && changedNames(snapshot).isEmpty();
     }
 
     /** Whether the last answer was a refusal. */
-    final boolean refusing() {
-        return !reason.isEmpty();
+    final boolean isRejecting() {
+        return !rejectionReason.isEmpty();
     }
 
-    /** Has all compared anew with what was told. */
-    final void recheck() {
-        toldSerial = -1;
+    /** Has all compared anew with what was sent. */
+    final void compareAll() {
+        sentRevision = -1;
     }
 
-    /** One half of what was refused together, as long as it is still what the proxy was told last. */
-    private R half(ConfigSnapshot view, double now) {
+    /** One half of what was refused together, as long as it is still what the proxy was sent last. */
+    private ResponseT nextHalf(ConfigSnapshot snapshot, double nowMs) {
         while (!halves.isEmpty()) {
             Map<String, Resource> resources = new LinkedHashMap<>();
             for (String name : halves.removeFirst()) {
-                Resource resource = view.get(type, name);
-                if (resource != null && wants(name)) {
+                Resource resource = snapshot.resource(type, name);
+                if (resource != null && isSubscribed(name)) {
                     resources.put(name, resource);
                 }
             }
             if (!resources.isEmpty()) {
-                return tell(view, resources, Set.of(), now);
+                return prepare(snapshot, resources, Set.of(), nowMs);
             }
         }
         return null;
     }
 
     /** What this proxy is known to know. */
-    final ClientVersions knowledge(double now) {
+    final ClientVersions clientVersions(double nowMs) {
         return new ClientVersions(
-                toldSerial,
-                answeredSerial,
-                owed.isEmpty() ? 0 : now - owed.peekFirst().at,
-                taken,
-                refused,
-                reason,
-                refusedAlone.size());
+                sentRevision,
+                acknowledgedRevision,
+                pendingAcks.isEmpty() ? 0 : nowMs - pendingAcks.peekFirst().sentAtMs,
+                acceptedCount,
+                rejectedCount,
+                rejectionReason,
+                withheld.size());
     }
 }
--- a/control/src/main/java/opalcove/control/xds/ResourceType.java
+++ b/control/src/main/java/opalcove/control/xds/ResourceType.java
@@ -6,23 +6,34 @@
 import java.util.stream.Stream;
 
 /**
- * The types of resources that are served, in the order in which a proxy is to hear of them, so that nothing names what it
- * does not know yet (xDS protocol, "Eventual consistency considerations": clusters, endpoints, listeners, routes).
+ * The resource types that are served, in the order in which a client is to receive them, so that no resource names another that
+ * the client does not have yet (xDS protocol, "Eventual consistency considerations": clusters, endpoints, listeners, routes).
  */
 public enum ResourceType {
-    CLUSTER("envoy.config.cluster.v3.Cluster", true),
-    ENDPOINTS("envoy.config.endpoint.v3.ClusterLoadAssignment", false),
-    LISTENER("envoy.config.listener.v3.Listener", true),
-    ROUTES("envoy.config.route.v3.RouteConfiguration", false);
+    /** Clusters (CDS). */
+    CLUSTER("cluster", "envoy.config.cluster.v3.Cluster", true),
+    /** The endpoints of a cluster (EDS). */
+    ENDPOINTS("endpoints", "envoy.config.endpoint.v3.ClusterLoadAssignment", false),
+    /** Listeners (LDS). */
+    LISTENER("listener", "envoy.config.listener.v3.Listener", true),
+    /** Routes (RDS). */
+    ROUTES("routes", "envoy.config.route.v3.RouteConfiguration", false);
 
     private static final Map<String, ResourceType> BY_URL =
             Stream.of(values()).collect(Collectors.toUnmodifiableMap(ResourceType::url, Function.identity()));
+    private final String key;
     private final String url;
-    private final boolean whole;
+    private final boolean completeInSotw;
 
-    ResourceType(String message, boolean whole) {
+    ResourceType(String key, String message, boolean completeInSotw) {
+        this.key = key;
         url = "type.googleapis.com/" + message;
-        this.whole = whole;
+        this.completeInSotw = completeInSotw;
+    }
+
+    /** The type's key in the status JSON. */
+    public String key() {
+        return key;
     }
 
     /** The type URL, as in a request. */
@@ -30,13 +41,13 @@
         return url;
     }
 
-    /** Whether a state-of-the-world response holds all that is subscribed to, so that what it lacks is gone. */
-    public boolean whole() {
-        return whole;
+    /** Whether a state-of-the-world response holds all resources subscribed to, so that what it lacks is removed. */
+    boolean isCompleteInSotw() {
+        return completeInSotw;
     }
 
-    /** The type with this URL, or null. */
-    public static ResourceType of(String url) {
+    /** The type with this URL, or null if it is not served. */
+    public static ResourceType forUrl(String url) {
         return BY_URL.get(url);
     }
 }
--- a/control/src/main/java/opalcove/control/xds/SotwSubscription.java
+++ b/control/src/main/java/opalcove/control/xds/SotwSubscription.java
@@ -9,77 +9,79 @@
 import java.util.Set;
 
 /**
- * The state-of-the-world variant. The first response on a stream holds all that is asked for, whatever version the request
- * names: that version says what the proxy took last, not what it has kept since.
+ * The state-of-the-world variant. The first response on a stream holds all resources subscribed to, whatever version the
+ * request names: that is the version the client accepted last, which does not tell what it has kept since.
+ *
+ * <p>Owned by the thread of its {@link XdsStream}.
  */
 final class SotwSubscription extends ResourceSubscription<DiscoveryRequest, DiscoveryResponse> {
-    private static final String ALL = "*";
+    private final boolean enveloped;
+    private boolean everNamed;
 
-    private final boolean wrapped;
-    private boolean named;
-
-    /** Wrapped: the proxy takes resources in an envelope that tells their lifetime. */
-    SotwSubscription(ResourceType type, String noncePrefix, boolean wrapped) {
+    /**
+     * Opens a subscription.
+     *
+     * @param enveloped whether the client takes resources in an envelope that carries their lifetime
+     */
+    SotwSubscription(ResourceType type, String noncePrefix, boolean enveloped) {
         super(type, noncePrefix);
-        this.wrapped = wrapped;
+        this.enveloped = enveloped;
     }
 
     @Override
-    boolean says(Map<String, Resource> resources, Set<String> absent) {
-        return type.whole() || !resources.isEmpty();
+    boolean isMeaningful(Map<String, Resource> resources, Set<String> absent) {
+        return type.isCompleteInSotw() || !resources.isEmpty();
     }
 
-    /** Responses are worked off in order; a proxy that answers for the last alone would have refused an earlier one. */
+    /** A client handles responses in order, so one that acknowledges only the last would have rejected an earlier one. */
     @Override
-    boolean answersForEarlier() {
+    boolean acknowledgesCumulatively() {
         return true;
     }
 
     @Override
-    boolean whole() {
-        return type.whole();
+    boolean sendsCompleteState() {
+        return type.isCompleteInSotw();
     }
 
     @Override
-    void request(DiscoveryRequest request) {
+    void onRequest(DiscoveryRequest request) {
         String nonce = request.getResponseNonce();
-        if (opened && !nonce.isEmpty()) {
-            boolean last = isLast(nonce);
-            answered(nonce, request.hasErrorDetail() ? request.getErrorDetail() : null);
-            if (!last) {
-                return; // stale: a request for the latest response is on its way (xDS protocol, "ACK and resource
-                // updates")
+        if (isOpened() && !nonce.isEmpty()) {
+            boolean latest = isLatestNonce(nonce);
+            onAcknowledged(nonce, request.hasErrorDetail() ? request.getErrorDetail() : null);
+            if (!latest) {
+                // Stale: a request for the latest response is on its way (xDS protocol, "ACK and resource updates").
+                return;
             }
         }
-        List<String> asked = request.getResourceNamesList();
+        List<String> requested = request.getResourceNamesList();
         // No names mean all, but only as long as the stream never named any (xDS protocol, "How the client specifies
-        // what
-        // resources to return").
-        named |= !asked.isEmpty();
-        boolean all = asked.contains(ALL) || type.whole() && !named;
-        if (!opened) {
+        // what resources to return").
+        everNamed |= !requested.isEmpty();
+        boolean all = requested.stream().anyMatch(ResourceSubscription::isWildcardName)
+                || type.isCompleteInSotw() && !everNamed;
+        if (!isOpened()) {
             open();
         }
-        if (all != wildcard) {
-            wildcard(all);
+        if (all != isWildcard()) {
+            setWildcard(all);
         }
-        Set<String> wanted = new HashSet<>(asked);
-        wanted.remove(ALL);
-        List.copyOf(names).stream().filter(name -> !wanted.contains(name)).forEach(this::unsubscribe);
-        asked.stream()
-                .filter(name -> !name.equals(ALL) && !names.contains(name))
+        Set<String> wanted = new HashSet<>(requested);
+        wanted.removeIf(ResourceSubscription::isWildcardName);
+        List.copyOf(names()).stream().filter(name -> !wanted.contains(name)).forEach(this::unsubscribe);
+        requested.stream()
+                .filter(name -> !isWildcardName(name) && !names().contains(name))
                 .forEach(this::subscribe);
     }
 
     @Override
-    DiscoveryResponse response(String nonce, ConfigSnapshot view, Map<String, Resource> resources, Set<String> absent) {
-        DiscoveryResponse.Builder response = DiscoveryResponse.newBuilder()
-                .setTypeUrl(type.url())
-                .setNonce(nonce)
-                .setVersionInfo(version(view));
+    DiscoveryResponse response(
+            String nonce, ConfigSnapshot snapshot, Map<String, Resource> resources, Set<String> absent) {
+        DiscoveryResponse.Builder response = builder(nonce, snapshot);
         for (Resource each : resources.values()) {
             response.addResources(
-                    wrapped && each.ttlMs() > 0
+                    enveloped && each.ttlMs() > 0
                             ? Any.pack(envelope(each, response.getVersionInfo())
                                     .setResource(each.body())
                                     .build())
@@ -89,16 +91,20 @@
     }
 
     @Override
-    DiscoveryResponse heartbeat(String nonce, ConfigSnapshot view, List<Resource> resources) {
-        DiscoveryResponse.Builder response = DiscoveryResponse.newBuilder()
-                .setTypeUrl(type.url())
-                .setNonce(nonce)
-                .setVersionInfo(version(view));
+    DiscoveryResponse renewal(String nonce, ConfigSnapshot snapshot, List<Resource> resources) {
+        DiscoveryResponse.Builder response = builder(nonce, snapshot);
         resources.forEach(each -> response.addResources(
                 Any.pack(envelope(each, response.getVersionInfo()).build())));
         return response.build();
     }
 
+    private DiscoveryResponse.Builder builder(String nonce, ConfigSnapshot snapshot) {
+        return DiscoveryResponse.newBuilder()
+                .setTypeUrl(type.url())
+                .setNonce(nonce)
+                .setVersionInfo(version(snapshot));
+    }
+
     private static io.envoyproxy.envoy.service.discovery.v3.Resource.Builder envelope(
             Resource resource, String version) {
         return io.envoyproxy.envoy.service.discovery.v3.Resource.newBuilder()
@@ -107,17 +113,17 @@
                 .setTtl(resource.ttl());
     }
 
-    /** A version of the set that is subscribed to, from the versions of what is in it alone. */
-    private String version(ConfigSnapshot view) {
+    /** A version of the set subscribed to, from the versions of the resources in it alone. */
+    private String version(ConfigSnapshot snapshot) {
         long sum = 0;
-        if (wildcard) {
-            for (Resource each : view.all(type).values()) {
-                sum += each.weight();
+        if (isWildcard()) {
+            for (Resource each : snapshot.resources(type).values()) {
+                sum += each.versionNumber();
             }
         } else {
-            for (String name : names) {
-                Resource each = view.get(type, name);
-                sum += each == null ? 0 : each.weight();
+            for (String name : names()) {
+                Resource each = snapshot.resource(type, name);
+                sum += each == null ? 0 : each.versionNumber();
             }
         }
         return String.format("%016x", sum);
--- a/control/src/main/java/opalcove/control/xds/XdsStream.java
+++ b/control/src/main/java/opalcove/control/xds/XdsStream.java
@@ -11,124 +11,149 @@
 import java.util.function.Function;
 
 /**
- * What one stream of a proxy is to be told, over all its types. Free of I/O and of threads: requests go in, what is due comes
- * out, in the order in which the proxy can use it. Nothing is queued here; what is due is the latest state.
+ * The protocol state of one stream over all its types. Free of I/O and of threads: requests go in, the responses that are due
+ * come out, in the order in which the client can use them. Nothing is queued here; what is due is the latest state.
  *
- * <p>Make before break (xDS protocol, "Eventual consistency considerations"): clusters and endpoints go first, listeners
- * and routes after the proxy has answered for clusters that are new to it, and clusters that nothing names any more are taken away
- * once it has taken listeners and routes. A proxy that does not answer is not waited for beyond {@link #PATIENCE_MS}, one
- * that refuses its routes keeps the clusters of those it has for {@link #KEPT_MS}. Endpoints are never kept back: whoever
- * makes views leaves those of a cluster that is gone in them for as long, and up to date, drains among them.
+ * <p>Make before break (xDS protocol, "Eventual consistency considerations"): clusters and endpoints go first, listeners and
+ * routes after the client has acknowledged clusters that are new to it, and clusters that nothing names any more are removed
+ * once it has accepted listeners and routes. A client that does not acknowledge is not waited for beyond {@link #ACK_TIMEOUT_MS};
+ * one that rejects its routes keeps the clusters of those it has for {@link #REJECTED_ROUTES_HOLD_MS}. Endpoints are never held
+ * back: whoever makes snapshots leaves the endpoints of a removed cluster in them for as long, and up to date, drains included.
+ *
+ * <p>Times are milliseconds of one monotonic clock. Owned by the thread that calls it.
+ *
+ * @param <RequestT> requests of this variant of the protocol
+ * @param <ResponseT> responses of this variant
  */
-public final class XdsStream<Q, R> {
-    /** How long another type's answer is waited for, ms. */
-    static final double PATIENCE_MS = 1000;
-
-    /** How long a cluster that is gone is kept for a proxy that refuses the routes without it, ms. */
-    static final double KEPT_MS = 60_000;
-
-    private final Map<ResourceType, ResourceSubscription<Q, R>> feeds = new EnumMap<>(ResourceType.class);
-    private final Function<ResourceType, ResourceSubscription<Q, R>> made;
-    /** The last view all of whose clusters the proxy still has. */
-    private ConfigSnapshot kept = ConfigSnapshot.EMPTY;
-
-    private double holdingSince = Double.NaN;
-    private double keepingSince = Double.NaN;
-
-    private XdsStream(Function<ResourceType, ResourceSubscription<Q, R>> made) {
-        this.made = made;
+public final class XdsStream<RequestT, ResponseT> {
+    /** How long another type's acknowledgement is waited for. */
+    static final double ACK_TIMEOUT_MS = 1000;
+
+    /** How long a removed cluster is retained for a client that rejects the routes without it. */
+    static final double REJECTED_ROUTES_HOLD_MS = 60_000;
+
+    private final Map<ResourceType, ResourceSubscription<RequestT, ResponseT>> subscriptions =
+            new EnumMap<>(ResourceType.class);
+    private final Function<ResourceType, ResourceSubscription<RequestT, ResponseT>> subscriptionFactory;
+    /** The last snapshot all of whose clusters the client still has. */
+    private ConfigSnapshot retained = ConfigSnapshot.EMPTY;
+
+    /** NaN while listeners and routes are not held back. */
+    private double routesHeldSinceMs = Double.NaN;
+    /** NaN while no removed cluster is retained. */
+    private double clustersRetainedSinceMs = Double.NaN;
+
+    private XdsStream(Function<ResourceType, ResourceSubscription<RequestT, ResponseT>> subscriptionFactory) {
+        this.subscriptionFactory = subscriptionFactory;
     }
 
-    /** A state-of-the-world stream; nonces begin with the prefix, which no other stream has. */
-    public static XdsStream<DiscoveryRequest, DiscoveryResponse> sotw(String noncePrefix, boolean wrapped) {
-        return new XdsStream<>(type -> new SotwSubscription(type, noncePrefix, wrapped));
+    /**
+     * Opens a state-of-the-world stream.
+     *
+     * @param noncePrefix begins its nonces; no other stream has it
+     * @param enveloped whether the client takes resources in an envelope that carries their lifetime
+     */
+    public static XdsStream<DiscoveryRequest, DiscoveryResponse> sotw(String noncePrefix, boolean enveloped) {
+        return new XdsStream<>(type -> new SotwSubscription(type, noncePrefix, enveloped));
     }
 
-    /** An incremental stream; nonces begin with the prefix, which no other stream has. */
+    /**
+     * Opens an incremental stream.
+     *
+     * @param noncePrefix begins its nonces; no other stream has it
+     */
     public static XdsStream<DeltaDiscoveryRequest, DeltaDiscoveryResponse> delta(String noncePrefix) {
         return new XdsStream<>(type -> new DeltaSubscription(type, noncePrefix));
     }
 
-    /** Takes in a request for a type: subscriptions, or an answer, or both. */
-    public void request(ResourceType type, Q request) {
-        feeds.computeIfAbsent(type, made).request(request);
+    /** Applies a request for a type: subscriptions, or an acknowledgement, or both. */
+    public void onRequest(ResourceType type, RequestT request) {
+        subscriptions.computeIfAbsent(type, subscriptionFactory).onRequest(request);
     }
 
-    /** What the proxy is to be told by now, in order. Calling it again with nothing new gives nothing. */
-    public List<R> due(ConfigSnapshot view, double now) {
-        List<R> due = new ArrayList<>();
-        ConfigSnapshot shown = shown(view, now);
-        tell(ResourceType.CLUSTER, shown, now, due);
-        tell(ResourceType.ENDPOINTS, view, now, due);
-        if (!holds(now)) {
-            tell(ResourceType.LISTENER, view, now, due);
-            tell(ResourceType.ROUTES, view, now, due);
+    /** The responses to send by now, in order. Calling it again with nothing new returns none. */
+    public List<ResponseT> nextResponses(ConfigSnapshot snapshot, double nowMs) {
+        List<ResponseT> responses = new ArrayList<>();
+        ConfigSnapshot withRetained = withRetainedClusters(snapshot, nowMs);
+        addNext(ResourceType.CLUSTER, withRetained, nowMs, responses);
+        addNext(ResourceType.ENDPOINTS, snapshot, nowMs, responses);
+        if (!holdsRoutes(nowMs)) {
+            addNext(ResourceType.LISTENER, snapshot, nowMs, responses);
+            addNext(ResourceType.ROUTES, snapshot, nowMs, responses);
         }
-        if (shown != view && !keeps(view, now)) {
-            kept = view;
-            keepingSince = Double.NaN;
-            if (feeds.containsKey(ResourceType.CLUSTER)) {
-                feeds.get(ResourceType.CLUSTER).recheck();
+        if (withRetained != snapshot && !mustRetainClusters(snapshot, nowMs)) {
+            retained = snapshot;
+            clustersRetainedSinceMs = Double.NaN;
+            if (subscriptions.containsKey(ResourceType.CLUSTER)) {
+                subscriptions.get(ResourceType.CLUSTER).compareAll();
             }
-            tell(ResourceType.CLUSTER, view, now, due);
+            addNext(ResourceType.CLUSTER, snapshot, nowMs, responses);
         }
-        return due;
+        return responses;
     }
 
-    private void tell(ResourceType type, ConfigSnapshot view, double now, List<R> due) {
-        ResourceSubscription<Q, R> feed = feeds.get(type);
-        R response = feed == null ? null : feed.due(view, now);
+    private void addNext(ResourceType type, ConfigSnapshot snapshot, double nowMs, List<ResponseT> responses) {
+        ResourceSubscription<RequestT, ResponseT> subscription = subscriptions.get(type);
+        ResponseT response = subscription == null ? null : subscription.nextResponse(snapshot, nowMs);
         if (response != null) {
-            due.add(response);
+            responses.add(response);
         }
     }
 
-    /** The view with the clusters it no longer has, as long as the proxy's listeners or routes may name them. */
-    private ConfigSnapshot shown(ConfigSnapshot view, double now) {
-        ConfigSnapshot shown = view == kept ? view : view.keeping(kept, ResourceType.CLUSTER);
-        if (shown != view && Double.isNaN(keepingSince)) {
-            keepingSince = now;
-            shown = keeps(view, now) ? shown : view;
+    /** The snapshot with the clusters it no longer has, as long as the client's listeners or routes may name them. */
+    private ConfigSnapshot withRetainedClusters(ConfigSnapshot snapshot, double nowMs) {
+        ConfigSnapshot shown = snapshot == retained ? snapshot : snapshot.withRetained(retained, ResourceType.CLUSTER);
+        if (shown != snapshot && Double.isNaN(clustersRetainedSinceMs)) {
+            clustersRetainedSinceMs = nowMs;
+            shown = mustRetainClusters(snapshot, nowMs) ? shown : snapshot;
         }
-        if (shown == view) {
-            kept = view;
-            keepingSince = Double.NaN;
+        if (shown == snapshot) {
+            retained = snapshot;
+            clustersRetainedSinceMs = Double.NaN;
         }
         return shown;
     }
 
-    private boolean keeps(ConfigSnapshot view, double now) {
-        boolean settled = settled(ResourceType.LISTENER, view) && settled(ResourceType.ROUTES, view);
-        boolean refusing = refusing(ResourceType.LISTENER) || refusing(ResourceType.ROUTES);
-        return refusing ? now - keepingSince < KEPT_MS : !settled && now - keepingSince < PATIENCE_MS;
+    private boolean mustRetainClusters(ConfigSnapshot snapshot, double nowMs) {
+        double retainedMs = nowMs - clustersRetainedSinceMs;
+        boolean upToDate = isUpToDate(ResourceType.LISTENER, snapshot) && isUpToDate(ResourceType.ROUTES, snapshot);
+        return rejectsRoutes() ? retainedMs < REJECTED_ROUTES_HOLD_MS : !upToDate && retainedMs < ACK_TIMEOUT_MS;
+    }
+
+    private boolean rejectsRoutes() {
+        return isRejecting(ResourceType.LISTENER) || isRejecting(ResourceType.ROUTES);
+    }
+
+    private boolean isRejecting(ResourceType type) {
+        return subscriptions.containsKey(type) && subscriptions.get(type).isRejecting();
     }
 
-    private boolean refusing(ResourceType type) {
-        return feeds.containsKey(type) && feeds.get(type).refusing();
+    private boolean isUpToDate(ResourceType type, ConfigSnapshot snapshot) {
+        return !subscriptions.containsKey(type) || subscriptions.get(type).isUpToDate(snapshot);
     }
 
-    private boolean settled(ResourceType type, ConfigSnapshot view) {
-        return !feeds.containsKey(type) || feeds.get(type).settled(view);
+    private boolean awaitsAckOfNewNames(ResourceType type) {
+        return subscriptions.containsKey(type) && subscriptions.get(type).awaitsAckOfNewNames();
     }
 
-    private boolean holds(double now) {
-        ResourceSubscription<Q, R> clusters = feeds.get(ResourceType.CLUSTER);
-        ResourceSubscription<Q, R> endpoints = feeds.get(ResourceType.ENDPOINTS);
-        if (clusters == null || !clusters.awaitsNewNames() && (endpoints == null || !endpoints.awaitsNewNames())) {
-            holdingSince = Double.NaN;
+    private boolean holdsRoutes(double nowMs) {
+        // Without clusters on this stream its client has them from elsewhere, and nothing is held back.
+        if (!subscriptions.containsKey(ResourceType.CLUSTER)
+                || !awaitsAckOfNewNames(ResourceType.CLUSTER) && !awaitsAckOfNewNames(ResourceType.ENDPOINTS)) {
+            routesHeldSinceMs = Double.NaN;
             return false;
         }
-        if (Double.isNaN(holdingSince)) {
-            holdingSince = now;
+        if (Double.isNaN(routesHeldSinceMs)) {
+            routesHeldSinceMs = nowMs;
         }
-        return now - holdingSince < PATIENCE_MS;
+        return nowMs - routesHeldSinceMs < ACK_TIMEOUT_MS;
     }
 
-    /** Renews the lifetimes of what has one. */
-    public List<R> renewals(ConfigSnapshot view, double now) {
-        List<R> renewals = new ArrayList<>();
-        feeds.values().forEach(feed -> {
-            R renewal = feed.renewal(view, now);
+    /** Renews the lifetimes of the resources that have one. */
+    public List<ResponseT> nextRenewals(ConfigSnapshot snapshot, double nowMs) {
+        List<ResponseT> renewals = new ArrayList<>();
+        subscriptions.values().forEach(subscription -> {
+            ResponseT renewal = subscription.nextRenewal(snapshot, nowMs);
             if (renewal != null) {
                 renewals.add(renewal);
             }
@@ -136,19 +161,21 @@
         return renewals;
     }
 
-    /** When to look again although nothing came and nothing changed, ms of the same clock; infinite: not at all. */
-    public double lookAgainAt() {
-        double hold = Double.isNaN(holdingSince) ? Double.POSITIVE_INFINITY : holdingSince + PATIENCE_MS;
-        double keep = Double.isNaN(keepingSince)
+    /**
+     * When {@link #nextResponses} is to be called again although no request came and nothing changed; positive infinity: not
+     * before either happens.
+     */
+    public double nextCheckAtMs() {
+        double held = Double.isNaN(routesHeldSinceMs) ? Double.POSITIVE_INFINITY : routesHeldSinceMs + ACK_TIMEOUT_MS;
+        double retainedUntil = Double.isNaN(clustersRetainedSinceMs)
                 ? Double.POSITIVE_INFINITY
-                : keepingSince
-                        + (refusing(ResourceType.LISTENER) || refusing(ResourceType.ROUTES) ? KEPT_MS : PATIENCE_MS);
-        return Math.min(hold, keep);
+                : clustersRetainedSinceMs + (rejectsRoutes() ? REJECTED_ROUTES_HOLD_MS : ACK_TIMEOUT_MS);
+        return Math.min(held, retainedUntil);
     }
 
-    /** What the proxy knows of a type on this stream; null where it has not asked for it. */
-    public ClientVersions knowledge(ResourceType type, double now) {
-        ResourceSubscription<Q, R> feed = feeds.get(type);
-        return feed == null ? null : feed.knowledge(now);
+    /** What the client has of a type on this stream, or null if it never requested it. */
+    public ClientVersions clientVersions(ResourceType type, double nowMs) {
+        ResourceSubscription<RequestT, ResponseT> subscription = subscriptions.get(type);
+        return subscription == null ? null : subscription.clientVersions(nowMs);
     }
 }
--- a/control/src/test/java/opalcove/control/cluster/ClusterStateTest.java
+++ b/control/src/test/java/opalcove/control/cluster/ClusterStateTest.java
@@ -70,7 +70,7 @@
     /** A line a room: {@code room p PRIORITY: port*weight ...}, with ~ for one that takes nothing new. */
     private static String seen(ConfigSnapshot view, String cluster) throws Exception {
         ClusterLoadAssignment all =
-                view.get(ResourceType.ENDPOINTS, cluster).body().unpack(ClusterLoadAssignment.class);
+                view.resource(ResourceType.ENDPOINTS, cluster).body().unpack(ClusterLoadAssignment.class);
         StringBuilder text = new StringBuilder();
         for (LocalityLbEndpoints room : all.getEndpointsList()) {
             text.append(room.getLocality().getZone())
@@ -99,7 +99,7 @@
         fleet.told(START, true, false, List.of());
         assertSame(fleet.view("room-a"), ConfigSnapshot.EMPTY, "an empty first list is no list");
         fleet.told(START + 10, true, false, four());
-        assertTrue(fleet.view("room-a").serial() > 0);
+        assertTrue(fleet.view("room-a").revision() > 0);
     }
 
     @Test
@@ -118,11 +118,11 @@
         fleet.told(START + 10, false, false, List.of(node(2, "room-a", 2, EndpointState.DRAINING, 1000)));
         ConfigSnapshot after = fleet.view("room-a");
         assertEquals(seen(after, "all"), "room-a p0: 7001*100 7002~\nroom-b p1: 7003*100 7004*100");
-        assertSame(after.get(ResourceType.ENDPOINTS, "pod-1"), before.get(ResourceType.ENDPOINTS, "pod-1"));
+        assertSame(after.resource(ResourceType.ENDPOINTS, "pod-1"), before.resource(ResourceType.ENDPOINTS, "pod-1"));
         fleet.told(START + 20, false, false, List.of(node(2, "room-a", 2, EndpointState.UP, 1000)));
         assertEquals(
-                fleet.view("room-a").get(ResourceType.ENDPOINTS, "all").version(),
-                before.get(ResourceType.ENDPOINTS, "all").version(),
+                fleet.view("room-a").resource(ResourceType.ENDPOINTS, "all").version(),
+                before.resource(ResourceType.ENDPOINTS, "all").version(),
                 "a drain called off is the state before it");
     }
 
--- a/control/src/test/java/opalcove/control/server/GrpcClientTest.java
+++ b/control/src/test/java/opalcove/control/server/GrpcClientTest.java
@@ -105,13 +105,14 @@
     }
 
     private Resource endpoints(Set<Integer> draining, Set<Integer> absent) {
-        List<ResourceFactory.Target> targets = new ArrayList<>();
+        List<ResourceFactory.WeightedEndpoint> targets = new ArrayList<>();
         for (int i = 0; i < nodes.size(); i++) {
             if (!absent.contains(i)) {
-                targets.add(new ResourceFactory.Target("127.0.0.1", nodes.get(i).getPort(), 1, draining.contains(i)));
+                targets.add(new ResourceFactory.WeightedEndpoint(
+                        "127.0.0.1", nodes.get(i).getPort(), 1, draining.contains(i)));
             }
         }
-        return ResourceFactory.endpoints("std", 0, List.of(new ResourceFactory.Group("room-a", 0, 1, targets)));
+        return ResourceFactory.endpoints("std", 0, List.of(new ResourceFactory.Locality("room-a", 0, 1, targets)));
     }
 
     private void tell(Resource resource) throws Exception {
--- a/control/src/test/java/opalcove/control/xds/DeltaTest.java
+++ b/control/src/test/java/opalcove/control/xds/DeltaTest.java
@@ -12,136 +12,142 @@
 
 public class DeltaTest {
     @Test
-    public void aFirstRequestWithoutNamesAsksForAllAndOnlyChangesFollow() {
+    public void aFirstRequestWithoutNamesSubscribesToAllAndOnlyChangesFollow() {
         Proxy proxy = new Proxy().set(CLUSTER, 1, "a", "b");
         proxy.subscribe(CLUSTER);
-        assertEquals(proxy.changed(), "CLUSTER n1: a b");
-        proxy.take(CLUSTER, "n1");
+        assertEquals(proxy.deltaResponses(), "CLUSTER n1: a b");
+        proxy.acceptDelta(CLUSTER, "n1");
         proxy.set(CLUSTER, 2, "b").set(CLUSTER, 1, "c").remove(CLUSTER, "a");
-        assertEquals(proxy.changed(), "CLUSTER n2: b c -a");
-        proxy.take(CLUSTER, "n2");
-        assertEquals(proxy.changed(), "");
+        assertEquals(proxy.deltaResponses(), "CLUSTER n2: b c -a");
+        proxy.acceptDelta(CLUSTER, "n2");
+        assertEquals(proxy.deltaResponses(), "");
     }
 
     @Test
-    public void aNameThatIsNotThereIsToldAsRemoved() {
+    public void aNameThatDoesNotExistIsSentAsRemoved() {
         Proxy proxy = new Proxy();
         proxy.subscribe(ENDPOINTS, "later");
-        assertEquals(proxy.changed(), "ENDPOINTS n1: -later");
+        assertEquals(proxy.deltaResponses(), "ENDPOINTS n1: -later");
         proxy.set(ENDPOINTS, 1, "later", "other");
-        assertEquals(proxy.changed(), "ENDPOINTS n2: later");
+        assertEquals(proxy.deltaResponses(), "ENDPOINTS n2: later");
     }
 
     @Test
-    public void whatIsSubscribedToAgainIsToldAgain() {
+    public void whatIsSubscribedToAgainIsSentAgain() {
         Proxy proxy = new Proxy().set(ENDPOINTS, 1, "a", "b");
         proxy.subscribe(ENDPOINTS, "a", "b");
-        assertEquals(proxy.changed(), "ENDPOINTS n1: a b");
+        assertEquals(proxy.deltaResponses(), "ENDPOINTS n1: a b");
         proxy.subscribe(ENDPOINTS, "a");
-        assertEquals(proxy.changed(), "ENDPOINTS n2: a");
+        assertEquals(proxy.deltaResponses(), "ENDPOINTS n2: a");
         proxy.unsubscribe(ENDPOINTS, "a");
         proxy.set(ENDPOINTS, 2, "a");
-        assertEquals(proxy.changed(), "");
+        assertEquals(proxy.deltaResponses(), "");
     }
 
     @Test
-    public void aNameLeftWhileTheWildcardStandsIsToldOfOnceMore() {
+    public void aNameUnsubscribedUnderAWildcardIsSentOnceMore() {
         Proxy proxy = new Proxy().set(CLUSTER, 1, "a");
         proxy.subscribe(CLUSTER, "*", "a", "none");
-        assertEquals(proxy.changed(), "CLUSTER n1: a -none");
+        assertEquals(proxy.deltaResponses(), "CLUSTER n1: a -none");
         proxy.unsubscribe(CLUSTER, "a", "none");
-        assertEquals(proxy.changed(), "CLUSTER n2: a -none", "the wildcard holds the one, and not the other");
+        assertEquals(proxy.deltaResponses(), "CLUSTER n2: a -none", "the wildcard holds the one, and not the other");
         proxy.unsubscribe(CLUSTER, "*");
         proxy.set(CLUSTER, 2, "a");
-        assertEquals(proxy.changed(), "");
+        assertEquals(proxy.deltaResponses(), "");
     }
 
     @Test
-    public void aProxyThatComesBackIsToldWhatChangedMeanwhile() {
+    public void aProxyThatReconnectsIsSentWhatChangedMeanwhile() {
         Proxy proxy = new Proxy().set(CLUSTER, 1, "same", "other", "fresh");
-        proxy.delta.request(
+        proxy.delta.onRequest(
                 CLUSTER,
-                proxy.change(CLUSTER, "m4")
+                proxy.deltaRequest(CLUSTER, "m4")
                         .putAllInitialResourceVersions(Map.of(
                                 "same",
-                                proxy.view.get(CLUSTER, "same").version(),
+                                proxy.snapshot.resource(CLUSTER, "same").version(),
                                 "other",
                                 "0123456789abcdef",
                                 "gone",
                                 "1"))
                         .build());
-        assertEquals(proxy.changed(), "CLUSTER n1: fresh other -gone");
+        assertEquals(proxy.deltaResponses(), "CLUSTER n1: fresh other -gone");
     }
 
     @Test
-    public void namedOnesThatAreKnownAreNotToldAgainOnReturn() {
+    public void namedResourcesThatItHasAreNotSentAgainOnReconnect() {
         Proxy proxy = new Proxy().set(ENDPOINTS, 1, "a", "b");
-        proxy.delta.request(
+        proxy.delta.onRequest(
                 ENDPOINTS,
-                proxy.change(ENDPOINTS, "")
+                proxy.deltaRequest(ENDPOINTS, "")
                         .addAllResourceNamesSubscribe(List.of("a", "b"))
                         .putInitialResourceVersions(
-                                "a", proxy.view.get(ENDPOINTS, "a").version())
+                                "a", proxy.snapshot.resource(ENDPOINTS, "a").version())
                         .build());
-        assertEquals(proxy.changed(), "ENDPOINTS n1: b");
+        assertEquals(proxy.deltaResponses(), "ENDPOINTS n1: b");
     }
 
     @Test
-    public void ofSeveralTheOneAtFaultIsFound() {
+    public void ofSeveralResourcesTheOneAtFaultIsFound() {
         Proxy proxy = new Proxy().set(CLUSTER, 1, "a", "b", "c");
         proxy.subscribe(CLUSTER);
-        proxy.changed();
-        proxy.reject(CLUSTER, "n1", "b is bad");
-        StringBuilder told = new StringBuilder();
-        String next = proxy.changed();
+        proxy.deltaResponses();
+        proxy.rejectDelta(CLUSTER, "n1", "b is bad");
+        StringBuilder responses = new StringBuilder();
+        String next = proxy.deltaResponses();
         for (int i = 0; i < 10 && !next.isEmpty(); i++) {
-            told.append(next).append('\n');
+            responses.append(next).append('\n');
             String nonce = "n" + (i + 2);
             if (next.contains(" b")) {
-                proxy.reject(CLUSTER, nonce, "b is bad");
+                proxy.rejectDelta(CLUSTER, nonce, "b is bad");
             } else {
-                proxy.take(CLUSTER, nonce);
+                proxy.acceptDelta(CLUSTER, nonce);
             }
-            next = proxy.changed();
+            next = proxy.deltaResponses();
         }
-        assertEquals(told.toString().lines().filter(line -> line.endsWith(" b")).count(), 1, told.toString());
-        assertEquals(proxy.delta.knowledge(CLUSTER, 0).refusedNames(), 1);
-        assertEquals(proxy.delta.knowledge(CLUSTER, 0).acknowledged(), proxy.view.serial());
-        assertFalse(told.toString().contains("n8"), "few enough responses: " + told);
+        assertEquals(
+                responses.toString().lines().filter(line -> line.endsWith(" b")).count(), 1, responses.toString());
+        assertEquals(proxy.delta.clientVersions(CLUSTER, 0).withheldCount(), 1);
+        assertEquals(proxy.delta.clientVersions(CLUSTER, 0).acknowledgedRevision(), proxy.snapshot.revision());
+        assertFalse(responses.toString().contains("n8"), "few enough responses: " + responses);
     }
 
     @Test
     public void aLifetimeIsRenewedWithoutTheResource() throws Exception {
         Proxy proxy = new Proxy();
-        proxy.view = ConfigSnapshot.EMPTY.with(List.of(ResourceFactory.endpoints("leased", 3000, List.of())), Map.of());
+        proxy.snapshot =
+                ConfigSnapshot.EMPTY.with(List.of(ResourceFactory.endpoints("leased", 3000, List.of())), Map.of());
         proxy.set(ENDPOINTS, 1, "kept");
         proxy.subscribe(ENDPOINTS, "leased", "kept");
-        assertEquals(proxy.changed(), "ENDPOINTS n1: kept leased");
-        DeltaDiscoveryResponse renewal = proxy.delta.renewals(proxy.view, 0).get(0);
+        assertEquals(proxy.deltaResponses(), "ENDPOINTS n1: kept leased");
+        DeltaDiscoveryResponse renewal =
+                proxy.delta.nextRenewals(proxy.snapshot, 0).get(0);
         assertEquals(renewal.getNonce(), "n2");
         assertEquals(renewal.getResourcesCount(), 1);
         assertEquals(renewal.getResources(0).getName(), "leased");
         assertEquals(
                 renewal.getResources(0).getVersion(),
-                proxy.view.get(ENDPOINTS, "leased").version());
+                proxy.snapshot.resource(ENDPOINTS, "leased").version());
         assertEquals(renewal.getResources(0).getTtl().getSeconds(), 3);
         assertFalse(renewal.getResources(0).hasResource());
-        proxy.take(ENDPOINTS, "n1");
-        proxy.take(ENDPOINTS, "n2");
-        assertEquals(proxy.delta.knowledge(ENDPOINTS, 9).waitingMs(), 0.0);
+        proxy.acceptDelta(ENDPOINTS, "n1");
+        proxy.acceptDelta(ENDPOINTS, "n2");
+        assertEquals(proxy.delta.clientVersions(ENDPOINTS, 9).oldestPendingMs(), 0.0);
     }
 
     @Test
-    public void aProxyThatNeverAnswersCostsABoundedAmount() {
+    public void aProxyThatNeverAcknowledgesCostsBoundedMemory() {
         Proxy proxy = new Proxy().set(ENDPOINTS, 0, "a");
         proxy.subscribe(ENDPOINTS, "a");
         for (int i = 1; i <= 1000; i++) {
-            proxy.now = i;
+            proxy.nowMs = i;
             proxy.set(ENDPOINTS, i, "a");
-            assertEquals(proxy.changed(), "ENDPOINTS n" + i + ": a");
+            assertEquals(proxy.deltaResponses(), "ENDPOINTS n" + i + ": a");
         }
-        assertEquals(proxy.delta.knowledge(ENDPOINTS, 1000).waitingMs(), 63.0, "64 answers are waited for");
-        proxy.take(ENDPOINTS, "n1000");
-        assertEquals(proxy.delta.knowledge(ENDPOINTS, 1000).taken(), 1);
+        assertEquals(
+                proxy.delta.clientVersions(ENDPOINTS, 1000).oldestPendingMs(),
+                63.0,
+                "64 acknowledgements are waited for");
+        proxy.acceptDelta(ENDPOINTS, "n1000");
+        assertEquals(proxy.delta.clientVersions(ENDPOINTS, 1000).acceptedCount(), 1);
     }
 }
--- a/control/src/test/java/opalcove/control/xds/OrderTest.java
+++ b/control/src/test/java/opalcove/control/xds/OrderTest.java
@@ -12,15 +12,15 @@
     private static Proxy running() {
         Proxy proxy =
                 new Proxy().set(CLUSTER, 1, "old").set(ENDPOINTS, 1, "old").set(ROUTES, 1, "r");
-        proxy.ask(CLUSTER, "");
-        proxy.ask(ENDPOINTS, "", "old");
-        proxy.ask(ROUTES, "", "r");
-        assertEquals(proxy.told(), "CLUSTER n1: old\nENDPOINTS n1: old");
-        proxy.ask(CLUSTER, "n1");
-        proxy.ask(ENDPOINTS, "n1", "old");
-        assertEquals(proxy.told(), "ROUTES n1: r");
-        proxy.ask(ROUTES, "n1", "r");
-        assertEquals(proxy.told(), "");
+        proxy.requestSotw(CLUSTER, "");
+        proxy.requestSotw(ENDPOINTS, "", "old");
+        proxy.requestSotw(ROUTES, "", "r");
+        assertEquals(proxy.sotwResponses(), "CLUSTER n1: old\nENDPOINTS n1: old");
+        proxy.requestSotw(CLUSTER, "n1");
+        proxy.requestSotw(ENDPOINTS, "n1", "old");
+        assertEquals(proxy.sotwResponses(), "ROUTES n1: r");
+        proxy.requestSotw(ROUTES, "n1", "r");
+        assertEquals(proxy.sotwResponses(), "");
         return proxy;
     }
 
@@ -35,49 +35,49 @@
     public void routesFollowTheClustersTheyNameAndOldOnesGoLast() {
         Proxy proxy = running();
         swap(proxy);
-        assertEquals(proxy.told(), "CLUSTER n2: new old");
-        proxy.ask(CLUSTER, "n2");
-        proxy.ask(ENDPOINTS, "n1", "old", "new");
-        assertEquals(proxy.told(), "ENDPOINTS n2: new");
-        proxy.ask(ENDPOINTS, "n2", "old", "new");
-        assertEquals(proxy.told(), "ROUTES n2: r");
-        assertEquals(proxy.told(), "", "the old cluster stays until the routes are taken");
-        proxy.ask(ROUTES, "n2", "r");
-        assertEquals(proxy.told(), "CLUSTER n3: new");
-        proxy.ask(CLUSTER, "n3");
-        assertEquals(proxy.told(), "");
+        assertEquals(proxy.sotwResponses(), "CLUSTER n2: new old");
+        proxy.requestSotw(CLUSTER, "n2");
+        proxy.requestSotw(ENDPOINTS, "n1", "old", "new");
+        assertEquals(proxy.sotwResponses(), "ENDPOINTS n2: new");
+        proxy.requestSotw(ENDPOINTS, "n2", "old", "new");
+        assertEquals(proxy.sotwResponses(), "ROUTES n2: r");
+        assertEquals(proxy.sotwResponses(), "", "the old cluster stays until the routes are accepted");
+        proxy.requestSotw(ROUTES, "n2", "r");
+        assertEquals(proxy.sotwResponses(), "CLUSTER n3: new");
+        proxy.requestSotw(CLUSTER, "n3");
+        assertEquals(proxy.sotwResponses(), "");
     }
 
     @Test
-    public void aProxyThatDoesNotAnswerIsWaitedForASecond() {
+    public void aProxyThatDoesNotAcknowledgeIsWaitedForASecond() {
         Proxy proxy = running();
         swap(proxy);
-        assertEquals(proxy.told(), "CLUSTER n2: new old");
-        proxy.now = 999;
-        assertEquals(proxy.told(), "");
-        assertEquals(proxy.sotw.lookAgainAt(), 1000.0);
-        proxy.now = 1000;
-        assertEquals(proxy.told(), "ROUTES n2: r\nCLUSTER n3: new");
+        assertEquals(proxy.sotwResponses(), "CLUSTER n2: new old");
+        proxy.nowMs = 999;
+        assertEquals(proxy.sotwResponses(), "");
+        assertEquals(proxy.sotw.nextCheckAtMs(), 1000.0);
+        proxy.nowMs = 1000;
+        assertEquals(proxy.sotwResponses(), "ROUTES n2: r\nCLUSTER n3: new");
     }
 
     @Test
-    public void aDrainDoesNotWaitForAnotherTypesAnswer() {
+    public void aDrainDoesNotWaitForAnotherTypesAcknowledgement() {
         Proxy proxy = running();
         swap(proxy);
-        proxy.told();
+        proxy.sotwResponses();
         proxy.set(ENDPOINTS, 2, "old");
-        assertEquals(proxy.told(), "ENDPOINTS n2: old");
+        assertEquals(proxy.sotwResponses(), "ENDPOINTS n2: old");
     }
 
     @Test
-    public void aRefusedRouteKeepsItsCluster() {
+    public void aRejectedRouteKeepsItsCluster() {
         Proxy proxy = running();
         proxy.set(ROUTES, 2, "r").remove(CLUSTER, "old");
-        assertEquals(proxy.told(), "ROUTES n2: r");
-        proxy.refuse(ROUTES, "n2", "no", "r");
-        proxy.now = 59_999;
-        assertEquals(proxy.told(), "", "it goes on with the routes that name the old cluster");
-        proxy.now = 60_000;
-        assertEquals(proxy.told(), "CLUSTER n2:");
+        assertEquals(proxy.sotwResponses(), "ROUTES n2: r");
+        proxy.rejectSotw(ROUTES, "n2", "no", "r");
+        proxy.nowMs = 59_999;
+        assertEquals(proxy.sotwResponses(), "", "it goes on with the routes that name the old cluster");
+        proxy.nowMs = 60_000;
+        assertEquals(proxy.sotwResponses(), "CLUSTER n2:");
     }
 }
--- a/control/src/test/java/opalcove/control/xds/Proxy.java
+++ b/control/src/test/java/opalcove/control/xds/Proxy.java
@@ -15,10 +15,10 @@
 import java.util.Map;
 import java.util.TreeSet;
 
-/** A scripted proxy on a stream, and a view that it looks at. What it was told is written as lines. */
+/** A scripted proxy on a stream, and the snapshot for it. The responses it receives are written as lines. */
 final class Proxy {
-    ConfigSnapshot view = ConfigSnapshot.EMPTY;
-    double now;
+    ConfigSnapshot snapshot = ConfigSnapshot.EMPTY;
+    double nowMs;
     final XdsStream<DiscoveryRequest, DiscoveryResponse> sotw = XdsStream.sotw("n", false);
     final XdsStream<DeltaDiscoveryRequest, DeltaDiscoveryResponse> delta = XdsStream.delta("n");
     final List<DiscoveryResponse> responses = new ArrayList<>();
@@ -60,18 +60,18 @@
         for (String name : names) {
             set.add(resource(type, name, content));
         }
-        view = view.with(set, Map.of());
+        snapshot = snapshot.with(set, Map.of());
         return this;
     }
 
     Proxy remove(ResourceType type, String... names) {
-        view = view.with(List.of(), Map.of(type, List.of(names)));
+        snapshot = snapshot.with(List.of(), Map.of(type, List.of(names)));
         return this;
     }
 
-    /** Asks for names on the state-of-the-world stream. */
-    void ask(ResourceType type, String nonce, String... names) {
-        sotw.request(
+    /** Subscribes to names on the state-of-the-world stream, and acknowledges the response with this nonce. */
+    void requestSotw(ResourceType type, String nonce, String... names) {
+        sotw.onRequest(
                 type,
                 DiscoveryRequest.newBuilder()
                         .setTypeUrl(type.url())
@@ -80,8 +80,8 @@
                         .build());
     }
 
-    void refuse(ResourceType type, String nonce, String reason, String... names) {
-        sotw.request(
+    void rejectSotw(ResourceType type, String nonce, String reason, String... names) {
+        sotw.onRequest(
                 type,
                 DiscoveryRequest.newBuilder()
                         .setTypeUrl(type.url())
@@ -91,48 +91,52 @@
                         .build());
     }
 
-    /** What it is told now: {@code TYPE nonce: names}, a response a line. */
-    String told() {
+    /** The responses due now, a line each: {@code TYPE nonce: names}. */
+    String sotwResponses() {
         StringBuilder text = new StringBuilder();
-        for (DiscoveryResponse each : sotw.due(view, now)) {
+        for (DiscoveryResponse each : sotw.nextResponses(snapshot, nowMs)) {
             responses.add(each);
             text.append(line(each.getTypeUrl(), each.getNonce(), names(each), List.of()));
         }
         return text.toString().strip();
     }
 
-    DeltaDiscoveryRequest.Builder change(ResourceType type, String nonce) {
+    DeltaDiscoveryRequest.Builder deltaRequest(ResourceType type, String nonce) {
         return DeltaDiscoveryRequest.newBuilder().setTypeUrl(type.url()).setResponseNonce(nonce);
     }
 
     void subscribe(ResourceType type, String... names) {
-        delta.request(
+        delta.onRequest(
                 type,
-                change(type, "").addAllResourceNamesSubscribe(List.of(names)).build());
+                deltaRequest(type, "")
+                        .addAllResourceNamesSubscribe(List.of(names))
+                        .build());
     }
 
     void unsubscribe(ResourceType type, String... names) {
-        delta.request(
+        delta.onRequest(
                 type,
-                change(type, "").addAllResourceNamesUnsubscribe(List.of(names)).build());
+                deltaRequest(type, "")
+                        .addAllResourceNamesUnsubscribe(List.of(names))
+                        .build());
     }
 
-    void take(ResourceType type, String nonce) {
-        delta.request(type, change(type, nonce).build());
+    void acceptDelta(ResourceType type, String nonce) {
+        delta.onRequest(type, deltaRequest(type, nonce).build());
     }
 
-    void reject(ResourceType type, String nonce, String reason) {
-        delta.request(
+    void rejectDelta(ResourceType type, String nonce, String reason) {
+        delta.onRequest(
                 type,
-                change(type, nonce)
+                deltaRequest(type, nonce)
                         .setErrorDetail(Status.newBuilder().setCode(3).setMessage(reason))
                         .build());
     }
 
-    /** What it is told now on the incremental stream: {@code TYPE nonce: names -removed}. */
-    String changed() {
+    /** The responses due now on the incremental stream, a line each: {@code TYPE nonce: names -removed}. */
+    String deltaResponses() {
         StringBuilder text = new StringBuilder();
-        for (DeltaDiscoveryResponse each : delta.due(view, now)) {
+        for (DeltaDiscoveryResponse each : delta.nextResponses(snapshot, nowMs)) {
             changes.add(each);
             text.append(line(
                     each.getTypeUrl(),
@@ -146,7 +150,7 @@
     }
 
     private static String line(String url, String nonce, List<String> names, List<String> removed) {
-        StringBuilder text = new StringBuilder(ResourceType.of(url) + " " + nonce + ":");
+        StringBuilder text = new StringBuilder(ResourceType.forUrl(url) + " " + nonce + ":");
         new TreeSet<>(names).forEach(name -> text.append(' ').append(name));
         new TreeSet<>(removed).forEach(name -> text.append(" -").append(name));
         return text.append('\n').toString();
@@ -156,7 +160,7 @@
         return response.getResourcesList().stream()
                 .map(any -> {
                     try {
-                        return switch (ResourceType.of(any.getTypeUrl())) {
+                        return switch (ResourceType.forUrl(any.getTypeUrl())) {
                             case CLUSTER -> any.unpack(Cluster.class).getName();
                             case ENDPOINTS ->
                                 any.unpack(ClusterLoadAssignment.class).getClusterName();
--- a/control/src/test/java/opalcove/control/xds/ResourceFormTest.java
+++ b/control/src/test/java/opalcove/control/xds/ResourceFormTest.java
@@ -23,14 +23,14 @@
             "swaps",
             3000,
             List.of(
-                    new ResourceFactory.Group(
+                    new ResourceFactory.Locality(
                             "room-a",
                             0,
                             150,
                             List.of(
-                                    new ResourceFactory.Target("127.0.0.1", 7201, 100, false),
-                                    new ResourceFactory.Target("127.0.0.1", 7202, 50, true))),
-                    new ResourceFactory.Group("room-b", 1, 1, List.of())));
+                                    new ResourceFactory.WeightedEndpoint("127.0.0.1", 7201, 100, false),
+                                    new ResourceFactory.WeightedEndpoint("127.0.0.1", 7202, 50, true))),
+                    new ResourceFactory.Locality("room-b", 1, 1, List.of())));
 
     private static String text(Message message) {
         return TextFormat.printer()
@@ -118,7 +118,7 @@
                 """);
     }
 
-    private static ConfigSnapshot view() {
+    private static ConfigSnapshot snapshot() {
         return ConfigSnapshot.EMPTY.with(
                 List.of(SWAPS, ResourceFactory.cluster("swaps"), ResourceFactory.cluster("spare")), Map.of());
     }
@@ -131,9 +131,9 @@
             if (each == ResourceType.ENDPOINTS) {
                 request.addResourceNames("swaps");
             }
-            stream.request(each, request.build());
+            stream.onRequest(each, request.build());
         }
-        List<DiscoveryResponse> due = stream.due(view(), 0);
+        List<DiscoveryResponse> due = stream.nextResponses(snapshot(), 0);
         assertEquals(due.size(), 2);
         assertEquals(due.get(0).getVersionInfo(), "ce1f59a4e302d0af");
         assertEquals(due.get(0).getNonce(), "n.1");
@@ -149,7 +149,7 @@
                 \\022\\032\\n\\022\\n\\020\\n\\016\\022\\t127.0.0.1\\030\\2428\\020\\003\\"\\002\\b2\\032\\003\\b\\226\\001\\032\\005swaps2\\002\\b\\003" \
                 } type_url: "type.googleapis.com/envoy.config.endpoint.v3.ClusterLoadAssignment" nonce: "n.1\"""");
         assertEquals(
-                text(stream.renewals(view(), 0).get(0)),
+                text(stream.nextRenewals(snapshot(), 0).get(0)),
                 """
                 version_info: "f7918b1c9639b90e" resources { type_url: \
                 "type.googleapis.com/envoy.service.discovery.v3.Resource" value: \
@@ -160,14 +160,14 @@
     @Test
     public void anIncrementalResponseAndItsRenewal() {
         XdsStream<DeltaDiscoveryRequest, DeltaDiscoveryResponse> stream = XdsStream.delta("n.");
-        stream.request(
+        stream.onRequest(
                 ResourceType.ENDPOINTS,
                 DeltaDiscoveryRequest.newBuilder()
                         .setTypeUrl(ResourceType.ENDPOINTS.url())
                         .addResourceNamesSubscribe("swaps")
                         .addResourceNamesSubscribe("none")
                         .build());
-        List<DeltaDiscoveryResponse> due = stream.due(view(), 0);
+        List<DeltaDiscoveryResponse> due = stream.nextResponses(snapshot(), 0);
         assertEquals(due.size(), 1);
         assertEquals(
                 text(due.get(0)),
@@ -181,7 +181,7 @@
                 "type.googleapis.com/envoy.config.endpoint.v3.ClusterLoadAssignment" nonce: "n.1" \
                 removed_resources: "none\"""");
         assertEquals(
-                text(stream.renewals(view(), 0).get(0)),
+                text(stream.nextRenewals(snapshot(), 0).get(0)),
                 """
                 resources { version: "f7918b1c9639b90e" name: "swaps" ttl { seconds: 3 } } type_url: \
                 "type.googleapis.com/envoy.config.endpoint.v3.ClusterLoadAssignment" nonce: "n.2\"""");
--- a/control/src/test/java/opalcove/control/xds/SotwTest.java
+++ b/control/src/test/java/opalcove/control/xds/SotwTest.java
@@ -11,189 +11,195 @@
 
 public class SotwTest {
     @Test
-    public void aFirstRequestWithoutNamesAsksForAll() {
+    public void aFirstRequestWithoutNamesSubscribesToAll() {
         Proxy proxy = new Proxy().set(CLUSTER, 1, "a", "b");
-        proxy.ask(CLUSTER, "");
-        assertEquals(proxy.told(), "CLUSTER n1: a b");
-        proxy.ask(CLUSTER, "n1");
-        assertEquals(proxy.told(), "");
+        proxy.requestSotw(CLUSTER, "");
+        assertEquals(proxy.sotwResponses(), "CLUSTER n1: a b");
+        proxy.requestSotw(CLUSTER, "n1");
+        assertEquals(proxy.sotwResponses(), "");
         proxy.set(CLUSTER, 2, "b");
-        assertEquals(proxy.told(), "CLUSTER n2: a b", "clusters are told whole, so that what is lacking is gone");
-        proxy.ask(CLUSTER, "n2");
+        assertEquals(
+                proxy.sotwResponses(),
+                "CLUSTER n2: a b",
+                "clusters are sent completely, so that what is lacking is gone");
+        proxy.requestSotw(CLUSTER, "n2");
         proxy.remove(CLUSTER, "a");
-        assertEquals(proxy.told(), "CLUSTER n3: b");
+        assertEquals(proxy.sotwResponses(), "CLUSTER n3: b");
     }
 
     @Test
-    public void theFirstRequestIsAnsweredEvenWhereThereIsNothing() {
+    public void theFirstRequestGetsAResponseEvenWhereThereIsNothing() {
         Proxy proxy = new Proxy();
-        proxy.ask(CLUSTER, "");
-        assertEquals(proxy.told(), "CLUSTER n1:");
-        assertEquals(proxy.told(), "");
+        proxy.requestSotw(CLUSTER, "");
+        assertEquals(proxy.sotwResponses(), "CLUSTER n1:");
+        assertEquals(proxy.sotwResponses(), "");
     }
 
     @Test
     public void afterNamesNoNamesMeanNone() {
         Proxy proxy = new Proxy().set(LISTENER, 1, "a", "b");
-        proxy.ask(LISTENER, "", "a");
-        assertEquals(proxy.told(), "LISTENER n1: a");
-        proxy.ask(LISTENER, "n1");
+        proxy.requestSotw(LISTENER, "", "a");
+        assertEquals(proxy.sotwResponses(), "LISTENER n1: a");
+        proxy.requestSotw(LISTENER, "n1");
         proxy.set(LISTENER, 2, "a", "b");
-        assertEquals(proxy.told(), "", "it unsubscribed from its last name, and that is no wildcard");
-        proxy.ask(LISTENER, "n1", "*");
-        assertEquals(proxy.told(), "LISTENER n2: a b");
-        proxy.ask(LISTENER, "n2");
+        assertEquals(proxy.sotwResponses(), "", "it unsubscribed from its last name, and that is no wildcard");
+        proxy.requestSotw(LISTENER, "n1", "*");
+        assertEquals(proxy.sotwResponses(), "LISTENER n2: a b");
+        proxy.requestSotw(LISTENER, "n2");
         proxy.set(LISTENER, 3, "a");
-        assertEquals(proxy.told(), "", "the wildcard that was named was unsubscribed from by an empty list");
+        assertEquals(proxy.sotwResponses(), "", "the wildcard that was named was unsubscribed from by an empty list");
     }
 
     @Test
-    public void endpointsAreToldByWhatChanged() {
+    public void onlyChangedEndpointsAreSent() {
         Proxy proxy = new Proxy().set(ENDPOINTS, 1, "a", "b", "c");
-        proxy.ask(ENDPOINTS, "", "a", "b");
-        assertEquals(proxy.told(), "ENDPOINTS n1: a b");
-        proxy.ask(ENDPOINTS, "n1", "a", "b");
+        proxy.requestSotw(ENDPOINTS, "", "a", "b");
+        assertEquals(proxy.sotwResponses(), "ENDPOINTS n1: a b");
+        proxy.requestSotw(ENDPOINTS, "n1", "a", "b");
         proxy.set(ENDPOINTS, 2, "b", "c");
-        assertEquals(proxy.told(), "ENDPOINTS n2: b");
-        proxy.ask(ENDPOINTS, "n2", "a", "b", "c");
-        assertEquals(proxy.told(), "ENDPOINTS n3: c", "a name that is added is told, and what is known is not");
+        assertEquals(proxy.sotwResponses(), "ENDPOINTS n2: b");
+        proxy.requestSotw(ENDPOINTS, "n2", "a", "b", "c");
+        assertEquals(proxy.sotwResponses(), "ENDPOINTS n3: c", "an added name is sent, and what the client has is not");
     }
 
     @Test
-    public void aNameThatIsNotThereYetIsToldWhenItComes() {
+    public void aResourceThatDoesNotExistYetIsSentOnceItDoes() {
         Proxy proxy = new Proxy().set(ENDPOINTS, 1, "a");
-        proxy.ask(ENDPOINTS, "", "later");
-        assertEquals(proxy.told(), "");
+        proxy.requestSotw(ENDPOINTS, "", "later");
+        assertEquals(proxy.sotwResponses(), "");
         proxy.set(ENDPOINTS, 1, "later");
-        assertEquals(proxy.told(), "ENDPOINTS n1: later");
+        assertEquals(proxy.sotwResponses(), "ENDPOINTS n1: later");
     }
 
     @Test
-    public void whatIsSubscribedToAnewIsToldAgain() {
+    public void whatIsSubscribedToAnewIsSentAgain() {
         Proxy proxy = new Proxy().set(ROUTES, 1, "a", "b");
-        proxy.ask(ROUTES, "", "a", "b");
-        assertEquals(proxy.told(), "ROUTES n1: a b");
-        proxy.ask(ROUTES, "n1", "b");
-        assertEquals(proxy.told(), "");
-        proxy.ask(ROUTES, "n1", "a", "b");
-        assertEquals(proxy.told(), "ROUTES n2: a", "it may have forgotten it in between");
+        proxy.requestSotw(ROUTES, "", "a", "b");
+        assertEquals(proxy.sotwResponses(), "ROUTES n1: a b");
+        proxy.requestSotw(ROUTES, "n1", "b");
+        assertEquals(proxy.sotwResponses(), "");
+        proxy.requestSotw(ROUTES, "n1", "a", "b");
+        assertEquals(proxy.sotwResponses(), "ROUTES n2: a", "it may have forgotten it in between");
     }
 
     @Test
-    public void aRequestWithAStaleNonceIsNoRequest() {
+    public void aRequestWithAStaleNonceChangesNoSubscription() {
         Proxy proxy = new Proxy().set(ENDPOINTS, 1, "a", "b");
-        proxy.ask(ENDPOINTS, "", "a");
-        assertEquals(proxy.told(), "ENDPOINTS n1: a");
+        proxy.requestSotw(ENDPOINTS, "", "a");
+        assertEquals(proxy.sotwResponses(), "ENDPOINTS n1: a");
         proxy.set(ENDPOINTS, 2, "a");
-        assertEquals(proxy.told(), "ENDPOINTS n2: a");
-        proxy.ask(ENDPOINTS, "n1", "a", "b");
-        assertEquals(proxy.told(), "", "it was written before n2 was read; another follows");
-        assertEquals(proxy.sotw.knowledge(ENDPOINTS, 0).taken(), 1, "as an answer it counts");
-        proxy.ask(ENDPOINTS, "n2", "a", "b");
-        assertEquals(proxy.told(), "ENDPOINTS n3: b");
+        assertEquals(proxy.sotwResponses(), "ENDPOINTS n2: a");
+        proxy.requestSotw(ENDPOINTS, "n1", "a", "b");
+        assertEquals(proxy.sotwResponses(), "", "it was written before n2 was read; another follows");
+        assertEquals(proxy.sotw.clientVersions(ENDPOINTS, 0).acceptedCount(), 1, "as an acknowledgement it counts");
+        proxy.requestSotw(ENDPOINTS, "n2", "a", "b");
+        assertEquals(proxy.sotwResponses(), "ENDPOINTS n3: b");
     }
 
     @Test
-    public void anotherStreamsNonceAndVersionAreNothingToHoldOnTo() {
+    public void aNonceOfAnotherStreamIsIgnored() {
         Proxy proxy = new Proxy().set(ENDPOINTS, 1, "a");
-        proxy.ask(ENDPOINTS, "m17", "a");
-        assertEquals(proxy.told(), "ENDPOINTS n1: a");
+        proxy.requestSotw(ENDPOINTS, "m17", "a");
+        assertEquals(proxy.sotwResponses(), "ENDPOINTS n1: a");
     }
 
     @Test
-    public void aRefusalIsToldWithItsReasonAndDoesNotLoop() {
+    public void aRejectionIsReportedWithItsReasonAndDoesNotLoop() {
         Proxy proxy = new Proxy().set(CLUSTER, 1, "a", "b");
-        proxy.ask(CLUSTER, "");
-        proxy.told();
-        proxy.refuse(CLUSTER, "n1", "b has no type");
-        assertEquals(proxy.told(), "");
-        assertEquals(proxy.sotw.knowledge(CLUSTER, 0).reason(), "b has no type");
-        assertEquals(proxy.sotw.knowledge(CLUSTER, 0).refused(), 1);
+        proxy.requestSotw(CLUSTER, "");
+        proxy.sotwResponses();
+        proxy.rejectSotw(CLUSTER, "n1", "b has no type");
+        assertEquals(proxy.sotwResponses(), "");
+        assertEquals(proxy.sotw.clientVersions(CLUSTER, 0).rejectionReason(), "b has no type");
+        assertEquals(proxy.sotw.clientVersions(CLUSTER, 0).rejectedCount(), 1);
         proxy.set(CLUSTER, 2, "b");
-        assertEquals(proxy.told(), "CLUSTER n2: a b");
-        proxy.ask(CLUSTER, "n2");
-        assertEquals(proxy.sotw.knowledge(CLUSTER, 0).reason(), "");
+        assertEquals(proxy.sotwResponses(), "CLUSTER n2: a b");
+        proxy.requestSotw(CLUSTER, "n2");
+        assertEquals(proxy.sotw.clientVersions(CLUSTER, 0).rejectionReason(), "");
     }
 
     @Test
-    public void ofSeveralTheOneAtFaultIsFoundAndTheOthersArrive() {
+    public void ofSeveralResourcesTheOneAtFaultIsFoundAndTheOthersArrive() {
         Proxy proxy = new Proxy().set(ENDPOINTS, 1, "a", "b", "c", "d");
-        proxy.ask(ENDPOINTS, "", "a", "b", "c", "d");
-        assertEquals(proxy.told(), "ENDPOINTS n1: a b c d");
-        proxy.refuse(ENDPOINTS, "n1", "c is bad", "a", "b", "c", "d");
-        assertEquals(proxy.told(), "ENDPOINTS n2: a b");
-        proxy.ask(ENDPOINTS, "n2", "a", "b", "c", "d");
-        assertEquals(proxy.told(), "ENDPOINTS n3: c d");
-        proxy.refuse(ENDPOINTS, "n3", "c is bad", "a", "b", "c", "d");
-        assertEquals(proxy.told(), "ENDPOINTS n4: c");
-        proxy.refuse(ENDPOINTS, "n4", "c is bad", "a", "b", "c", "d");
-        assertEquals(proxy.told(), "ENDPOINTS n5: d");
-        proxy.ask(ENDPOINTS, "n5", "a", "b", "c", "d");
-        assertEquals(proxy.told(), "");
-        assertEquals(proxy.sotw.knowledge(ENDPOINTS, 0).refusedNames(), 1);
+        proxy.requestSotw(ENDPOINTS, "", "a", "b", "c", "d");
+        assertEquals(proxy.sotwResponses(), "ENDPOINTS n1: a b c d");
+        proxy.rejectSotw(ENDPOINTS, "n1", "c is bad", "a", "b", "c", "d");
+        assertEquals(proxy.sotwResponses(), "ENDPOINTS n2: a b");
+        proxy.requestSotw(ENDPOINTS, "n2", "a", "b", "c", "d");
+        assertEquals(proxy.sotwResponses(), "ENDPOINTS n3: c d");
+        proxy.rejectSotw(ENDPOINTS, "n3", "c is bad", "a", "b", "c", "d");
+        assertEquals(proxy.sotwResponses(), "ENDPOINTS n4: c");
+        proxy.rejectSotw(ENDPOINTS, "n4", "c is bad", "a", "b", "c", "d");
+        assertEquals(proxy.sotwResponses(), "ENDPOINTS n5: d");
+        proxy.requestSotw(ENDPOINTS, "n5", "a", "b", "c", "d");
+        assertEquals(proxy.sotwResponses(), "");
+        assertEquals(proxy.sotw.clientVersions(ENDPOINTS, 0).withheldCount(), 1);
         proxy.set(ENDPOINTS, 2, "d");
-        assertEquals(proxy.told(), "ENDPOINTS n6: d", "the bad one is not told again as it is");
+        assertEquals(proxy.sotwResponses(), "ENDPOINTS n6: d", "the bad one is not sent again as it is");
         proxy.set(ENDPOINTS, 2, "c");
-        assertEquals(proxy.told(), "ENDPOINTS n7: c");
-        proxy.ask(ENDPOINTS, "n6", "a", "b", "c", "d");
-        proxy.ask(ENDPOINTS, "n7", "a", "b", "c", "d");
-        assertEquals(proxy.sotw.knowledge(ENDPOINTS, 0).refusedNames(), 0);
+        assertEquals(proxy.sotwResponses(), "ENDPOINTS n7: c");
+        proxy.requestSotw(ENDPOINTS, "n6", "a", "b", "c", "d");
+        proxy.requestSotw(ENDPOINTS, "n7", "a", "b", "c", "d");
+        assertEquals(proxy.sotw.clientVersions(ENDPOINTS, 0).withheldCount(), 0);
     }
 
     @Test
     public void versionsComeFromWhatIsSubscribedTo() {
         Proxy one = new Proxy().set(CLUSTER, 1, "a", "b", "c").remove(CLUSTER, "c");
         Proxy other = new Proxy().set(CLUSTER, 1, "b").set(CLUSTER, 1, "a");
-        one.ask(CLUSTER, "");
-        other.ask(CLUSTER, "");
-        one.told();
-        other.told();
+        one.requestSotw(CLUSTER, "");
+        other.requestSotw(CLUSTER, "");
+        one.sotwResponses();
+        other.sotwResponses();
         String version = one.responses.get(0).getVersionInfo();
         assertEquals(version, other.responses.get(0).getVersionInfo(), "two instances agree");
-        other.set(CLUSTER, 2, "a").told();
+        other.set(CLUSTER, 2, "a").sotwResponses();
         assertNotEquals(other.responses.get(1).getVersionInfo(), version);
-        other.set(CLUSTER, 1, "a").told();
+        other.set(CLUSTER, 1, "a").sotwResponses();
         assertEquals(other.responses.get(2).getVersionInfo(), version);
     }
 
     @Test
-    public void aProxyThatIsShownAnotherLineOfViewsIsToldWhatDiffers() {
+    public void aProxyThatMovesToAnotherLineageIsSentWhatDiffers() {
         Proxy proxy =
                 new Proxy().set(ENDPOINTS, 1, "a", "b").set(ENDPOINTS, 2, "a").set(ENDPOINTS, 3, "a");
-        proxy.ask(ENDPOINTS, "", "a", "b");
-        assertEquals(proxy.told(), "ENDPOINTS n1: a b");
-        proxy.view = ConfigSnapshot.EMPTY;
+        proxy.requestSotw(ENDPOINTS, "", "a", "b");
+        assertEquals(proxy.sotwResponses(), "ENDPOINTS n1: a b");
+        proxy.snapshot = ConfigSnapshot.EMPTY;
         proxy.set(ENDPOINTS, 1, "a", "b");
-        assertEquals(proxy.told(), "ENDPOINTS n2: a", "its serial is lower than what was told");
-        proxy.ask(ENDPOINTS, "n2", "a", "b");
-        assertEquals(proxy.sotw.knowledge(ENDPOINTS, 0).acknowledged(), 1L);
+        assertEquals(proxy.sotwResponses(), "ENDPOINTS n2: a", "its revision is lower than the one sent");
+        proxy.requestSotw(ENDPOINTS, "n2", "a", "b");
+        assertEquals(proxy.sotw.clientVersions(ENDPOINTS, 0).acknowledgedRevision(), 1L);
     }
 
     @Test
-    public void anAnswerStandsForEarlierOnes() {
+    public void anAcknowledgementCoversEarlierResponses() {
         Proxy proxy = new Proxy().set(ENDPOINTS, 1, "a");
-        proxy.ask(ENDPOINTS, "", "a");
-        proxy.told();
-        proxy.set(ENDPOINTS, 2, "a").told();
-        proxy.ask(ENDPOINTS, "n2", "a");
-        assertEquals(proxy.sotw.knowledge(ENDPOINTS, 0).acknowledged(), 2L);
-        assertEquals(proxy.sotw.knowledge(ENDPOINTS, 9).waitingMs(), 0.0);
+        proxy.requestSotw(ENDPOINTS, "", "a");
+        proxy.sotwResponses();
+        proxy.set(ENDPOINTS, 2, "a").sotwResponses();
+        proxy.requestSotw(ENDPOINTS, "n2", "a");
+        assertEquals(proxy.sotw.clientVersions(ENDPOINTS, 0).acknowledgedRevision(), 2L);
+        assertEquals(proxy.sotw.clientVersions(ENDPOINTS, 9).oldestPendingMs(), 0.0);
     }
 
     @Test
-    public void newsDoNotWaitForAnAnswerAndManyChangesAreOne() {
+    public void changesDoNotWaitForAnAcknowledgementAndManyAreOneResponse() {
         Proxy proxy = new Proxy().set(ENDPOINTS, 1, "a");
-        proxy.ask(ENDPOINTS, "", "a");
-        assertEquals(proxy.told(), "ENDPOINTS n1: a");
+        proxy.requestSotw(ENDPOINTS, "", "a");
+        assertEquals(proxy.sotwResponses(), "ENDPOINTS n1: a");
         for (int i = 2; i < 500; i++) {
             proxy.set(ENDPOINTS, i, "a");
         }
-        proxy.now = 3000;
-        assertEquals(proxy.told(), "ENDPOINTS n2: a");
-        assertEquals(proxy.sotw.knowledge(ENDPOINTS, 3000).waitingMs(), 3000.0);
-        proxy.ask(ENDPOINTS, "n1", "a");
-        assertEquals(proxy.sotw.knowledge(ENDPOINTS, 3000).acknowledged(), 1L, "what n2 told is not answered for");
-        proxy.ask(ENDPOINTS, "n2", "a");
-        assertEquals(proxy.sotw.knowledge(ENDPOINTS, 3000).acknowledged(), 499L);
+        proxy.nowMs = 3000;
+        assertEquals(proxy.sotwResponses(), "ENDPOINTS n2: a");
+        assertEquals(proxy.sotw.clientVersions(ENDPOINTS, 3000).oldestPendingMs(), 3000.0);
+        proxy.requestSotw(ENDPOINTS, "n1", "a");
+        assertEquals(
+                proxy.sotw.clientVersions(ENDPOINTS, 3000).acknowledgedRevision(),
+                1L,
+                "what n2 carried is not acknowledged");
+        proxy.requestSotw(ENDPOINTS, "n2", "a");
+        assertEquals(proxy.sotw.clientVersions(ENDPOINTS, 3000).acknowledgedRevision(), 499L);
     }
 }
