--- a/control/src/main/java/opalcove/control/cluster/ClusterState.java
+++ b/control/src/main/java/opalcove/control/cluster/ClusterState.java
@@ -7,7 +7,6 @@
 import java.util.LinkedHashSet;
 import java.util.List;
 import java.util.Map;
-import java.util.PriorityQueue;
 import java.util.Set;
 import java.util.TreeMap;
 import java.util.TreeSet;
@@ -16,201 +15,146 @@
 import opalcove.control.xds.Resource;
 import opalcove.control.xds.ResourceFactory;
 import opalcove.decision.AdmissionController;
-import opalcove.decision.DecisionActions;
 import opalcove.decision.DecisionSettings;
-import opalcove.decision.Endpoint;
-import opalcove.decision.EndpointState;
 
 /**
- * Decides what proxies see of the app nodes. Free of I/O: node list, load reports and time go in, a view for each room comes
- * out. Which node takes new work, and how much of its room, is the decision module's word alone; this turns it into
- * weights and priorities.
+ * Decides what proxies see of the backends. Free of I/O: endpoint list, load reports and time go in, a snapshot for each zone
+ * comes out. Which backend takes new work, and how much of its capacity, is decided by the decision module alone; this turns it
+ * into weights and priorities.
  *
- * <p>A starting node has a weight, a part of a warm node's. Each proxy sends it that part of what it sends anyhow, so the sum is
- * independent of how many proxies there are, and of who joins.
+ * <p>A starting backend has a weight that is a part of a warm one's. Each proxy sends it that part of what it sends anyhow, so
+ * the sum is independent of how many proxies there are, and of who joins.
+ *
+ * <p>Times are milliseconds of one monotonic clock. Owned by the thread that calls it.
  */
 public final class ClusterState {
-    /** Weights are whole numbers; a warm node of size 1 has this one. */
-    static final int FULL = 100;
-    /** A share that moved by less than this part of it is not told. */
-    private static final double STEP = 0.1;
-    /** From this share on it is all. */
-    private static final double ALL = 0.99;
-
-    /**
-     * A cluster of proxies: the nodes of some kinds and pods (none named: all).
-     *
-     * @param leaseMs lifetime of its endpoints, ms; 0: none
-     */
-    public record Cluster(String name, Set<String> kinds, Set<Integer> pods, long leaseMs) {
-        boolean holds(Endpoint host) {
-            return (kinds.isEmpty() || kinds.contains(host.kind())) && (pods.isEmpty() || pods.contains(host.cell()));
-        }
-    }
-
-    private record Alarm(double at, long token) {}
+    /** The zone under which proxies of a zone without backends have their snapshot. */
+    private static final String NO_ZONE = "";
 
     private final AdmissionController module;
-    private final List<Cluster> clusters;
-    private final PriorityQueue<Alarm> alarms = new PriorityQueue<>((a, b) -> Double.compare(a.at, b.at));
-    private final EndpointListValidator guard;
-    private final Map<String, Backend> nodes = new LinkedHashMap<>();
-    /** By node, as told; those of nodes that left go with them. */
-    private final Map<String, Double> shares = new HashMap<>();
-
-    private final Map<String, ConfigSnapshot> views = new TreeMap<>();
-    private final Set<String> rooms = new TreeSet<>();
+    private final DecisionTimers timers;
+    private final List<ClusterDefinition> clusters;
+    private final EndpointListValidator validator;
+    private final Map<String, Backend> backends = new LinkedHashMap<>();
+    private final Map<String, String> backendByAddress = new HashMap<>();
+    private final EndpointWeights weights = new EndpointWeights();
+    private final Map<String, ConfigSnapshot> snapshots = new TreeMap<>();
+    private final Set<String> zones = new TreeSet<>();
     private final DrainTracker drains = new DrainTracker();
-    private final Map<String, String> byAddress = new HashMap<>();
-    /** What all proxies see whatever the nodes do: routing, and the clusters without their endpoints. */
-    private final List<Resource> fixed;
+    /** What all proxies see whatever the backends do: routing, and the clusters without their endpoints. */
+    private final List<Resource> staticResources;
 
-    private double now;
-
-    /** Routing: listeners and routes that all proxies see beside the clusters. */
+    /**
+     * Starts without backends.
+     *
+     * @param seed of the decision module's random draws
+     * @param maxShrink the share of the backends that a complete list may lack at once, 0 to 1
+     * @param routing listeners and routes that all proxies see beside the clusters
+     */
     public ClusterState(
-            double now,
+            double nowMs,
             DecisionSettings settings,
             long seed,
-            double mostShrink,
-            List<Cluster> clusters,
+            double maxShrink,
+            List<ClusterDefinition> clusters,
             List<Resource> routing) {
-        this.now = now;
         this.clusters = List.copyOf(clusters);
-        List<Resource> all = new ArrayList<>(routing);
-        clusters.forEach(each -> all.add(ResourceFactory.cluster(each.name())));
-        fixed = List.copyOf(all);
-        guard = new EndpointListValidator(mostShrink);
-        module = new AdmissionController(now, settings, seed, new Alarms());
-    }
-
-    /** The module hands choices on here, and is not asked for single requests: of its actions only alarms can come. */
-    private final class Alarms implements DecisionActions {
-        @Override
-        public void wake(long token, double afterMs) {
-            alarms.add(new Alarm(now + afterMs, token));
-        }
-
-        @Override
-        public void send(String id, String host, double timeoutMs) {
-            throw new IllegalStateException("no request was given to the module");
-        }
-
-        @Override
-        public void refuse(String id, double retryAfterMs) {
-            throw new IllegalStateException("no request was given to the module");
-        }
-
-        @Override
-        public void fail(String id) {
-            throw new IllegalStateException("no request was given to the module");
-        }
-
-        @Override
-        public void cancel(String id, int attempt) {
-            throw new IllegalStateException("no request was given to the module");
-        }
-
-        @Override
-        public void probe(String host) {
-            // Never asked for: settings of a control service do not allow probes.
-        }
-
-        @Override
-        public void follow() {
-            // Whoever owns the source follows it from the start.
-        }
-
-        @Override
-        public void log(String line) {
-            // The module writes of single requests alone.
-        }
-    }
-
-    /** Takes in a whole node list or changed lines, with the operators' override of the guard against shrinking. */
-    public void told(double time, boolean whole, boolean override, List<Backend> lines) {
-        now = Math.max(now, time);
-        List<Backend> believed = guard.told(whole, override, lines);
-        nodes.clear();
-        byAddress.clear();
-        believed.forEach(node -> {
-            nodes.put(node.name(), node);
-            byAddress.put(node.address(), node.name());
+        List<Resource> resources = new ArrayList<>(routing);
+        clusters.forEach(each -> resources.add(ResourceFactory.cluster(each.name())));
+        staticResources = List.copyOf(resources);
+        validator = new EndpointListValidator(maxShrink);
+        timers = new DecisionTimers(nowMs);
+        module = new AdmissionController(nowMs, settings, seed, timers);
+    }
+
+    /** Applies an update of the endpoint list. */
+    public void onEndpoints(double timeMs, EndpointUpdate update) {
+        double nowMs = timers.advance(timeMs);
+        List<Backend> trusted = validator.apply(update);
+        backends.clear();
+        backendByAddress.clear();
+        trusted.forEach(backend -> {
+            backends.put(backend.name(), backend);
+            backendByAddress.put(backend.address(), backend.name());
         });
-        module.hosts(now, true, believed.stream().map(Backend::host).toList());
-        weigh();
-        look();
-        noteDrains();
+        module.hosts(nowMs, true, trusted.stream().map(Backend::host).toList());
+        updateWeights();
+        updateSnapshots();
+        updateDrains();
     }
 
-    /** Takes in that a source of the node list failed; what was known stays. */
-    public void sourceFailed(double time) {
-        now = Math.max(now, time);
-        module.hostsFailed(now);
+    /** The source of the endpoint list failed; what is known stays. */
+    public void onSourceFailed(double timeMs) {
+        module.hostsFailed(timers.advance(timeMs));
     }
 
-    /**
-     * Takes in what a proxy reports of the node at an address since its last report: work it sent, work that was served
-     * and failed, and what it has in hand there. Where no node of the list has that address, nothing.
-     */
-    public void reported(
-            double time, String proxy, String address, long issued, long served, long failed, long inProgress) {
-        now = Math.max(now, time);
-        String node = byAddress.get(address);
-        if (node != null) {
-            module.reported(now, node, served, failed, -1);
-            drains.used(now, proxy, node, issued, inProgress);
+    /** Applies a proxy's report of one endpoint; one whose address is not in the list has no effect. */
+    public void onLoadReport(double timeMs, String proxyId, EndpointLoad load) {
+        double nowMs = timers.advance(timeMs);
+        String backend = backendByAddress.get(load.address());
+        if (backend != null) {
+            module.reported(nowMs, backend, load.succeeded(), load.failed(), -1);
+            drains.onLoadReport(nowMs, proxyId, backend, load);
         }
     }
 
-    /** Lets the module's alarms due by now go off, and looks at the views anew. True where a view has changed. */
-    public boolean advance(double time) {
-        now = Math.max(now, time);
-        boolean any = false;
-        while (!alarms.isEmpty() && alarms.peek().at <= now) {
-            module.timer(now, alarms.poll().token);
-            any = true;
+    /** Runs the timers due by now and updates the snapshots. Returns whether a snapshot has changed. */
+    public boolean advance(double timeMs) {
+        double nowMs = timers.advance(timeMs);
+        boolean anyDue = false;
+        while (timers.isDue()) {
+            module.timer(nowMs, timers.poll());
+            anyDue = true;
         }
-        if (!any) {
+        if (!anyDue) {
             return false;
         }
-        boolean changed = weigh() && look();
-        noteDrains();
+        boolean changed = updateWeights() && updateSnapshots();
+        updateDrains();
         return changed;
     }
 
-    /** When {@link #advance} has something to do next. */
-    public double nextAlarm() {
-        return alarms.isEmpty() ? Double.POSITIVE_INFINITY : alarms.peek().at;
+    /** When {@link #advance} has something to do next; positive infinity: not before something else happens. */
+    public double nextTimerMs() {
+        return timers.nextDueMs();
     }
 
-    /** Drains under way. */
+    /** The drains under way, oldest first. */
     public List<DrainTracker.Drain> drains() {
         return drains.all();
     }
 
-    /** The name under which a proxy of that room has its view. */
-    public String viewOf(String room) {
-        return rooms.contains(room) ? room : "";
+    /** The zone under which proxies of this zone have their snapshot. */
+    public String snapshotZone(String zone) {
+        return zones.contains(zone) ? zone : NO_ZONE;
     }
 
-    /** What a proxy in that room sees. A room without nodes sees all others at one priority. */
-    public ConfigSnapshot view(String room) {
-        return views.computeIfAbsent(viewOf(room), this::made);
+    /** What a proxy in this zone sees. In a zone without backends it sees all others at one priority. */
+    public ConfigSnapshot snapshot(String zone) {
+        return snapshots.computeIfAbsent(snapshotZone(zone), this::firstSnapshot);
     }
 
-    /** Nodes that the last whole list lacked and that are kept nonetheless. */
-    public Set<String> missing() {
-        return guard.missing();
+    /** The names of the backends that the last complete list lacked and that stay nonetheless. */
+    public Set<String> missingBackendNames() {
+        return validator.missing();
     }
 
-    private boolean look() {
-        rooms.clear();
-        nodes.values().forEach(node -> rooms.add(node.host().zone()));
-        views.keySet().removeIf(room -> !room.isEmpty() && !rooms.contains(room));
+    /** The names of all backends of the list, as far as it is trusted. */
+    public Set<String> backendNames() {
+        return new HashSet<>(backends.keySet());
+    }
+
+    private boolean updateWeights() {
+        return weights.update(module.rooms(timers.nowMs()), backends.keySet());
+    }
+
+    private boolean updateSnapshots() {
+        zones.clear();
+        backends.values().forEach(backend -> zones.add(backend.host().zone()));
+        snapshots.keySet().removeIf(zone -> !zone.equals(NO_ZONE) && !zones.contains(zone));
         boolean changed = false;
-        for (Map.Entry<String, ConfigSnapshot> each : views.entrySet()) {
-            ConfigSnapshot next = nodes.isEmpty() && each.getValue() == ConfigSnapshot.EMPTY
+        for (Map.Entry<String, ConfigSnapshot> each : snapshots.entrySet()) {
+            ConfigSnapshot next = backends.isEmpty() && each.getValue() == ConfigSnapshot.EMPTY
                     ? ConfigSnapshot.EMPTY
                     : each.getValue().with(resources(each.getKey()), Map.of());
             changed |= next != each.getValue();
@@ -219,85 +163,54 @@
         return changed;
     }
 
-    private void noteDrains() {
-        Map<String, Long> serials = new HashMap<>();
-        views.forEach((room, view) -> serials.put(room, view.revision()));
-        drains.look(now, nodes, serials);
+    private void updateDrains() {
+        Map<String, Long> revisions = new HashMap<>();
+        snapshots.forEach((zone, snapshot) -> revisions.put(zone, snapshot.revision()));
+        drains.update(timers.nowMs(), backends, revisions);
     }
 
-    private ConfigSnapshot made(String room) {
-        return nodes.isEmpty() ? ConfigSnapshot.EMPTY : ConfigSnapshot.EMPTY.with(resources(room), Map.of());
+    private ConfigSnapshot firstSnapshot(String zone) {
+        return backends.isEmpty() ? ConfigSnapshot.EMPTY : ConfigSnapshot.EMPTY.with(resources(zone), Map.of());
     }
 
-    private List<Resource> resources(String room) {
-        List<Resource> resources = new ArrayList<>(fixed);
-        for (Cluster cluster : clusters) {
-            resources.add(endpoints(cluster, room));
+    private List<Resource> resources(String zone) {
+        List<Resource> resources = new ArrayList<>(staticResources);
+        for (ClusterDefinition cluster : clusters) {
+            resources.add(endpoints(cluster, zone));
         }
         return resources;
     }
 
-    private Resource endpoints(Cluster cluster, String room) {
-        Map<String, List<ResourceFactory.WeightedEndpoint>> byRoom = new TreeMap<>();
-        for (Backend node : nodes.values()) {
-            if (cluster.holds(node.host())) {
-                byRoom.computeIfAbsent(node.host().zone(), any -> new ArrayList<>())
-                        .add(target(node));
+    /** A cluster's endpoints as a proxy in this zone sees them: its own zone first, the others after it. */
+    private Resource endpoints(ClusterDefinition cluster, String zone) {
+        Map<String, List<ResourceFactory.WeightedEndpoint>> byZone = new TreeMap<>();
+        for (Backend backend : backends.values()) {
+            if (cluster.includes(backend.host())) {
+                byZone.computeIfAbsent(backend.host().zone(), any -> new ArrayList<>())
+                        .add(weights.weighted(backend));
             }
         }
+        boolean hasOwnZone = byZone.containsKey(zone);
         Set<String> order = new LinkedHashSet<>();
-        if (byRoom.containsKey(room)) {
-            order.add(room);
+        if (hasOwnZone) {
+            order.add(zone);
         }
-        order.addAll(byRoom.keySet());
-        List<ResourceFactory.Locality> groups = new ArrayList<>();
+        order.addAll(byZone.keySet());
+        List<ResourceFactory.Locality> localities = new ArrayList<>();
         for (String each : order) {
-            List<ResourceFactory.WeightedEndpoint> targets = byRoom.get(each);
-            int weight = Math.max(
-                    1,
-                    targets.stream()
-                            .filter(target -> !target.draining())
-                            .mapToInt(ResourceFactory.WeightedEndpoint::weight)
-                            .sum());
-            groups.add(new ResourceFactory.Locality(
-                    each, each.equals(room) || !byRoom.containsKey(room) ? 0 : 1, weight, targets));
-        }
-        return ResourceFactory.endpoints(cluster.name(), cluster.leaseMs(), groups);
-    }
-
-    private ResourceFactory.WeightedEndpoint target(Backend node) {
-        double share = shares.getOrDefault(node.name(), 0.0);
-        boolean takesNew = share > 0 && node.host().state() == EndpointState.UP;
-        int colon = node.address().lastIndexOf(':');
-        return new ResourceFactory.WeightedEndpoint(
-                node.address().substring(0, colon),
-                Integer.parseInt(node.address().substring(colon + 1)),
-                takesNew ? Math.max(1, (int) (FULL * share * node.host().size())) : 1,
-                !takesNew);
-    }
-
-    /**
-     * Takes in what the module says. A share that moved by less than a tenth stays as it was told, so that a ramp changes
-     * what proxies are told some twenty times, and noise in reports does not at all. A growing share is never ahead of
-     * what the module allows. True where any has moved.
-     */
-    private boolean weigh() {
-        boolean any = false;
-        shares.keySet().retainAll(nodes.keySet());
-        for (AdmissionController.Room each : module.rooms(now)) {
-            double share = each.share() >= ALL ? 1 : each.share();
-            double told = shares.getOrDefault(each.host(), 0.0);
-            boolean moved = share != told && (Math.abs(share - told) > STEP * told || share == 1);
-            if (nodes.containsKey(each.host()) && moved) {
-                shares.put(each.host(), share);
-                any = true;
-            }
+            List<ResourceFactory.WeightedEndpoint> endpoints = byZone.get(each);
+            int priority = each.equals(zone) || !hasOwnZone ? 0 : 1;
+            localities.add(new ResourceFactory.Locality(each, priority, weight(endpoints), endpoints));
         }
-        return any;
+        return ResourceFactory.endpoints(cluster.name(), cluster.leaseMs(), localities);
     }
 
-    /** All nodes that are believed to be there. */
-    public Set<String> nodes() {
-        return new HashSet<>(nodes.keySet());
+    private static int weight(List<ResourceFactory.WeightedEndpoint> endpoints) {
+        return Math.max(
+                1,
+                endpoints.stream()
+                        .filter(endpoint -> !endpoint.draining())
+                        .mapToInt(ResourceFactory.WeightedEndpoint::weight)
+                        .sum());
     }
 }
--- a/control/src/main/java/opalcove/control/cluster/DrainTracker.java
+++ b/control/src/main/java/opalcove/control/cluster/DrainTracker.java
@@ -7,74 +7,82 @@
 import opalcove.decision.EndpointState;
 
 /**
- * Drains under way: when each was told, and what proxies have reported of the node since. Those of a node that left the list
- * are kept for a minute, and one of a node that takes work again is called off.
+ * The drains under way: since when each backend drains, and what proxies have reported of it since. A drain is kept for a while
+ * after its backend has left the list, and ends at once if the backend takes new work again.
+ *
+ * <p>Owned by the thread of its {@link ClusterState}.
  */
 public final class DrainTracker {
-    /** How long a drain is told of after its node has left the list, ms. */
-    private static final double KEEP_MS = 60_000;
-    /** Uses of more proxies than this are not kept for one drain; the eldest goes. */
-    private static final int MOST_USES = 10_000;
+    /** How long a drain is kept after it began if its backend has left the list. */
+    private static final double RETENTION_MS = 60_000;
+    /** Beyond this many proxies for one drain the report of the oldest is dropped. */
+    private static final int MAX_CLIENTS = 10_000;
 
     /**
-     * What a proxy reported of a draining node.
+     * What a proxy reported of a draining backend.
      *
-     * @param lastIssuedMs when it last told of new work there; negative infinity: never since the drain
-     * @param inProgress what it had in hand there when it last reported
+     * @param lastIssuedMs when it last reported new work there; negative infinity: never since the drain began
+     * @param inProgress requests in flight there at its last report
      */
-    public record Use(double lastIssuedMs, long inProgress) {}
+    public record ClientUse(double lastIssuedMs, long inProgress) {}
 
     /**
-     * A node that was told to take nothing new.
+     * A backend that takes no new work.
      *
-     * @param sinceMs when it was told
-     * @param serials by room, the serial of the first view that says so; a room that is not there: 1
-     * @param uses by proxy
+     * @param backend its name
+     * @param sinceMs when the drain began
+     * @param revisions by zone, the revision of the first snapshot that shows the drain; a zone that is not there: 1
+     * @param uses by the identifier of the proxy
      */
-    public record Drain(String node, double sinceMs, Map<String, Long> serials, Map<String, Use> uses) {
-        /** The serial that a proxy of that room must have answered for. */
-        public long serial(String room) {
-            return serials.getOrDefault(room, 1L);
+    public record Drain(String backend, double sinceMs, Map<String, Long> revisions, Map<String, ClientUse> uses) {
+        /** The snapshot revision that a proxy of this zone must have acknowledged to know of the drain. */
+        public long requiredRevision(String zone) {
+            return revisions.getOrDefault(zone, 1L);
         }
     }
 
     private final Map<String, Drain> drains = new LinkedHashMap<>();
 
-    /** All drains, eldest first. */
-    public List<Drain> all() {
+    /** All drains, oldest first. */
+    List<Drain> all() {
         return List.copyOf(drains.values());
     }
 
-    /** Takes in the list as it is now, and the serials of the views that say so, by room. */
-    void look(double now, Map<String, Backend> nodes, Map<String, Long> serials) {
+    /**
+     * Applies the endpoint list as it is now.
+     *
+     * @param backends by name
+     * @param revisions the revisions of the snapshots that show this list, by zone
+     */
+    void update(double nowMs, Map<String, Backend> backends, Map<String, Long> revisions) {
         drains.values()
-                .removeIf(drain -> nodes.containsKey(drain.node())
-                        ? nodes.get(drain.node()).host().state() == EndpointState.UP
-                        : now - drain.sinceMs() > KEEP_MS);
-        nodes.values().stream()
-                .filter(node -> node.host().state() == EndpointState.DRAINING)
-                .forEach(node -> drains.computeIfAbsent(
-                        node.name(), name -> new Drain(name, now, Map.copyOf(serials), eldestOut())));
+                .removeIf(drain -> backends.containsKey(drain.backend())
+                        ? backends.get(drain.backend()).host().state() == EndpointState.UP
+                        : nowMs - drain.sinceMs() > RETENTION_MS);
+        backends.values().stream()
+                .filter(backend -> backend.host().state() == EndpointState.DRAINING)
+                .forEach(backend -> drains.computeIfAbsent(
+                        backend.name(), name -> new Drain(name, nowMs, Map.copyOf(revisions), boundedUses())));
     }
 
-    private static Map<String, Use> eldestOut() {
+    private static Map<String, ClientUse> boundedUses() {
         return new LinkedHashMap<>() {
             private static final long serialVersionUID = 1L;
 
             @Override
-            protected boolean removeEldestEntry(Map.Entry<String, Use> eldest) {
-                return size() > MOST_USES;
+            protected boolean removeEldestEntry(Map.Entry<String, ClientUse> eldest) {
+                return size() > MAX_CLIENTS;
             }
         };
     }
 
-    /** Takes in a proxy's report of a node since its last one. */
-    void used(double now, String proxy, String node, long issued, long inProgress) {
-        Drain drain = drains.get(node);
+    /** Applies a proxy's report of a backend; without a drain of that backend it has no effect. */
+    void onLoadReport(double nowMs, String proxyId, String backend, EndpointLoad load) {
+        Drain drain = drains.get(backend);
         if (drain != null) {
-            Use before = drain.uses().get(proxy);
-            double last = issued > 0 ? now : before == null ? Double.NEGATIVE_INFINITY : before.lastIssuedMs();
-            drain.uses().put(proxy, new Use(last, inProgress));
+            ClientUse before = drain.uses().get(proxyId);
+            double lastIssuedMs = before == null ? Double.NEGATIVE_INFINITY : before.lastIssuedMs();
+            drain.uses().put(proxyId, new ClientUse(load.issued() > 0 ? nowMs : lastIssuedMs, load.inProgress()));
         }
     }
 }
--- a/control/src/main/java/opalcove/control/server/ControlConfig.java
+++ b/control/src/main/java/opalcove/control/server/ControlConfig.java
@@ -2,60 +2,77 @@
 
 import java.nio.file.Path;
 import java.util.ArrayList;
+import java.util.Arrays;
 import java.util.HashSet;
 import java.util.List;
 import java.util.Set;
 import java.util.stream.Collectors;
-import java.util.stream.IntStream;
 import opalcove.config.ConfigValidator;
 import opalcove.config.HostAndPort;
 import opalcove.config.InvalidConfigurationException;
 import opalcove.config.JsonFields;
 import opalcove.config.SettingsReader;
-import opalcove.control.cluster.ClusterState;
+import opalcove.control.cluster.ClusterDefinition;
 import opalcove.decision.DecisionSettings;
 
 /**
- * The settings file of the control service, checked whole before anything opens.
+ * The settings file of the control service, checked completely before anything opens.
  *
+ * @param name names the service in its log and status
  * @param listen where proxies connect
- * @param status where its state is told; a loopback address
- * @param nodes the file with the node list, in discovery's form; relative to the settings file
- * @param mostShrink share of the nodes that a whole list may lack at once, 0 to 1
- * @param admit the clusters of proxies that are admitted; none: all are
- * @param listeners what proxyless clients may ask for, each led to one cluster
+ * @param status where the status page is served; a loopback address
+ * @param endpointFile the file with the endpoint list, in discovery's form; in the settings file relative to its folder
+ * @param maxShrink share of the backends that a complete list may lack at once, 0 to 1
+ * @param admittedClusters the clusters of proxies that are admitted; empty: all
+ * @param clusters what proxies may send to
+ * @param listeners what proxyless clients may request by name
+ * @param settings the decision module's
  */
 public record ControlConfig(
         String name,
         HostAndPort listen,
         HostAndPort status,
-        Path nodes,
-        double mostShrink,
-        Set<String> admit,
-        List<ClusterState.Cluster> clusters,
+        Path endpointFile,
+        double maxShrink,
+        Set<String> admittedClusters,
+        List<ClusterDefinition> clusters,
         List<Listener> listeners,
         DecisionSettings settings) {
-    /** A listener of that name leads all to that cluster. */
+    /**
+     * A listener for proxyless clients.
+     *
+     * @param name the name that they request
+     * @param cluster where all its requests go
+     */
     public record Listener(String name, String cluster) {}
 
+    private static final double DEFAULT_MAX_SHRINK = 0.5;
+    /** A lease that is renewed three times in its lifetime needs some time for each. */
+    private static final long MIN_LEASE_MS = 1000;
+
     private static final Set<String> KEYS =
             Set.of("name", "listen", "status", "nodes", "most_shrink", "admit", "clusters", "listeners", "settings");
 
-    /** Reads and checks the file; a wrong one is refused with every problem found, each by file, key and reason. */
+    /**
+     * Reads and checks the file.
+     *
+     * @throws InvalidConfigurationException with every problem found, each by file, key and reason
+     */
     public static ControlConfig read(Path file) {
-        ConfigValidator check = new ConfigValidator(file);
-        JsonFields fields = check.fields(KEYS);
-        String name = check.valueOr(() -> fields.textOr("name", "control"), "");
-        HostAndPort listen = check.valueOr(() -> HostAndPort.read(fields.text("listen"), "listen"), null);
-        HostAndPort status = check.valueOr(() -> status(fields), null);
-        Path nodes = check.valueOr(() -> file.toAbsolutePath().resolveSibling(fields.text("nodes")), null);
-        double shrink = check.valueOr(() -> share(fields), 0.0);
-        Set<String> admit = check.valueOr(() -> Set.copyOf(fields.texts("admit")), Set.of());
-        List<ClusterState.Cluster> clusters = check.valueOr(() -> clusters(fields), List.of());
-        List<Listener> listeners = check.valueOr(() -> listeners(fields, clusters), List.of());
-        DecisionSettings settings = check.valueOr(() -> SettingsReader.checked(fields.object("settings")), null);
-        check.end();
-        return new ControlConfig(name, listen, status, nodes, shrink, admit, clusters, listeners, settings);
+        ConfigValidator validator = new ConfigValidator(file);
+        JsonFields fields = validator.fields(KEYS);
+        String name = validator.valueOr(() -> fields.textOr("name", "control"), "");
+        HostAndPort listen = validator.valueOr(() -> HostAndPort.read(fields.text("listen"), "listen"), null);
+        HostAndPort status = validator.valueOr(() -> status(fields), null);
+        Path endpointFile = validator.valueOr(() -> file.toAbsolutePath().resolveSibling(fields.text("nodes")), null);
+        double maxShrink = validator.valueOr(() -> maxShrink(fields), 0.0);
+        Set<String> admitted = validator.valueOr(() -> Set.copyOf(fields.texts("admit")), Set.of());
+        List<ClusterDefinition> clusters = validator.valueOr(() -> clusters(fields), List.of());
+        List<Listener> listeners = validator.valueOr(() -> listeners(fields, clusters), List.of());
+        DecisionSettings settings = validator.valueOr(() -> SettingsReader.checked(fields.object("settings")), null);
+        validator.end();
+        return new ControlConfig(
+                name, listen, status, endpointFile, maxShrink, admitted, clusters, listeners, settings);
     }
 
     private static HostAndPort status(JsonFields fields) {
@@ -66,16 +83,16 @@
         return status;
     }
 
-    private static double share(JsonFields fields) {
-        double share = fields.numberOr("most_shrink", 0.5);
+    private static double maxShrink(JsonFields fields) {
+        double share = fields.numberOr("most_shrink", DEFAULT_MAX_SHRINK);
         if (!(share >= 0 && share <= 1)) {
             throw new InvalidConfigurationException("field most_shrink must be from 0 to 1");
         }
         return share;
     }
 
-    private static List<ClusterState.Cluster> clusters(JsonFields fields) {
-        List<ClusterState.Cluster> clusters = new ArrayList<>();
+    private static List<ClusterDefinition> clusters(JsonFields fields) {
+        List<ClusterDefinition> clusters = new ArrayList<>();
         Set<String> names = new HashSet<>();
         for (JsonFields each : fields.objects("clusters")) {
             String name = each.text("name");
@@ -83,18 +100,13 @@
                 throw new InvalidConfigurationException(
                         "field " + each.path() + ".name is empty or there twice: " + name);
             }
-            double[] pods = each.row("pods");
-            Set<Integer> numbers = pods == null
-                    ? Set.of()
-                    : IntStream.range(0, pods.length)
-                            .mapToObj(i -> (int) pods[i])
-                            .collect(Collectors.toSet());
-            long lease = each.wholeOr("lease_ms", 0);
-            if (lease < 0 || lease > 0 && lease < 1000) {
+            Set<Integer> pods = pods(each);
+            long leaseMs = each.wholeOr("lease_ms", 0);
+            if (leaseMs < 0 || leaseMs > 0 && leaseMs < MIN_LEASE_MS) {
                 throw new InvalidConfigurationException(
-                        "field " + each.path() + ".lease_ms must be 0 or at least 1000");
+                        "field " + each.path() + ".lease_ms must be 0 or at least " + MIN_LEASE_MS);
             }
-            clusters.add(new ClusterState.Cluster(name, Set.copyOf(each.texts("kinds")), numbers, lease));
+            clusters.add(new ClusterDefinition(name, Set.copyOf(each.texts("kinds")), pods, leaseMs));
         }
         if (clusters.isEmpty()) {
             throw new InvalidConfigurationException("field clusters names no cluster");
@@ -102,7 +114,14 @@
         return clusters;
     }
 
-    private static List<Listener> listeners(JsonFields fields, List<ClusterState.Cluster> clusters) {
+    private static Set<Integer> pods(JsonFields cluster) {
+        double[] pods = cluster.row("pods");
+        return pods == null
+                ? Set.of()
+                : Arrays.stream(pods).mapToObj(pod -> (int) pod).collect(Collectors.toSet());
+    }
+
+    private static List<Listener> listeners(JsonFields fields, List<ClusterDefinition> clusters) {
         List<Listener> listeners = new ArrayList<>();
         for (JsonFields each : fields.has("listeners") ? fields.objects("listeners") : List.<JsonFields>of()) {
             Listener listener = new Listener(each.text("name"), each.text("cluster"));
--- a/control/src/main/java/opalcove/control/server/ControlServer.java
+++ b/control/src/main/java/opalcove/control/server/ControlServer.java
@@ -7,47 +7,55 @@
 import java.net.InetSocketAddress;
 import java.util.concurrent.TimeUnit;
 
-/** The gRPC server on which proxies reach the control service. */
-public final class ControlServer implements AutoCloseable {
-    /** A request names resources and versions: 2,000 of them are some 100 KB. */
-    private static final int MOST_REQUEST = 4 * 1024 * 1024;
-    /** A peer that is silent for so long is asked for a sign of life, so a half-open stream ends. */
+/** The gRPC server that proxies connect to. */
+final class ControlServer implements AutoCloseable {
+    /** A request names resources and versions: 2,000 of them take some 100 KB. */
+    private static final int MAX_REQUEST_BYTES = 4 * 1024 * 1024;
+    /** A peer that is silent for so long is pinged, so that a half-open stream ends. */
     private static final long KEEPALIVE_SECONDS = 10;
 
     private static final long KEEPALIVE_TIMEOUT_SECONDS = 5;
     /** The aggregated stream and the single ones in both variants, and load reports. */
-    private static final int MOST_STREAMS = 32;
+    private static final int MAX_STREAMS_PER_CONNECTION = 32;
+
+    private static final long TERMINATION_TIMEOUT_SECONDS = 5;
 
     private final Server server;
 
-    /** Opens the server, with other services beside. */
-    public ControlServer(InetSocketAddress at, SessionRegistry sessions, BindableService... others) throws IOException {
-        NettyServerBuilder builder = NettyServerBuilder.forAddress(at)
-                .maxInboundMessageSize(MOST_REQUEST)
-                .maxConcurrentCallsPerConnection(MOST_STREAMS)
+    /**
+     * Opens the server.
+     *
+     * @param otherServices services beside those of the sessions
+     * @throws IOException if the address cannot be bound
+     */
+    ControlServer(InetSocketAddress address, SessionRegistry sessions, BindableService... otherServices)
+            throws IOException {
+        NettyServerBuilder builder = NettyServerBuilder.forAddress(address)
+                .maxInboundMessageSize(MAX_REQUEST_BYTES)
+                .maxConcurrentCallsPerConnection(MAX_STREAMS_PER_CONNECTION)
                 .keepAliveTime(KEEPALIVE_SECONDS, TimeUnit.SECONDS)
                 .keepAliveTimeout(KEEPALIVE_TIMEOUT_SECONDS, TimeUnit.SECONDS)
                 .permitKeepAliveTime(KEEPALIVE_SECONDS, TimeUnit.SECONDS)
                 .permitKeepAliveWithoutCalls(true)
-                .directExecutor(); // what arrives is handed to the desk at once
+                .directExecutor(); // callbacks are passed to the serial executor at once
         sessions.services().forEach(builder::addService);
-        for (BindableService each : others) {
+        for (BindableService each : otherServices) {
             builder.addService(each);
         }
         server = builder.build().start();
     }
 
     /** The port that the server listens on. */
-    public int port() {
+    int port() {
         return server.getPort();
     }
 
-    /** Ends all streams; proxies keep what they have and turn to another instance. */
+    /** Ends all streams; proxies keep what they have and connect to another instance. */
     @Override
     public void close() {
         server.shutdownNow();
         try {
-            server.awaitTermination(5, TimeUnit.SECONDS);
+            server.awaitTermination(TERMINATION_TIMEOUT_SECONDS, TimeUnit.SECONDS);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
--- a/control/src/main/java/opalcove/control/server/ControlService.java
+++ b/control/src/main/java/opalcove/control/server/ControlService.java
@@ -1,8 +1,7 @@
 package opalcove.control.server;
 
-import com.eclipsesource.json.Json;
-import com.eclipsesource.json.JsonArray;
 import com.eclipsesource.json.JsonObject;
+import com.sun.net.httpserver.HttpExchange;
 import com.sun.net.httpserver.HttpServer;
 import java.io.IOException;
 import java.net.InetSocketAddress;
@@ -14,80 +13,101 @@
 import java.util.concurrent.ScheduledFuture;
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.TimeoutException;
-import opalcove.config.Backend;
 import opalcove.config.Clock;
+import opalcove.config.HostAndPort;
+import opalcove.control.cluster.ClusterDefinition;
 import opalcove.control.cluster.ClusterState;
-import opalcove.control.cluster.DrainTracker;
-import opalcove.control.xds.ClientVersions;
+import opalcove.control.cluster.EndpointUpdate;
+import opalcove.control.xds.ConfigSnapshot;
 import opalcove.control.xds.Resource;
 import opalcove.control.xds.ResourceFactory;
-import opalcove.control.xds.ResourceType;
 import org.tinylog.Logger;
 
-/** The control service by its settings: node list in, proxies told, state on request. */
+/**
+ * The control service: reads the endpoint list, sends proxies what changes, and serves its status.
+ *
+ * <p>Its state is owned by the thread of its {@link SerialExecutor}; the public methods may be called from any thread.
+ */
 public final class ControlService implements AutoCloseable {
-    private static final long STATUS_SECONDS = 5;
-    /** Lifetimes are renewed so often in the shortest of them: two renewals may be late or lost. */
-    private static final long RENEWALS = 3;
+    private static final long STATUS_TIMEOUT_SECONDS = 5;
+    /** How often lifetimes are renewed in the shortest of them: two renewals may be late or lost. */
+    private static final long RENEWALS_PER_LEASE = 3;
 
-    private final SerialExecutor desk = new SerialExecutor();
+    private final SerialExecutor executor = new SerialExecutor();
     private final Clock clock = new Clock();
     private final ControlConfig config;
-    private final ClusterState fleet;
+    private final ClusterState cluster;
     private final SessionRegistry sessions;
     private final ControlServer server;
-    private final HttpServer status;
-    private final EndpointFile nodes;
-    private ScheduledFuture<?> alarm;
+    private final HttpServer statusServer;
+    private final EndpointFile endpointFile;
+    private ScheduledFuture<?> nextTimer;
     private String sourceProblem = "";
 
-    /** Opens the service; it fails where an address is taken. A node list that cannot be read yet is waited for. */
+    /**
+     * Opens the service. An endpoint list that cannot be read yet is waited for.
+     *
+     * @throws IOException if an address is in use, or the folder of the endpoint list cannot be watched
+     */
     public ControlService(ControlConfig config) throws IOException {
         this.config = config;
+        cluster = new ClusterState(
+                clock.now(),
+                config.settings(),
+                System.nanoTime(),
+                config.maxShrink(),
+                config.clusters(),
+                routing(config.listeners()));
+        sessions = new SessionRegistry(executor, this::snapshotFor);
+        server = new ControlServer(socketAddress(config.listen()), sessions, loadReportService());
+        statusServer = HttpServer.create(socketAddress(config.status()), 0);
+        statusServer.createContext("/v1/status", this::sendStatus);
+        statusServer.start();
+        endpointFile = new EndpointFile(config.endpointFile(), new EndpointFile.Listener() {
+            @Override
+            public void onEndpoints(EndpointUpdate update) {
+                executor.execute(() -> apply(update));
+            }
+
+            @Override
+            public void onFailure(String problem) {
+                executor.execute(() -> noteSourceFailure(problem));
+            }
+        });
+        executor.execute(this::runTimers);
+        config.clusters().stream()
+                .mapToLong(ClusterDefinition::leaseMs)
+                .filter(leaseMs -> leaseMs > 0)
+                .min()
+                .ifPresent(leaseMs -> executor.execute(() -> renewAll(leaseMs / RENEWALS_PER_LEASE)));
+        Logger.info("control service {} listening on port {}", config.name(), port());
+    }
+
+    private static List<Resource> routing(List<ControlConfig.Listener> listeners) {
         List<Resource> routing = new ArrayList<>();
-        for (ControlConfig.Listener each : config.listeners()) {
+        for (ControlConfig.Listener each : listeners) {
             routing.add(ResourceFactory.apiListener(each.name(), each.name()));
             routing.add(ResourceFactory.routes(each.name(), each.cluster()));
         }
-        fleet = new ClusterState(
-                clock.now(), config.settings(), System.nanoTime(), config.mostShrink(), config.clusters(), routing);
-        sessions = new SessionRegistry(
-                desk,
-                proxy -> config.admit().isEmpty() || config.admit().contains(proxy.cluster())
-                        ? fleet.view(proxy.room())
-                        : null);
-        server = new ControlServer(
-                new InetSocketAddress(config.listen().address(), config.listen().port()),
-                sessions,
-                new LoadReportService(
-                        desk,
-                        sessions.views(),
-                        config.clusters().stream()
-                                .map(ClusterState.Cluster::name)
-                                .toList(),
-                        (proxy, address, issued, served, failed, inProgress) ->
-                                fleet.reported(clock.now(), proxy.id(), address, issued, served, failed, inProgress)));
-        status = HttpServer.create(
-                new InetSocketAddress(config.status().address(), config.status().port()), 0);
-        status.createContext("/v1/status", exchange -> {
-            byte[] text = status().toString().getBytes(StandardCharsets.UTF_8);
-            exchange.getResponseHeaders().set("Content-Type", "application/json");
-            exchange.sendResponseHeaders(200, text.length);
-            exchange.getResponseBody().write(text);
-            exchange.close();
-        });
-        status.start();
-        nodes = new EndpointFile(
-                config.nodes(),
-                (override, list) -> desk.execute(() -> told(override, list)),
-                problem -> desk.execute(() -> failed(problem)));
-        desk.execute(this::wake);
-        config.clusters().stream()
-                .mapToLong(ClusterState.Cluster::leaseMs)
-                .filter(lease -> lease > 0)
-                .min()
-                .ifPresent(lease -> desk.execute(() -> renew(lease / RENEWALS)));
-        Logger.info("control service {} on port {}", config.name(), port());
+        return routing;
+    }
+
+    private ConfigSnapshot snapshotFor(ProxyIdentity proxy) {
+        boolean admitted =
+                config.admittedClusters().isEmpty() || config.admittedClusters().contains(proxy.cluster());
+        return admitted ? cluster.snapshot(proxy.zone()) : null;
+    }
+
+    private LoadReportService loadReportService() {
+        return new LoadReportService(
+                executor,
+                this::snapshotFor,
+                config.clusters().stream().map(ClusterDefinition::name).toList(),
+                (proxy, load) -> cluster.onLoadReport(clock.now(), proxy.id(), load));
+    }
+
+    private static InetSocketAddress socketAddress(HostAndPort address) {
+        return new InetSocketAddress(address.address(), address.port());
     }
 
     /** The port of the xDS server. */
@@ -97,130 +117,77 @@
 
     /** The port of the HTTP status page. */
     public int statusPort() {
-        return status.getAddress().getPort();
+        return statusServer.getAddress().getPort();
     }
 
-    private void told(boolean override, List<Backend> list) {
+    private void apply(EndpointUpdate update) {
         sourceProblem = "";
-        fleet.told(clock.now(), true, override, list);
-        if (!fleet.missing().isEmpty()) {
+        cluster.onEndpoints(clock.now(), update);
+        if (!cluster.missingBackendNames().isEmpty()) {
             Logger.warn(
-                    "the node list lacks {} of {} nodes at once; they are kept until it has them again or says override",
-                    fleet.missing().size(),
-                    fleet.nodes().size());
+                    "the endpoint list lacks {} of {} backends at once; they stay until it has them again or overrides the limit",
+                    cluster.missingBackendNames().size(),
+                    cluster.backendNames().size());
         }
-        sessions.changed();
-        wake();
+        sessions.pushAll();
+        runTimers();
     }
 
-    private void failed(String problem) {
-        Logger.warn("the node list cannot be read, what is known stays: {}", problem);
+    private void noteSourceFailure(String problem) {
+        Logger.warn("the endpoint list cannot be read, the one known stays: {}", problem);
         sourceProblem = problem;
-        fleet.sourceFailed(clock.now());
+        cluster.onSourceFailed(clock.now());
     }
 
-    /** The module's alarms that are due, and those to come. */
-    private void wake() {
-        if (fleet.advance(clock.now())) {
-            sessions.changed();
+    /** Runs the decision module's timers that are due, and schedules the next. */
+    private void runTimers() {
+        if (cluster.advance(clock.now())) {
+            sessions.pushAll();
         }
-        if (alarm != null) {
-            alarm.cancel(false);
+        if (nextTimer != null) {
+            nextTimer.cancel(false);
         }
-        alarm = desk.in(fleet.nextAlarm() - clock.now(), this::wake);
+        nextTimer = executor.schedule(cluster.nextTimerMs() - clock.now(), this::runTimers);
+    }
+
+    private void renewAll(long intervalMs) {
+        sessions.renewAll();
+        executor.schedule(intervalMs, () -> renewAll(intervalMs));
     }
 
-    private void renew(long everyMs) {
-        sessions.renew();
-        desk.in(everyMs, () -> renew(everyMs));
+    private void sendStatus(HttpExchange exchange) throws IOException {
+        byte[] body = status().toString().getBytes(StandardCharsets.UTF_8);
+        exchange.getResponseHeaders().set("Content-Type", "application/json");
+        exchange.sendResponseHeaders(200, body.length);
+        exchange.getResponseBody().write(body);
+        exchange.close();
     }
 
-    /** Its state, taken on the desk. */
+    /**
+     * The status, as docs/control.md has it.
+     *
+     * @throws IOException if the service does not respond in time
+     */
     public JsonObject status() throws IOException {
-        CompletableFuture<JsonObject> taken = new CompletableFuture<>();
-        desk.execute(() -> taken.complete(state()));
+        CompletableFuture<JsonObject> status = new CompletableFuture<>();
+        executor.execute(() -> status.complete(
+                new StatusReport(config.name(), clock.now(), cluster, sourceProblem, sessions.connectedProxies())
+                        .toJson()));
         try {
-            return taken.get(STATUS_SECONDS, TimeUnit.SECONDS);
+            return status.get(STATUS_TIMEOUT_SECONDS, TimeUnit.SECONDS);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
             throw new IOException(e);
         } catch (ExecutionException | TimeoutException e) {
-            throw new IOException("no state was told in time", e);
-        }
-    }
-
-    private JsonObject state() {
-        List<SessionRegistry.Known> known = sessions.known();
-        JsonArray proxies = new JsonArray();
-        for (SessionRegistry.Known each : known) {
-            JsonObject types = new JsonObject();
-            each.types()
-                    .forEach((type, knows) -> types.add(
-                            type.key(),
-                            Json.object()
-                                    .add(
-                                            "behind",
-                                            fleet.view(each.proxy().room()).revision() - knows.acknowledgedRevision())
-                                    .add("waiting_ms", Math.round(knows.oldestPendingMs()))
-                                    .add("taken", knows.acceptedCount())
-                                    .add("refused", knows.rejectedCount())
-                                    .add("reason", knows.rejectionReason())));
-            proxies.add(Json.object()
-                    .add("id", each.proxy().id())
-                    .add("cluster", each.proxy().cluster())
-                    .add("room", each.proxy().room())
-                    .add("types", types));
+            throw new IOException("no status in time", e);
         }
-        JsonArray drains = new JsonArray();
-        for (DrainTracker.Drain drain : fleet.drains()) {
-            JsonArray waiting = new JsonArray();
-            known.stream()
-                    .filter(each -> !knows(each, drain))
-                    .forEach(each -> waiting.add(each.proxy().id()));
-            drains.add(Json.object()
-                    .add("node", drain.node())
-                    .add("since_ms", Math.round(clock.now() - drain.sinceMs()))
-                    .add("not_acknowledged_by", waiting)
-                    .add("used_by", users(drain)));
-        }
-        JsonArray missing = new JsonArray();
-        fleet.missing().stream().sorted().forEach(missing::add);
-        return Json.object()
-                .add("name", config.name())
-                .add("nodes", fleet.nodes().size())
-                .add("missing", missing)
-                .add("source_problem", sourceProblem)
-                .add("proxies", proxies)
-                .add("drains", drains);
-    }
-
-    /** Who told of new work at a draining node since its drain, when that was last, and what is in hand there. */
-    private JsonArray users(DrainTracker.Drain drain) {
-        JsonArray users = new JsonArray();
-        drain.uses().forEach((proxy, use) -> {
-            boolean sent = Double.isFinite(use.lastIssuedMs());
-            if (sent || use.inProgress() > 0) {
-                users.add(Json.object()
-                        .add("proxy", proxy)
-                        .add("in_hand", use.inProgress())
-                        .add("last_new_ms", sent ? Math.round(use.lastIssuedMs() - drain.sinceMs()) : -1));
-            }
-        });
-        return users;
-    }
-
-    private boolean knows(SessionRegistry.Known proxy, DrainTracker.Drain drain) {
-        ClientVersions knows = proxy.types().get(ResourceType.ENDPOINTS);
-        return knows == null
-                || knows.acknowledgedRevision()
-                        >= drain.serial(fleet.viewOf(proxy.proxy().room()));
     }
 
     @Override
     public void close() throws IOException {
-        nodes.close();
-        status.stop(0);
+        endpointFile.close();
+        statusServer.stop(0);
         server.close();
-        desk.close();
+        executor.close();
     }
 }
--- a/control/src/main/java/opalcove/control/server/EndpointFile.java
+++ b/control/src/main/java/opalcove/control/server/EndpointFile.java
@@ -8,78 +8,93 @@
 import java.nio.file.WatchKey;
 import java.nio.file.WatchService;
 import java.util.List;
-import java.util.function.BiConsumer;
-import java.util.function.Consumer;
 import opalcove.config.Backend;
 import opalcove.config.EndpointCodec;
 import opalcove.config.HostAndPort;
 import opalcove.config.InvalidConfigurationException;
 import opalcove.config.JsonFields;
+import opalcove.control.cluster.EndpointUpdate;
 import org.tinylog.Logger;
 
 /**
- * The node list in a file, in discovery's form. It is read whenever the file is written or replaced; one that is torn, empty or
- * gone changes nothing and is told. A field {@code override} set to true lifts the guard against shrinking for that list.
+ * The endpoint list in a file, in discovery's form. It is read whenever the file is written or replaced; one that is torn, empty
+ * or gone is reported as a failure. A field {@code override} set to true lifts the shrink limit for that list.
+ *
+ * <p>Has a thread of its own, which reads the file and calls the listener.
  */
-public final class EndpointFile implements AutoCloseable {
+final class EndpointFile implements AutoCloseable {
+    /** Receives what was read, on the thread of the file. */
+    interface Listener {
+        /** Called with each complete list that differs from the one before. */
+        void onEndpoints(EndpointUpdate update);
+
+        /** Called if the file cannot be read, with its name and the reason. */
+        void onFailure(String problem);
+    }
+
     private final Path file;
-    private final BiConsumer<Boolean, List<Backend>> told;
-    private final Consumer<String> failed;
-    private final WatchService watch;
-    private String last = "";
+    private final Listener listener;
+    private final WatchService watchService;
+    private String lastText = "";
 
-    /** Reads the file, and follows it from then on; both are told on a thread of its own. */
-    public EndpointFile(Path file, BiConsumer<Boolean, List<Backend>> told, Consumer<String> failed)
-            throws IOException {
+    /**
+     * Reads the file, and watches it from then on.
+     *
+     * @throws IOException if its folder cannot be watched
+     */
+    EndpointFile(Path file, Listener listener) throws IOException {
         this.file = file;
-        this.told = told;
-        this.failed = failed;
-        watch = file.getFileSystem().newWatchService();
+        this.listener = listener;
+        watchService = file.getFileSystem().newWatchService();
         file.getParent()
                 .register(
-                        watch,
+                        watchService,
                         StandardWatchEventKinds.ENTRY_CREATE,
                         StandardWatchEventKinds.ENTRY_MODIFY,
                         StandardWatchEventKinds.ENTRY_DELETE);
-        Thread thread = new Thread(this::follow, "nodes");
+        Thread thread = new Thread(this::watch, "nodes");
         thread.setDaemon(true);
         thread.start();
     }
 
-    private void follow() {
+    private void watch() {
         try {
             while (true) {
-                look();
-                WatchKey key = watch.take();
+                readIfChanged();
+                WatchKey key = watchService.take();
                 key.pollEvents();
                 key.reset();
             }
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         } catch (ClosedWatchServiceException e) {
-            Logger.debug("the node list is not followed any more");
+            Logger.debug("the endpoint file is no longer watched");
         }
     }
 
-    private void look() {
+    private void readIfChanged() {
         try {
             String text = Files.readString(file);
-            if (!text.equals(last)) {
-                last = text;
-                JsonFields fields = JsonFields.parse(text);
-                List<Backend> nodes = EndpointCodec.read(fields.objects("endpoints"));
-                for (int i = 0; i < nodes.size(); i++) {
-                    HostAndPort.read(nodes.get(i).address(), "endpoints[" + i + "].address");
-                }
-                told.accept(fields.flag("override"), nodes);
+            if (!text.equals(lastText)) {
+                lastText = text;
+                listener.onEndpoints(read(text));
             }
         } catch (IOException | InvalidConfigurationException e) {
-            failed.accept(file + ": " + e.getMessage());
+            listener.onFailure(file + ": " + e.getMessage());
+        }
+    }
+
+    private static EndpointUpdate read(String text) {
+        JsonFields fields = JsonFields.parse(text);
+        List<Backend> backends = EndpointCodec.read(fields.objects("endpoints"));
+        for (int i = 0; i < backends.size(); i++) {
+            HostAndPort.read(backends.get(i).address(), "endpoints[" + i + "].address");
         }
+        return new EndpointUpdate(true, fields.flag("override"), backends);
     }
 
     @Override
     public void close() throws IOException {
-        watch.close();
+        watchService.close();
     }
 }
--- a/control/src/main/java/opalcove/control/server/LoadReportService.java
+++ b/control/src/main/java/opalcove/control/server/LoadReportService.java
@@ -12,107 +12,120 @@
 import io.grpc.stub.ServerCallStreamObserver;
 import io.grpc.stub.StreamObserver;
 import java.util.List;
+import opalcove.control.cluster.EndpointLoad;
 import org.tinylog.Logger;
 
 /**
- * Takes in what proxies report of the load they sent (LRS, load_stats/v3). Each is asked to report its clusters once an
- * interval, endpoint by endpoint; a client that can only tell sums by room tells nothing of single nodes.
+ * Receives the load that proxies report (LRS, load_stats/v3). Each is requested to report its clusters at an interval, endpoint by
+ * endpoint; a client that can only report sums by zone reports nothing of single backends.
+ *
+ * <p>Owned by the thread of its {@link SerialExecutor}; gRPC's callbacks are passed to it.
  */
 final class LoadReportService extends LoadReportingServiceGrpc.LoadReportingServiceImplBase {
-    /** How often a proxy reports, ms: a drain is confirmed by the reports after it. */
-    static final long INTERVAL_MS = 500;
+    /** How often a proxy reports: a drain is confirmed by the reports after it. */
+    private static final long INTERVAL_MS = 500;
 
-    /** Takes in what one proxy reports of one endpoint since its last report. Called on the desk. */
-    interface Uses {
-        void told(ProxyIdentity proxy, String address, long issued, long served, long failed, long inProgress);
+    /** Receives reports, on the thread of the service's executor. */
+    interface Listener {
+        /** Called for each endpoint of a proxy's report. */
+        void onLoadReport(ProxyIdentity proxy, EndpointLoad load);
     }
 
-    private final SerialExecutor desk;
-    private final SnapshotSource views;
+    private final SerialExecutor executor;
+    private final SnapshotSource snapshots;
     private final List<String> clusters;
-    private final Uses uses;
+    private final Listener listener;
 
-    LoadReportService(SerialExecutor desk, SnapshotSource views, List<String> clusters, Uses uses) {
-        this.desk = desk;
-        this.views = views;
+    /**
+     * Makes the service.
+     *
+     * @param snapshots knows which proxies are admitted
+     * @param clusters the clusters whose load is to be reported
+     */
+    LoadReportService(SerialExecutor executor, SnapshotSource snapshots, List<String> clusters, Listener listener) {
+        this.executor = executor;
+        this.snapshots = snapshots;
         this.clusters = List.copyOf(clusters);
-        this.uses = uses;
+        this.listener = listener;
     }
 
     @Override
-    public StreamObserver<LoadStatsRequest> streamLoadStats(StreamObserver<LoadStatsResponse> out) {
-        return new Reports((ServerCallStreamObserver<LoadStatsResponse>) out);
+    public StreamObserver<LoadStatsRequest> streamLoadStats(StreamObserver<LoadStatsResponse> responses) {
+        return new ReportStream((ServerCallStreamObserver<LoadStatsResponse>) responses);
     }
 
     /** One proxy's stream. */
-    private final class Reports implements StreamObserver<LoadStatsRequest> {
-        private final ServerCallStreamObserver<LoadStatsResponse> out;
+    private final class ReportStream implements StreamObserver<LoadStatsRequest> {
+        private final ServerCallStreamObserver<LoadStatsResponse> responses;
         private ProxyIdentity proxy;
         private boolean ended;
 
-        Reports(ServerCallStreamObserver<LoadStatsResponse> out) {
-            this.out = out;
-            out.setOnCancelHandler(() -> desk.execute(() -> ended = true));
+        ReportStream(ServerCallStreamObserver<LoadStatsResponse> responses) {
+            this.responses = responses;
+            responses.setOnCancelHandler(() -> executor.execute(() -> ended = true));
         }
 
         @Override
         public void onNext(LoadStatsRequest request) {
-            desk.execute(() -> report(request));
+            executor.execute(() -> handle(request));
         }
 
-        private void report(LoadStatsRequest request) {
+        private void handle(LoadStatsRequest request) {
             if (ended) {
                 return;
             }
             if (proxy == null) {
-                proxy = ProxyIdentity.of(request.getNode());
-                if (views.of(proxy) == null) {
-                    Logger.warn("reports of proxy {} are refused: it is not admitted", proxy.id());
+                proxy = ProxyIdentity.from(request.getNode());
+                if (snapshots.snapshotFor(proxy) == null) {
+                    Logger.warn("load reports of proxy {} rejected: it is not admitted", proxy.id());
                     ended = true;
-                    out.onError(Status.PERMISSION_DENIED
+                    responses.onError(Status.PERMISSION_DENIED
                             .withDescription("proxy " + proxy.id() + " is not admitted")
                             .asRuntimeException());
                     return;
                 }
-                out.onNext(LoadStatsResponse.newBuilder()
-                        .addAllClusters(clusters)
-                        .setReportEndpointGranularity(true)
-                        .setLoadReportingInterval(Duration.newBuilder()
-                                .setSeconds(INTERVAL_MS / 1000)
-                                .setNanos((int) (INTERVAL_MS % 1000) * 1_000_000))
-                        .build());
+                responses.onNext(reportRequest());
             }
             for (ClusterStats cluster : request.getClusterStatsList()) {
-                for (UpstreamLocalityStats room : cluster.getUpstreamLocalityStatsList()) {
-                    room.getUpstreamEndpointStatsList().forEach(this::endpoint);
+                for (UpstreamLocalityStats locality : cluster.getUpstreamLocalityStatsList()) {
+                    locality.getUpstreamEndpointStatsList().forEach(stats -> listener.onLoadReport(proxy, load(stats)));
                 }
             }
         }
 
-        private void endpoint(UpstreamEndpointStats stats) {
-            SocketAddress address = stats.getAddress().getSocketAddress();
-            uses.told(
-                    proxy,
-                    address.getAddress() + ":" + address.getPortValue(),
-                    stats.getTotalIssuedRequests(),
-                    stats.getTotalSuccessfulRequests(),
-                    stats.getTotalErrorRequests(),
-                    stats.getTotalRequestsInProgress());
-        }
-
         @Override
         public void onError(Throwable cause) {
-            desk.execute(() -> ended = true);
+            executor.execute(() -> ended = true);
         }
 
         @Override
         public void onCompleted() {
-            desk.execute(() -> {
+            executor.execute(() -> {
                 if (!ended) {
                     ended = true;
-                    out.onCompleted();
+                    responses.onCompleted();
                 }
             });
         }
     }
+
+    private LoadStatsResponse reportRequest() {
+        return LoadStatsResponse.newBuilder()
+                .addAllClusters(clusters)
+                .setReportEndpointGranularity(true)
+                .setLoadReportingInterval(Duration.newBuilder()
+                        .setSeconds(INTERVAL_MS / 1000)
+                        .setNanos((int) (INTERVAL_MS % 1000) * 1_000_000))
+                .build();
+    }
+
+    private static EndpointLoad load(UpstreamEndpointStats stats) {
+        SocketAddress address = stats.getAddress().getSocketAddress();
+        return new EndpointLoad(
+                address.getAddress() + ":" + address.getPortValue(),
+                stats.getTotalIssuedRequests(),
+                stats.getTotalSuccessfulRequests(),
+                stats.getTotalErrorRequests(),
+                stats.getTotalRequestsInProgress());
+    }
 }
--- a/control/src/main/java/opalcove/control/server/ProxyIdentity.java
+++ b/control/src/main/java/opalcove/control/server/ProxyIdentity.java
@@ -4,22 +4,26 @@
 import java.util.Set;
 
 /**
- * Who a proxy says it is in the first request of a stream (xDS protocol, "node"): it may leave that out of later ones.
+ * How a proxy identifies itself in the first request of a stream (xDS protocol, "node"); later ones may leave that out.
  *
- * @param id names one proxy; empty where it names none
- * @param cluster the group of proxies it belongs to
- * @param room the zone it stands in
- * @param features what it says it can do
+ * @param id identifies one proxy; empty if it gives none
+ * @param cluster the group of proxies that it belongs to
+ * @param zone the zone that it runs in
+ * @param features the client features that it supports
  */
-public record ProxyIdentity(String id, String cluster, String room, Set<String> features) {
+record ProxyIdentity(String id, String cluster, String zone, Set<String> features) {
     /** It takes resources of state-of-the-world responses in an envelope with a lifetime. */
-    static final String ENVELOPES = "xds.config.resource-in-sotw";
+    private static final String RESOURCE_IN_SOTW = "xds.config.resource-in-sotw";
 
-    static ProxyIdentity of(Node node) {
+    static ProxyIdentity from(Node node) {
         return new ProxyIdentity(
                 node.getId(),
                 node.getCluster(),
                 node.getLocality().getZone(),
                 Set.copyOf(node.getClientFeaturesList()));
     }
+
+    boolean takesEnvelopes() {
+        return features.contains(RESOURCE_IN_SOTW);
+    }
 }
--- a/control/src/main/java/opalcove/control/server/SerialExecutor.java
+++ b/control/src/main/java/opalcove/control/server/SerialExecutor.java
@@ -7,50 +7,51 @@
 import java.util.concurrent.TimeUnit;
 import org.tinylog.Logger;
 
-/** The one thread on which streams, views and decisions live, and its clock. */
-public final class SerialExecutor implements Executor, AutoCloseable {
-    private final ScheduledThreadPoolExecutor thread = new ScheduledThreadPoolExecutor(1, work -> {
-        Thread made = new Thread(work, "control");
-        made.setDaemon(true);
-        return made;
+/** The one thread that owns streams, snapshots and decisions, and its clock. May be called from any thread. */
+final class SerialExecutor implements Executor, AutoCloseable {
+    private final ScheduledThreadPoolExecutor executor = new ScheduledThreadPoolExecutor(1, task -> {
+        Thread thread = new Thread(task, "control");
+        thread.setDaemon(true);
+        return thread;
     });
-    private final long startedAt = System.nanoTime();
+    private final long startedNs = System.nanoTime();
 
-    /** Cancelled timers leave the queue at once. */
-    public SerialExecutor() {
-        thread.setRemoveOnCancelPolicy(true);
+    /** Starts the thread with the first task; cancelled timers leave the queue at once. */
+    SerialExecutor() {
+        executor.setRemoveOnCancelPolicy(true);
     }
 
-    /** Milliseconds of a clock that only goes forward. */
-    public double now() {
-        return (System.nanoTime() - startedAt) / 1e6;
+    /** The time in milliseconds since the start, on a monotonic clock. */
+    double nowMs() {
+        return (System.nanoTime() - startedNs) / 1e6;
     }
 
-    /** Work that comes after the desk has closed is dropped: there is nobody left whom it concerns. */
+    /** Runs a task after those before it. After the close it is dropped: nobody is left whom it concerns. */
     @Override
-    public void execute(Runnable work) {
+    public void execute(Runnable task) {
         try {
-            thread.execute(() -> run(work));
+            executor.execute(() -> run(task));
         } catch (RejectedExecutionException e) {
-            Logger.debug("the desk is closed");
+            Logger.debug("task dropped: the executor is closed");
         }
     }
 
-    ScheduledFuture<?> in(double ms, Runnable work) {
-        return thread.schedule(() -> run(work), (long) Math.ceil(Math.max(0, ms) * 1000), TimeUnit.MICROSECONDS);
+    /** Runs a task after a delay; a delay below 0 counts as 0, and an infinite one as never. */
+    ScheduledFuture<?> schedule(double delayMs, Runnable task) {
+        return executor.schedule(() -> run(task), (long) Math.ceil(Math.max(0, delayMs) * 1000), TimeUnit.MICROSECONDS);
     }
 
-    /** Guards all other streams against one whose work fails. */
-    private static void run(Runnable work) {
+    /** Guards all other streams against one whose task fails. */
+    private static void run(Runnable task) {
         try {
-            work.run();
+            task.run();
         } catch (RuntimeException e) {
-            Logger.error(e, "a piece of work failed");
+            Logger.error(e, "a task of the control service failed");
         }
     }
 
     @Override
     public void close() {
-        thread.shutdownNow();
+        executor.shutdownNow();
     }
 }
--- a/control/src/main/java/opalcove/control/server/SessionRegistry.java
+++ b/control/src/main/java/opalcove/control/server/SessionRegistry.java
@@ -12,94 +12,71 @@
 import io.grpc.MethodDescriptor;
 import io.grpc.ServerServiceDefinition;
 import io.grpc.stub.ServerCalls;
-import java.util.EnumMap;
 import java.util.LinkedHashSet;
 import java.util.List;
-import java.util.Map;
 import java.util.Set;
 import java.util.UUID;
-import opalcove.control.xds.ClientVersions;
+import opalcove.control.xds.ConfigSnapshot;
 import opalcove.control.xds.ResourceType;
 
-/** All open streams of all proxies, and the services on which they are opened. Used on the desk's thread alone. */
-public final class SessionRegistry {
-    private final SerialExecutor desk;
-    private final SnapshotSource views;
-    private final Set<XdsSession<?, ?>> open = new LinkedHashSet<>();
-    /** Guards against a nonce of an instance before this one: none of ours may look like it. */
+/**
+ * The open streams of all proxies, and the gRPC services on which they are opened.
+ *
+ * <p>Owned by the thread of its {@link SerialExecutor}.
+ */
+final class SessionRegistry {
+    private final SerialExecutor executor;
+    private final SnapshotSource snapshots;
+    private final Set<XdsSession<?, ?>> sessions = new LinkedHashSet<>();
+    /** Guards against a nonce of an earlier instance of the service: none of ours may look like it. */
     private final String incarnation = UUID.randomUUID().toString().substring(0, 8);
 
-    private long streams;
+    private long streamCount;
 
-    /** Serves the streams of clients from the views, all on the desk's thread. */
-    public SessionRegistry(SerialExecutor desk, SnapshotSource views) {
-        this.desk = desk;
-        this.views = views;
+    SessionRegistry(SerialExecutor executor, SnapshotSource snapshots) {
+        this.executor = executor;
+        this.snapshots = snapshots;
     }
 
-    SerialExecutor desk() {
-        return desk;
+    SerialExecutor executor() {
+        return executor;
     }
 
-    SnapshotSource views() {
-        return views;
+    /** The latest snapshot for this proxy, as {@link SnapshotSource} gives it. */
+    ConfigSnapshot snapshotFor(ProxyIdentity proxy) {
+        return snapshots.snapshotFor(proxy);
     }
 
-    String noncePrefix() {
-        return incarnation + "." + ++streams + ".";
+    /** A prefix that no other stream's nonces have. */
+    String nextNoncePrefix() {
+        return incarnation + "." + ++streamCount + ".";
     }
 
-    void opened(XdsSession<?, ?> session) {
-        open.add(session);
+    void add(XdsSession<?, ?> session) {
+        sessions.add(session);
     }
 
-    void closed(XdsSession<?, ?> session) {
-        open.remove(session);
+    void remove(XdsSession<?, ?> session) {
+        sessions.remove(session);
     }
 
-    /** The views have changed: every proxy is told its part. */
-    public void changed() {
-        List.copyOf(open).forEach(XdsSession::tell);
+    /** The snapshots have changed: sends each proxy what is due. */
+    void pushAll() {
+        List.copyOf(sessions).forEach(XdsSession::push);
     }
 
-    /** Renews the lifetimes of all that proxies hold on loan. */
-    public void renew() {
-        List.copyOf(open).forEach(XdsSession::renew);
+    /** Renews the lifetimes of all resources that have one. */
+    void renewAll() {
+        List.copyOf(sessions).forEach(XdsSession::renew);
     }
 
-    /** A proxy on an open stream, and what it knows by type. */
-    public record Known(ProxyIdentity proxy, Map<ResourceType, ClientVersions> types) {}
-
     /** All proxies on open streams; one with several streams is there several times. */
-    public List<Known> known() {
-        return open.stream()
-                .map(each -> {
-                    Map<ResourceType, ClientVersions> types = new EnumMap<>(ResourceType.class);
-                    for (ResourceType type : ResourceType.values()) {
-                        ClientVersions knows = each.clientVersions(type);
-                        if (knows != null) {
-                            types.put(type, knows);
-                        }
-                    }
-                    return new Known(each.proxy(), types);
-                })
-                .toList();
-    }
-
-    /** Why proxies refuse what they were told of a type, each reason once. */
-    public Set<String> reasons(ResourceType type) {
-        Set<String> reasons = new LinkedHashSet<>();
-        open.forEach(each -> {
-            if (each.clientVersions(type) != null
-                    && !each.clientVersions(type).rejectionReason().isEmpty()) {
-                reasons.add(each.clientVersions(type).rejectionReason());
-            }
-        });
-        return reasons;
+    List<ConnectedProxy> connectedProxies() {
+        return sessions.stream().map(XdsSession::connectedProxy).toList();
     }
 
-    /** The services: the aggregated one, and one for each type, state of the world and incremental. */
-    public List<ServerServiceDefinition> services() {
+    /** The gRPC services: the aggregated one, and one for each type, state of the world and incremental. */
+    List<ServerServiceDefinition> services() {
         return List.of(
                 service(
                         AggregatedDiscoveryServiceGrpc.SERVICE_NAME,
@@ -130,17 +107,19 @@
 
     private ServerServiceDefinition service(
             String name,
-            ResourceType only,
+            ResourceType onlyType,
             MethodDescriptor<DiscoveryRequest, DiscoveryResponse> sotw,
             MethodDescriptor<DeltaDiscoveryRequest, DeltaDiscoveryResponse> delta) {
         ServerServiceDefinition.Builder service = ServerServiceDefinition.builder(name)
                 .addMethod(
                         sotw,
-                        ServerCalls.asyncBidiStreamingCall(out -> new XdsSession<>(this, XdsVariant.SOTW, only, out)))
+                        ServerCalls.asyncBidiStreamingCall(
+                                responses -> new XdsSession<>(this, XdsVariant.SOTW, onlyType, responses)))
                 .addMethod(
                         delta,
-                        ServerCalls.asyncBidiStreamingCall(out -> new XdsSession<>(this, XdsVariant.DELTA, only, out)));
-        // The services' descriptions name a unary form, too, for proxies that poll over HTTP; these are not such.
+                        ServerCalls.asyncBidiStreamingCall(
+                                responses -> new XdsSession<>(this, XdsVariant.DELTA, onlyType, responses)));
+        // The unary methods of these services, for proxies that poll over HTTP, are not served.
         return service.build();
     }
 }
--- a/control/src/main/java/opalcove/control/server/XdsSession.java
+++ b/control/src/main/java/opalcove/control/server/XdsSession.java
@@ -3,6 +3,8 @@
 import io.grpc.Status;
 import io.grpc.stub.ServerCallStreamObserver;
 import io.grpc.stub.StreamObserver;
+import java.util.EnumMap;
+import java.util.Map;
 import java.util.concurrent.ScheduledFuture;
 import opalcove.control.xds.ClientVersions;
 import opalcove.control.xds.ConfigSnapshot;
@@ -11,135 +13,150 @@
 import org.tinylog.Logger;
 
 /**
- * One open stream of a proxy. It is told the latest state whenever its transport takes more; while that is full, changes come
- * together in the view, and nothing is queued. All of it runs on the desk.
+ * One open stream of a proxy. The latest state is sent whenever its transport is ready for more; while it is not, changes
+ * accumulate in the snapshot, and nothing is queued.
+ *
+ * <p>Owned by the thread of the registry's {@link SerialExecutor}; gRPC's callbacks are passed to it.
  */
-final class XdsSession<Q, R> implements StreamObserver<Q> {
-    private final SessionRegistry sessions;
-    private final XdsVariant<Q, R> variant;
-    private final ResourceType only;
-    private final ServerCallStreamObserver<R> out;
+final class XdsSession<RequestT, ResponseT> implements StreamObserver<RequestT> {
+    private final SessionRegistry registry;
+    private final SerialExecutor executor;
+    private final XdsVariant<RequestT, ResponseT> variant;
+    private final ResourceType onlyType;
+    private final ServerCallStreamObserver<ResponseT> responses;
     private ProxyIdentity proxy;
-    private XdsStream<Q, R> stream;
-    private ScheduledFuture<?> look;
+    private XdsStream<RequestT, ResponseT> stream;
+    private ScheduledFuture<?> nextCheck;
     private boolean ended;
 
-    /** Only: the type that this stream serves, or null for all. */
-    XdsSession(SessionRegistry sessions, XdsVariant<Q, R> variant, ResourceType only, StreamObserver<R> out) {
-        this.sessions = sessions;
+    /**
+     * Opens the session.
+     *
+     * @param onlyType the type that this stream serves, or null for all
+     */
+    XdsSession(
+            SessionRegistry registry,
+            XdsVariant<RequestT, ResponseT> variant,
+            ResourceType onlyType,
+            StreamObserver<ResponseT> responses) {
+        this.registry = registry;
+        executor = registry.executor();
         this.variant = variant;
-        this.only = only;
-        this.out = (ServerCallStreamObserver<R>) out;
-        this.out.setOnReadyHandler(() -> sessions.desk().execute(this::tell));
-        this.out.setOnCancelHandler(() -> sessions.desk().execute(this::ended));
+        this.onlyType = onlyType;
+        this.responses = (ServerCallStreamObserver<ResponseT>) responses;
+        this.responses.setOnReadyHandler(() -> executor.execute(this::push));
+        this.responses.setOnCancelHandler(() -> executor.execute(this::end));
     }
 
     @Override
-    public void onNext(Q request) {
-        sessions.desk().execute(() -> request(request));
+    public void onNext(RequestT request) {
+        executor.execute(() -> handle(request));
     }
 
-    private void request(Q request) {
+    private void handle(RequestT request) {
         if (ended) {
             return;
         }
         if (stream == null) {
-            proxy = ProxyIdentity.of(variant.node().apply(request));
-            if (sessions.views().of(proxy) == null) {
-                refuse(Status.PERMISSION_DENIED.withDescription("proxy " + proxy.id() + " is not admitted"));
+            proxy = ProxyIdentity.from(variant.node().apply(request));
+            if (registry.snapshotFor(proxy) == null) {
+                reject(Status.PERMISSION_DENIED.withDescription("proxy " + proxy.id() + " is not admitted"));
                 return;
             }
-            stream = variant.stream().apply(sessions.noncePrefix(), proxy);
-            sessions.opened(this);
+            stream = variant.streamFactory().apply(registry.nextNoncePrefix(), proxy);
+            registry.add(this);
         }
-        String url = variant.typeUrl().apply(request);
-        ResourceType type = url.isEmpty() ? only : ResourceType.forUrl(url);
-        if (type == null && url.isEmpty() || only != null && type != only) {
-            refuse(Status.INVALID_ARGUMENT.withDescription("type " + url + " is not served on this stream"));
+        String typeUrl = variant.typeUrl().apply(request);
+        ResourceType type = typeUrl.isEmpty() ? onlyType : ResourceType.forUrl(typeUrl);
+        if (type == null && typeUrl.isEmpty() || onlyType != null && type != onlyType) {
+            reject(Status.INVALID_ARGUMENT.withDescription("type " + typeUrl + " is not served on this stream"));
             return;
         }
         if (type == null) {
-            // Not refused: the proxy's other types would be lost with the stream.
-            Logger.info("proxy {} asks for {}, which is not served", proxy.id(), url);
+            // Not rejected: the proxy's other types would be lost with the stream.
+            Logger.info("proxy {} requests type {}, which is not served", proxy.id(), typeUrl);
             return;
         }
         stream.onRequest(type, request);
-        tell();
+        push();
     }
 
-    private void refuse(Status status) {
-        Logger.warn("a stream is refused: {}", status.getDescription());
-        out.onError(status.asRuntimeException());
-        ended();
+    private void reject(Status status) {
+        Logger.warn("stream rejected: {}", status.getDescription());
+        responses.onError(status.asRuntimeException());
+        end();
     }
 
-    /** Tells what is due, as far as the transport takes it. */
-    void tell() {
-        if (ended || stream == null || !out.isReady()) {
+    /** Sends what is due, if the transport is ready for it. */
+    void push() {
+        if (ended || stream == null || !responses.isReady()) {
             return;
         }
-        ConfigSnapshot view = sessions.views().of(proxy);
-        if (view == null) {
-            refuse(Status.PERMISSION_DENIED.withDescription("proxy " + proxy.id() + " is no longer admitted"));
+        ConfigSnapshot snapshot = registry.snapshotFor(proxy);
+        if (snapshot == null) {
+            reject(Status.PERMISSION_DENIED.withDescription("proxy " + proxy.id() + " is no longer admitted"));
             return;
         }
-        if (view == ConfigSnapshot.EMPTY) {
-            // Guards proxies against a service that knows nothing yet: an answer would take away what they have.
+        if (snapshot == ConfigSnapshot.EMPTY) {
+            // Guards proxies against a service that knows nothing yet: a response would take away what they have.
             return;
         }
-        double now = sessions.desk().now();
-        stream.nextResponses(view, now).forEach(out::onNext);
-        lookAgain(now);
+        double nowMs = executor.nowMs();
+        stream.nextResponses(snapshot, nowMs).forEach(responses::onNext);
+        scheduleNextCheck(nowMs);
     }
 
-    private void lookAgain(double now) {
-        if (look != null) {
-            look.cancel(false);
-            look = null;
+    private void scheduleNextCheck(double nowMs) {
+        if (nextCheck != null) {
+            nextCheck.cancel(false);
+            nextCheck = null;
         }
         if (Double.isFinite(stream.nextCheckAtMs())) {
-            look = sessions.desk().in(stream.nextCheckAtMs() - now, this::tell);
+            nextCheck = executor.schedule(stream.nextCheckAtMs() - nowMs, this::push);
         }
     }
 
-    /** Renews lifetimes; a proxy whose transport is full is not renewed, as it would not hear of changes either. */
+    /** Renews lifetimes; not while the transport is not ready, as the proxy would not receive changes either. */
     void renew() {
-        if (!ended && stream != null && out.isReady()) {
-            stream.nextRenewals(sessions.views().of(proxy), sessions.desk().now())
-                    .forEach(out::onNext);
+        if (!ended && stream != null && responses.isReady()) {
+            stream.nextRenewals(registry.snapshotFor(proxy), executor.nowMs()).forEach(responses::onNext);
         }
     }
 
-    ProxyIdentity proxy() {
-        return proxy;
-    }
-
-    ClientVersions clientVersions(ResourceType type) {
-        return stream.clientVersions(type, sessions.desk().now());
+    /** The proxy and what it has, by type; without the types that it never requested. */
+    ConnectedProxy connectedProxy() {
+        Map<ResourceType, ClientVersions> versions = new EnumMap<>(ResourceType.class);
+        for (ResourceType type : ResourceType.values()) {
+            ClientVersions known = stream.clientVersions(type, executor.nowMs());
+            if (known != null) {
+                versions.put(type, known);
+            }
+        }
+        return new ConnectedProxy(proxy, versions);
     }
 
     @Override
     public void onError(Throwable cause) {
-        sessions.desk().execute(this::ended);
+        executor.execute(this::end);
     }
 
     @Override
     public void onCompleted() {
-        sessions.desk().execute(() -> {
+        executor.execute(() -> {
             if (!ended) {
-                out.onCompleted();
-                ended();
+                responses.onCompleted();
+                end();
             }
         });
     }
 
-    private void ended() {
+    private void end() {
         if (!ended) {
             ended = true;
-            if (look != null) {
-                look.cancel(false);
+            if (nextCheck != null) {
+                nextCheck.cancel(false);
             }
-            sessions.closed(this);
+            registry.remove(this);
         }
     }
 }
--- a/control/src/main/java/opalcove/control/server/XdsVariant.java
+++ b/control/src/main/java/opalcove/control/server/XdsVariant.java
@@ -9,17 +9,25 @@
 import java.util.function.Function;
 import opalcove.control.xds.XdsStream;
 
-/** How requests of a variant of the protocol are read, and its streams made of a nonce prefix and the proxy. */
-record XdsVariant<Q, R>(
-        Function<Q, String> typeUrl,
-        Function<Q, Node> node,
-        BiFunction<String, ProxyIdentity, XdsStream<Q, R>> stream) {
+/**
+ * A variant of the protocol.
+ *
+ * @param typeUrl reads the type URL of a request
+ * @param node reads the node of a request
+ * @param streamFactory makes a stream's state from a nonce prefix and the proxy
+ * @param <RequestT> requests of this variant
+ * @param <ResponseT> responses of this variant
+ */
+record XdsVariant<RequestT, ResponseT>(
+        Function<RequestT, String> typeUrl,
+        Function<RequestT, Node> node,
+        BiFunction<String, ProxyIdentity, XdsStream<RequestT, ResponseT>> streamFactory) {
     static final XdsVariant<DiscoveryRequest, DiscoveryResponse> SOTW = new XdsVariant<>(
             DiscoveryRequest::getTypeUrl,
             DiscoveryRequest::getNode,
-            (nonces, proxy) -> XdsStream.sotw(nonces, proxy.features().contains(ProxyIdentity.ENVELOPES)));
+            (noncePrefix, proxy) -> XdsStream.sotw(noncePrefix, proxy.takesEnvelopes()));
     static final XdsVariant<DeltaDiscoveryRequest, DeltaDiscoveryResponse> DELTA = new XdsVariant<>(
             DeltaDiscoveryRequest::getTypeUrl,
             DeltaDiscoveryRequest::getNode,
-            (nonces, proxy) -> XdsStream.delta(nonces));
+            (noncePrefix, proxy) -> XdsStream.delta(noncePrefix));
 }
--- a/control/src/main/java/opalcove/control/xds/SotwSubscription.java
+++ b/control/src/main/java/opalcove/control/xds/SotwSubscription.java
@@ -10,7 +10,7 @@
 
 /**
  * The state-of-the-world variant. The first response on a stream holds all resources subscribed to, whatever version the
- * request names: that is the version the client accepted last, which does not tell what it has kept since.
+ * request names: that is the version the client accepted last, which does not say what it has kept since.
  *
  * <p>Owned by the thread of its {@link XdsStream}.
  */
--- a/control/src/test/java/opalcove/control/LayersTest.java
+++ b/control/src/test/java/opalcove/control/LayersTest.java
@@ -7,7 +7,7 @@
 import org.testng.annotations.Test;
 
 public class LayersTest {
-    /** What streams owe and what is decided is free of sockets, threads, files and clocks. */
+    /** The state of streams and the decisions are free of sockets, threads, files and clocks. */
     @Test
     public void theStateOfStreamsIsFreeOfIo() {
         noClasses()
--- a/control/src/test/java/opalcove/control/cluster/ClusterStateTest.java
+++ b/control/src/test/java/opalcove/control/cluster/ClusterStateTest.java
@@ -26,21 +26,21 @@
 import org.testng.annotations.Test;
 
 public class ClusterStateTest {
-    /** Long after the start of the nodes that the lists begin with. */
+    /** Long after the start of the backends that the lists begin with. */
     private static final double START = 1_000_000;
 
-    private ClusterState fleet;
+    private ClusterState cluster;
 
     @BeforeMethod
     public void open() {
-        fleet = new ClusterState(
+        cluster = new ClusterState(
                 START,
                 settings(),
                 1,
                 0.5,
                 List.of(
-                        new ClusterState.Cluster("all", Set.of(), Set.of(), 0),
-                        new ClusterState.Cluster("pod-1", Set.of(), Set.of(1), 0)),
+                        new ClusterDefinition("all", Set.of(), Set.of(), 0),
+                        new ClusterDefinition("pod-1", Set.of(), Set.of(1), 0)),
                 List.of());
     }
 
@@ -53,31 +53,43 @@
         }
     }
 
-    private static Backend node(int number, String room, int pod, EndpointState state, double startedMs) {
+    private static EndpointUpdate complete(List<Backend> backends) {
+        return new EndpointUpdate(true, false, backends);
+    }
+
+    private static EndpointUpdate overriding(List<Backend> backends) {
+        return new EndpointUpdate(true, true, backends);
+    }
+
+    private static EndpointUpdate changes(List<Backend> backends) {
+        return new EndpointUpdate(false, false, backends);
+    }
+
+    private static Backend backend(int number, String zone, int pod, EndpointState state, double startedMs) {
         return new Backend(
-                new Endpoint("node-" + number, room, "std-3", pod, state, 1, startedMs),
+                new Endpoint("node-" + number, zone, "std-3", pod, state, 1, startedMs),
                 "127.0.0.1:" + (7000 + number));
     }
 
     private static List<Backend> four() {
         return new ArrayList<>(List.of(
-                node(1, "room-a", 1, EndpointState.UP, 1000),
-                node(2, "room-a", 2, EndpointState.UP, 1000),
-                node(3, "room-b", 1, EndpointState.UP, 1000),
-                node(4, "room-b", 2, EndpointState.UP, 1000)));
+                backend(1, "room-a", 1, EndpointState.UP, 1000),
+                backend(2, "room-a", 2, EndpointState.UP, 1000),
+                backend(3, "room-b", 1, EndpointState.UP, 1000),
+                backend(4, "room-b", 2, EndpointState.UP, 1000)));
     }
 
-    /** A line a room: {@code room p PRIORITY: port*weight ...}, with ~ for one that takes nothing new. */
-    private static String seen(ConfigSnapshot view, String cluster) throws Exception {
+    /** A line for each locality: {@code ZONE pPRIORITY: PORT*WEIGHT ...}, with ~ for a draining endpoint. */
+    private static String seen(ConfigSnapshot snapshot, String cluster) throws Exception {
         ClusterLoadAssignment all =
-                view.resource(ResourceType.ENDPOINTS, cluster).body().unpack(ClusterLoadAssignment.class);
+                snapshot.resource(ResourceType.ENDPOINTS, cluster).body().unpack(ClusterLoadAssignment.class);
         StringBuilder text = new StringBuilder();
-        for (LocalityLbEndpoints room : all.getEndpointsList()) {
-            text.append(room.getLocality().getZone())
+        for (LocalityLbEndpoints locality : all.getEndpointsList()) {
+            text.append(locality.getLocality().getZone())
                     .append(" p")
-                    .append(room.getPriority())
+                    .append(locality.getPriority())
                     .append(':');
-            for (LbEndpoint each : room.getLbEndpointsList()) {
+            for (LbEndpoint each : locality.getLbEndpointsList()) {
                 text.append(' ')
                         .append(each.getEndpoint()
                                 .getAddress()
@@ -94,113 +106,120 @@
     }
 
     @Test
-    public void aServiceThatKnowsNothingYetSaysNothing() {
-        assertSame(fleet.view("room-a"), ConfigSnapshot.EMPTY);
-        fleet.told(START, true, false, List.of());
-        assertSame(fleet.view("room-a"), ConfigSnapshot.EMPTY, "an empty first list is no list");
-        fleet.told(START + 10, true, false, four());
-        assertTrue(fleet.view("room-a").revision() > 0);
+    public void aServiceWithoutAListSendsNothing() {
+        assertSame(cluster.snapshot("room-a"), ConfigSnapshot.EMPTY);
+        cluster.onEndpoints(START, complete(List.of()));
+        assertSame(cluster.snapshot("room-a"), ConfigSnapshot.EMPTY, "an empty first list is no list");
+        cluster.onEndpoints(START + 10, complete(four()));
+        assertTrue(cluster.snapshot("room-a").revision() > 0);
     }
 
     @Test
-    public void aProxyUsesItsOwnRoomFirst() throws Exception {
-        fleet.told(START, true, false, four());
-        assertEquals(seen(fleet.view("room-a"), "all"), "room-a p0: 7001*100 7002*100\nroom-b p1: 7003*100 7004*100");
-        assertEquals(seen(fleet.view("room-b"), "all"), "room-b p0: 7003*100 7004*100\nroom-a p1: 7001*100 7002*100");
-        assertEquals(seen(fleet.view("room-z"), "all"), "room-a p0: 7001*100 7002*100\nroom-b p0: 7003*100 7004*100");
-        assertEquals(seen(fleet.view("room-a"), "pod-1"), "room-a p0: 7001*100\nroom-b p1: 7003*100");
+    public void aProxyUsesItsOwnZoneFirst() throws Exception {
+        cluster.onEndpoints(START, complete(four()));
+        assertEquals(
+                seen(cluster.snapshot("room-a"), "all"), "room-a p0: 7001*100 7002*100\nroom-b p1: 7003*100 7004*100");
+        assertEquals(
+                seen(cluster.snapshot("room-b"), "all"), "room-b p0: 7003*100 7004*100\nroom-a p1: 7001*100 7002*100");
+        assertEquals(
+                seen(cluster.snapshot("room-z"), "all"), "room-a p0: 7001*100 7002*100\nroom-b p0: 7003*100 7004*100");
+        assertEquals(seen(cluster.snapshot("room-a"), "pod-1"), "room-a p0: 7001*100\nroom-b p1: 7003*100");
     }
 
     @Test
-    public void aDrainingNodeTakesNothingNewAtOnceAndOnlyWhatChangedIsTold() throws Exception {
-        fleet.told(START, true, false, four());
-        ConfigSnapshot before = fleet.view("room-a");
-        fleet.told(START + 10, false, false, List.of(node(2, "room-a", 2, EndpointState.DRAINING, 1000)));
-        ConfigSnapshot after = fleet.view("room-a");
+    public void aDrainingBackendTakesNothingNewAtOnceAndOnlyWhatChangedIsSent() throws Exception {
+        cluster.onEndpoints(START, complete(four()));
+        ConfigSnapshot before = cluster.snapshot("room-a");
+        cluster.onEndpoints(START + 10, changes(List.of(backend(2, "room-a", 2, EndpointState.DRAINING, 1000))));
+        ConfigSnapshot after = cluster.snapshot("room-a");
         assertEquals(seen(after, "all"), "room-a p0: 7001*100 7002~\nroom-b p1: 7003*100 7004*100");
         assertSame(after.resource(ResourceType.ENDPOINTS, "pod-1"), before.resource(ResourceType.ENDPOINTS, "pod-1"));
-        fleet.told(START + 20, false, false, List.of(node(2, "room-a", 2, EndpointState.UP, 1000)));
+        cluster.onEndpoints(START + 20, changes(List.of(backend(2, "room-a", 2, EndpointState.UP, 1000))));
         assertEquals(
-                fleet.view("room-a").resource(ResourceType.ENDPOINTS, "all").version(),
+                cluster.snapshot("room-a")
+                        .resource(ResourceType.ENDPOINTS, "all")
+                        .version(),
                 before.resource(ResourceType.ENDPOINTS, "all").version(),
                 "a drain called off is the state before it");
     }
 
-    /** What the cold start rule lets a node take, against what its weight brings it beside three warm ones. */
+    /** What the slow-start rule allows a backend, against what its weight brings it beside three warm ones. */
     @Test
-    public void aStartingNodeGetsLessThanTheRuleAtEachMoment() throws Exception {
+    public void aBackendInSlowStartGetsLessThanTheRuleAtEachMoment() throws Exception {
         List<Backend> list = four();
-        fleet.told(START, true, false, list);
-        list.add(node(5, "room-a", 1, EndpointState.UP, START + 100));
-        fleet.told(START + 100, true, false, list);
+        cluster.onEndpoints(START, complete(list));
+        list.add(backend(5, "room-a", 1, EndpointState.UP, START + 100));
+        cluster.onEndpoints(START + 100, complete(list));
         int last = 0;
         int steps = 0;
         for (double now = START + 100; now <= START + 20_000; now += 50) {
-            fleet.advance(now);
-            String line =
-                    seen(fleet.view("room-a"), "pod-1").lines().findFirst().orElseThrow();
+            cluster.advance(now);
+            String line = seen(cluster.snapshot("room-a"), "pod-1")
+                    .lines()
+                    .findFirst()
+                    .orElseThrow();
             int weight = Integer.parseInt(line.substring(line.indexOf("7005*") + 5));
-            double can = Math.min(1, 0.17 + 0.83 * (now - START - 100) / 18_000);
-            assertTrue(weight <= 100 * Math.min(1, can), "weight " + weight + " at " + (now - START));
+            double allowed = Math.min(1, 0.17 + 0.83 * (now - START - 100) / 18_000);
+            assertTrue(weight <= 100 * Math.min(1, allowed), "weight " + weight + " at " + (now - START));
             assertTrue(weight >= last, "it only grows");
             steps += weight > last ? 1 : 0;
             last = weight;
         }
         assertEquals(last, 100);
-        assertTrue(steps < 30, steps + " changes are told");
+        assertTrue(steps < 30, steps + " changes are sent");
     }
 
     @Test
-    public void aNodeStartedAnewAtItsAddressIsCold() throws Exception {
-        fleet.told(START, true, false, four());
-        fleet.told(START + 10, false, false, List.of(node(1, "room-a", 1, EndpointState.UP, START + 5)));
-        assertEquals(seen(fleet.view("room-a"), "pod-1"), "room-a p0: 7001*15\nroom-b p1: 7003*100");
+    public void aBackendRestartedAtItsAddressIsInSlowStart() throws Exception {
+        cluster.onEndpoints(START, complete(four()));
+        cluster.onEndpoints(START + 10, changes(List.of(backend(1, "room-a", 1, EndpointState.UP, START + 5))));
+        assertEquals(seen(cluster.snapshot("room-a"), "pod-1"), "room-a p0: 7001*15\nroom-b p1: 7003*100");
     }
 
     @Test
-    public void aTornListDoesNotTakeNodesAwayButDrainsInItAreObeyed() throws Exception {
-        fleet.told(START, true, false, four());
-        fleet.told(START + 10, true, false, List.of());
-        assertEquals(fleet.nodes().size(), 4);
-        assertEquals(fleet.missing().size(), 4);
-        fleet.told(START + 20, true, false, List.of(node(2, "room-a", 2, EndpointState.DRAINING, 1000)));
-        assertEquals(seen(fleet.view("room-a"), "all"), "room-a p0: 7001*100 7002~\nroom-b p1: 7003*100 7004*100");
-        assertEquals(fleet.missing(), Set.of("node-1", "node-3", "node-4"));
-        fleet.told(START + 30, true, false, four());
-        assertEquals(fleet.missing(), Set.of());
+    public void aTornListRemovesNoBackendsButDrainsInItAreApplied() throws Exception {
+        cluster.onEndpoints(START, complete(four()));
+        cluster.onEndpoints(START + 10, complete(List.of()));
+        assertEquals(cluster.backendNames().size(), 4);
+        assertEquals(cluster.missingBackendNames().size(), 4);
+        cluster.onEndpoints(START + 20, complete(List.of(backend(2, "room-a", 2, EndpointState.DRAINING, 1000))));
+        assertEquals(
+                seen(cluster.snapshot("room-a"), "all"), "room-a p0: 7001*100 7002~\nroom-b p1: 7003*100 7004*100");
+        assertEquals(cluster.missingBackendNames(), Set.of("node-1", "node-3", "node-4"));
+        cluster.onEndpoints(START + 30, complete(four()));
+        assertEquals(cluster.missingBackendNames(), Set.of());
     }
 
     @Test
-    public void theOperatorsMayOverrideTheGuardAndNamedRemovalsAreObeyed() throws Exception {
-        fleet.told(START, true, false, four());
-        fleet.told(
+    public void operatorsMayOverrideTheShrinkLimitAndNamedRemovalsAreApplied() throws Exception {
+        cluster.onEndpoints(START, complete(four()));
+        cluster.onEndpoints(
                 START + 10,
-                false,
-                false,
-                List.of(
-                        node(1, "room-a", 1, EndpointState.REMOVED, 1000),
-                        node(2, "room-a", 2, EndpointState.REMOVED, 1000),
-                        node(3, "room-b", 1, EndpointState.REMOVED, 1000)));
-        assertEquals(fleet.nodes(), Set.of("node-4"));
-        fleet.told(START + 20, true, false, List.of());
-        assertEquals(fleet.nodes(), Set.of("node-4"), "the last one is never lost by a list that lacks it");
-        fleet.told(START + 30, true, true, List.of());
-        assertEquals(fleet.nodes(), Set.of());
+                changes(List.of(
+                        backend(1, "room-a", 1, EndpointState.REMOVED, 1000),
+                        backend(2, "room-a", 2, EndpointState.REMOVED, 1000),
+                        backend(3, "room-b", 1, EndpointState.REMOVED, 1000))));
+        assertEquals(cluster.backendNames(), Set.of("node-4"));
+        cluster.onEndpoints(START + 20, complete(List.of()));
+        assertEquals(cluster.backendNames(), Set.of("node-4"), "the last one is never lost by a list that lacks it");
+        cluster.onEndpoints(START + 30, overriding(List.of()));
+        assertEquals(cluster.backendNames(), Set.of());
     }
 
     @Test
     public void errorsThatProxiesReportLowerAWeightAndFade() throws Exception {
-        fleet.told(START, true, false, four());
-        ConfigSnapshot before = fleet.view("room-a");
-        fleet.reported(START + 10, "proxy-1", "127.0.0.1:7001", 50, 5, 45, 0);
-        assertTrue(fleet.advance(START + 250));
-        String line = seen(fleet.view("room-a"), "pod-1").lines().findFirst().orElseThrow();
+        cluster.onEndpoints(START, complete(four()));
+        ConfigSnapshot before = cluster.snapshot("room-a");
+        cluster.onLoadReport(START + 10, "proxy-1", new EndpointLoad("127.0.0.1:7001", 50, 5, 45, 0));
+        assertTrue(cluster.advance(START + 250));
+        String line =
+                seen(cluster.snapshot("room-a"), "pod-1").lines().findFirst().orElseThrow();
         assertTrue(Integer.parseInt(line.substring(line.indexOf("7001*") + 5)) < 20, line);
         for (double now = START + 250; now < START + 60_000; now += 250) {
-            fleet.reported(now, "proxy-1", "127.0.0.1:7002", 20, 20, 0, 3);
-            fleet.advance(now);
+            cluster.onLoadReport(now, "proxy-1", new EndpointLoad("127.0.0.1:7002", 20, 20, 0, 3));
+            cluster.advance(now);
         }
-        assertEquals(seen(fleet.view("room-a"), "all"), seen(before, "all"));
-        assertFalse(fleet.advance(START + 60_000), "nothing changes any more");
+        assertEquals(seen(cluster.snapshot("room-a"), "all"), seen(before, "all"));
+        assertFalse(cluster.advance(START + 60_000), "nothing changes any more");
     }
 }
--- a/control/src/test/java/opalcove/control/server/ControlServiceTest.java
+++ b/control/src/test/java/opalcove/control/server/ControlServiceTest.java
@@ -45,7 +45,7 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** The service as it is started, with a proxy that answers when it is told to. */
+/** The service as it is started, with a proxy that acknowledges on command. */
 public class ControlServiceTest {
     private static final String TYPE = ResourceType.ENDPOINTS.url();
 
@@ -85,7 +85,7 @@
         Files.delete(folder);
     }
 
-    /** Replaces the node list at one stroke. */
+    /** Replaces the endpoint list atomically. */
     private void list(String... states) throws Exception {
         StringBuilder lines = new StringBuilder();
         for (int i = 0; i < states.length; i++) {
@@ -106,9 +106,9 @@
         Files.move(folder.resolve("next"), folder.resolve("control-nodes.json"), StandardCopyOption.ATOMIC_MOVE);
     }
 
-    /** A proxy that asks for the endpoints of swaps; what it is told and how its stream ends is queued. */
+    /** A proxy that subscribes to the endpoints of swaps; the responses and the end of its stream are queued. */
     private final class Proxy implements StreamObserver<DiscoveryResponse> {
-        final BlockingQueue<Object> told = new LinkedBlockingQueue<>();
+        final BlockingQueue<Object> received = new LinkedBlockingQueue<>();
         final StreamObserver<DiscoveryRequest> out =
                 AggregatedDiscoveryServiceGrpc.newStub(channel).streamAggregatedResources(this);
 
@@ -126,18 +126,18 @@
         /** The next state of the endpoints: {@code port: up or draining}. */
         String next() throws Exception {
             ClusterLoadAssignment all = response().getResources(0).unpack(ClusterLoadAssignment.class);
-            Map<Integer, String> nodes = new TreeMap<>();
-            all.getEndpointsList().forEach(room -> room.getLbEndpointsList()
-                    .forEach(each -> nodes.put(
+            Map<Integer, String> backends = new TreeMap<>();
+            all.getEndpointsList().forEach(locality -> locality.getLbEndpointsList()
+                    .forEach(each -> backends.put(
                             each.getEndpoint().getAddress().getSocketAddress().getPortValue(),
                             each.getHealthStatus() == HealthStatus.DRAINING ? "draining" : "up")));
-            return nodes.toString();
+            return backends.toString();
         }
 
         private String nonce;
 
         private DiscoveryResponse response() throws Exception {
-            DiscoveryResponse response = (DiscoveryResponse) told.poll(20, TimeUnit.SECONDS);
+            DiscoveryResponse response = (DiscoveryResponse) received.poll(20, TimeUnit.SECONDS);
             nonce = response.getNonce();
             return response;
         }
@@ -152,21 +152,21 @@
 
         @Override
         public void onNext(DiscoveryResponse response) {
-            told.add(response);
+            received.add(response);
         }
 
         @Override
         public void onError(Throwable cause) {
-            told.add(cause);
+            received.add(cause);
         }
 
         @Override
         public void onCompleted() {
-            told.add("completed");
+            received.add("completed");
         }
     }
 
-    /** The state once it holds that. */
+    /** The status once this holds of it. */
     private JsonObject statusOnce(java.util.function.Predicate<JsonObject> holds) throws Exception {
         long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(20);
         JsonObject status = service.status();
@@ -187,7 +187,7 @@
     }
 
     @Test
-    public void aDrainIsToldAtOnceAndItsStatusSaysWhoHasNotAnswered() throws Exception {
+    public void aDrainIsSentAtOnceAndItsStatusSaysWhoHasNotAcknowledgedIt() throws Exception {
         Proxy one = new Proxy("proxy-1", "door");
         Proxy late = new Proxy("proxy-2", "door");
         assertEquals(one.next(), "{7201=up, 7202=up, 7203=up}");
@@ -196,7 +196,7 @@
         list("up", "draining", "up");
         assertEquals(one.next(), "{7201=up, 7202=draining, 7203=up}");
         assertEquals(
-                late.next(), "{7201=up, 7202=draining, 7203=up}", "though it never answered for the first response");
+                late.next(), "{7201=up, 7202=draining, 7203=up}", "though it never acknowledged the first response");
         one.acknowledge();
         assertEquals(waiting(statusOnce(status -> waiting(status).equals("app-2[\"proxy-2\"]"))), "app-2[\"proxy-2\"]");
         late.acknowledge();
@@ -208,12 +208,12 @@
 
     @Test
     public void aLeaseIsRenewedBeforeItEnds() throws Exception {
-        BlockingQueue<DeltaDiscoveryResponse> told = new LinkedBlockingQueue<>();
+        BlockingQueue<DeltaDiscoveryResponse> received = new LinkedBlockingQueue<>();
         StreamObserver<DeltaDiscoveryRequest> out = AggregatedDiscoveryServiceGrpc.newStub(channel)
                 .deltaAggregatedResources(new StreamObserver<>() {
                     @Override
                     public void onNext(DeltaDiscoveryResponse response) {
-                        told.add(response);
+                        received.add(response);
                     }
 
                     @Override
@@ -231,22 +231,22 @@
                 .addResourceNamesSubscribe("leased")
                 .setNode(Node.newBuilder().setId("proxy-1").setCluster("door"))
                 .build());
-        assertTrue(told.poll(20, TimeUnit.SECONDS).getResources(0).hasResource());
-        DeltaDiscoveryResponse renewal = told.poll(20, TimeUnit.SECONDS);
+        assertTrue(received.poll(20, TimeUnit.SECONDS).getResources(0).hasResource());
+        DeltaDiscoveryResponse renewal = received.poll(20, TimeUnit.SECONDS);
         assertEquals(renewal.getResources(0).getName(), "leased");
         assertEquals(renewal.getResources(0).hasResource(), false);
     }
 
     @Test
-    public void loadReportsSayWhoStillUsesADrainingNode() throws Exception {
+    public void loadReportsSayWhoStillUsesADrainingBackend() throws Exception {
         Proxy proxy = new Proxy("proxy-1", "door");
         proxy.next();
-        BlockingQueue<LoadStatsResponse> asked = new LinkedBlockingQueue<>();
+        BlockingQueue<LoadStatsResponse> reportRequests = new LinkedBlockingQueue<>();
         StreamObserver<LoadStatsRequest> reports = LoadReportingServiceGrpc.newStub(channel)
                 .streamLoadStats(new StreamObserver<>() {
                     @Override
                     public void onNext(LoadStatsResponse response) {
-                        asked.add(response);
+                        reportRequests.add(response);
                     }
 
                     @Override
@@ -262,7 +262,7 @@
         reports.onNext(LoadStatsRequest.newBuilder()
                 .setNode(Node.newBuilder().setId("proxy-1").setCluster("door"))
                 .build());
-        LoadStatsResponse response = asked.poll(20, TimeUnit.SECONDS);
+        LoadStatsResponse response = reportRequests.poll(20, TimeUnit.SECONDS);
         assertEquals(response.getClustersList(), List.of("swaps", "leased"));
         assertTrue(response.getReportEndpointGranularity());
         list("up", "draining", "up");
@@ -303,7 +303,7 @@
     }
 
     @Test
-    public void anEmptyOrTornListTakesNothingAway() throws Exception {
+    public void anEmptyOrTornListRemovesNothing() throws Exception {
         Proxy proxy = new Proxy("proxy-1", "door");
         assertEquals(proxy.next(), "{7201=up, 7202=up, 7203=up}");
         write("{\"index\":1,\"snapshot\":true,\"endpo");
@@ -317,23 +317,23 @@
                         .getInt("nodes", 0),
                 3);
         list("up", "up", "draining");
-        assertEquals(proxy.next(), "{7201=up, 7202=up, 7203=draining}", "nothing was told in between");
+        assertEquals(proxy.next(), "{7201=up, 7202=up, 7203=draining}", "nothing was received in between");
         write(
                 "{\"index\":3,\"snapshot\":true,\"override\":true,\"endpoints\":[{\"name\":\"app-1\",\"address\":\"127.0.0.1:7201\"}]}");
         assertEquals(proxy.next(), "{7201=up}");
     }
 
     @Test
-    public void aProxyOfAnotherClusterIsRefusedWithTheReason() throws Exception {
+    public void aProxyOfAnotherClusterIsRejectedWithTheReason() throws Exception {
         Proxy stranger = new Proxy("proxy-9", "kitchen");
-        Object end = stranger.told.poll(20, TimeUnit.SECONDS);
+        Object end = stranger.received.poll(20, TimeUnit.SECONDS);
         assertEquals(((StatusRuntimeException) end).getStatus().getCode(), Status.Code.PERMISSION_DENIED);
         assertEquals(((StatusRuntimeException) end).getStatus().getDescription(), "proxy proxy-9 is not admitted");
         assertEquals(service.status().get("proxies").asArray().size(), 0);
     }
 
     @Test
-    public void allProblemsOfASettingsFileAreToldAtOnce() throws Exception {
+    public void allProblemsOfASettingsFileAreReportedAtOnce() throws Exception {
         Path file = folder.resolve("bad.json");
         Files.writeString(
                 file,
--- a/control/src/test/java/opalcove/control/server/ControlSettingsFormTest.java
+++ b/control/src/test/java/opalcove/control/server/ControlSettingsFormTest.java
@@ -106,8 +106,8 @@
             assertEquals(settings.name(), "control");
             assertEquals(settings.listen(), new HostAndPort("127.0.0.1", 18000));
             assertEquals(settings.status(), new HostAndPort("127.0.0.1", 18001));
-            assertEquals(settings.nodes(), file.resolveSibling("control-nodes.json"));
-            assertEquals(settings.admit(), Set.of());
+            assertEquals(settings.endpointFile(), file.resolveSibling("control-nodes.json"));
+            assertEquals(settings.admittedClusters(), Set.of());
             assertEquals(settings.listeners(), List.of());
             assertEquals(settings.clusters().size(), 1);
             assertEquals(settings.clusters().get(0).name(), "swaps");
--- a/control/src/test/java/opalcove/control/server/GrpcClientTest.java
+++ b/control/src/test/java/opalcove/control/server/GrpcClientTest.java
@@ -34,31 +34,31 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** A proxyless gRPC client's own xDS implementation against the control service, and nodes that tell their names. */
+/** The xDS implementation of a proxyless gRPC client against the control service, and backends that respond with their names. */
 public class GrpcClientTest {
-    private static final MethodDescriptor<StringValue, StringValue> ASK =
+    private static final MethodDescriptor<StringValue, StringValue> NAME =
             MethodDescriptor.<StringValue, StringValue>newBuilder()
                     .setType(MethodDescriptor.MethodType.UNARY)
-                    .setFullMethodName("swap/Ask")
+                    .setFullMethodName("swap/Name")
                     .setRequestMarshaller(ProtoUtils.marshaller(StringValue.getDefaultInstance()))
                     .setResponseMarshaller(ProtoUtils.marshaller(StringValue.getDefaultInstance()))
                     .build();
-    private static final long PATIENCE_NS = TimeUnit.SECONDS.toNanos(20);
+    private static final long TIMEOUT_NS = TimeUnit.SECONDS.toNanos(20);
 
-    private final List<Server> nodes = new ArrayList<>();
-    private SerialExecutor desk;
+    private final List<Server> backends = new ArrayList<>();
+    private SerialExecutor executor;
     private SessionRegistry sessions;
     private ControlServer server;
-    private ConfigSnapshot view;
+    private ConfigSnapshot snapshot;
     private ManagedChannel client;
     private XdsNameResolverProvider resolver;
 
     @BeforeMethod
     public void open() throws Exception {
-        for (String name : List.of("node-a", "node-b", "node-c")) {
-            nodes.add(NettyServerBuilder.forAddress(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0))
+        for (String name : List.of("backend-a", "backend-b", "backend-c")) {
+            backends.add(NettyServerBuilder.forAddress(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0))
                     .addService(ServerServiceDefinition.builder("swap")
-                            .addMethod(ASK, ServerCalls.asyncUnaryCall((request, out) -> {
+                            .addMethod(NAME, ServerCalls.asyncUnaryCall((request, out) -> {
                                 out.onNext(StringValue.of(name));
                                 out.onCompleted();
                             }))
@@ -66,15 +66,15 @@
                     .build()
                     .start());
         }
-        desk = new SerialExecutor();
-        view = ConfigSnapshot.EMPTY.with(
+        executor = new SerialExecutor();
+        snapshot = ConfigSnapshot.EMPTY.with(
                 List.of(
                         ResourceFactory.apiListener("swaps", "routes"),
                         ResourceFactory.routes("routes", "std"),
                         ResourceFactory.cluster("std"),
                         endpoints(Set.of(), Set.of(2))),
                 Map.of());
-        sessions = new SessionRegistry(desk, proxy -> view);
+        sessions = new SessionRegistry(executor, proxy -> snapshot);
         server = new ControlServer(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), sessions);
         String scheme = "opalcove" + server.port();
         resolver = XdsNameResolverProvider.createForTest(
@@ -99,67 +99,67 @@
         client.shutdownNow().awaitTermination(5, TimeUnit.SECONDS);
         NameResolverRegistry.getDefaultRegistry().deregister(resolver);
         server.close();
-        desk.close();
-        nodes.forEach(Server::shutdownNow);
-        nodes.clear();
+        executor.close();
+        backends.forEach(Server::shutdownNow);
+        backends.clear();
     }
 
     private Resource endpoints(Set<Integer> draining, Set<Integer> absent) {
         List<ResourceFactory.WeightedEndpoint> targets = new ArrayList<>();
-        for (int i = 0; i < nodes.size(); i++) {
+        for (int i = 0; i < backends.size(); i++) {
             if (!absent.contains(i)) {
                 targets.add(new ResourceFactory.WeightedEndpoint(
-                        "127.0.0.1", nodes.get(i).getPort(), 1, draining.contains(i)));
+                        "127.0.0.1", backends.get(i).getPort(), 1, draining.contains(i)));
             }
         }
         return ResourceFactory.endpoints("std", 0, List.of(new ResourceFactory.Locality("room-a", 0, 1, targets)));
     }
 
-    private void tell(Resource resource) throws Exception {
-        CompletableFuture<Void> told = new CompletableFuture<>();
-        desk.execute(() -> {
-            view = view.with(List.of(resource), Map.of());
-            sessions.changed();
-            told.complete(null);
+    private void send(Resource resource) throws Exception {
+        CompletableFuture<Void> sent = new CompletableFuture<>();
+        executor.execute(() -> {
+            snapshot = snapshot.with(List.of(resource), Map.of());
+            sessions.pushAll();
+            sent.complete(null);
         });
-        told.get(5, TimeUnit.SECONDS);
+        sent.get(5, TimeUnit.SECONDS);
     }
 
-    private String ask() {
+    private String call() {
         return ClientCalls.blockingUnaryCall(
-                        client, ASK, CallOptions.DEFAULT.withDeadlineAfter(10, TimeUnit.SECONDS), StringValue.of(""))
+                        client, NAME, CallOptions.DEFAULT.withDeadlineAfter(10, TimeUnit.SECONDS), StringValue.of(""))
                 .getValue();
     }
 
-    /** Asks until the last asks went to these nodes alone, and to each of them. */
+    /** Calls until the last calls went to these backends alone, and to each of them. */
     private void untilServedBy(Set<String> expected) {
-        long until = System.nanoTime() + PATIENCE_NS;
+        long until = System.nanoTime() + TIMEOUT_NS;
         Set<String> last = Set.of();
         while (!last.equals(expected)) {
             assertTrue(System.nanoTime() < until, "served by " + last + " and not by " + expected);
             last = new HashSet<>();
             for (int i = 0; i < 20; i++) {
-                last.add(ask());
+                last.add(call());
             }
         }
     }
 
     @Test
     public void itsCallsGoWhereTheControlServiceSays() throws Exception {
-        untilServedBy(Set.of("node-a", "node-b"));
-        tell(endpoints(Set.of(), Set.of()));
-        untilServedBy(Set.of("node-a", "node-b", "node-c"));
-        tell(endpoints(Set.of(1), Set.of()));
-        untilServedBy(Set.of("node-a", "node-c"));
-        tell(endpoints(Set.of(), Set.of(0, 1)));
-        untilServedBy(Set.of("node-c"));
+        untilServedBy(Set.of("backend-a", "backend-b"));
+        send(endpoints(Set.of(), Set.of()));
+        untilServedBy(Set.of("backend-a", "backend-b", "backend-c"));
+        send(endpoints(Set.of(1), Set.of()));
+        untilServedBy(Set.of("backend-a", "backend-c"));
+        send(endpoints(Set.of(), Set.of(0, 1)));
+        untilServedBy(Set.of("backend-c"));
     }
 
     @Test
-    public void whatItRefusesIsToldWithItsReasonAndItKeepsWhatItHas() throws Exception {
-        untilServedBy(Set.of("node-a", "node-b"));
+    public void aRejectionIsReportedWithItsReasonAndTheClientKeepsWhatItHas() throws Exception {
+        untilServedBy(Set.of("backend-a", "backend-b"));
         // A cluster of a kind that this client does not know.
-        tell(Resource.of(
+        send(Resource.of(
                 ResourceType.CLUSTER,
                 "std",
                 0,
@@ -167,19 +167,23 @@
                         .setName("std")
                         .setType(io.envoyproxy.envoy.config.cluster.v3.Cluster.DiscoveryType.ORIGINAL_DST)
                         .build()));
-        long until = System.nanoTime() + PATIENCE_NS;
+        long until = System.nanoTime() + TIMEOUT_NS;
         String reason = "";
         while (reason.isEmpty()) {
-            assertTrue(System.nanoTime() < until, "no refusal came");
-            CompletableFuture<String> told = new CompletableFuture<>();
-            desk.execute(() -> told.complete(
-                    sessions.reasons(ResourceType.CLUSTER).stream().findFirst().orElse("")));
-            reason = told.get(5, TimeUnit.SECONDS);
+            assertTrue(System.nanoTime() < until, "no rejection came");
+            CompletableFuture<String> rejection = new CompletableFuture<>();
+            executor.execute(() -> rejection.complete(sessions.connectedProxies().stream()
+                    .map(each -> each.versions().get(ResourceType.CLUSTER))
+                    .filter(each -> each != null && !each.rejectionReason().isEmpty())
+                    .map(each -> each.rejectionReason())
+                    .findFirst()
+                    .orElse("")));
+            reason = rejection.get(5, TimeUnit.SECONDS);
         }
         assertTrue(reason.contains("std"), reason);
-        assertEquals(Set.of("node-a", "node-b").contains(ask()), true);
-        tell(ResourceFactory.cluster("std"));
-        tell(endpoints(Set.of(), Set.of(0)));
-        untilServedBy(Set.of("node-b", "node-c"));
+        assertEquals(Set.of("backend-a", "backend-b").contains(call()), true);
+        send(ResourceFactory.cluster("std"));
+        send(endpoints(Set.of(), Set.of(0)));
+        untilServedBy(Set.of("backend-b", "backend-c"));
     }
 }
--- a/control/src/test/java/opalcove/control/server/StatusFormTest.java
+++ b/control/src/test/java/opalcove/control/server/StatusFormTest.java
@@ -92,7 +92,7 @@
         Files.move(folder.resolve("next"), folder.resolve("control-nodes.json"), StandardCopyOption.ATOMIC_MOVE);
     }
 
-    /** A proxy on one aggregated stream that takes what it gets, except types that it refuses or leaves unanswered. */
+    /** A proxy on one aggregated stream that accepts what it receives, except a type that it rejects and those it does not acknowledge. */
     private final class Proxy implements StreamObserver<DiscoveryResponse> {
         final BlockingQueue<Object> received = new LinkedBlockingQueue<>();
         final Set<String> silent = ConcurrentHashMap.newKeySet();
@@ -122,17 +122,17 @@
             if (silent.contains(type)) {
                 return;
             }
-            DiscoveryRequest.Builder answer =
+            DiscoveryRequest.Builder acknowledgement =
                     DiscoveryRequest.newBuilder().setTypeUrl(type).setResponseNonce(response.getNonce());
             if (!type.equals(CLUSTER)) {
-                answer.addResourceNames("swaps");
+                acknowledgement.addResourceNames("swaps");
             }
             if (type.equals(rejected)) {
-                answer.setErrorDetail(com.google.rpc.Status.newBuilder()
+                acknowledgement.setErrorDetail(com.google.rpc.Status.newBuilder()
                         .setCode(Code.INVALID_ARGUMENT_VALUE)
                         .setMessage("no such filter"));
             }
-            out.onNext(answer.build());
+            out.onNext(acknowledgement.build());
         }
 
         @Override
@@ -183,7 +183,7 @@
     }
 
     @Test
-    public void theStatusOfAListThatLacksNodesOrCannotBeRead() throws Exception {
+    public void theStatusOfAListThatLacksBackendsOrCannotBeRead() throws Exception {
         write("{\"index\":2,\"snapshot\":true,\"endpoints\":[]}");
         assertStatus(
                 """
@@ -232,14 +232,14 @@
                 "routes":{"behind":0,"waiting_ms":0,"taken":1,"refused":0,"reason":""}}}],"drains":[
                 {"node":"app-2","since_ms":N,"not_acknowledged_by":["proxy-1"],"used_by":[]}]}""");
         BlockingQueue<Object> reports = new LinkedBlockingQueue<>();
-        StreamObserver<LoadStatsRequest> load = report(reports, "door");
+        StreamObserver<LoadStatsRequest> loadReports = report(reports, "door");
         assertEquals(
                 reports.poll(20, TimeUnit.SECONDS)
                         .toString()
                         .replaceAll("\\s+", " ")
                         .strip(),
                 "clusters: \"swaps\" load_reporting_interval { nanos: 500000000 } report_endpoint_granularity: true");
-        load.onNext(inHand(0, 2));
+        loadReports.onNext(load(0, 2));
         String users =
                 """
                 {"name":"control-1","nodes":2,"missing":[],"source_problem":"","proxies":[
@@ -251,15 +251,15 @@
                 {"node":"app-2","since_ms":N,"not_acknowledged_by":["proxy-1"],"used_by":[
                 {"proxy":"proxy-1","in_hand":2,"last_new_ms":LAST}]}]}""";
         assertStatus(users.replace("LAST", "-1"));
-        load.onNext(inHand(3, 2));
+        loadReports.onNext(load(3, 2));
         assertStatus(users.replace("LAST", "N"));
     }
 
     @Test
-    public void aStreamThatIsRefusedSaysWhy() throws Exception {
+    public void aRejectedStreamSaysWhy() throws Exception {
         Proxy proxy = new Proxy("");
         proxy.subscribe("", "swaps");
-        assertEquals(end(proxy.received), "INVALID_ARGUMENT: type  is not served on this stream");
+        assertEquals(status(proxy.received), "INVALID_ARGUMENT: type  is not served on this stream");
 
         BlockingQueue<Object> single = new LinkedBlockingQueue<>();
         EndpointDiscoveryServiceGrpc.newStub(channel)
@@ -268,11 +268,11 @@
                         .setTypeUrl(CLUSTER)
                         .setNode(Node.newBuilder().setId("proxy-1").setCluster("door"))
                         .build());
-        assertEquals(end(single), "INVALID_ARGUMENT: type " + CLUSTER + " is not served on this stream");
+        assertEquals(status(single), "INVALID_ARGUMENT: type " + CLUSTER + " is not served on this stream");
 
         BlockingQueue<Object> reports = new LinkedBlockingQueue<>();
         report(reports, "kitchen");
-        assertEquals(end(reports), "PERMISSION_DENIED: proxy proxy-1 is not admitted");
+        assertEquals(status(reports), "PERMISSION_DENIED: proxy proxy-1 is not admitted");
     }
 
     @Test
@@ -284,7 +284,7 @@
         assertEquals(response.getTypeUrl(), CLUSTER);
     }
 
-    private static String end(BlockingQueue<Object> received) throws Exception {
+    private static String status(BlockingQueue<Object> received) throws Exception {
         Status status = ((StatusRuntimeException) received.poll(20, TimeUnit.SECONDS)).getStatus();
         return status.getCode() + ": " + status.getDescription();
     }
@@ -317,7 +317,7 @@
         };
     }
 
-    private static LoadStatsRequest inHand(long issued, long inProgress) {
+    private static LoadStatsRequest load(long issued, long inProgress) {
         return LoadStatsRequest.newBuilder()
                 .addClusterStats(ClusterStats.newBuilder()
                         .setClusterName("swaps")
@@ -334,8 +334,8 @@
 
     @Test
     public void theServicesAndTheirMethods() {
-        try (SerialExecutor desk = new SerialExecutor()) {
-            List<String> methods = new SessionRegistry(desk, proxy -> null)
+        try (SerialExecutor executor = new SerialExecutor()) {
+            List<String> methods = new SessionRegistry(executor, proxy -> null)
                     .services().stream()
                             .flatMap(each -> each.getMethods().stream())
                             .map(each -> each.getMethodDescriptor().getFullMethodName())
