--- a/gateway/src/main/java/opalcove/gateway/Metrics.java
+++ b/gateway/src/main/java/opalcove/metrics/Metrics.java
@@ -1,6 +1,5 @@
-package opalcove.gateway;
+package opalcove.metrics;
 
-import java.util.Locale;
 import java.util.Map;
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.concurrent.atomic.AtomicLong;
@@ -12,11 +11,17 @@
  * so each is atomic. Counts start at 0 with the process.
  */
 public final class Metrics {
-    /** The ends of a request, by the names of the figures. */
+    /** The ends of a request. */
     public enum End {
-        SUCCESS,
-        BUSY,
-        FAILURE
+        SUCCESS("success"),
+        BUSY("busy"),
+        FAILURE("failure");
+
+        private final String figure;
+
+        End(String figure) {
+            this.figure = figure;
+        }
     }
 
     private static final String PREFIX = "gateway.";
@@ -25,7 +30,7 @@
     /** The longest class name that is counted by name. */
     static final int LONGEST_NAME = 64;
 
-    private final RuleChecks checks;
+    private final InvariantMonitor checks;
     private final SystemCallFailures systemCallFailures;
     private final Map<String, AtomicLongArray> byClass = new ConcurrentHashMap<>();
     private final AtomicLong backendCalls = new AtomicLong();
@@ -39,10 +44,11 @@
 
     /** Figures with no checks behind them. */
     public Metrics() {
-        this(new RuleChecks(), new SystemCallFailures());
+        this(new InvariantMonitor(), new SystemCallFailures());
     }
 
-    Metrics(RuleChecks checks, SystemCallFailures systemCallFailures) {
+    /** Metrics that report these checks and failures, too. */
+    public Metrics(InvariantMonitor checks, SystemCallFailures systemCallFailures) {
         this.checks = checks;
         this.systemCallFailures = systemCallFailures;
     }
@@ -72,7 +78,7 @@
     }
 
     /** A client's connection was ended for want of descriptors: one at rest, or a new one that was not read. */
-    void connectionEndedForDescriptors(boolean isNew) {
+    public void connectionEndedForDescriptors(boolean isNew) {
         (isNew ? connectionsRefused : connectionsClosed).incrementAndGet();
     }
 
@@ -92,7 +98,7 @@
         StringBuilder text = new StringBuilder(256);
         byClass.forEach((name, ends) -> {
             for (End end : End.values()) {
-                count(text, end.name().toLowerCase(Locale.ROOT) + "." + name, ends.get(end.ordinal()));
+                count(text, end.figure + "." + name, ends.get(end.ordinal()));
             }
         });
         count(text, "backend_calls", backendCalls.get());
