--- a/config/src/main/java/opalcove/config/ReplicatedConfig.java
+++ b/config/src/main/java/opalcove/config/ReplicatedConfig.java
@@ -9,39 +9,57 @@
 import opalcove.membership.Member;
 
 /**
- * Settings and node list by versions on which the gateways agree. Off without the section {@code agreement}; a program that
- * has no part for it (the platform's) refuses that section.
+ * Settings and endpoint list that the gateways agree on by versions. Off without the section {@code agreement}; a
+ * program without a {@link Provider} rejects that section.
  */
 public interface ReplicatedConfig {
     /**
-     * What to act on; nodes is null where the list stays discovery's; strict: only what cannot contradict others is in it;
-     * coldSinceMs: no node counts as started before it, Unix ms, 0 where the list's word holds.
+     * What the gateway acts on.
+     *
+     * @param version the number of the version; 0 for none
+     * @param settings the settings
+     * @param backends the endpoint list; null if discovery has the list
+     * @param isStrict whether only what cannot conflict with another version is in it
+     * @param coldSinceMs no backend counts as started before it, Unix ms; 0 if the start times in the list are in force
      */
     record EffectiveConfig(
-            long version, DecisionSettings settings, List<Backend> backends, boolean strict, long coldSinceMs) {}
+            long version, DecisionSettings settings, List<Backend> backends, boolean isStrict, long coldSinceMs) {}
 
-    /** Makes the part of this process; found by the service loader. */
+    /** Creates the part of this process; found by the service loader. */
     interface Provider {
-        /** own: an event loop of its own; settings: those of the file, of which what is this gateway's alone stays. */
-        ReplicatedConfig make(
-                Vertx own, String name, JsonFields section, DecisionSettings settings, Consumer<String> events);
+        /**
+         * Creates the part.
+         *
+         * @param vertx an event loop of its own
+         * @param section the section {@code agreement}
+         * @param settings those of the configuration file, of which what concerns this gateway alone stays in force
+         * @param events receives a JSON object for each event
+         */
+        ReplicatedConfig create(
+                Vertx vertx, String name, JsonFields section, DecisionSettings settings, Consumer<String> events);
     }
 
-    /** Members known from before the start, to be called; empty where nothing is. */
-    List<Member> known();
+    /** The members known from before the start, to be contacted; empty if none are. */
+    List<Member> knownMembers();
 
     /**
-     * Begins; done once clients may be taken: the others have said which version is in force, or that there is none, and, where
-     * the fleet lost its power, how they came back. act: on any thread; fleet: the gateways that are there, this one among them.
+     * Starts. Completes once clients may be accepted: when the voters have named the version in force, or that there is
+     * none, and, if the fleet lost power, the recovery allows it.
+     *
+     * @param onEffectiveConfig called on any thread whenever what to act on has changed
+     * @param presentMembers the gateways that are present, this one included
      */
-    Future<Void> start(Consumer<EffectiveConfig> act, Supplier<List<Member>> fleet);
+    Future<Void> start(Consumer<EffectiveConfig> onEffectiveConfig, Supplier<List<Member>> presentMembers);
 
-    /** The process ends well. */
+    /** Prepares for the graceful shutdown of the process. */
     void leave();
 
-    /** What to act on where a confirmed version has lapsed and was not yet told so; null else. For any thread. */
-    EffectiveConfig lapsed();
+    /**
+     * What to act on if the lease has expired and that was not yet notified; null otherwise. May be called on any
+     * thread.
+     */
+    EffectiveConfig effectiveIfExpired();
 
-    /** The figures, a line each. For any thread. */
-    String lines();
+    /** The figures, a line each, in the form of STATS. May be called on any thread. */
+    String figures();
 }
--- a/gateway/src/main/java/opalcove/cluster/MembershipService.java
+++ b/gateway/src/main/java/opalcove/cluster/MembershipService.java
@@ -23,7 +23,7 @@
 /**
  * This process as a member of the gateways' fleet: the protocol's part ({@link FailureDetector}) on datagrams and timers. It runs on
  * an event loop of its own, apart from client work, whose turns would look to the others like silence. What others read
- * of it ({@link #lines}, {@link #members}) is published at each tick, a gossip period apart at most: not at each datagram,
+ * of it ({@link #figures}, {@link #memberList}) is published at each tick, a gossip period apart at most: not at each datagram,
  * whose cost would grow with the fleet.
  */
 public final class MembershipService {
@@ -180,17 +180,17 @@
     }
 
     /** The figures, a line each, in the form of the other figures. */
-    public String lines() {
+    public String figures() {
         return lines;
     }
 
     /** The members held for present, this one among them. */
-    public List<Member> fleet() {
+    public List<Member> presentMembers() {
         return fleet;
     }
 
     /** What is known of each member, this one first: name, address, incarnation and state, a line each. */
-    public String members() {
+    public String memberList() {
         return members;
     }
 
--- a/gateway/src/main/java/opalcove/server/GatewayServer.java
+++ b/gateway/src/main/java/opalcove/server/GatewayServer.java
@@ -46,7 +46,7 @@
         openConsole(config, door);
         ReplicatedConfig agreed = agree(config);
         door.agreed = agreed;
-        MembershipService membership = join(config, agreed == null ? List.of() : agreed.known());
+        MembershipService membership = join(config, agreed == null ? List.of() : agreed.knownMembers());
         door.membership = membership;
         times.reached(StartPhase.DOOR_OPEN);
         Logger.info(
@@ -147,8 +147,8 @@
             return first;
         }
         MembershipService membership = parts.membership();
-        return first.eventually(
-                () -> versions.follow(vertx, parts.agreed(), membership == null ? List::of : membership::fleet));
+        return first.eventually(() ->
+                versions.follow(vertx, parts.agreed(), membership == null ? List::of : membership::presentMembers));
     }
 
     /** Joins the other gateways where the settings have it; a member that cannot listen ends the start with 1. */
@@ -177,7 +177,7 @@
                 .findFirst()
                 .orElseThrow(() -> new InvalidConfigurationException(
                         "field agreement: this program has no part for it, opalcove.jar has"))
-                .make(
+                .create(
                         Application.eventLoop(),
                         config.name(),
                         config.agreement(),
@@ -197,8 +197,8 @@
         /** Acts on what is agreed from now on; done once that is known, or after so long that clients are taken without. */
         Future<Void> follow(Vertx vertx, ReplicatedConfig agreed, Supplier<List<Member>> fleet) {
             gateway.beforeEachRequest(() -> {
-                ReplicatedConfig.EffectiveConfig lapsed = agreed.lapsed();
-                if (lapsed != null && acting != null && !acting.strict()) {
+                ReplicatedConfig.EffectiveConfig lapsed = agreed.effectiveIfExpired();
+                if (lapsed != null && acting != null && !acting.isStrict()) {
                     act(lapsed);
                 }
             });
@@ -331,13 +331,13 @@
         @Override
         public synchronized String figures() {
             return (gateway == null ? "" : gateway.metrics().lines())
-                    + (membership == null ? "" : membership.lines())
-                    + (agreed == null ? "" : agreed.lines());
+                    + (membership == null ? "" : membership.figures())
+                    + (agreed == null ? "" : agreed.figures());
         }
 
         @Override
         public String members() {
-            return membership == null ? null : membership.members();
+            return membership == null ? null : membership.memberList();
         }
 
         @Override
--- a/gateway/src/test/java/opalcove/cluster/MembershipOutputTest.java
+++ b/gateway/src/test/java/opalcove/cluster/MembershipOutputTest.java
@@ -67,26 +67,26 @@
                     List.of(second),
                     events::add);
             membership.start().await(1, TimeUnit.MINUTES);
-            await("itself first", () -> membership.members().startsWith("g1 127.0.0.1:"));
-            String self = membership.members().lines().findFirst().orElseThrow();
+            await("itself first", () -> membership.memberList().startsWith("g1 127.0.0.1:"));
+            String self = membership.memberList().lines().findFirst().orElseThrow();
             assertTrue(self.matches("g1 127\\.0\\.0\\.1:\\d+ \\d+ alive"), self);
             int port = Integer.parseInt(self.split("[: ]")[2]);
 
             send(peer, port, second, word("g3", Member.State.SUSPECT), word("g4", Member.State.ALIVE));
             await(
-                    membership.members(),
-                    () -> membership.members().endsWith("g3 127.0.0.1:9 5 suspect\ng4 127.0.0.1:9 5 alive\n"));
+                    membership.memberList(),
+                    () -> membership.memberList().endsWith("g3 127.0.0.1:9 5 suspect\ng4 127.0.0.1:9 5 alive\n"));
             assertTrue(
-                    membership.members().startsWith(self + "\n" + "g2 " + second.address() + " 4 "),
-                    membership.members());
+                    membership.memberList().startsWith(self + "\n" + "g2 " + second.address() + " 4 "),
+                    membership.memberList());
             send(peer, port, second, word("g3", Member.State.DEAD), word("g4", Member.State.LEFT));
             await(
-                    membership.members(),
-                    () -> membership.members().endsWith("g3 127.0.0.1:9 5 dead\ng4 127.0.0.1:9 5 left\n"));
+                    membership.memberList(),
+                    () -> membership.memberList().endsWith("g3 127.0.0.1:9 5 dead\ng4 127.0.0.1:9 5 left\n"));
 
             assertEquals(
                     membership
-                            .lines()
+                            .figures()
                             .lines()
                             .map(line -> line.replaceFirst(":\\d+\\|", "|"))
                             .toList(),
@@ -102,7 +102,7 @@
                             event("g3", "DEAD", "SUSPECT"),
                             event("g4", "LEFT", "ALIVE")));
             membership.leave();
-            await("it says that it leaves", () -> membership.members().contains(self.replace(" alive", " left")));
+            await("it says that it leaves", () -> membership.memberList().contains(self.replace(" alive", " left")));
         } finally {
             vertx.close().await(1, TimeUnit.MINUTES);
         }
--- a/replication/src/main/java/opalcove/replication/ReplicatedConfigService.java
+++ b/replication/src/main/java/opalcove/replication/ReplicatedConfigService.java
@@ -39,7 +39,7 @@
     /** Makes it for the program that serves. */
     public static final class Maker implements Provider {
         @Override
-        public ReplicatedConfig make(
+        public ReplicatedConfig create(
                 Vertx own, String name, JsonFields section, DecisionSettings settings, Consumer<String> events) {
             return new ReplicatedConfigService(own, name, ReplicationConfig.read(name, section), settings, events);
         }
@@ -118,7 +118,7 @@
     }
 
     @Override
-    public List<Member> known() {
+    public List<Member> knownMembers() {
         return snapshot == null
                 ? List.of()
                 : snapshot.members().stream()
@@ -315,12 +315,12 @@
     }
 
     @Override
-    public EffectiveConfig lapsed() {
+    public EffectiveConfig effectiveIfExpired() {
         return now() >= lapsesAt ? strict : null;
     }
 
     @Override
-    public String lines() {
+    public String figures() {
         long left = lapsesAt == Long.MAX_VALUE ? 0 : Math.max(0, lapsesAt - now());
         return lines + "agreement.lease_left_ms:" + left + "|g\n";
     }
--- a/replication/src/test/java/opalcove/replication/AgreementOutputTest.java
+++ b/replication/src/test/java/opalcove/replication/AgreementOutputTest.java
@@ -45,11 +45,11 @@
                  "state_file":"%s/state","snapshot_file":"%s/snapshot","events":true}"""
                         .formatted(port, port, folder, folder);
         return new ReplicatedConfigService.Maker()
-                .make(vertx, "g1", JsonFields.parse(section), TestSettings.settings(), events::add);
+                .create(vertx, "g1", JsonFields.parse(section), TestSettings.settings(), events::add);
     }
 
     private static List<String> keys(ReplicatedConfig state) {
-        return state.lines()
+        return state.figures()
                 .lines()
                 .map(line -> line.replaceFirst(":-?\\d+\\|", "|"))
                 .toList();
@@ -97,7 +97,7 @@
                             "recovery.trusted|g",
                             "recovery.refused|g",
                             "agreement.lease_left_ms|g"));
-            String lines = state.lines();
+            String lines = state.figures();
             assertTrue(lines.startsWith("agreement.version:1|g\nagreement.behind:0|g\nagreement.voter:1|g\n"), lines);
             assertTrue(lines.contains("\nrecovery.phase:3|g\nrecovery.snapshot_age_ms:-1|g\n"), lines);
             List<String> shown = plain(events, folder);
@@ -134,8 +134,8 @@
                     plain(events, folder).get(0),
                     "{\"event\":\"state_refused\",\"reason\":\"FOLDER/state: it is no state of this program\","
                             + "\"at_ms\":0,\"observer\":\"g1\"}");
-            await(state, () -> state.lines().contains("agreement.voter:0|g\n"));
-            assertTrue(state.lines().contains("agreement.state_refused:1|c\n"), state.lines());
+            await(state, () -> state.figures().contains("agreement.voter:0|g\n"));
+            assertTrue(state.figures().contains("agreement.state_refused:1|c\n"), state.figures());
         } finally {
             vertx.close().await(1, TimeUnit.MINUTES);
         }
