--- a/benchmarks/src/main/java/opalcove/core/AlarmsBenchmark.java
+++ b/benchmarks/src/main/java/opalcove/core/AlarmsBenchmark.java
@@ -31,12 +31,12 @@
 
     private final Vertx vertx = Vertx.vertx();
     private final TimerQueue alarms = new TimerQueue(vertx, new Clock());
-    private TimerQueue.Alarm[] ring;
+    private TimerQueue.Timer[] ring;
     private int next;
 
-    private static final class Quiet extends TimerQueue.Alarm {
+    private static final class Quiet extends TimerQueue.Timer {
         @Override
-        void ring() {
+        void onExpiry() {
             // set for far later than the benchmark lasts
         }
     }
@@ -44,10 +44,10 @@
     /** Sets the timers that stay. */
     @Setup
     public void start() {
-        ring = new TimerQueue.Alarm[set];
+        ring = new TimerQueue.Timer[set];
         for (int i = 0; i < set; i++) {
             ring[i] = new Quiet();
-            alarms.set(3_600_000 + i, ring[i]);
+            alarms.schedule(3_600_000 + i, ring[i]);
         }
     }
 
@@ -60,10 +60,10 @@
     /** Sets a timer and cancels it. */
     @Benchmark
     public int setAndCancel() {
-        TimerQueue.Alarm earliest = ring[next];
+        TimerQueue.Timer earliest = ring[next];
         alarms.cancel(earliest);
         ring[next] = new Quiet();
-        alarms.set(3_600_000 + set, ring[next]);
+        alarms.schedule(3_600_000 + set, ring[next]);
         next = (next + 1) % set;
         return alarms.size();
     }
--- a/benchmarks/src/main/java/opalcove/resp/ReaderBenchmark.java
+++ b/benchmarks/src/main/java/opalcove/resp/ReaderBenchmark.java
@@ -56,7 +56,7 @@
                 settings,
                 1,
                 new ConnectionPool(vertx, settings, new RespConnector(vertx, settings), 1));
-        RequestDecoder requestDecoder = new RequestDecoder(gateway::rules);
+        RequestDecoder requestDecoder = new RequestDecoder(gateway::requestValidator);
         BackendReplyDecoder nodeReply = new BackendReplyDecoder(settings);
         requests = new RespDecoder(8, new RespDecoder.User() {
             @Override
--- a/config/src/main/java/opalcove/config/ConfigValidator.java
+++ b/config/src/main/java/opalcove/config/ConfigValidator.java
@@ -34,7 +34,7 @@
         JsonFields fields = fields();
         fields.names().stream()
                 .filter(key -> !keys.contains(key))
-                .forEach(key -> problem("field " + key + " is not known here"));
+                .forEach(key -> addProblem("field " + key + " is not known here"));
         return fields;
     }
 
@@ -43,18 +43,18 @@
         try {
             return value.get();
         } catch (InvalidConfigurationException e) {
-            e.problems().forEach(each -> problem(each.toString()));
+            e.problems().forEach(each -> addProblem(each.toString()));
             return otherwise;
         }
     }
 
     /** Notes a problem; the message is prefixed with the file's name. */
-    public void problem(String problem) {
+    public void addProblem(String problem) {
         problems.add(file + ": " + problem);
     }
 
     /** Fails with all problems that were found. */
-    public void end() {
+    public void throwIfInvalid() {
         if (!problems.isEmpty()) {
             throw new InvalidConfigurationException(String.join("\n", problems));
         }
--- a/control/src/main/java/opalcove/control/server/ControlConfig.java
+++ b/control/src/main/java/opalcove/control/server/ControlConfig.java
@@ -54,7 +54,7 @@
         List<ClusterState.Cluster> clusters = check.valueOr(() -> clusters(fields), List.of());
         List<Listener> listeners = check.valueOr(() -> listeners(fields, clusters), List.of());
         DecisionSettings settings = check.valueOr(() -> SettingsReader.checked(fields.object("settings")), null);
-        check.end();
+        check.throwIfInvalid();
         return new ControlConfig(name, listen, status, nodes, shrink, admit, clusters, listeners, settings);
     }
 
--- a/gateway/src/main/java/opalcove/backend/ConnectionPool.java
+++ b/gateway/src/main/java/opalcove/backend/ConnectionPool.java
@@ -60,19 +60,19 @@
     /** Opens lines on one wire. */
     public interface Connector {
         /** Succeeds with a line that is ready for an attempt, or fails within the settings' time for connecting. */
-        Future<BackendConnection> dial(String address);
+        Future<BackendConnection> connect(String address);
     }
 
     /** One connection to an app node. */
     public interface BackendConnection {
         /** Names who hears of what comes of this line. */
-        void attach(User user);
+        void setListener(Listener user);
 
         /**
          * Whether the connection is still there, having read what has come of it. What its node has done (closed it, sent
          * more than it was asked for) may not have been read in this turn yet.
          */
-        default boolean isThere() {
+        default boolean isAlive() {
             return true;
         }
 
@@ -83,26 +83,26 @@
         void close();
 
         /** Hears of a line. */
-        interface User {
+        interface Listener {
             /** A long value has begun to come in reply to the attempt; tells whether it is taken. */
-            boolean began(StreamedValue value);
+            boolean acceptsStreamedValue(StreamedValue value);
 
             /** The node's reply to an attempt. What cannot be read ends the line: that attempt may have run. */
-            void replied(AttemptResult end);
+            void onReply(AttemptResult end);
 
             /**
              * Asked right before an attempt that was sent leaves, at the end of its turn, by lines that wait for that:
              * whether it still may. Where not, the line ends with nothing of the attempt sent.
              */
-            default boolean mayLeave() {
+            default boolean maySend() {
                 return true;
             }
 
             /** The attempt's last byte was not written and never will be: its node cannot have run it. */
-            void unwritten();
+            void onWriteFailed();
 
             /** The connection has ended; comes once, and last. */
-            void gone();
+            void onClosed();
         }
     }
 
@@ -163,7 +163,7 @@
     }
 
     @Override
-    public Attempt attempt(Backend backend, Request request, double waitMs, Ended ended) {
+    public Attempt startAttempt(Backend backend, Request request, double waitMs, AttemptListener ended) {
         PooledCall attempt = new PooledCall(request, waitMs, ended);
         connect(backend, attempt, FIRST_ROOM_WAIT_MS);
         return attempt;
@@ -194,7 +194,7 @@
     private void connectLater(Backend backend, PooledCall attempt, long waitMs) {
         attempt.dialling = false;
         if (attempt.ageMs() + waitMs > mostRoomWaitMs) {
-            attempt.finish(AttemptResult.silent(AttemptStatus.NOT_SENT));
+            attempt.finish(AttemptResult.withoutReport(AttemptStatus.NOT_SENT));
             return;
         }
         vertx.setTimer(waitMs, due -> {
@@ -205,12 +205,12 @@
     }
 
     @Override
-    public void whenConnectFailsHere(Consumer<Throwable> action) {
+    public void onLocalConnectFailure(Consumer<Throwable> action) {
         connectFailedHere = action;
     }
 
     @Override
-    public void probe(Backend backend, Consumer<Boolean> reached) {
+    public void checkReachable(Backend backend, Consumer<Boolean> reached) {
         if (descriptors.held() >= most) {
             // Guards the descriptors that terminals need.
             reached.accept(false);
@@ -264,7 +264,7 @@
         long now = System.nanoTime();
         wary &= (now - waryAt) / 1e6 < WARY_MS;
         PooledConnection link = idle.pollFirst();
-        while (link != null && (wary || (now - link.idleSince) / 1e6 > sureMs) && !link.line.isThere()) {
+        while (link != null && (wary || (now - link.idleSince) / 1e6 > sureMs) && !link.line.isAlive()) {
             link = idle.pollFirst();
         }
         return link;
@@ -278,7 +278,7 @@
                     connectFailedHere.accept(dialled.cause());
                     connectLater(backend, attempt, waitMs);
                 } else {
-                    attempt.finish(AttemptResult.silent(AttemptStatus.UNREACHABLE));
+                    attempt.finish(AttemptResult.withoutReport(AttemptStatus.UNREACHABLE));
                 }
             } else {
                 attempt.dialled(new PooledConnection(dialled.result(), hostPool));
@@ -289,7 +289,7 @@
     /** Guards the ask against a node list that gives no usable address: that node cannot be reached. */
     private Future<BackendConnection> dial(String address) {
         try {
-            return connector.dial(address);
+            return connector.connect(address);
         } catch (InvalidConfigurationException e) {
             Logger.warn("an app node cannot be dialled: {}", e.getMessage());
             return Future.failedFuture(e);
@@ -297,7 +297,7 @@
     }
 
     @Override
-    public void forget(Backend backend) {
+    public void retire(Backend backend) {
         HostPool hostPool = hostPools.remove(backend.name());
         if (hostPool != null) {
             hostPool.open = false;
@@ -306,12 +306,12 @@
     }
 
     @Override
-    public int open() {
+    public int openConnections() {
         return links;
     }
 
     @Override
-    public int resting() {
+    public int idleConnections() {
         return hostPools.values().stream()
                 .mapToInt(hostPool -> hostPool.idle.size())
                 .sum();
@@ -398,7 +398,7 @@
     }
 
     /** A line and the attempt that it carries. */
-    private final class PooledConnection implements BackendConnection.User {
+    private final class PooledConnection implements BackendConnection.Listener {
         final BackendConnection line;
         final HostPool hostPool;
         PooledCall user;
@@ -410,16 +410,16 @@
         PooledConnection(BackendConnection line, HostPool hostPool) {
             this.line = line;
             this.hostPool = hostPool;
-            line.attach(this);
+            line.setListener(this);
         }
 
         @Override
-        public boolean began(StreamedValue value) {
-            return user != null && !user.givenUp && user.waiting.began(value);
+        public boolean acceptsStreamedValue(StreamedValue value) {
+            return user != null && !user.givenUp && user.waiting.acceptsStreamedValue(value);
         }
 
         @Override
-        public void replied(AttemptResult end) {
+        public void onReply(AttemptResult end) {
             PooledCall done = user;
             if (done == null) {
                 // Guards the next attempt against an answer that belongs to none.
@@ -436,8 +436,8 @@
 
         /** Guards an attempt whose client left in the very turn that sent it, or that was held up before its bytes left. */
         @Override
-        public boolean mayLeave() {
-            if (user == null || user.waiting.mayLeave(user.toldMs)) {
+        public boolean maySend() {
+            if (user == null || user.waiting.maySend(user.toldMs)) {
                 return true;
             }
             if (user != null) {
@@ -462,14 +462,14 @@
         }
 
         @Override
-        public void unwritten() {
+        public void onWriteFailed() {
             if (user != null) {
                 user.unwritten = true;
             }
         }
 
         @Override
-        public void gone() {
+        public void onClosed() {
             ended = true;
             linkEnded();
             hostPool.idle.remove(this);
@@ -484,7 +484,7 @@
 
     /** One attempt on one line. */
     private static final class PooledCall implements Attempt {
-        private final Ended waiting;
+        private final AttemptListener waiting;
         private final Request request;
         private final double waitMs;
         private final long startedAt = System.nanoTime();
@@ -502,7 +502,7 @@
 
         private boolean ended;
 
-        PooledCall(Request request, double waitMs, Ended waiting) {
+        PooledCall(Request request, double waitMs, AttemptListener waiting) {
             this.request = request;
             this.waitMs = waitMs;
             this.waiting = waiting;
@@ -512,9 +512,9 @@
             // Guards what has changed while the link came up: its node was drained or has moved, its terminal left or
             // got
             // its answer, its repeat window is over.
-            if (givenUp || !waiting.stillWanted()) {
+            if (givenUp || !waiting.isStillWanted()) {
                 fresh.rest();
-                finish(AttemptResult.silent(AttemptStatus.NOT_SENT));
+                finish(AttemptResult.withoutReport(AttemptStatus.NOT_SENT));
             } else {
                 sendOn(fresh);
             }
@@ -526,8 +526,8 @@
 
         /** Whether it still waits for a connection; ends it as not sent where its ask needs it no more. */
         boolean isStillWanted() {
-            if (!ended && !givenUp && !waiting.stillWanted()) {
-                finish(AttemptResult.silent(AttemptStatus.NOT_SENT));
+            if (!ended && !givenUp && !waiting.isStillWanted()) {
+                finish(AttemptResult.withoutReport(AttemptStatus.NOT_SENT));
             }
             return !ended && !givenUp;
         }
@@ -544,7 +544,7 @@
          * that failed proves that; one of which nothing is told yet may be on its way.
          */
         void lineGone() {
-            finish(AttemptResult.silent(
+            finish(AttemptResult.withoutReport(
                     withdrawn
                             ? AttemptStatus.NOT_SENT
                             : givenUp
@@ -560,15 +560,15 @@
         void finish(AttemptResult how) {
             if (!ended) {
                 ended = true;
-                waiting.ended(how);
+                waiting.onResult(how);
             }
         }
 
         @Override
-        public void giveUp() {
+        public void cancel() {
             givenUp = true;
             if (link == null) {
-                finish(AttemptResult.silent(dialling ? AttemptStatus.UNREACHABLE : AttemptStatus.NOT_SENT));
+                finish(AttemptResult.withoutReport(dialling ? AttemptStatus.UNREACHABLE : AttemptStatus.NOT_SENT));
             } else if (link.user == this) {
                 // The end waits for the close: a next attempt must not be out while this one is on an open line.
                 link.line.close();
--- a/gateway/src/main/java/opalcove/core/AttemptGuard.java
+++ b/gateway/src/main/java/opalcove/core/AttemptGuard.java
@@ -25,7 +25,7 @@
     private static final double WINDOW_MARGIN_MS = 150;
 
     /** Why something may not be done, and by which rule. */
-    record Veto(Invariant rule, String cause) {}
+    record Veto(Invariant invariant, String cause) {}
 
     private final EndpointList backends;
     /** Attempts that an ask may have, by the newest settings: fewer bind also the asks under way. */
@@ -35,18 +35,18 @@
 
     AttemptGuard(DecisionSettings settings, EndpointList backends) {
         this.backends = backends;
-        limit(settings);
+        applyLimits(settings);
     }
 
     /** New settings are in force. */
-    void limit(DecisionSettings settings) {
+    void applyLimits(DecisionSettings settings) {
         mostAttempts = settings.limits().maxAttempts();
         mostOut = settings.limits().secondCopies() ? 2 : 1;
     }
 
     /** Why this attempt may not be made, or null where it may. */
-    Veto objection(InFlightRequest inFlight, String backend, double now) {
-        Backend target = backends.open(backend);
+    Veto vetoAttempt(InFlightRequest inFlight, String backend, double now) {
+        Backend target = backends.available(backend);
         if (target == null) {
             return new Veto(Invariant.LISTED, "the node list does not offer " + backend);
         }
@@ -56,35 +56,35 @@
         if (inFlight.attempts.size() >= mostAttempts) {
             return new Veto(Invariant.ATTEMPTS, "it has had all its attempts");
         }
-        return objectionToRepeat(inFlight, inFlight.ranFirst(), target, now);
+        return vetoRepeat(inFlight, inFlight.firstThatMayHaveRun(), target, now);
     }
 
     /** Why an attempt that was decided on may not be written any more, or null where it may. */
-    Veto lapsed(InFlightRequest inFlight, InFlightRequest.Attempt attempt, double now) {
+    Veto vetoAfterConnect(InFlightRequest inFlight, InFlightRequest.Attempt attempt, double now) {
         if (inFlight.over) {
             return new Veto(Invariant.CLIENT_WAITS, "it is over");
         }
-        Backend target = backends.open(attempt.backend.name());
+        Backend target = backends.available(attempt.backend.name());
         if (target == null || !target.address().equals(attempt.backend.address())) {
             return new Veto(
                     Invariant.LISTED, "the node list does not offer " + attempt.backend.name() + " there any more");
         }
-        InFlightRequest.Attempt first = inFlight.ranFirst();
-        return objectionToRepeat(inFlight, first == attempt ? null : first, target, now);
+        InFlightRequest.Attempt first = inFlight.firstThatMayHaveRun();
+        return vetoRepeat(inFlight, first == attempt ? null : first, target, now);
     }
 
     /** Why an attempt whose bytes tell its node to wait so long may not leave now, or null where it may. */
-    Veto objectionToLeave(InFlightRequest inFlight, InFlightRequest.Attempt attempt, double toldMs, double now) {
-        double left = inFlight.takenAt + inFlight.request.waitMs() - now;
+    Veto vetoWrite(InFlightRequest inFlight, InFlightRequest.Attempt attempt, double toldMs, double now) {
+        double left = inFlight.acceptedAtMs + inFlight.request.timeoutMs() - now;
         if (toldMs > Math.max(0, left) + DEADLINE_SLACK_MS) {
             return new Veto(
                     Invariant.DEADLINE_PASSED_ON,
                     "held up, it tells " + (long) toldMs + " ms with " + (long) left + " left");
         }
-        return lapsed(inFlight, attempt, now);
+        return vetoAfterConnect(inFlight, attempt, now);
     }
 
-    private static Veto objectionToRepeat(
+    private static Veto vetoRepeat(
             InFlightRequest inFlight, InFlightRequest.Attempt first, Backend target, double now) {
         DecisionSettings.RequestClass c = inFlight.requestClass;
         if (first == null || c.effect() == Idempotency.SAFE) {
@@ -93,7 +93,7 @@
         if (c.effect() == Idempotency.UNSAFE) {
             return new Veto(Invariant.REPEAT, "it may have run and must not be repeated");
         }
-        if (now >= first.sentAt + c.windowMs() - Math.min(WINDOW_MARGIN_MS, c.windowMs() / 4)) {
+        if (now >= first.startedAtMs + c.windowMs() - Math.min(WINDOW_MARGIN_MS, c.windowMs() / 4)) {
             return new Veto(Invariant.REPEAT, "its repeat window is over");
         }
         Endpoint a = first.backend.host();
@@ -110,7 +110,7 @@
     /** Whether a refusal's promise, that trying again is harmless, may be given. */
     boolean mayRefuse(InFlightRequest inFlight) {
         DecisionSettings.RequestClass c = inFlight.requestClass;
-        return inFlight.ranFirst() == null
+        return inFlight.firstThatMayHaveRun() == null
                 || c.effect() == Idempotency.SAFE
                 || c.effect() == Idempotency.KEYED && c.reach() == DeduplicationScope.ALL;
     }
--- a/gateway/src/main/java/opalcove/core/EndpointList.java
+++ b/gateway/src/main/java/opalcove/core/EndpointList.java
@@ -12,7 +12,7 @@
     private final Map<String, Backend> backends = new LinkedHashMap<>();
 
     /** Takes in the whole list or the changed lines; gives the nodes that took new work before and do not now, or elsewhere. */
-    List<Backend> told(boolean whole, List<Backend> lines) {
+    List<Backend> update(boolean whole, List<Backend> lines) {
         Map<String, Backend> before = new LinkedHashMap<>(backends);
         if (whole) {
             backends.clear();
@@ -26,7 +26,7 @@
         }
         List<Backend> left = new ArrayList<>();
         before.forEach((name, backend) -> {
-            Backend now = open(name);
+            Backend now = available(name);
             if (backend.host().state() == EndpointState.UP
                     && (now == null || !now.address().equals(backend.address()))) {
                 left.add(backend);
@@ -36,7 +36,7 @@
     }
 
     /** The node if the list says that it takes new work, else null. */
-    Backend open(String name) {
+    Backend available(String name) {
         Backend backend = backends.get(name);
         return backend != null && backend.host().state() == EndpointState.UP ? backend : null;
     }
--- a/gateway/src/main/java/opalcove/core/EndpointSource.java
+++ b/gateway/src/main/java/opalcove/core/EndpointSource.java
@@ -5,19 +5,19 @@
     /** A source that hands over each change before anything else is done. */
     EndpointSource ALWAYS_CURRENT = new EndpointSource() {
         @Override
-        public boolean current() {
+        public boolean isCurrent() {
             return true;
         }
 
         @Override
-        public void onceCurrent(Runnable action) {
+        public void whenCurrent(Runnable action) {
             action.run();
         }
     };
 
     /** False while changes of the time in which this process was held up are being asked for. */
-    boolean current();
+    boolean isCurrent();
 
     /** Runs the action once the list is current, be it now; also where the source fails to answer. */
-    void onceCurrent(Runnable action);
+    void whenCurrent(Runnable action);
 }
--- a/gateway/src/main/java/opalcove/core/InFlightRequest.java
+++ b/gateway/src/main/java/opalcove/core/InFlightRequest.java
@@ -11,51 +11,51 @@
     /** What the module wants done next. */
     sealed interface Step {
         /** An attempt at a node. */
-        record SendTo(String backend, double timeoutMs) implements Step {}
+        record Forward(String backend, double timeoutMs) implements Step {}
 
         /** The final answer. */
-        record Final(Response answer) implements Step {}
+        record Respond(Response response) implements Step {}
     }
 
     /** A long value and the attempt that brings it. */
-    record Passing(Attempt attempt, StreamedValue value) {}
+    record Streaming(Attempt attempt, StreamedValue value) {}
 
     /** One attempt, in the module's numbering. */
-    final class Attempt implements BackendTransport.Ended {
+    final class Attempt implements BackendTransport.AttemptListener {
         final Backend backend;
         final int number;
-        final double sentAt;
-        BackendTransport.Attempt running;
+        final double startedAtMs;
+        BackendTransport.Attempt inProgress;
         AttemptStatus result;
 
-        Attempt(Backend backend, double sentAt) {
+        Attempt(Backend backend, double startedAtMs) {
             this.backend = backend;
-            this.sentAt = sentAt;
+            this.startedAtMs = startedAtMs;
             number = attempts.size();
         }
 
-        boolean ranMaybe() {
+        boolean mayHaveRun() {
             return result == null || !result.neverRan;
         }
 
         @Override
-        public boolean began(StreamedValue value) {
-            return gateway.valueBegan(InFlightRequest.this, this, value);
+        public boolean acceptsStreamedValue(StreamedValue value) {
+            return lifecycle.valueBegan(InFlightRequest.this, this, value);
         }
 
         @Override
-        public boolean stillWanted() {
-            return gateway.stillWanted(InFlightRequest.this, this);
+        public boolean isStillWanted() {
+            return lifecycle.stillWanted(InFlightRequest.this, this);
         }
 
         @Override
-        public boolean mayLeave(double toldMs) {
-            return gateway.mayLeave(InFlightRequest.this, this, toldMs);
+        public boolean maySend(double deadlineMs) {
+            return lifecycle.mayLeave(InFlightRequest.this, this, deadlineMs);
         }
 
         @Override
-        public void ended(AttemptResult end) {
-            gateway.attemptEnded(InFlightRequest.this, this, end);
+        public void onResult(AttemptResult result) {
+            lifecycle.attemptEnded(InFlightRequest.this, this, result);
         }
     }
 
@@ -64,79 +64,79 @@
     final RequestDispatcher.ConfigGeneration generation;
 
     final DecisionSettings.RequestClass requestClass;
-    final double takenAt;
+    final double acceptedAtMs;
     final List<Attempt> attempts = new ArrayList<>(2);
     /** The long value that is being passed on: the ask is bound to its attempt, and its deadline has been met. */
-    Passing passing;
+    Streaming streaming;
 
     boolean over;
     /** Its terminal left before it was over. */
-    boolean left;
+    boolean clientLeft;
     /** It ends with the process: an ask that came after it may not wait longer. */
-    boolean hurried;
+    boolean expedited;
 
-    private final RequestDispatcher gateway;
-    private final RequestDispatcher.ResponseHandler responseHandler;
-    private final TimerQueue.Alarm deadline;
-    private boolean settled;
+    private final RequestDispatcher lifecycle;
+    private final RequestDispatcher.ResponseHandler handler;
+    private final TimerQueue.Timer deadline;
+    private boolean released;
 
     InFlightRequest(
             RequestDispatcher gateway,
             RequestDispatcher.ConfigGeneration generation,
             Request request,
             DecisionSettings.RequestClass requestClass,
-            RequestDispatcher.ResponseHandler responseHandler,
-            double takenAt) {
-        this.gateway = gateway;
+            RequestDispatcher.ResponseHandler handler,
+            double acceptedAtMs) {
+        this.lifecycle = gateway;
         this.generation = generation;
         this.request = request;
         this.requestClass = requestClass;
-        this.responseHandler = responseHandler;
-        this.takenAt = takenAt;
-        deadline = new TimerQueue.Alarm() {
+        this.handler = handler;
+        this.acceptedAtMs = acceptedAtMs;
+        deadline = new TimerQueue.Timer() {
             @Override
-            void ring() {
+            void onExpiry() {
                 gateway.overdue(InFlightRequest.this);
             }
         };
     }
 
-    TimerQueue.Alarm deadline() {
+    TimerQueue.Timer deadline() {
         return deadline;
     }
 
     /** The terminal has left: nobody waits for an answer any more. */
     @Override
-    public void leave() {
-        gateway.leave(this);
+    public void clientLeft() {
+        lifecycle.leave(this);
     }
 
     @Override
     public double remainingMs() {
-        return gateway.remainingMs(this);
+        return lifecycle.remainingMs(this);
     }
 
     @Override
-    public void giveUpValue() {
-        gateway.giveUpValue(this);
+    public void abortStreamedValue() {
+        lifecycle.giveUpValue(this);
     }
 
     @Override
-    public void hurry() {
-        gateway.hurry(this);
+    public void expedite() {
+        lifecycle.hurry(this);
     }
 
     /** Whether its client is still connected, as far as can be known now. */
-    boolean isConnected() {
-        return responseHandler.isConnected();
+    boolean isClientConnected() {
+        return handler.isConnected();
     }
 
     /** Hands a long value on; tells whether the terminal's side takes it. */
-    boolean pass(Attempt attempt, StreamedValue begun) {
-        if (over || passing != null || attempt.result != null || !responseHandler.passes(begun)) {
+    boolean stream(Attempt attempt, StreamedValue value) {
+        if (over || streaming != null || attempt.result != null || !handler.acceptsStreamedValue(value)) {
             return false;
         }
-        passing = new Passing(attempt, begun);
+        streaming = new Streaming(attempt, value);
         return true;
     }
 
@@ -144,17 +144,17 @@
     void finish(Response answer) {
         over = true;
         if (answer != null) {
-            responseHandler.answered(answer);
+            handler.onResponse(answer);
         }
-        settleIfDone();
+        releaseIfDone();
     }
 
     /** Lets go of the ask once it is over and no attempt is out that could still be written. */
-    void settleIfDone() {
-        if (over && !settled && attemptsOut() == 0) {
-            settled = true;
-            gateway.settled(this);
-            responseHandler.settled();
+    void releaseIfDone() {
+        if (over && !released && attemptsOut() == 0) {
+            released = true;
+            lifecycle.settled(this);
+            handler.onReleased();
         }
     }
 
@@ -169,9 +169,9 @@
     }
 
     /** The first attempt that may have run, or null. */
-    Attempt ranFirst() {
+    Attempt firstThatMayHaveRun() {
         for (int i = 0; i < attempts.size(); i++) {
-            if (attempts.get(i).ranMaybe()) {
+            if (attempts.get(i).mayHaveRun()) {
                 return attempts.get(i);
             }
         }
--- a/gateway/src/main/java/opalcove/core/Request.java
+++ b/gateway/src/main/java/opalcove/core/Request.java
@@ -14,17 +14,28 @@
         String requestClass,
         String plan,
         double units,
-        double waitMs,
-        String key,
+        double timeoutMs,
+        String idempotencyKey,
         boolean retry,
-        int gateways,
+        int gatewayCount,
         int firstGateway,
         ByteBuf body) {
     /** The same ask of a terminal that waits so long. */
-    Request waiting(double ms) {
-        return ms == waitMs
+    Request withTimeoutMs(double ms) {
+        return ms == timeoutMs
                 ? this
-                : new Request(id, tenant, requestClass, plan, units, ms, key, retry, gateways, firstGateway, body);
+                : new Request(
+                        id,
+                        tenant,
+                        requestClass,
+                        plan,
+                        units,
+                        ms,
+                        idempotencyKey,
+                        retry,
+                        gatewayCount,
+                        firstGateway,
+                        body);
     }
 
     /** The units as a text, without a point where they are whole. */
--- a/gateway/src/main/java/opalcove/core/RequestDispatcher.java
+++ b/gateway/src/main/java/opalcove/core/RequestDispatcher.java
@@ -69,9 +69,9 @@
     private final SlowStartTimes starts = new SlowStartTimes();
     private final AttemptGuard guards;
     private final Counters counters = new Counters();
-    private final InvariantMonitor checks = new InvariantMonitor();
+    private final InvariantMonitor invariants = new InvariantMonitor();
     private final SystemCallFailures systemCallFailures = new SystemCallFailures();
-    private final Metrics metrics = new Metrics(checks, systemCallFailures);
+    private final Metrics metrics = new Metrics(invariants, systemCallFailures);
     private final Map<String, InFlightRequest> requestsInFlight = new HashMap<>();
     private final ArrayDeque<Runnable> turns = new ArrayDeque<>();
     /** The generations whose modules may still have work: the newest, and older ones with asks open. */
@@ -86,7 +86,7 @@
     /** When the process will be ended at the earliest. */
     private double endsAt = Double.MAX_VALUE;
 
-    private Runnable whenNoneOpen;
+    private Runnable whenIdle;
     private Runnable beforeEachRequest;
     private EndpointSource endpointSource = EndpointSource.ALWAYS_CURRENT;
 
@@ -101,12 +101,12 @@
         beatAt = clock.now();
         alarms = new TimerQueue(vertx, clock);
         this.links = links;
-        links.whenConnectFailsHere(failure -> systemCallFailed(SystemCall.CONNECT, failure));
+        links.onLocalConnectFailure(failure -> systemCallFailed(SystemCall.CONNECT, failure));
         this.seed = seed;
         guards = new AttemptGuard(settings, backends);
         current = new ConfigGeneration(settings, seed);
         generations.add(current);
-        alarms.set(beatMs(), new CountAvoided());
+        alarms.schedule(beatMs(), new CountAvoided());
     }
 
     /**
@@ -136,11 +136,11 @@
      * Takes new settings, which the caller has checked: asks from now on are read and decided by them, asks under way
      * keep theirs, and every ask is held to the new number of attempts. Settings equal to the newest change nothing.
      */
-    public void retune(DecisionSettings next) {
+    public void applySettings(DecisionSettings next) {
         if (next.equals(current.settings)) {
             return;
         }
-        guards.limit(next);
+        guards.applyLimits(next);
         current = new ConfigGeneration(next, seed + ++retunes);
         generations.removeIf(ConfigGeneration::done);
         generations.add(current);
@@ -162,13 +162,13 @@
     /** Who asked: the front's side of one ask. */
     public interface ResponseHandler {
         /** The one final answer. Its value is lent: it holds for the time of this call, and who keeps it copies it. */
-        void answered(Response answer);
+        void onResponse(Response answer);
 
         /**
          * The final answer has begun: a long value, which the asker takes from now on; false where it cannot. No answer
          * follows; the ask is over with the value's end.
          */
-        default boolean passes(StreamedValue value) {
+        default boolean acceptsStreamedValue(StreamedValue value) {
             return false;
         }
 
@@ -181,16 +181,16 @@
         }
 
         /** The ask is over and nothing of it will be written any more: what it holds may be let go. */
-        default void settled() {}
+        default void onReleased() {}
     }
 
     /** An ask that is taken and has no answer yet. */
     public interface RequestHandle {
         /** Its terminal has left and is owed nothing any more. */
-        void leave();
+        void clientLeft();
 
         /** The long value that answers it cannot be passed on after all, and the front has answered otherwise. */
-        default void giveUpValue() {}
+        default void abortStreamedValue() {}
 
         /** How much of its time is left, ms; below 0 once it is over. */
         default double remainingMs() {
@@ -198,7 +198,7 @@
         }
 
         /** Another ask's answer waits for its own: it, too, ends before the process is ended. */
-        void hurry();
+        void expedite();
     }
 
     /**
@@ -206,23 +206,23 @@
      * answer ends it, a node gets an attempt ({@link #attempt}), after whose end ({@link #attemptEnded}) the module
      * chooses again. Gives null where the answer was given at once.
      */
-    public RequestHandle serve(Request request, ResponseHandler responseHandler) {
-        return serve(request, responseHandler, 0);
+    public RequestHandle dispatch(Request request, ResponseHandler responseHandler) {
+        return dispatch(request, responseHandler, 0);
     }
 
     /**
      * The same for an ask that may have lain unread here for so long, ms: its terminal has been waiting since. It is taken off
      * the time that is left, so no node is told more than that.
      */
-    public RequestHandle serve(Request request, ResponseHandler responseHandler, double unreadMs) {
-        counters.taken++;
+    public RequestHandle dispatch(Request request, ResponseHandler responseHandler, double unreadMs) {
+        counters.received++;
         if (beforeEachRequest != null) {
             beforeEachRequest.run();
         }
         DecisionSettings.RequestClass requestClass;
         try {
             requestClass =
-                    current.rules.requestClass(current.rules.check(request).requestClass());
+                    current.rules.requestClass(current.rules.validate(request).requestClass());
         } catch (InvalidRequestException e) {
             // Peers count such a failure in the class that the request names, known or not.
             return answerAtOnce(responseHandler, request.requestClass(), new Response.Failed(e.getMessage()));
@@ -243,13 +243,13 @@
             counters.refused(ShedReason.ENDING);
             return answerAtOnce(responseHandler, requestClass.name(), new Response.Refused(0));
         }
-        double waitMs = unreadMs > UNREAD_IGNORED_MS ? request.waitMs() - unreadMs : request.waitMs();
+        double waitMs = unreadMs > UNREAD_IGNORED_MS ? request.timeoutMs() - unreadMs : request.timeoutMs();
         if (waitMs <= 0) {
             // Its time was over before it was read: nothing may be sent for it any more.
             counters.refused(ShedReason.UNREAD_IN_TIME);
             return answerAtOnce(responseHandler, requestClass.name(), new Response.Refused(0));
         }
-        InFlightRequest inFlight = take(request.waiting(Math.min(waitMs, left)), requestClass, responseHandler);
+        InFlightRequest inFlight = take(request.withTimeoutMs(Math.min(waitMs, left)), requestClass, responseHandler);
         submitToModule(inFlight);
         return inFlight.over ? null : inFlight;
     }
@@ -257,34 +257,34 @@
     /** The class is null where the ask names none: its end is counted, but in no class. */
     private RequestHandle answerAtOnce(ResponseHandler responseHandler, String requestClass, Response answer) {
         count(requestClass, answer);
-        responseHandler.answered(answer);
-        responseHandler.settled();
+        responseHandler.onResponse(answer);
+        responseHandler.onReleased();
         return null;
     }
 
     /** Does what the module chose; what it chooses for a life that is over has no effect. */
     private void follow(InFlightRequest inFlight, InFlightRequest.Step step) {
-        if (inFlight.over || inFlight.passing != null) {
+        if (inFlight.over || inFlight.streaming != null) {
             return;
         }
-        if (step instanceof InFlightRequest.Step.Final end) {
+        if (step instanceof InFlightRequest.Step.Respond end) {
             close(inFlight);
-            count(inFlight.requestClass.name(), end.answer());
-            double late = clock.now() - inFlight.takenAt - inFlight.request.waitMs();
+            count(inFlight.requestClass.name(), end.response());
+            double late = clock.now() - inFlight.acceptedAtMs - inFlight.request.timeoutMs();
             if (late > ANSWER_SLACK_MS) {
-                checks.broken(
+                invariants.violated(
                         Invariant.ANSWER_IN_TIME,
                         inFlight.request.id(),
                         "answered " + (long) late + " ms after its time");
             }
-            inFlight.finish(end.answer());
+            inFlight.finish(end.response());
         } else {
-            attempt(inFlight, (InFlightRequest.Step.SendTo) step);
+            attempt(inFlight, (InFlightRequest.Step.Forward) step);
         }
     }
 
     /** What an ask must be like; a front reads it by these rules before it has it served. */
-    public RequestValidator rules() {
+    public RequestValidator requestValidator() {
         return current.rules;
     }
 
@@ -294,8 +294,8 @@
                 new InFlightRequest(this, current, request, requestClass, responseHandler, clock.now());
         current.open++;
         requestsInFlight.put(request.id(), inFlight);
-        metrics.inflight(requestsInFlight.size());
-        alarms.set(request.waitMs() - GUARD_MARGIN_MS, inFlight.deadline());
+        metrics.inFlight(requestsInFlight.size());
+        alarms.schedule(request.timeoutMs() - GUARD_MARGIN_MS, inFlight.deadline());
         return inFlight;
     }
 
@@ -310,31 +310,31 @@
                 request.plan(),
                 request.tenant(),
                 request.units(),
-                Math.max(1, request.waitMs() - ANSWER_MARGIN_MS),
-                request.gateways(),
+                Math.max(1, request.timeoutMs() - ANSWER_MARGIN_MS),
+                request.gatewayCount(),
                 request.retry());
     }
 
     /** One attempt: made if the rules allow it and its client is still connected, else ended as not sent. */
-    private void attempt(InFlightRequest inFlight, InFlightRequest.Step.SendTo step) {
+    private void attempt(InFlightRequest inFlight, InFlightRequest.Step.Forward step) {
         double now = clock.now();
-        AttemptGuard.Veto objection = guards.objection(inFlight, step.backend(), now);
+        AttemptGuard.Veto objection = guards.vetoAttempt(inFlight, step.backend(), now);
         boolean connected = clientIsConnected(inFlight);
         InFlightRequest.Attempt attempt =
-                inFlight.new Attempt(objection == null ? backends.open(step.backend()) : null, now);
+                inFlight.new Attempt(objection == null ? backends.available(step.backend()) : null, now);
         inFlight.attempts.add(attempt);
         if (objection != null) {
-            counters.guarded++;
-            checks.stopped(objection.rule(), inFlight.request.id(), objection.cause());
-            tellEnd(inFlight, attempt, step.backend(), AttemptResult.silent(AttemptStatus.NOT_SENT));
+            counters.vetoed++;
+            invariants.prevented(objection.invariant(), inFlight.request.id(), objection.cause());
+            tellEnd(inFlight, attempt, step.backend(), AttemptResult.withoutReport(AttemptStatus.NOT_SENT));
             return;
         }
         if (!connected) {
-            tellEnd(inFlight, attempt, step.backend(), AttemptResult.silent(AttemptStatus.NOT_SENT));
+            tellEnd(inFlight, attempt, step.backend(), AttemptResult.withoutReport(AttemptStatus.NOT_SENT));
             return;
         }
-        if (now - beatAt > 2 * beatMs() || !endpointSource.current()) {
-            attempt.running = new DeferredAttempt(inFlight, attempt, step);
+        if (now - beatAt > 2 * beatMs() || !endpointSource.isCurrent()) {
+            attempt.inProgress = new DeferredAttempt(inFlight, attempt, step);
         } else {
             send(inFlight, attempt, step);
         }
@@ -346,11 +346,11 @@
         return Math.max(LEAST_BEAT_MS, Math.min(AVOIDED_MS, part));
     }
 
-    private void send(InFlightRequest inFlight, InFlightRequest.Attempt attempt, InFlightRequest.Step.SendTo step) {
+    private void send(InFlightRequest inFlight, InFlightRequest.Attempt attempt, InFlightRequest.Step.Forward step) {
         counters.attempts++;
         metrics.backendCall();
-        double left = inFlight.takenAt + inFlight.request.waitMs() - clock.now();
-        attempt.running = links.attempt(
+        double left = inFlight.acceptedAtMs + inFlight.request.timeoutMs() - clock.now();
+        attempt.inProgress = links.startAttempt(
                 attempt.backend,
                 inFlight.request,
                 step.timeoutMs() > 0 ? Math.min(left, step.timeoutMs()) : left,
@@ -366,13 +366,13 @@
         private final InFlightRequest.Attempt attempt;
         private boolean ended;
 
-        DeferredAttempt(InFlightRequest inFlight, InFlightRequest.Attempt attempt, InFlightRequest.Step.SendTo step) {
+        DeferredAttempt(InFlightRequest inFlight, InFlightRequest.Attempt attempt, InFlightRequest.Step.Forward step) {
             this.attempt = attempt;
             // By the time that a timer set now is due, the loop has read once more.
-            vertx.setTimer(1, read -> endpointSource.onceCurrent(() -> sendIfStillWanted(inFlight, step)));
+            vertx.setTimer(1, read -> endpointSource.whenCurrent(() -> sendIfStillWanted(inFlight, step)));
         }
 
-        private void sendIfStillWanted(InFlightRequest inFlight, InFlightRequest.Step.SendTo step) {
+        private void sendIfStillWanted(InFlightRequest inFlight, InFlightRequest.Step.Forward step) {
             if (ended) {
                 return;
             }
@@ -380,15 +380,15 @@
                 ended = true;
                 send(inFlight, attempt, step);
             } else {
-                giveUp();
+                cancel();
             }
         }
 
         @Override
-        public void giveUp() {
+        public void cancel() {
             if (!ended) {
                 ended = true;
-                attempt.ended(AttemptResult.silent(AttemptStatus.NOT_SENT));
+                attempt.onResult(AttemptResult.withoutReport(AttemptStatus.NOT_SENT));
             }
         }
     }
@@ -397,28 +397,30 @@
 
     /** Whether an answer is still awaited by a client that is there; ends the life of one that has left. */
     boolean clientIsConnected(InFlightRequest inFlight) {
-        if (!inFlight.over && !inFlight.left && !inFlight.isConnected()) {
+        if (!inFlight.over && !inFlight.clientLeft && !inFlight.isClientConnected()) {
             leave(inFlight);
         }
-        return !inFlight.left;
+        return !inFlight.clientLeft;
     }
 
     /** A link has come up for the attempt: whether what was decided when it was dialled still holds. */
     boolean stillWanted(InFlightRequest inFlight, InFlightRequest.Attempt attempt) {
-        return goesOn(inFlight, !clientIsConnected(inFlight) ? LEFT : guards.lapsed(inFlight, attempt, clock.now()));
+        return goesOn(
+                inFlight,
+                !clientIsConnected(inFlight) ? LEFT : guards.vetoAfterConnect(inFlight, attempt, clock.now()));
     }
 
     /** The attempt's bytes, which tell its node to wait so long, are about to leave: whether they still may. */
     boolean mayLeave(InFlightRequest inFlight, InFlightRequest.Attempt attempt, double toldMs) {
         return goesOn(
                 inFlight,
-                !clientIsConnected(inFlight) ? LEFT : guards.objectionToLeave(inFlight, attempt, toldMs, clock.now()));
+                !clientIsConnected(inFlight) ? LEFT : guards.vetoWrite(inFlight, attempt, toldMs, clock.now()));
     }
 
     private boolean goesOn(InFlightRequest inFlight, AttemptGuard.Veto lapsed) {
         if (lapsed != null) {
-            counters.lapsed++;
-            checks.stopped(lapsed.rule(), inFlight.request.id(), lapsed.cause());
+            counters.vetoedLate++;
+            invariants.prevented(lapsed.invariant(), inFlight.request.id(), lapsed.cause());
         }
         return lapsed == null;
     }
@@ -428,7 +430,7 @@
      * the attempt is served now, whatever time the terminal takes to read, and its figures follow at the end.
      */
     boolean valueBegan(InFlightRequest inFlight, InFlightRequest.Attempt attempt, StreamedValue value) {
-        if (!inFlight.pass(attempt, value)) {
+        if (!inFlight.stream(attempt, value)) {
             return false;
         }
         alarms.cancel(inFlight.deadline());
@@ -440,7 +442,7 @@
                         attempt.backend.name(),
                         attempt.number,
                         AttemptStatus.SERVED,
-                        now - attempt.sentAt,
+                        now - attempt.startedAtMs,
                         true,
                         -1,
                         0,
@@ -450,18 +452,20 @@
 
     /** The attempt whose value was passed on has ended, the value whole or cut. */
     private void passed(InFlightRequest inFlight, AttemptResult end) {
-        inFlight.passing.attempt().result = end.result();
+        inFlight.streaming.attempt().result = end.result();
         tell(() -> {
             if (!inFlight.over) {
                 close(inFlight);
                 count(
                         inFlight.requestClass.name(),
-                        inFlight.passing.value().whole() ? new Response.Served(null) : new Response.Failed("cut"));
+                        inFlight.streaming.value().isComplete()
+                                ? new Response.Served(null)
+                                : new Response.Failed("cut"));
                 inFlight.finish(null);
             }
             if (end.result() == AttemptStatus.SERVED) {
                 inFlight.generation.module.settled(
-                        clock.now(), request(inFlight.request), end.usedPercent(), end.trueUnits());
+                        clock.now(), request(inFlight.request), end.quotaUsedPercent(), end.actualUnits());
             }
         });
     }
@@ -469,17 +473,17 @@
     /** An attempt was made and has ended. */
     void attemptEnded(InFlightRequest inFlight, InFlightRequest.Attempt attempt, AttemptResult end) {
         counters.ended(end.result());
-        if (inFlight.passing != null && inFlight.passing.attempt() == attempt) {
+        if (inFlight.streaming != null && inFlight.streaming.attempt() == attempt) {
             passed(inFlight, end);
             return;
         }
         // Guards a node against blame for a link that only had no time to come up: its terminal left meanwhile.
-        boolean blameless = inFlight.left && end.result() == AttemptStatus.UNREACHABLE;
+        boolean blameless = inFlight.clientLeft && end.result() == AttemptStatus.UNREACHABLE;
         tellEnd(
                 inFlight,
                 attempt,
                 attempt.backend.name(),
-                blameless ? AttemptResult.silent(AttemptStatus.NOT_SENT) : end);
+                blameless ? AttemptResult.withoutReport(AttemptStatus.NOT_SENT) : end);
     }
 
     /** Tells the module how an attempt ended. A served value is final; else the module's next step follows. */
@@ -490,9 +494,9 @@
         ByteBuf value = served && inTurn ? Unpooled.copiedBuffer(end.value()) : end.value();
         double now = clock.now();
         tell(() -> {
-            boolean first = served && !inFlight.over && inFlight.passing == null;
+            boolean first = served && !inFlight.over && inFlight.streaming == null;
             if (first) {
-                follow(inFlight, new InFlightRequest.Step.Final(new Response.Served(value)));
+                follow(inFlight, new InFlightRequest.Step.Respond(new Response.Served(value)));
                 giveUpCopies(inFlight);
             }
             inFlight.generation.module.outcome(
@@ -502,12 +506,12 @@
                             backend,
                             attempt.number,
                             end.result(),
-                            now - attempt.sentAt,
+                            now - attempt.startedAtMs,
                             inFlight.over,
-                            end.usedPercent(),
-                            first ? end.trueUnits() : 0,
-                            end.load()));
-            inFlight.settleIfDone();
+                            end.quotaUsedPercent(),
+                            first ? end.actualUnits() : 0,
+                            end.loadReport()));
+            inFlight.releaseIfDone();
         });
     }
 
@@ -524,7 +528,7 @@
             InFlightRequest.Attempt copy = inFlight.attempts.get(i);
             if (copy.result == null) {
                 counters.cancelled++;
-                turns.add(copy.running::giveUp);
+                turns.add(copy.inProgress::cancel);
             }
         }
     }
@@ -539,52 +543,54 @@
                     .filter(attempt -> attempt.result == null)
                     .forEach(late -> {
                         counters.cancelled++;
-                        late.running.giveUp();
+                        late.inProgress.cancel();
                     });
             return;
         }
-        if (inFlight.hurried) {
+        if (inFlight.expedited) {
             end(
                     inFlight,
                     () -> follow(
                             inFlight,
-                            new InFlightRequest.Step.Final(
+                            new InFlightRequest.Step.Respond(
                                     guards.mayRefuse(inFlight)
                                             ? new Response.Refused(0)
                                             : new Response.Failed("the gateway ends"))));
             return;
         }
-        counters.overdue++;
+        counters.deadlineExpired++;
         Logger.error("{} had no answer at its deadline", inFlight.request.id());
-        end(inFlight, () -> follow(inFlight, new InFlightRequest.Step.Final(new Response.Failed("deadline"))));
+        end(inFlight, () -> follow(inFlight, new InFlightRequest.Step.Respond(new Response.Failed("deadline"))));
     }
 
     double remainingMs(InFlightRequest inFlight) {
-        return inFlight.takenAt + inFlight.request.waitMs() - clock.now();
+        return inFlight.acceptedAtMs + inFlight.request.timeoutMs() - clock.now();
     }
 
     void giveUpValue(InFlightRequest inFlight) {
-        if (!inFlight.over && inFlight.passing != null) {
-            inFlight.passing.attempt().running.giveUp();
+        if (!inFlight.over && inFlight.streaming != null) {
+            inFlight.streaming.attempt().inProgress.cancel();
         }
     }
 
     void hurry(InFlightRequest inFlight) {
-        if (!inFlight.over && inFlight.passing == null && inFlight.takenAt + inFlight.request.waitMs() > endsAt) {
-            inFlight.hurried = true;
+        if (!inFlight.over
+                && inFlight.streaming == null
+                && inFlight.acceptedAtMs + inFlight.request.timeoutMs() > endsAt) {
+            inFlight.expedited = true;
             alarms.cancel(inFlight.deadline());
-            alarms.setAt(endsAt - GUARD_MARGIN_MS, inFlight.deadline());
+            alarms.scheduleAt(endsAt - GUARD_MARGIN_MS, inFlight.deadline());
         }
     }
 
     void leave(InFlightRequest inFlight) {
-        if (inFlight.over || inFlight.left) {
+        if (inFlight.over || inFlight.clientLeft) {
             return;
         }
-        counters.left++;
-        inFlight.left = true;
-        if (inFlight.passing != null) {
-            inFlight.passing.attempt().running.giveUp();
+        counters.clientsLeft++;
+        inFlight.clientLeft = true;
+        if (inFlight.streaming != null) {
+            inFlight.streaming.attempt().inProgress.cancel();
             return;
         }
         end(inFlight, () -> {
@@ -607,11 +613,11 @@
         if (requestsInFlight.remove(inFlight.request.id(), inFlight)) {
             inFlight.generation.open--;
         }
-        metrics.inflight(requestsInFlight.size());
-        if (requestsInFlight.isEmpty() && whenNoneOpen != null) {
+        metrics.inFlight(requestsInFlight.size());
+        if (requestsInFlight.isEmpty() && whenIdle != null) {
             // Not within the turn that writes the last answer.
-            turns.add(whenNoneOpen);
-            whenNoneOpen = null;
+            turns.add(whenIdle);
+            whenIdle = null;
         }
     }
 
@@ -624,15 +630,15 @@
      * The process will be ended so many ms from now: an ask that is taken from here on gets its answer before that, and one
      * for which there is no time left is refused at once.
      */
-    public void answersWithin(double ms) {
+    public void beginShutdown(double ms) {
         endsAt = clock.now() + ms;
     }
 
     /** Looks for a sign of life of a node that the module avoids: without an answer it would avoid it for ever. */
     private void probe(ConfigGeneration generation, Backend backend) {
-        counters.probes++;
+        counters.healthChecks++;
         double began = clock.now();
-        links.probe(
+        links.checkReachable(
                 backend,
                 reached -> tell(() -> {
                     ProbeStatus result = reached ? ProbeStatus.DONE : ProbeStatus.NOT_DONE;
@@ -642,49 +648,49 @@
     }
 
     /** Runs the action once no ask is open, be it now. */
-    public void whenNoneOpen(Runnable action) {
+    public void whenIdle(Runnable action) {
         if (requestsInFlight.isEmpty()) {
             action.run();
         } else {
-            whenNoneOpen = action;
+            whenIdle = action;
         }
     }
 
     private void count(String requestClass, Response answer) {
-        Metrics.End end;
+        Metrics.RequestOutcome end;
         if (answer instanceof Response.Served) {
             counters.served++;
-            end = Metrics.End.SUCCESS;
+            end = Metrics.RequestOutcome.SUCCESS;
         } else if (answer instanceof Response.Refused) {
             counters.refused++;
-            end = Metrics.End.BUSY;
+            end = Metrics.RequestOutcome.BUSY;
         } else {
             counters.failed++;
-            end = Metrics.End.FAILURE;
+            end = Metrics.RequestOutcome.FAILURE;
         }
         if (requestClass != null) {
-            metrics.ended(requestClass, end);
+            metrics.requestEnded(requestClass, end);
         }
     }
 
     /** Takes in the node list, whole or its changed lines. */
     public void endpointsChanged(boolean whole, List<Backend> lines) {
         endpointsChanged(whole, lines, 0);
-        listHeard();
+        endpointSourceContacted();
     }
 
     /**
-     * The same by discovery, whose own time was that as it gave the list (0: it is not known); {@link #listHeard} follows.
+     * The same by discovery, whose own time was that as it gave the list (0: it is not known); {@link #endpointSourceContacted} follows.
      */
     public void endpointsChanged(boolean whole, List<Backend> lines, double discoveryNow) {
-        backends.told(whole, lines).forEach(links::forget);
-        int apart = starts.apart();
-        List<Endpoint> hosts = starts.told(whole, lines, clock.now(), discoveryNow);
-        if (starts.apart() > apart) {
-            counters.startsOfOtherClocks += starts.apart() - apart;
+        backends.update(whole, lines).forEach(links::retire);
+        int apart = starts.implausibleStarts();
+        List<Endpoint> hosts = starts.update(whole, lines, clock.now(), discoveryNow);
+        if (starts.implausibleStarts() > apart) {
+            counters.implausibleStartTimes += starts.implausibleStarts() - apart;
             Logger.warn(
                     "{} nodes have started at times that cannot be by this machine's clock: taken to have started now",
-                    starts.apart() - apart);
+                    starts.implausibleStarts() - apart);
         }
         generations.removeIf(ConfigGeneration::done);
         for (ConfigGeneration each : generations) {
@@ -696,28 +702,28 @@
     /** Listed nodes that get no new work now, be it by the list's word or by the module's. */
     private void countAvoided() {
         Set<String> used = new HashSet<>();
-        for (AdmissionController.Room each : rooms()) {
+        for (AdmissionController.Room each : capacityShares()) {
             if (each.share() > 0) {
                 used.add(each.host());
             }
         }
         List<Backend> listed = backends.all();
-        metrics.hosts(listed.size(), (int) listed.stream()
+        metrics.backends(listed.size(), (int) listed.stream()
                 .filter(backend -> !used.contains(backend.name()))
                 .count());
     }
 
-    private final class CountAvoided extends TimerQueue.Alarm {
+    private final class CountAvoided extends TimerQueue.Timer {
         @Override
-        void ring() {
+        void onExpiry() {
             beatAt = clock.now();
             tell(RequestDispatcher.this::countAvoided);
-            alarms.set(beatMs(), this);
+            alarms.schedule(beatMs(), this);
         }
     }
 
     /** What the newest module would give each node now. */
-    List<AdmissionController.Room> rooms() {
+    List<AdmissionController.Room> capacityShares() {
         return current.module.rooms(clock.now());
     }
 
@@ -727,21 +733,21 @@
     }
 
     /** The source of the node list was heard, with or without news. */
-    public void listHeard() {
-        starts.heard(clock.now());
+    public void endpointSourceContacted() {
+        starts.sourceContacted(clock.now());
     }
 
     /** Discovery was asked and gave no list that can be used: none at all, or one that was refused. */
-    public void listUntold(boolean refused) {
+    public void endpointUpdateFailed(boolean refused) {
         if (refused) {
-            counters.listsRefused++;
+            counters.endpointListsRejected++;
         } else {
-            counters.listCallsFailed++;
+            counters.endpointPollsFailed++;
         }
     }
 
     /** A front has ended a client's connection. */
-    public void connectionEnded(ConnectionCloseReason why) {
+    public void clientConnectionClosed(ConnectionCloseReason why) {
         counters.closed(why);
     }
 
@@ -751,17 +757,17 @@
     }
 
     /** The rules as they are checked here: who closes a connection tells what it breaks. */
-    public InvariantMonitor checks() {
-        return checks;
+    public InvariantMonitor invariants() {
+        return invariants;
     }
 
     /** A front has joined a redelivery to the request under way, or to its answer. */
-    public void joined() {
+    public void redeliveryJoined() {
         counters.joined++;
     }
 
     /** A front has ended a client's connection for want of descriptors: one at rest, or a new one that was not read. */
-    public void connectionEndedForDescriptors(boolean isNew) {
+    public void clientConnectionClosedForDescriptors(boolean isNew) {
         if (isNew) {
             counters.connectionsRefusedForDescriptors++;
         } else {
@@ -771,13 +777,14 @@
     }
 
     /** The counters, and what is open at this moment; one name and figure a line. */
-    public String figures() {
-        return counters.lines() + checks.lines() + systemCallFailures.lines() + "asks_open=" + requestsInFlight.size()
-                + "\nlinks_open=" + links.open() + "\nlinks_resting=" + links.resting() + "\n";
+    public String infoLines() {
+        return counters.lines() + invariants.infoLines() + systemCallFailures.lines() + "asks_open="
+                + requestsInFlight.size() + "\nlinks_open=" + links.openConnections() + "\nlinks_resting="
+                + links.idleConnections() + "\n";
     }
 
     /** The longest that an ask may wait, under the newest settings and those that open asks were taken under, ms. */
-    public long longestDeadlineMs() {
+    public long maxDeadlineMs() {
         generations.removeIf(ConfigGeneration::done);
         return (long) generations.stream()
                 .flatMap(each -> each.settings.classes().stream())
@@ -843,7 +850,7 @@
 
         @Override
         public void send(String id, String host, double timeoutMs) {
-            decide(id, new InFlightRequest.Step.SendTo(host, timeoutMs));
+            decide(id, new InFlightRequest.Step.Forward(host, timeoutMs));
         }
 
         @Override
@@ -851,19 +858,19 @@
             InFlightRequest inFlight = inFlight(id);
             if (inFlight != null && !guards.mayRefuse(inFlight)) {
                 // Guards against promising that a repeat is harmless when an attempt may have had its effect.
-                counters.guarded++;
-                checks.stopped(Invariant.REFUSAL, id, "it may have run");
+                counters.vetoed++;
+                invariants.prevented(Invariant.REFUSAL, id, "it may have run");
                 fail(id);
                 return;
             }
             counters.refused(ShedReason.DECIDED);
-            decide(id, new InFlightRequest.Step.Final(new Response.Refused((long)
+            decide(id, new InFlightRequest.Step.Respond(new Response.Refused((long)
                     Math.ceil(Math.max(0, retryAfterMs)))));
         }
 
         @Override
         public void fail(String id) {
-            decide(id, new InFlightRequest.Step.Final(new Response.Failed("failed")));
+            decide(id, new InFlightRequest.Step.Respond(new Response.Failed("failed")));
         }
 
         @Override
@@ -874,10 +881,10 @@
             }
             InFlightRequest.Attempt unwanted = inFlight.attempts.get(attempt);
             // Guards the value that is being passed on; a second copy beside it may go.
-            boolean passing = inFlight.passing != null && inFlight.passing.attempt() == unwanted;
+            boolean passing = inFlight.streaming != null && inFlight.streaming.attempt() == unwanted;
             if (!passing && unwanted.result == null) {
                 counters.cancelled++;
-                turns.add(unwanted.running::giveUp);
+                turns.add(unwanted.inProgress::cancel);
             }
         }
 
@@ -885,7 +892,7 @@
         public void wake(long token, double afterMs) {
             Wake wake = new Wake(generation, token);
             generation.wakes.put(token, wake);
-            alarms.set(afterMs, wake);
+            alarms.schedule(afterMs, wake);
         }
 
         @Override
@@ -898,7 +905,7 @@
 
         @Override
         public void probe(String host) {
-            Backend backend = backends.open(host);
+            Backend backend = backends.available(host);
             if (backend != null) {
                 turns.add(() -> RequestDispatcher.this.probe(generation, backend));
             }
@@ -916,7 +923,7 @@
     }
 
     /** An alarm of the module. */
-    private final class Wake extends TimerQueue.Alarm {
+    private final class Wake extends TimerQueue.Timer {
         private final ConfigGeneration generation;
         private final long token;
 
@@ -926,7 +933,7 @@
         }
 
         @Override
-        void ring() {
+        void onExpiry() {
             generation.wakes.remove(token);
             // A generation that is let go has no ask left to decide on, and so no need of its ticks.
             if (!generation.done()) {
--- a/gateway/src/main/java/opalcove/core/RequestParameters.java
+++ b/gateway/src/main/java/opalcove/core/RequestParameters.java
@@ -16,7 +16,7 @@
      *
      * @throws InvalidRequestException if it is absent
      */
-    public String need(String name) throws InvalidRequestException {
+    public String required(String name) throws InvalidRequestException {
         String value = values.get(name);
         if (value == null || value.isEmpty()) {
             throw new InvalidRequestException(name + " is missing");
@@ -25,17 +25,17 @@
     }
 
     /** Whether the flag of this name is set, that is, has the value 1. */
-    public boolean set(String name) {
+    public boolean isSet(String name) {
         return "1".equals(values.get(name));
     }
 
     /** A number in plain decimal digits, perhaps with a point. */
     public double number(String name) throws InvalidRequestException {
-        return decimal(need(name), name);
+        return decimal(required(name), name);
     }
 
     /** A whole number, plain digits alone. */
-    public int whole(String name) throws InvalidRequestException {
+    public int integer(String name) throws InvalidRequestException {
         double value = number(name);
         if (value != Math.rint(value)) {
             throw new InvalidRequestException(name + " is not a whole number");
@@ -60,7 +60,7 @@
     }
 
     /** An identifier of 16 hex digits. */
-    public static String hex(String text, String what) throws InvalidRequestException {
+    public static String hexId(String text, String what) throws InvalidRequestException {
         boolean fits = text.length() == 16;
         for (int i = 0; fits && i < 16; i++) {
             fits = text.charAt(i) < 128 && Character.digit(text.charAt(i), 16) >= 0;
--- a/gateway/src/main/java/opalcove/core/RequestValidator.java
+++ b/gateway/src/main/java/opalcove/core/RequestValidator.java
@@ -51,27 +51,30 @@
     }
 
     /** The ask as it is, if it may be taken. */
-    public Request check(Request request) throws InvalidRequestException {
+    public Request validate(Request request) throws InvalidRequestException {
         DecisionSettings.RequestClass known = requestClass(request.requestClass());
         need(plans.contains(request.plan()), "unknown plan");
         need(
                 Long.compareUnsigned(
-                                Long.parseUnsignedLong(RequestParameters.hex(request.tenant(), "the operator"), 16),
+                                Long.parseUnsignedLong(RequestParameters.hexId(request.tenant(), "the operator"), 16),
                                 OPERATORS)
                         < 0,
                 "the operator is out of range");
         need(request.units() > 0 && request.units() <= maxUnits, "the units are out of range");
-        need(request.waitMs() > 0 && request.waitMs() <= known.deadlineMs(), "the time to wait is out of range");
+        need(request.timeoutMs() > 0 && request.timeoutMs() <= known.deadlineMs(), "the time to wait is out of range");
         need(
-                request.gateways() >= 1
-                        && request.gateways() <= gateways
+                request.gatewayCount() >= 1
+                        && request.gatewayCount() <= gateways
                         && request.firstGateway() >= 0
                         && request.firstGateway() < gateways,
                 "the operator's gateways are out of range");
-        need((request.key() == null) != (known.effect() == Idempotency.KEYED), "a key for a class without, or none");
+        need(
+                (request.idempotencyKey() == null) != (known.effect() == Idempotency.KEYED),
+                "a key for a class without, or none");
         // A comma would end the key on the wire to an app node.
         need(
-                request.key() == null || request.key().length() <= LONGEST_KEY && passesOn(request.key()),
+                request.idempotencyKey() == null
+                        || request.idempotencyKey().length() <= LONGEST_KEY && passesOn(request.idempotencyKey()),
                 "the key cannot be passed on");
         return request;
     }
--- a/gateway/src/main/java/opalcove/core/Response.java
+++ b/gateway/src/main/java/opalcove/core/Response.java
@@ -8,7 +8,7 @@
     record Served(ByteBuf value) implements Response {}
 
     /** Refused: trying again is harmless, best after comeBackMs (0: no advice). */
-    record Refused(long comeBackMs) implements Response {}
+    record Refused(long retryAfterMs) implements Response {}
 
     /** Failed: nothing is promised about its effect. */
     record Failed(String reason) implements Response {}
--- a/gateway/src/main/java/opalcove/core/SlowStartTimes.java
+++ b/gateway/src/main/java/opalcove/core/SlowStartTimes.java
@@ -37,16 +37,16 @@
     /** When discovery was last heard; negative before that, when the nodes known are those of an earlier process. */
     private double heardAt = -1;
 
-    private int apart;
+    private int implausibleStarts;
 
     /** Discovery was heard, with or without news; told after the news. */
-    void heard(double now) {
+    void sourceContacted(double now) {
         heardAt = now;
     }
 
     /** Starts that were told so that the clocks must be apart. */
-    int apart() {
-        return apart;
+    int implausibleStarts() {
+        return implausibleStarts;
     }
 
     /**
@@ -54,7 +54,7 @@
      *
      * @param discoveryNow discovery's own time as it gave the list, or 0 where it is not known
      */
-    List<Endpoint> told(boolean whole, List<Backend> lines, double now, double discoveryNow) {
+    List<Endpoint> update(boolean whole, List<Backend> lines, double now, double discoveryNow) {
         double reference = reference(lines, now, discoveryNow);
         for (Backend line : lines) {
             starts.put(line.name(), start(line, now, reference));
@@ -101,7 +101,7 @@
         }
         double age = reference - told;
         if (heardAt >= 0 && (age < 0 || age > now - heardAt + TOLD_WITHIN_MS)) {
-            apart++;
+            implausibleStarts++;
             age = 0;
         }
         return new Start(told, now - Math.max(0, age));
--- a/gateway/src/main/java/opalcove/core/StreamedValue.java
+++ b/gateway/src/main/java/opalcove/core/StreamedValue.java
@@ -11,23 +11,23 @@
     int length();
 
     /** Names who takes the parts; called once, before any part. */
-    void to(Sink sink);
+    void deliverTo(Sink sink);
 
     /** Whether more of it is read; a part that was read already still comes. */
-    void reads(boolean yes);
+    void setReading(boolean yes);
 
     /** Whether all of it has come. */
-    boolean whole();
+    boolean isComplete();
 
     /** Takes a long value. */
     interface Sink {
         /** The next part; it is the sink's to release. */
-        void part(ByteBuf bytes);
+        void onPart(ByteBuf bytes);
 
         /** All parts have come. */
-        void whole();
+        void onComplete();
 
         /** No more will come, and what came is not all. */
-        void cut();
+        void onTruncated();
     }
 }
--- a/gateway/src/main/java/opalcove/core/TimerQueue.java
+++ b/gateway/src/main/java/opalcove/core/TimerQueue.java
@@ -11,17 +11,17 @@
  */
 final class TimerQueue {
     /** Something to be done at its time, set once. */
-    abstract static class Alarm {
+    abstract static class Timer {
         private double due;
         private int place = -1;
 
         /** Its time has come. */
-        abstract void ring();
+        abstract void onExpiry();
     }
 
     private final Vertx vertx;
     private final Clock clock;
-    private Alarm[] heap = new Alarm[64];
+    private Timer[] heap = new Timer[64];
     private int size;
     private double armedFor = Double.MAX_VALUE;
     private long timer = -1;
@@ -32,12 +32,12 @@
     }
 
     /** Rings the alarm once, never before this call has returned. */
-    void set(double afterMs, Alarm alarm) {
-        setAt(clock.now() + afterMs, alarm);
+    void schedule(double afterMs, Timer alarm) {
+        scheduleAt(clock.now() + afterMs, alarm);
     }
 
     /** Rings the alarm once, at that time of the clock or as soon after as may be. */
-    void setAt(double due, Alarm alarm) {
+    void scheduleAt(double due, Timer alarm) {
         alarm.due = due;
         if (size == heap.length) {
             heap = Arrays.copyOf(heap, 2 * size);
@@ -47,13 +47,13 @@
     }
 
     /** It will not ring; one that has rung or is not set stays as it is. */
-    void cancel(Alarm alarm) {
+    void cancel(Timer alarm) {
         if (alarm.place < 0) {
             return;
         }
         int place = alarm.place;
         alarm.place = -1;
-        Alarm last = heap[--size];
+        Timer last = heap[--size];
         heap[size] = null;
         if (last != alarm) {
             sink(last, place);
@@ -71,7 +71,7 @@
         return size;
     }
 
-    private void rise(Alarm alarm, int from) {
+    private void rise(Timer alarm, int from) {
         int place = from;
         while (place > 0 && heap[(place - 1) / 2].due > alarm.due) {
             put(heap[(place - 1) / 2], place);
@@ -80,7 +80,7 @@
         put(alarm, place);
     }
 
-    private void sink(Alarm alarm, int from) {
+    private void sink(Timer alarm, int from) {
         int place = from;
         while (2 * place + 1 < size) {
             int child = earlierChild(place);
@@ -100,7 +100,7 @@
         return right < size && heap[right].due < heap[left].due ? right : left;
     }
 
-    private void put(Alarm alarm, int place) {
+    private void put(Timer alarm, int place) {
         heap[place] = alarm;
         alarm.place = place;
     }
@@ -121,9 +121,9 @@
         double now = clock.now();
         try {
             while (size > 0 && heap[0].due <= now) {
-                Alarm next = heap[0];
+                Timer next = heap[0];
                 cancel(next);
-                next.ring();
+                next.onExpiry();
             }
         } finally {
             // Guards all other asks' deadlines against a slip in one alarm: unarmed, none would ring again.
--- a/gateway/src/main/java/opalcove/discovery/DiscoveryClient.java
+++ b/gateway/src/main/java/opalcove/discovery/DiscoveryClient.java
@@ -188,7 +188,7 @@
     /** An answer lay unread here while the process was held up, and what came after it is being asked for. */
     private boolean catchingUp;
 
-    private final List<Runnable> onceCurrent = new ArrayList<>();
+    private final List<Runnable> whenCurrent = new ArrayList<>();
 
     /** Watches the list of backends at this address; {@link #start} begins. */
     public DiscoveryClient(
@@ -288,23 +288,23 @@
      */
     private void catchUp(boolean begins) {
         catchingUp = begins;
-        if (!begins && !onceCurrent.isEmpty()) {
-            List<Runnable> waiting = List.copyOf(onceCurrent);
-            onceCurrent.clear();
+        if (!begins && !whenCurrent.isEmpty()) {
+            List<Runnable> waiting = List.copyOf(whenCurrent);
+            whenCurrent.clear();
             // Each by itself: the watch goes on whatever becomes of them.
             waiting.forEach(action -> vertx.runOnContext(run -> action.run()));
         }
     }
 
     @Override
-    public boolean current() {
+    public boolean isCurrent() {
         return !catchingUp;
     }
 
     @Override
-    public void onceCurrent(Runnable action) {
+    public void whenCurrent(Runnable action) {
         if (catchingUp) {
-            onceCurrent.add(action);
+            whenCurrent.add(action);
         } else {
             action.run();
         }
--- a/gateway/src/main/java/opalcove/lifecycle/Application.java
+++ b/gateway/src/main/java/opalcove/lifecycle/Application.java
@@ -134,7 +134,7 @@
 
     /** Opens the front and takes asks in once it listens; a program that cannot listen ends with 1. */
     public void open(Supplier<Future<Integer>> listen) {
-        if (phases.now() != Phase.STARTING) {
+        if (phases.current() != Phase.STARTING) {
             // It was told to end meanwhile. Guards clients against a front that opens then: what they send is lost.
             return;
         }
@@ -168,20 +168,20 @@
 
     /** What the phases at the end of the program do. */
     public void atEnd(RequestDispatcher gateway, Consumer<Runnable> drain) {
-        phases.watch(phase -> {
+        phases.onChange(phase -> {
             switch (phase) {
                 case LEAVING -> vertx.setTimer(LEAVING_MS, due -> phases.enter(Phase.DRAINING));
                 case DRAINING -> {
-                    gateway.answersWithin(answersWithinMs(gateway.longestDeadlineMs()));
+                    gateway.beginShutdown(answersWithinMs(gateway.maxDeadlineMs()));
                     drain.accept(() -> phases.enter(Phase.STOPPED));
                     // Guards the end against a terminal that reads no answer: one that is owed an answer gets it first.
                     vertx.setTimer(
-                            gateway.longestDeadlineMs() + LEAVING_MS,
-                            due -> gateway.whenNoneOpen(
+                            gateway.maxDeadlineMs() + LEAVING_MS,
+                            due -> gateway.whenIdle(
                                     () -> vertx.setTimer(LAST_WORDS_MS, left -> phases.enter(Phase.STOPPED))));
                 }
                 case STOPPED -> {
-                    Logger.info("counters\n{}", gateway.figures());
+                    Logger.info("counters\n{}", gateway.infoLines());
                     stopped.countDown();
                 }
                 default -> {}
--- a/gateway/src/main/java/opalcove/lifecycle/Lifecycle.java
+++ b/gateway/src/main/java/opalcove/lifecycle/Lifecycle.java
@@ -20,15 +20,15 @@
         /** Owes nothing more. */
         STOPPED("stopped");
 
-        private final String word;
+        private final String operatorName;
 
         Phase(String word) {
-            this.word = word;
+            this.operatorName = word;
         }
 
         /** The phase's name for operators. */
-        public String word() {
-            return word;
+        public String operatorName() {
+            return operatorName;
         }
     }
 
@@ -36,7 +36,7 @@
     private Phase phase = Phase.STARTING;
 
     /** Calls the watcher at each later change. */
-    public void watch(Consumer<Phase> watcher) {
+    public void onChange(Consumer<Phase> watcher) {
         watchers.add(watcher);
     }
 
@@ -51,12 +51,12 @@
     }
 
     /** The phase that the program is in. */
-    public Phase now() {
+    public Phase current() {
         return phase;
     }
 
     /** Whether new asks are taken in. */
-    public boolean takes() {
+    public boolean acceptsRequests() {
         return phase != Phase.STARTING && phase != Phase.STOPPED;
     }
 }
--- a/gateway/src/main/java/opalcove/metrics/Counters.java
+++ b/gateway/src/main/java/opalcove/metrics/Counters.java
@@ -4,21 +4,21 @@
 
 /** What the gateway took in, sent and answered. One event loop writes them. */
 public final class Counters {
-    public long taken;
+    public long received;
     public long joined;
     public long attempts;
     public long served;
     public long refused;
     public long failed;
-    public long left;
-    public long guarded;
-    public long overdue;
+    public long clientsLeft;
+    public long vetoed;
+    public long deadlineExpired;
     public long cancelled;
-    public long lapsed;
-    public long probes;
-    public long listCallsFailed;
-    public long listsRefused;
-    public long startsOfOtherClocks;
+    public long vetoedLate;
+    public long healthChecks;
+    public long endpointPollsFailed;
+    public long endpointListsRejected;
+    public long implausibleStartTimes;
     public long connectionsClosedForDescriptors;
     public long connectionsRefusedForDescriptors;
     private final long[] ends = new long[AttemptStatus.values().length];
@@ -43,15 +43,15 @@
     /** One name and figure a line. */
     public String lines() {
         StringBuilder text = new StringBuilder();
-        line(text, "taken", taken);
+        line(text, "taken", received);
         line(text, "joined", joined);
         line(text, "attempts", attempts);
         for (AttemptStatus each : AttemptStatus.values()) {
             line(text, "attempts_" + figure(each), ends[each.ordinal()]);
         }
         line(text, "given_up", cancelled);
-        line(text, "lapsed_while_dialled", lapsed);
-        line(text, "probes", probes);
+        line(text, "lapsed_while_dialled", vetoedLate);
+        line(text, "probes", healthChecks);
         line(text, "served", served);
         line(text, "refused", refused);
         for (ShedReason each : ShedReason.values()) {
@@ -61,14 +61,14 @@
         for (ConnectionCloseReason each : ConnectionCloseReason.values()) {
             line(text, "connections_ended." + each.figure(), closed[each.ordinal()]);
         }
-        line(text, "terminals_left", left);
-        line(text, "list_calls_failed", listCallsFailed);
-        line(text, "lists_refused", listsRefused);
-        line(text, "starts_of_other_clocks", startsOfOtherClocks);
+        line(text, "terminals_left", clientsLeft);
+        line(text, "list_calls_failed", endpointPollsFailed);
+        line(text, "lists_refused", endpointListsRejected);
+        line(text, "starts_of_other_clocks", implausibleStartTimes);
         line(text, "connections_closed_for_descriptors", connectionsClosedForDescriptors);
         line(text, "connections_refused_for_descriptors", connectionsRefusedForDescriptors);
-        line(text, "stopped_by_guards", guarded);
-        line(text, "ended_by_deadline_guard", overdue);
+        line(text, "stopped_by_guards", vetoed);
+        line(text, "ended_by_deadline_guard", deadlineExpired);
         return text.toString();
     }
 
--- a/gateway/src/main/java/opalcove/metrics/Invariant.java
+++ b/gateway/src/main/java/opalcove/metrics/Invariant.java
@@ -19,14 +19,14 @@
     /** A refusal only where trying again is harmless. */
     REFUSAL("refusal");
 
-    private final String figure;
+    private final String metricName;
 
     Invariant(String figure) {
-        this.figure = figure;
+        this.metricName = figure;
     }
 
     /** The rule's name in figures. */
-    String figure() {
-        return figure;
+    String metricName() {
+        return metricName;
     }
 }
--- a/gateway/src/main/java/opalcove/metrics/InvariantMonitor.java
+++ b/gateway/src/main/java/opalcove/metrics/InvariantMonitor.java
@@ -13,8 +13,8 @@
 public final class InvariantMonitor {
     private static final long LOG_EVERY_NS = TimeUnit.SECONDS.toNanos(1);
 
-    private final AtomicLongArray stopped = new AtomicLongArray(Invariant.values().length);
-    private final AtomicLongArray broken = new AtomicLongArray(Invariant.values().length);
+    private final AtomicLongArray prevented = new AtomicLongArray(Invariant.values().length);
+    private final AtomicLongArray violated = new AtomicLongArray(Invariant.values().length);
     private final long[] loggedAt = new long[2 * Invariant.values().length];
     private final long[] unlogged = new long[2 * Invariant.values().length];
 
@@ -25,19 +25,19 @@
     }
 
     /** Something was not done because of the rule. */
-    public void stopped(Invariant rule, String id, String cause) {
-        stopped.incrementAndGet(rule.ordinal());
+    public void prevented(Invariant rule, String id, String cause) {
+        prevented.incrementAndGet(rule.ordinal());
         if (mayLog(rule.ordinal())) {
-            Logger.info("stopped by rule {}: {}: {}{}", rule.figure(), id, cause, since(rule.ordinal()));
+            Logger.info("stopped by rule {}: {}: {}{}", rule.metricName(), id, cause, since(rule.ordinal()));
         }
     }
 
     /** The rule was broken. */
-    public void broken(Invariant rule, String id, String cause) {
-        broken.incrementAndGet(rule.ordinal());
+    public void violated(Invariant rule, String id, String cause) {
+        violated.incrementAndGet(rule.ordinal());
         int place = Invariant.values().length + rule.ordinal();
         if (mayLog(place)) {
-            Logger.error("rule broken {}: {}: {}{}", rule.figure(), id, cause, since(place));
+            Logger.error("rule broken {}: {}: {}{}", rule.metricName(), id, cause, since(place));
         }
     }
 
@@ -58,29 +58,31 @@
     }
 
     /** How often the rule was broken. */
-    public long broken(Invariant rule) {
-        return broken.get(rule.ordinal());
+    public long violated(Invariant rule) {
+        return violated.get(rule.ordinal());
     }
 
     /** One name and figure a line. */
-    public String lines() {
+    public String infoLines() {
         StringBuilder text = new StringBuilder();
         for (Invariant rule : Invariant.values()) {
-            text.append(String.format(Locale.ROOT, "rule_stopped.%s=%d%n", rule.figure(), stopped.get(rule.ordinal())));
-            text.append(String.format(Locale.ROOT, "rule_broken.%s=%d%n", rule.figure(), broken.get(rule.ordinal())));
+            text.append(String.format(
+                    Locale.ROOT, "rule_stopped.%s=%d%n", rule.metricName(), prevented.get(rule.ordinal())));
+            text.append(
+                    String.format(Locale.ROOT, "rule_broken.%s=%d%n", rule.metricName(), violated.get(rule.ordinal())));
         }
         return text.toString();
     }
 
     /** The same in the StatsD form, with this prefix. */
-    void statsd(StringBuilder text, String prefix) {
+    void appendStatsd(StringBuilder text, String prefix) {
         for (Invariant rule : Invariant.values()) {
-            statsd(text, prefix + "rule_stopped." + rule.figure(), stopped.get(rule.ordinal()));
-            statsd(text, prefix + "rule_broken." + rule.figure(), broken.get(rule.ordinal()));
+            appendStatsd(text, prefix + "rule_stopped." + rule.metricName(), prevented.get(rule.ordinal()));
+            appendStatsd(text, prefix + "rule_broken." + rule.metricName(), violated.get(rule.ordinal()));
         }
     }
 
-    private static void statsd(StringBuilder text, String name, long figure) {
+    private static void appendStatsd(StringBuilder text, String name, long figure) {
         text.append(name).append(':').append(figure).append("|c\n");
     }
 }
--- a/gateway/src/main/java/opalcove/metrics/Metrics.java
+++ b/gateway/src/main/java/opalcove/metrics/Metrics.java
@@ -12,14 +12,14 @@
  */
 public final class Metrics {
     /** The ends of a request. */
-    public enum End {
+    public enum RequestOutcome {
         SUCCESS("success"),
         BUSY("busy"),
         FAILURE("failure");
 
         private final String figure;
 
-        End(String figure) {
+        RequestOutcome(String figure) {
             this.figure = figure;
         }
     }
@@ -38,7 +38,7 @@
     private final AtomicLong reconfigFailed = new AtomicLong();
     private final AtomicLong connectionsClosed = new AtomicLong();
     private final AtomicLong connectionsRefused = new AtomicLong();
-    private volatile int inflight;
+    private volatile int inFlight;
     private volatile int hostsListed;
     private volatile int hostsDown;
 
@@ -54,7 +54,7 @@
     }
 
     /** A request of the class ended so. */
-    public void ended(String requestClass, End end) {
+    public void requestEnded(String requestClass, RequestOutcome end) {
         AtomicLongArray ends = byClass.get(requestClass);
         if (ends == null) {
             if (byClass.size() >= MOST_CLASSES
@@ -62,7 +62,7 @@
                     || !requestClass.chars().allMatch(c -> c > ' ' && c < 127 && c != ':' && c != '|')) {
                 return;
             }
-            ends = byClass.computeIfAbsent(requestClass, name -> new AtomicLongArray(End.values().length));
+            ends = byClass.computeIfAbsent(requestClass, name -> new AtomicLongArray(RequestOutcome.values().length));
         }
         ends.incrementAndGet(end.ordinal());
     }
@@ -83,33 +83,33 @@
     }
 
     /** Sets the number of requests that are open now. */
-    public void inflight(int open) {
-        inflight = open;
+    public void inFlight(int open) {
+        inFlight = open;
     }
 
     /** Sets the numbers of backends that are listed, and of those that are avoided now. */
-    public void hosts(int listed, int down) {
+    public void backends(int listed, int down) {
         hostsListed = listed;
         hostsDown = down;
     }
 
     /** All figures, one a line, each line ended by a line feed. */
-    public String lines() {
+    public String statsdLines() {
         StringBuilder text = new StringBuilder(256);
         byClass.forEach((name, ends) -> {
-            for (End end : End.values()) {
+            for (RequestOutcome end : RequestOutcome.values()) {
                 count(text, end.figure + "." + name, ends.get(end.ordinal()));
             }
         });
         count(text, "backend_calls", backendCalls.get());
-        gauge(text, "inflight", inflight);
+        gauge(text, "inflight", inFlight);
         gauge(text, "hosts_listed", hostsListed);
         gauge(text, "hosts_down", hostsDown);
         count(text, "reconfig_ok", reconfigOk.get());
         count(text, "reconfig_failed", reconfigFailed.get());
         count(text, "connections_closed_for_descriptors", connectionsClosed.get());
         count(text, "connections_refused_for_descriptors", connectionsRefused.get());
-        checks.statsd(text, PREFIX);
+        checks.appendStatsd(text, PREFIX);
         systemCallFailures.statsd(text, PREFIX);
         return text.toString();
     }
--- a/gateway/src/main/java/opalcove/resp/RequestDecoder.java
+++ b/gateway/src/main/java/opalcove/resp/RequestDecoder.java
@@ -78,10 +78,10 @@
                 bare.requestClass(),
                 bare.plan(),
                 bare.units(),
-                bare.waitMs(),
-                bare.key(),
+                bare.timeoutMs(),
+                bare.idempotencyKey(),
                 bare.retry(),
-                bare.gateways(),
+                bare.gatewayCount(),
                 bare.firstGateway(),
                 body);
     }
@@ -97,8 +97,8 @@
         if (submit == (effect == Idempotency.SAFE) || keyed && keyMissing) {
             return null;
         }
-        return rules.check(new Request(
-                RequestParameters.hex(command.text(2), "the id"),
+        return rules.validate(new Request(
+                RequestParameters.hexId(command.text(2), "the id"),
                 command.text(1),
                 parameters.requestClass,
                 parameters.plan,
@@ -258,24 +258,24 @@
             }
         }
         RequestParameters marks = new RequestParameters(values);
-        String named = marks.need("c");
+        String named = marks.required("c");
         try {
             DecisionSettings.RequestClass requestClass = rules.requestClass(named);
             if (submit == (requestClass.effect() == Idempotency.SAFE)) {
                 throw new InvalidRequestException((submit ? SUBMIT : QUERY) + " does not serve " + requestClass.name());
             }
             boolean keyed = requestClass.effect() == Idempotency.KEYED;
-            return rules.check(new Request(
-                    RequestParameters.hex(command.text(2), "the id"),
+            return rules.validate(new Request(
+                    RequestParameters.hexId(command.text(2), "the id"),
                     command.text(1),
                     requestClass.name(),
-                    marks.need("t"),
+                    marks.required("t"),
                     marks.number("units"),
                     marks.number("d"),
-                    keyed ? marks.need("k") : null,
-                    marks.set("r"),
-                    marks.whole("spread"),
-                    marks.whole("first"),
+                    keyed ? marks.required("k") : null,
+                    marks.isSet("r"),
+                    marks.integer("spread"),
+                    marks.integer("first"),
                     null));
         } catch (InvalidRequestException e) {
             // The figures count the failure in the class that the request names, known or not.
@@ -294,12 +294,14 @@
                 + request.plan().length()
                 + 3
                 + Resp.digits(wait)
-                + (request.key() == null ? 0 : 3 + request.key().length())
+                + (request.idempotencyKey() == null
+                        ? 0
+                        : 3 + request.idempotencyKey().length())
                 + (request.retry() ? 4 : 0)
                 + 7
                 + (whole ? Resp.digits((long) request.units()) : units.length())
                 + 8
-                + Resp.digits(request.gateways())
+                + Resp.digits(request.gatewayCount())
                 + 7
                 + Resp.digits(request.firstGateway());
         ByteBuf out =
@@ -313,8 +315,8 @@
         mark(out, ",t=", request.plan());
         ByteBufUtil.writeAscii(out, ",d=");
         Resp.number(out, wait);
-        if (request.key() != null) {
-            mark(out, ",k=", request.key());
+        if (request.idempotencyKey() != null) {
+            mark(out, ",k=", request.idempotencyKey());
         }
         if (request.retry()) {
             ByteBufUtil.writeAscii(out, ",r=1");
@@ -326,7 +328,7 @@
             ByteBufUtil.writeAscii(out, units);
         }
         ByteBufUtil.writeAscii(out, ",spread=");
-        Resp.number(out, request.gateways());
+        Resp.number(out, request.gatewayCount());
         ByteBufUtil.writeAscii(out, ",first=");
         Resp.number(out, request.firstGateway());
         Resp.lineEnd(out);
--- a/gateway/src/main/java/opalcove/resp/RespConnector.java
+++ b/gateway/src/main/java/opalcove/resp/RespConnector.java
@@ -51,7 +51,7 @@
     }
 
     @Override
-    public Future<ConnectionPool.BackendConnection> dial(String address) {
+    public Future<ConnectionPool.BackendConnection> connect(String address) {
         return client.connect(place.apply(address)).map(RespBackendConnection::new);
     }
 
@@ -61,13 +61,13 @@
         private final RawSocket raw;
         private final RawSocket.ReadBufferAllocator portions = new RawSocket.ReadBufferAllocator();
         private final RespDecoder reader = new RespDecoder(BackendReplyDecoder.PARTS, this);
-        private User user;
+        private Listener user;
         private long stall = -1;
         /** Who takes the long value that is coming, and what is known of it. */
         private Sink sink;
 
         private int length;
-        private boolean whole;
+        private boolean complete;
         private boolean paused;
 
         RespBackendConnection(NetSocket socket) {
@@ -77,7 +77,7 @@
         }
 
         @Override
-        public void attach(User attached) {
+        public void setListener(Listener attached) {
             user = attached;
             socket.exceptionHandler(e -> socket.close());
             socket.closeHandler(end -> {
@@ -85,10 +85,10 @@
                 cancelStall();
                 // An attempt that still waited for the end of this turn has not been sent, whoever ended the line.
                 raw.dropUnsent();
-                if (sink != null && !whole) {
-                    sink.cut();
+                if (sink != null && !complete) {
+                    sink.onTruncated();
                 }
-                user.gone();
+                user.onClosed();
             });
         }
 
@@ -100,12 +100,12 @@
 
         @Override
         public boolean mayLeave() {
-            return user.mayLeave();
+            return user.maySend();
         }
 
         @Override
         public void unwritten() {
-            user.unwritten();
+            user.onWriteFailed();
         }
 
         @Override
@@ -115,7 +115,7 @@
             if (end == null) {
                 broken("an answer of no known form");
             } else {
-                user.replied(end);
+                user.onReply(end);
             }
         }
 
@@ -126,7 +126,7 @@
         private void watchStall() {
             cancelStall();
             if (reader.within()) {
-                boolean passing = sink != null && !whole;
+                boolean passing = sink != null && !complete;
                 stall = vertx.setTimer(
                         passing ? paused ? TERMINAL_STALL_MS : VALUE_STALL_MS : STALL_MS,
                         due -> broken("an answer without an end"));
@@ -136,9 +136,9 @@
         @Override
         public boolean began(int bytes) {
             length = bytes;
-            whole = false;
+            complete = false;
             portions.limit(PORTION);
-            return user.began(this);
+            return user.acceptsStreamedValue(this);
         }
 
         @Override
@@ -147,32 +147,32 @@
         }
 
         @Override
-        public void to(Sink taker) {
+        public void deliverTo(Sink taker) {
             sink = taker;
         }
 
         @Override
         public void part(ByteBuf bytes) {
-            sink.part(bytes);
+            sink.onPart(bytes);
         }
 
         @Override
         public void partsEnded() {
-            whole = true;
+            complete = true;
             portions.limit(Integer.MAX_VALUE);
-            sink.whole();
+            sink.onComplete();
             // What follows the value is read whatever its terminal does.
             readOn(true);
         }
 
         @Override
-        public boolean whole() {
-            return whole;
+        public boolean isComplete() {
+            return complete;
         }
 
         @Override
-        public void reads(boolean yes) {
-            if (!whole) {
+        public void setReading(boolean yes) {
+            if (!complete) {
                 readOn(yes);
             }
         }
@@ -201,7 +201,7 @@
         }
 
         @Override
-        public boolean isThere() {
+        public boolean isAlive() {
             raw.readNow();
             return raw.isOpen();
         }
--- a/gateway/src/main/java/opalcove/resp/RespServer.java
+++ b/gateway/src/main/java/opalcove/resp/RespServer.java
@@ -104,7 +104,7 @@
     public RespServer(Vertx vertx, RequestDispatcher gateway, Lifecycle phases, int maxClients) {
         this.vertx = vertx;
         this.gateway = gateway;
-        requests = new RequestDecoder(gateway::rules);
+        requests = new RequestDecoder(gateway::requestValidator);
         this.phases = phases;
         inputs = new DisconnectDetector(vertx);
         this.maxClients = maxClients;
@@ -170,7 +170,7 @@
                 return false;
             }
             if (longest.partIfQuiet(ConnectionCloseReason.FOR_ROOM)) {
-                gateway.connectionEndedForDescriptors(false);
+                gateway.clientConnectionClosedForDescriptors(false);
                 return true;
             }
             // It stays, half a command on its way or an ask that had lain unread, and must not hide the others.
@@ -222,7 +222,7 @@
         made.connectHandler(socket -> {
             if (clients.size() >= maxClients && !closeLongestIdle()) {
                 Logger.debug("a terminal's connection is closed: {} are open and busy", clients.size());
-                gateway.connectionEndedForDescriptors(true);
+                gateway.clientConnectionClosedForDescriptors(true);
                 socket.close();
                 return;
             }
@@ -244,7 +244,7 @@
 
     /** Whether connections are closed once they owe nothing. */
     private boolean goesAway() {
-        return sendingAway || phases.now().ordinal() >= Lifecycle.Phase.DRAINING.ordinal();
+        return sendingAway || phases.current().ordinal() >= Lifecycle.Phase.DRAINING.ordinal();
     }
 
     /** Takes no new connections, and closes each that owes no answer; runs the action once none is left. */
@@ -275,7 +275,7 @@
         private final Terminal client;
         private RequestDispatcher.RequestHandle request;
         private ByteBuf body;
-        private boolean answered;
+        private boolean responded;
         /** The answer's bytes, where its turn has not come. */
         private ByteBuf aside;
         /** A long value that answers it. */
@@ -286,19 +286,19 @@
         }
 
         @Override
-        public void answered(Response answer) {
+        public void onResponse(Response answer) {
             client.answer(this, answer);
         }
 
         @Override
-        public boolean passes(StreamedValue value) {
+        public boolean acceptsStreamedValue(StreamedValue value) {
             if (client.closing) {
                 return false;
             }
             passage = new ResponseStream(this, value);
-            value.to(passage);
+            value.deliverTo(passage);
             // Before its turn a value waits at its node.
-            value.reads(client.slots.peek() == this);
+            value.setReading(client.slots.peek() == this);
             passage.advance();
             return true;
         }
@@ -320,7 +320,7 @@
         }
 
         @Override
-        public void settled() {
+        public void onReleased() {
             if (body != null) {
                 body.release();
                 body = null;
@@ -356,7 +356,7 @@
         }
 
         @Override
-        public void part(ByteBuf bytes) {
+        public void onPart(ByteBuf bytes) {
             if (slot.client.closing || abandoned) {
                 bytes.release();
             } else {
@@ -366,7 +366,7 @@
         }
 
         @Override
-        public void whole() {
+        public void onComplete() {
             if (!slot.client.closing && !abandoned) {
                 advance();
             }
@@ -387,7 +387,7 @@
         }
 
         private boolean mayBegin() {
-            if (value.whole()) {
+            if (value.isComplete()) {
                 return true;
             }
             if (!early.isEmpty() && !gathers && !slot.client.isAlone(slot)) {
@@ -398,7 +398,7 @@
                 gathers = true;
                 taken = value.length();
             }
-            value.reads(true);
+            value.setReading(true);
             boolean begins = !early.isEmpty() && !gathers;
             if (!begins) {
                 waitNoLongerThanItsTime();
@@ -414,7 +414,7 @@
             waits = true;
             long ms = (long) Math.max(0, slot.request.remainingMs()) + VALUE_GRACE_MS;
             vertx.setTimer(ms, due -> {
-                if (!flowing && !abandoned && !value.whole() && !slot.answered && !slot.client.closing) {
+                if (!flowing && !abandoned && !value.isComplete() && !slot.responded && !slot.client.closing) {
                     abandon("its time is over and it is not whole");
                 }
             });
@@ -422,7 +422,7 @@
 
         private void begin() {
             flowing = true;
-            if (!value.whole()) {
+            if (!value.isComplete()) {
                 slot.client.input.hold();
             }
             slot.client.raw.waitsAtMost(2 * RespConnector.PORTION);
@@ -430,20 +430,20 @@
         }
 
         private void flow() {
-            while (!early.isEmpty() && (!value.whole() || slot.client.raw.isWritable())) {
+            while (!early.isEmpty() && (!value.isComplete() || slot.client.raw.isWritable())) {
                 ByteBuf part = early.poll();
                 letGo(part.readableBytes());
                 slot.client.raw.pass(part);
             }
             // A write may have made the socket unwritable, which is told at once and comes back here: it has ended
             // then.
-            if (slot.answered) {
+            if (slot.responded) {
                 return;
             }
-            if (early.isEmpty() && value.whole()) {
+            if (early.isEmpty() && value.isComplete()) {
                 slot.client.valueEnded(slot);
             } else {
-                value.reads(slot.client.raw.isWritable());
+                value.setReading(slot.client.raw.isWritable());
             }
         }
 
@@ -455,7 +455,7 @@
             drop();
             slot.client.line(slot, "-ERR failed");
             if (request != null) {
-                request.giveUpValue();
+                request.abortStreamedValue();
             }
         }
 
@@ -472,12 +472,12 @@
         }
 
         @Override
-        public void cut() {
+        public void onTruncated() {
             slot.request = null;
             if (slot.client.closing || abandoned) {
                 return;
             }
-            if (flowing && !value.whole()) {
+            if (flowing && !value.isComplete()) {
                 Logger.warn("a value was cut off by its app node");
                 slot.client.cut();
             } else {
@@ -555,18 +555,18 @@
                 request = requests.read(command, raw);
             } catch (InvalidRequestException e) {
                 if (e.requestClass() != null) {
-                    gateway.metrics().ended(e.requestClass(), Metrics.End.FAILURE);
+                    gateway.metrics().requestEnded(e.requestClass(), Metrics.RequestOutcome.FAILURE);
                 }
                 error(slot, e.getMessage());
                 return;
             }
             slot.body = request.body();
-            slot.request = gateway.serve(request, slot, input.unreadMs());
-            if (phases.now().ordinal() >= Lifecycle.Phase.DRAINING.ordinal()) {
+            slot.request = gateway.dispatch(request, slot, input.unreadMs());
+            if (phases.current().ordinal() >= Lifecycle.Phase.DRAINING.ordinal()) {
                 // Its answer comes behind those of the asks before it, which may wait longer than this process lasts.
                 slots.forEach(before -> {
                     if (before.request != null) {
-                        before.request.hurry();
+                        before.request.expedite();
                     }
                 });
             }
@@ -584,7 +584,7 @@
                     }
                 }
                 case "CLIENT", "SELECT" -> line(slot, "+OK");
-                case "INFO" -> served(slot, Unpooled.copiedBuffer(gateway.figures(), StandardCharsets.US_ASCII));
+                case "INFO" -> served(slot, Unpooled.copiedBuffer(gateway.infoLines(), StandardCharsets.US_ASCII));
                 default -> line(slot, "-ERR unknown command");
             }
         }
@@ -594,7 +594,7 @@
             if (answer instanceof Response.Served served) {
                 served(slot, served.value());
             } else if (answer instanceof Response.Refused refused) {
-                line(slot, refused.comeBackMs() > 0 ? "-BUSY " + refused.comeBackMs() : "-BUSY");
+                line(slot, refused.retryAfterMs() > 0 ? "-BUSY " + refused.retryAfterMs() : "-BUSY");
             } else {
                 line(slot, "-ERR " + ((Response.Failed) answer).reason());
             }
@@ -632,13 +632,13 @@
 
         /** Lets out the answers whose turn has come: this one if it is the first, and those that waited for it. */
         private void answered(Slot slot) {
-            slot.answered = true;
+            slot.responded = true;
             slot.request = null;
             if (slots.peek() != slot) {
                 return;
             }
             slots.poll();
-            while (!slots.isEmpty() && slots.peek().answered) {
+            while (!slots.isEmpty() && slots.peek().responded) {
                 Slot next = slots.poll();
                 raw.pass(next.aside);
                 next.aside = null;
@@ -676,8 +676,8 @@
         void cut() {
             slots.poll().drop();
             if (!slots.isEmpty()) {
-                gateway.checks()
-                        .broken(
+                gateway.invariants()
+                        .violated(
                                 Invariant.CLOSED_UNANSWERED,
                                 "-",
                                 slots.size() + " requests behind a value that was cut");
@@ -789,7 +789,7 @@
          * connection end first, may have asked again elsewhere.
          */
         private void part(ConnectionCloseReason why) {
-            gateway.connectionEnded(why);
+            gateway.clientConnectionClosed(why);
             end();
             if (farewells.size() >= mostFarewells) {
                 endFarewell();
@@ -817,7 +817,7 @@
             for (Slot slot = slots.poll(); slot != null; slot = slots.poll()) {
                 slot.drop();
                 if (slot.request != null) {
-                    slot.request.leave();
+                    slot.request.clientLeft();
                 }
             }
         }
--- a/gateway/src/main/java/opalcove/server/GatewayConfig.java
+++ b/gateway/src/main/java/opalcove/server/GatewayConfig.java
@@ -70,7 +70,7 @@
                 check.valueOr(() -> rehearsalMs(fields), 0),
                 check.valueOr(() -> membership(fields), null),
                 check.valueOr(() -> fields.has("agreement") ? fields.object("agreement") : null, null));
-        check.end();
+        check.throwIfInvalid();
         return config;
     }
 
--- a/gateway/src/main/java/opalcove/server/GatewayServer.java
+++ b/gateway/src/main/java/opalcove/server/GatewayServer.java
@@ -117,7 +117,7 @@
 
     /** Tells the other gateways when the program begins to leave. */
     private static void leaveWith(Application program, Parts parts) {
-        program.phases().watch(phase -> {
+        program.phases().onChange(phase -> {
             if (phase != Lifecycle.Phase.LEAVING) {
                 return;
             }
@@ -221,7 +221,7 @@
         private void act(ReplicatedConfig.EffectiveConfig next) {
             boolean colder = next.coldSinceMs() > 0 && (acting == null || acting.coldSinceMs() != next.coldSinceMs());
             acting = next;
-            gateway.retune(next.settings());
+            gateway.applySettings(next.settings());
             if (next.backends() != null) {
                 gateway.endpointsChanged(true, cold(next.backends()));
             } else if (colder) {
@@ -249,12 +249,12 @@
 
         @Override
         public void heard() {
-            gateway.listHeard();
+            gateway.endpointSourceContacted();
         }
 
         @Override
         public void untold(boolean refused) {
-            gateway.listUntold(refused);
+            gateway.endpointUpdateFailed(refused);
         }
 
         boolean hold() {
@@ -285,7 +285,7 @@
                     Logger.info(
                             "new settings are in force: {} classes",
                             config.settings().classes().size());
-                    gateway.retune(config.settings());
+                    gateway.applySettings(config.settings());
                     discovery.retune(config.settings());
                 }
                 discovery.moveTo(config.discovery());
@@ -314,7 +314,7 @@
             vertx = loop;
             gateway = wired;
             front = wiredFront;
-            phases.watch(next -> phase = next);
+            phases.onChange(next -> phase = next);
             if (away) {
                 vertx.runOnContext(told -> front.sendAway(true));
             }
@@ -323,14 +323,14 @@
         @Override
         public String notReady() {
             if (phase != Lifecycle.Phase.SERVING) {
-                return phase.word();
+                return phase.operatorName();
             }
             return away ? "clients are sent away" : null;
         }
 
         @Override
         public synchronized String figures() {
-            return (gateway == null ? "" : gateway.metrics().lines())
+            return (gateway == null ? "" : gateway.metrics().statsdLines())
                     + (membership == null ? "" : membership.lines())
                     + (agreed == null ? "" : agreed.lines());
         }
--- a/gateway/src/test/java/opalcove/admin/AdminServerTest.java
+++ b/gateway/src/test/java/opalcove/admin/AdminServerTest.java
@@ -37,7 +37,7 @@
 
             @Override
             public String figures() {
-                return metrics.lines();
+                return metrics.statsdLines();
             }
 
             @Override
@@ -68,13 +68,13 @@
 
     @Test
     public void statsGivesTheFiguresInStatsdFormThenADot() throws Exception {
-        Metrics.End success = Metrics.End.SUCCESS;
-        metrics.ended("slot-status", success);
-        metrics.ended("slot-status", success);
-        metrics.ended("slot-status", Metrics.End.BUSY);
+        Metrics.RequestOutcome success = Metrics.RequestOutcome.SUCCESS;
+        metrics.requestEnded("slot-status", success);
+        metrics.requestEnded("slot-status", success);
+        metrics.requestEnded("slot-status", Metrics.RequestOutcome.BUSY);
         metrics.backendCall();
-        metrics.inflight(14);
-        metrics.hosts(5, 1);
+        metrics.inFlight(14);
+        metrics.backends(5, 1);
         metrics.reconfigured(false);
         String answer = exchange("STATS\n");
         assertTrue(answer.startsWith("+OK\n"), answer);
@@ -94,12 +94,12 @@
     @Test
     public void classesAreCountedByNameButNotWithoutBound() {
         Metrics metrics = new Metrics();
-        metrics.ended("battery-update-ii", Metrics.End.FAILURE);
-        metrics.ended("bad|name", Metrics.End.FAILURE);
+        metrics.requestEnded("battery-update-ii", Metrics.RequestOutcome.FAILURE);
+        metrics.requestEnded("bad|name", Metrics.RequestOutcome.FAILURE);
         for (int i = 0; i < 100; i++) {
-            metrics.ended("made-up-" + i, Metrics.End.FAILURE);
+            metrics.requestEnded("made-up-" + i, Metrics.RequestOutcome.FAILURE);
         }
-        List<String> lines = metrics.lines().lines().toList();
+        List<String> lines = metrics.statsdLines().lines().toList();
         assertTrue(lines.contains("gateway.failure.battery-update-ii:1|c"), lines.toString());
         assertTrue(lines.stream().noneMatch(line -> line.contains("bad|name")), lines.toString());
         assertTrue(
--- a/gateway/src/test/java/opalcove/backend/ConnectionPoolCapacityTest.java
+++ b/gateway/src/test/java/opalcove/backend/ConnectionPoolCapacityTest.java
@@ -35,15 +35,15 @@
                 for (int i = 0; i < MOST; i++) {
                     attempt(pool, "first", new ArrayList<>());
                 }
-                lines.forEach(line -> line.user.replied(AttemptResult.silent(AttemptStatus.REJECTED)));
+                lines.forEach(line -> line.user.onReply(AttemptResult.withoutReport(AttemptStatus.REJECTED)));
                 return null;
             });
             long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(20);
-            while (onLoop(pool::resting) < MOST - 1 && System.nanoTime() < end) {
+            while (onLoop(pool::idleConnections) < MOST - 1 && System.nanoTime() < end) {
                 Thread.sleep(1);
             }
             // One of those that came to rest was closed, so that there is room.
-            assertEquals(onLoop(pool::open), Integer.valueOf(MOST - 1));
+            assertEquals(onLoop(pool::openConnections), Integer.valueOf(MOST - 1));
             for (int i = 0; i < MOST; i++) {
                 descriptorsFreed();
                 List<AttemptResult> ends = new ArrayList<>();
@@ -61,7 +61,7 @@
         int before = lines.size();
         Backend backend = new Backend(new Endpoint(name, "room-a", "app", 0, EndpointState.UP, 1, 0), name);
         Request request = new Request("id", "operator", "slot-status", "start", 1, 4000, null, false, 1, 0, null);
-        pool.attempt(backend, request, 4000, ends::add);
+        pool.startAttempt(backend, request, 4000, ends::add);
         return lines.size() > before;
     }
 
@@ -92,10 +92,10 @@
 
     /** A line that takes everything and answers what the test says. */
     private static final class FakeLine implements ConnectionPool.BackendConnection {
-        private User user;
+        private Listener user;
 
         @Override
-        public void attach(User attached) {
+        public void setListener(Listener attached) {
             user = attached;
         }
 
@@ -104,7 +104,7 @@
 
         @Override
         public void close() {
-            user.gone();
+            user.onClosed();
         }
     }
 }
--- a/gateway/src/test/java/opalcove/backend/LocalConnectFailureTest.java
+++ b/gateway/src/test/java/opalcove/backend/LocalConnectFailureTest.java
@@ -56,8 +56,8 @@
     private void attempt(int most) {
         vertx.runOnContext(run -> {
             ConnectionPool pool = new ConnectionPool(vertx, TestSettings.settings(), this::dial, most);
-            pool.whenConnectFailsHere(told::add);
-            pool.attempt(NODE, ASK, 4000, end -> ends.add(end.result()));
+            pool.onLocalConnectFailure(told::add);
+            pool.startAttempt(NODE, ASK, 4000, end -> ends.add(end.result()));
         });
     }
 
@@ -103,7 +103,7 @@
     /** A line that takes everything and answers nothing. */
     private final class SilentLine implements ConnectionPool.BackendConnection {
         @Override
-        public void attach(User attached) {
+        public void setListener(Listener attached) {
             // Nothing comes of it.
         }
 
--- a/gateway/src/test/java/opalcove/config/OutsideTextsTest.java
+++ b/gateway/src/test/java/opalcove/config/OutsideTextsTest.java
@@ -215,13 +215,13 @@
         values.put("half", "0.5");
         values.put("ten", "1234567890");
         RequestParameters marks = new RequestParameters(values);
-        assertEquals(unfit(() -> marks.need("plan")), "plan is missing");
-        assertEquals(unfit(() -> marks.need("empty")), "empty is missing");
+        assertEquals(unfit(() -> marks.required("plan")), "plan is missing");
+        assertEquals(unfit(() -> marks.required("empty")), "empty is missing");
         assertEquals(unfit(() -> marks.number("word")), "word is not a number in range");
         assertEquals(unfit(() -> marks.number("ten")), "ten is not a number in range");
-        assertEquals(unfit(() -> marks.whole("half")), "half is not a whole number");
+        assertEquals(unfit(() -> marks.integer("half")), "half is not a whole number");
         for (String id : List.of("", "00000000000000a", "00000000000000ag", "00000000000000a12")) {
-            assertEquals(unfit(() -> RequestParameters.hex(id, "the id")), "the id must be 16 hex digits");
+            assertEquals(unfit(() -> RequestParameters.hexId(id, "the id")), "the id must be 16 hex digits");
         }
     }
 
@@ -230,41 +230,41 @@
         RequestValidator rules = new RequestValidator(TestSettings.settings());
         assertEquals(unfit(() -> rules.requestClass("other")), "unknown class");
         assertEquals(
-                unfit(() -> rules.check(request(OPERATOR, "other", "start", 1, 4000, null, 1, 0))), "unknown class");
+                unfit(() -> rules.validate(request(OPERATOR, "other", "start", 1, 4000, null, 1, 0))), "unknown class");
         assertEquals(
-                unfit(() -> rules.check(request(OPERATOR, "slot-status", "other", 1, 4000, null, 1, 0))),
+                unfit(() -> rules.validate(request(OPERATOR, "slot-status", "other", 1, 4000, null, 1, 0))),
                 "unknown plan");
         assertEquals(
-                unfit(() -> rules.check(request("0000000200000000", "slot-status", "start", 1, 4000, null, 1, 0))),
+                unfit(() -> rules.validate(request("0000000200000000", "slot-status", "start", 1, 4000, null, 1, 0))),
                 "the operator is out of range");
         assertEquals(
-                unfit(() -> rules.check(request("2", "slot-status", "start", 1, 4000, null, 1, 0))),
+                unfit(() -> rules.validate(request("2", "slot-status", "start", 1, 4000, null, 1, 0))),
                 "the operator must be 16 hex digits");
         for (double units : new double[] {0, -1, 8.5, Double.NaN}) {
             assertEquals(
-                    unfit(() -> rules.check(request(OPERATOR, "slot-status", "start", units, 4000, null, 1, 0))),
+                    unfit(() -> rules.validate(request(OPERATOR, "slot-status", "start", units, 4000, null, 1, 0))),
                     "the units are out of range");
         }
         for (double waitMs : new double[] {0, -1, 4001, Double.NaN}) {
             assertEquals(
-                    unfit(() -> rules.check(request(OPERATOR, "slot-status", "start", 1, waitMs, null, 1, 0))),
+                    unfit(() -> rules.validate(request(OPERATOR, "slot-status", "start", 1, waitMs, null, 1, 0))),
                     "the time to wait is out of range");
         }
         for (int[] gateways : new int[][] {{0, 0}, {2, 0}, {1, -1}, {1, 1}}) {
             assertEquals(
-                    unfit(() -> rules.check(
+                    unfit(() -> rules.validate(
                             request(OPERATOR, "slot-status", "start", 1, 4000, null, gateways[0], gateways[1]))),
                     "the operator's gateways are out of range");
         }
         assertEquals(
-                unfit(() -> rules.check(request(OPERATOR, "slot-status", "start", 1, 4000, "k", 1, 0))),
+                unfit(() -> rules.validate(request(OPERATOR, "slot-status", "start", 1, 4000, "k", 1, 0))),
                 "a key for a class without, or none");
         assertEquals(
-                unfit(() -> rules.check(request(OPERATOR, "swap-record", "start", 1, 4000, null, 1, 0))),
+                unfit(() -> rules.validate(request(OPERATOR, "swap-record", "start", 1, 4000, null, 1, 0))),
                 "a key for a class without, or none");
         for (String key : List.of("a,b", "a b", "\u007f", "k".repeat(65))) {
             assertEquals(
-                    unfit(() -> rules.check(request(OPERATOR, "swap-record", "start", 1, 4000, key, 1, 0))),
+                    unfit(() -> rules.validate(request(OPERATOR, "swap-record", "start", 1, 4000, key, 1, 0))),
                     "the key cannot be passed on");
         }
     }
@@ -280,15 +280,15 @@
                 gateway.endpointsChanged(
                         true,
                         List.of(new Backend(new Endpoint("n1", "room-a", "app", 0, EndpointState.UP, 1, 0), "a:1")));
-                gateway.serve(request(OPERATOR, "slot-status", "start", 1, 4000, null, 1, 0), answer -> {});
-                gateway.serve(request(OPERATOR, "slot-status", "start", 1, 4000, null, 1, 0), answers::add);
-                gateway.serve(request(OPERATOR, "other", "start", 1, 4000, null, 1, 0), answers::add);
+                gateway.dispatch(request(OPERATOR, "slot-status", "start", 1, 4000, null, 1, 0), answer -> {});
+                gateway.dispatch(request(OPERATOR, "slot-status", "start", 1, 4000, null, 1, 0), answers::add);
+                gateway.dispatch(request(OPERATOR, "other", "start", 1, 4000, null, 1, 0), answers::add);
                 Request second = new Request(
                         "00000000000000a2", OPERATOR, "slot-status", "start", 1, 4000, null, false, 1, 0, null);
-                gateway.serve(second, answer -> {});
+                gateway.dispatch(second, answer -> {});
                 Request third = new Request(
                         "00000000000000a3", OPERATOR, "slot-status", "start", 1, 4000, null, false, 1, 0, null);
-                gateway.serve(third, answers::add);
+                gateway.dispatch(third, answers::add);
                 return null;
             });
             assertEquals(
@@ -336,7 +336,7 @@
 
     private static final class HeldLinks extends NoOpBackendTransport {
         @Override
-        public Attempt attempt(Backend backend, Request request, double waitMs, Ended ended) {
+        public Attempt startAttempt(Backend backend, Request request, double waitMs, AttemptListener ended) {
             return () -> {};
         }
     }
--- a/gateway/src/test/java/opalcove/core/ClocksApartTest.java
+++ b/gateway/src/test/java/opalcove/core/ClocksApartTest.java
@@ -106,7 +106,7 @@
     }
 
     private double share(String name) throws Exception {
-        return onLoop(() -> gateway.rooms().stream()
+        return onLoop(() -> gateway.capacityShares().stream()
                 .filter(room -> room.host().equals(name))
                 .findFirst()
                 .orElseThrow()
@@ -128,7 +128,7 @@
     /** No attempt is made in this test. */
     private static final class NoLinks extends NoOpBackendTransport {
         @Override
-        public Attempt attempt(Backend backend, Request request, double waitMs, Ended ended) {
+        public Attempt startAttempt(Backend backend, Request request, double waitMs, AttemptListener ended) {
             throw new AssertionError("no attempt is made here");
         }
     }
--- a/gateway/src/test/java/opalcove/core/ConfigGenerationTest.java
+++ b/gateway/src/test/java/opalcove/core/ConfigGenerationTest.java
@@ -34,7 +34,7 @@
     private RequestDispatcher gateway;
     private final List<String> attempts = new ArrayList<>();
     /** Attempts are held here until the test ends them. */
-    private final List<BackendTransport.Ended> out = new ArrayList<>();
+    private final List<BackendTransport.AttemptListener> out = new ArrayList<>();
 
     @BeforeMethod
     public void open() throws Exception {
@@ -56,19 +56,19 @@
     @Test
     public void aClassOfTheNewSettingsIsTakenAndOneThatVanishedIsNot() throws Exception {
         List<Response> answers = new ArrayList<>();
-        onLoop(() -> gateway.serve(request("a1", "battery-update-ii"), answers::add));
+        onLoop(() -> gateway.dispatch(request("a1", "battery-update-ii"), answers::add));
         assertEquals(answers.size(), 1);
         assertEquals(((Response.Failed) answers.get(0)).reason(), "unknown class");
         onLoop(() -> {
-            gateway.retune(settings(TestSettings.JSON
+            gateway.applySettings(settings(TestSettings.JSON
                     .replace("\"profiles\":[", "\"profiles\":[" + NEW_CLASS)
                     .replace(",\n  {\"name\":\"slot-status\"", "\n  {\"name\":\"slot-status\"")));
-            return gateway.serve(request("a2", "battery-update-ii"), answers::add);
+            return gateway.dispatch(request("a2", "battery-update-ii"), answers::add);
         });
         assertEquals(attempts, List.of("a2"), "the new class's ask is sent on");
         assertEquals(
                 gateway.metrics()
-                        .lines()
+                        .statsdLines()
                         .lines()
                         .filter(l -> l.startsWith("gateway.failure.battery-update-ii"))
                         .toList(),
@@ -78,15 +78,15 @@
     @Test
     public void fewerAttemptsBindAnAskUnderWayWhichKeepsItsClass() throws Exception {
         List<Response> answers = new ArrayList<>();
-        onLoop(() -> gateway.serve(request("a1", "slot-status"), answers::add));
+        onLoop(() -> gateway.dispatch(request("a1", "slot-status"), answers::add));
         assertEquals(attempts, List.of("a1"));
         // slot-status vanishes, and one attempt is all that an ask may have now.
         String fewer = TestSettings.JSON
                 .replace("\"max_attempts\":6", "\"max_attempts\":1")
                 .replaceFirst("\\{\"name\":\"slot-status\"[^}]*\\},", "");
         onLoop(() -> {
-            gateway.retune(settings(fewer));
-            out.remove(0).ended(AttemptResult.silent(AttemptStatus.REJECTED));
+            gateway.applySettings(settings(fewer));
+            out.remove(0).onResult(AttemptResult.withoutReport(AttemptStatus.REJECTED));
             return null;
         });
         assertEquals(attempts, List.of("a1"), "no second attempt under the new settings");
@@ -95,7 +95,7 @@
                 answers.get(0) instanceof Response.Refused || answers.get(0) instanceof Response.Failed,
                 String.valueOf(answers.get(0)));
         List<Response> later = new ArrayList<>();
-        onLoop(() -> gateway.serve(request("a3", "slot-status"), later::add));
+        onLoop(() -> gateway.dispatch(request("a3", "slot-status"), later::add));
         assertEquals(((Response.Failed) later.get(0)).reason(), "unknown class");
     }
 
@@ -103,11 +103,11 @@
     public void aNodeThatIsAvoidedAfterFailedConnectsCountsAsDown() throws Exception {
         onLoop(() -> {
             gateway.endpointsChanged(true, List.of(backend("n1"), backend("n2")));
-            return gateway.serve(request("a1", "slot-status"), answer -> {});
+            return gateway.dispatch(request("a1", "slot-status"), answer -> {});
         });
         assertTrue(figures().containsAll(List.of("gateway.hosts_listed:2|g", "gateway.hosts_down:0|g")));
         onLoop(() -> {
-            out.remove(0).ended(AttemptResult.silent(AttemptStatus.UNREACHABLE));
+            out.remove(0).onResult(AttemptResult.withoutReport(AttemptStatus.UNREACHABLE));
             gateway.endpointsChanged(false, List.of());
             return null;
         });
@@ -117,7 +117,7 @@
     }
 
     private List<String> figures() {
-        return gateway.metrics().lines().lines().toList();
+        return gateway.metrics().statsdLines().lines().toList();
     }
 
     @Test
@@ -160,7 +160,7 @@
 
     private final class HeldLinks extends NoOpBackendTransport {
         @Override
-        public Attempt attempt(Backend backend, Request request, double waitMs, Ended ended) {
+        public Attempt startAttempt(Backend backend, Request request, double waitMs, AttemptListener ended) {
             attempts.add(request.id());
             out.add(ended);
             return () -> {};
--- a/gateway/src/test/java/opalcove/core/HealthCheckTest.java
+++ b/gateway/src/test/java/opalcove/core/HealthCheckTest.java
@@ -68,7 +68,7 @@
             if (condition.get()) {
                 return true;
             }
-            gateway.serve(request("a" + requests++), answer -> {
+            gateway.dispatch(request("a" + requests++), answer -> {
                 if (answer instanceof Response.Served) {
                     served.add(answer);
                 }
@@ -93,7 +93,7 @@
             assertTrue(probe(pool, server.getLocalPort()), "a node that listens is reached");
             server.setSoTimeout(PATIENCE_S * 1000);
             try (Socket link = server.accept()) {
-                assertEquals(onLoop(pool::resting), Integer.valueOf(1));
+                assertEquals(onLoop(pool::idleConnections), Integer.valueOf(1));
                 assertEquals(link.getInputStream().available(), 0);
             }
         }
@@ -108,12 +108,12 @@
             port = closed.getLocalPort();
         }
         assertTrue(!probe(pool, port), "nobody listens there");
-        assertEquals(onLoop(pool::open), Integer.valueOf(0));
+        assertEquals(onLoop(pool::openConnections), Integer.valueOf(0));
     }
 
     private boolean probe(ConnectionPool pool, int port) throws Exception {
         CompletableFuture<Boolean> reached = new CompletableFuture<>();
-        vertx.runOnContext(run -> pool.probe(backend("127.0.0.1:" + port), reached::complete));
+        vertx.runOnContext(run -> pool.checkReachable(backend("127.0.0.1:" + port), reached::complete));
         return reached.get(PATIENCE_S, TimeUnit.SECONDS);
     }
 
@@ -148,17 +148,17 @@
         private int probes;
 
         @Override
-        public Attempt attempt(Backend backend, Request request, double waitMs, Ended ended) {
+        public Attempt startAttempt(Backend backend, Request request, double waitMs, AttemptListener ended) {
             attempts++;
-            ended.ended(
+            ended.onResult(
                     probes == 0
-                            ? AttemptResult.silent(AttemptStatus.UNREACHABLE)
+                            ? AttemptResult.withoutReport(AttemptStatus.UNREACHABLE)
                             : new AttemptResult(AttemptStatus.SERVED, Unpooled.EMPTY_BUFFER, -1, 0, null));
             return () -> {};
         }
 
         @Override
-        public void probe(Backend backend, Consumer<Boolean> reached) {
+        public void checkReachable(Backend backend, Consumer<Boolean> reached) {
             probes++;
             reached.accept(true);
         }
--- a/gateway/src/test/java/opalcove/core/HedgedRequestTest.java
+++ b/gateway/src/test/java/opalcove/core/HedgedRequestTest.java
@@ -68,15 +68,15 @@
     private static String objections(boolean copies) {
         DecisionSettings settings = settings(copies);
         EndpointList backends = new EndpointList();
-        backends.told(true, List.of(backend("n1"), backend("n2"), backend("n3")));
+        backends.update(true, List.of(backend("n1"), backend("n2"), backend("n3")));
         AttemptGuard guards = new AttemptGuard(settings, backends);
         InFlightRequest inFlight = new InFlightRequest(
                 null, null, request("a1"), settings.classes().get(0), null, 0);
         List<String> objections = new ArrayList<>();
         for (String name : List.of("n1", "n2", "n3")) {
-            AttemptGuard.Veto objection = guards.objection(inFlight, name, 0);
+            AttemptGuard.Veto objection = guards.vetoAttempt(inFlight, name, 0);
             objections.add(objection == null ? "null" : objection.cause());
-            inFlight.attempts.add(inFlight.new Attempt(backends.open(name), 0));
+            inFlight.attempts.add(inFlight.new Attempt(backends.available(name), 0));
         }
         return String.join(", ", objections);
     }
@@ -89,13 +89,13 @@
             List<Response> answers = new ArrayList<>();
             for (int served = 0; served < 20; served++) {
                 String id = hanging + "-" + served;
-                onLoop(() -> gateway.serve(request(id), answer -> {}));
+                onLoop(() -> gateway.dispatch(request(id), answer -> {}));
                 onLoop(() -> {
                     List.copyOf(out).forEach(HeldAttempt::serve);
                     return null;
                 });
             }
-            onLoop(() -> gateway.serve(request(hanging), answers::add));
+            onLoop(() -> gateway.dispatch(request(hanging), answers::add));
             // A starved machine may be late for the copy: then the request ends without one, and the next one is tried.
             while (onLoop(() -> out.size() < 2 && answers.isEmpty()) && System.nanoTime() < end) {
                 Thread.sleep(5);
@@ -116,7 +116,7 @@
     }
 
     private String figure(RequestDispatcher gateway, String name) throws Exception {
-        return onLoop(gateway::figures)
+        return onLoop(gateway::infoLines)
                 .lines()
                 .filter(line -> line.startsWith(name + "="))
                 .findFirst()
@@ -153,30 +153,30 @@
     /** An attempt that ends when the test serves it, or when it is given up. */
     private final class HeldAttempt implements BackendTransport.Attempt {
         final String backend;
-        private final BackendTransport.Ended ended;
+        private final BackendTransport.AttemptListener ended;
         boolean givenUp;
 
-        HeldAttempt(Backend backend, BackendTransport.Ended ended) {
+        HeldAttempt(Backend backend, BackendTransport.AttemptListener ended) {
             this.backend = backend.name();
             this.ended = ended;
         }
 
         void serve() {
             out.remove(this);
-            ended.ended(new AttemptResult(AttemptStatus.SERVED, Unpooled.EMPTY_BUFFER, -1, 0, null));
+            ended.onResult(new AttemptResult(AttemptStatus.SERVED, Unpooled.EMPTY_BUFFER, -1, 0, null));
         }
 
         @Override
-        public void giveUp() {
+        public void cancel() {
             givenUp = true;
             out.remove(this);
-            ended.ended(AttemptResult.silent(AttemptStatus.CANCELLED));
+            ended.onResult(AttemptResult.withoutReport(AttemptStatus.CANCELLED));
         }
     }
 
     private final class HeldLinks extends NoOpBackendTransport {
         @Override
-        public Attempt attempt(Backend backend, Request request, double waitMs, Ended ended) {
+        public Attempt startAttempt(Backend backend, Request request, double waitMs, AttemptListener ended) {
             HeldAttempt attempt = new HeldAttempt(backend, ended);
             out.add(attempt);
             return attempt;
--- a/gateway/src/test/java/opalcove/core/NoOpBackendTransport.java
+++ b/gateway/src/test/java/opalcove/core/NoOpBackendTransport.java
@@ -6,18 +6,18 @@
 /** Links of a test, of which only what an attempt does matters. */
 public abstract class NoOpBackendTransport implements BackendTransport {
     @Override
-    public void probe(Backend backend, Consumer<Boolean> reached) {}
+    public void checkReachable(Backend backend, Consumer<Boolean> reached) {}
 
     @Override
-    public void forget(Backend backend) {}
+    public void retire(Backend backend) {}
 
     @Override
-    public int open() {
+    public int openConnections() {
         return 0;
     }
 
     @Override
-    public int resting() {
+    public int idleConnections() {
         return 0;
     }
 }
--- a/gateway/src/test/java/opalcove/core/TimerQueueTest.java
+++ b/gateway/src/test/java/opalcove/core/TimerQueueTest.java
@@ -12,10 +12,10 @@
 import org.testng.annotations.Test;
 
 public class TimerQueueTest {
-    private static TimerQueue.Alarm alarm(Runnable action) {
-        return new TimerQueue.Alarm() {
+    private static TimerQueue.Timer alarm(Runnable action) {
+        return new TimerQueue.Timer() {
             @Override
-            void ring() {
+            void onExpiry() {
                 action.run();
             }
         };
@@ -31,12 +31,12 @@
             Clock clock = new Clock();
             TimerQueue alarms = new TimerQueue(vertx, clock);
             double soon = clock.now() + 20;
-            List<TimerQueue.Alarm> all = new ArrayList<>();
+            List<TimerQueue.Timer> all = new ArrayList<>();
             for (int i = 0; i < 1000; i++) {
                 int number = i * 7919 % 1000;
-                TimerQueue.Alarm each = alarm(() -> rung.add(number));
+                TimerQueue.Timer each = alarm(() -> rung.add(number));
                 all.add(each);
-                alarms.setAt(soon + number / 50.0, each);
+                alarms.scheduleAt(soon + number / 50.0, each);
             }
             for (int i = 0; i < 1000; i++) {
                 if (i % 3 > 0) {
@@ -44,7 +44,7 @@
                 }
             }
             int kept = alarms.size();
-            alarms.setAt(soon + 40, alarm(() -> left.complete(kept)));
+            alarms.scheduleAt(soon + 40, alarm(() -> left.complete(kept)));
         });
         int kept = left.get(20, TimeUnit.SECONDS);
         assertEquals(kept, 334);
@@ -66,11 +66,11 @@
             Clock clock = new Clock();
             TimerQueue alarms = new TimerQueue(vertx, clock);
             double soon = clock.now() + 20;
-            alarms.setAt(soon, alarm(() -> {
+            alarms.scheduleAt(soon, alarm(() -> {
                 throw new IllegalStateException("fails");
             }));
-            alarms.setAt(soon, alarm(() -> rung.add("due with it")));
-            alarms.setAt(soon + 20, alarm(() -> last.complete(null)));
+            alarms.scheduleAt(soon, alarm(() -> rung.add("due with it")));
+            alarms.scheduleAt(soon + 20, alarm(() -> last.complete(null)));
         });
         last.get(20, TimeUnit.SECONDS);
         assertEquals(rung, List.of("fails", "due with it"));
@@ -84,15 +84,15 @@
         CompletableFuture<List<String>> all = new CompletableFuture<>();
         vertx.runOnContext(go -> {
             TimerQueue alarms = new TimerQueue(vertx, new Clock());
-            TimerQueue.Alarm never = alarm(() -> rung.add("cancelled before it was due"));
-            TimerQueue.Alarm later = alarm(() -> rung.add("cancelled by an alarm"));
-            alarms.set(30, alarm(() -> rung.add("second")));
-            alarms.set(5, never);
-            alarms.set(10, alarm(() -> rung.add("first")));
-            alarms.set(40, later);
-            alarms.set(20, alarm(() -> alarms.cancel(later)));
-            alarms.set(50, alarm(() -> {
-                alarms.set(0, alarm(() -> all.complete(rung)));
+            TimerQueue.Timer never = alarm(() -> rung.add("cancelled before it was due"));
+            TimerQueue.Timer later = alarm(() -> rung.add("cancelled by an alarm"));
+            alarms.schedule(30, alarm(() -> rung.add("second")));
+            alarms.schedule(5, never);
+            alarms.schedule(10, alarm(() -> rung.add("first")));
+            alarms.schedule(40, later);
+            alarms.schedule(20, alarm(() -> alarms.cancel(later)));
+            alarms.schedule(50, alarm(() -> {
+                alarms.schedule(0, alarm(() -> all.complete(rung)));
                 rung.add("last, and not before what it set");
             }));
             alarms.cancel(never);
--- a/gateway/src/test/java/opalcove/metrics/OutsideNamesTest.java
+++ b/gateway/src/test/java/opalcove/metrics/OutsideNamesTest.java
@@ -40,7 +40,7 @@
     @Test
     public void infoHasTheseKeysInThisOrder() throws Exception {
         assertEquals(
-                onLoop(gateway::figures),
+                onLoop(gateway::infoLines),
                 """
                 taken=0
                 joined=0
@@ -102,25 +102,25 @@
     @Test
     public void statsHasTheseKeysInThisOrder() {
         Metrics metrics = gateway.metrics();
-        metrics.ended("swap-record", Metrics.End.SUCCESS);
-        metrics.ended("swap-record", Metrics.End.BUSY);
-        metrics.ended("swap-record", Metrics.End.BUSY);
-        metrics.ended("swap-record", Metrics.End.FAILURE);
-        metrics.ended("swap-record", Metrics.End.FAILURE);
-        metrics.ended("swap-record", Metrics.End.FAILURE);
+        metrics.requestEnded("swap-record", Metrics.RequestOutcome.SUCCESS);
+        metrics.requestEnded("swap-record", Metrics.RequestOutcome.BUSY);
+        metrics.requestEnded("swap-record", Metrics.RequestOutcome.BUSY);
+        metrics.requestEnded("swap-record", Metrics.RequestOutcome.FAILURE);
+        metrics.requestEnded("swap-record", Metrics.RequestOutcome.FAILURE);
+        metrics.requestEnded("swap-record", Metrics.RequestOutcome.FAILURE);
         metrics.backendCall();
-        metrics.hosts(3, 2);
-        metrics.inflight(4);
+        metrics.backends(3, 2);
+        metrics.inFlight(4);
         metrics.reconfigured(true);
         metrics.reconfigured(false);
         metrics.reconfigured(false);
-        gateway.connectionEndedForDescriptors(false);
-        gateway.connectionEndedForDescriptors(true);
-        gateway.connectionEndedForDescriptors(true);
-        gateway.checks().broken(Invariant.REPEAT, "id", "a test");
+        gateway.clientConnectionClosedForDescriptors(false);
+        gateway.clientConnectionClosedForDescriptors(true);
+        gateway.clientConnectionClosedForDescriptors(true);
+        gateway.invariants().violated(Invariant.REPEAT, "id", "a test");
         gateway.systemCallFailed(SystemCall.ACCEPT, new IOException("Too many open files"));
         assertEquals(
-                metrics.lines(),
+                metrics.statsdLines(),
                 """
                 gateway.success.swap-record:1|c
                 gateway.busy.swap-record:2|c
@@ -180,7 +180,7 @@
             gateway.systemCallFailed(SystemCall.ACCEPT, failure);
         });
         assertEquals(
-                onLoop(gateway::figures)
+                onLoop(gateway::infoLines)
                         .lines()
                         .filter(line -> line.startsWith("syscall_failed"))
                         .toList(),
@@ -220,7 +220,7 @@
                         .toList());
         assertEquals(
                 gateway.metrics()
-                        .lines()
+                        .statsdLines()
                         .lines()
                         .filter(line -> line.startsWith("gateway.syscall_failed"))
                         .limit(2)
@@ -232,8 +232,8 @@
     public void eachEndOfAConnectionIsCountedByItsOwnName() throws Exception {
         List<String> counted = new ArrayList<>();
         for (ConnectionCloseReason end : ConnectionCloseReason.values()) {
-            gateway.connectionEnded(end);
-            counted.add(onLoop(gateway::figures)
+            gateway.clientConnectionClosed(end);
+            counted.add(onLoop(gateway::infoLines)
                     .lines()
                     .filter(line -> line.startsWith("connections_ended.") && line.endsWith("=1"))
                     .reduce((before, last) -> last)
@@ -264,7 +264,7 @@
 
     private static final class NoLinks extends NoOpBackendTransport {
         @Override
-        public Attempt attempt(Backend backend, Request request, double waitMs, Ended ended) {
+        public Attempt startAttempt(Backend backend, Request request, double waitMs, AttemptListener ended) {
             throw new AssertionError("no attempt is made in this test");
         }
     }
--- a/gateway/src/test/java/opalcove/resp/BackendCommandsTest.java
+++ b/gateway/src/test/java/opalcove/resp/BackendCommandsTest.java
@@ -106,9 +106,9 @@
         try (ServerSocket backend = new ServerSocket(0, 8, InetAddress.getLoopbackAddress())) {
             backend.setSoTimeout(PATIENCE_S * 1000);
             vertx.runOnContext(start -> new RespConnector(vertx, TestSettings.settings())
-                    .dial("127.0.0.1:" + backend.getLocalPort())
+                    .connect("127.0.0.1:" + backend.getLocalPort())
                     .onSuccess(line -> {
-                        line.attach(new Ignored());
+                        line.setListener(new Ignored());
                         line.send(request, waitMs);
                         vertx.setTimer(20, left -> line.close());
                     }));
@@ -125,19 +125,19 @@
     }
 
     /** Hears of a connection on which nothing comes. */
-    private static final class Ignored implements ConnectionPool.BackendConnection.User {
+    private static final class Ignored implements ConnectionPool.BackendConnection.Listener {
         @Override
-        public boolean began(StreamedValue value) {
+        public boolean acceptsStreamedValue(StreamedValue value) {
             return false;
         }
 
         @Override
-        public void replied(AttemptResult end) {}
+        public void onReply(AttemptResult end) {}
 
         @Override
-        public void unwritten() {}
+        public void onWriteFailed() {}
 
         @Override
-        public void gone() {}
+        public void onClosed() {}
     }
 }
--- a/gateway/src/test/java/opalcove/resp/EndCrossingsTest.java
+++ b/gateway/src/test/java/opalcove/resp/EndCrossingsTest.java
@@ -103,16 +103,16 @@
             RespTestBed.say(client, RespTestBed.query(1, WAIT_MS));
             RespTestBed.BackendConnection line = backend.accept();
             line.command();
-            stage.onLoop(() -> stage.gateway.retune(SettingsReader.checked(
+            stage.onLoop(() -> stage.gateway.applySettings(SettingsReader.checked(
                     JsonFields.parse(TestSettings.JSON.replaceAll("\"deadline_ms\":\\d+", "\"deadline_ms\":300")))));
-            assertEquals((long) stage.onLoop(() -> stage.gateway.longestDeadlineMs()), 7500);
+            assertEquals((long) stage.onLoop(() -> stage.gateway.maxDeadlineMs()), 7500);
             CompletableFuture<Void> none = new CompletableFuture<>();
-            stage.onLoop(() -> stage.gateway.whenNoneOpen(() -> none.complete(null)));
+            stage.onLoop(() -> stage.gateway.whenIdle(() -> none.complete(null)));
             assertFalse(none.isDone());
             line.serve("one");
             assertEquals(RespTestBed.answer(client), "one");
             none.get(RespTestBed.PATIENCE_S, TimeUnit.SECONDS);
-            assertEquals((long) stage.onLoop(() -> stage.gateway.longestDeadlineMs()), 300);
+            assertEquals((long) stage.onLoop(() -> stage.gateway.maxDeadlineMs()), 300);
         }
     }
 
@@ -181,7 +181,7 @@
             return Promise.<Integer>promise().future();
         });
         assertFalse(opened.get());
-        assertEquals(program.phases().now(), Lifecycle.Phase.LEAVING);
+        assertEquals(program.phases().current(), Lifecycle.Phase.LEAVING);
     }
 
     /** Brings the first half of a command, and sees that the gateway has read what was sent before it. */
@@ -198,7 +198,7 @@
     private static void ends(RespTestBed stage, int ms) throws Exception {
         stage.onLoop(() -> {
             stage.phases.enter(Lifecycle.Phase.DRAINING);
-            stage.gateway.answersWithin(ms);
+            stage.gateway.beginShutdown(ms);
             stage.front.drain(() -> {});
         });
     }
--- a/gateway/src/test/java/opalcove/resp/FullServerTest.java
+++ b/gateway/src/test/java/opalcove/resp/FullServerTest.java
@@ -47,8 +47,10 @@
             assertEquals(idle.getInputStream().read(), -1);
             assertTrue(stage.figure(CLOSED) > 0);
             assertEquals(stage.figure(REFUSED), 0);
-            assertTrue(
-                    stage.gateway.metrics().lines().contains("gateway." + CLOSED + ":" + stage.figure(CLOSED) + "|c"));
+            assertTrue(stage.gateway
+                    .metrics()
+                    .statsdLines()
+                    .contains("gateway." + CLOSED + ":" + stage.figure(CLOSED) + "|c"));
             line.serve("value");
             assertEquals(RespTestBed.answer(busy), "value");
         }
--- a/gateway/src/test/java/opalcove/resp/RespTestBed.java
+++ b/gateway/src/test/java/opalcove/resp/RespTestBed.java
@@ -70,7 +70,8 @@
         CompletableFuture<Object[]> parts = new CompletableFuture<>();
         vertx.runOnContext(start -> {
             ConnectionPool.Connector sockets = new RespConnector(vertx, settings);
-            ConnectionPool links = new ConnectionPool(vertx, settings, address -> withhold(sockets.dial(address)), 64);
+            ConnectionPool links =
+                    new ConnectionPool(vertx, settings, address -> withhold(sockets.connect(address)), 64);
             RequestDispatcher core = new RequestDispatcher(vertx, new Clock(), settings, 1, links);
             phases.enter(Lifecycle.Phase.SERVING);
             RespServer resp = new RespServer(vertx, core, phases, 64);
@@ -91,7 +92,7 @@
         vertx.close();
         // Late answers are the machine's where a test holds the event loop up.
         for (Invariant rule : EnumSet.complementOf(EnumSet.of(Invariant.ANSWER_IN_TIME))) {
-            assertEquals(gateway.checks().broken(rule), 0, "the gateway has broken " + rule);
+            assertEquals(gateway.invariants().violated(rule), 0, "the gateway has broken " + rule);
         }
     }
 
@@ -182,7 +183,7 @@
 
     /** A figure of the gateway's. */
     int figure(String name) throws Exception {
-        String lines = onLoop(gateway::figures);
+        String lines = onLoop(gateway::infoLines);
         return Integer.parseInt(lines.lines()
                 .filter(line -> line.startsWith(name + "="))
                 .findFirst()
@@ -415,7 +416,7 @@
 
     /** Has the gateway serve an ask from within the loop; the answer's text is added to the list. */
     void serve(int number, int waitMs, BlockingQueue<String> answers) {
-        gateway.serve(
+        gateway.dispatch(
                 new Request(id(number), "00000000000000b2", "slot-status", "start", 1, waitMs, null, false, 1, 0, null),
                 answer -> {
                     ByteBuf value = answer instanceof Response.Served served ? served.value() : null;
--- a/gateway/src/test/java/opalcove/resp/ShedClientsTest.java
+++ b/gateway/src/test/java/opalcove/resp/ShedClientsTest.java
@@ -82,8 +82,8 @@
             assertEquals(say(client, UNKNOWN_CLASS, 64), "-ERR unknown class\r\n");
         }
         assertTrue(
-                gateway.metrics().lines().lines().toList().contains("gateway.failure.battery-update-ii:1|c"),
-                gateway.metrics().lines());
+                gateway.metrics().statsdLines().lines().toList().contains("gateway.failure.battery-update-ii:1|c"),
+                gateway.metrics().statsdLines());
     }
 
     @Test
@@ -158,7 +158,7 @@
     /** No app node is asked in this test. */
     private static final class NoLinks extends NoOpBackendTransport {
         @Override
-        public Attempt attempt(Backend backend, Request request, double waitMs, Ended ended) {
+        public Attempt startAttempt(Backend backend, Request request, double waitMs, AttemptListener ended) {
             throw new AssertionError("no attempt is made here");
         }
     }
--- a/gateway/src/test/java/opalcove/resp/StreamedValueTest.java
+++ b/gateway/src/test/java/opalcove/resp/StreamedValueTest.java
@@ -89,15 +89,15 @@
     public void aSlowTerminalHoldsItsValueBackAtTheNodeAndLetsItOnOnceItReads() throws Exception {
         try (Socket client = request(front("127.0.0.1:1", held))) {
             FakeValue value = new FakeValue();
-            BackendTransport.Ended attempt = held.attempt.get(10, TimeUnit.SECONDS);
+            BackendTransport.AttemptListener attempt = held.startAttempt.get(10, TimeUnit.SECONDS);
             onLoop(() -> {
-                assertTrue(attempt.began(value));
-                assertTrue(value.reads);
+                assertTrue(attempt.acceptsStreamedValue(value));
+                assertTrue(value.setReading);
                 // Nothing leaves within this turn: as at a terminal that does not read.
-                value.sink.part(Unpooled.wrappedBuffer(new byte[RespConnector.PORTION]));
-                assertTrue(value.reads);
-                value.sink.part(Unpooled.wrappedBuffer(new byte[2 * RespConnector.PORTION]));
-                assertFalse(value.reads, "no more is read while that much waits to leave");
+                value.sink.onPart(Unpooled.wrappedBuffer(new byte[RespConnector.PORTION]));
+                assertTrue(value.setReading);
+                value.sink.onPart(Unpooled.wrappedBuffer(new byte[2 * RespConnector.PORTION]));
+                assertFalse(value.setReading, "no more is read while that much waits to leave");
             });
             InputStream in = client.getInputStream();
             assertEquals(text(in, HEAD.length()), HEAD);
@@ -110,17 +110,17 @@
     public void aValueCutOffByItsNodeEndsTheConnectionAndCountsAsFailed() throws Exception {
         try (Socket client = request(front("127.0.0.1:1", held))) {
             FakeValue value = new FakeValue();
-            BackendTransport.Ended attempt = held.attempt.get(10, TimeUnit.SECONDS);
+            BackendTransport.AttemptListener attempt = held.startAttempt.get(10, TimeUnit.SECONDS);
             onLoop(() -> {
-                attempt.began(value);
-                value.sink.part(Unpooled.wrappedBuffer(new byte[100]));
-                assertTrue(gateway.metrics().lines().contains("gateway.inflight:1|g"), "not ended yet");
-                value.sink.cut();
-                attempt.ended(AttemptResult.silent(AttemptStatus.BROKEN));
+                attempt.acceptsStreamedValue(value);
+                value.sink.onPart(Unpooled.wrappedBuffer(new byte[100]));
+                assertTrue(gateway.metrics().statsdLines().contains("gateway.inflight:1|g"), "not ended yet");
+                value.sink.onTruncated();
+                attempt.onResult(AttemptResult.withoutReport(AttemptStatus.BROKEN));
             });
             assertEquals(client.getInputStream().readAllBytes().length, HEAD.length() + 100);
-            assertTrue(gateway.metrics().lines().contains("gateway.failure.slot-status:1|c"));
-            assertTrue(gateway.metrics().lines().contains("gateway.inflight:0|g"));
+            assertTrue(gateway.metrics().statsdLines().contains("gateway.failure.slot-status:1|c"));
+            assertTrue(gateway.metrics().statsdLines().contains("gateway.inflight:0|g"));
         }
     }
 
@@ -128,8 +128,8 @@
     public void aTerminalThatLeavesAmidItsValueGivesItsAttemptUp() throws Exception {
         try (Socket client = request(front("127.0.0.1:1", held))) {
             FakeValue value = new FakeValue();
-            BackendTransport.Ended attempt = held.attempt.get(10, TimeUnit.SECONDS);
-            onLoop(() -> attempt.began(value));
+            BackendTransport.AttemptListener attempt = held.startAttempt.get(10, TimeUnit.SECONDS);
+            onLoop(() -> attempt.acceptsStreamedValue(value));
             client.setSoLinger(true, 0);
         }
         held.givenUp.get(10, TimeUnit.SECONDS);
@@ -324,7 +324,7 @@
     private static final class FakeValue implements StreamedValue {
         final CompletableFuture<Void> readOn = new CompletableFuture<>();
         Sink sink;
-        boolean reads;
+        boolean setReading;
         private boolean stopped;
 
         @Override
@@ -333,13 +333,13 @@
         }
 
         @Override
-        public void to(Sink taker) {
+        public void deliverTo(Sink taker) {
             sink = taker;
         }
 
         @Override
-        public void reads(boolean yes) {
-            reads = yes;
+        public void setReading(boolean yes) {
+            setReading = yes;
             stopped |= !yes;
             if (yes && stopped) {
                 readOn.complete(null);
@@ -347,19 +347,19 @@
         }
 
         @Override
-        public boolean whole() {
+        public boolean isComplete() {
             return false;
         }
     }
 
     /** Links whose attempt the test ends. */
     private static final class HeldLinks extends NoOpBackendTransport {
-        final CompletableFuture<Ended> attempt = new CompletableFuture<>();
+        final CompletableFuture<AttemptListener> startAttempt = new CompletableFuture<>();
         final CompletableFuture<Void> givenUp = new CompletableFuture<>();
 
         @Override
-        public Attempt attempt(Backend backend, Request request, double waitMs, Ended ended) {
-            attempt.complete(ended);
+        public Attempt startAttempt(Backend backend, Request request, double waitMs, AttemptListener ended) {
+            startAttempt.complete(ended);
             return () -> givenUp.complete(null);
         }
     }
--- a/laboratory/src/main/java/opalcove/laboratory/ClusterScenario.java
+++ b/laboratory/src/main/java/opalcove/laboratory/ClusterScenario.java
@@ -63,7 +63,7 @@
         JsonFields fields = check.fields(KEYS);
         List<String> members = check.valueOr(() -> fields.texts("members"), List.of());
         if (members.isEmpty() || members.size() > MOST_MEMBERS) {
-            check.problem("field members must name 1 to " + MOST_MEMBERS + " members");
+            check.addProblem("field members must name 1 to " + MOST_MEMBERS + " members");
         }
         List<String> seeds = check.valueOr(() -> fields.texts("seeds"), List.of());
         known(check, "seeds", seeds, members);
@@ -72,12 +72,12 @@
         known(check, "voters", voters, members);
         int leaseMs = check.valueOr(() -> fields.wholeOr("lease_ms", 2000), 2000);
         if (leaseMs < 200 || leaseMs > 60_000 || !voters.isEmpty() && voters.size() % 2 == 0) {
-            check.problem("field lease_ms must be from 200 to 60000, and voters an odd number of members");
+            check.addProblem("field lease_ms must be from 200 to 60000, and voters an odd number of members");
         }
         int probeMs = check.valueOr(() -> fields.wholeOr("probe_ms", 500), 500);
         int mostS = check.valueOr(() -> fields.wholeOr("most_s", 60), 60);
         if (probeMs < 20 || mostS < 1 || mostS > 3600) {
-            check.problem("field probe_ms must be at least 20, and most_s from 1 to 3600");
+            check.addProblem("field probe_ms must be at least 20, and most_s from 1 to 3600");
         }
         List<Step> steps = new ArrayList<>();
         for (JsonFields each : check.valueOr(() -> fields.objects("steps"), List.<JsonFields>of())) {
@@ -86,23 +86,23 @@
                 known(check, each.path() + ".who", step.who(), members);
                 known(check, each.path() + ".of", step.of(), members);
                 if (voters.isEmpty() && step.action().ordinal() >= Action.PROPOSE.ordinal()) {
-                    check.problem("field " + each.path() + ".do is " + step.action() + ", but there are no voters");
+                    check.addProblem("field " + each.path() + ".do is " + step.action() + ", but there are no voters");
                 }
                 steps.add(step);
             }
         }
         if (steps.isEmpty()) {
-            check.problem("field steps must hold a step");
+            check.addProblem("field steps must hold a step");
         }
         long seed = check.valueOr(() -> fields.has("seed") ? fields.serial("seed") : 1L, 1L);
-        check.end();
+        check.throwIfInvalid();
         return new ClusterScenario(seed, probeMs, seeds, voters, leaseMs, mostS * 1000L, steps);
     }
 
     private static void known(ConfigValidator check, String key, List<String> names, List<String> members) {
         names.stream()
                 .filter(name -> !members.contains(name))
-                .forEach(name -> check.problem("field " + key + " names " + name + ", which is no member"));
+                .forEach(name -> check.addProblem("field " + key + " names " + name + ", which is no member"));
     }
 
     private static Step step(JsonFields f, List<String> members) {
--- a/mqtt/src/main/java/opalcove/mqtt/MqttConfig.java
+++ b/mqtt/src/main/java/opalcove/mqtt/MqttConfig.java
@@ -36,7 +36,7 @@
         int links = check.valueOr(() -> between(fields, "max_node_links", 200), 0);
         List<Backend> backends = check.valueOr(() -> backends(fields), List.of());
         DecisionSettings settings = check.valueOr(() -> SettingsReader.checked(fields.object("settings")), null);
-        check.end();
+        check.throwIfInvalid();
         return new MqttConfig(name, listen, control, clients, links, backends, settings);
     }
 
--- a/mqtt/src/main/java/opalcove/mqtt/MqttConnector.java
+++ b/mqtt/src/main/java/opalcove/mqtt/MqttConnector.java
@@ -64,7 +64,7 @@
     }
 
     @Override
-    public Future<ConnectionPool.BackendConnection> dial(String address) {
+    public Future<ConnectionPool.BackendConnection> connect(String address) {
         HostAndPort backend = HostAndPort.read(address.substring(SCHEME.length()), "address");
         Promise<ConnectionPool.BackendConnection> ready = Promise.promise();
         client.connect(backend.port(), backend.address())
@@ -82,7 +82,7 @@
         private final NetSocketInternal socket;
         private final String responseTopic;
         private final Promise<ConnectionPool.BackendConnection> ready;
-        private User user;
+        private Listener user;
         private byte[] correlation;
 
         MqttLine(NetSocket socket, String clientId, Promise<ConnectionPool.BackendConnection> ready) {
@@ -97,7 +97,7 @@
             socket.closeHandler(end -> {
                 ready.tryFail("the node closed the connection");
                 if (user != null) {
-                    user.gone();
+                    user.onClosed();
                 }
             });
             this.socket.writeMessage(MqttMessageBuilders.connect()
@@ -109,7 +109,7 @@
         }
 
         @Override
-        public void attach(User attached) {
+        public void setListener(Listener attached) {
             user = attached;
         }
 
@@ -126,7 +126,7 @@
                                             ? Unpooled.EMPTY_BUFFER
                                             : request.body().retainedDuplicate())
                             .build())
-                    .onFailure(cut -> user.unwritten());
+                    .onFailure(cut -> user.onWriteFailed());
         }
 
         @Override
@@ -199,13 +199,13 @@
             if (correlation != null
                     && message.variableHeader() instanceof MqttPubReplyMessageVariableHeader header
                     && (header.reasonCode() & 0xff) >= 0x10) {
-                answered(AttemptResult.silent(AttemptStatus.REJECTED));
+                answered(AttemptResult.withoutReport(AttemptStatus.REJECTED));
             }
         }
 
         private void answered(AttemptResult end) {
             correlation = null;
-            user.replied(end);
+            user.onReply(end);
         }
     }
 }
--- a/mqtt/src/main/java/opalcove/mqtt/MqttGateway.java
+++ b/mqtt/src/main/java/opalcove/mqtt/MqttGateway.java
@@ -21,7 +21,7 @@
             ConnectionPool links = new ConnectionPool(
                     vertx,
                     config.settings(),
-                    address -> (address.startsWith(MqttConnector.SCHEME) ? mqtt : resp).dial(address),
+                    address -> (address.startsWith(MqttConnector.SCHEME) ? mqtt : resp).connect(address),
                     config.mostLinks());
             Clock clock = new Clock();
             RequestDispatcher gateway =
--- a/mqtt/src/main/java/opalcove/mqtt/MqttRequestServer.java
+++ b/mqtt/src/main/java/opalcove/mqtt/MqttRequestServer.java
@@ -85,7 +85,7 @@
     }
 
     private boolean draining() {
-        return phases.now().ordinal() >= Lifecycle.Phase.DRAINING.ordinal();
+        return phases.current().ordinal() >= Lifecycle.Phase.DRAINING.ordinal();
     }
 
     private void connect(MqttEndpoint endpoint, int maxClients) {
@@ -125,7 +125,7 @@
         }
 
         @Override
-        public void answered(Response answer) {
+        public void onResponse(Response answer) {
             open.remove(id);
             ResponseMessage message = ResponseMessage.of(answer, correlation);
             recent.keep(id, message, clock.now(), until);
@@ -208,12 +208,12 @@
                 if (known != null) {
                     // Guards against a redelivery becoming a second request: it joins the one under way.
                     known.deliveredBy(this, message);
-                    gateway.joined();
+                    gateway.redeliveryJoined();
                 } else {
                     OpenAsk request = new OpenAsk(id, responseTopic, correlation);
                     request.deliveredBy(this, message);
                     if (given != null) {
-                        gateway.joined();
+                        gateway.redeliveryJoined();
                         answer(request, given);
                     } else {
                         take(id, request, message);
@@ -226,9 +226,10 @@
             Request request;
             try {
                 request = RequestMessage.read(
-                        gateway.rules(), id, message.topicName(), message.properties(), message.payload());
-                Idempotency effect =
-                        gateway.rules().requestClass(request.requestClass()).effect();
+                        gateway.requestValidator(), id, message.topicName(), message.properties(), message.payload());
+                Idempotency effect = gateway.requestValidator()
+                        .requestClass(request.requestClass())
+                        .effect();
                 if (message.isDup() && effect != Idempotency.SAFE) {
                     // Guards against a second effect: who had the first delivery, and when, is not known here any more.
                     throw new InvalidRequestException("redelivered after its time, it may have had its effect");
@@ -242,8 +243,8 @@
                 return;
             }
             open.put(id, opened);
-            opened.until = clock.now() + request.waitMs();
-            opened.underWay = gateway.serve(request, opened);
+            opened.until = clock.now() + request.timeoutMs();
+            opened.underWay = gateway.dispatch(request, opened);
         }
 
         /** Publishes the answer and then settles the ask. Where the terminal is away it asks for it by redelivery. */
@@ -294,7 +295,7 @@
             for (OpenAsk each : List.copyOf(open.values())) {
                 if (each.client == this && each.qos == MqttQoS.AT_MOST_ONCE) {
                     open.remove(each.id);
-                    each.underWay.leave();
+                    each.underWay.clientLeft();
                 }
             }
             checkEmpty();
--- a/mqtt/src/main/java/opalcove/mqtt/RequestMessage.java
+++ b/mqtt/src/main/java/opalcove/mqtt/RequestMessage.java
@@ -62,17 +62,17 @@
         double waitMs = Math.min(
                 requestClass.deadlineMs(), expiry == null ? Double.MAX_VALUE : Integer.toUnsignedLong(expiry) * 1000.0);
         RequestParameters marks = new RequestParameters(userProperties(properties));
-        return rules.check(new Request(
+        return rules.validate(new Request(
                 id,
-                marks.need("operator"),
+                marks.required("operator"),
                 requestClass.name(),
-                marks.need("plan"),
+                marks.required("plan"),
                 marks.number("units"),
                 waitMs,
-                requestClass.effect() == Idempotency.KEYED ? marks.need("key") : null,
-                marks.set("retry"),
-                marks.whole("entry-points"),
-                marks.whole("first-entry"),
+                requestClass.effect() == Idempotency.KEYED ? marks.required("key") : null,
+                marks.isSet("retry"),
+                marks.integer("entry-points"),
+                marks.integer("first-entry"),
                 safe ? null : ((BufferInternal) body).getByteBuf()));
     }
 
@@ -86,10 +86,10 @@
         properties.add(new UserProperty("operator", request.tenant()));
         properties.add(new UserProperty("plan", request.plan()));
         properties.add(new UserProperty("units", request.unitsText()));
-        properties.add(new UserProperty("entry-points", Integer.toString(request.gateways())));
+        properties.add(new UserProperty("entry-points", Integer.toString(request.gatewayCount())));
         properties.add(new UserProperty("first-entry", Integer.toString(request.firstGateway())));
-        if (request.key() != null) {
-            properties.add(new UserProperty("key", request.key()));
+        if (request.idempotencyKey() != null) {
+            properties.add(new UserProperty("key", request.idempotencyKey()));
         }
         if (request.retry()) {
             properties.add(new UserProperty("retry", "1"));
--- a/mqtt/src/main/java/opalcove/mqtt/ResponseMessage.java
+++ b/mqtt/src/main/java/opalcove/mqtt/ResponseMessage.java
@@ -32,8 +32,8 @@
             payload = Buffer.buffer(ByteBufUtil.getBytes(served.value()));
         } else if (answer instanceof Response.Refused refused) {
             properties.add(new UserProperty(STATUS, REFUSED));
-            if (refused.comeBackMs() > 0) {
-                properties.add(new UserProperty("retry-after-ms", Long.toString(refused.comeBackMs())));
+            if (refused.retryAfterMs() > 0) {
+                properties.add(new UserProperty("retry-after-ms", Long.toString(refused.retryAfterMs())));
             }
         } else {
             properties.add(new UserProperty(STATUS, FAILED));
--- a/mqtt/src/main/java/opalcove/plan/PlanControlService.java
+++ b/mqtt/src/main/java/opalcove/plan/PlanControlService.java
@@ -41,7 +41,7 @@
         if (what.equals("GET /v1/endpoints")) {
             answer(request, 200, EndpointCodec.write(index, true, gateway.backends()) + "\n");
         } else if (what.equals("GET /v1/counters")) {
-            answer(request, 200, gateway.figures());
+            answer(request, 200, gateway.infoLines());
         } else if (request.path().equals("/v1/endpoints") && request.method() == HttpMethod.POST) {
             Buffer body = Buffer.buffer();
             request.handler(part -> {
--- a/mqtt/src/test/java/opalcove/ExchangeTest.java
+++ b/mqtt/src/test/java/opalcove/ExchangeTest.java
@@ -129,7 +129,7 @@
                         new ConnectionPool(
                                 vertx,
                                 settings,
-                                address -> (address.startsWith(MqttConnector.SCHEME) ? mqtt : resp).dial(address),
+                                address -> (address.startsWith(MqttConnector.SCHEME) ? mqtt : resp).connect(address),
                                 50));
                 mqttFront = new MqttRequestServer(vertx, gateway, phases, clock, 50);
                 mqttFront.listen(new HostAndPort("127.0.0.1", 0)).onSuccess(mqttPort::complete);
@@ -234,7 +234,7 @@
             long until = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(PATIENCE_MS);
             while (!lines.containsAll(expected) && System.nanoTime() < until) {
                 lines.clear();
-                onLoop(() -> lines.addAll(gateway.figures().lines().toList()));
+                onLoop(() -> lines.addAll(gateway.infoLines().lines().toList()));
             }
             assertTrue(lines.containsAll(expected), "they are " + lines);
         }
--- a/mqtt/src/test/java/opalcove/MqttBackendsTest.java
+++ b/mqtt/src/test/java/opalcove/MqttBackendsTest.java
@@ -230,7 +230,7 @@
         assertEquals(answers.size(), ASKS);
         answers.forEach((request, given) -> assertEquals(given.size(), 1, request + " " + given));
         assertEquals(twoOut, Set.of());
-        List<String> counted = onLoop(() -> gateway.figures().lines().toList());
+        List<String> counted = onLoop(() -> gateway.infoLines().lines().toList());
         assertTrue(
                 counted.contains("taken=" + ASKS)
                         && counted.contains("stopped_by_guards=0")
--- a/mqtt/src/test/java/opalcove/mqtt/MessageFormTest.java
+++ b/mqtt/src/test/java/opalcove/mqtt/MessageFormTest.java
@@ -46,7 +46,7 @@
                         7,
                         new ConnectionPool(
                                 vertx, TestSettings.settings(), address -> Future.failedFuture("no node here"), 1))
-                .rules()));
+                .requestValidator()));
         rules = ready.get(20, TimeUnit.SECONDS);
     }
 
@@ -111,9 +111,9 @@
 
     @Test
     public void theTimeOfAnAskIsItsExpiryOrItsClasssDeadline() throws Exception {
-        assertEquals(request("slot-status", MARKS, "").waitMs(), 4000.0);
-        assertEquals(request("slot-status", MARKS + " expiry=3", "").waitMs(), 3000.0);
-        assertEquals(request("slot-status", MARKS + " expiry=4294967295", "").waitMs(), 4000.0);
+        assertEquals(request("slot-status", MARKS, "").timeoutMs(), 4000.0);
+        assertEquals(request("slot-status", MARKS + " expiry=3", "").timeoutMs(), 3000.0);
+        assertEquals(request("slot-status", MARKS + " expiry=4294967295", "").timeoutMs(), 4000.0);
     }
 
     @DataProvider
@@ -194,7 +194,7 @@
         AttemptResult end = ResponseMessage.read(
                 user(properties), Unpooled.EMPTY_BUFFER, TestSettings.settings().gauges());
         assertEquals(end.result(), result);
-        assertEquals(end.usedPercent() + " " + end.trueUnits() + " " + Arrays.toString(end.load()), facts);
+        assertEquals(end.quotaUsedPercent() + " " + end.actualUnits() + " " + Arrays.toString(end.loadReport()), facts);
         assertEquals(end.value() != null, result == AttemptStatus.SERVED);
     }
 }
--- a/mqtt/src/test/java/opalcove/plan/PlanFormTest.java
+++ b/mqtt/src/test/java/opalcove/plan/PlanFormTest.java
@@ -132,7 +132,7 @@
                 lines.subList(lines.size() - 3, lines.size()),
                 List.of("asks_open=0", "links_open=0", "links_resting=0"));
         CompletableFuture<String> figures = new CompletableFuture<>();
-        vertx.runOnContext(go -> figures.complete(gateway.figures()));
+        vertx.runOnContext(go -> figures.complete(gateway.infoLines()));
         assertEquals(reply.body(), figures.get(20, TimeUnit.SECONDS));
     }
 
--- a/mqtt/src/test/java/opalcove/plan/PlanTest.java
+++ b/mqtt/src/test/java/opalcove/plan/PlanTest.java
@@ -90,7 +90,7 @@
         String first = Files.readString(file);
         assertEquals(planner.plan(control, wanted, file), "no changes\n");
         // The core goes by the new list at once: of the three, only app-3 takes new work.
-        vertx.runOnContext(go -> gateway.serve(
+        vertx.runOnContext(go -> gateway.dispatch(
                 new Request(
                         "00000000000000a1",
                         "0000000000000001",
