--- a/control/src/main/java/opalcove/control/server/ControlConfig.java
+++ b/control/src/main/java/opalcove/control/server/ControlConfig.java
@@ -70,7 +70,7 @@
         List<ClusterDefinition> clusters = validator.valueOr(() -> clusters(fields), List.of());
         List<Listener> listeners = validator.valueOr(() -> listeners(fields, clusters), List.of());
         DecisionSettings settings = validator.valueOr(() -> SettingsReader.checked(fields.object("settings")), null);
-        validator.end();
+        validator.throwIfInvalid();
         return new ControlConfig(
                 name, listen, status, endpointFile, maxShrink, admitted, clusters, listeners, settings);
     }
