--- a/plan/src/main/java/opalcove/plan/EndpointPlan.java
+++ b/plan/src/main/java/opalcove/plan/EndpointPlan.java
@@ -15,80 +15,46 @@
 import opalcove.decision.EndpointState;
 
 /**
- * What has to change in a running gateway's node list for it to be as a settings file says. Its file has discovery's
- * form for changes; the index is that of the list on which it builds, so that a plan made of an older one is refused.
+ * The changes that make a running gateway's endpoint list what a settings file says. Its file has discovery's form for changes.
+ *
+ * @param control where the gateway accepts the plan
+ * @param index the index of the list on which the plan builds, so that a plan of an older list is rejected
+ * @param changes new, changed and removed backends
  */
-public record EndpointPlan(HostAndPort control, long index, List<Backend> changes) {
+record EndpointPlan(HostAndPort control, long index, List<Backend> changes) {
     /** The changes that lead from one list to the other. */
-    static List<Backend> between(List<Backend> now, List<Backend> wanted) {
-        Map<String, Backend> left = new LinkedHashMap<>();
-        now.forEach(backend -> left.put(backend.name(), backend));
+    static List<Backend> changes(List<Backend> running, List<Backend> wanted) {
+        Map<String, Backend> unwanted = new LinkedHashMap<>();
+        running.forEach(backend -> unwanted.put(backend.name(), backend));
         List<Backend> changes = new ArrayList<>();
         for (Backend backend : wanted) {
-            if (!backend.equals(left.remove(backend.name()))) {
+            if (!backend.equals(unwanted.remove(backend.name()))) {
                 changes.add(backend);
             }
         }
-        for (Backend backend : left.values()) {
-            Endpoint h = backend.host();
-            changes.add(new Backend(
-                    new Endpoint(h.id(), h.zone(), h.kind(), h.cell(), EndpointState.REMOVED, h.size(), h.startedMs()),
-                    backend.address()));
-        }
+        unwanted.values().forEach(backend -> changes.add(removed(backend)));
         return changes;
     }
 
-    /** A line for each change, for the operators to read before they apply it. */
-    static String describe(List<Backend> now, List<Backend> changes) {
-        StringBuilder text = new StringBuilder();
-        for (Backend change : changes) {
-            Backend before = now.stream()
-                    .filter(n -> n.name().equals(change.name()))
-                    .findFirst()
-                    .orElse(null);
-            boolean gone = change.host().state() == EndpointState.REMOVED;
-            text.append(before == null ? "+ " : gone ? "- " : "~ ").append(change.name());
-            if (before == null) {
-                text.append(" at ")
-                        .append(change.address())
-                        .append(", ")
-                        .append(stateLabel(change.host().state()));
-            } else if (gone) {
-                text.append(before.host().state() == EndpointState.UP ? ", which has not been drained" : "");
-            } else {
-                text.append(differences(before, change));
-            }
-            text.append('\n');
-        }
-        return text.length() == 0 ? "no changes\n" : text.toString();
-    }
-
-    /** The state as operators read it in a plan. */
-    private static String stateLabel(EndpointState state) {
-        return switch (state) {
-            case UP -> "UP";
-            case DRAINING -> "DRAINING";
-            case REMOVED -> "GONE";
-        };
-    }
-
-    private static String differences(Backend before, Backend after) {
-        JsonObject was = EndpointCodec.write(before);
-        StringBuilder text = new StringBuilder();
-        for (JsonObject.Member field : EndpointCodec.write(after)) {
-            if (!field.getValue().equals(was.get(field.getName()))) {
-                text.append(text.length() == 0 ? ": " : ", ")
-                        .append(field.getName())
-                        .append(" from ")
-                        .append(was.get(field.getName()))
-                        .append(" to ")
-                        .append(field.getValue());
-            }
-        }
-        return text.toString();
+    private static Backend removed(Backend backend) {
+        Endpoint endpoint = backend.host();
+        return new Backend(
+                new Endpoint(
+                        endpoint.id(),
+                        endpoint.zone(),
+                        endpoint.kind(),
+                        endpoint.cell(),
+                        EndpointState.REMOVED,
+                        endpoint.size(),
+                        endpoint.startedMs()),
+                backend.address());
     }
 
-    /** Reads a plan file, or a plan that was sent. */
+    /**
+     * Reads a plan from a file or a request.
+     *
+     * @throws InvalidConfigurationException if it is not a plan, with field and reason
+     */
     static EndpointPlan read(String text) {
         JsonFields fields = JsonFields.parse(text);
         if (fields.flag("snapshot")) {
--- a/plan/src/main/java/opalcove/plan/PlanControlService.java
+++ b/plan/src/main/java/opalcove/plan/PlanControlService.java
@@ -14,73 +14,84 @@
 import org.tinylog.Logger;
 
 /**
- * Where a running gateway shows its node list and takes plans: GET and POST on /v1/endpoints; GET /v1/counters. It is
- * on a loopback address and off unless the settings file names it.
+ * The HTTP service at which a running gateway shows its endpoint list and accepts plans: GET and POST of /v1/endpoints, GET of
+ * /v1/counters. It is on a loopback address, and off unless the settings file names it.
+ *
+ * <p>Owned by the event loop of its gateway.
  */
 public final class PlanControlService {
-    private static final int MOST_BODY = 1024 * 1024;
+    private static final int MAX_BODY_BYTES = 1024 * 1024;
+    private static final int IDLE_TIMEOUT_SECONDS = 30;
+    private static final String ENDPOINTS_PATH = "/v1/endpoints";
+    private static final String COUNTERS_PATH = "/v1/counters";
 
-    private final RequestDispatcher gateway;
+    private final RequestDispatcher dispatcher;
     private final HttpServer server;
     private long index = 1;
 
-    /** Takes plans of the backend list for this gateway. */
-    public PlanControlService(Vertx vertx, RequestDispatcher gateway) {
-        this.gateway = gateway;
-        server = vertx.createHttpServer(new HttpServerOptions().setIdleTimeout(30));
-        server.requestHandler(this::request);
+    /** Makes the service for the endpoint list of this dispatcher. */
+    public PlanControlService(Vertx vertx, RequestDispatcher dispatcher) {
+        this.dispatcher = dispatcher;
+        server = vertx.createHttpServer(new HttpServerOptions().setIdleTimeout(IDLE_TIMEOUT_SECONDS));
+        server.requestHandler(this::handle);
     }
 
-    /** Opens the desk; gives the port. */
-    public Future<Integer> listen(HostAndPort at) {
-        return server.listen(at.port(), at.address()).map(HttpServer::actualPort);
+    /** Opens the service. The future has its port, or fails if the address cannot be bound. */
+    public Future<Integer> listen(HostAndPort address) {
+        return server.listen(address.port(), address.address()).map(HttpServer::actualPort);
     }
 
-    private void request(HttpServerRequest request) {
-        String what = request.method() + " " + request.path();
-        if (what.equals("GET /v1/endpoints")) {
-            answer(request, 200, EndpointCodec.write(index, true, gateway.backends()) + "\n");
-        } else if (what.equals("GET /v1/counters")) {
-            answer(request, 200, gateway.infoLines());
-        } else if (request.path().equals("/v1/endpoints") && request.method() == HttpMethod.POST) {
-            Buffer body = Buffer.buffer();
-            request.handler(part -> {
-                // Guards memory against a body that never ends.
-                if (body.length() + part.length() > MOST_BODY) {
-                    request.connection().close();
-                } else {
-                    body.appendBuffer(part);
-                }
-            });
-            request.endHandler(whole -> apply(request, body.toString()));
+    private void handle(HttpServerRequest request) {
+        boolean isGet = request.method() == HttpMethod.GET;
+        if (isGet && request.path().equals(ENDPOINTS_PATH)) {
+            respond(request, 200, EndpointCodec.write(index, true, dispatcher.backends()) + "\n");
+        } else if (isGet && request.path().equals(COUNTERS_PATH)) {
+            respond(request, 200, dispatcher.infoLines());
+        } else if (request.method() == HttpMethod.POST && request.path().equals(ENDPOINTS_PATH)) {
+            readPlan(request);
         } else {
-            answer(request, 404, "not found\n");
+            respond(request, 404, "not found\n");
         }
     }
 
+    private void readPlan(HttpServerRequest request) {
+        Buffer body = Buffer.buffer();
+        request.handler(part -> {
+            // Guards memory against a body that never ends.
+            if (body.length() + part.length() > MAX_BODY_BYTES) {
+                request.connection().close();
+            } else {
+                body.appendBuffer(part);
+            }
+        });
+        request.endHandler(end -> apply(request, body.toString()));
+    }
+
     private void apply(HttpServerRequest request, String text) {
         EndpointPlan plan;
         try {
             plan = EndpointPlan.read(text);
         } catch (InvalidConfigurationException e) {
-            answer(request, 400, e.getMessage() + "\n");
+            respond(request, 400, e.getMessage() + "\n");
             return;
         }
         if (plan.index() != index) {
             // Guards against a plan that was made of another list: what it shows is not what it would do.
-            answer(request, 409, "the plan is of index " + plan.index() + ", the node list has " + index + "\n");
+            respond(request, 409, "the plan is of index " + plan.index() + ", the node list has " + index + "\n");
             return;
         }
         if (!plan.changes().isEmpty()) {
             index++;
-            gateway.endpointsChanged(false, plan.changes());
+            dispatcher.endpointsChanged(false, plan.changes());
         }
         Logger.info(
-                "applied {} changes, the node list has index {}", plan.changes().size(), index);
-        answer(request, 200, "index " + index + "\n");
+                "plan of {} changes applied, the endpoint list has index {}",
+                plan.changes().size(),
+                index);
+        respond(request, 200, "index " + index + "\n");
     }
 
-    private static void answer(HttpServerRequest request, int status, String text) {
+    private static void respond(HttpServerRequest request, int status, String text) {
         request.response().setStatusCode(status).end(text);
     }
 }
--- a/plan/src/main/java/opalcove/plan/Planner.java
+++ b/plan/src/main/java/opalcove/plan/Planner.java
@@ -21,29 +21,45 @@
 import opalcove.config.InvalidConfigurationException;
 import opalcove.config.JsonFields;
 
-/** The operators' commands: makes a plan of what a settings file changes in a running gateway, and applies it. */
+/**
+ * The operators' commands: makes a plan of what a settings file changes in a running gateway, and applies it. Its methods block
+ * the calling thread, which must not be the event loop.
+ */
 public final class Planner {
-    private static final int PATIENCE_MS = 10_000;
+    private static final int RESPONSE_TIMEOUT_MS = 10_000;
 
     private final Vertx vertx;
     private final HttpClient client;
 
-    /** Makes plans by asking running gateways on this event loop. */
+    /** Makes a planner that calls running gateways on the event loop of this instance. */
     public Planner(Vertx vertx) {
         this.vertx = vertx;
         client = vertx.createHttpClient();
     }
 
-    /** Compares the running gateway with the wanted nodes, writes the plan's file and tells what it would do. */
+    /**
+     * Compares the running gateway with the wanted backends and writes the plan's file.
+     *
+     * @return what the plan would do, a line for each change
+     * @throws InvalidConfigurationException if the gateway cannot be reached or does not respond in time
+     * @throws IOException if the file cannot be written
+     */
     public String plan(HostAndPort control, List<Backend> wanted, Path planFile) throws IOException {
         JsonFields list = JsonFields.parse(call(control, HttpMethod.GET, ""));
-        List<Backend> now = EndpointCodec.read(list.objects("endpoints"));
-        EndpointPlan plan = new EndpointPlan(control, list.serial("index"), EndpointPlan.between(now, wanted));
+        List<Backend> running = EndpointCodec.read(list.objects("endpoints"));
+        EndpointPlan plan = new EndpointPlan(control, list.serial("index"), EndpointPlan.changes(running, wanted));
         Files.writeString(planFile, plan.write());
-        return EndpointPlan.describe(now, plan.changes());
+        return PlanDescription.of(running, plan.changes());
     }
 
-    /** Sends a plan's file to the gateway of which it was made; one that is out of date is refused there. */
+    /**
+     * Sends a plan's file to the gateway of which it was made.
+     *
+     * @return the gateway's response, with the list's new index
+     * @throws InvalidConfigurationException if the file is not a plan, or the gateway rejects it as out of date, cannot be
+     *     reached or does not respond in time
+     * @throws IOException if the file cannot be read
+     */
     public String apply(Path planFile) throws IOException {
         EndpointPlan plan;
         try {
@@ -54,20 +70,20 @@
         return call(plan.control(), HttpMethod.POST, plan.write());
     }
 
-    private String call(HostAndPort control, HttpMethod method, String body) {
-        CompletableFuture<String> answer = new CompletableFuture<>();
-        // On the event loop, or the body may have come and gone before this thread asks for it.
-        vertx.runOnContext(go -> client.request(new RequestOptions()
+    private String call(HostAndPort control, HttpMethod method, String requestBody) {
+        CompletableFuture<String> body = new CompletableFuture<>();
+        // On the event loop, or the body may arrive before this thread has set a handler for it.
+        vertx.runOnContext(start -> client.request(new RequestOptions()
                         .setMethod(method)
                         .setHost(control.address())
                         .setPort(control.port())
                         .setURI("/v1/endpoints"))
-                .compose(request -> request.send(Buffer.buffer(body)))
-                .compose(response -> response.body().compose(text -> text(response, text.toString())))
-                .onSuccess(answer::complete)
-                .onFailure(answer::completeExceptionally));
+                .compose(request -> request.send(Buffer.buffer(requestBody)))
+                .compose(response -> response.body().compose(text -> bodyOrFailure(response, text.toString())))
+                .onSuccess(body::complete)
+                .onFailure(body::completeExceptionally));
         try {
-            return answer.orTimeout(PATIENCE_MS, TimeUnit.MILLISECONDS).join();
+            return body.orTimeout(RESPONSE_TIMEOUT_MS, TimeUnit.MILLISECONDS).join();
         } catch (CompletionException e) {
             String reason = e.getCause() instanceof TimeoutException
                     ? "no answer"
@@ -77,7 +93,7 @@
         }
     }
 
-    private static Future<String> text(HttpClientResponse response, String text) {
-        return response.statusCode() == 200 ? Future.succeededFuture(text) : Future.failedFuture(text.strip());
+    private static Future<String> bodyOrFailure(HttpClientResponse response, String body) {
+        return response.statusCode() == 200 ? Future.succeededFuture(body) : Future.failedFuture(body.strip());
     }
 }
--- a/plan/src/test/java/opalcove/plan/PlanFormTest.java
+++ b/plan/src/test/java/opalcove/plan/PlanFormTest.java
@@ -33,7 +33,7 @@
 /** Plan files, their descriptions and the replies of the HTTP service that takes them, as literal text. */
 public class PlanFormTest {
     private Vertx vertx;
-    private RequestDispatcher gateway;
+    private RequestDispatcher dispatcher;
     private HostAndPort control;
     private Path file;
 
@@ -53,12 +53,12 @@
         vertx = Vertx.vertx();
         file = Files.createTempFile("plan", ".json");
         CompletableFuture<Integer> port = new CompletableFuture<>();
-        vertx.runOnContext(go -> {
-            ConnectionPool links = new ConnectionPool(
-                    vertx, TestSettings.settings(), address -> Future.failedFuture("no node here"), 5);
-            gateway = new RequestDispatcher(vertx, new Clock(), TestSettings.settings(), 7, links);
-            gateway.endpointsChanged(true, running());
-            new PlanControlService(vertx, gateway)
+        vertx.runOnContext(start -> {
+            ConnectionPool connections = new ConnectionPool(
+                    vertx, TestSettings.settings(), address -> Future.failedFuture("no backend here"), 5);
+            dispatcher = new RequestDispatcher(vertx, new Clock(), TestSettings.settings(), 7, connections);
+            dispatcher.endpointsChanged(true, running());
+            new PlanControlService(vertx, dispatcher)
                     .listen(new HostAndPort("127.0.0.1", 0))
                     .onSuccess(port::complete);
         });
@@ -93,7 +93,7 @@
             + "{\"name\":\"app-1\",\"address\":\"127.0.0.1:7201\",\"status\":\"draining\"}]}";
 
     @Test
-    public void theServiceShowsTheNodeListAndItsIndex() throws Exception {
+    public void theServiceShowsTheEndpointListAndItsIndex() throws Exception {
         String first =
                 "{\"name\":\"app-1\",\"address\":\"mqtt://127.0.0.1:11\",\"zone\":\"room-a\",\"type\":\"std-3\",\"group\":1,"
                         + "\"status\":\"up\",\"weight\":1,\"since_ms\":1234}";
@@ -131,9 +131,9 @@
         assertEquals(
                 lines.subList(lines.size() - 3, lines.size()),
                 List.of("asks_open=0", "links_open=0", "links_resting=0"));
-        CompletableFuture<String> figures = new CompletableFuture<>();
-        vertx.runOnContext(go -> figures.complete(gateway.infoLines()));
-        assertEquals(reply.body(), figures.get(20, TimeUnit.SECONDS));
+        CompletableFuture<String> counters = new CompletableFuture<>();
+        vertx.runOnContext(start -> counters.complete(dispatcher.infoLines()));
+        assertEquals(reply.body(), counters.get(20, TimeUnit.SECONDS));
     }
 
     @Test
--- a/plan/src/test/java/opalcove/plan/PlanTest.java
+++ b/plan/src/test/java/opalcove/plan/PlanTest.java
@@ -25,11 +25,11 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** Plans made of a running gateway and applied to it; the gateway's dialler tells which node an ask went to. */
+/** Plans made of a running gateway and applied to it; the connector notes which backend a request went to. */
 public class PlanTest {
-    private final CompletableFuture<String> dialled = new CompletableFuture<>();
+    private final CompletableFuture<String> connectedTo = new CompletableFuture<>();
     private Vertx vertx;
-    private RequestDispatcher gateway;
+    private RequestDispatcher dispatcher;
     private HostAndPort control;
     private Path file;
     private Planner planner;
@@ -44,23 +44,23 @@
         planner = new Planner(vertx);
         file = Files.createTempFile("plan", ".json");
         CompletableFuture<Integer> port = new CompletableFuture<>();
-        vertx.runOnContext(go -> {
-            ConnectionPool links = new ConnectionPool(
+        vertx.runOnContext(start -> {
+            ConnectionPool connections = new ConnectionPool(
                     vertx,
                     TestSettings.settings(),
                     address -> {
-                        dialled.complete(address);
-                        return Future.failedFuture("no node here");
+                        connectedTo.complete(address);
+                        return Future.failedFuture("no backend here");
                     },
                     5);
-            gateway = new RequestDispatcher(vertx, new Clock(), TestSettings.settings(), 7, links);
-            gateway.endpointsChanged(
+            dispatcher = new RequestDispatcher(vertx, new Clock(), TestSettings.settings(), 7, connections);
+            dispatcher.endpointsChanged(
                     true,
                     List.of(
                             backend("app-1", EndpointState.UP, 1),
                             backend("app-2", EndpointState.UP, 2),
                             backend("app-3", EndpointState.DRAINING, 3)));
-            new PlanControlService(vertx, gateway)
+            new PlanControlService(vertx, dispatcher)
                     .listen(new HostAndPort("127.0.0.1", 0))
                     .onSuccess(port::complete);
         });
@@ -74,7 +74,7 @@
     }
 
     @Test
-    public void aPlanTellsWhatItDoesAndIsAppliedOnce() throws Exception {
+    public void aPlanSaysWhatItDoesAndIsAppliedOnce() throws Exception {
         List<Backend> wanted = List.of(
                 backend("app-1", EndpointState.DRAINING, 1),
                 backend("app-3", EndpointState.UP, 3),
@@ -89,8 +89,8 @@
         assertEquals(planner.apply(file), "index 2\n");
         String first = Files.readString(file);
         assertEquals(planner.plan(control, wanted, file), "no changes\n");
-        // The core goes by the new list at once: of the three, only app-3 takes new work.
-        vertx.runOnContext(go -> gateway.dispatch(
+        // The core uses the new list at once: of the three, only app-3 takes new work.
+        vertx.runOnContext(start -> dispatcher.dispatch(
                 new Request(
                         "00000000000000a1",
                         "0000000000000001",
@@ -103,8 +103,8 @@
                         1,
                         0,
                         null),
-                answer -> {}));
-        assertEquals(dialled.get(20, TimeUnit.SECONDS), "mqtt://127.0.0.1:13");
+                response -> {}));
+        assertEquals(connectedTo.get(20, TimeUnit.SECONDS), "mqtt://127.0.0.1:13");
 
         Files.writeString(file, first);
         assertTrue(expectThrows(InvalidConfigurationException.class, () -> planner.apply(file))
