--- a/mqtt/src/main/java/opalcove/mqtt/MqttConfig.java
+++ b/mqtt/src/main/java/opalcove/mqtt/MqttConfig.java
@@ -13,34 +13,50 @@
 import opalcove.config.SettingsReader;
 import opalcove.decision.DecisionSettings;
 
-/** The settings file of the MQTT front, checked whole before anything opens. */
+/**
+ * The settings file of the MQTT gateway, checked completely before anything opens.
+ *
+ * @param name prefix of the client identifiers at the backends
+ * @param listen where clients connect
+ * @param control where plans are accepted; null: nowhere
+ * @param maxClients client connections at once
+ * @param maxBackendConnections backend connections at once
+ * @param backends the endpoint list at the start
+ * @param settings the deployment's
+ */
 public record MqttConfig(
         String name,
         HostAndPort listen,
         HostAndPort control,
         int maxClients,
-        int mostLinks,
+        int maxBackendConnections,
         List<Backend> backends,
         DecisionSettings settings) {
+    private static final int DEFAULT_MAX_CONNECTIONS = 200;
+    private static final int MAX_CONNECTIONS = 400;
     private static final Set<String> KEYS =
             Set.of("name", "listen", "max_terminals", "max_node_links", "nodes", "control", "settings");
 
-    /** Reads and checks the file; a wrong one is refused with every problem found, each by file, key and reason. */
+    /**
+     * Reads and checks the file.
+     *
+     * @throws InvalidConfigurationException with every problem found, each by file, key and reason
+     */
     public static MqttConfig read(Path file) {
-        ConfigValidator check = new ConfigValidator(file);
-        JsonFields fields = check.fields(KEYS);
-        String name = check.valueOr(() -> fields.textOr("name", "opalcove"), "");
-        HostAndPort listen = check.valueOr(() -> HostAndPort.read(fields.text("listen"), "listen"), null);
-        HostAndPort control = check.valueOr(() -> control(fields), null);
-        int clients = check.valueOr(() -> between(fields, "max_terminals", 200), 0);
-        int links = check.valueOr(() -> between(fields, "max_node_links", 200), 0);
-        List<Backend> backends = check.valueOr(() -> backends(fields), List.of());
-        DecisionSettings settings = check.valueOr(() -> SettingsReader.checked(fields.object("settings")), null);
-        check.throwIfInvalid();
-        return new MqttConfig(name, listen, control, clients, links, backends, settings);
+        ConfigValidator validator = new ConfigValidator(file);
+        JsonFields fields = validator.fields(KEYS);
+        String name = validator.valueOr(() -> fields.textOr("name", "opalcove"), "");
+        HostAndPort listen = validator.valueOr(() -> HostAndPort.read(fields.text("listen"), "listen"), null);
+        HostAndPort control = validator.valueOr(() -> control(fields), null);
+        int maxClients = validator.valueOr(() -> maxConnections(fields, "max_terminals"), 0);
+        int maxBackendConnections = validator.valueOr(() -> maxConnections(fields, "max_node_links"), 0);
+        List<Backend> backends = validator.valueOr(() -> backends(fields), List.of());
+        DecisionSettings settings = validator.valueOr(() -> SettingsReader.checked(fields.object("settings")), null);
+        validator.throwIfInvalid();
+        return new MqttConfig(name, listen, control, maxClients, maxBackendConnections, backends, settings);
     }
 
-    /** Where plans are taken; it asks for no credentials, so it may be reached from this machine alone. */
+    /** Plans are accepted without credentials, so that address may be reached from this machine alone. */
     private static HostAndPort control(JsonFields fields) {
         if (!fields.has("control")) {
             return null;
@@ -53,10 +69,10 @@
         return control;
     }
 
-    private static int between(JsonFields fields, String key, int absent) {
-        int value = fields.wholeOr(key, absent);
-        if (value < 1 || value > 400) {
-            throw new InvalidConfigurationException("field " + key + " must be from 1 to 400");
+    private static int maxConnections(JsonFields fields, String key) {
+        int value = fields.wholeOr(key, DEFAULT_MAX_CONNECTIONS);
+        if (value < 1 || value > MAX_CONNECTIONS) {
+            throw new InvalidConfigurationException("field " + key + " must be from 1 to " + MAX_CONNECTIONS);
         }
         return value;
     }
--- a/mqtt/src/main/java/opalcove/mqtt/MqttGateway.java
+++ b/mqtt/src/main/java/opalcove/mqtt/MqttGateway.java
@@ -8,32 +8,32 @@
 import opalcove.plan.PlanControlService;
 import opalcove.resp.RespConnector;
 
-/** The MQTT front by its settings file; its app nodes may be MQTT servers or speak RESP2. */
+/** The gateway for MQTT clients; its backends may be MQTT servers or speak RESP2. */
 public final class MqttGateway {
     private MqttGateway() {}
 
-    /** Starts the gateway; gives way at once, the program goes on by itself. */
+    /** Starts the gateway and returns at once; it runs until the process ends. */
     public static void start(MqttConfig config) {
-        Application program = new Application();
-        program.start(vertx -> {
+        Application application = new Application();
+        application.start(vertx -> {
             ConnectionPool.Connector mqtt = new MqttConnector(vertx, config.settings(), config.name());
             ConnectionPool.Connector resp = new RespConnector(vertx, config.settings());
-            ConnectionPool links = new ConnectionPool(
+            ConnectionPool connections = new ConnectionPool(
                     vertx,
                     config.settings(),
                     address -> (address.startsWith(MqttConnector.SCHEME) ? mqtt : resp).connect(address),
-                    config.mostLinks());
+                    config.maxBackendConnections());
             Clock clock = new Clock();
-            RequestDispatcher gateway =
-                    new RequestDispatcher(vertx, clock, config.settings(), System.nanoTime(), links);
-            MqttRequestServer front =
-                    new MqttRequestServer(vertx, gateway, program.phases(), clock, config.maxClients());
-            program.atEnd(gateway, front::drain);
-            gateway.endpointsChanged(true, config.backends());
-            Future<Integer> desk = config.control() == null
+            RequestDispatcher dispatcher =
+                    new RequestDispatcher(vertx, clock, config.settings(), System.nanoTime(), connections);
+            MqttRequestServer server =
+                    new MqttRequestServer(vertx, dispatcher, application.phases(), clock, config.maxClients());
+            application.atEnd(dispatcher, server::drain);
+            dispatcher.endpointsChanged(true, config.backends());
+            Future<Integer> planService = config.control() == null
                     ? Future.succeededFuture(0)
-                    : new PlanControlService(vertx, gateway).listen(config.control());
-            program.open(() -> desk.compose(opened -> front.listen(config.listen())));
+                    : new PlanControlService(vertx, dispatcher).listen(config.control());
+            application.open(() -> planService.compose(opened -> server.listen(config.listen())));
         });
     }
 }
--- a/mqtt/src/main/java/opalcove/mqtt/RequestMessage.java
+++ b/mqtt/src/main/java/opalcove/mqtt/RequestMessage.java
@@ -3,8 +3,6 @@
 import io.netty.handler.codec.mqtt.MqttProperties;
 import io.netty.handler.codec.mqtt.MqttProperties.BinaryProperty;
 import io.netty.handler.codec.mqtt.MqttProperties.IntegerProperty;
-import io.netty.handler.codec.mqtt.MqttProperties.MqttProperty;
-import io.netty.handler.codec.mqtt.MqttProperties.StringPair;
 import io.netty.handler.codec.mqtt.MqttProperties.StringProperty;
 import io.netty.handler.codec.mqtt.MqttProperties.UserProperty;
 import io.vertx.core.buffer.Buffer;
@@ -12,9 +10,7 @@
 import java.nio.charset.StandardCharsets;
 import java.security.MessageDigest;
 import java.security.NoSuchAlgorithmException;
-import java.util.HashMap;
 import java.util.HexFormat;
-import java.util.Map;
 import opalcove.core.InvalidRequestException;
 import opalcove.core.Request;
 import opalcove.core.RequestParameters;
@@ -22,14 +18,19 @@
 import opalcove.decision.DecisionSettings;
 import opalcove.decision.Idempotency;
 
-/** An ask as an MQTT 5 publication: read at the front, written at the links. docs/mqtt.md has its form. */
+/** A request as an MQTT 5 publication: read from clients, written to backends. docs/mqtt.md has its form. */
 final class RequestMessage {
-    static final String TOPIC = "opalcove/ask/";
-    static final int MOST_BODY = 64 * 1024;
+    /** The request class follows it. */
+    static final String TOPIC_PREFIX = "opalcove/ask/";
+    /** A packet is a body, and topic and properties beside it. */
+    static final int MAX_PACKET_BYTES = 72 * 1024;
+
+    private static final int MAX_BODY_BYTES = 64 * 1024;
+    private static final double MS_PER_SECOND = 1000.0;
 
     private RequestMessage() {}
 
-    /** The ask's id: the same for each delivery of the same publication by the same terminal. */
+    /** The request's id: the same for each delivery of the same publication by the same client. */
     static String id(String clientId, byte[] correlation) {
         try {
             MessageDigest digest = MessageDigest.getInstance("SHA-256");
@@ -41,46 +42,50 @@
         }
     }
 
-    static Request read(RequestValidator rules, String id, String topic, MqttProperties properties, Buffer body)
+    /**
+     * Reads a request.
+     *
+     * @throws InvalidRequestException if it cannot be read or is not valid, with the reason for its client
+     */
+    static Request read(RequestValidator validator, String id, String topic, MqttProperties properties, Buffer body)
             throws InvalidRequestException {
-        if (!topic.startsWith(TOPIC)) {
-            throw new InvalidRequestException("asks are published below " + TOPIC);
+        if (!topic.startsWith(TOPIC_PREFIX)) {
+            throw new InvalidRequestException("asks are published below " + TOPIC_PREFIX);
         }
-        DecisionSettings.RequestClass requestClass = rules.requestClass(topic.substring(TOPIC.length()));
+        DecisionSettings.RequestClass requestClass = validator.requestClass(topic.substring(TOPIC_PREFIX.length()));
         boolean safe = requestClass.effect() == Idempotency.SAFE;
         if (safe && body.length() > 0) {
             throw new InvalidRequestException(requestClass.name() + " carries no body");
         }
-        if (body.length() > MOST_BODY) {
-            throw new InvalidRequestException("the body is larger than " + MOST_BODY + " bytes");
+        if (body.length() > MAX_BODY_BYTES) {
+            throw new InvalidRequestException("the body is larger than " + MAX_BODY_BYTES + " bytes");
         }
-        Integer expiry = number(properties, MqttProperties.PUBLICATION_EXPIRY_INTERVAL);
+        Integer expiry = PropertyReader.number(properties, MqttProperties.PUBLICATION_EXPIRY_INTERVAL);
         if (expiry != null && expiry == 0) {
             throw new InvalidRequestException("expired");
         }
         // The expiry is an unsigned 32-bit number of seconds.
-        double waitMs = Math.min(
-                requestClass.deadlineMs(), expiry == null ? Double.MAX_VALUE : Integer.toUnsignedLong(expiry) * 1000.0);
-        RequestParameters marks = new RequestParameters(userProperties(properties));
-        return rules.validate(new Request(
+        double expiryMs = expiry == null ? Double.MAX_VALUE : Integer.toUnsignedLong(expiry) * MS_PER_SECOND;
+        RequestParameters parameters = new RequestParameters(PropertyReader.userProperties(properties));
+        return validator.validate(new Request(
                 id,
-                marks.required("operator"),
+                parameters.required("operator"),
                 requestClass.name(),
-                marks.required("plan"),
-                marks.number("units"),
-                waitMs,
-                requestClass.effect() == Idempotency.KEYED ? marks.required("key") : null,
-                marks.isSet("retry"),
-                marks.integer("entry-points"),
-                marks.integer("first-entry"),
+                parameters.required("plan"),
+                parameters.number("units"),
+                Math.min(requestClass.deadlineMs(), expiryMs),
+                requestClass.effect() == Idempotency.KEYED ? parameters.required("key") : null,
+                parameters.isSet("retry"),
+                parameters.integer("entry-points"),
+                parameters.integer("first-entry"),
                 safe ? null : ((BufferInternal) body).getByteBuf()));
     }
 
-    /** The properties of the publication that passes the ask on. Its expiry is in whole seconds, rounded up. */
-    static MqttProperties properties(Request request, double waitMs, String responseTopic) {
+    /** The properties of the publication to a backend. Its expiry is in whole seconds, rounded up. */
+    static MqttProperties properties(Request request, double timeoutMs, String responseTopic) {
         MqttProperties properties = new MqttProperties();
         properties.add(new IntegerProperty(
-                MqttProperties.PUBLICATION_EXPIRY_INTERVAL, (int) Math.max(1, Math.ceil(waitMs / 1000))));
+                MqttProperties.PUBLICATION_EXPIRY_INTERVAL, (int) Math.max(1, Math.ceil(timeoutMs / MS_PER_SECOND))));
         properties.add(new StringProperty(MqttProperties.RESPONSE_TOPIC, responseTopic));
         properties.add(new BinaryProperty(MqttProperties.CORRELATION_DATA, correlation(request)));
         properties.add(new UserProperty("operator", request.tenant()));
@@ -97,34 +102,8 @@
         return properties;
     }
 
-    /** What ties a node's answer to an ask. */
+    /** The correlation data that ties a backend's response to a request. */
     static byte[] correlation(Request request) {
         return request.id().getBytes(StandardCharsets.US_ASCII);
     }
-
-    /** The user properties by name; of a name that comes twice, the last counts. */
-    static Map<String, String> userProperties(MqttProperties properties) {
-        Map<String, String> values = new HashMap<>();
-        for (MqttProperty<?> each : properties.getProperties(MqttProperties.USER_PROPERTY)) {
-            if (each.value() instanceof StringPair pair) {
-                values.put(pair.key, pair.value);
-            }
-        }
-        return values;
-    }
-
-    static String text(MqttProperties properties, int id) {
-        MqttProperty<?> property = properties.getProperty(id);
-        return property == null ? null : (String) property.value();
-    }
-
-    static byte[] bytes(MqttProperties properties, int id) {
-        MqttProperty<?> property = properties.getProperty(id);
-        return property == null ? null : (byte[]) property.value();
-    }
-
-    private static Integer number(MqttProperties properties, int id) {
-        MqttProperty<?> property = properties.getProperty(id);
-        return property == null ? null : (Integer) property.value();
-    }
 }
--- a/mqtt/src/main/java/opalcove/mqtt/ResponseCache.java
+++ b/mqtt/src/main/java/opalcove/mqtt/ResponseCache.java
@@ -5,42 +5,44 @@
 import java.util.Map;
 
 /**
- * Answers given of late, so that a publication redelivered after its answer gets the same one and no second request.
- * An answer is kept until its ask's own time is over; number and size are bounded, the oldest go first.
+ * Recent responses, so that a publication redelivered after its response gets the same one and no second request. A response is
+ * cached until its request's deadline; number and size are bounded, the oldest are evicted first.
+ *
+ * <p>Owned by the event loop of its gateway.
  */
 final class ResponseCache {
-    private static final int MOST = 1024;
-    private static final int MOST_BYTES = 4 * 1024 * 1024;
+    private static final int MAX_RESPONSES = 1024;
+    private static final int MAX_BYTES = 4 * 1024 * 1024;
 
-    private record Kept(ResponseMessage answer, double until) {}
+    private record Entry(ResponseMessage response, double deadlineMs) {}
 
-    private final Map<String, Kept> answers = new LinkedHashMap<>();
+    private final Map<String, Entry> responses = new LinkedHashMap<>();
     private int bytes;
 
-    void keep(String id, ResponseMessage answer, double now, double until) {
-        drop(answers.remove(id));
-        answers.put(id, new Kept(answer, until));
-        bytes += answer.payload().length();
-        Iterator<Kept> oldest = answers.values().iterator();
+    void put(String id, ResponseMessage response, double nowMs, double deadlineMs) {
+        subtract(responses.remove(id));
+        responses.put(id, new Entry(response, deadlineMs));
+        bytes += response.payload().length();
+        Iterator<Entry> oldest = responses.values().iterator();
         while (oldest.hasNext()) {
-            Kept each = oldest.next();
-            if (each.until > now && answers.size() <= MOST && bytes <= MOST_BYTES) {
+            Entry each = oldest.next();
+            if (each.deadlineMs > nowMs && responses.size() <= MAX_RESPONSES && bytes <= MAX_BYTES) {
                 return;
             }
             oldest.remove();
-            drop(each);
+            subtract(each);
         }
     }
 
-    /** The answer, or null where none is known any more. */
-    ResponseMessage find(String id, double now) {
-        Kept kept = answers.get(id);
-        return kept == null || kept.until <= now ? null : kept.answer;
+    /** The response to this request, or null if it is not cached. */
+    ResponseMessage get(String id, double nowMs) {
+        Entry entry = responses.get(id);
+        return entry == null || entry.deadlineMs <= nowMs ? null : entry.response;
     }
 
-    private void drop(Kept kept) {
-        if (kept != null) {
-            bytes -= kept.answer.payload().length();
+    private void subtract(Entry entry) {
+        if (entry != null) {
+            bytes -= entry.response.payload().length();
         }
     }
 }
--- a/mqtt/src/main/java/opalcove/mqtt/ResponseMessage.java
+++ b/mqtt/src/main/java/opalcove/mqtt/ResponseMessage.java
@@ -15,58 +15,64 @@
 import opalcove.decision.LoadMetric;
 import org.tinylog.Logger;
 
-/** An answer as an MQTT 5 publication: written at the front, read at the links. */
+/**
+ * A response as an MQTT 5 publication: written to clients, read from backends. docs/mqtt.md has its form.
+ *
+ * @param properties its properties, with the correlation data of the request
+ * @param payload the value if it is served, or else empty
+ */
 record ResponseMessage(MqttProperties properties, Buffer payload) {
     private static final String STATUS = "status";
     private static final String SERVED = "served";
     private static final String REFUSED = "refused";
     private static final String FAILED = "failed";
 
-    static ResponseMessage of(Response answer, byte[] correlation) {
+    /** Makes the message of a response to the request with this correlation data. */
+    static ResponseMessage of(Response response, byte[] correlation) {
         MqttProperties properties = new MqttProperties();
         properties.add(new BinaryProperty(MqttProperties.CORRELATION_DATA, correlation));
         Buffer payload = Buffer.buffer();
-        if (answer instanceof Response.Served served) {
+        if (response instanceof Response.Served served) {
             properties.add(new UserProperty(STATUS, SERVED));
-            // Kept for redeliveries, and the value is lent.
+            // Copied: the value is lent, and the message is cached for redeliveries.
             payload = Buffer.buffer(ByteBufUtil.getBytes(served.value()));
-        } else if (answer instanceof Response.Refused refused) {
+        } else if (response instanceof Response.Refused refused) {
             properties.add(new UserProperty(STATUS, REFUSED));
             if (refused.retryAfterMs() > 0) {
                 properties.add(new UserProperty("retry-after-ms", Long.toString(refused.retryAfterMs())));
             }
         } else {
             properties.add(new UserProperty(STATUS, FAILED));
-            properties.add(new UserProperty("reason", ((Response.Failed) answer).reason()));
+            properties.add(new UserProperty("reason", ((Response.Failed) response).reason()));
         }
         return new ResponseMessage(properties, payload);
     }
 
-    /** How an attempt ended, by the node's answer: refused is "never ran", all but served and refused "may have". */
-    static AttemptResult read(MqttProperties properties, ByteBuf payload, List<LoadMetric> gauges) {
-        Map<String, String> told = RequestMessage.userProperties(properties);
-        double[] load = null;
-        int used = -1;
-        double cost = 0;
-        for (Map.Entry<String, String> each : told.entrySet()) {
-            int column = gauges.indexOf(SettingsReader.gauge(each.getKey()));
+    /** The result of an attempt by its backend's response: refused is "never ran", all but served and refused "may have". */
+    static AttemptResult read(MqttProperties properties, ByteBuf payload, List<LoadMetric> metrics) {
+        Map<String, String> values = PropertyReader.userProperties(properties);
+        double[] loadReport = null;
+        int quotaUsedPercent = -1;
+        double actualUnits = 0;
+        for (Map.Entry<String, String> each : values.entrySet()) {
+            int column = metrics.indexOf(SettingsReader.gauge(each.getKey()));
             try {
                 if (each.getKey().equals("used")) {
-                    used = Integer.parseInt(each.getValue());
+                    quotaUsedPercent = Integer.parseInt(each.getValue());
                 } else if (each.getKey().equals("cost")) {
-                    cost = Double.parseDouble(each.getValue());
+                    actualUnits = Double.parseDouble(each.getValue());
                 } else if (column >= 0) {
-                    load = load == null ? new double[gauges.size()] : load;
-                    load[column] = Double.parseDouble(each.getValue());
+                    loadReport = loadReport == null ? new double[metrics.size()] : loadReport;
+                    loadReport[column] = Double.parseDouble(each.getValue());
                 }
             } catch (NumberFormatException e) {
-                Logger.warn("an app node told {}={}", each.getKey(), each.getValue());
+                Logger.warn("a backend sent {}={}, which is no number", each.getKey(), each.getValue());
             }
         }
-        return switch (told.getOrDefault(STATUS, "")) {
-            case SERVED -> new AttemptResult(AttemptStatus.SERVED, payload, used, cost, load);
-            case REFUSED -> new AttemptResult(AttemptStatus.REJECTED, null, used, cost, load);
-            default -> new AttemptResult(AttemptStatus.ERROR, null, used, cost, load);
+        return switch (values.getOrDefault(STATUS, "")) {
+            case SERVED -> new AttemptResult(AttemptStatus.SERVED, payload, quotaUsedPercent, actualUnits, loadReport);
+            case REFUSED -> new AttemptResult(AttemptStatus.REJECTED, null, quotaUsedPercent, actualUnits, loadReport);
+            default -> new AttemptResult(AttemptStatus.ERROR, null, quotaUsedPercent, actualUnits, loadReport);
         };
     }
 }
--- a/mqtt/src/main/java/opalcove/mqtt/TopicFilters.java
+++ b/mqtt/src/main/java/opalcove/mqtt/TopicFilters.java
@@ -3,16 +3,16 @@
 import java.util.HashSet;
 import java.util.Set;
 
-/** The topic filters to which a terminal is subscribed. */
+/** The topic filters that a client has subscribed to. Owned by the event loop of its connection. */
 final class TopicFilters {
     private final Set<String> filters = new HashSet<>();
 
     /** Whether MQTT allows this filter; shared subscriptions are not offered. */
-    static boolean valid(String filter) {
+    static boolean isValid(String filter) {
         String[] levels = filter.split("/", -1);
         for (int i = 0; i < levels.length; i++) {
-            boolean wild = levels[i].contains("#") || levels[i].contains("+");
-            if (wild && levels[i].length() > 1 || levels[i].equals("#") && i < levels.length - 1) {
+            boolean isWildcard = levels[i].contains("#") || levels[i].contains("+");
+            if (isWildcard && levels[i].length() > 1 || levels[i].equals("#") && i < levels.length - 1) {
                 return false;
             }
         }
@@ -27,7 +27,8 @@
         filters.remove(filter);
     }
 
-    boolean cover(String topic) {
+    /** Whether one of the filters matches the topic. */
+    boolean matches(String topic) {
         return filters.stream().anyMatch(filter -> matches(filter.split("/", -1), topic.split("/", -1)));
     }
 
--- a/mqtt/src/test/java/opalcove/mqtt/MqttSettingsFormTest.java
+++ b/mqtt/src/test/java/opalcove/mqtt/MqttSettingsFormTest.java
@@ -67,7 +67,7 @@
             assertEquals(settings.listen(), new HostAndPort("127.0.0.1", 1883));
             assertNull(settings.control());
             assertEquals(settings.maxClients(), 200);
-            assertEquals(settings.mostLinks(), 200);
+            assertEquals(settings.maxBackendConnections(), 200);
             assertEquals(settings.backends().get(0).address(), "mqtt://127.0.0.1:1884");
         } finally {
             Files.delete(file);
