--- a/benchmarks/src/main/java/opalcove/resp/ReaderBenchmark.java
+++ b/benchmarks/src/main/java/opalcove/resp/ReaderBenchmark.java
@@ -30,11 +30,12 @@
         value = 1,
         jvmArgsAppend = {"-XX:+UseSerialGC", "-XX:TieredStopAtLevel=1"})
 public class ReaderBenchmark {
-    private static final String ASK = "*4\r\n$9\r\nSVC.QUERY\r\n$16\r\n00000000b4d65521\r\n$16\r\n9b1f03aa5c7e2d41\r\n"
-            + "$53\r\nc=slot-status,t=start,d=4000,units=2,spread=1,first=0\r\n";
+    private static final String REQUEST =
+            "*4\r\n$9\r\nSVC.QUERY\r\n$16\r\n00000000b4d65521\r\n$16\r\n9b1f03aa5c7e2d41\r\n"
+                    + "$53\r\nc=slot-status,t=start,d=4000,units=2,spread=1,first=0\r\n";
     private static final String REPLY = "*3\r\n$16\r\nvvvvvvvvvvvvvvvv\r\n$14\r\nused=12,cost=1\r\n$8\r\nsvc_ms=5\r\n";
 
-    private final ByteBuf request = bytes(ASK);
+    private final ByteBuf request = bytes(REQUEST);
     private final ByteBuf reply = bytes(REPLY);
     private io.vertx.core.Vertx vertx;
     private RespDecoder requests;
--- a/cli/src/main/java/opalcove/cli/ColdStartTrialCommand.java
+++ b/cli/src/main/java/opalcove/cli/ColdStartTrialCommand.java
@@ -42,7 +42,7 @@
             names = "--cold-from",
             defaultValue = "0.17",
             description = "part of its capacity at the start (default: ${DEFAULT-VALUE})")
-    private double coldFrom;
+    private double slowStartShare;
 
     @Option(
             names = "--warm-after-ms",
@@ -58,7 +58,7 @@
 
     @Override
     public Integer call() {
-        SlowStartRule rule = new SlowStartRule(overloadFactor, fallMs, coldFrom, warmAfterMs);
+        SlowStartRule rule = new SlowStartRule(overloadFactor, fallMs, slowStartShare, warmAfterMs);
         SlowStartTrial trial = SlowStartTrial.play(new SlowStartPlan(gateways, rule, firstSeed, seeds));
         if (json) {
             System.out.println(trial.json());
--- a/cli/src/main/java/opalcove/cli/ControlCommand.java
+++ b/cli/src/main/java/opalcove/cli/ControlCommand.java
@@ -62,7 +62,7 @@
             versionProvider = Opalcove.Version.class,
             description = "Tells the state of a running control service: proxies, who lags, drains under way.")
     static final class Status implements Callable<Integer> {
-        private static final Duration PATIENCE = Duration.ofSeconds(10);
+        private static final Duration TIMEOUT = Duration.ofSeconds(10);
 
         @Parameters(paramLabel = "FILE", description = "the settings file of the service")
         private Path file;
@@ -74,13 +74,13 @@
         public Integer call() throws Exception {
             ControlConfig settings = ControlConfig.read(file);
             HttpResponse<String> answer = HttpClient.newBuilder()
-                    .connectTimeout(PATIENCE)
+                    .connectTimeout(TIMEOUT)
                     .build()
                     .send(
                             HttpRequest.newBuilder(URI.create(
                                             "http://" + settings.status().address() + ":"
                                                     + settings.status().port() + "/v1/status"))
-                                    .timeout(PATIENCE)
+                                    .timeout(TIMEOUT)
                                     .build(),
                             HttpResponse.BodyHandlers.ofString());
             if (answer.statusCode() != 200) {
--- a/cli/src/main/java/opalcove/cli/SoakCommand.java
+++ b/cli/src/main/java/opalcove/cli/SoakCommand.java
@@ -116,8 +116,8 @@
 
     private SoakPlan plan(long planned) {
         SoakPlan whole = SoakPlan.of(planned, new SoakPlan.Size(gateways, backends, seconds * 1000), kinds);
-        return whole.with(whole.troubles().stream()
-                .filter(trouble -> !except.contains(trouble.kind()) && !without.contains(trouble.number()))
+        return whole.with(whole.faults().stream()
+                .filter(fault -> !except.contains(fault.kind()) && !without.contains(fault.number()))
                 .toList());
     }
 
--- a/cli/src/main/java/opalcove/cli/StartsCommand.java
+++ b/cli/src/main/java/opalcove/cli/StartsCommand.java
@@ -33,7 +33,7 @@
             defaultValue = "SILENT",
             description = "SILENT: lists are pushed, and the agent says nothing; REFUSED: one service is asked for"
                     + " lists, and refuses connections (default: ${DEFAULT-VALUE})")
-    private StartupBenchmark.Away away;
+    private StartupBenchmark.Outage outage;
 
     @Option(names = "--json", description = "print one object")
     private boolean json;
@@ -42,7 +42,7 @@
     public Integer call() throws Exception {
         List<StartupBenchmark.Start> starts;
         try (StartupBenchmark rig =
-                new StartupBenchmark(Arrays.asList(command.trim().split("\\s+")), away)) {
+                new StartupBenchmark(Arrays.asList(command.trim().split("\\s+")), outage)) {
             starts = rig.run(gateways).stream()
                     .sorted(Comparator.comparingDouble(StartupBenchmark.Start::readyMs))
                     .toList();
--- a/cli/src/main/java/opalcove/cli/StateCommand.java
+++ b/cli/src/main/java/opalcove/cli/StateCommand.java
@@ -52,14 +52,14 @@
                 paramLabel = "S",
                 defaultValue = "10",
                 description = "how long to try at most (default: ${DEFAULT-VALUE})")
-        private int mostS;
+        private int maxS;
 
         ReplicationClient client() {
             return new ReplicationClient(
                     voters.stream()
                             .map(each -> HostAndPort.read(each, "--voter"))
                             .toList(),
-                    mostS * 1000L);
+                    maxS * 1000L);
         }
     }
 
--- a/laboratory/src/main/java/opalcove/laboratory/BackendEmulator.java
+++ b/laboratory/src/main/java/opalcove/laboratory/BackendEmulator.java
@@ -103,8 +103,8 @@
     /** Moves over one whole array of strings, or not at all. */
     static boolean skipCommand(ByteBuf in) {
         int start = in.readerIndex();
-        int words = number(in, '*');
-        for (int i = 0; i < words; i++) {
+        int fields = number(in, '*');
+        for (int i = 0; i < fields; i++) {
             int length = number(in, '$');
             if (length < 0 || in.readableBytes() < length + 2) {
                 in.readerIndex(start);
@@ -112,10 +112,10 @@
             }
             in.skipBytes(length + 2);
         }
-        if (words < 0) {
+        if (fields < 0) {
             in.readerIndex(start);
         }
-        return words >= 0;
+        return fields >= 0;
     }
 
     /** Reads a line that holds the mark and a number; -1 where it is not whole yet. */
--- a/laboratory/src/main/java/opalcove/laboratory/CeilingModel.java
+++ b/laboratory/src/main/java/opalcove/laboratory/CeilingModel.java
@@ -146,7 +146,7 @@
                             result,
                             serviceMs,
                             result == AttemptStatus.SERVED,
-                            told(account),
+                            notified(account),
                             0,
                             null));
         }
@@ -231,7 +231,7 @@
     }
 
     private DecisionSettings settings(int gateway) {
-        DecisionSettings.Plan told = ceilingHeld
+        DecisionSettings.Plan notified = ceilingHeld
                 ? plan
                 : new DecisionSettings.Plan(
                         plan.name(), plan.rate(), plan.burst(), 0, plan.price(), plan.beyondWorth(), 0, 0, 0, 0);
@@ -244,7 +244,7 @@
                 false,
                 List.of(new DecisionSettings.RequestClass(
                         "lookup", 1, 0, 1500, 6000, Idempotency.SAFE, DeduplicationScope.ALL, 0, false)),
-                List.of(told),
+                List.of(notified),
                 new DecisionSettings.Limits(5, true, true, false, true, 2000, 15_000, true),
                 new DecisionSettings.Obligations(8, 0.18, 17_000, 3, 1000, false, 0),
                 new DecisionSettings.Costs(0, 0.077, 0.01, 0.05),
@@ -268,11 +268,11 @@
         processes[gateway] = new Process(gateway, world.nextLong());
     }
 
-    private void restart(int gateway, double awayMs) {
+    private void restart(int gateway, double outageMs) {
         if (processes[gateway] == null) return;
         processes[gateway].killed = true;
         processes[gateway] = null;
-        schedule(now + awayMs, () -> start(gateway));
+        schedule(now + outageMs, () -> start(gateway));
     }
 
     private void handOver(int gateway) {
@@ -295,8 +295,8 @@
         if (restarts == Restarts.RANDOM) {
             for (double at = 5000; at < DAY_MS; at += world.nextDouble(500, 8000)) {
                 int gateway = world.nextInt(GATEWAYS);
-                double awayMs = world.nextDouble(0, 2000);
-                schedule(at, () -> restart(gateway, awayMs));
+                double outageMs = world.nextDouble(0, 2000);
+                schedule(at, () -> restart(gateway, outageMs));
             }
         }
     }
@@ -380,7 +380,7 @@
     }
 
     /** Use of the last period that the meter has added up, in percent of the rate; below 0 before the first. */
-    private int told(Account account) {
+    private int notified(Account account) {
         long period = (long) Math.floor((now - meterDelayMs) / METER_PERIOD_MS) - 1;
         if (period < 0) return -1;
         double used = account.usedByPeriod.getOrDefault(period, 0.0);
--- a/laboratory/src/main/java/opalcove/laboratory/ComparisonBenchmark.java
+++ b/laboratory/src/main/java/opalcove/laboratory/ComparisonBenchmark.java
@@ -20,7 +20,7 @@
  * processor time an ask, from the process's own clock, and the time from the start to the first PONG.
  */
 public final class ComparisonBenchmark {
-    private static final int PATIENCE_S = 60;
+    private static final int TIMEOUT_S = 60;
 
     /** A program's figures, a run each. */
     public record Runs(String name, List<Double> cpuUs, List<Double> startMs, List<Double> memoryMb) {
@@ -70,7 +70,7 @@
                     .listen(0, "127.0.0.1")
                     .toCompletionStage()
                     .toCompletableFuture()
-                    .get(PATIENCE_S, TimeUnit.SECONDS);
+                    .get(TIMEOUT_S, TimeUnit.SECONDS);
             for (int round = 0; round < rounds; round++) {
                 for (int k = 0; k < all.size(); k++) {
                     Runs runs = all.get(round % 2 == 0 ? k : all.size() - 1 - k);
@@ -79,7 +79,7 @@
                 }
             }
         } finally {
-            vertx.close().toCompletionStage().toCompletableFuture().get(PATIENCE_S, TimeUnit.SECONDS);
+            vertx.close().toCompletionStage().toCompletableFuture().get(TIMEOUT_S, TimeUnit.SECONDS);
         }
         return all;
     }
@@ -145,7 +145,7 @@
                 }
             } finally {
                 program.destroy();
-                if (!program.waitFor(PATIENCE_S, TimeUnit.SECONDS)) {
+                if (!program.waitFor(TIMEOUT_S, TimeUnit.SECONDS)) {
                     program.destroyForcibly();
                 }
             }
@@ -156,7 +156,7 @@
 
     /** Waits for the answer to a PING, or, of a relay, for its port alone. */
     private static void awaitPort(Process program, int port, boolean relay) throws Exception {
-        long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(PATIENCE_S);
+        long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(TIMEOUT_S);
         while (System.nanoTime() < until && program.isAlive()) {
             try (Socket socket = new Socket(InetAddress.getLoopbackAddress(), port)) {
                 if (relay) {
--- a/laboratory/src/main/java/opalcove/laboratory/ConflictDetector.java
+++ b/laboratory/src/main/java/opalcove/laboratory/ConflictDetector.java
@@ -11,13 +11,13 @@
  */
 public final class ConflictDetector {
     /** A gateway acted on all of a version, from one moment to another, ms of one clock. */
-    public record Spell(String gateway, long version, long fromMs, long toMs) {}
+    public record Interval(String gateway, long version, long fromMs, long toMs) {}
 
     /** Two gateways acted on different versions for so long. */
-    public record Case(Spell one, Spell other, long ms) {}
+    public record Case(Interval one, Interval other, long ms) {}
 
-    private final List<Spell> spells = new ArrayList<>();
-    private final Map<String, Spell> open = new HashMap<>();
+    private final List<Interval> spells = new ArrayList<>();
+    private final Map<String, Interval> open = new HashMap<>();
 
     /**
      * A gateway's standing changed. full: it acts on all of the version; endedMs: when it last could act on what it acted on
@@ -26,33 +26,33 @@
     public void stands(String gateway, long version, boolean full, long atMs, long endedMs) {
         ended(gateway, Math.min(atMs, endedMs));
         if (full) {
-            open.put(gateway, new Spell(gateway, version, atMs, Long.MAX_VALUE));
+            open.put(gateway, new Interval(gateway, version, atMs, Long.MAX_VALUE));
         }
     }
 
     /** A gateway ended, or the history did. */
     public void ended(String gateway, long atMs) {
-        Spell spell = open.remove(gateway);
-        if (spell != null) {
-            spells.add(new Spell(gateway, spell.version(), spell.fromMs(), Math.max(spell.fromMs(), atMs)));
+        Interval interval = open.remove(gateway);
+        if (interval != null) {
+            spells.add(new Interval(gateway, interval.version(), interval.fromMs(), Math.max(interval.fromMs(), atMs)));
         }
     }
 
     /** All spells so far; those that go on end at the time given. */
-    public List<Spell> spells(long nowMs) {
-        List<Spell> all = new ArrayList<>(spells);
-        open.values().forEach(each -> all.add(new Spell(each.gateway(), each.version(), each.fromMs(), nowMs)));
+    public List<Interval> spells(long nowMs) {
+        List<Interval> all = new ArrayList<>(spells);
+        open.values().forEach(each -> all.add(new Interval(each.gateway(), each.version(), each.fromMs(), nowMs)));
         return all;
     }
 
     /** All cases that lasted for more than the bound, the longest first. */
     public List<Case> over(long boundMs, long nowMs) {
-        List<Spell> all = spells(nowMs);
+        List<Interval> all = spells(nowMs);
         List<Case> cases = new ArrayList<>();
         for (int i = 0; i < all.size(); i++) {
             for (int j = i + 1; j < all.size(); j++) {
-                Spell a = all.get(i);
-                Spell b = all.get(j);
+                Interval a = all.get(i);
+                Interval b = all.get(j);
                 long ms = Math.min(a.toMs(), b.toMs()) - Math.max(a.fromMs(), b.fromMs());
                 if (a.version() != b.version() && ms > boundMs) {
                     cases.add(new Case(a, b, ms));
--- a/laboratory/src/main/java/opalcove/laboratory/CostRegressionCheck.java
+++ b/laboratory/src/main/java/opalcove/laboratory/CostRegressionCheck.java
@@ -17,9 +17,9 @@
  */
 public final class CostRegressionCheck {
     /** What a count may grow by before it fails. */
-    public static final double MOST_GROWTH = 0.05;
+    public static final double MAX_GROWTH = 0.05;
     /** Growth below this is none, whatever its share: parts of a byte or of a call. */
-    private static final double LEAST = 0.02;
+    private static final double MIN = 0.02;
 
     private static final int WARM = 3200;
     /** What the machine does meanwhile can only add to a count, so the least of these is the ask's own. */
@@ -93,7 +93,7 @@
                 return;
             }
             double before = baseline.get(name).asObject().get(count).asDouble();
-            if (now > before * (1 + MOST_GROWTH) && now - before > LEAST) {
+            if (now > before * (1 + MAX_GROWTH) && now - before > MIN) {
                 grown.add(String.format(
                         "%s: %s grew from %.3f to %.3f an ask, by %.1f%%",
                         name, count, before, now, before > 0 ? 100 * (now - before) / before : 100));
--- a/laboratory/src/main/java/opalcove/laboratory/CountingTransport.java
+++ b/laboratory/src/main/java/opalcove/laboratory/CountingTransport.java
@@ -30,13 +30,13 @@
  */
 final class CountingTransport extends CoarseWaitTransport {
     private final Counts counts;
-    private final Lockstep.Asking lockstep;
+    private final Lockstep.LockstepClient lockstep;
 
     /**
      * Counts here. In lockstep (null: not) the loop looks at its sockets only when nobody else has anything left to do, so
      * what one turn takes in is as much as it can be, and the same each time.
      */
-    CountingTransport(Counts counts, Lockstep.Asking lockstep) {
+    CountingTransport(Counts counts, Lockstep.LockstepClient lockstep) {
         this.counts = counts;
         this.lockstep = lockstep;
     }
--- a/laboratory/src/main/java/opalcove/laboratory/Load.java
+++ b/laboratory/src/main/java/opalcove/laboratory/Load.java
@@ -21,7 +21,7 @@
  */
 public final class Load implements AutoCloseable {
     /** Latencies above this count as this, ns. */
-    private static final long MOST_NS = TimeUnit.SECONDS.toNanos(60);
+    private static final long MAX_NS = TimeUnit.SECONDS.toNanos(60);
 
     private static final long PROGRESS_MS = 1000;
 
@@ -89,7 +89,7 @@
     /** Asks so many and waits for their answers. Fails where a connection ends, or nothing comes for long. */
     public LoadReport run(int number) throws Exception {
         done = new CompletableFuture<>();
-        latency = new Histogram(MOST_NS, 3);
+        latency = new Histogram(MAX_NS, 3);
         due = number;
         sent = served = refused = failed = 0;
         long startedAt = System.nanoTime();
@@ -149,7 +149,7 @@
                 case REFUSED -> refused++;
                 default -> failed++;
             }
-            latency.recordValue(Math.min(MOST_NS, now - startedAt[k]));
+            latency.recordValue(Math.min(MAX_NS, now - startedAt[k]));
         }
         if (plan.rate() == 0 && sent < due) {
             fill(channels.indexOf(channel), number);
--- a/laboratory/src/main/java/opalcove/laboratory/Lockstep.java
+++ b/laboratory/src/main/java/opalcove/laboratory/Lockstep.java
@@ -27,10 +27,10 @@
  */
 final class Lockstep implements AutoCloseable {
     /** A loop that is not still by then is at work without end. */
-    private static final long MOST_SECONDS = 30;
+    private static final long MAX_SECONDS = 30;
 
     /** Holds the load at what the nodes' report of 5 ms an ask allows, or the decision module would hold asks back. */
-    private static final long LEAST_REST_NS = 6_000_000;
+    private static final long MIN_IDLE_NS = 6_000_000;
 
     private final List<Still> others;
     private final ServerSocketChannel door;
@@ -73,18 +73,18 @@
     }
 
     /** The metered loop's side. */
-    static final class Asking {
+    static final class LockstepClient {
         private final SocketChannel line;
         private final ByteBuffer mark = ByteBuffer.allocateDirect(1);
 
-        Asking(int port) throws IOException {
+        LockstepClient(int port) throws IOException {
             line = SocketChannel.open(new InetSocketAddress(InetAddress.getLoopbackAddress(), port));
             line.socket().setTcpNoDelay(true);
         }
 
         /** Comes back when nobody else has anything left to do, and not before the least rest. */
         void await() {
-            LockSupport.parkNanos(LEAST_REST_NS);
+            LockSupport.parkNanos(MIN_IDLE_NS);
             try {
                 mark.clear();
                 mark.put((byte) 1).flip();
@@ -123,7 +123,7 @@
             CompletableFuture<Void> still = new CompletableFuture<>();
             asked.set(still);
             handler.wakeup();
-            still.orTimeout(MOST_SECONDS, TimeUnit.SECONDS).join();
+            still.orTimeout(MAX_SECONDS, TimeUnit.SECONDS).join();
         }
 
         private final class Watched extends DelegatingIoHandler {
--- a/laboratory/src/main/java/opalcove/laboratory/MeteredGateway.java
+++ b/laboratory/src/main/java/opalcove/laboratory/MeteredGateway.java
@@ -40,14 +40,14 @@
  * far, {@code classes} what lies on the heap by class, garbage included. It ends with its input.
  */
 public final class MeteredGateway {
-    private static final int MOST_LINKS = 2000;
+    private static final int MAX_CONNECTIONS_PER_BACKEND = 2000;
 
     private final Counts counts = new Counts();
     private final Vertx vertx;
     private final CompletableFuture<Integer> port = new CompletableFuture<>();
     private volatile long loopThread;
 
-    private MeteredGateway(Lockstep.Asking lockstep) {
+    private MeteredGateway(Lockstep.LockstepClient lockstep) {
         vertx = VertxBootstrap.create()
                 .options(new VertxOptions()
                         .setEventLoopPoolSize(1)
@@ -61,7 +61,7 @@
     /** Arguments: the front, resp or mqtt; the number of app nodes in the list; their one port; that of the lockstep (0: none). */
     public static void main(String[] args) throws Exception {
         MeteredGateway gateway =
-                new MeteredGateway(args[3].equals("0") ? null : new Lockstep.Asking(Integer.parseInt(args[3])));
+                new MeteredGateway(args[3].equals("0") ? null : new Lockstep.LockstepClient(Integer.parseInt(args[3])));
         gateway.start(args[0], Integer.parseInt(args[1]), Integer.parseInt(args[2]));
         PrintStream out = new PrintStream(new FileOutputStream(FileDescriptor.out), true, StandardCharsets.UTF_8);
         out.println(gateway.port.get());
@@ -88,7 +88,8 @@
                     clock,
                     settings,
                     7,
-                    new ConnectionPool(vertx, settings, new RespConnector(vertx, settings), MOST_LINKS));
+                    new ConnectionPool(
+                            vertx, settings, new RespConnector(vertx, settings), MAX_CONNECTIONS_PER_BACKEND));
             List<Backend> list = new ArrayList<>();
             for (int i = 0; i < nodes; i++) {
                 list.add(new Backend(
@@ -149,9 +150,9 @@
         JsonObject classes = Json.object();
         text.lines()
                 .map(line -> line.strip().split("\\s+"))
-                .filter(words -> words.length >= 4 && words[0].endsWith(":"))
-                .forEach(words -> classes.set(
-                        words[3], Json.array().add(Long.parseLong(words[1])).add(Long.parseLong(words[2]))));
+                .filter(fields -> fields.length >= 4 && fields[0].endsWith(":"))
+                .forEach(fields -> classes.set(
+                        fields[3], Json.array().add(Long.parseLong(fields[1])).add(Long.parseLong(fields[2]))));
         return classes.toString();
     }
 }
--- a/laboratory/src/main/java/opalcove/laboratory/MqttWire.java
+++ b/laboratory/src/main/java/opalcove/laboratory/MqttWire.java
@@ -25,7 +25,7 @@
 
 /** A terminal's side of MQTT 5: asks of QoS 1, answers by their correlation data, acknowledged. */
 final class MqttWire extends SimpleChannelInboundHandler<MqttMessage> implements Load.Wire {
-    private static final int MOST_PACKET = 80 * 1024;
+    private static final int MAX_PACKET = 80 * 1024;
 
     private final String client;
     private final RequestGenerator requests;
@@ -56,7 +56,7 @@
         channel.pipeline()
                 .addLast(
                         MqttEncoder.INSTANCE,
-                        new MqttDecoder(MOST_PACKET),
+                        new MqttDecoder(MAX_PACKET),
                         new MqttWire(client, requests, answers, ready));
     }
 
--- a/laboratory/src/main/java/opalcove/laboratory/RespWire.java
+++ b/laboratory/src/main/java/opalcove/laboratory/RespWire.java
@@ -11,14 +11,14 @@
 
 /** A terminal's side of RESP2: answers come in the order of the asks. */
 final class RespWire extends ByteToMessageDecoder implements Load.Wire {
-    private static final int MOST_OUT = 1 << 16;
+    private static final int MAX_OUT = 1 << 16;
 
     private final RequestGenerator requests;
     private final Load.Answers answers;
     private final byte[] body;
-    private final long[] startedAt = new long[MOST_OUT];
-    private final Load.Answer[] came = new Load.Answer[MOST_OUT];
-    private final long[] cameStartedAt = new long[MOST_OUT];
+    private final long[] startedAt = new long[MAX_OUT];
+    private final Load.Answer[] came = new Load.Answer[MAX_OUT];
+    private final long[] cameStartedAt = new long[MAX_OUT];
     private int out;
     private int answered;
     private int number;
@@ -38,17 +38,17 @@
 
     @Override
     public void request(Channel channel, long n, long started) {
-        startedAt[out++ & MOST_OUT - 1] = started;
+        startedAt[out++ & MAX_OUT - 1] = started;
         boolean record = requests.record(n);
-        String marks = (record ? "c=swap-record,k=" + requests.key(n) : "c=slot-status") + ",t="
+        String parameters = (record ? "c=swap-record,k=" + requests.key(n) : "c=slot-status") + ",t="
                 + requests.operatorsPlan(n) + ",d=" + requests.waitMs() + ",units=1,spread=1,first=0";
         ByteBuf bytes = channel.alloc().directBuffer(160 + (record ? body.length : 0));
         ByteBufUtil.writeAscii(
                 bytes, record ? "*5\r\n$10\r\nSVC.SUBMIT\r\n$16\r\n" : "*4\r\n$9\r\nSVC.QUERY\r\n$16\r\n");
         ByteBufUtil.writeAscii(
                 bytes,
-                requests.tenant(n) + "\r\n$16\r\n" + requests.id(n) + "\r\n$" + marks.length() + "\r\n" + marks
-                        + "\r\n");
+                requests.tenant(n) + "\r\n$16\r\n" + requests.id(n) + "\r\n$" + parameters.length() + "\r\n"
+                        + parameters + "\r\n");
         if (record) {
             ByteBufUtil.writeAscii(bytes, "$" + body.length + "\r\n");
             bytes.writeBytes(body);
@@ -87,7 +87,7 @@
 
     private void came(Load.Answer answer) {
         came[number] = answer;
-        cameStartedAt[number++] = startedAt[answered++ & MOST_OUT - 1];
+        cameStartedAt[number++] = startedAt[answered++ & MAX_OUT - 1];
     }
 
     @Override
--- a/laboratory/src/main/java/opalcove/laboratory/StartupBenchmark.java
+++ b/laboratory/src/main/java/opalcove/laboratory/StartupBenchmark.java
@@ -28,7 +28,7 @@
  */
 public final class StartupBenchmark implements AutoCloseable {
     /** In which way discovery is away, which is also how the gateways come by their list. */
-    public enum Away {
+    public enum Outage {
         /** Lists are pushed by an agent: it takes connections and says nothing. */
         SILENT("pushed"),
         /** One service is asked for lists: it refuses connections. */
@@ -36,7 +36,7 @@
 
         private final String discovery;
 
-        Away(String discovery) {
+        Outage(String discovery) {
             this.discovery = discovery;
         }
     }
@@ -49,10 +49,10 @@
 
     private static final int BACKENDS = 60;
     /** Asks to each gateway that show that it has its backends. */
-    private static final int ASKS = 4;
+    private static final int REQUESTS = 4;
 
     private static final int PING_EVERY_MS = 20;
-    private static final int PATIENCE_S = 180;
+    private static final int TIMEOUT_S = 180;
     private static final byte[] PING = "*1\r\n$4\r\nPING\r\n".getBytes(StandardCharsets.US_ASCII);
     private static final String PONG = "+PONG\r\n";
 
@@ -62,13 +62,13 @@
     private final List<Socket> reserved = new ArrayList<>();
     private final List<Socket> calls = new ArrayList<>();
     private final List<String> command;
-    private final Away away;
+    private final Outage outage;
     private ServerSocket silent;
 
     /** The command starts one gateway, which is to read its configuration from the file that GW_CONFIG names. */
-    public StartupBenchmark(List<String> command, Away away) throws IOException, InterruptedException {
+    public StartupBenchmark(List<String> command, Outage outage) throws IOException, InterruptedException {
         this.command = List.copyOf(command);
-        this.away = away;
+        this.outage = outage;
     }
 
     /** Starts that many gateways at once; done when each has answered a PING and served asks by its known list. */
@@ -90,7 +90,7 @@
             }
             List<Start> all = new ArrayList<>();
             for (int i = 0; i < gateways; i++) {
-                Start start = starts.get(i).get(PATIENCE_S, TimeUnit.SECONDS);
+                Start start = starts.get(i).get(TIMEOUT_S, TimeUnit.SECONDS);
                 needServed(ports.get(i));
                 // Only now is it sure that the phases have been written, too.
                 all.add(new Start(start.readyMs(), start.processorMs(), phases(i)));
@@ -103,7 +103,7 @@
 
     /** A port at which discovery is away. */
     private int openDiscovery() throws IOException {
-        if (away == Away.REFUSED) {
+        if (outage == Outage.REFUSED) {
             return reservePort();
         }
         silent = new ServerSocket(0, 256, InetAddress.getLoopbackAddress());
@@ -149,7 +149,7 @@
     private String configuration(int number, int port, String discovery) {
         List<Backend> known = EndpointCodec.read(JsonFields.parse(ComparisonBenchmark.list(backend.port(), BACKENDS))
                 .objects("endpoints"));
-        JsonObject settings = Json.parse(Laboratory.settingsText()).asObject().set("discovery", away.discovery);
+        JsonObject settings = Json.parse(Laboratory.settingsText()).asObject().set("discovery", outage.discovery);
         return Json.object()
                 .add("name", "gateway-" + number)
                 .add("listen", "127.0.0.1:" + port)
@@ -202,10 +202,10 @@
     }
 
     private static void needServed(int port) throws Exception {
-        LoadPlan plan = new LoadPlan(false, "127.0.0.1", port, 1, 1, 0, ASKS, 1, 0, 0, 7500);
+        LoadPlan plan = new LoadPlan(false, "127.0.0.1", port, 1, 1, 0, REQUESTS, 1, 0, 0, 7500);
         try (Load load = new Load(plan, line -> {})) {
-            LoadReport report = load.run(ASKS);
-            if (report.served() != ASKS) {
+            LoadReport report = load.run(REQUESTS);
+            if (report.served() != REQUESTS) {
                 throw new IllegalStateException("not all asks were served by the known list\n" + report.table());
             }
         }
--- a/laboratory/src/main/java/opalcove/laboratory/Strace.java
+++ b/laboratory/src/main/java/opalcove/laboratory/Strace.java
@@ -13,7 +13,7 @@
 final class Strace implements AutoCloseable {
     private static final String CALLS =
             "read,write,readv,writev,recvfrom,sendto,sendmsg,recvmsg,epoll_wait,epoll_pwait";
-    private static final int PATIENCE_S = 20;
+    private static final int TIMEOUT_S = 20;
 
     private final Path summary;
     private final Process strace;
@@ -33,8 +33,8 @@
                         Long.toString(pid))
                 .redirectErrorStream(true)
                 .start();
-        BufferedReader told = strace.inputReader();
-        String line = told.readLine();
+        BufferedReader notified = strace.inputReader();
+        String line = notified.readLine();
         if (line == null || !line.contains("attached")) {
             close();
             throw new IOException("strace does not attach: " + line);
@@ -50,15 +50,15 @@
     /** Detaches; gives how often each call was made. */
     Map<String, Long> stop() throws IOException, InterruptedException {
         new ProcessBuilder("kill", "-INT", Long.toString(strace.pid())).start().waitFor();
-        if (!strace.waitFor(PATIENCE_S, TimeUnit.SECONDS)) {
+        if (!strace.waitFor(TIMEOUT_S, TimeUnit.SECONDS)) {
             throw new IOException("strace does not end");
         }
         Map<String, Long> calls = new TreeMap<>();
         for (String line : Files.readAllLines(summary)) {
             // % time, seconds, usecs/call, calls, perhaps errors, name
-            String[] words = line.strip().split("\\s+");
-            if (words.length >= 5 && words[0].matches("[0-9.]+") && !words[words.length - 1].equals("total")) {
-                calls.put(words[words.length - 1], Long.parseLong(words[3]));
+            String[] fields = line.strip().split("\\s+");
+            if (fields.length >= 5 && fields[0].matches("[0-9.]+") && !fields[fields.length - 1].equals("total")) {
+                calls.put(fields[fields.length - 1], Long.parseLong(fields[3]));
             }
         }
         return calls;
--- a/laboratory/src/main/java/opalcove/laboratory/coldstart/ModelBackend.java
+++ b/laboratory/src/main/java/opalcove/laboratory/coldstart/ModelBackend.java
@@ -34,7 +34,7 @@
     private final double meanWorkMs;
     private final Deque<Attempt> waiting = new ArrayDeque<>();
     private final List<Attempt> running = new ArrayList<>();
-    private final List<SlowStartPeriod> coldPeriods = new ArrayList<>();
+    private final List<SlowStartPeriod> slowStartPeriods = new ArrayList<>();
     private double startedMs;
     private boolean up;
     private boolean draining;
@@ -56,11 +56,11 @@
     }
 
     /** Starts the process anew, cold. */
-    void startCold() {
+    void startInSlowStart() {
         up = true;
         starts++;
         startedMs = clock.nowMs();
-        coldPeriods.add(new SlowStartPeriod(rule, startedMs, shape.capacity() / meanWorkMs));
+        slowStartPeriods.add(new SlowStartPeriod(rule, startedMs, shape.capacity() / meanWorkMs));
     }
 
     /** Takes the backend out of service: the list says so, and what still comes is served. */
@@ -84,8 +84,8 @@
             attempt.ended().ended(AttemptStatus.UNREACHABLE);
             return;
         }
-        if (!coldPeriods.isEmpty()) {
-            SlowStartPeriod latest = coldPeriods.get(coldPeriods.size() - 1);
+        if (!slowStartPeriods.isEmpty()) {
+            SlowStartPeriod latest = slowStartPeriods.get(slowStartPeriods.size() - 1);
             latest.arrived(clock.nowMs(), attempt.workMs() / meanWorkMs, attempt.informed());
         }
         if (waiting.size() >= shape.queuePerCore() * shape.cores()) {
@@ -148,7 +148,7 @@
         return shape.capacity();
     }
 
-    List<SlowStartPeriod> coldPeriods() {
-        return coldPeriods;
+    List<SlowStartPeriod> slowStartPeriods() {
+        return slowStartPeriods;
     }
 }
--- a/laboratory/src/main/java/opalcove/laboratory/coldstart/SlowStartModel.java
+++ b/laboratory/src/main/java/opalcove/laboratory/coldstart/SlowStartModel.java
@@ -27,10 +27,10 @@
 final class SlowStartModel {
     private static final double FIRST_CRASH_MS = 10_000;
     private static final double TICK_MS = 2;
-    private static final double AIM_MS = 2000;
+    private static final double LATENCY_OBJECTIVE_MS = 2000;
     static final double DEADLINE_MS = 6000;
     /** The greatest delay with which a change of the list reaches a gateway, ms. */
-    private static final double MOST_LIST_DELAY_MS = 1000;
+    private static final double MAX_LIST_DELAY_MS = 1000;
     /** The time that a restarted gateway is away, ms. */
     private static final double RESTART_MS = 1500;
     /** Time that gateways which restart in turn take together, ms. */
@@ -39,7 +39,7 @@
     private static final String[] ZONES = {"zone-1", "zone-2", "zone-3"};
     static final String PLAN = "open";
     static final String[] CLASSES = {"read", "update", "record"};
-    private static final double[] WORTH = {2, 2, 6};
+    private static final double[] VALUE = {2, 2, 6};
     static final ModelBackend.Shape LARGE = new ModelBackend.Shape(3, 1, 15);
     private static final ModelBackend.Shape SMALL = new ModelBackend.Shape(2, 0.6, 15);
 
@@ -65,18 +65,15 @@
         meanWorkMs = between(110, 280);
         mixedSizes = random.nextBoolean();
         utilization = between(0.4, 0.65);
-        endMs = FIRST_CRASH_MS
-                + MOST_OUTAGE_MS
-                + MOST_JOIN_DELAY_MS
-                + plan.rule().warmAfterMs();
+        endMs = FIRST_CRASH_MS + MAX_OUTAGE_MS + MAX_JOIN_DELAY_MS + plan.rule().warmAfterMs();
         int count = 10 + random.nextInt(11);
         IntStream.range(0, count).forEach(i -> addBackend().startWarm());
         warmRatePerMs = inOrder.stream().mapToDouble(ModelBackend::capacity).sum() / meanWorkMs;
     }
 
-    private static final double LEAST_OUTAGE_MS = 2000;
-    private static final double MOST_OUTAGE_MS = 8000;
-    private static final double MOST_JOIN_DELAY_MS = 5000;
+    private static final double MIN_OUTAGE_MS = 2000;
+    private static final double MAX_OUTAGE_MS = 8000;
+    private static final double MAX_JOIN_DELAY_MS = 5000;
 
     /** Plays one seed. */
     static SlowStartReport play(SlowStartPlan plan, long seed) {
@@ -86,8 +83,8 @@
         return model.report(seed);
     }
 
-    private double between(double least, double most) {
-        return least + (most - least) * random.nextDouble();
+    private double between(double min, double max) {
+        return min + (max - min) * random.nextDouble();
     }
 
     private ModelBackend addBackend() {
@@ -109,7 +106,7 @@
             clock.after(between(0, 250), () -> gateway.start(wholeList()));
         }
         clock.after(500, this::nextRequest);
-        double outageMs = between(LEAST_OUTAGE_MS, MOST_OUTAGE_MS);
+        double outageMs = between(MIN_OUTAGE_MS, MAX_OUTAGE_MS);
         double returnMs = FIRST_CRASH_MS + outageMs;
         if (random.nextInt(3) == 0) {
             scheduleReplacements(returnMs);
@@ -118,7 +115,7 @@
         }
         int joining = 1 + random.nextInt(3);
         for (int i = 0; i < joining; i++) {
-            clock.after(returnMs + between(0, MOST_JOIN_DELAY_MS), this::join);
+            clock.after(returnMs + between(0, MAX_JOIN_DELAY_MS), this::join);
         }
         double rampHalfMs = plan.rule().warmAfterMs() / 2;
         double burstMs = returnMs + between(0, rampHalfMs);
@@ -138,7 +135,7 @@
                     announce(backend);
                 });
                 clock.after(FIRST_CRASH_MS + outageMs, () -> {
-                    backend.startCold();
+                    backend.startInSlowStart();
                     announce(backend);
                 });
             }
@@ -150,7 +147,7 @@
         double part = between(0.3, 0.6);
         for (ModelBackend backend : List.copyOf(inOrder)) {
             if (random.nextDouble() < part) {
-                clock.after(atMs + between(0, MOST_JOIN_DELAY_MS), () -> {
+                clock.after(atMs + between(0, MAX_JOIN_DELAY_MS), () -> {
                     backend.drain();
                     announce(backend);
                     join();
@@ -161,7 +158,7 @@
 
     private void join() {
         ModelBackend backend = addBackend();
-        backend.startCold();
+        backend.startInSlowStart();
         announce(backend);
     }
 
@@ -191,7 +188,7 @@
     private void announce(ModelBackend backend) {
         Endpoint line = line(backend);
         for (ModelGateway gateway : gateways) {
-            clock.after(between(0, MOST_LIST_DELAY_MS), () -> {
+            clock.after(between(0, MAX_LIST_DELAY_MS), () -> {
                 // A later change has gone out meanwhile; the list never goes back.
                 if (line.equals(line(backend))) {
                     gateway.listed(List.of(line));
@@ -251,12 +248,13 @@
     }
 
     private void served(double tookMs) {
-        servedInTime += tookMs <= AIM_MS ? 1 : 0;
+        servedInTime += tookMs <= LATENCY_OBJECTIVE_MS ? 1 : 0;
     }
 
     private SlowStartReport report(long seed) {
-        List<SlowStartPeriod> periods =
-                inOrder.stream().flatMap(each -> each.coldPeriods().stream()).toList();
+        List<SlowStartPeriod> periods = inOrder.stream()
+                .flatMap(each -> each.slowStartPeriods().stream())
+                .toList();
         return new SlowStartReport(
                 seed,
                 periods.size(),
@@ -285,7 +283,15 @@
         List<RequestClass> classes = new ArrayList<>();
         for (int i = 0; i < CLASSES.length; i++) {
             classes.add(new RequestClass(
-                    CLASSES[i], WORTH[i], 0, AIM_MS, DEADLINE_MS, Idempotency.SAFE, DeduplicationScope.ALL, 0, false));
+                    CLASSES[i],
+                    VALUE[i],
+                    0,
+                    LATENCY_OBJECTIVE_MS,
+                    DEADLINE_MS,
+                    Idempotency.SAFE,
+                    DeduplicationScope.ALL,
+                    0,
+                    false));
         }
         SlowStartRule rule = plan.rule();
         return new DecisionSettings(
@@ -297,7 +303,7 @@
                 false,
                 classes,
                 List.of(new DecisionSettings.Plan(PLAN, 0, 0, 0, 1, 0, 0, 0, 0, 0)),
-                new Limits(6, false, true, false, true, AIM_MS, 30_000, false),
+                new Limits(6, false, true, false, true, LATENCY_OBJECTIVE_MS, 30_000, false),
                 new Obligations(
                         8, rule.coldShare(), rule.warmAfterMs(), rule.overloadFactor(), rule.windowMs(), false, 10_000),
                 new Costs(0.01, 0.03, 0, 0.08),
--- a/laboratory/src/main/java/opalcove/laboratory/coldstart/SlowStartReport.java
+++ b/laboratory/src/main/java/opalcove/laboratory/coldstart/SlowStartReport.java
@@ -8,7 +8,7 @@
  * What one seed of the model gave.
  *
  * @param seed the seed
- * @param coldStarts starts of backends
+ * @param slowStarts starts of backends
  * @param falls starts in which the backend fell under the requests of gateways that knew of the start
  * @param workFalls the same with each request counted by its own work, which no gateway knows when it sends
  * @param worstRatio highest ratio of the requests in a window to what a backend bears; above 1 it falls
@@ -18,7 +18,7 @@
  */
 public record SlowStartReport(
         long seed,
-        int coldStarts,
+        int slowStarts,
         int falls,
         int workFalls,
         double worstRatio,
@@ -31,7 +31,7 @@
                 Locale.ROOT,
                 "seed %4d  %2d cold starts  %2d falls (%d by work)  worst ratio %.2f (%.2f by work)  budget used %.3f  served in time %.3f",
                 seed,
-                coldStarts,
+                slowStarts,
                 falls,
                 workFalls,
                 worstRatio,
@@ -44,7 +44,7 @@
     public JsonObject json() {
         return Json.object()
                 .add("seed", seed)
-                .add("cold_starts", coldStarts)
+                .add("cold_starts", slowStarts)
                 .add("falls", falls)
                 .add("work_falls", workFalls)
                 .add("worst_ratio", worstRatio)
--- a/laboratory/src/main/java/opalcove/laboratory/coldstart/SlowStartRule.java
+++ b/laboratory/src/main/java/opalcove/laboratory/coldstart/SlowStartRule.java
@@ -42,9 +42,9 @@
     double serviceMs(double ageMs, double workMs) {
         double left = Math.max(0, warmAfterMs - ageMs);
         double share = capacityShare(ageMs);
-        double whileCold = left * (share + 1) / 2;
-        if (workMs >= whileCold) {
-            return left + workMs - whileCold;
+        double duringSlowStartMs = left * (share + 1) / 2;
+        if (workMs >= duringSlowStartMs) {
+            return left + workMs - duringSlowStartMs;
         }
         return slope() == 0 ? workMs : (Math.sqrt(share * share + 2 * slope() * workMs) - share) / slope();
     }
--- a/laboratory/src/main/java/opalcove/laboratory/coldstart/SlowStartTrial.java
+++ b/laboratory/src/main/java/opalcove/laboratory/coldstart/SlowStartTrial.java
@@ -21,8 +21,8 @@
     }
 
     /** Starts of backends over all seeds. */
-    public int coldStarts() {
-        return sum(SlowStartReport::coldStarts);
+    public int slowStarts() {
+        return sum(SlowStartReport::slowStarts);
     }
 
     /** Falls over all seeds. */
@@ -75,7 +75,7 @@
                         + "  budget used %.3f  served in time %.3f",
                 plan.gateways(),
                 reports.size(),
-                coldStarts(),
+                slowStarts(),
                 falls(),
                 workFalls(),
                 worstRatio(),
@@ -90,7 +90,7 @@
         reports.forEach(report -> seeds.add(report.json()));
         return Json.object()
                 .add("gateways", plan.gateways())
-                .add("cold_starts", coldStarts())
+                .add("cold_starts", slowStarts())
                 .add("falls", falls())
                 .add("work_falls", workFalls())
                 .add("worst_ratio", worstRatio())
--- a/laboratory/src/main/java/opalcove/laboratory/soak/BackendConnection.java
+++ b/laboratory/src/main/java/opalcove/laboratory/soak/BackendConnection.java
@@ -213,10 +213,10 @@
             }
         }
 
-        private void over(boolean turnedAway) {
+        private void over(boolean rejected) {
             if (out != null && out.overAt < 0) {
                 out.overAt = clock.now();
-                out.turnedAway = turnedAway;
+                out.rejected = rejected;
             }
             out = null;
         }
--- a/laboratory/src/main/java/opalcove/laboratory/soak/BackendProcess.java
+++ b/laboratory/src/main/java/opalcove/laboratory/soak/BackendProcess.java
@@ -27,9 +27,9 @@
                 .redirectError(ProcessBuilder.Redirect.appendTo(log.toFile()))
                 .start();
         behaviours = new PrintStream(process.getOutputStream(), true, StandardCharsets.US_ASCII);
-        BufferedReader told =
+        BufferedReader notified =
                 new BufferedReader(new InputStreamReader(process.getInputStream(), StandardCharsets.US_ASCII));
-        String line = told.readLine();
+        String line = notified.readLine();
         if (line == null) {
             throw new IOException(name + " did not start, see " + log);
         }
--- a/laboratory/src/main/java/opalcove/laboratory/soak/ClientConnection.java
+++ b/laboratory/src/main/java/opalcove/laboratory/soak/ClientConnection.java
@@ -29,7 +29,7 @@
     /** A command that waits for its answer; the request is null for one that is no request. */
     private record Waiting(Request request) {}
 
-    private static final int ANSWER_KEPT = 64;
+    private static final int RESPONSE_CACHED = 64;
 
     private final int number;
     private final Gateway gateway;
@@ -205,7 +205,7 @@
             owed = length;
             return false;
         }
-        String value = pending.toString(lineEnd + 1, Math.min(length, ANSWER_KEPT), StandardCharsets.ISO_8859_1);
+        String value = pending.toString(lineEnd + 1, Math.min(length, RESPONSE_CACHED), StandardCharsets.ISO_8859_1);
         pending.readerIndex(lineEnd + 1 + length + 2);
         answered(End.SERVED, value);
         return true;
--- a/laboratory/src/main/java/opalcove/laboratory/soak/Coverage.java
+++ b/laboratory/src/main/java/opalcove/laboratory/soak/Coverage.java
@@ -9,16 +9,16 @@
 /** Which troubles have been made, and which pairs of them have met in time. Safe on any thread. */
 public final class Coverage {
     /** With more pairs than this that never met, they are counted and not named. */
-    private static final int MOST_NAMED = 250;
+    private static final int MAX_NAMED = 250;
 
     private final Map<FaultType, Integer> made = new EnumMap<>(FaultType.class);
     private final Map<String, Integer> met = new TreeMap<>();
 
     /** Takes in the troubles of one run that were really made. */
-    public synchronized void add(List<Fault> troubles) {
-        for (Fault first : troubles) {
+    public synchronized void add(List<Fault> faults) {
+        for (Fault first : faults) {
             made.merge(first.kind(), 1, Integer::sum);
-            for (Fault second : troubles) {
+            for (Fault second : faults) {
                 if (first.number() < second.number() && first.overlaps(second)) {
                     met.merge(pair(first.kind(), second.kind()), 1, Integer::sum);
                 }
@@ -52,7 +52,7 @@
                 .append(all - never.size())
                 .append(" of ")
                 .append(all);
-        if (!never.isEmpty() && never.size() <= MOST_NAMED) {
+        if (!never.isEmpty() && never.size() <= MAX_NAMED) {
             text.append("\nnever met: ").append(String.join(", ", never));
         }
         return text.append('\n').toString();
--- a/laboratory/src/main/java/opalcove/laboratory/soak/DiscoveryAgent.java
+++ b/laboratory/src/main/java/opalcove/laboratory/soak/DiscoveryAgent.java
@@ -38,7 +38,7 @@
     /** After SIGHUP a list that another address has counts as told so much later, ms. */
     private static final double MOVED_MS = 4000;
 
-    private static final int MOST_REQUEST = 8192;
+    private static final int MAX_REQUEST = 8192;
 
     private final int gateway;
     private final Fleet fleet;
@@ -97,7 +97,7 @@
                         connections.add(channel);
                         channel.closeFuture().addListener(closed -> connections.remove(channel));
                         channel.pipeline()
-                                .addLast(new HttpServerCodec(), new HttpObjectAggregator(MOST_REQUEST), new Calls());
+                                .addLast(new HttpServerCodec(), new HttpObjectAggregator(MAX_REQUEST), new Calls());
                     }
                 })
                 .bind("127.0.0.1", port.number());
@@ -114,7 +114,7 @@
         followedAt = yes ? clock.now() : -1;
         movedTo = bySignal;
         if (yes) {
-            tellWhatItHas();
+            sendWholeList();
         }
     }
 
@@ -124,7 +124,7 @@
         if (!yes) {
             hungAt = -1;
             Set.copyOf(watches).forEach(Watch::answer);
-            tellWhatItHas();
+            sendWholeList();
         }
     }
 
@@ -137,7 +137,7 @@
             resetConnections();
         } else if (!yes && server == null) {
             open();
-            tellWhatItHas();
+            sendWholeList();
         }
     }
 
@@ -162,7 +162,7 @@
     void torn(boolean yes) {
         torn = yes;
         if (!yes) {
-            tellWhatItHas();
+            sendWholeList();
         }
     }
 
@@ -176,14 +176,14 @@
     }
 
     private void changed() {
-        tellWhatItHas();
+        sendWholeList();
         if (!silent) {
             Set.copyOf(watches).forEach(Watch::answer);
         }
     }
 
     /** Puts down from when on what discovery has counts as told, where that does not wait for its arrival. */
-    private void tellWhatItHas() {
+    private void sendWholeList() {
         if (!reachable()) {
             return;
         }
@@ -193,21 +193,21 @@
             at = Math.max(at, followedAt + MOVED_MS);
         }
         for (History.Change change : history.changes) {
-            told(change, at);
+            notified(change, at);
         }
     }
 
-    private void told(History.Change change, double at) {
-        double before = change.toldAt[gateway];
+    private void notified(History.Change change, double at) {
+        double before = change.notifiedAt[gateway];
         if (before < 0 || at < before) {
-            change.toldAt[gateway] = at;
+            change.notifiedAt[gateway] = at;
         }
     }
 
     /** The list has been written: what it has is told. */
     private void written() {
         double now = clock.now();
-        history.changes.forEach(change -> told(change, now));
+        history.changes.forEach(change -> notified(change, now));
     }
 
     private final class Calls extends SimpleChannelInboundHandler<FullHttpRequest> {
--- a/laboratory/src/main/java/opalcove/laboratory/soak/FaultCase.java
+++ b/laboratory/src/main/java/opalcove/laboratory/soak/FaultCase.java
@@ -35,7 +35,7 @@
     private static final long HOUR_MS = 3_600_000;
     private static final int RESTARTED = 2;
     private static final int RESTART_AFTER_MS = 3000;
-    private static final int AWAY_MS = 300;
+    private static final int OUTAGE_MS = 300;
     private static final int SHARE_MS = 3000;
     private static final int STOP_MS = 500;
     private static final int STOP_EVERY_MS = 1500;
@@ -65,7 +65,7 @@
     /**
      * What came of a case.
      *
-     * @param toldTooMuch attempts that told a deadline 150 ms and more over what their client had left
+     * @param deadlineTooLong attempts that told a deadline 150 ms and more over what their client had left
      * @param restartedShare part of the attempts in the 3 s after two backends were started anew that went to those, or NaN
      */
     public record Outcome(
@@ -74,7 +74,7 @@
             int requests,
             int served,
             Times times,
-            long toldTooMuch,
+            long deadlineTooLong,
             double restartedShare,
             Set<SoakRule> broken) {
         /** One row of a Markdown table. */
@@ -90,7 +90,7 @@
                     times.p50Ms(),
                     times.p99Ms(),
                     times.newP99Ms(),
-                    toldTooMuch,
+                    deadlineTooLong,
                     share,
                     broken.isEmpty() ? "none" : broken);
         }
@@ -144,7 +144,7 @@
             } else if (restarts()) {
                 TimeUnit.MILLISECONDS.sleep(RESTART_AFTER_MS);
                 for (int i = 0; i < RESTARTED; i++) {
-                    rig.restartBackend(i, AWAY_MS);
+                    rig.restartBackend(i, OUTAGE_MS);
                 }
                 restartedAt = rig.clock.now();
             }
@@ -175,15 +175,16 @@
             List<Request> first =
                     served.stream().filter(request -> !request.onUsedConnection).toList();
             Times times = new Times(percentile(served, 0.5), percentile(served, 0.99), percentile(first, 0.99));
-            long toldTooMuch =
-                    history.attempts.stream().filter(FaultCase::tellsTooMuch).count();
+            long deadlineTooLong = history.attempts.stream()
+                    .filter(FaultCase::deadlineIsTooLong)
+                    .count();
             return new Outcome(
                     FaultCase.this,
                     hits,
                     history.requests.size(),
                     served.size(),
                     times,
-                    toldTooMuch,
+                    deadlineTooLong,
                     restartedShare(),
                     broken);
         }
@@ -200,7 +201,7 @@
         }
     }
 
-    private static boolean tellsTooMuch(Attempt attempt) {
+    private static boolean deadlineIsTooLong(Attempt attempt) {
         double left = attempt.request.waitMs - (attempt.firstByteAt - attempt.request.sentAt);
         return attempt.request.sentAt >= 0 && attempt.waitMs > Math.max(0, left) + DEADLINE_SLACK_MS;
     }
--- a/laboratory/src/main/java/opalcove/laboratory/soak/FaultShim.java
+++ b/laboratory/src/main/java/opalcove/laboratory/soak/FaultShim.java
@@ -64,7 +64,7 @@
 
     private static final int CLOCK_HITS_AT = 8;
     private static final int PORTS_AT = 16;
-    private static final int MOST_PORTS = 4;
+    private static final int MAX_PORTS = 4;
     private static final int RULES_AT = 32;
     private static final int RULE_BYTES = 16;
     private static final int HITS_IN_RULE = 8;
@@ -115,7 +115,7 @@
 
     /** The ports at which connections are taken for discovery's; all others are backends'. */
     void discoveryPorts(int... ports) {
-        for (int i = 0; i < Math.min(ports.length, MOST_PORTS); i++) {
+        for (int i = 0; i < Math.min(ports.length, MAX_PORTS); i++) {
             control.putInt(PORTS_AT + 4 * i, ports[i]);
         }
     }
--- a/laboratory/src/main/java/opalcove/laboratory/soak/GatewayProcess.java
+++ b/laboratory/src/main/java/opalcove/laboratory/soak/GatewayProcess.java
@@ -24,7 +24,7 @@
     private static final int PING_EVERY_MS = 25;
     private static final int READY_MS = 10_000;
     /** On a machine with other work a start may take longer before it counts as none at all, ms. */
-    private static final int PATIENCE_MS = 30_000;
+    private static final int TIMEOUT_MS = 30_000;
 
     private static final int DESCRIPTORS = 256;
 
@@ -117,8 +117,8 @@
             if (!started.isAlive()) {
                 return;
             }
-            if (clock.now() - startedAt > PATIENCE_MS) {
-                broken(SoakRule.READY, "not ready after " + PATIENCE_MS + " ms");
+            if (clock.now() - startedAt > TIMEOUT_MS) {
+                broken(SoakRule.READY, "not ready after " + TIMEOUT_MS + " ms");
                 return;
             }
             Thread.sleep(PING_EVERY_MS);
@@ -173,7 +173,7 @@
     void end() throws InterruptedException {
         Process now = process;
         ending = now;
-        double toldAt = clock.now();
+        double notifiedAt = clock.now();
         ProcessCommands.signal(now, "TERM");
         if (now.waitFor(KILL_AFTER_MS, TimeUnit.MILLISECONDS)) {
             // Before its start hook is set SIGTERM ends the JVM by itself, which is as good.
@@ -186,7 +186,7 @@
             now.waitFor();
             broken(
                     SoakRule.ENDS_WELL,
-                    String.format("had to be killed %.0f ms after SIGTERM%n%s", clock.now() - toldAt, tail()));
+                    String.format("had to be killed %.0f ms after SIGTERM%n%s", clock.now() - notifiedAt, tail()));
         }
     }
 
@@ -207,7 +207,7 @@
         for (String line : Files.readAllLines(log(), StandardCharsets.ISO_8859_1)) {
             Matcher rule = COUNTED_VIOLATION.matcher(line);
             Matcher slip = COUNTED_SLIP.matcher(line);
-            if (isLateForStandingStill(line)) {
+            if (isLateBecauseOfStall(line)) {
                 continue;
             }
             if (rule.find()) {
@@ -221,13 +221,13 @@
     }
 
     /** A process that this soak has stopped gives answers late, and says so; the oracle judges by how much. */
-    private boolean isLateForStandingStill(String line) {
+    private boolean isLateBecauseOfStall(String line) {
         boolean late = line.contains("answer_in_time")
                 || line.contains("had no answer at its deadline")
                 || line.startsWith("ended_by_deadline_guard");
         return late
-                && plan.troubles().stream()
-                        .anyMatch(trouble -> trouble.kind() == FaultType.GATEWAY_PAUSE && trouble.target() == number);
+                && plan.faults().stream()
+                        .anyMatch(fault -> fault.kind() == FaultType.GATEWAY_PAUSE && fault.target() == number);
     }
 
     private String tail() {
--- a/laboratory/src/main/java/opalcove/laboratory/soak/History.java
+++ b/laboratory/src/main/java/opalcove/laboratory/soak/History.java
@@ -84,7 +84,7 @@
         /** When the first byte of a reply was passed on, or the connection ended; below 0 while it is out. */
         double overAt = -1;
 
-        boolean turnedAway;
+        boolean rejected;
 
         @Override
         public String toString() {
@@ -95,7 +95,7 @@
                     firstByteAt,
                     waitMs,
                     overAt,
-                    turnedAway ? ", turned away" : "");
+                    rejected ? ", turned away" : "");
         }
 
         Attempt(Request request, int gateway, int backend, double firstByteAt, double wholeAt, int waitMs) {
@@ -114,14 +114,14 @@
         final boolean takesWork;
         final double at;
         /** By gateway: when it counts as told; below 0 while it does not. */
-        final double[] toldAt;
+        final double[] notifiedAt;
 
         Change(int backend, boolean takesWork, double at, int gateways) {
             this.backend = backend;
             this.takesWork = takesWork;
             this.at = at;
-            toldAt = new double[gateways];
-            java.util.Arrays.fill(toldAt, -1);
+            notifiedAt = new double[gateways];
+            java.util.Arrays.fill(notifiedAt, -1);
         }
     }
 
@@ -161,16 +161,16 @@
 
     /** How late what was recorded around this time may be, ms. */
     double lagAround(double at) {
-        double most = 0;
+        double max = 0;
         for (Lag each : lags) {
             if (at > each.at - each.ms - 20 && at < each.at + 20) {
-                most = Math.max(most, each.ms);
+                max = Math.max(max, each.ms);
             }
         }
-        return most;
+        return max;
     }
 
-    double mostLag() {
+    double maxLag() {
         return lags.stream().mapToDouble(Lag::ms).max().orElse(0);
     }
 }
--- a/laboratory/src/main/java/opalcove/laboratory/soak/Oracle.java
+++ b/laboratory/src/main/java/opalcove/laboratory/soak/Oracle.java
@@ -20,7 +20,7 @@
     private static final double RECORDING_MS = 15;
 
     private static final double LOST_AFTER_MS = 500;
-    private static final double LEFT_SLACK_MS = 100;
+    private static final double DISCONNECT_SLACK_MS = 100;
     private static final double DEADLINE_SLACK_MS = 150;
     private static final double STALL_MS = 3000;
     /** A request that was written so long before its connection was closed has been read, ms. */
@@ -28,7 +28,7 @@
     /** Two ends that were recorded so close to each other may have come in the other order, ms. */
     private static final double ORDER_MS = 10;
 
-    private static final double TOLD_PART = 2.0 / 3;
+    private static final double NOTIFIED_PART = 2.0 / 3;
 
     private final SoakPlan plan;
     private final History history;
@@ -119,9 +119,7 @@
 
     /** A whole command that was not turned away by then may have run. */
     private static boolean mayHaveRun(Attempt attempt, double by) {
-        return attempt.wholeAt >= 0
-                && attempt.wholeAt <= by
-                && !(attempt.turnedAway && attempt.overAt <= by + ORDER_MS);
+        return attempt.wholeAt >= 0 && attempt.wholeAt <= by && !(attempt.rejected && attempt.overAt <= by + ORDER_MS);
     }
 
     private static String describe(Request request) {
@@ -143,8 +141,8 @@
         List<Attempt> attempts = request.attempts;
         long whole = attempts.stream().filter(attempt -> attempt.wholeAt >= 0).count();
         // A reload may have allowed one more for a while: the larger of both numbers binds.
-        int most = plan.setup().maxAttempts() + 1;
-        if (whole > most) {
+        int max = plan.setup().maxAttempts() + 1;
+        if (whole > max) {
             broken(SoakRule.ATTEMPTS, request.gateway, request.endAt, "%s had %d attempts", describe(request), whole);
         }
         for (int i = 0; i < attempts.size(); i++) {
@@ -159,7 +157,7 @@
     private void judgeTimes(Request request, Attempt attempt) {
         double at = attempt.firstByteAt;
         double slack = tolerance(at);
-        if (request.end == End.LEFT && at > request.endAt + LEFT_SLACK_MS + slack) {
+        if (request.end == End.LEFT && at > request.endAt + DISCONNECT_SLACK_MS + slack) {
             broken(
                     SoakRule.NOT_FOR_CLIENTS_THAT_LEFT,
                     attempt.gateway,
@@ -170,7 +168,7 @@
                     at - request.endAt);
         }
         boolean answered = request.end == End.SERVED || request.end == End.REFUSED || request.end == End.FAILED;
-        if (answered && at > request.endAt + LEFT_SLACK_MS + slack) {
+        if (answered && at > request.endAt + DISCONNECT_SLACK_MS + slack) {
             broken(
                     SoakRule.NOT_AFTER_THE_ANSWER,
                     attempt.gateway,
@@ -210,8 +208,8 @@
             }
             judgeRepeatOf(request, earlier, attempt);
         }
-        int most = plan.setup().secondCopies() && request.requestClass != SoakClass.PAYMENT ? 1 : 0;
-        if (out > most) {
+        int max = plan.setup().secondCopies() && request.requestClass != SoakClass.PAYMENT ? 1 : 0;
+        if (out > max) {
             broken(
                     SoakRule.SECOND_COPY,
                     attempt.gateway,
@@ -254,10 +252,10 @@
         for (Attempt attempt : history.attempts) {
             Change last = null;
             for (Change change : history.changes) {
-                double toldAt = change.toldAt[attempt.gateway];
+                double notifiedAt = change.notifiedAt[attempt.gateway];
                 boolean known = change.backend == attempt.backend
-                        && (change.takesWork ? change.at : toldAt) >= 0
-                        && (change.takesWork ? change.at : toldAt) <= attempt.firstByteAt;
+                        && (change.takesWork ? change.at : notifiedAt) >= 0
+                        && (change.takesWork ? change.at : notifiedAt) <= attempt.firstByteAt;
                 if (known && (last == null || change.at > last.at)) {
                     last = change;
                 }
@@ -265,7 +263,7 @@
             if (last == null || last.takesWork) {
                 continue;
             }
-            double since = attempt.firstByteAt - last.toldAt[attempt.gateway];
+            double since = attempt.firstByteAt - last.notifiedAt[attempt.gateway];
             if (since > plan.setup().graceMs() + SOCKET_SLACK_MS + tolerance(attempt.firstByteAt)) {
                 broken(
                         SoakRule.DRAIN,
@@ -297,7 +295,7 @@
             }
             int count = last - first + 1;
             double allowed = SlowStart.budget(capacityPerS, since.get(first).wholeAt - startedAt);
-            if (count > allowed && toldShare(since.subList(first, last + 1), backend, startedAt) > TOLD_PART) {
+            if (count > allowed && notifiedShare(since.subList(first, last + 1), backend, startedAt) > NOTIFIED_PART) {
                 broken(
                         SoakRule.SLOW_START,
                         since.get(last).gateway,
@@ -312,16 +310,16 @@
         }
     }
 
-    private double toldShare(List<Attempt> sent, int backend, double startedAt) {
-        long told = sent.stream()
+    private double notifiedShare(List<Attempt> sent, int backend, double startedAt) {
+        long notified = sent.stream()
                 .filter(attempt -> history.changes.stream()
                         .anyMatch(change -> change.backend == backend
                                 && change.takesWork
                                 && Math.abs(change.at - startedAt) < 1
-                                && change.toldAt[attempt.gateway] >= 0
-                                && change.toldAt[attempt.gateway] <= attempt.firstByteAt))
+                                && change.notifiedAt[attempt.gateway] >= 0
+                                && change.notifiedAt[attempt.gateway] <= attempt.firstByteAt))
                 .count();
-        return (double) told / sent.size();
+        return (double) notified / sent.size();
     }
 
     private void judgeCeilings() {
--- a/laboratory/src/main/java/opalcove/laboratory/soak/RespCommands.java
+++ b/laboratory/src/main/java/opalcove/laboratory/soak/RespCommands.java
@@ -14,9 +14,9 @@
     /** The next whole command, which is taken out of the bytes; null where it has not come whole. */
     static List<String> next(ByteBuf in) {
         int start = in.readerIndex();
-        int words = number(in, '*');
-        List<String> command = new ArrayList<>(Math.max(0, words));
-        for (int i = 0; i < words; i++) {
+        int fields = number(in, '*');
+        List<String> command = new ArrayList<>(Math.max(0, fields));
+        for (int i = 0; i < fields; i++) {
             int length = number(in, '$');
             if (length < 0 || in.readableBytes() < length + 2) {
                 in.readerIndex(start);
@@ -25,7 +25,7 @@
             command.add(in.toString(in.readerIndex(), length, StandardCharsets.ISO_8859_1));
             in.skipBytes(length + 2);
         }
-        if (words < 0) {
+        if (fields < 0) {
             in.readerIndex(start);
             return null;
         }
@@ -46,8 +46,8 @@
     }
 
     /** The value of a mark such as {@code d=480} in a command's list of marks, or null. */
-    static String mark(String marks, String name) {
-        for (String each : marks.split(",")) {
+    static String mark(String parameters, String name) {
+        for (String each : parameters.split(",")) {
             if (each.startsWith(name + "=")) {
                 return each.substring(name.length() + 1);
             }
@@ -56,9 +56,9 @@
     }
 
     /** A command of these words. */
-    static String command(String... words) {
-        StringBuilder text = new StringBuilder("*").append(words.length).append("\r\n");
-        for (String each : words) {
+    static String command(String... fields) {
+        StringBuilder text = new StringBuilder("*").append(fields.length).append("\r\n");
+        for (String each : fields) {
             text.append('$').append(each.length()).append("\r\n").append(each).append("\r\n");
         }
         return text.toString();
--- a/laboratory/src/main/java/opalcove/laboratory/soak/SlowStart.java
+++ b/laboratory/src/main/java/opalcove/laboratory/soak/SlowStart.java
@@ -2,7 +2,7 @@
 
 /** What a cold backend bears, as the soak's settings tell it. */
 final class SlowStart {
-    static final double COLD_FROM = 0.2;
+    static final double SLOW_START_SHARE = 0.2;
     static final int WARM_AFTER_MS = 8000;
     static final double OVERLOAD_FACTOR = 2.5;
     static final int FALL_MS = 3000;
@@ -11,7 +11,7 @@
 
     /** The most requests in {@link #FALL_MS} that a backend bears whose warm capacity is this, so long after its start. */
     static double budget(double capacityPerS, double ageMs) {
-        double share = Math.min(1, COLD_FROM + (1 - COLD_FROM) * ageMs / WARM_AFTER_MS);
+        double share = Math.min(1, SLOW_START_SHARE + (1 - SLOW_START_SHARE) * ageMs / WARM_AFTER_MS);
         double allowed = OVERLOAD_FACTOR * share * capacityPerS * FALL_MS / 1000;
         double root = Math.sqrt(allowed);
         return allowed < 30 ? allowed + 3 * root + 3 : allowed + 2 * root + 2;
--- a/laboratory/src/main/java/opalcove/laboratory/soak/Soak.java
+++ b/laboratory/src/main/java/opalcove/laboratory/soak/Soak.java
@@ -17,7 +17,7 @@
     /** After the traffic, time for the last answers, ms: the longest deadline and half a second, and some more. */
     private static final int REST_MS = 3600;
     /** A plan that fails is played so often without one trouble before that one counts as needed. */
-    private static final int TRIES = 2;
+    private static final int ATTEMPTS = 2;
 
     private final Path folder;
     private final GatewayProcess.Means means;
@@ -77,13 +77,13 @@
 
     private SoakResult play(SoakPlan plan, Path own, Setting setting) throws Exception {
         try (SoakCluster rig = new SoakCluster(plan, own, means, setting.clockAheadMs());
-                FaultInjector troublemaker = new FaultInjector(rig)) {
+                FaultInjector faultInjector = new FaultInjector(rig)) {
             rig.startTraffic();
             double from = rig.clock.now();
-            troublemaker.begin(plan.troubles());
+            faultInjector.begin(plan.faults());
             setting.begin(rig);
             TimeUnit.MILLISECONDS.sleep((long) Math.max(0, from + plan.lengthMs() - rig.clock.now()));
-            List<Fault> made = troublemaker.await();
+            List<Fault> made = faultInjector.await();
             rig.stopTraffic();
             TimeUnit.MILLISECONDS.sleep(REST_MS);
             double capacity = capacityPerS(rig, from);
@@ -92,7 +92,7 @@
             setting.end(rig);
             List<SoakViolation> violations = new Oracle(plan, rig.history, rig.places, capacity, endAt).judge();
             return new SoakResult(
-                    plan, violations, made, ends(rig.history), rig.history.attempts.size(), rig.history.mostLag());
+                    plan, violations, made, ends(rig.history), rig.history.attempts.size(), rig.history.maxLag());
         }
     }
 
@@ -103,8 +103,8 @@
     private static double capacityPerS(SoakCluster rig, double from) {
         Map<Integer, Integer> counts = new TreeMap<>();
         rig.history.attempts.forEach(attempt -> counts.merge(attempt.backend, 1, Integer::sum));
-        int most = counts.values().stream().mapToInt(Integer::intValue).max().orElse(1);
-        return most * 1000.0 / Math.max(1000, rig.clock.now() - REST_MS - from);
+        int max = counts.values().stream().mapToInt(Integer::intValue).max().orElse(1);
+        return max * 1000.0 / Math.max(1000, rig.clock.now() - REST_MS - from);
     }
 
     private static Map<String, Integer> ends(History history) {
@@ -116,7 +116,7 @@
     /** Leaves out one trouble after another while the rule is still broken; gives the shortest plan that was seen to fail. */
     public SoakPlan shrink(SoakPlan plan, SoakRule rule) throws Exception {
         SoakPlan shortest = plan;
-        for (Fault each : plan.troubles()) {
+        for (Fault each : plan.faults()) {
             SoakPlan shorter = shortest.without(Set.of(each.number()));
             if (fails(shorter, rule)) {
                 shortest = shorter;
@@ -127,7 +127,7 @@
 
     private boolean fails(SoakPlan plan, SoakRule rule) throws Exception {
         Set<SoakRule> broken = new HashSet<>();
-        for (int i = 0; i < TRIES && !broken.contains(rule); i++) {
+        for (int i = 0; i < ATTEMPTS && !broken.contains(rule); i++) {
             broken.addAll(run(plan, false).brokenRules());
         }
         return broken.contains(rule);
--- a/laboratory/src/main/java/opalcove/laboratory/soak/SoakBackend.java
+++ b/laboratory/src/main/java/opalcove/laboratory/soak/SoakBackend.java
@@ -96,8 +96,8 @@
     private void follow() throws IOException {
         BufferedReader lines = new BufferedReader(new InputStreamReader(System.in, StandardCharsets.US_ASCII));
         for (String line = lines.readLine(); line != null; line = lines.readLine()) {
-            String[] words = line.split(" ");
-            behaviours.put(Behaviour.valueOf(words[0]), Double.parseDouble(words[1]));
+            String[] fields = line.split(" ");
+            behaviours.put(Behaviour.valueOf(fields[0]), Double.parseDouble(fields[1]));
         }
     }
 
--- a/laboratory/src/main/java/opalcove/laboratory/soak/SoakCluster.java
+++ b/laboratory/src/main/java/opalcove/laboratory/soak/SoakCluster.java
@@ -17,7 +17,7 @@
     private static final int LAG_LOOK_MS = 5;
     private static final int SAMPLE_MS = 100;
     /** Held up for less than this the recording counts as on time, ms. */
-    private static final double LEAST_LAG_MS = 3;
+    private static final double MIN_LAG_MS = 3;
 
     final SoakClock clock = new SoakClock();
     final History history = new History();
@@ -28,7 +28,7 @@
     private final Fleet fleet;
     private final List<BackendProcess> backends = new ArrayList<>();
     private final List<GatewayProcess> gateways = new ArrayList<>();
-    private final List<List<BackendConnection>> links = new ArrayList<>();
+    private final List<List<BackendConnection>> connections = new ArrayList<>();
     private final List<List<DiscoveryAgent>> agents = new ArrayList<>();
     private final List<Traffic> traffics = new ArrayList<>();
     private final int[] followed;
@@ -72,13 +72,13 @@
         List<BackendConnection> own = new ArrayList<>();
         List<String> addresses = new ArrayList<>();
         for (int i = 0; i < backends.size(); i++) {
-            BackendConnection link =
+            BackendConnection connection =
                     new BackendConnection(gateway, i, loop, clock, history, plan.seed() * 1000 + gateway * 50 + i);
-            link.open(backends.get(i).port());
-            own.add(link);
-            addresses.add(link.address());
+            connection.open(backends.get(i).port());
+            own.add(connection);
+            addresses.add(connection.address());
         }
-        links.add(own);
+        connections.add(own);
         List<DiscoveryAgent> two = new ArrayList<>();
         for (int i = 0; i < 2; i++) {
             DiscoveryAgent agent =
@@ -103,16 +103,16 @@
     }
 
     /** What is done to each of several processes at once. */
-    private interface Deed<T> {
+    private interface Action<T> {
         void to(T process) throws Exception;
     }
 
-    private static <T> void forAll(List<T> all, Deed<T> deed) {
+    private static <T> void forAll(List<T> all, Action<T> action) {
         List<CompletableFuture<Void>> running = new ArrayList<>();
         for (T each : all) {
             running.add(CompletableFuture.runAsync(() -> {
                 try {
-                    deed.to(each);
+                    action.to(each);
                 } catch (Exception e) {
                     throw new IllegalStateException(e);
                 }
@@ -132,8 +132,9 @@
             two.get(1 - now).followed(false, false);
             two.get(now).followed(true, move);
         });
-        List<String> addresses =
-                links.get(gateway).stream().map(BackendConnection::address).toList();
+        List<String> addresses = connections.get(gateway).stream()
+                .map(BackendConnection::address)
+                .toList();
         CompletableFuture<JsonObject> known = new CompletableFuture<>();
         loop.execute(() -> known.complete(fleet.whole(addresses, true)));
         gateways.get(gateway).configure(two.get(now).port(), plan.setup().maxAttempts() + moreAttempts, known.join());
@@ -147,8 +148,8 @@
         return backends.get(number);
     }
 
-    List<BackendConnection> links(int gateway) {
-        return links.get(gateway);
+    List<BackendConnection> connections(int gateway) {
+        return connections.get(gateway);
     }
 
     List<DiscoveryAgent> agents(int gateway) {
@@ -180,13 +181,13 @@
     }
 
     /** Kills a backend and starts it again after that time: it stays in the list, and the list tells its start. */
-    void restartBackend(int backend, int awayMs) throws IOException, InterruptedException {
+    void restartBackend(int backend, int outageMs) throws IOException, InterruptedException {
         synchronized (backends.get(backend)) {
             backends.get(backend).kill();
-            onLoop(() -> links.forEach(own -> own.get(backend).close()));
-            TimeUnit.MILLISECONDS.sleep(awayMs);
+            onLoop(() -> connections.forEach(own -> own.get(backend).close()));
+            TimeUnit.MILLISECONDS.sleep(outageMs);
             int port = backends.get(backend).start();
-            onLoop(() -> links.forEach(own -> own.get(backend).open(port)));
+            onLoop(() -> connections.forEach(own -> own.get(backend).open(port)));
             change(backend, fleet.entry(backend).status, true);
         }
     }
@@ -227,7 +228,7 @@
         public void run() {
             double now = clock.now();
             double lag = now - lastAt - LAG_LOOK_MS;
-            if (lag > LEAST_LAG_MS) {
+            if (lag > MIN_LAG_MS) {
                 history.lag(now, lag);
             }
             lastAt = now;
@@ -248,7 +249,7 @@
             each.close();
         }
         loop.shutdownGracefully(0, 1, TimeUnit.SECONDS).syncUninterruptibly();
-        for (List<BackendConnection> own : links) {
+        for (List<BackendConnection> own : connections) {
             for (BackendConnection each : own) {
                 each.release();
             }
--- a/laboratory/src/main/java/opalcove/laboratory/soak/SoakPlan.java
+++ b/laboratory/src/main/java/opalcove/laboratory/soak/SoakPlan.java
@@ -14,9 +14,9 @@
  * overlap in time by construction.
  */
 public record SoakPlan(
-        long seed, int gateways, int backends, int lengthMs, double requestsPerS, Setup setup, List<Fault> troubles) {
+        long seed, int gateways, int backends, int lengthMs, double requestsPerS, Setup setup, List<Fault> faults) {
     private static final int FIRST_MS = 500;
-    private static final int LEAST_LENGTH_MS = 400;
+    private static final int MIN_LENGTH_MS = 400;
     private static final int MORE_LENGTH_MS = 3200;
     /** Gateways that are stopped, or whose file changes, at the same time are the same one in half of all groups. */
     private static final double SAME_TARGET = 0.5;
@@ -66,38 +66,38 @@
                 List.of("all", "zone", "cell").get(random.nextInt(3)),
                 random.nextBoolean() ? 30_000 : 3000);
         double requestsPerS = random.nextDouble(15, 45);
-        List<Fault> troubles = troubles(random, gateways, backends, lengthMs, kinds);
-        return new SoakPlan(seed, gateways, backends, lengthMs, requestsPerS, setup, troubles);
+        List<Fault> faults = faults(random, gateways, backends, lengthMs, kinds);
+        return new SoakPlan(seed, gateways, backends, lengthMs, requestsPerS, setup, faults);
     }
 
-    private static List<Fault> troubles(
+    private static List<Fault> faults(
             SplittableRandom random, int gateways, int backends, int lengthMs, List<FaultType> kinds) {
-        List<Fault> troubles = new ArrayList<>();
+        List<Fault> faults = new ArrayList<>();
         int groups = Math.max(2, lengthMs / 3000);
         for (int group = 0; group < groups; group++) {
             int size = random.nextInt(2, 4);
-            int middleMs = FIRST_MS + LEAST_LENGTH_MS + random.nextInt(Math.max(1, lengthMs - 2 * MORE_LENGTH_MS));
+            int middleMs = FIRST_MS + MIN_LENGTH_MS + random.nextInt(Math.max(1, lengthMs - 2 * MORE_LENGTH_MS));
             int gateway = random.nextInt(gateways);
             int backend = random.nextInt(backends);
             for (int i = 0; i < size; i++) {
                 FaultType kind = kinds.get(random.nextInt(kinds.size()));
-                int startMs = middleMs - random.nextInt(LEAST_LENGTH_MS);
-                int lengthOfIt = middleMs - startMs + LEAST_LENGTH_MS + random.nextInt(MORE_LENGTH_MS);
+                int startMs = middleMs - random.nextInt(MIN_LENGTH_MS);
+                int lengthOfIt = middleMs - startMs + MIN_LENGTH_MS + random.nextInt(MORE_LENGTH_MS);
                 boolean same = random.nextDouble() < SAME_TARGET;
                 int target = kind.place == FaultType.Place.BACKEND
                         ? same ? backend : random.nextInt(backends)
                         : same ? gateway : random.nextInt(gateways);
-                troubles.add(new Fault(troubles.size(), kind, target, startMs, lengthOfIt, random.nextDouble()));
+                faults.add(new Fault(faults.size(), kind, target, startMs, lengthOfIt, random.nextDouble()));
             }
         }
-        troubles.sort(Comparator.comparingInt(Fault::startMs));
-        return List.copyOf(troubles);
+        faults.sort(Comparator.comparingInt(Fault::startMs));
+        return List.copyOf(faults);
     }
 
     /** The same plan without the troubles of these numbers. */
     public SoakPlan without(Set<Integer> numbers) {
-        List<Fault> left = troubles.stream()
-                .filter(trouble -> !numbers.contains(trouble.number()))
+        List<Fault> left = faults.stream()
+                .filter(fault -> !numbers.contains(fault.number()))
                 .toList();
         return new SoakPlan(seed, gateways, backends, lengthMs, requestsPerS, setup, left);
     }
@@ -121,7 +121,7 @@
                 .add("max_open", 20_000);
         JsonObject duties = Json.object()
                 .add("answer_slack_ms", 8.0)
-                .add("cold_from", SlowStart.COLD_FROM)
+                .add("cold_from", SlowStart.SLOW_START_SHARE)
                 .add("warm_after_ms", (double) SlowStart.WARM_AFTER_MS)
                 .add("overload_factor", SlowStart.OVERLOAD_FACTOR)
                 .add("fall_ms", (double) SlowStart.FALL_MS)
@@ -176,7 +176,7 @@
                 .append(backends);
         text.append(" backends, ").append(lengthMs).append(" ms, ").append(Math.round(requestsPerS));
         text.append(" requests/s a gateway, ").append(setup).append('\n');
-        troubles.forEach(trouble -> text.append("  ").append(trouble).append('\n'));
+        faults.forEach(fault -> text.append("  ").append(fault).append('\n'));
         return text.toString();
     }
 }
--- a/laboratory/src/main/java/opalcove/laboratory/soak/SoakResult.java
+++ b/laboratory/src/main/java/opalcove/laboratory/soak/SoakResult.java
@@ -11,7 +11,7 @@
  *
  * @param made the troubles that were made; a trouble of system calls is among them only if its shim has hit
  * @param ends how many requests ended in which way
- * @param mostLagMs the longest time in which the recording thread was held up, ms
+ * @param maxLagMs the longest time in which the recording thread was held up, ms
  */
 public record SoakResult(
         SoakPlan plan,
@@ -19,7 +19,7 @@
         List<Fault> made,
         Map<String, Integer> ends,
         int attempts,
-        double mostLagMs) {
+        double maxLagMs) {
     /** The rules that were broken. */
     public Set<SoakRule> brokenRules() {
         Set<SoakRule> rules = new TreeSet<>();
@@ -33,14 +33,14 @@
         text.append("seed ").append(plan.seed()).append(": ");
         text.append(violations.isEmpty() ? "held" : "BROKEN " + brokenRules());
         text.append(" ").append(ends).append(", ").append(attempts).append(" attempts, recording late by at most ");
-        text.append(Math.round(mostLagMs)).append(" ms\n");
-        Map<SoakRule, Integer> told = new TreeMap<>();
+        text.append(Math.round(maxLagMs)).append(" ms\n");
+        Map<SoakRule, Integer> notified = new TreeMap<>();
         for (SoakViolation each : violations) {
-            if (told.merge(each.rule(), 1, Integer::sum) <= 3) {
+            if (notified.merge(each.rule(), 1, Integer::sum) <= 3) {
                 text.append("    ").append(each).append('\n');
             }
         }
-        told.forEach((rule, count) -> {
+        notified.forEach((rule, count) -> {
             if (count > 3) {
                 text.append("    ").append(rule).append(": ").append(count).append(" in all\n");
             }
--- a/laboratory/src/main/java/opalcove/laboratory/soak/Traffic.java
+++ b/laboratory/src/main/java/opalcove/laboratory/soak/Traffic.java
@@ -23,8 +23,8 @@
     private static final int CEILING_CUSTOMERS = 4;
     private static final double CEILING_SHARE = 0.1;
     private static final double BURST_FACTOR = 3;
-    private static final int MOST_CONNECTIONS = 60;
-    private static final int MOST_PIPELINED = 40;
+    private static final int MAX_CONNECTIONS = 60;
+    private static final int MAX_PIPELINED = 40;
     private static final int CROWD = 300;
     private static final double NEW_CONNECTION_SHARE = 0.1;
     private static final double ODD_SHARE = 0.3;
@@ -115,7 +115,7 @@
         if (odd(FaultType.CLIENT_ERRORS)) {
             sendErrors(connection);
         }
-        int count = odd(FaultType.CLIENT_PIPELINES) ? random.nextInt(2, MOST_PIPELINED) : 1;
+        int count = odd(FaultType.CLIENT_PIPELINES) ? random.nextInt(2, MAX_PIPELINED) : 1;
         boolean slow = odd(FaultType.CLIENT_SLOW);
         for (int i = 0; i < count; i++) {
             Request request = request(connection);
@@ -134,7 +134,7 @@
         if (!idle.isEmpty() && random.nextDouble() >= NEW_CONNECTION_SHARE) {
             return idle.get(random.nextInt(idle.size()));
         }
-        return connections.size() < MOST_CONNECTIONS ? open() : null;
+        return connections.size() < MAX_CONNECTIONS ? open() : null;
     }
 
     private ClientConnection open() {
@@ -167,12 +167,12 @@
     }
 
     private String text(Request request) {
-        String marks = "c=" + request.requestClass.label + ",t=" + request.plan + ",d=" + request.waitMs
+        String parameters = "c=" + request.requestClass.label + ",t=" + request.plan + ",d=" + request.waitMs
                 + (request.requestClass == SoakClass.ORDER ? ",k=" + request.id : "") + ",units=1,spread="
                 + plan.gateways() + ",first=0";
         return request.requestClass.safe()
-                ? RespCommands.command("SVC.QUERY", request.customer, request.id, marks)
-                : RespCommands.command("SVC.SUBMIT", request.customer, request.id, marks, "body of " + request.id);
+                ? RespCommands.command("SVC.QUERY", request.customer, request.id, parameters)
+                : RespCommands.command("SVC.SUBMIT", request.customer, request.id, parameters, "body of " + request.id);
     }
 
     /** Requests of a class that this gateway does not know, such as those of a configuration that it has not read yet. */
--- a/laboratory/src/test/java/opalcove/laboratory/GatewayStartsTest.java
+++ b/laboratory/src/test/java/opalcove/laboratory/GatewayStartsTest.java
@@ -30,13 +30,13 @@
             "serve");
 
     @DataProvider
-    public Object[][] away() {
-        return new Object[][] {{StartupBenchmark.Away.SILENT}, {StartupBenchmark.Away.REFUSED}};
+    public Object[][] outages() {
+        return new Object[][] {{StartupBenchmark.Outage.SILENT}, {StartupBenchmark.Outage.REFUSED}};
     }
 
-    @Test(dataProvider = "away")
-    public void allOpenOnTheirKnownListWhileDiscoveryIsAway(StartupBenchmark.Away away) throws Exception {
-        try (StartupBenchmark rig = new StartupBenchmark(GATEWAY, away)) {
+    @Test(dataProvider = "outages")
+    public void allOpenOnTheirKnownListWhileDiscoveryIsAway(StartupBenchmark.Outage outage) throws Exception {
+        try (StartupBenchmark rig = new StartupBenchmark(GATEWAY, outage)) {
             List<StartupBenchmark.Start> starts = rig.run(GATEWAYS);
             assertEquals(starts.size(), GATEWAYS);
             for (StartupBenchmark.Start each : starts) {
@@ -52,7 +52,7 @@
         try {
             List<String> command = new ArrayList<>(GATEWAY);
             command.add(1, "-Xlog:class+load:file=" + loaded);
-            try (StartupBenchmark rig = new StartupBenchmark(command, StartupBenchmark.Away.REFUSED)) {
+            try (StartupBenchmark rig = new StartupBenchmark(command, StartupBenchmark.Outage.REFUSED)) {
                 rig.run(1);
             }
             String classes = Files.readString(loaded);
--- a/laboratory/src/test/java/opalcove/laboratory/coldstart/ColdStartTrialTest.java
+++ b/laboratory/src/test/java/opalcove/laboratory/coldstart/ColdStartTrialTest.java
@@ -29,7 +29,7 @@
     @Test(dataProvider = "fleets")
     public void noColdBackendFallsAndTheBudgetIsUsed(SlowStartRule rule, int gateways, double leastUsed) {
         SlowStartTrial trial = SlowStartTrial.play(new SlowStartPlan(gateways, rule, 1, SEEDS));
-        assertTrue(trial.coldStarts() > 3 * SEEDS, trial.line());
+        assertTrue(trial.slowStarts() > 3 * SEEDS, trial.line());
         assertEquals(trial.falls(), 0, trial.line());
         assertTrue(trial.usedShare() > leastUsed, trial.line());
     }
@@ -95,11 +95,11 @@
         backends.forEach(ModelBackend::crash);
         gateway.listed(lines(backends));
         clock.runUntil(12_000);
-        backends.forEach(ModelBackend::startCold);
+        backends.forEach(ModelBackend::startInSlowStart);
         gateway.listed(lines(backends));
         clock.runUntil(24_000);
         for (ModelBackend backend : backends) {
-            SlowStartPeriod period = backend.coldPeriods().get(0);
+            SlowStartPeriod period = backend.slowStartPeriods().get(0);
             assertTrue(period.usedShare() > 0.05, backend.name() + " " + period.usedShare());
             assertTrue(period.worstRatio() < 1, backend.name() + " " + period.worstRatio());
         }
--- a/laboratory/src/test/java/opalcove/laboratory/soak/OracleTest.java
+++ b/laboratory/src/test/java/opalcove/laboratory/soak/OracleTest.java
@@ -137,13 +137,13 @@
         history.changes.add(drain);
         served(ordinary(history, SoakClass.LOOKUP), 1051);
         assertEquals(judged(history), Set.of(), "not told");
-        drain.toldAt[0] = 0;
+        drain.notifiedAt[0] = 0;
         assertEquals(judged(history), Set.of(), "within the grace");
-        drain.toldAt[0] = -200;
+        drain.notifiedAt[0] = -200;
         assertEquals(judged(history), Set.of(), "never told before 0");
         History late = new History();
         Change early = new Change(0, false, 0, 1);
-        early.toldAt[0] = 0;
+        early.notifiedAt[0] = 0;
         late.changes.add(early);
         Request request = request(late, SoakClass.LOOKUP, 1100);
         attempt(late, request, 0, 1110, 900).overAt = 1120;
@@ -160,10 +160,10 @@
         assertEquals(repeated(SoakClass.ORDER, 2, false), Set.of(SoakRule.REPEAT));
     }
 
-    private Set<SoakRule> repeated(SoakClass requestClass, int backend, boolean turnedAway) {
+    private Set<SoakRule> repeated(SoakClass requestClass, int backend, boolean rejected) {
         History history = new History();
         Request request = ordinary(history, requestClass);
-        request.attempts.get(0).turnedAway = turnedAway;
+        request.attempts.get(0).rejected = rejected;
         attempt(history, request, backend, 1100, 890).overAt = 1200;
         served(request, 1201);
         return judged(history);
@@ -205,7 +205,7 @@
     private Set<SoakRule> sentToCold(int count) {
         History history = new History();
         Change start = new Change(0, true, 1000, 1);
-        start.toldAt[0] = 1000;
+        start.notifiedAt[0] = 1000;
         history.changes.add(start);
         history.starts.put(0, new ArrayList<>(List.of(1000.0)));
         for (int i = 0; i < count; i++) {
--- a/laboratory/src/test/java/opalcove/laboratory/soak/SoakTest.java
+++ b/laboratory/src/test/java/opalcove/laboratory/soak/SoakTest.java
@@ -66,19 +66,19 @@
     public void aSeedGivesTheSamePlan() {
         SoakPlan.Size size = new SoakPlan.Size(0, 0, 0);
         assertEquals(SoakPlan.of(5, size), SoakPlan.of(5, size));
-        assertNotEquals(SoakPlan.of(5, size).troubles(), SoakPlan.of(6, size).troubles());
+        assertNotEquals(SoakPlan.of(5, size).faults(), SoakPlan.of(6, size).faults());
     }
 
     @Test
     public void troublesOfAGroupOverlapAndCanBeLeftOut() {
         SoakPlan plan = SoakPlan.of(7, new SoakPlan.Size(0, 0, 0));
-        for (Fault each : plan.troubles()) {
+        for (Fault each : plan.faults()) {
             assertTrue(
-                    plan.troubles().stream().anyMatch(other -> other.number() != each.number() && other.overlaps(each)),
+                    plan.faults().stream().anyMatch(other -> other.number() != each.number() && other.overlaps(each)),
                     each.toString());
             assertEquals(
-                    plan.without(Set.of(each.number())).troubles().size(),
-                    plan.troubles().size() - 1);
+                    plan.without(Set.of(each.number())).faults().size(),
+                    plan.faults().size() - 1);
         }
     }
 }
