--- a/laboratory/src/main/java/opalcove/laboratory/soak/SoakCluster.java
+++ b/laboratory/src/main/java/opalcove/laboratory/soak/SoakCluster.java
@@ -10,6 +10,7 @@
 import java.util.Collections;
 import java.util.List;
 import java.util.concurrent.CompletableFuture;
+import java.util.concurrent.ScheduledFuture;
 import java.util.concurrent.TimeUnit;
 
 /** The processes of one run, the connections between them and what stands in for discovery. */
@@ -28,6 +29,9 @@
     private final Fleet fleet;
     private final List<BackendProcess> backends = new ArrayList<>();
     private final List<GatewayProcess> gateways = new ArrayList<>();
+    /** Guards the history against a lag that is added while the oracle reads it. */
+    private final ScheduledFuture<?> lagWatch;
+
     private final List<List<BackendConnection>> connections = new ArrayList<>();
     private final List<List<DiscoveryAgent>> agents = new ArrayList<>();
     private final List<Traffic> traffics = new ArrayList<>();
@@ -50,7 +54,7 @@
         }
         gateways.forEach(each -> each.shim().ifPresent(shim -> shim.shiftClock(clockAheadMs)));
         startGateways();
-        loop.scheduleAtFixedRate(new LagWatch(), LAG_LOOK_MS, LAG_LOOK_MS, TimeUnit.MILLISECONDS);
+        lagWatch = loop.scheduleAtFixedRate(new LagWatch(), LAG_LOOK_MS, LAG_LOOK_MS, TimeUnit.MILLISECONDS);
         Thread sampling = new Thread(this::sample, "descriptors");
         sampling.setDaemon(true);
         sampling.start();
@@ -200,13 +204,16 @@
         onLoop(() -> traffics.forEach(Traffic::stop));
     }
 
-    /** Ends all gateways by SIGTERM, and judges what they have logged. */
+    /** Ends all gateways by SIGTERM, judges what they have logged, and stops recording: the history does not change after it. */
     void end() throws Exception {
         forAll(gateways, GatewayProcess::end);
         for (GatewayProcess each : gateways) {
             each.judgeLog();
         }
-        onLoop(() -> history.processViolations.addAll(processViolations));
+        onLoop(() -> {
+            lagWatch.cancel(false);
+            history.processViolations.addAll(processViolations);
+        });
     }
 
     private void sample() {
