--- a/gateway/src/main/java/opalcove/cluster/MembershipCodec.java
+++ b/gateway/src/main/java/opalcove/cluster/MembershipCodec.java
@@ -32,8 +32,8 @@
         JsonArray words = new JsonArray();
         for (GossipEntry word : message.gossip()) {
             JsonObject each = member(word.member());
-            if (!word.by().isEmpty()) {
-                each.add("b", word.by());
+            if (!word.accuser().isEmpty()) {
+                each.add("b", word.accuser());
             }
             words.add(each);
         }
--- a/gateway/src/main/java/opalcove/cluster/MembershipService.java
+++ b/gateway/src/main/java/opalcove/cluster/MembershipService.java
@@ -17,6 +17,7 @@
 import opalcove.config.InvalidConfigurationException;
 import opalcove.membership.FailureDetector;
 import opalcove.membership.Member;
+import opalcove.membership.ProtocolCounts;
 import opalcove.membership.SwimMessage;
 import org.tinylog.Logger;
 
@@ -34,7 +35,7 @@
     private final MembershipConfig settings;
     private final Consumer<String> events;
     private final DatagramSocket socket;
-    private FailureDetector swim;
+    private FailureDetector detector;
     private long timer = -1;
     private long sent;
     private long received;
@@ -65,7 +66,7 @@
                                     + open.localAddress().port()
                             : settings.advertise();
                     // The time of the start as first incarnation: higher than that of any earlier process of this name.
-                    swim = new FailureDetector(
+                    detector = new FailureDetector(
                             now(),
                             name,
                             address,
@@ -74,7 +75,7 @@
                             settings.figures(),
                             new SplittableRandom(),
                             new Host());
-                    swim.know(known);
+                    detector.addKnown(known);
                     open.handler(this::received);
                     open.exceptionHandler(e -> Logger.debug("membership: {}", e.getMessage()));
                     Logger.info("membership: {} at {}, seeds {}", name, address, settings.seeds());
@@ -88,7 +89,7 @@
     }
 
     private void tick() {
-        swim.tick(now());
+        detector.tick(now());
         publish();
         arm();
     }
@@ -98,7 +99,7 @@
         if (timer >= 0) {
             vertx.cancelTimer(timer);
         }
-        timer = vertx.setTimer(Math.max(1, swim.due() - now()), due -> {
+        timer = vertx.setTimer(Math.max(1, detector.nextTickMs() - now()), due -> {
             timer = -1;
             tick();
         });
@@ -114,15 +115,15 @@
             return;
         }
         received++;
-        swim.receive(now(), message);
+        detector.receive(now(), message);
         arm();
     }
 
     /** Tells the others that this member goes; to be called some gossip periods before the process ends. */
     public void leave() {
         vertx.runOnContext(told -> {
-            if (swim != null && swim.self().state() == Member.State.ALIVE) {
-                swim.leave(now());
+            if (detector != null && detector.self().state() == Member.State.ALIVE) {
+                detector.leave(now());
                 publish();
                 arm();
             }
@@ -130,32 +131,32 @@
     }
 
     private void publish() {
-        FailureDetector.Counts counts = swim.counts();
-        long suspects = swim.others().stream()
+        ProtocolCounts counts = detector.counts();
+        long suspects = detector.peers().stream()
                 .filter(each -> each.state() == Member.State.SUSPECT)
                 .count();
         StringBuilder text = new StringBuilder(512);
-        figure(text, "members", swim.fleet().size(), 'g');
+        figure(text, "members", detector.presentMembers().size(), 'g');
         figure(text, "suspects", suspects, 'g');
-        figure(text, "health", swim.health(), 'g');
-        figure(text, "version", swim.version(), 'g');
-        figure(text, "incarnation", swim.self().incarnation(), 'g');
+        figure(text, "health", detector.healthScore(), 'g');
+        figure(text, "version", detector.version(), 'g');
+        figure(text, "incarnation", detector.self().incarnation(), 'g');
         figure(text, "sent", sent, 'c');
         figure(text, "received", received, 'c');
         figure(text, "unreadable", unreadable, 'c');
         figure(text, "probes", counts.probes(), 'c');
         figure(text, "acks", counts.acks(), 'c');
-        figure(text, "helped", counts.helped(), 'c');
+        figure(text, "helped", counts.requestedProbes(), 'c');
         figure(text, "suspicions", counts.suspicions(), 'c');
-        figure(text, "confirmed", counts.confirmed(), 'c');
-        figure(text, "refuted", counts.refuted(), 'c');
+        figure(text, "confirmed", counts.confirmedDeaths(), 'c');
+        figure(text, "refuted", counts.refutations(), 'c');
         figure(text, "pauses", counts.pauses(), 'c');
         lines = text.toString();
         StringBuilder list = new StringBuilder(256);
-        line(list, swim.self());
-        swim.others().forEach(each -> line(list, each));
+        line(list, detector.self());
+        detector.peers().forEach(each -> line(list, each));
         members = list.toString();
-        fleet = List.copyOf(swim.fleet());
+        fleet = List.copyOf(detector.presentMembers());
     }
 
     private static void figure(StringBuilder text, String figure, long value, char kind) {
@@ -208,7 +209,7 @@
         }
 
         @Override
-        public void changed(Member before, Member after) {
+        public void memberChanged(Member before, Member after) {
             Logger.info("membership: {} is {} (incarnation {})", after.name(), after.state(), after.incarnation());
             if (settings.events()) {
                 JsonObject event = Json.object()
--- a/laboratory/src/main/java/opalcove/laboratory/MembershipModel.java
+++ b/laboratory/src/main/java/opalcove/laboratory/MembershipModel.java
@@ -27,13 +27,13 @@
     private final class Node extends Process {
         final String name;
         final long incarnation;
-        final FailureDetector swim;
+        final FailureDetector detector;
         long tickAt = Long.MAX_VALUE;
 
         Node(String name) {
             this.name = name;
             incarnation = now() + 1;
-            swim = new FailureDetector(
+            detector = new FailureDetector(
                     now(), name, name, incarnation, seeds, figures, random.split(), new FailureDetector.Host() {
                         @Override
                         public void send(String address, SwimMessage message) {
@@ -41,7 +41,7 @@
                         }
 
                         @Override
-                        public void changed(Member before, Member after) {
+                        public void memberChanged(Member before, Member after) {
                             history.add(new Change(now(), name, before, after));
                         }
                     });
@@ -49,13 +49,13 @@
 
         @Override
         void arm() {
-            long due = Math.max(now(), swim.due());
+            long due = Math.max(now(), detector.nextTickMs());
             if (due < tickAt) {
                 tickAt = due;
                 at(due, () -> {
                     if (tickAt == due) {
                         tickAt = Long.MAX_VALUE;
-                        whenAwake(() -> swim.tick(now()));
+                        whenAwake(() -> detector.tick(now()));
                     }
                 });
             }
@@ -91,9 +91,9 @@
     public void startKnown(List<String> names) {
         names.forEach(name -> nodes.put(name, new Node(name)));
         List<Member> all =
-                names.stream().map(name -> nodes.get(name).swim.self()).toList();
+                names.stream().map(name -> nodes.get(name).detector.self()).toList();
         for (String name : names) {
-            nodes.get(name).swim.know(all);
+            nodes.get(name).detector.addKnown(all);
             nodes.get(name).arm();
         }
     }
@@ -111,7 +111,7 @@
     /** Has a member say that it goes, and ends it half a second later. */
     public void leave(String name) {
         Node node = nodes.get(name);
-        node.whenAwake(() -> node.swim.leave(now()));
+        node.whenAwake(() -> node.detector.leave(now()));
         at(now() + 500, node::end);
     }
 
@@ -120,7 +120,7 @@
         words += message.gossip().size();
         Node target = nodes.get(to);
         if (target != null) {
-            carry(from, to, () -> target.whenAwake(() -> target.swim.receive(now(), message)));
+            carry(from, to, () -> target.whenAwake(() -> target.detector.receive(now(), message)));
         }
     }
 
@@ -141,11 +141,11 @@
 
     /** What one member holds of the others. */
     public FailureDetector member(String name) {
-        return nodes.get(name).swim;
+        return nodes.get(name).detector;
     }
 
     /** Names that this member holds for a part of the fleet, itself among them. */
     public List<String> fleet(String name) {
-        return member(name).fleet().stream().map(Member::name).toList();
+        return member(name).presentMembers().stream().map(Member::name).toList();
     }
 }
--- a/laboratory/src/test/java/opalcove/laboratory/MembershipModelTest.java
+++ b/laboratory/src/test/java/opalcove/laboratory/MembershipModelTest.java
@@ -118,7 +118,7 @@
                             .filter(each -> !each.after().name().equals(name(6)))
                             .toList(),
                     List.of());
-            assertTrue(model.member(name(6)).health() > 0, "it knows that it is slow itself");
+            assertTrue(model.member(name(6)).healthScore() > 0, "it knows that it is slow itself");
         }
     }
 
--- a/membership/src/main/java/opalcove/membership/SwimMessage.java
+++ b/membership/src/main/java/opalcove/membership/SwimMessage.java
@@ -3,32 +3,34 @@
 import java.util.List;
 
 /**
- * A message between members. Every one carries word of members (gossip): suspicions are told again to whom they concern.
+ * A message between members. Each one carries gossip.
  *
- * @param kind what it asks or answers
- * @param from the sender, as it knows itself
- * @param sequence the number of the probe, of the one who asked for it
- * @param target whom it is about, a name: for PING, who is meant by it; for PING_REQ, who is to be pinged; else empty
- * @param targetAddress where that one is, for PING_REQ; else empty
- * @param gossip word of members, of the sender too where it is news
+ * @param kind what it requests or answers
+ * @param from the sender, as it announces itself
+ * @param sequence the number of the probe, as given by the member that requested it
+ * @param target a member's name: for PING the intended receiver, for PING_REQ the member to probe; else empty
+ * @param targetAddress the target's address for PING_REQ; else empty
+ * @param gossip states of members, among them the sender's own while that is news
  */
 public record SwimMessage(
         Kind kind, Member from, long sequence, String target, String targetAddress, List<GossipEntry> gossip) {
-    /** What a message asks or answers. */
+    /** What a message requests or answers. The constants' names are also their names in datagrams. */
     public enum Kind {
-        /** Asks for an ACK. */
+        /** Requests an ACK. */
         PING,
-        /** Answers a PING, or tells that a PING_REQ was answered. */
+        /** Answers a PING, or reports to the requester that its PING_REQ succeeded. */
         ACK,
-        /** Asks the receiver to ping another member. */
+        /** Requests that the receiver probes another member. */
         PING_REQ,
-        /** Tells who asked by PING_REQ that no answer came in time: it is not this helper that is silent. */
+        /**
+         * Reports to the requester of a PING_REQ that the target did not answer in time; so this helper is not silent.
+         */
         NACK,
-        /** Brings all that the sender knows, and asks for the same. */
+        /** Carries the complete state of the sender and requests that of the receiver. */
         SYNC,
-        /** Answers a SYNC. */
+        /** Answers a SYNC with the complete state. */
         SYNC_ACK,
-        /** Brings nothing but gossip. */
+        /** Carries nothing but gossip. */
         GOSSIP
     }
 
--- a/membership/src/test/java/opalcove/membership/SameSeedSameMessagesTest.java
+++ b/membership/src/test/java/opalcove/membership/SameSeedSameMessagesTest.java
@@ -65,7 +65,7 @@
                         }
 
                         @Override
-                        public void changed(Member before, Member after) {
+                        public void memberChanged(Member before, Member after) {
                             changes++;
                             note("changed " + name + " " + form(before) + " " + form(after));
                         }
@@ -76,7 +76,7 @@
         }
 
         private void arm(String name) {
-            long due = Math.max(nowMs, members.get(name).due());
+            long due = Math.max(nowMs, members.get(name).nextTickMs());
             if (due < ticksAt.getOrDefault(name, Long.MAX_VALUE)) {
                 ticksAt.put(name, due);
                 at(due, () -> {
@@ -111,7 +111,7 @@
             message.gossip().forEach(each -> text.append(' ')
                     .append(form(each.member()))
                     .append('/')
-                    .append(each.by()));
+                    .append(each.accuser()));
             note(text.toString());
             if (!members.containsKey(to) || from.equals(cutOff) || to.equals(cutOff) || random.nextInt(20) == 0) {
                 return;
@@ -156,18 +156,18 @@
 
         /** Checksum, numbers of messages, words and changes, and what one member counts and knows. */
         private String result() {
-            FailureDetector.Counts counts = members.get("m00").counts();
+            ProtocolCounts counts = members.get("m00").counts();
             return Long.toHexString(sum.getValue()) + " " + messages + " " + words + " " + changes + " "
-                    + members.get("m00").fleet().size() + " "
+                    + members.get("m00").presentMembers().size() + " "
                     + members.get("m00").version() + " "
-                    + members.get("m00").health() + " "
+                    + members.get("m00").healthScore() + " "
                     + List.of(
                             counts.probes(),
                             counts.acks(),
-                            counts.helped(),
+                            counts.requestedProbes(),
                             counts.suspicions(),
-                            counts.confirmed(),
-                            counts.refuted(),
+                            counts.confirmedDeaths(),
+                            counts.refutations(),
                             counts.pauses());
         }
     }
