--- a/gateway/src/main/java/opalcove/cluster/MembershipCodec.java
+++ b/gateway/src/main/java/opalcove/cluster/MembershipCodec.java
@@ -11,13 +11,16 @@
 import opalcove.membership.Member;
 import opalcove.membership.SwimMessage;
 
-/** Messages between members as datagrams: one JSON object each, names of one letter, the sender first. */
+/**
+ * Writes and reads the messages between members: a datagram is one JSON object with names of one letter, the sender
+ * first.
+ */
 public final class MembershipCodec {
-    private static final int LONGEST_NAME = 128;
+    private static final int MAX_NAME_LENGTH = 128;
 
     private MembershipCodec() {}
 
-    /** The message's bytes. */
+    /** The message as a datagram. */
     public static byte[] write(SwimMessage message) {
         JsonObject object = Json.object()
                 .add("f", member(message.from()))
@@ -29,15 +32,15 @@
         if (!message.targetAddress().isEmpty()) {
             object.add("a", message.targetAddress());
         }
-        JsonArray words = new JsonArray();
-        for (GossipEntry word : message.gossip()) {
-            JsonObject each = member(word.member());
-            if (!word.accuser().isEmpty()) {
-                each.add("b", word.accuser());
+        JsonArray gossip = new JsonArray();
+        for (GossipEntry entry : message.gossip()) {
+            JsonObject member = member(entry.member());
+            if (!entry.accuser().isEmpty()) {
+                member.add("b", entry.accuser());
             }
-            words.add(each);
+            gossip.add(member);
         }
-        return object.add("w", words).toString().getBytes(StandardCharsets.UTF_8);
+        return object.add("w", gossip).toString().getBytes(StandardCharsets.UTF_8);
     }
 
     private static JsonObject member(Member member) {
@@ -48,10 +51,14 @@
                 .add("s", member.state().name());
     }
 
-    /** Reads a message; one that is none fails with key and reason. */
+    /**
+     * Reads a datagram.
+     *
+     * @throws InvalidConfigurationException with key and reason, if it is no message
+     */
     public static SwimMessage read(byte[] bytes) {
         JsonFields fields = JsonFields.parse(new String(bytes, StandardCharsets.UTF_8));
-        List<GossipEntry> words = fields.objects("w").stream()
+        List<GossipEntry> gossip = fields.objects("w").stream()
                 .map(each -> new GossipEntry(member(each), name(each.textOr("b", ""), true)))
                 .toList();
         return new SwimMessage(
@@ -60,7 +67,7 @@
                 fields.serial("s"),
                 name(fields.textOr("t", ""), true),
                 fields.textOr("a", ""),
-                words);
+                gossip);
     }
 
     private static Member member(JsonFields fields) {
@@ -73,10 +80,10 @@
 
     private static String name(String name, boolean mayBeEmpty) {
         if (name.isEmpty() && !mayBeEmpty
-                || name.length() > LONGEST_NAME
-                || !name.chars().allMatch(c -> c > ' ' && c < 127)) {
+                || name.length() > MAX_NAME_LENGTH
+                || !name.chars().allMatch(character -> character > ' ' && character < 127)) {
             throw new InvalidConfigurationException(
-                    "a member's name must be 1 to " + LONGEST_NAME + " visible characters");
+                    "a member's name must be 1 to " + MAX_NAME_LENGTH + " visible characters");
         }
         return name;
     }
--- a/gateway/src/main/java/opalcove/cluster/MembershipConfig.java
+++ b/gateway/src/main/java/opalcove/cluster/MembershipConfig.java
@@ -7,15 +7,25 @@
 import opalcove.membership.SwimConfig;
 
 /**
- * The section {@code membership} of the configuration: where this member listens for datagrams, the address that it tells
- * the others ({@code advertise}, where that is another), some members to join through, the protocol's figures, and whether
- * each change is written to standard output as a JSON line ({@code events}).
+ * The section {@code membership} of the configuration.
+ *
+ * @param listen where this member listens for datagrams
+ * @param advertise the address that it gives to other members; empty for the one that it listens at
+ * @param seeds addresses of members to join the fleet through
+ * @param protocol times and limits of the protocol
+ * @param events whether each change is written to standard output as a JSON line
  */
 public record MembershipConfig(
-        HostAndPort listen, String advertise, List<String> seeds, SwimConfig figures, boolean events) {
-    private static final int LEAST_PROBE_MS = 20;
+        HostAndPort listen, String advertise, List<String> seeds, SwimConfig protocol, boolean events) {
+    private static final int MIN_PROBE_PERIOD_MS = 20;
+    private static final int MAX_PROBE_PERIOD_MS = 60_000;
+    private static final int DEFAULT_PROBE_PERIOD_MS = 500;
 
-    /** Reads the section; what is wrong is told with its key. */
+    /**
+     * Reads the section.
+     *
+     * @throws InvalidConfigurationException with the key of what is wrong
+     */
     public static MembershipConfig read(JsonFields fields) {
         HostAndPort listen = HostAndPort.read(fields.text("listen"), "membership.listen");
         String advertise = fields.textOr("advertise", "");
@@ -24,11 +34,11 @@
         }
         List<String> seeds = fields.texts("seeds");
         seeds.forEach(seed -> HostAndPort.read(seed, "membership.seeds"));
-        int probeMs = fields.wholeOr("probe_ms", 500);
-        if (probeMs < LEAST_PROBE_MS || probeMs > 60_000) {
+        int probePeriodMs = fields.wholeOr("probe_ms", DEFAULT_PROBE_PERIOD_MS);
+        if (probePeriodMs < MIN_PROBE_PERIOD_MS || probePeriodMs > MAX_PROBE_PERIOD_MS) {
             throw new InvalidConfigurationException(
-                    "membership.probe_ms", "must be from " + LEAST_PROBE_MS + " to 60000");
+                    "membership.probe_ms", "must be from " + MIN_PROBE_PERIOD_MS + " to " + MAX_PROBE_PERIOD_MS);
         }
-        return new MembershipConfig(listen, advertise, seeds, SwimConfig.of(probeMs), fields.flag("events"));
+        return new MembershipConfig(listen, advertise, seeds, SwimConfig.of(probePeriodMs), fields.flag("events"));
     }
 }
--- a/gateway/src/main/java/opalcove/cluster/MembershipService.java
+++ b/gateway/src/main/java/opalcove/cluster/MembershipService.java
@@ -1,7 +1,6 @@
 package opalcove.cluster;
 
 import com.eclipsesource.json.Json;
-import com.eclipsesource.json.JsonObject;
 import io.vertx.core.Future;
 import io.vertx.core.Vertx;
 import io.vertx.core.buffer.Buffer;
@@ -22,17 +21,20 @@
 import org.tinylog.Logger;
 
 /**
- * This process as a member of the gateways' fleet: the protocol's part ({@link FailureDetector}) on datagrams and timers. It runs on
- * an event loop of its own, apart from client work, whose turns would look to the others like silence. What others read
- * of it ({@link #figures}, {@link #memberList}) is published at each tick, a gossip period apart at most: not at each datagram,
- * whose cost would grow with the fleet.
+ * This process as a member of the gateways' fleet: its {@link FailureDetector} on datagrams and timers. Owned by an
+ * event loop of its own, apart from client work, whose long turns would look like silence to the other members. What
+ * other threads read ({@link #figures}, {@link #memberList}, {@link #presentMembers}) is published at each tick, at
+ * most a gossip period apart: not at each datagram, whose cost would grow with the fleet.
  */
 public final class MembershipService {
-    private static final int BUFFER = 1 << 20;
+    private static final int SOCKET_BUFFER_BYTES = 1 << 20;
+    private static final char GAUGE = 'g';
+    private static final char COUNTER = 'c';
 
     private final Vertx vertx;
     private final String name;
     private final MembershipConfig settings;
+    private final List<Member> knownMembers;
     private final Consumer<String> events;
     private final DatagramSocket socket;
     private FailureDetector detector;
@@ -40,24 +42,30 @@
     private long sent;
     private long received;
     private long unreadable;
-    private final List<Member> known;
-    private volatile List<Member> fleet = List.of();
-    private volatile String lines = "";
-    private volatile String members = "";
-
-    /** A member of that name, which knows some others from before; the events, where the settings want them, go to the consumer, a JSON object each. */
+    private volatile List<Member> presentMembers = List.of();
+    private volatile String figures = "";
+    private volatile String memberList = "";
+
+    /**
+     * A member that has not started yet.
+     *
+     * @param vertx an event loop of its own
+     * @param knownMembers members known from before the start
+     * @param events receives a JSON object for each change, if the settings ask for events
+     */
     public MembershipService(
-            Vertx own, String name, MembershipConfig settings, List<Member> known, Consumer<String> events) {
-        this.known = known;
-        vertx = own;
+            Vertx vertx, String name, MembershipConfig settings, List<Member> knownMembers, Consumer<String> events) {
+        this.vertx = vertx;
         this.name = name;
         this.settings = settings;
+        this.knownMembers = knownMembers;
         this.events = events;
-        socket = own.createDatagramSocket(
-                new DatagramSocketOptions().setReceiveBufferSize(BUFFER).setSendBufferSize(BUFFER));
+        socket = vertx.createDatagramSocket(new DatagramSocketOptions()
+                .setReceiveBufferSize(SOCKET_BUFFER_BYTES)
+                .setSendBufferSize(SOCKET_BUFFER_BYTES));
     }
 
-    /** Listens and joins; fails where the address cannot be listened at. */
+    /** Listens and joins the fleet; fails if the address cannot be listened at. */
     public Future<Void> start() {
         return socket.listen(settings.listen().port(), settings.listen().address())
                 .map(open -> {
@@ -67,16 +75,16 @@
                             : settings.advertise();
                     // The time of the start as first incarnation: higher than that of any earlier process of this name.
                     detector = new FailureDetector(
-                            now(),
+                            monotonicMs(),
                             name,
                             address,
                             System.currentTimeMillis(),
                             settings.seeds(),
-                            settings.figures(),
+                            settings.protocol(),
                             new SplittableRandom(),
                             new Host());
-                    detector.addKnown(known);
-                    open.handler(this::received);
+                    detector.addKnown(knownMembers);
+                    open.handler(this::onDatagram);
                     open.exceptionHandler(e -> Logger.debug("membership: {}", e.getMessage()));
                     Logger.info("membership: {} at {}, seeds {}", name, address, settings.seeds());
                     tick();
@@ -84,84 +92,87 @@
                 });
     }
 
-    private static long now() {
+    private static long monotonicMs() {
         return TimeUnit.NANOSECONDS.toMillis(System.nanoTime());
     }
 
     private void tick() {
-        detector.tick(now());
+        detector.tick(monotonicMs());
         publish();
-        arm();
+        armTimer();
     }
 
-    /** Sets the timer to when there is work. */
-    private void arm() {
+    private void armTimer() {
         if (timer >= 0) {
             vertx.cancelTimer(timer);
         }
-        timer = vertx.setTimer(Math.max(1, detector.nextTickMs() - now()), due -> {
+        timer = vertx.setTimer(Math.max(1, detector.nextTickMs() - monotonicMs()), due -> {
             timer = -1;
             tick();
         });
     }
 
-    private void received(DatagramPacket packet) {
+    private void onDatagram(DatagramPacket datagram) {
         SwimMessage message;
         try {
-            message = MembershipCodec.read(packet.data().getBytes());
+            message = MembershipCodec.read(datagram.data().getBytes());
         } catch (InvalidConfigurationException e) {
             unreadable++;
-            Logger.debug("membership: a datagram is not read: {}", e.getMessage());
+            Logger.debug("membership: unreadable datagram: {}", e.getMessage());
             return;
         }
         received++;
-        detector.receive(now(), message);
-        arm();
+        detector.receive(monotonicMs(), message);
+        armTimer();
     }
 
-    /** Tells the others that this member goes; to be called some gossip periods before the process ends. */
+    /** Announces that this member leaves; to be called some gossip periods before the process ends. */
     public void leave() {
-        vertx.runOnContext(told -> {
+        vertx.runOnContext(called -> {
             if (detector != null && detector.self().state() == Member.State.ALIVE) {
-                detector.leave(now());
+                detector.leave(monotonicMs());
                 publish();
-                arm();
+                armTimer();
             }
         });
     }
 
     private void publish() {
+        figures = currentFigures();
+        StringBuilder list = new StringBuilder(256);
+        appendMember(list, detector.self());
+        detector.peers().forEach(each -> appendMember(list, each));
+        memberList = list.toString();
+        presentMembers = List.copyOf(detector.presentMembers());
+    }
+
+    private String currentFigures() {
         ProtocolCounts counts = detector.counts();
         long suspects = detector.peers().stream()
                 .filter(each -> each.state() == Member.State.SUSPECT)
                 .count();
         StringBuilder text = new StringBuilder(512);
-        figure(text, "members", detector.presentMembers().size(), 'g');
-        figure(text, "suspects", suspects, 'g');
-        figure(text, "health", detector.healthScore(), 'g');
-        figure(text, "version", detector.version(), 'g');
-        figure(text, "incarnation", detector.self().incarnation(), 'g');
-        figure(text, "sent", sent, 'c');
-        figure(text, "received", received, 'c');
-        figure(text, "unreadable", unreadable, 'c');
-        figure(text, "probes", counts.probes(), 'c');
-        figure(text, "acks", counts.acks(), 'c');
-        figure(text, "helped", counts.requestedProbes(), 'c');
-        figure(text, "suspicions", counts.suspicions(), 'c');
-        figure(text, "confirmed", counts.confirmedDeaths(), 'c');
-        figure(text, "refuted", counts.refutations(), 'c');
-        figure(text, "pauses", counts.pauses(), 'c');
-        lines = text.toString();
-        StringBuilder list = new StringBuilder(256);
-        line(list, detector.self());
-        detector.peers().forEach(each -> line(list, each));
-        members = list.toString();
-        fleet = List.copyOf(detector.presentMembers());
+        appendFigure(text, "members", detector.presentMembers().size(), GAUGE);
+        appendFigure(text, "suspects", suspects, GAUGE);
+        appendFigure(text, "health", detector.healthScore(), GAUGE);
+        appendFigure(text, "version", detector.version(), GAUGE);
+        appendFigure(text, "incarnation", detector.self().incarnation(), GAUGE);
+        appendFigure(text, "sent", sent, COUNTER);
+        appendFigure(text, "received", received, COUNTER);
+        appendFigure(text, "unreadable", unreadable, COUNTER);
+        appendFigure(text, "probes", counts.probes(), COUNTER);
+        appendFigure(text, "acks", counts.acks(), COUNTER);
+        appendFigure(text, "helped", counts.requestedProbes(), COUNTER);
+        appendFigure(text, "suspicions", counts.suspicions(), COUNTER);
+        appendFigure(text, "confirmed", counts.confirmedDeaths(), COUNTER);
+        appendFigure(text, "refuted", counts.refutations(), COUNTER);
+        appendFigure(text, "pauses", counts.pauses(), COUNTER);
+        return text.toString();
     }
 
-    private static void figure(StringBuilder text, String figure, long value, char kind) {
+    private static void appendFigure(StringBuilder text, String key, long value, char kind) {
         text.append("membership.")
-                .append(figure)
+                .append(key)
                 .append(':')
                 .append(value)
                 .append('|')
@@ -169,7 +180,7 @@
                 .append('\n');
     }
 
-    private static void line(StringBuilder text, Member member) {
+    private static void appendMember(StringBuilder text, Member member) {
         text.append(member.name())
                 .append(' ')
                 .append(member.address())
@@ -180,31 +191,34 @@
                 .append('\n');
     }
 
-    /** The figures, a line each, in the form of the other figures. */
+    /** The figures, a line each, in the form of STATS. May be called on any thread. */
     public String figures() {
-        return lines;
+        return figures;
     }
 
-    /** The members held for present, this one among them. */
+    /** The members that are present, this one included. May be called on any thread. */
     public List<Member> presentMembers() {
-        return fleet;
+        return presentMembers;
     }
 
-    /** What is known of each member, this one first: name, address, incarnation and state, a line each. */
+    /**
+     * All members that are known, this one first: name, address, incarnation and state, a line each. May be called on
+     * any thread.
+     */
     public String memberList() {
-        return members;
+        return memberList;
     }
 
     private final class Host implements FailureDetector.Host {
         @Override
         public void send(String address, SwimMessage message) {
             try {
-                HostAndPort at = HostAndPort.read(address, "address");
+                HostAndPort to = HostAndPort.read(address, "address");
                 sent++;
-                socket.send(Buffer.buffer(MembershipCodec.write(message)), at.port(), at.address())
+                socket.send(Buffer.buffer(MembershipCodec.write(message)), to.port(), to.address())
                         .onFailure(e -> Logger.debug("membership: not sent to {}: {}", address, e.getMessage()));
             } catch (InvalidConfigurationException e) {
-                Logger.warn("membership: a member's address cannot be used: {}", e.getMessage());
+                Logger.warn("membership: unusable address of a member: {}", e.getMessage());
             }
         }
 
@@ -212,7 +226,7 @@
         public void memberChanged(Member before, Member after) {
             Logger.info("membership: {} is {} (incarnation {})", after.name(), after.state(), after.incarnation());
             if (settings.events()) {
-                JsonObject event = Json.object()
+                events.accept(Json.object()
                         .add("at_ms", System.currentTimeMillis())
                         .add("event", "member")
                         .add("observer", name)
@@ -222,8 +236,8 @@
                         .add("state", after.state().name())
                         .add(
                                 "before",
-                                before == null ? "UNKNOWN" : before.state().name());
-                events.accept(event.toString());
+                                before == null ? "UNKNOWN" : before.state().name())
+                        .toString());
             }
         }
     }
--- a/gateway/src/test/java/opalcove/server/MembershipSectionTest.java
+++ b/gateway/src/test/java/opalcove/server/MembershipSectionTest.java
@@ -58,7 +58,7 @@
     @Test
     public void aSectionWithAWrongValueIsRefusedByItsKey() {
         String good = "{\"listen\":\"127.0.0.1:0\",\"seeds\":[\"127.0.0.1:7001\"],\"probe_ms\":500}";
-        assertEquals(MembershipConfig.read(JsonFields.parse(good)).figures().ackTimeoutMs(), 200);
+        assertEquals(MembershipConfig.read(JsonFields.parse(good)).protocol().ackTimeoutMs(), 200);
         for (String[] wrong : new String[][] {
             {"127.0.0.1:0", "nowhere", "membership.listen"},
             {"127.0.0.1:7001", "here", "membership.seeds"},
