--- a/cli/src/main/java/opalcove/cli/StateCommand.java
+++ b/cli/src/main/java/opalcove/cli/StateCommand.java
@@ -100,10 +100,10 @@
                 if (json) {
                     list.add(Json.object()
                             .add("number", each.number())
-                            .add("by", each.by())
+                            .add("by", each.author())
                             .add("id", each.id()));
                 } else {
-                    System.out.println(each.number() + " " + each.by() + " " + each.id());
+                    System.out.println(each.number() + " " + each.author() + " " + each.id());
                 }
             }
             if (json) {
@@ -150,7 +150,7 @@
                 return 0;
             }
             VersionLog.Outcome outcome = client.propose(version.number(), by, text);
-            if (!outcome.taken()) {
+            if (!outcome.accepted()) {
                 throw new InvalidConfigurationException("refused: " + outcome.reason());
             }
             System.out.println("version " + outcome.version() + " is in force");
--- a/configlease/src/main/java/opalcove/configlease/ConfigLease.java
+++ b/configlease/src/main/java/opalcove/configlease/ConfigLease.java
@@ -6,140 +6,153 @@
 import opalcove.configlease.LeaseState.Mode;
 
 /**
- * One gateway's part of agreed versions: when to have its version confirmed and by whom, and what it may act on meanwhile. It
- * makes no I/O and has no clock: it is told the time, and says what is to be asked. Not for several threads.
+ * One gateway's lease on the configuration: when to have its version confirmed by which voter, and what the gateway may
+ * act on meanwhile. It does no I/O and reads no clock: the host passes the time in, in ms of a monotonic clock. Not
+ * thread-safe; owned by one thread of its host.
  *
- * <p>A voter's word says which version was the newest at some moment after the question was asked. So a version confirmed
- * by a question of time t was not followed by another before t, and may be acted on until t + lease: two gateways act on
- * two versions for a lease at most, whatever their clocks say, as long as these go at the same rate.
+ * <p>A voter's response names the version that was the newest at some moment after the request. So a version confirmed
+ * by a request of time t was not followed by another one before t, and may be acted on until t + lease: two gateways
+ * act on two versions for at most one lease, whatever their clocks show, as long as the clocks run at the same rate.
  */
 public final class ConfigLease {
-    /** What a lease has its host do. */
+    /** The effects of a lease, on the thread that calls it. */
     public interface Host {
-        /** Asks a voter for the newest version; the question may be lost. {@code version}: the one held, 0 for none. */
-        void ask(String voter, long number, long version);
+        /** Requests the newest version from a voter, without any guarantee of delivery; heldVersion is 0 for none. */
+        void requestVersion(String voter, long sequence, long heldVersion);
 
-        /** What may be acted on has changed. text: the version's, told whenever the version is another. */
-        void stands(LeaseState before, LeaseState after, String text);
+        /** Version or mode have changed; text is the document of the version held. */
+        void leaseChanged(LeaseState before, LeaseState after, String text);
     }
 
-    /** What was done so far; expired: how often a full standing ended. */
-    public record Counts(long asked, long confirmed, long expired, long adopted) {}
+    /**
+     * How often each event has occurred since the start.
+     *
+     * @param requested requests for the newest version
+     * @param confirmed responses that renewed the lease
+     * @param expired leases that ended without a renewal in time
+     * @param adopted newer versions taken over
+     */
+    public record Counts(long requested, long confirmed, long expired, long adopted) {}
 
-    /** Questions out at once, of which the oldest are forgotten. */
-    private static final int MOST_OUT = 64;
+    /** Maximum number of requests in flight; beyond it the oldest ones are forgotten. */
+    private static final int MAX_IN_FLIGHT = 64;
 
-    private final LeaseConfig figures;
+    private final LeaseConfig config;
     private final List<String> voters;
     private final Host host;
-    private final Map<Long, Long> out = new LinkedHashMap<>();
-    private LeaseState standing = new LeaseState(0, Mode.NONE, 0);
+    private final Map<Long, Long> requestTimesMs = new LinkedHashMap<>();
+    private LeaseState state = new LeaseState(0, Mode.NONE, 0);
     private String text = "";
-    private int voter;
-    private long number;
-    private long nextAsk;
-    private long answerDue = Long.MAX_VALUE;
-    private boolean heard;
-    private long asked;
+    private int voterIndex;
+    private long lastSequence;
+    private long nextRequestMs;
+    private long responseDueMs = Long.MAX_VALUE;
+    private boolean hasResponse;
+    private long requested;
     private long confirmed;
     private long expired;
     private long adopted;
 
-    /** A gateway that holds nothing yet; {@code first}: which of the voters it asks first. */
-    public ConfigLease(long now, List<String> voters, int first, LeaseConfig figures, Host host) {
+    /** A gateway that holds no version yet; firstVoter is the index of the voter that gets the first request. */
+    public ConfigLease(long nowMs, List<String> voters, int firstVoter, LeaseConfig config, Host host) {
         this.voters = List.copyOf(voters);
-        this.figures = figures;
+        this.config = config;
         this.host = host;
-        voter = Math.floorMod(first, voters.size());
-        nextAsk = now;
+        voterIndex = Math.floorMod(firstVoter, voters.size());
+        nextRequestMs = nowMs;
     }
 
-    /** What the holder may do now. */
-    public LeaseState standing() {
-        return standing;
+    /** What the gateway may act on now. */
+    public LeaseState state() {
+        return state;
     }
 
-    /** Whether a voter has answered since the start, be it that there is no version yet. */
-    public boolean heard() {
-        return heard;
+    /** Whether a voter has responded since the start, even if only that there is no version yet. */
+    public boolean hasResponse() {
+        return hasResponse;
     }
 
-    /** The text of the version held. */
+    /** The document of the version held; empty before the first. */
     public String text() {
         return text;
     }
 
-    /** How often the lease was asked for, confirmed, expired and taken over since the start. */
+    /** How often each event has occurred since the start. */
     public Counts counts() {
-        return new Counts(asked, confirmed, expired, adopted);
+        return new Counts(requested, confirmed, expired, adopted);
     }
 
-    /** When {@link #tick} has work. */
-    public long due() {
-        long due = Math.min(nextAsk, answerDue);
-        return standing.mode() == Mode.FULL ? Math.min(due, standing.untilMs()) : due;
+    /** When {@link #tick} is next to be called at the latest, in ms. */
+    public long nextTickMs() {
+        long dueMs = Math.min(nextRequestMs, responseDueMs);
+        return state.mode() == Mode.FULL ? Math.min(dueMs, state.expiresAtMs()) : dueMs;
     }
 
-    /** Does what is due; to be called before the version is acted on, too, for a process may have stood still. */
-    public void tick(long now) {
-        if (standing.mode() == Mode.FULL && now >= standing.untilMs()) {
+    /**
+     * Does what is due. To be called before the version is acted on, too: the process may have stood still past the
+     * lease.
+     */
+    public void tick(long nowMs) {
+        if (state.mode() == Mode.FULL && nowMs >= state.expiresAtMs()) {
             expired++;
-            stand(new LeaseState(standing.version(), Mode.STRICT, standing.untilMs()));
+            enter(new LeaseState(state.version(), Mode.STRICT, state.expiresAtMs()));
         }
-        if (now >= answerDue) {
-            voter = (voter + 1) % voters.size();
-            ask(now);
-        } else if (now >= nextAsk) {
-            ask(now);
+        if (nowMs >= responseDueMs) {
+            voterIndex = (voterIndex + 1) % voters.size();
+            request(nowMs);
+        } else if (nowMs >= nextRequestMs) {
+            request(nowMs);
         }
     }
 
-    private void ask(long now) {
-        nextAsk = now + figures.askMs();
-        answerDue = now + figures.patienceMs();
-        out.put(++number, now);
-        if (out.size() > MOST_OUT) {
-            out.remove(out.keySet().iterator().next());
+    private void request(long nowMs) {
+        nextRequestMs = nowMs + config.renewPeriodMs();
+        responseDueMs = nowMs + config.responseTimeoutMs();
+        requestTimesMs.put(++lastSequence, nowMs);
+        if (requestTimesMs.size() > MAX_IN_FLIGHT) {
+            requestTimesMs.remove(requestTimesMs.keySet().iterator().next());
         }
-        asked++;
-        host.ask(voters.get(voter), number, standing.version());
+        requested++;
+        host.requestVersion(voters.get(voterIndex), lastSequence, state.version());
     }
 
-    /** There may be a newer version than the one held: it is asked for at once, but taken from the answer alone. */
-    public void news(long now, long version) {
-        if (version > standing.version()) {
-            ask(now);
+    /** Handles the announcement of a version: a newer one is requested at once, but adopted from the response alone. */
+    public void onVersionAnnounced(long nowMs, long version) {
+        if (version > state.version()) {
+            request(nowMs);
         }
     }
 
     /**
-     * A voter's answer: the newest version at some moment after the question; its text, null where the version is the one that
-     * the question named. Answers to questions that are not out are passed over: their time is not known.
+     * Handles a voter's response: the newest version at some moment after the request, and its document, null if the
+     * version is the one that the request named. Responses to requests that are not in flight are ignored: the time of
+     * their request is not known.
      */
-    public void told(long now, long answered, long version, String versionText) {
-        Long askedAt = out.remove(answered);
-        if (askedAt == null || version < standing.version() || version > standing.version() && versionText == null) {
+    public void onResponse(long nowMs, long sequence, long version, String versionText) {
+        Long requestedAtMs = requestTimesMs.remove(sequence);
+        if (requestedAtMs == null || version < state.version() || version > state.version() && versionText == null) {
             return;
         }
-        answerDue = Long.MAX_VALUE;
-        heard = true;
-        long until = Math.max(askedAt + figures.leaseMs(), standing.mode() == Mode.FULL ? standing.untilMs() : 0);
-        if (version == 0 || now >= until) {
+        responseDueMs = Long.MAX_VALUE;
+        hasResponse = true;
+        long expiresAtMs =
+                Math.max(requestedAtMs + config.leaseMs(), state.mode() == Mode.FULL ? state.expiresAtMs() : 0);
+        if (version == 0 || nowMs >= expiresAtMs) {
             return;
         }
         confirmed++;
-        if (version > standing.version()) {
+        if (version > state.version()) {
             adopted++;
             text = versionText;
         }
-        stand(new LeaseState(version, Mode.FULL, until));
+        enter(new LeaseState(version, Mode.FULL, expiresAtMs));
     }
 
-    private void stand(LeaseState next) {
-        LeaseState before = standing;
-        standing = next;
+    private void enter(LeaseState next) {
+        LeaseState before = state;
+        state = next;
         if (before.version() != next.version() || before.mode() != next.mode()) {
-            host.stands(before, next, text);
+            host.leaseChanged(before, next, text);
         }
     }
 }
--- a/configlease/src/main/java/opalcove/configlease/LeaseState.java
+++ b/configlease/src/main/java/opalcove/configlease/LeaseState.java
@@ -1,17 +1,21 @@
 package opalcove.configlease;
 
 /**
- * What a gateway acts on: the version that it holds, and how. untilMs is when a full standing ends unless it is confirmed
- * anew, by the gateway's own clock; 0 where it is not full.
+ * What a gateway may act on.
+ *
+ * @param version the number of the version that it holds; 0 for none
+ * @param mode how far the version may be acted on
+ * @param expiresAtMs when the lease ends unless it is renewed, in ms of the gateway's own monotonic clock; 0 before the
+ *     first lease
  */
-public record LeaseState(long version, Mode mode, long untilMs) {
-    /** How far a version may be acted on. */
+public record LeaseState(long version, Mode mode, long expiresAtMs) {
+    /** How far a version may be acted on. The constants' names are also the modes' names in events. */
     public enum Mode {
         /** No version is known yet. */
         NONE,
-        /** The version is known, but not confirmed of late: only what cannot contradict another version is kept. */
+        /** The lease has expired: only what cannot conflict with another version is in force. */
         STRICT,
-        /** The version was the newest within a lease's time: all of it holds. */
+        /** The version was the newest one within the lease's time: all of it is in force. */
         FULL
     }
 }
--- a/configlease/src/main/java/opalcove/configlease/VersionLog.java
+++ b/configlease/src/main/java/opalcove/configlease/VersionLog.java
@@ -6,35 +6,62 @@
 import java.util.List;
 
 /**
- * The versions, as each voter has them: proposals taken or refused in the order that the voters agreed on. The same
- * proposals in the same order give the same versions everywhere. Free of I/O and clocks.
+ * The versions of the configuration, as each voter has them: proposals accepted or rejected in the order that the
+ * voters agreed on. The same proposals in the same order give the same versions everywhere. Does no I/O and reads no
+ * clock; owned by its voter's thread.
  */
 public final class VersionLog {
-    /** A change that is proposed: to the version {@code base}, as a whole new text, by somebody; the id is the proposal's own. */
-    public record Proposal(String id, long base, String by, String text) implements Serializable {}
+    /**
+     * A proposed change. Stored and sent between voters in serialized form.
+     *
+     * @param id the proposal's own id, by which a repetition is recognized
+     * @param baseVersion the version that it changes
+     * @param author who proposes it
+     * @param text the complete new document
+     */
+    public record Proposal(String id, long baseVersion, String author, String text) implements Serializable {}
 
-    /** One version. */
-    public record Version(long number, String id, String by, String text) implements Serializable {}
+    /**
+     * One version. Stored and sent between voters in serialized form.
+     *
+     * @param number its number, from 1
+     * @param id the id of its proposal
+     * @param author who proposed it
+     * @param text its document; empty for all but the newest
+     */
+    public record Version(long number, String id, String author, String text) implements Serializable {}
 
-    /** What became of a proposal: the number of its version, or why it was refused. */
-    public record Outcome(boolean taken, long version, String reason) implements Serializable {}
+    /**
+     * The outcome of a proposal.
+     *
+     * @param accepted whether it became a version
+     * @param version the number of its version, or of the version in force if it was rejected
+     * @param reason why it was rejected; else empty
+     */
+    public record Outcome(boolean accepted, long version, String reason) implements Serializable {}
 
-    /** Versions that are kept for the history; a proposal that is repeated later than so many is refused as of an old base. */
-    public static final int KEPT = 16;
+    /**
+     * Versions in the history. A proposal that is repeated after more versions than that is rejected, for its base is
+     * old.
+     */
+    public static final int MAX_HISTORY = 16;
 
     private final Deque<Version> versions = new ArrayDeque<>();
 
-    /** The newest version, null before the first. */
+    /** The newest version; null before the first. */
     public Version newest() {
         return versions.peekLast();
     }
 
-    /** The last versions, oldest first; the text of the newest alone is kept. */
+    /** The last versions, oldest first; only the newest one has its text. */
     public List<Version> history() {
         return List.copyOf(versions);
     }
 
-    /** Takes a proposal or refuses it. One that was taken before is told so again: a lost answer may be asked for anew. */
+    /**
+     * Accepts or rejects a proposal. For a repeated one the outcome is repeated: the client may have missed the
+     * response.
+     */
     public Outcome decide(Proposal proposal) {
         for (Version each : versions) {
             if (each.id().equals(proposal.id())) {
@@ -43,25 +70,25 @@
         }
         Version newest = newest();
         long number = newest == null ? 0 : newest.number();
-        if (proposal.base() != number) {
+        if (proposal.baseVersion() != number) {
             return new Outcome(
                     false,
                     number,
-                    "it changes version " + proposal.base() + ", but version " + number
-                            + (newest == null ? "" : " by " + newest.by()) + " is in force");
+                    "it changes version " + proposal.baseVersion() + ", but version " + number
+                            + (newest == null ? "" : " by " + newest.author()) + " is in force");
         }
         if (newest != null) {
             versions.removeLast();
-            versions.addLast(new Version(number, newest.id(), newest.by(), ""));
+            versions.addLast(new Version(number, newest.id(), newest.author(), ""));
         }
-        versions.addLast(new Version(number + 1, proposal.id(), proposal.by(), proposal.text()));
-        if (versions.size() > KEPT) {
+        versions.addLast(new Version(number + 1, proposal.id(), proposal.author(), proposal.text()));
+        if (versions.size() > MAX_HISTORY) {
             versions.removeFirst();
         }
         return new Outcome(true, number + 1, "");
     }
 
-    /** Goes on from versions that another voter had, oldest first. */
+    /** Replaces the versions by those of another voter, oldest first. */
     public void restore(List<Version> from) {
         versions.clear();
         versions.addAll(from);
--- a/laboratory/src/main/java/opalcove/laboratory/AgreementModel.java
+++ b/laboratory/src/main/java/opalcove/laboratory/AgreementModel.java
@@ -31,7 +31,7 @@
         }
 
         /** Whether the proposal was accepted. */
-        public boolean taken() {
+        public boolean accepted() {
             return answer != null && answer.getBoolean("taken", false);
         }
 
@@ -83,14 +83,14 @@
         @Override
         public void stands(LeaseState before, LeaseState after, String text) {
             long at = AgreementModel.this.now();
-            long ended = before.mode() == LeaseState.Mode.FULL ? before.untilMs() - skew : at;
+            long ended = before.mode() == LeaseState.Mode.FULL ? before.expiresAtMs() - skew : at;
             acted.stands(name, after.version(), after.mode() == LeaseState.Mode.FULL, at, ended);
             adopted.computeIfAbsent(after.version(), version -> new TreeMap<>()).putIfAbsent(name, at);
         }
 
         @Override
         void arm() {
-            long due = Math.max(AgreementModel.this.now(), desk.lease().due() - skew);
+            long due = Math.max(AgreementModel.this.now(), desk.lease().nextTickMs() - skew);
             if (due < tickAt) {
                 tickAt = due;
                 at(due, () -> {
@@ -209,7 +209,7 @@
         Map<String, LeaseState> standings = new TreeMap<>();
         nodes.values().stream()
                 .filter(Node::isUp)
-                .forEach(each -> standings.put(each.name, each.desk.lease().standing()));
+                .forEach(each -> standings.put(each.name, each.desk.lease().state()));
         return standings;
     }
 
--- a/laboratory/src/main/java/opalcove/laboratory/AgreementTrial.java
+++ b/laboratory/src/main/java/opalcove/laboratory/AgreementTrial.java
@@ -331,7 +331,7 @@
         @Override
         public List<Boolean> outcomes() {
             List<Boolean> outcomes = new ArrayList<>();
-            proposals.forEach(each -> outcomes.add(each.answered() ? each.taken() : null));
+            proposals.forEach(each -> outcomes.add(each.answered() ? each.accepted() : null));
             return outcomes;
         }
 
@@ -429,7 +429,7 @@
             List<Boolean> outcomes = new ArrayList<>();
             proposals.forEach(each -> outcomes.add(
                     each.isDone() && !each.isCompletedExceptionally()
-                            ? each.join().taken()
+                            ? each.join().accepted()
                             : null));
             return outcomes;
         }
--- a/laboratory/src/main/java/opalcove/laboratory/ClusterScenario.java
+++ b/laboratory/src/main/java/opalcove/laboratory/ClusterScenario.java
@@ -177,7 +177,7 @@
             case PROPOSE -> {
                 return rig.operator(step.who().get(0))
                         .propose(step.base(), "scenario", TestCluster.document(step.attempts()))
-                        .taken();
+                        .accepted();
             }
             case ACTS -> {
                 return rig.await(
--- a/laboratory/src/test/java/opalcove/laboratory/AgreementModelTest.java
+++ b/laboratory/src/test/java/opalcove/laboratory/AgreementModelTest.java
@@ -18,7 +18,7 @@
         assertTrue(model.leader() != null, "a voter leads");
         AgreementModel.Proposed first = model.propose("g1", 0, "one");
         model.run(3000);
-        assertTrue(first.taken(), "the first version is taken");
+        assertTrue(first.accepted(), "the first version is taken");
         assertTrue(model.allActOn(1), model.standings().toString());
         return model;
     }
@@ -35,7 +35,7 @@
         model.run(2);
         model.kill(leader);
         model.run(15_000);
-        assertTrue(second.taken(), "whoever leads next answers the proposal, once");
+        assertTrue(second.accepted(), "whoever leads next answers the proposal, once");
         assertEquals(second.version(), 2);
         assertTrue(model.allActOn(2), model.standings().toString());
         holds(model);
@@ -47,7 +47,7 @@
         model.pause("g5", 3 * LEASE);
         AgreementModel.Proposed second = model.propose("g1", 1, "two");
         model.run(4 * LEASE);
-        assertTrue(second.taken());
+        assertTrue(second.accepted());
         assertTrue(model.allActOn(2), model.standings().toString());
         holds(model);
     }
@@ -70,7 +70,7 @@
         }
         AgreementModel.Proposed second = model.propose("g5", 1, "two");
         model.run(3 * LEASE);
-        assertTrue(second.taken(), "the others go on");
+        assertTrue(second.accepted(), "the others go on");
         for (String mine : List.of(cut, fellow)) {
             assertEquals(model.standings().get(mine).version(), 1);
             assertEquals(model.standings().get(mine).mode(), LeaseState.Mode.STRICT);
@@ -88,7 +88,7 @@
         model.cut(model.leader(), "g4");
         AgreementModel.Proposed second = model.propose("g1", 1, "two");
         model.run(3 * LEASE);
-        assertTrue(second.taken());
+        assertTrue(second.accepted());
         assertTrue(model.allActOn(2), model.standings().toString());
         holds(model);
     }
@@ -100,13 +100,13 @@
         AgreementModel.Proposed b = model.propose("g2", 1, "yours");
         model.run(3000);
         assertTrue(a.answered() && b.answered());
-        assertTrue(a.taken() ^ b.taken(), "one is taken");
-        AgreementModel.Proposed lost = a.taken() ? b : a;
+        assertTrue(a.accepted() ^ b.accepted(), "one is taken");
+        AgreementModel.Proposed lost = a.accepted() ? b : a;
         assertTrue(lost.reason().contains("version 2 by client-"), lost.reason());
         assertTrue(model.allActOn(2), model.standings().toString());
         AgreementModel.Proposed empty = model.propose("g3", 2, "");
         model.run(3000);
-        assertFalse(empty.taken());
+        assertFalse(empty.accepted());
         assertEquals(empty.reason(), "it is empty");
         assertTrue(model.allActOn(2), model.standings().toString());
         holds(model);
--- a/laboratory/src/test/java/opalcove/laboratory/AgreementRigTest.java
+++ b/laboratory/src/test/java/opalcove/laboratory/AgreementRigTest.java
@@ -83,14 +83,14 @@
             CompletableFuture<VersionLog.Outcome> a = propose(rig, "g1", 1, 5);
             CompletableFuture<VersionLog.Outcome> b = propose(rig, "g2", 1, 4);
             rig.kill(leader);
-            assertTrue(a.get().taken() ^ b.get().taken(), a.get() + " " + b.get());
-            VersionLog.Outcome lost = a.get().taken() ? b.get() : a.get();
+            assertTrue(a.get().accepted() ^ b.get().accepted(), a.get() + " " + b.get());
+            VersionLog.Outcome lost = a.get().accepted() ? b.get() : a.get();
             assertTrue(lost.reason().contains("version 2 by ops at g"), lost.reason());
             awaitAll(rig, but(leader), "2 FULL");
             rig.start(leader);
             awaitAll(rig, ALL, "2 FULL");
             VersionLog.Outcome broken = rig.operator("g1").propose(2, "ops", "{\"settings\":{}}");
-            assertFalse(broken.taken());
+            assertFalse(broken.accepted());
             assertTrue(broken.reason().contains("field "), broken.reason());
             assertEquals(rig.operator("g1").show().number(), 2);
             assertEquals(
@@ -107,9 +107,9 @@
         try (TestCluster rig = fleet(12)) {
             rig.cut(rig.leader(), "g4");
             rig.pause("g5");
-            assertTrue(propose(rig, "g1", 1, 3).get().taken());
+            assertTrue(propose(rig, "g1", 1, 3).get().accepted());
             awaitAll(rig, but("g5"), "2 FULL");
-            assertTrue(propose(rig, "g2", 2, 2).get().taken());
+            assertTrue(propose(rig, "g2", 2, 2).get().accepted());
             awaitAll(rig, but("g5"), "3 FULL");
             Thread.sleep(LEASE_MS); // the pause is to be longer than the lease; nothing is judged by it
             rig.resume("g5");
@@ -139,7 +139,7 @@
                     .filter(each -> !each.equals(alone))
                     .findFirst()
                     .orElseThrow();
-            assertTrue(propose(rig, other, 1, 3).get().taken());
+            assertTrue(propose(rig, other, 1, 3).get().accepted());
             awaitAll(rig, but(alone), "2 FULL");
             awaitAll(rig, List.of(alone), "1 STRICT");
             rig.heal();
@@ -147,7 +147,7 @@
             rig.kill(alone);
             byte[] state = Files.readAllBytes(rig.state(alone));
             Files.write(rig.state(alone), Arrays.copyOf(state, state.length / 2));
-            assertTrue(propose(rig, other, 2, 2).get().taken());
+            assertTrue(propose(rig, other, 2, 2).get().accepted());
             rig.start(alone);
             awaitAll(rig, ALL, "3 FULL");
             assertTrue(
--- a/laboratory/src/test/java/opalcove/laboratory/RecoveryRigTest.java
+++ b/laboratory/src/test/java/opalcove/laboratory/RecoveryRigTest.java
@@ -86,7 +86,7 @@
             start(rig, List.of("g5", "g3", "g4", "g1"));
             assertTrue(rig.await(r -> !recoveries(r, "g4", second).isEmpty(), MOST_MS));
             start(rig, List.of("g2"));
-            assertTrue(half.get().taken(), "the proposal was repeated until it was decided");
+            assertTrue(half.get().accepted(), "the proposal was repeated until it was decided");
             assertTrue(
                     rig.await(
                             r -> ALL.stream()
--- a/replication/src/main/java/opalcove/replication/ConfigReplica.java
+++ b/replication/src/main/java/opalcove/replication/ConfigReplica.java
@@ -77,12 +77,12 @@
                 LeaseConfig.of(setup.leaseMs()),
                 new ConfigLease.Host() {
                     @Override
-                    public void ask(String asked, long number, long version) {
+                    public void requestVersion(String asked, long number, long version) {
                         ours(asked, number, version);
                     }
 
                     @Override
-                    public void stands(LeaseState before, LeaseState after, String text) {
+                    public void leaseChanged(LeaseState before, LeaseState after, String text) {
                         host.stands(before, after, text);
                     }
                 });
@@ -151,7 +151,7 @@
             case PROPOSE -> proposed(packet);
             case HISTORY -> answer(packet, ReplicationMessage.Kind.VERSIONS, history());
             case TOLD, DECIDED -> answered(packet);
-            case NEWS -> lease.news(host.now(), packet.version());
+            case NEWS -> lease.onVersionAnnounced(host.now(), packet.version());
             default -> throw new InvalidConfigurationException("nobody here asked for " + packet.kind());
         }
     }
@@ -220,7 +220,7 @@
 
     private static JsonObject decided(VersionLog.Outcome outcome) {
         return Json.object()
-                .add("taken", outcome.taken())
+                .add("taken", outcome.accepted())
                 .add("v", outcome.version())
                 .add("reason", outcome.reason());
     }
@@ -230,7 +230,7 @@
         for (VersionLog.Version each : voter == null ? List.<VersionLog.Version>of() : voter.history()) {
             versions.add(Json.object()
                     .add("number", each.number())
-                    .add("by", each.by())
+                    .add("by", each.author())
                     .add("id", each.id()));
         }
         return Json.object().add("versions", versions);
@@ -249,7 +249,7 @@
             packet.body().remove("o");
             host.send(to, packet.by(setup.name(), setup.address(), packet.body()));
         } else if (packet.kind() == ReplicationMessage.Kind.TOLD) {
-            lease.told(host.now(), packet.number(), packet.version(), packet.text());
+            lease.onResponse(host.now(), packet.number(), packet.version(), packet.text());
         }
     }
 
--- a/replication/src/main/java/opalcove/replication/RaftVoter.java
+++ b/replication/src/main/java/opalcove/replication/RaftVoter.java
@@ -172,7 +172,7 @@
         public Object runOperation(long index, Object operation) {
             if (operation instanceof VersionLog.Proposal proposal) {
                 VersionLog.Outcome outcome = registry.decide(proposal);
-                if (outcome.taken()) {
+                if (outcome.accepted()) {
                     decided.accept(outcome.version());
                 }
                 return outcome;
--- a/replication/src/main/java/opalcove/replication/ReplicatedConfigService.java
+++ b/replication/src/main/java/opalcove/replication/ReplicatedConfigService.java
@@ -178,7 +178,7 @@
         Recovery.Plan before = plan;
         plan = recovery.plan(
                 (long) clock.now(),
-                desk.lease().heard() ? desk.lease().standing().version() : -1,
+                desk.lease().hasResponse() ? desk.lease().state().version() : -1,
                 there);
         if (before != null && before.phase() == plan.phase()) {
             return;
@@ -213,7 +213,7 @@
                 System.currentTimeMillis(),
                 startedMs,
                 clean,
-                desk.lease().standing().version(),
+                desk.lease().state().version(),
                 desk.lease().text(),
                 fleet.get().stream()
                         .filter(each -> !each.name().equals(name))
@@ -239,7 +239,7 @@
 
     /** Has the gateway act on what holds now. */
     private void act() {
-        LeaseState standing = desk.lease().standing();
+        LeaseState standing = desk.lease().state();
         long coldSince = plan != null && plan.nodesCold() ? startedMs : 0;
         ConfigDocument base = held != null ? held : new ConfigDocument(own, null);
         boolean isStrict = standing.version() > 0 && standing.mode() != LeaseState.Mode.FULL;
@@ -289,16 +289,16 @@
     private void settle() {
         if (recovery != null) {
             replan();
-        } else if (desk.lease().heard()) {
+        } else if (desk.lease().hasResponse()) {
             heard.tryComplete();
         }
-        LeaseState standing = desk.lease().standing();
-        lapsesAt = standing.mode() == LeaseState.Mode.FULL ? standing.untilMs() : Long.MAX_VALUE;
+        LeaseState standing = desk.lease().state();
+        lapsesAt = standing.mode() == LeaseState.Mode.FULL ? standing.expiresAtMs() : Long.MAX_VALUE;
         publish();
         if (timer >= 0) {
             vertx.cancelTimer(timer);
         }
-        timer = vertx.setTimer(Math.max(1, desk.lease().due() - now()), due -> {
+        timer = vertx.setTimer(Math.max(1, desk.lease().nextTickMs() - now()), due -> {
             timer = -1;
             tick();
         });
@@ -340,12 +340,12 @@
         }
         ConfigLease.Counts counts = desk.lease().counts();
         StringBuilder text = new StringBuilder(256);
-        figure(text, "version", desk.lease().standing().version(), 'g');
-        figure(text, "behind", desk.lease().standing().mode() == LeaseState.Mode.FULL ? 0 : 1, 'g');
+        figure(text, "version", desk.lease().state().version(), 'g');
+        figure(text, "behind", desk.lease().state().mode() == LeaseState.Mode.FULL ? 0 : 1, 'g');
         figure(text, "voter", desk.votes() ? 1 : 0, 'g');
         figure(text, "leader", desk.leads() ? 1 : 0, 'g');
         figure(text, "state_refused", stateRefused ? 1 : 0, 'c');
-        figure(text, "asked", counts.asked(), 'c');
+        figure(text, "asked", counts.requested(), 'c');
         figure(text, "confirmed", counts.confirmed(), 'c');
         figure(text, "expired", counts.expired(), 'c');
         figure(text, "adopted", counts.adopted(), 'c');
@@ -420,7 +420,7 @@
                     .add("version", is.version())
                     .add("mode", is.mode().name())
                     .add("nodes", openNodes)
-                    .add("ended_ms", System.currentTimeMillis() + Math.min(0, was.untilMs() - now())));
+                    .add("ended_ms", System.currentTimeMillis() + Math.min(0, was.expiresAtMs() - now())));
         }
     }
 }
