--- a/control/src/main/java/opalcove/control/cluster/ClusterState.java
+++ b/control/src/main/java/opalcove/control/cluster/ClusterState.java
@@ -16,6 +16,7 @@
 import opalcove.control.xds.Resource;
 import opalcove.control.xds.ResourceFactory;
 import opalcove.decision.AdmissionController;
+import opalcove.decision.CapacityShare;
 import opalcove.decision.DecisionActions;
 import opalcove.decision.DecisionSettings;
 import opalcove.decision.Endpoint;
@@ -87,17 +88,17 @@
     /** The module hands choices on here, and is not asked for single requests: of its actions only alarms can come. */
     private final class Alarms implements DecisionActions {
         @Override
-        public void wake(long token, double afterMs) {
+        public void setTimer(long token, double afterMs) {
             alarms.add(new Alarm(now + afterMs, token));
         }
 
         @Override
-        public void send(String id, String host, double timeoutMs) {
+        public void startAttempt(String id, String host, double timeoutMs) {
             throw new IllegalStateException("no request was given to the module");
         }
 
         @Override
-        public void refuse(String id, double retryAfterMs) {
+        public void shed(String id, double retryAfterMs) {
             throw new IllegalStateException("no request was given to the module");
         }
 
@@ -107,17 +108,17 @@
         }
 
         @Override
-        public void cancel(String id, int attempt) {
+        public void cancelAttempt(String id, int attempt) {
             throw new IllegalStateException("no request was given to the module");
         }
 
         @Override
-        public void probe(String host) {
+        public void checkHealth(String host) {
             // Never asked for: settings of a control service do not allow probes.
         }
 
         @Override
-        public void follow() {
+        public void subscribeToEndpoints() {
             // Whoever owns the source follows it from the start.
         }
 
@@ -137,7 +138,7 @@
             nodes.put(node.name(), node);
             byAddress.put(node.address(), node.name());
         });
-        module.hosts(now, true, believed.stream().map(Backend::host).toList());
+        module.endpointsChanged(now, true, believed.stream().map(Backend::host).toList());
         weigh();
         look();
         noteDrains();
@@ -146,7 +147,7 @@
     /** Takes in that a source of the node list failed; what was known stays. */
     public void sourceFailed(double time) {
         now = Math.max(now, time);
-        module.hostsFailed(now);
+        module.endpointListFailed(now);
     }
 
     /**
@@ -158,7 +159,7 @@
         now = Math.max(now, time);
         String node = byAddress.get(address);
         if (node != null) {
-            module.reported(now, node, served, failed, -1);
+            module.loadReported(now, node, served, failed, -1);
             drains.used(now, proxy, node, issued, inProgress);
         }
     }
@@ -168,7 +169,7 @@
         now = Math.max(now, time);
         boolean any = false;
         while (!alarms.isEmpty() && alarms.peek().at <= now) {
-            module.timer(now, alarms.poll().token);
+            module.timerExpired(now, alarms.poll().token);
             any = true;
         }
         if (!any) {
@@ -284,12 +285,12 @@
     private boolean weigh() {
         boolean any = false;
         shares.keySet().retainAll(nodes.keySet());
-        for (AdmissionController.Room each : module.rooms(now)) {
+        for (CapacityShare each : module.capacityShares(now)) {
             double share = each.share() >= ALL ? 1 : each.share();
-            double told = shares.getOrDefault(each.host(), 0.0);
+            double told = shares.getOrDefault(each.backend(), 0.0);
             boolean moved = share != told && (Math.abs(share - told) > STEP * told || share == 1);
-            if (nodes.containsKey(each.host()) && moved) {
-                shares.put(each.host(), share);
+            if (nodes.containsKey(each.backend()) && moved) {
+                shares.put(each.backend(), share);
                 any = true;
             }
         }
--- a/decision/src/main/java/opalcove/decision/AdmissionController.java
+++ b/decision/src/main/java/opalcove/decision/AdmissionController.java
@@ -75,31 +75,31 @@
         companion = new Companion();
         hosts = new Hosts();
         split = new Split();
-        if (duties.listOnRequest()) actions.follow();
-        actions.wake(TICK, INTERVAL_MS);
+        if (duties.listOnRequest()) actions.subscribeToEndpoints();
+        actions.setTimer(TICK, INTERVAL_MS);
     }
 
     @Override
-    public void hosts(double time, boolean whole, List<Endpoint> lines) {
+    public void endpointsChanged(double time, boolean whole, List<Endpoint> lines) {
         now = time;
         hosts.listed(whole, lines);
         pump();
     }
 
     @Override
-    public void hostsFailed(double time) {
+    public void endpointListFailed(double time) {
         now = time;
         if (duties.listOnRequest()) hosts.askAt = now + INTERVAL_MS;
     }
 
     @Override
-    public void request(double time, AdmissionRequest r) {
+    public void requestArrived(double time, AdmissionRequest r) {
         now = time;
         Integer cls = classIndex.get(r.requestClass());
         Integer plan = planIndex.get(r.plan());
         if (cls == null || plan == null) {
             actions.log("refused: unknown plan or class " + r.plan() + " " + r.requestClass());
-            actions.refuse(r.id(), 0);
+            actions.shed(r.id(), 0);
             return;
         }
         Customer c = companion.customer(r, plan);
@@ -120,7 +120,7 @@
     }
 
     @Override
-    public void outcome(double time, AttemptOutcome o) {
+    public void attemptEnded(double time, AttemptOutcome o) {
         now = time;
         Flight f = flights.get(o.id());
         if (f == null || o.attempt() >= f.attempts.size() || f.attempts.get(o.attempt()).ended) return;
@@ -140,7 +140,7 @@
     }
 
     @Override
-    public void settled(double time, AdmissionRequest r, int usedPercent, double trueUnits) {
+    public void usageReported(double time, AdmissionRequest r, int usedPercent, double trueUnits) {
         now = time;
         Integer plan = planIndex.get(r.plan());
         if (plan != null) settle(companion.customer(r, plan), r, usedPercent, trueUnits);
@@ -152,27 +152,27 @@
     }
 
     @Override
-    public void began(double time, String id, int attempt) {
+    public void responseStarted(double time, String id, int attempt) {
         now = time;
         Flight f = flights.get(id);
         if (f != null) f.streaming = true;
     }
 
     @Override
-    public void gone(double time, String id) {
+    public void requestCancelled(double time, String id) {
         now = time;
         Flight f = flights.get(id);
         if (f != null) close(f);
     }
 
     @Override
-    public void probed(double time, String host, ProbeStatus result, double tookMs, double[] load) {
+    public void healthCheckEnded(double time, String host, ProbeStatus result, double tookMs, double[] load) {
         now = time;
         hosts.probed(host, result, load);
     }
 
     @Override
-    public void timer(double time, long token) {
+    public void timerExpired(double time, long token) {
         now = time;
         int kind = (int) (token & 3);
         if (kind == TICK) {
@@ -184,7 +184,7 @@
             split.update();
             hosts.tick();
             companion.age();
-            actions.wake(TICK, INTERVAL_MS);
+            actions.setTimer(TICK, INTERVAL_MS);
         }
         if (kind == PUMP) pumping = false;
         if (kind == TICK || kind == PUMP) pump();
@@ -194,17 +194,14 @@
         if (kind == SLOW) slow(f);
     }
 
-    /** The part of a host's usual room that new work may take now, 0 (none) to 1. */
-    public record Room(String host, double share) {}
-
     /** A room for each host that is remembered, for a front that does not ask for each request. */
-    public List<Room> rooms(double time) {
+    public List<CapacityShare> capacityShares(double time) {
         now = time;
         return hosts.machines.values().stream().map(hosts::room).toList();
     }
 
     /** What such a front was told of work that ended at a host; meanMs: below 0 where no time is known. */
-    public void reported(double time, String host, long served, long failed, double meanMs) {
+    public void loadReported(double time, String host, long served, long failed, double meanMs) {
         now = time;
         Machine m = hosts.machines.get(host);
         if (m == null || served + failed <= 0) return;
@@ -236,7 +233,7 @@
         Long token = serial | kind;
         timers.put(token, f);
         f.armed.add(token);
-        actions.wake(token, afterMs);
+        actions.setTimer(token, afterMs);
     }
 
     /** Sends on, or holds while no host may have it; the first send is charged to quota and ceiling. */
@@ -262,7 +259,7 @@
         split.meanUnits += Math.max(0.02, 1 / ++split.sized) * (f.request.units() - split.meanUnits);
         f.customer.open++;
         hosts.sent(m, f);
-        actions.send(f.request.id(), m.host.id(), 0);
+        actions.startAttempt(f.request.id(), m.host.id(), 0);
         arm(SLOW, f, slowMs(f));
     }
 
@@ -285,7 +282,7 @@
     }
 
     private void wakePump() {
-        if (!pumping) actions.wake(PUMP, PUMP_MS);
+        if (!pumping) actions.setTimer(PUMP, PUMP_MS);
         pumping = true;
     }
 
@@ -343,18 +340,18 @@
         boolean silent = now - f.attempts.get(last).machine.heardAt > 250;
         if (!limits.mayCancel() || last + 1 >= limits.maxAttempts() || !silent) return;
         copies -= 1;
-        actions.cancel(f.request.id(), last);
+        actions.cancelAttempt(f.request.id(), last);
     }
 
     /** The final answer when no host gave one: a refusal where that promise is lawful, else a failure. */
     private void end(Flight f) {
         if (!f.mayRefuse()) actions.fail(f.request.id());
-        else actions.refuse(f.request.id(), limits.retryAfter() ? f.comeBackMs() : 0);
+        else actions.shed(f.request.id(), limits.retryAfter() ? f.comeBackMs() : 0);
         close(f);
     }
 
     private void refuse(Flight f, double retryAfterMs) {
-        actions.refuse(f.request.id(), limits.retryAfter() ? retryAfterMs : 0);
+        actions.shed(f.request.id(), limits.retryAfter() ? retryAfterMs : 0);
         close(f);
     }
 
@@ -366,9 +363,10 @@
     private void finish(Flight f) {
         if (f.done) return;
         f.done = true;
-        for (Long token : f.armed) if (timers.remove(token) != null) actions.forget(token);
+        for (Long token : f.armed) if (timers.remove(token) != null) actions.cancelTimer(token);
         if (!limits.mayCancel()) return;
-        for (int i = 0; i < f.attempts.size(); i++) if (!f.attempts.get(i).ended) actions.cancel(f.request.id(), i);
+        for (int i = 0; i < f.attempts.size(); i++)
+            if (!f.attempts.get(i).ended) actions.cancelAttempt(f.request.id(), i);
     }
 
     /** How the time to an answer goes with a request's units, for one class: a regression on the latest answers. */
@@ -929,7 +927,7 @@
         void tick() {
             if (now >= askAt) {
                 askAt = now + 4 * INTERVAL_MS;
-                actions.follow();
+                actions.subscribeToEndpoints();
             }
             double did = warm > 0 ? doneWork / INTERVAL_MS / Math.max(1e-9, warm * meanSize) : pace;
             if (paced > 0 || did > 0) pace += Math.max(0.05, 1 / ++paced) * (did - pace);
@@ -953,17 +951,17 @@
                 }
                 if (m.listed && m.fails > 1 && limits.mayProbe() && now >= m.shunUntil) {
                     m.shunUntil = now + 1000;
-                    actions.probe(m.host.id());
+                    actions.checkHealth(m.host.id());
                 }
             }
         }
 
         /** A starting host's part is bounded by its ramp, a warm one's sinks with errors and lateness. */
-        Room room(Machine m) {
-            if (!m.listed || now < m.shunUntil) return new Room(m.host.id(), 0);
+        CapacityShare room(Machine m) {
+            if (!m.listed || now < m.shunUntil) return new CapacityShare(m.host.id(), 0);
             double ramp = cold(m) ? coldShare(m) * Math.min(0.9, margin) : 1;
             double share = ramp / (Math.max(1, m.slowness) * (1 + 20 * m.errors * m.errors));
-            return new Room(m.host.id(), Math.max(0.02, share));
+            return new CapacityShare(m.host.id(), Math.max(0.02, share));
         }
 
         private double coldShare(Machine m) {
--- a/decision/src/main/java/opalcove/decision/DecisionModule.java
+++ b/decision/src/main/java/opalcove/decision/DecisionModule.java
@@ -9,32 +9,32 @@
 public interface DecisionModule {
 
     /** The host list: whole, or only its changed lines. */
-    void hosts(double now, boolean whole, List<Endpoint> lines);
+    void endpointsChanged(double now, boolean whole, List<Endpoint> lines);
 
     /** Asking for the host list failed, or following it broke off. */
-    void hostsFailed(double now);
+    void endpointListFailed(double now);
 
     /** A request was taken. */
-    void request(double now, AdmissionRequest request);
+    void requestArrived(double now, AdmissionRequest request);
 
     /** An attempt ended. */
-    void outcome(double now, AttemptOutcome outcome);
+    void attemptEnded(double now, AttemptOutcome outcome);
 
     /**
      * Figures that came after their attempt's outcome was told, as at the end of a long value: usedPercent below 0 and
      * trueUnits 0 where none came.
      */
-    void settled(double now, AdmissionRequest request, int usedPercent, double trueUnits);
+    void usageReported(double now, AdmissionRequest request, int usedPercent, double trueUnits);
 
     /** A streamed answer began: the attempt is the client's now. */
-    void began(double now, String id, int attempt);
+    void responseStarted(double now, String id, int attempt);
 
     /** The client has left, or the request is over. */
-    void gone(double now, String id);
+    void requestCancelled(double now, String id);
 
     /** A timer asked for is due. */
-    void timer(double now, long token);
+    void timerExpired(double now, long token);
 
     /** A probe ended. */
-    void probed(double now, String host, ProbeStatus result, double elapsedMs, double[] load);
+    void healthCheckEnded(double now, String host, ProbeStatus result, double elapsedMs, double[] load);
 }
--- a/decision/src/test/java/opalcove/decision/AdmissionControllerTest.java
+++ b/decision/src/test/java/opalcove/decision/AdmissionControllerTest.java
@@ -63,15 +63,15 @@
         }
 
         void list(boolean whole, Endpoint... lines) {
-            policy.hosts(now, whole, List.of(lines));
+            policy.endpointsChanged(now, whole, List.of(lines));
         }
 
         void ask(String id, String cls, String plan, double budget) {
-            policy.request(now, new AdmissionRequest(id, cls, plan, "c", 1, budget, 2, false));
+            policy.requestArrived(now, new AdmissionRequest(id, cls, plan, "c", 1, budget, 2, false));
         }
 
         void ends(String id, String host, int attempt, AttemptStatus result) {
-            policy.outcome(
+            policy.attemptEnded(
                     now,
                     new AttemptOutcome(id, host, attempt, result, 50, result == AttemptStatus.SERVED, -1, 0, null));
         }
@@ -88,18 +88,18 @@
                 }
                 wakes.remove(next);
                 now = Math.max(now, next[0]);
-                policy.timer(now, (long) next[1]);
+                policy.timerExpired(now, (long) next[1]);
             }
             now = time;
         }
 
         @Override
-        public void send(String id, String host, double timeoutMs) {
+        public void startAttempt(String id, String host, double timeoutMs) {
             sends.add(id + "@" + host);
         }
 
         @Override
-        public void refuse(String id, double retryAfterMs) {
+        public void shed(String id, double retryAfterMs) {
             refused.add(id);
             advice.add(retryAfterMs);
         }
@@ -110,22 +110,22 @@
         }
 
         @Override
-        public void cancel(String id, int attempt) {
+        public void cancelAttempt(String id, int attempt) {
             cancelled.add(id);
         }
 
         @Override
-        public void wake(long token, double afterMs) {
+        public void setTimer(long token, double afterMs) {
             wakes.add(new double[] {now + afterMs, token});
         }
 
         @Override
-        public void probe(String host) {
+        public void checkHealth(String host) {
             throw new AssertionError("probes are not allowed");
         }
 
         @Override
-        public void follow() {
+        public void subscribeToEndpoints() {
             throw new AssertionError("the list is pushed");
         }
 
@@ -138,7 +138,8 @@
     /** Serves thirty requests at once, so that the budget for further attempts is there. */
     private void warmUp() {
         for (int i = 0; i < 30; i++) {
-            world.policy.request(world.now, new AdmissionRequest("w" + i, "look", "open", "w" + i, 1, 4000, 2, false));
+            world.policy.requestArrived(
+                    world.now, new AdmissionRequest("w" + i, "look", "open", "w" + i, 1, 4000, 2, false));
             world.ends("w" + i, "", 0, AttemptStatus.SERVED);
         }
         world.sends.clear();
@@ -265,7 +266,8 @@
         world.list(true, up("h1"), host("w1", "west", EndpointState.UP, 0));
         for (int i = 0; i < 40; i++) {
             int from = world.sends.size();
-            world.policy.request(world.now, new AdmissionRequest("k" + i, "mark", "plain", "c" + i, 1, 4000, 2, false));
+            world.policy.requestArrived(
+                    world.now, new AdmissionRequest("k" + i, "mark", "plain", "c" + i, 1, 4000, 2, false));
             world.ends("k" + i, "", 0, AttemptStatus.ERROR);
             if (world.sends.size() > from + 1) {
                 world.ends("k" + i, "", 1, AttemptStatus.SERVED);
@@ -321,7 +323,8 @@
         world.list(true, up("h1"), up("h2"), up("h3"), up("h4"), up("h5"), up("h6"));
         warmUp();
         for (int i = 0; i < 4; i++) {
-            world.policy.request(world.now, new AdmissionRequest("r" + i, "look", "plain", "c" + i, 1, 4000, 2, false));
+            world.policy.requestArrived(
+                    world.now, new AdmissionRequest("r" + i, "look", "plain", "c" + i, 1, 4000, 2, false));
         }
         assertEquals(4, world.sends.size());
         world.until(3900);
@@ -335,7 +338,8 @@
         world.list(false, host("h1", "east", EndpointState.DRAINING, 0));
         world.list(true, host("h1", "east", EndpointState.DRAINING, 0), up("h3"));
         for (int i = 0; i < 50; i++) {
-            world.policy.request(world.now, new AdmissionRequest("r" + i, "look", "open", "c" + i, 1, 4000, 2, false));
+            world.policy.requestArrived(
+                    world.now, new AdmissionRequest("r" + i, "look", "open", "c" + i, 1, 4000, 2, false));
             String[] s = world.sends.get(i).split("@");
             world.ends(s[0], s[1], 0, AttemptStatus.SERVED);
         }
@@ -374,7 +378,7 @@
         int start = world.sends.size();
         for (int t = from; t < to; t += 10) {
             world.until(t);
-            world.policy.request(t, new AdmissionRequest("s" + t, "look", "open", "c" + t, 1, 4000, 1, false));
+            world.policy.requestArrived(t, new AdmissionRequest("s" + t, "look", "open", "c" + t, 1, 4000, 1, false));
             while (served < world.sends.size() - 5) {
                 String[] s = world.sends.get(served++).split("@");
                 world.ends(s[0], s[1], 0, AttemptStatus.SERVED);
@@ -390,7 +394,7 @@
         world.list(true, host("n1", "east", EndpointState.UP, 1));
         for (int t = 0; t < 3000; t += 20) {
             world.until(t);
-            world.policy.request(t, new AdmissionRequest("r" + t, "look", "open", "c" + t, 1, 4000, 2, false));
+            world.policy.requestArrived(t, new AdmissionRequest("r" + t, "look", "open", "c" + t, 1, 4000, 2, false));
             while (world.sends.size() > world.cancelled.size()) {
                 String[] s = world.sends.get(world.cancelled.size()).split("@");
                 world.cancelled.add(s[0]);
@@ -487,7 +491,7 @@
             while (world.cancelled.size() < world.sends.size()) {
                 String[] s = world.sends.get(world.cancelled.size()).split("@");
                 world.cancelled.add(s[0]);
-                world.policy.outcome(
+                world.policy.attemptEnded(
                         t, new AttemptOutcome(s[0], s[1], 0, AttemptStatus.SERVED, 50, true, 100, 0, null));
             }
             before = t == 20_000 ? world.sends.size() : before;
@@ -505,9 +509,9 @@
                 world.now = t;
                 world.until(t);
             }
-            world.policy.request(t, new AdmissionRequest("r" + t, "look", "open", "c" + t, 1, 4000, 2, false));
+            world.policy.requestArrived(t, new AdmissionRequest("r" + t, "look", "open", "c" + t, 1, 4000, 2, false));
             if (t >= 900) {
-                world.policy.outcome(
+                world.policy.attemptEnded(
                         t, new AttemptOutcome("r" + (t - 900), "h1", 0, AttemptStatus.SERVED, 900, true, -1, 0, null));
             }
         }
@@ -532,13 +536,14 @@
                 int began = Integer.parseInt(each.id().substring(1));
                 if (began + each.elapsedMs() <= t) {
                     due.remove(each);
-                    world.policy.outcome(t, each);
+                    world.policy.attemptEnded(t, each);
                 }
             }
             if (t % 50 != 0) continue;
             boolean large = t % 200 == 0;
             String id = "r" + t;
-            world.policy.request(t, new AdmissionRequest(id, "look", "open", "c" + t, large ? 8 : 1, 4000, 2, false));
+            world.policy.requestArrived(
+                    t, new AdmissionRequest(id, "look", "open", "c" + t, large ? 8 : 1, 4000, 2, false));
             due.add(new AttemptOutcome(id, "h1", 0, AttemptStatus.SERVED, large ? 700 : 60, true, -1, 0, null));
         }
     }
@@ -547,8 +552,8 @@
     void aLargeRequestIsGivenUpSoonerForItNeedsLonger() {
         largeRequestsTakeLong();
         world.list(true);
-        world.policy.request(40_000, new AdmissionRequest("large", "look", "open", "d", 8, 4000, 2, false));
-        world.policy.request(40_000, new AdmissionRequest("small", "look", "open", "e", 1, 4000, 2, false));
+        world.policy.requestArrived(40_000, new AdmissionRequest("large", "look", "open", "d", 8, 4000, 2, false));
+        world.policy.requestArrived(40_000, new AdmissionRequest("small", "look", "open", "e", 1, 4000, 2, false));
         world.until(40_200);
         assertTrue(world.refused.contains("large"));
         assertFalse(world.refused.contains("small"));
@@ -566,12 +571,14 @@
         world.list(true, up("h1"));
         for (int i = 0; i < 3; i++) {
             world.until(2000 * i);
-            world.policy.request(world.now, new AdmissionRequest("b" + i, "buy", "open", "c", 1, 1500, 1, false));
+            world.policy.requestArrived(
+                    world.now, new AdmissionRequest("b" + i, "buy", "open", "c", 1, 1500, 1, false));
             world.ends("b" + i, "h1", 0, i < 2 ? AttemptStatus.BROKEN : AttemptStatus.SERVED);
         }
         world.sends.clear();
         for (int i = 0; i < 10; i++) {
-            world.policy.request(world.now, new AdmissionRequest("r" + i, "buy", "open", "d" + i, 1, 8000, 1, false));
+            world.policy.requestArrived(
+                    world.now, new AdmissionRequest("r" + i, "buy", "open", "d" + i, 1, 8000, 1, false));
         }
         assertTrue(world.sends.size() > 1, "a cold host is sent one at a time: " + world.sends);
     }
@@ -582,9 +589,9 @@
         world.list(true, up("h1"), up("h2"));
         world.list(false, host("h2", "east", EndpointState.REMOVED, 0));
         world.until(59_000);
-        assertEquals(2, world.policy.rooms(world.now).size());
+        assertEquals(2, world.policy.capacityShares(world.now).size());
         world.until(61_000);
-        assertEquals(1, world.policy.rooms(world.now).size());
+        assertEquals(1, world.policy.capacityShares(world.now).size());
     }
 
     @Test
@@ -597,7 +604,7 @@
         world.list(true, hosts.toArray(new Endpoint[0]));
         for (int t = 0; t < 3000; t += 50) {
             world.until(t);
-            world.policy.request(t, new AdmissionRequest("r" + t, "look", "open", "c" + t, 1, 1500, 2, false));
+            world.policy.requestArrived(t, new AdmissionRequest("r" + t, "look", "open", "c" + t, 1, 1500, 2, false));
         }
         assertTrue(world.logs.stream().anyMatch(l -> l.startsWith("room bounded")), "silence is no calm");
     }
@@ -613,7 +620,7 @@
         for (int t = 0; t < 6000; t += 50) {
             world.until(t);
             int before = world.sends.size();
-            world.policy.request(t, new AdmissionRequest("r" + t, "look", "open", "c" + t, 1, 1500, 2, false));
+            world.policy.requestArrived(t, new AdmissionRequest("r" + t, "look", "open", "c" + t, 1, 1500, 2, false));
             world.until(t + 40);
             if (t / 50 % 7 != 0 && world.sends.size() > before) {
                 String[] s = world.sends.get(before).split("@");
@@ -630,12 +637,12 @@
         int done = 0;
         for (int t = 0; t < 4000; t += 20) {
             world.until(t);
-            world.policy.request(t, new AdmissionRequest("r" + t, "look", "open", "c" + t, 1, 4000, 2, false));
+            world.policy.requestArrived(t, new AdmissionRequest("r" + t, "look", "open", "c" + t, 1, 4000, 2, false));
             while (done < world.sends.size()) {
                 String[] s = world.sends.get(done++).split("@");
                 boolean bad = s[1].equals("h1");
                 boolean first = world.sends.subList(0, done - 1).stream().noneMatch(x -> x.startsWith(s[0] + "@"));
-                world.policy.outcome(
+                world.policy.attemptEnded(
                         t,
                         new AttemptOutcome(
                                 s[0],
@@ -658,7 +665,7 @@
         world.start(world.limits, 1);
         world.list(true, up("h1"), up("h2"));
         for (int i = 0; i < 50; i++) {
-            world.policy.request(0, new AdmissionRequest("r" + i, "look", "open", "c" + i, 1, 4000, 1, false));
+            world.policy.requestArrived(0, new AdmissionRequest("r" + i, "look", "open", "c" + i, 1, 4000, 1, false));
         }
         assertEquals(6, world.sends.size());
     }
@@ -744,10 +751,10 @@
         world.start(world.limits, 2);
         world.list(true, up("h1"));
         world.ends("nosuch", "h1", 0, AttemptStatus.SERVED);
-        world.policy.gone(world.now, "nosuch");
-        world.policy.timer(world.now, 4242);
-        world.policy.began(world.now, "nosuch", 0);
-        world.policy.probed(world.now, "nosuch", ProbeStatus.DONE, 1, null);
+        world.policy.requestCancelled(world.now, "nosuch");
+        world.policy.timerExpired(world.now, 4242);
+        world.policy.responseStarted(world.now, "nosuch", 0);
+        world.policy.healthCheckEnded(world.now, "nosuch", ProbeStatus.DONE, 1, null);
         assertTrue(world.sends.isEmpty() && world.refused.isEmpty() && world.failed.isEmpty());
     }
 
@@ -757,7 +764,8 @@
         world.list(true, up("h1"), up("h2"));
         for (int i = 0; i < 12; i++) {
             double budget = i % 4 == 3 ? 3500 : 2000; // every fourth is a last try with all the time that is left
-            world.policy.request(0, new AdmissionRequest("w" + i, "look", "plain", "w" + i, 1, budget, 2, false));
+            world.policy.requestArrived(
+                    0, new AdmissionRequest("w" + i, "look", "plain", "w" + i, 1, budget, 2, false));
             world.ends("w" + i, "h1", 0, AttemptStatus.SERVED);
         }
         for (int i = 0; i < 3; i++) {
@@ -772,7 +780,8 @@
         world.start(world.limits, 200);
         world.list(true, up("h1"), up("h2"), up("h3"));
         for (int i = 0; i < 100; i++) {
-            world.policy.request(0, new AdmissionRequest("r" + i, "look", "plain", "c" + i, 1, 4000, 200, false));
+            world.policy.requestArrived(
+                    0, new AdmissionRequest("r" + i, "look", "plain", "c" + i, 1, 4000, 200, false));
             world.ends("r" + i, "", 0, AttemptStatus.SERVED);
         }
         assertTrue(world.sends.size() >= 30, "of 100 customers' first requests passed " + world.sends.size());
@@ -789,10 +798,10 @@
             String id = "r" + t;
             String customer = heavy ? "heavy" + t / 200 % 20 : "calm" + t;
             int before = world.sends.size();
-            world.policy.request(t, new AdmissionRequest(id, "look", "plain", customer, 1, 4000, 200, false));
+            world.policy.requestArrived(t, new AdmissionRequest(id, "look", "plain", customer, 1, 4000, 200, false));
             if (world.sends.size() > before) {
                 sent += !heavy && t > 30_000 ? 1 : 0;
-                world.policy.outcome(
+                world.policy.attemptEnded(
                         t,
                         new AttemptOutcome(
                                 id,
@@ -825,11 +834,12 @@
             int second = t / 1000;
             World each = fleet.get(random.nextInt(gateways));
             each.until(t);
-            each.policy.request(t, new AdmissionRequest("r" + t, "look", "plain", "c", 1, 4000, gateways, false));
+            each.policy.requestArrived(
+                    t, new AdmissionRequest("r" + t, "look", "plain", "c", 1, 4000, gateways, false));
             if (!each.refused.contains("r" + t)) {
                 used[second]++;
                 int told = second < 2 ? -1 : used[second - 2] * 50; // a plain customer's rate is 2 a second
-                each.policy.outcome(
+                each.policy.attemptEnded(
                         t, new AttemptOutcome("r" + t, "h1", 0, AttemptStatus.SERVED, 50, true, told, 0, null));
             }
         }
@@ -846,9 +856,9 @@
         world.list(true, up("h1"), up("h2"));
         for (int t = 0; t <= 8000; t += 1000) {
             world.until(t);
-            world.policy.request(t, new AdmissionRequest("r" + t, "look", "open", "c" + t, 1, 4000, 200, false));
+            world.policy.requestArrived(t, new AdmissionRequest("r" + t, "look", "open", "c" + t, 1, 4000, 200, false));
             world.until(t + 900);
-            world.policy.outcome(
+            world.policy.attemptEnded(
                     t + 900, new AttemptOutcome("r" + t, "h1", 0, AttemptStatus.SERVED, 900, true, -1, 0, null));
         }
         assertTrue(world.logs.stream().anyMatch(l -> l.startsWith("room bounded")), world.logs.toString());
@@ -867,14 +877,15 @@
         for (int i = 0; i < 60; i++) {
             world.until(10 * i);
             int before = world.sends.size();
-            world.policy.request(world.now, new AdmissionRequest("r" + i, "look", "open", "c" + i, 1, 4000, 2, false));
+            world.policy.requestArrived(
+                    world.now, new AdmissionRequest("r" + i, "look", "open", "c" + i, 1, 4000, 2, false));
             for (int k = before; k < world.sends.size(); k++) {
                 String host = world.sends.get(k).split("@")[1];
                 boolean west = host.startsWith("w");
                 if (west) {
                     tried.add(host);
                 }
-                world.policy.outcome(
+                world.policy.attemptEnded(
                         world.now,
                         new AttemptOutcome(
                                 "r" + i,
@@ -916,7 +927,7 @@
                                 .filter(x -> x.startsWith(p[0] + "@"))
                                 .count()
                         - 1;
-                world.policy.outcome(
+                world.policy.attemptEnded(
                         t,
                         new AttemptOutcome(
                                 p[0],
@@ -934,7 +945,8 @@
             }
             if (t % 20 == 0) {
                 int from = world.sends.size();
-                world.policy.request(t, new AdmissionRequest("r" + t, "look", "open", "c" + t, 1, 4000, 2, false));
+                world.policy.requestArrived(
+                        t, new AdmissionRequest("r" + t, "look", "open", "c" + t, 1, 4000, 2, false));
                 int due = t + 100;
                 world.sends.subList(from, world.sends.size()).forEach(x -> pending.add(x + "@" + due));
             }
@@ -990,11 +1002,12 @@
                     each.list(false, host("new", "east", EndpointState.UP, t));
                 }
                 int from = each.sends.size();
-                each.policy.request(t, new AdmissionRequest("s" + t, "look", "open", "c" + t, 1, 4000, 14, false));
+                each.policy.requestArrived(
+                        t, new AdmissionRequest("s" + t, "look", "open", "c" + t, 1, 4000, 14, false));
                 due.addAll(each.sends.subList(from, each.sends.size()));
                 if (due.size() > 2) {
                     String[] s = due.remove(0).split("@");
-                    each.policy.outcome(
+                    each.policy.attemptEnded(
                             t, new AttemptOutcome(s[0], s[1], 0, AttemptStatus.SERVED, 200, true, -1, 0, null));
                 }
                 int second = (t - start) / 1000;
@@ -1025,11 +1038,11 @@
             for (int i = 0; i < 40; i++) {
                 each.until(i * 100);
                 int from = each.sends.size();
-                each.policy.request(
+                each.policy.requestArrived(
                         i * 100, new AdmissionRequest("r" + i, "look", "plain", "c" + i, 5, 4000, 14, false));
                 if (each.sends.size() > from) {
                     sent++;
-                    each.policy.outcome(
+                    each.policy.attemptEnded(
                             i * 100,
                             new AttemptOutcome(
                                     "r" + i,
@@ -1056,7 +1069,8 @@
         for (int i = 0; i < 60; i++) {
             world.until(world.now + 10);
             int before = world.sends.size();
-            world.policy.request(world.now, new AdmissionRequest("r" + i, "buy", "open", "c" + i, 1, 8000, 2, false));
+            world.policy.requestArrived(
+                    world.now, new AdmissionRequest("r" + i, "buy", "open", "c" + i, 1, 8000, 2, false));
             world.until(world.now + (world.sends.size() > before ? 0 : 400));
             if (world.sends.size() == before) {
                 continue; // held while the room is bounded
@@ -1066,7 +1080,7 @@
             silent += lies && i >= 20 ? 1 : 0;
             sent += i >= 20 ? 1 : 0;
             world.until(world.now + (lies ? 1500 : 400));
-            world.policy.outcome(
+            world.policy.attemptEnded(
                     world.now,
                     new AttemptOutcome(
                             "r" + i,
@@ -1094,7 +1108,7 @@
             world.ask("r" + i, "look", "plain", later ? 3700 + i * 37 % 270 : 4000);
             if (world.sends.size() > before) {
                 passed[later ? 1 : 0]++;
-                world.policy.outcome(
+                world.policy.attemptEnded(
                         world.now, new AttemptOutcome("r" + i, "h1", 0, AttemptStatus.SERVED, 50, true, 100, 0, null));
             }
         }
--- a/decision/src/test/java/opalcove/decision/ExampleTest.java
+++ b/decision/src/test/java/opalcove/decision/ExampleTest.java
@@ -13,12 +13,12 @@
         final List<String> done = new ArrayList<>();
 
         @Override
-        public void send(String id, String host, double timeoutMs) {
+        public void startAttempt(String id, String host, double timeoutMs) {
             done.add("send " + id + " to " + host);
         }
 
         @Override
-        public void refuse(String id, double retryAfterMs) {
+        public void shed(String id, double retryAfterMs) {
             done.add("refuse " + id);
         }
 
@@ -28,22 +28,22 @@
         }
 
         @Override
-        public void cancel(String id, int attempt) {
+        public void cancelAttempt(String id, int attempt) {
             done.add("cancel " + id);
         }
 
         @Override
-        public void wake(long token, double afterMs) {
-            // a real gateway calls policy.timer(now, token) after afterMs
+        public void setTimer(long token, double afterMs) {
+            // a real gateway calls policy.timerExpired(now, token) after afterMs
         }
 
         @Override
-        public void probe(String host) {
+        public void checkHealth(String host) {
             done.add("probe " + host);
         }
 
         @Override
-        public void follow() {
+        public void subscribeToEndpoints() {
             done.add("follow the host list");
         }
 
@@ -72,10 +72,10 @@
                 LoadReportSource.NONE,
                 List.of());
         DecisionModule policy = new AdmissionController(0, settings, 42, gateway);
-        policy.hosts(0, true, List.of(new Endpoint("h1", "east", "small", 0, EndpointState.UP, 1, 0)));
-        policy.request(3, new AdmissionRequest("r1", "read", "basic", "ann", 1, 2000, 2, false));
-        policy.outcome(40, new AttemptOutcome("r1", "h1", 0, AttemptStatus.SERVED, 37, true, 20, 0, null));
-        policy.request(50, new AdmissionRequest("r2", "read", "gold", "bob", 1, 2000, 2, false));
+        policy.endpointsChanged(0, true, List.of(new Endpoint("h1", "east", "small", 0, EndpointState.UP, 1, 0)));
+        policy.requestArrived(3, new AdmissionRequest("r1", "read", "basic", "ann", 1, 2000, 2, false));
+        policy.attemptEnded(40, new AttemptOutcome("r1", "h1", 0, AttemptStatus.SERVED, 37, true, 20, 0, null));
+        policy.requestArrived(50, new AdmissionRequest("r2", "read", "gold", "bob", 1, 2000, 2, false));
         assertEquals(
                 List.of("send r1 to h1", "log refused: unknown plan or class gold read", "refuse r2"), gateway.done);
     }
--- a/decision/src/test/java/opalcove/decision/SeededTraffic.java
+++ b/decision/src/test/java/opalcove/decision/SeededTraffic.java
@@ -119,7 +119,7 @@
         for (int i = 0; i < 8; i++) {
             hosts.add(new Endpoint("h" + i, ZONES[i % 2], KINDS[i % 3], i / 3, EndpointState.UP, 1 + i % 3 * 0.5, 0));
         }
-        policy.hosts(now, true, List.copyOf(hosts));
+        policy.endpointsChanged(now, true, List.copyOf(hosts));
         for (int i = 0; i < REQUESTS; i++) {
             pressed = i > REQUESTS / 3 && i < REQUESTS / 2;
             advance(now + random.nextDouble(pressed ? 12 : 30));
@@ -134,7 +134,7 @@
                 noteRooms();
             }
             if (i % 60 == 59) {
-                policy.reported(
+                policy.loadReported(
                         now, "h" + random.nextInt(9), random.nextInt(20), random.nextInt(3), random.nextInt(400) - 20);
             }
         }
@@ -178,11 +178,11 @@
                 1 + random.nextInt(scenario.gateways),
                 later && random.nextBoolean());
         requests.put(id, request);
-        policy.request(now, request);
+        policy.requestArrived(now, request);
         if (random.nextInt(20) == 0) {
             at(random.nextDouble(600), () -> {
                 finished.add(id);
-                policy.gone(now, id);
+                policy.requestCancelled(now, id);
             });
         }
     }
@@ -199,9 +199,9 @@
         }
         boolean whole = random.nextInt(3) == 0;
         if (scenario.listOnRequest && random.nextInt(3) == 0) {
-            policy.hostsFailed(now);
+            policy.endpointListFailed(now);
         } else {
-            policy.hosts(
+            policy.endpointsChanged(
                     now, whole, whole ? List.copyOf(hosts) : List.of(hosts.get(Math.min(index, hosts.size() - 1))));
         }
     }
@@ -235,7 +235,7 @@
         }
         AdmissionRequest request = requests.get(id);
         if (request.requestClass().equals("hear") && result == AttemptStatus.SERVED) {
-            at(elapsedMs / 2, () -> policy.began(now, id, attempt));
+            at(elapsedMs / 2, () -> policy.responseStarted(now, id, attempt));
         }
         double tookMs = elapsedMs;
         at(elapsedMs, () -> end(id, attempt, host, result, tookMs));
@@ -251,18 +251,18 @@
         boolean answered = result == AttemptStatus.SERVED || result == AttemptStatus.ERROR;
         int usedPercent = answered && scenario.meterPeriodMs > 0 && random.nextInt(3) > 0 ? random.nextInt(300) : -1;
         double trueUnits = answered && scenario.unitsAreGuesses ? 1 + random.nextInt(8) : 0;
-        policy.outcome(
+        policy.attemptEnded(
                 now,
                 new AttemptOutcome(
                         id, host, attempt, result, elapsedMs, finished.contains(id), usedPercent, trueUnits, null));
         if (answered && random.nextInt(30) == 0) {
-            policy.settled(now, requests.get(id), random.nextInt(200), 1 + random.nextInt(4));
+            policy.usageReported(now, requests.get(id), random.nextInt(200), 1 + random.nextInt(4));
         }
     }
 
     private void noteRooms() {
-        for (AdmissionController.Room room : policy.rooms(now)) {
-            note("room", room.host(), room.share());
+        for (CapacityShare room : policy.capacityShares(now)) {
+            note("room", room.backend(), room.share());
         }
     }
 
@@ -281,14 +281,14 @@
     }
 
     @Override
-    public void send(String id, String host, double timeoutMs) {
+    public void startAttempt(String id, String host, double timeoutMs) {
         int attempt = attempts.merge(id, 1, Integer::sum) - 1;
         note("send", id, host, timeoutMs);
         answer(id, attempt, host);
     }
 
     @Override
-    public void refuse(String id, double retryAfterMs) {
+    public void shed(String id, double retryAfterMs) {
         note("refuse", id, retryAfterMs);
         finished.add(id);
     }
@@ -300,43 +300,43 @@
     }
 
     @Override
-    public void cancel(String id, int attempt) {
+    public void cancelAttempt(String id, int attempt) {
         note("cancel", id, attempt);
         double afterMs = 1 + random.nextDouble(5);
         at(afterMs, () -> end(id, attempt, "", AttemptStatus.CANCELLED, afterMs));
     }
 
     @Override
-    public void wake(long token, double afterMs) {
+    public void setTimer(long token, double afterMs) {
         note("wake", token, afterMs);
         at(afterMs, () -> {
             if (!forgotten.remove(token)) {
-                policy.timer(now, token);
+                policy.timerExpired(now, token);
             }
         });
     }
 
     @Override
-    public void forget(long token) {
+    public void cancelTimer(long token) {
         note("forget", token);
         forgotten.add(token);
     }
 
     @Override
-    public void probe(String host) {
+    public void checkHealth(String host) {
         note("probe", host);
         ProbeStatus result = ProbeStatus.values()[random.nextInt(3)];
-        at(30, () -> policy.probed(now, host, result, 30, null));
+        at(30, () -> policy.healthCheckEnded(now, host, result, 30, null));
     }
 
     @Override
-    public void follow() {
+    public void subscribeToEndpoints() {
         note("follow");
         at(20, () -> {
             if (random.nextInt(3) == 0) {
-                policy.hostsFailed(now);
+                policy.endpointListFailed(now);
             } else {
-                policy.hosts(now, true, List.copyOf(hosts));
+                policy.endpointsChanged(now, true, List.copyOf(hosts));
             }
         });
     }
--- a/gateway/src/main/java/opalcove/core/RequestDispatcher.java
+++ b/gateway/src/main/java/opalcove/core/RequestDispatcher.java
@@ -18,6 +18,7 @@
 import opalcove.decision.AdmissionRequest;
 import opalcove.decision.AttemptOutcome;
 import opalcove.decision.AttemptStatus;
+import opalcove.decision.CapacityShare;
 import opalcove.decision.DecisionActions;
 import opalcove.decision.DecisionSettings;
 import opalcove.decision.Endpoint;
@@ -146,7 +147,7 @@
         generations.add(current);
         ConfigGeneration told = current;
         List<Endpoint> listed = starts.hosts(backends.all());
-        tell(() -> told.module.hosts(clock.now(), true, listed));
+        tell(() -> told.module.endpointsChanged(clock.now(), true, listed));
     }
 
     /** Has this run before each ask is taken: a process that stood still may have settings that hold no more. */
@@ -300,7 +301,7 @@
     }
 
     private void submitToModule(InFlightRequest inFlight) {
-        tell(() -> inFlight.generation.module.request(clock.now(), request(inFlight.request)));
+        tell(() -> inFlight.generation.module.requestArrived(clock.now(), request(inFlight.request)));
     }
 
     private static AdmissionRequest request(Request request) {
@@ -433,7 +434,7 @@
         }
         alarms.cancel(inFlight.deadline());
         double now = clock.now();
-        tell(() -> inFlight.generation.module.outcome(
+        tell(() -> inFlight.generation.module.attemptEnded(
                 now,
                 new AttemptOutcome(
                         inFlight.request.id(),
@@ -460,7 +461,7 @@
                 inFlight.finish(null);
             }
             if (end.result() == AttemptStatus.SERVED) {
-                inFlight.generation.module.settled(
+                inFlight.generation.module.usageReported(
                         clock.now(), request(inFlight.request), end.usedPercent(), end.trueUnits());
             }
         });
@@ -495,7 +496,7 @@
                 follow(inFlight, new InFlightRequest.Step.Final(new Response.Served(value)));
                 giveUpCopies(inFlight);
             }
-            inFlight.generation.module.outcome(
+            inFlight.generation.module.attemptEnded(
                     now,
                     new AttemptOutcome(
                             inFlight.request.id(),
@@ -598,7 +599,7 @@
     /** Has the module give up the life's attempts, which needs its ledger, and only then closes the ledger. */
     private void end(InFlightRequest inFlight, Runnable closing) {
         tell(() -> {
-            inFlight.generation.module.gone(clock.now(), inFlight.request.id());
+            inFlight.generation.module.requestCancelled(clock.now(), inFlight.request.id());
             turns.add(closing);
         });
     }
@@ -637,7 +638,7 @@
                 reached -> tell(() -> {
                     ProbeStatus result = reached ? ProbeStatus.DONE : ProbeStatus.NOT_DONE;
                     double now = clock.now();
-                    generation.module.probed(now, backend.name(), result, now - began, null);
+                    generation.module.healthCheckEnded(now, backend.name(), result, now - began, null);
                 }));
     }
 
@@ -688,7 +689,7 @@
         }
         generations.removeIf(ConfigGeneration::done);
         for (ConfigGeneration each : generations) {
-            tell(() -> each.module.hosts(clock.now(), whole, hosts));
+            tell(() -> each.module.endpointsChanged(clock.now(), whole, hosts));
         }
         tell(this::countAvoided);
     }
@@ -696,9 +697,9 @@
     /** Listed nodes that get no new work now, be it by the list's word or by the module's. */
     private void countAvoided() {
         Set<String> used = new HashSet<>();
-        for (AdmissionController.Room each : rooms()) {
+        for (CapacityShare each : rooms()) {
             if (each.share() > 0) {
-                used.add(each.host());
+                used.add(each.backend());
             }
         }
         List<Backend> listed = backends.all();
@@ -717,8 +718,8 @@
     }
 
     /** What the newest module would give each node now. */
-    List<AdmissionController.Room> rooms() {
-        return current.module.rooms(clock.now());
+    List<CapacityShare> rooms() {
+        return current.module.capacityShares(clock.now());
     }
 
     /** The node list as last told. */
@@ -842,12 +843,12 @@
         }
 
         @Override
-        public void send(String id, String host, double timeoutMs) {
+        public void startAttempt(String id, String host, double timeoutMs) {
             decide(id, new InFlightRequest.Step.SendTo(host, timeoutMs));
         }
 
         @Override
-        public void refuse(String id, double retryAfterMs) {
+        public void shed(String id, double retryAfterMs) {
             InFlightRequest inFlight = inFlight(id);
             if (inFlight != null && !guards.mayRefuse(inFlight)) {
                 // Guards against promising that a repeat is harmless when an attempt may have had its effect.
@@ -867,7 +868,7 @@
         }
 
         @Override
-        public void cancel(String id, int attempt) {
+        public void cancelAttempt(String id, int attempt) {
             InFlightRequest inFlight = inFlight(id);
             if (inFlight == null || attempt >= inFlight.attempts.size()) {
                 return;
@@ -882,14 +883,14 @@
         }
 
         @Override
-        public void wake(long token, double afterMs) {
+        public void setTimer(long token, double afterMs) {
             Wake wake = new Wake(generation, token);
             generation.wakes.put(token, wake);
             alarms.set(afterMs, wake);
         }
 
         @Override
-        public void forget(long token) {
+        public void cancelTimer(long token) {
             Wake wake = generation.wakes.remove(token);
             if (wake != null) {
                 alarms.cancel(wake);
@@ -897,7 +898,7 @@
         }
 
         @Override
-        public void probe(String host) {
+        public void checkHealth(String host) {
             Backend backend = backends.open(host);
             if (backend != null) {
                 turns.add(() -> RequestDispatcher.this.probe(generation, backend));
@@ -905,7 +906,7 @@
         }
 
         @Override
-        public void follow() {
+        public void subscribeToEndpoints() {
             // The node list is always followed here.
         }
 
@@ -930,7 +931,7 @@
             generation.wakes.remove(token);
             // A generation that is let go has no ask left to decide on, and so no need of its ticks.
             if (!generation.done()) {
-                tell(() -> generation.module.timer(clock.now(), token));
+                tell(() -> generation.module.timerExpired(clock.now(), token));
             }
         }
     }
--- a/gateway/src/main/java/opalcove/simulator/SimulatorAdapter.java
+++ b/gateway/src/main/java/opalcove/simulator/SimulatorAdapter.java
@@ -108,7 +108,7 @@
             case "Announce" -> announce(module(m), m);
             case "Submit" ->
                 module(m)
-                        .request(
+                        .requestArrived(
                                 now,
                                 new AdmissionRequest(
                                         m.text("ticket"),
@@ -120,12 +120,12 @@
                                         m.whole("entry_points"),
                                         m.flag("resent")));
             case "Outcome" -> outcome(module(m), m);
-            case "Established" -> module(m).began(now, m.text("ticket"), m.wholeOr("shot", 0));
-            case "CancelledByClient" -> module(m).gone(now, m.text("ticket"));
-            case "TickDue" -> module(m).timer(now, m.serial("handle"));
+            case "Established" -> module(m).responseStarted(now, m.text("ticket"), m.wholeOr("shot", 0));
+            case "CancelledByClient" -> module(m).requestCancelled(now, m.text("ticket"));
+            case "TickDue" -> module(m).timerExpired(now, m.serial("handle"));
             case "ProbeDone" ->
                 module(m)
-                        .probed(
+                        .healthCheckEnded(
                                 now,
                                 m.text("host"),
                                 m.text("code").equals("completed") ? ProbeStatus.DONE : ProbeStatus.NOT_DONE,
@@ -173,7 +173,7 @@
     private void announce(DecisionModule module, JsonFields m) {
         String form = m.text("form");
         if (form.equals("broken")) {
-            module.hostsFailed(now);
+            module.endpointListFailed(now);
             return;
         }
         if (!form.equals("whole") && !form.equals("patch") && !form.equals("stale_copy")) {
@@ -183,7 +183,7 @@
         if (lines == null) {
             throw new InvalidConfigurationException("no Roster numbered " + m.whole("ref"));
         }
-        module.hosts(now, !form.equals("patch"), lines);
+        module.endpointsChanged(now, !form.equals("patch"), lines);
     }
 
     private void outcome(DecisionModule module, JsonFields m) {
@@ -191,7 +191,7 @@
         if (result == null) {
             throw new InvalidConfigurationException("unknown code " + m.text("code"));
         }
-        module.outcome(
+        module.attemptEnded(
                 now,
                 new AttemptOutcome(
                         m.text("ticket"),
@@ -241,7 +241,7 @@
         }
 
         @Override
-        public void send(String id, String host, double timeoutMs) {
+        public void startAttempt(String id, String host, double timeoutMs) {
             JsonObject action = start("HandOff").add("ticket", id);
             if (timeoutMs > 0) {
                 action.add("limit_ms", timeoutMs);
@@ -250,7 +250,7 @@
         }
 
         @Override
-        public void refuse(String id, double retryAfterMs) {
+        public void shed(String id, double retryAfterMs) {
             JsonObject action = start("NotNow").add("ticket", id);
             if (retryAfterMs > 0) {
                 action.add("not_before_for_ms", retryAfterMs);
@@ -264,22 +264,22 @@
         }
 
         @Override
-        public void cancel(String id, int attempt) {
+        public void cancelAttempt(String id, int attempt) {
             write(start("CallOff").add("ticket", id).add("shot", attempt));
         }
 
         @Override
-        public void wake(long token, double afterMs) {
+        public void setTimer(long token, double afterMs) {
             write(start("WakeMe").add("handle", token).add("sleep_for_ms", afterMs));
         }
 
         @Override
-        public void probe(String host) {
+        public void checkHealth(String host) {
             write(start("Test").add("host", host));
         }
 
         @Override
-        public void follow() {
+        public void subscribeToEndpoints() {
             write(start("StreamChanges").add("active", true));
         }
 
--- a/gateway/src/test/java/opalcove/config/SettingsReaderTest.java
+++ b/gateway/src/test/java/opalcove/config/SettingsReaderTest.java
@@ -324,25 +324,25 @@
     /** A gateway that the module is never asked to act for. */
     private static final class NoActions implements DecisionActions {
         @Override
-        public void send(String id, String host, double timeoutMs) {}
+        public void startAttempt(String id, String host, double timeoutMs) {}
 
         @Override
-        public void refuse(String id, double retryAfterMs) {}
+        public void shed(String id, double retryAfterMs) {}
 
         @Override
         public void fail(String id) {}
 
         @Override
-        public void cancel(String id, int attempt) {}
+        public void cancelAttempt(String id, int attempt) {}
 
         @Override
-        public void wake(long token, double afterMs) {}
+        public void setTimer(long token, double afterMs) {}
 
         @Override
-        public void probe(String host) {}
+        public void checkHealth(String host) {}
 
         @Override
-        public void follow() {}
+        public void subscribeToEndpoints() {}
 
         @Override
         public void log(String line) {}
--- a/gateway/src/test/java/opalcove/core/ClocksApartTest.java
+++ b/gateway/src/test/java/opalcove/core/ClocksApartTest.java
@@ -107,7 +107,7 @@
 
     private double share(String name) throws Exception {
         return onLoop(() -> gateway.rooms().stream()
-                .filter(room -> room.host().equals(name))
+                .filter(share -> share.backend().equals(name))
                 .findFirst()
                 .orElseThrow()
                 .share());
--- a/laboratory/src/main/java/opalcove/laboratory/CeilingModel.java
+++ b/laboratory/src/main/java/opalcove/laboratory/CeilingModel.java
@@ -116,12 +116,12 @@
             for (int i = 0; i < BACKENDS; i++) {
                 hosts.add(new Endpoint("backend-" + i, "room", "kind", 0, EndpointState.UP, 1, 0));
             }
-            policy.hosts(now, true, hosts);
+            policy.endpointsChanged(now, true, hosts);
         }
 
         void take(Arrival arrival, String id) {
             requests.put(id, arrival);
-            policy.request(
+            policy.requestArrived(
                     now,
                     new AdmissionRequest(
                             id,
@@ -137,7 +137,7 @@
         private void end(String id, int attempt, AttemptStatus result) {
             if (killed) return;
             Account account = requests.get(id).account;
-            policy.outcome(
+            policy.attemptEnded(
                     now,
                     new AttemptOutcome(
                             id,
@@ -152,33 +152,33 @@
         }
 
         @Override
-        public void send(String id, String host, double timeoutMs) {
+        public void startAttempt(String id, String host, double timeoutMs) {
             int attempt = attempts.merge(id, 1, Integer::sum) - 1;
             if (attempt == 0) sentOn(requests.get(id));
             schedule(now + serviceMs, () -> end(id, attempt, AttemptStatus.SERVED));
         }
 
         @Override
-        public void wake(long token, double afterMs) {
+        public void setTimer(long token, double afterMs) {
             schedule(now + afterMs, () -> {
-                if (!killed) policy.timer(now, token);
+                if (!killed) policy.timerExpired(now, token);
             });
         }
 
         @Override
-        public void refuse(String id, double retryAfterMs) {}
+        public void shed(String id, double retryAfterMs) {}
 
         @Override
         public void fail(String id) {}
 
         @Override
-        public void cancel(String id, int attempt) {}
+        public void cancelAttempt(String id, int attempt) {}
 
         @Override
-        public void probe(String host) {}
+        public void checkHealth(String host) {}
 
         @Override
-        public void follow() {}
+        public void subscribeToEndpoints() {}
 
         @Override
         public void log(String line) {}
--- a/laboratory/src/main/java/opalcove/laboratory/coldstart/ModelGateway.java
+++ b/laboratory/src/main/java/opalcove/laboratory/coldstart/ModelGateway.java
@@ -94,7 +94,7 @@
 
     void request(AdmissionRequest request, double workMs) {
         incarnation.requests.put(request.id(), new OpenRequest(clock.nowMs(), workMs));
-        incarnation.policy.request(clock.nowMs(), request);
+        incarnation.policy.requestArrived(clock.nowMs(), request);
     }
 
     /** One life of the process. */
@@ -106,7 +106,7 @@
 
         void listed(boolean whole, List<Endpoint> lines) {
             lines.forEach(line -> knownStarts.put(line.id(), line.startedMs()));
-            policy.hosts(clock.nowMs(), whole, lines);
+            policy.endpointsChanged(clock.nowMs(), whole, lines);
         }
 
         /** Runs after a delay, unless the process has ended meanwhile. */
@@ -119,7 +119,7 @@
         }
 
         @Override
-        public void send(String id, String host, double timeoutMs) {
+        public void startAttempt(String id, String host, double timeoutMs) {
             ModelBackend backend = backends.get(host);
             OpenRequest request = requests.get(id);
             OpenAttempt attempt = new OpenAttempt(backend, clock.nowMs());
@@ -151,12 +151,12 @@
             forgetIfSettled(id, request);
             double tookMs = clock.nowMs() - attempt.sentMs;
             String host = attempt.backend.name();
-            policy.outcome(
+            policy.attemptEnded(
                     clock.nowMs(), new AttemptOutcome(id, host, number, result, tookMs, request.answered, -1, 0, null));
         }
 
         @Override
-        public void cancel(String id, int number) {
+        public void cancelAttempt(String id, int number) {
             OpenRequest request = requests.get(id);
             if (request != null) {
                 request.attempts.get(number).backend.cancel(request.attempts.get(number).work);
@@ -165,7 +165,7 @@
         }
 
         @Override
-        public void refuse(String id, double retryAfterMs) {
+        public void shed(String id, double retryAfterMs) {
             answeredWithoutValue(id);
         }
 
@@ -188,24 +188,24 @@
         }
 
         @Override
-        public void wake(long token, double afterMs) {
+        public void setTimer(long token, double afterMs) {
             after(afterMs, () -> {
                 if (!forgottenTimers.remove(token)) {
-                    policy.timer(clock.nowMs(), token);
+                    policy.timerExpired(clock.nowMs(), token);
                 }
             });
         }
 
         @Override
-        public void forget(long token) {
+        public void cancelTimer(long token) {
             forgottenTimers.add(token);
         }
 
         @Override
-        public void probe(String host) {}
+        public void checkHealth(String host) {}
 
         @Override
-        public void follow() {}
+        public void subscribeToEndpoints() {}
 
         @Override
         public void log(String line) {}
