--- a/decision/src/main/java/opalcove/decision/AdmissionController.java
+++ b/decision/src/main/java/opalcove/decision/AdmissionController.java
@@ -60,7 +60,7 @@
         settings.check();
         this.now = now;
         this.settings = settings;
-        duties = settings.duties();
+        duties = settings.obligations();
         limits = settings.limits();
         this.actions = actions;
         random = new SplittableRandom(seed);
@@ -68,7 +68,7 @@
         sizeEffects = Stream.generate(SizeEffect::new).limit(usual.length).toArray(SizeEffect[]::new);
         for (int i = 0; i < usual.length; i++) {
             classIndex.put(settings.classes().get(i).name(), i);
-            usual[i] = settings.classes().get(i).aimMs() / 6;
+            usual[i] = settings.classes().get(i).objectiveMs() / 6;
         }
         for (int i = 0; i < settings.plans().size(); i++)
             planIndex.put(settings.plans().get(i).name(), i);
@@ -106,7 +106,7 @@
         Flight f = new Flight(r, cls, plan, c);
         flights.put(r.id(), f);
         arm(ANSWER, f, Math.max(0, r.budgetMs() - 2 * settings.tickMs()));
-        boolean inside = companion.inside(c, r.units(), f.aimLeft < f.requestClass.aimMs());
+        boolean inside = companion.inside(c, r.units(), f.aimLeft < f.requestClass.objectiveMs());
         if (f.aimLeft < usual[cls] && (c.keep < 1 || split.bounded) || !inside && !companion.paysBeyond(c)) {
             refuse(f, f.comeBackMs());
             return;
@@ -126,15 +126,15 @@
         if (f == null || o.attempt() >= f.attempts.size() || f.attempts.get(o.attempt()).ended) return;
         Attempt a = f.attempts.get(o.attempt());
         a.ended = true;
-        a.ranMaybe = !o.result().neverRan;
+        a.ranMaybe = !o.status().neverRan;
         f.out--;
         split.out--;
         f.customer.open--;
         hosts.ended(a, o, f);
         settle(f.customer, f.request, o.usedPercent(), o.trueUnits());
         if (!f.done) split.seen(o, f);
-        if (o.over()) finish(f);
-        if (!f.done && f.out == 0) again(f, o.result());
+        if (o.requestEnded()) finish(f);
+        if (!f.done && f.out == 0) again(f, o.status());
         if (f.done && f.out == 0) flights.remove(o.id());
         pump();
     }
@@ -148,7 +148,7 @@
 
     private void settle(Customer c, AdmissionRequest r, int usedPercent, double trueUnits) {
         companion.told(c, usedPercent);
-        if (trueUnits > 0 && settings.unitsAreGuesses()) c.level += r.units() - trueUnits;
+        if (trueUnits > 0 && settings.unitsAreEstimates()) c.level += r.units() - trueUnits;
     }
 
     @Override
@@ -265,7 +265,7 @@
 
     /** From this age on an attempt counts as slow. */
     private double slowMs(Flight f) {
-        return Math.min(f.requestClass.aimMs() * 0.5, usual[f.cls] * 4) + Math.max(0, f.usualMs() - usual[f.cls]);
+        return Math.min(f.requestClass.objectiveMs() * 0.5, usual[f.cls] * 4) + Math.max(0, f.usualMs() - usual[f.cls]);
     }
 
     /** Holds what may still leave; what is given up gets its final answer at once. */
@@ -327,7 +327,7 @@
         for (Attempt a : f.attempts) if (!a.ended && now - a.sentAt > 0.9 * slowMs(f)) split.sign(a);
         // Guards against copies that add load where all hosts are slow: none while there is another sign.
         if (f.out != 1 || split.bounded || copies < 1 || split.signs > 1) return;
-        if (f.plan.openCap() > 0 || f.requestClass.effect() == Idempotency.UNSAFE) return;
+        if (f.plan.maxInFlight() > 0 || f.requestClass.idempotency() == Idempotency.UNSAFE) return;
         if (limits.secondCopies()) {
             Machine m = f.maySendMore() ? hosts.choose(f) : null;
             if (m != null && hosts.expected(m, f) * 2 < hosts.worst(f)) {
@@ -418,7 +418,7 @@
             requestClass = settings.classes().get(cls);
             double waited = Math.max(0, requestClass.deadlineMs() - request.budgetMs());
             boolean later = request.retry() || !firstTry(request.budgetMs() / requestClass.deadlineMs());
-            aimLeft = requestClass.aimMs() - (later ? waited : 0);
+            aimLeft = requestClass.objectiveMs() - (later ? waited : 0);
         }
 
         /** The usual time to an answer to a request of its class and units, ms. */
@@ -448,27 +448,27 @@
             if (done || streaming || attempts.size() >= limits.maxAttempts()) return false;
             if (out > 0 && !limits.secondCopies()) return false;
             Attempt first = ranFirst();
-            if (first == null || requestClass.effect() == Idempotency.SAFE) return true;
+            if (first == null || requestClass.idempotency() == Idempotency.SAFE) return true;
             double windowEnd = first.sentAt + requestClass.windowMs();
-            return requestClass.effect() == Idempotency.KEYED && now + settings.tickMs() < windowEnd;
+            return requestClass.idempotency() == Idempotency.KEYED && now + settings.tickMs() < windowEnd;
         }
 
         /** Whether the next send may go to this host. */
         boolean mayGoTo(Machine m) {
             Attempt first = ranFirst();
             if (first == null
-                    || requestClass.effect() == Idempotency.SAFE
-                    || requestClass.reach() == DeduplicationScope.ALL) return true;
+                    || requestClass.idempotency() == Idempotency.SAFE
+                    || requestClass.deduplicationScope() == DeduplicationScope.ALL) return true;
             Endpoint a = first.machine.host;
-            return requestClass.reach() == DeduplicationScope.ZONE
+            return requestClass.deduplicationScope() == DeduplicationScope.ZONE
                     ? a.zone().equals(m.host.zone())
                     : a.cell() == m.host.cell();
         }
 
         boolean mayRefuse() {
-            Idempotency effect = requestClass.effect();
+            Idempotency effect = requestClass.idempotency();
             if (ranFirst() == null || effect == Idempotency.SAFE) return true;
-            return effect == Idempotency.KEYED && requestClass.reach() == DeduplicationScope.ALL;
+            return effect == Idempotency.KEYED && requestClass.deduplicationScope() == DeduplicationScope.ALL;
         }
 
         boolean tried(Machine m) {
@@ -524,9 +524,8 @@
 
         Customer customer(AdmissionRequest r, int plan) {
             servingSince = Math.min(servingSince, now);
-            Customer c = customers.get(r.customer());
-            if (c == null)
-                customers.put(r.customer(), c = new Customer(plan, r.gateways(), now, servingSince, settings));
+            Customer c = customers.get(r.tenant());
+            if (c == null) customers.put(r.tenant(), c = new Customer(plan, r.gateways(), now, servingSince, settings));
             if (c.span <= 0) fade(c, 1);
             return c;
         }
@@ -592,7 +591,7 @@
 
         /** Soft plans pass beyond quota while that earns more than it costs and there is room. */
         boolean paysBeyond(Customer c) {
-            return c.plan.beyondWorth() > c.plan.beyondCost() && !split.bounded && !split.slow();
+            return c.plan.overQuotaWeight() > c.plan.overQuotaCost() && !split.bounded && !split.slow();
         }
 
         void charge(Flight f) {
@@ -608,7 +607,7 @@
             if (!f.attempts.isEmpty()) return true;
             advance(f.customer);
             boolean underCeiling = f.plan.ceilingRate() <= 0 || f.customer.ceiling >= f.request.units();
-            return underCeiling && (f.plan.openCap() <= 0 || f.customer.open < f.plan.openCap());
+            return underCeiling && (f.plan.maxInFlight() <= 0 || f.customer.open < f.plan.maxInFlight());
         }
 
         /** Takes in a told use, once a meter period: the others' part is what this gateway did not send. */
@@ -693,13 +692,14 @@
 
         Split() {
             int classes = settings.classes().size();
-            for (DecisionSettings.RequestClass c : settings.classes()) shortestAim = Math.min(shortestAim, c.aimMs());
+            for (DecisionSettings.RequestClass c : settings.classes())
+                shortestAim = Math.min(shortestAim, c.objectiveMs());
             lanes = new Lane[settings.plans().size() * classes][2];
             List<Lane> all = new ArrayList<>();
             for (int i = 0; i < lanes.length; i++) {
                 DecisionSettings.Plan p = settings.plans().get(i / classes);
-                double weight = settings.classes().get(i % classes).worth() * p.price();
-                lanes[i][0] = new Lane(weight * Math.max(0, p.beyondWorth() - p.beyondCost()), false);
+                double weight = settings.classes().get(i % classes).weight() * p.price();
+                lanes[i][0] = new Lane(weight * Math.max(0, p.overQuotaWeight() - p.overQuotaCost()), false);
                 lanes[i][1] = new Lane(weight, true);
                 all.addAll(List.of(lanes[i][1], lanes[i][0]));
             }
@@ -748,14 +748,14 @@
         /** Counts served units and the signs of a back end under pressure. */
         void seen(AttemptOutcome o, Flight f) {
             Attempt a = f.attempts.get(o.attempt());
-            double ratio = (now - a.sentAt - f.usualMs() + usual[f.cls]) / f.requestClass.aimMs();
-            boolean answered = o.result() == AttemptStatus.SERVED;
-            boolean sign = o.result() == AttemptStatus.REJECTED
-                    || o.result() == AttemptStatus.TIMED_OUT
+            double ratio = (now - a.sentAt - f.usualMs() + usual[f.cls]) / f.requestClass.objectiveMs();
+            boolean answered = o.status() == AttemptStatus.SERVED;
+            boolean sign = o.status() == AttemptStatus.REJECTED
+                    || o.status() == AttemptStatus.TIMED_OUT
                     || answered && ratio > 0.6;
             served += answered ? f.request.units() : 0;
             news++;
-            if (now < lateUntil && o.result() != AttemptStatus.REJECTED) return;
+            if (now < lateUntil && o.status() != AttemptStatus.REJECTED) return;
             if (sign) sign(a);
             if (a.sign) return;
             answers++;
@@ -965,7 +965,7 @@
         }
 
         private double coldShare(Machine m) {
-            double from = duties.coldShare();
+            double from = duties.initialShare();
             return from + (1 - from) * (now - m.coldSince) / Math.max(1, duties.warmAfterMs());
         }
 
@@ -1000,7 +1000,7 @@
                 boolean cold = cold(m);
                 double cost = expected(m, f) * (f.tried(m) ? 4 : 1) * (1 + 0.05 * random.nextDouble());
                 if (!m.host.zone().equals(settings.zone()))
-                    cost *= 1 + 10 * settings.prices().crossZone();
+                    cost *= 1 + 10 * settings.costs().crossZone();
                 if (now < m.shunUntil) continue;
                 if (cold ? m.budget < whole : m.fails > 1 && m.out > 0) continue;
                 cost *= 1 + (connected(m) ? 4 : 20) * (faults(m.zone) + faults(m.kind));
@@ -1025,18 +1025,18 @@
             Machine m = a.machine;
             m.out--;
             m.inHand = m.out == 0 ? 0 : Math.max(0, m.inHand - a.work);
-            switch (o.result()) {
+            switch (o.status()) {
                 case SERVED, ERROR -> {
                     doneWork += cold(m) ? 0 : a.work;
                     m.heardAt = now;
                     fault(m, 0);
                     alive(m);
                     m.refusals = 0;
-                    m.errors += 0.2 * ((o.result() == AttemptStatus.ERROR ? 1 : 0) - m.errors);
-                    if (o.result() == AttemptStatus.ERROR) return; // a quick error must not make a host look fast
+                    m.errors += 0.2 * ((o.status() == AttemptStatus.ERROR ? 1 : 0) - m.errors);
+                    if (o.status() == AttemptStatus.ERROR) return; // a quick error must not make a host look fast
                     slower(m, o.elapsedMs() / f.usualMs());
                     double aboveMs = Math.min(o.elapsedMs(), 5 * usual[f.cls]) - usual[f.cls];
-                    if (!settings.unitsAreGuesses()) sizeEffects[f.cls].learn(f.request.units(), aboveMs);
+                    if (!settings.unitsAreEstimates()) sizeEffects[f.cls].learn(f.request.units(), aboveMs);
                     usual[f.cls] += 0.02 * aboveMs;
                 }
                 case REJECTED -> {
--- a/decision/src/main/java/opalcove/decision/AdmissionRequest.java
+++ b/decision/src/main/java/opalcove/decision/AdmissionRequest.java
@@ -5,7 +5,7 @@
         String id,
         String requestClass,
         String plan,
-        String customer,
+        String tenant,
         double units,
         double budgetMs,
         int gateways,
--- a/decision/src/main/java/opalcove/decision/AttemptOutcome.java
+++ b/decision/src/main/java/opalcove/decision/AttemptOutcome.java
@@ -7,11 +7,11 @@
  */
 public record AttemptOutcome(
         String id,
-        String host,
+        String backend,
         int attempt,
-        AttemptStatus result,
+        AttemptStatus status,
         double elapsedMs,
-        boolean over,
+        boolean requestEnded,
         int usedPercent,
         double trueUnits,
         double[] load) {}
--- a/decision/src/main/java/opalcove/decision/DecisionSettings.java
+++ b/decision/src/main/java/opalcove/decision/DecisionSettings.java
@@ -9,14 +9,14 @@
         String zone,
         double tickMs,
         double meterPeriodMs,
-        boolean unitsAreGuesses,
+        boolean unitsAreEstimates,
         List<RequestClass> classes,
         List<Plan> plans,
         Limits limits,
-        Obligations duties,
-        Costs prices,
-        LoadReportSource reports,
-        List<LoadMetric> gauges) {
+        Obligations obligations,
+        Costs costs,
+        LoadReportSource loadReportSource,
+        List<LoadMetric> loadMetrics) {
     /**
      * Checks that the settings do not contradict themselves.
      *
@@ -27,11 +27,11 @@
         require(!plans.isEmpty(), "no plan");
         require(gateways > 0, "no gateway");
         for (RequestClass requestClass : classes) {
-            require(Math.min(requestClass.aimMs(), requestClass.deadlineMs()) > 0, "no time");
+            require(Math.min(requestClass.objectiveMs(), requestClass.deadlineMs()) > 0, "no time");
         }
         for (Plan plan : plans) {
             double leastQuota = Math.min(plan.rate(), plan.burst());
-            double leastLimit = Math.min(plan.ceilingRate(), plan.openCap());
+            double leastLimit = Math.min(plan.ceilingRate(), plan.maxInFlight());
             require(
                     Math.min(leastQuota, leastLimit) >= 0 && plan.ceilingBurst() >= 0,
                     "plan " + plan.name() + " has a figure below 0");
@@ -45,12 +45,12 @@
     /** A request class. A keyed class's repeats are dropped within windowMs of the first send that may have run. */
     public record RequestClass(
             String name,
-            double worth,
+            double weight,
             double lateShare,
-            double aimMs,
+            double objectiveMs,
             double deadlineMs,
-            Idempotency effect,
-            DeduplicationScope reach,
+            Idempotency idempotency,
+            DeduplicationScope deduplicationScope,
             double windowMs,
             boolean stream) {}
 
@@ -59,10 +59,10 @@
             String name,
             double rate,
             double burst,
-            int openCap,
+            int maxInFlight,
             double price,
-            double beyondWorth,
-            double beyondCost,
+            double overQuotaWeight,
+            double overQuotaCost,
             double ceilingRate,
             double ceilingBurst,
             double ceilingSlack) {}
@@ -115,12 +115,12 @@
      */
     public record Obligations(
             double answerSlackMs,
-            double coldShare,
+            double initialShare,
             double warmAfterMs,
             double overloadFactor,
             double overloadMs,
             boolean listOnRequest,
-            double askWithinMs,
+            double pollWithinMs,
             double drainGraceMs) {
         /** The drain grace where the settings name none, ms. */
         public static final double DEFAULT_DRAIN_GRACE_MS = 1000;
@@ -128,20 +128,20 @@
         /** Duties whose settings name no drain grace. */
         public Obligations(
                 double answerSlackMs,
-                double coldShare,
+                double initialShare,
                 double warmAfterMs,
                 double overloadFactor,
                 double overloadMs,
                 boolean listOnRequest,
-                double askWithinMs) {
+                double pollWithinMs) {
             this(
                     answerSlackMs,
-                    coldShare,
+                    initialShare,
                     warmAfterMs,
                     overloadFactor,
                     overloadMs,
                     listOnRequest,
-                    askWithinMs,
+                    pollWithinMs,
                     DEFAULT_DRAIN_GRACE_MS);
         }
     }
--- a/gateway/src/main/java/opalcove/core/AttemptGuard.java
+++ b/gateway/src/main/java/opalcove/core/AttemptGuard.java
@@ -87,10 +87,10 @@
     private static Veto objectionToRepeat(
             InFlightRequest inFlight, InFlightRequest.Attempt first, Backend target, double now) {
         DecisionSettings.RequestClass c = inFlight.requestClass;
-        if (first == null || c.effect() == Idempotency.SAFE) {
+        if (first == null || c.idempotency() == Idempotency.SAFE) {
             return null;
         }
-        if (c.effect() == Idempotency.UNSAFE) {
+        if (c.idempotency() == Idempotency.UNSAFE) {
             return new Veto(Invariant.REPEAT, "it may have run and must not be repeated");
         }
         if (now >= first.sentAt + c.windowMs() - Math.min(WINDOW_MARGIN_MS, c.windowMs() / 4)) {
@@ -99,7 +99,7 @@
         Endpoint a = first.backend.host();
         Endpoint b = target.host();
         boolean shared =
-                switch (c.reach()) {
+                switch (c.deduplicationScope()) {
                     case ALL -> true;
                     case ZONE -> a.zone().equals(b.zone());
                     case CELL -> a.cell() == b.cell();
@@ -111,7 +111,7 @@
     boolean mayRefuse(InFlightRequest inFlight) {
         DecisionSettings.RequestClass c = inFlight.requestClass;
         return inFlight.ranFirst() == null
-                || c.effect() == Idempotency.SAFE
-                || c.effect() == Idempotency.KEYED && c.reach() == DeduplicationScope.ALL;
+                || c.idempotency() == Idempotency.SAFE
+                || c.idempotency() == Idempotency.KEYED && c.deduplicationScope() == DeduplicationScope.ALL;
     }
 }
--- a/gateway/src/main/java/opalcove/core/RequestDispatcher.java
+++ b/gateway/src/main/java/opalcove/core/RequestDispatcher.java
@@ -343,7 +343,7 @@
 
     /** The time between two beats of the event loop, ms. */
     private double beatMs() {
-        double part = BEAT_PART * current.settings.duties().drainGraceMs();
+        double part = BEAT_PART * current.settings.obligations().drainGraceMs();
         return Math.max(LEAST_BEAT_MS, Math.min(AVOIDED_MS, part));
     }
 
--- a/gateway/src/main/java/opalcove/core/RequestValidator.java
+++ b/gateway/src/main/java/opalcove/core/RequestValidator.java
@@ -68,7 +68,9 @@
                         && request.firstGateway() >= 0
                         && request.firstGateway() < gateways,
                 "the operator's gateways are out of range");
-        need((request.key() == null) != (known.effect() == Idempotency.KEYED), "a key for a class without, or none");
+        need(
+                (request.key() == null) != (known.idempotency() == Idempotency.KEYED),
+                "a key for a class without, or none");
         // A comma would end the key on the wire to an app node.
         need(
                 request.key() == null || request.key().length() <= LONGEST_KEY && passesOn(request.key()),
--- a/gateway/src/main/java/opalcove/discovery/DiscoveryClient.java
+++ b/gateway/src/main/java/opalcove/discovery/DiscoveryClient.java
@@ -93,9 +93,9 @@
         }
 
         static PollSchedule of(DecisionSettings settings, RandomGenerator random) {
-            return settings.duties().listOnRequest()
+            return settings.obligations().listOnRequest()
                     ? ofAsked(settings.gateways(), random)
-                    : ofPushed(settings.duties().drainGraceMs(), random);
+                    : ofPushed(settings.obligations().drainGraceMs(), random);
         }
 
         private static PollSchedule ofAsked(int gateways, RandomGenerator random) {
--- a/gateway/src/main/java/opalcove/resp/BackendReplyDecoder.java
+++ b/gateway/src/main/java/opalcove/resp/BackendReplyDecoder.java
@@ -27,7 +27,7 @@
     private double[] load;
 
     BackendReplyDecoder(DecisionSettings settings) {
-        gauges = settings.gauges();
+        gauges = settings.loadMetrics();
         maxUnits = settings.limits().maxUnits();
     }
 
--- a/gateway/src/main/java/opalcove/resp/RequestDecoder.java
+++ b/gateway/src/main/java/opalcove/resp/RequestDecoder.java
@@ -91,7 +91,7 @@
         if (!parameters.read(command) || !parameters.complete()) {
             return null;
         }
-        Idempotency effect = rules.requestClass(parameters.requestClass).effect();
+        Idempotency effect = rules.requestClass(parameters.requestClass).idempotency();
         boolean keyed = effect == Idempotency.KEYED;
         boolean keyMissing = parameters.key == null || parameters.key.isEmpty();
         if (submit == (effect == Idempotency.SAFE) || keyed && keyMissing) {
@@ -261,10 +261,10 @@
         String named = marks.need("c");
         try {
             DecisionSettings.RequestClass requestClass = rules.requestClass(named);
-            if (submit == (requestClass.effect() == Idempotency.SAFE)) {
+            if (submit == (requestClass.idempotency() == Idempotency.SAFE)) {
                 throw new InvalidRequestException((submit ? SUBMIT : QUERY) + " does not serve " + requestClass.name());
             }
-            boolean keyed = requestClass.effect() == Idempotency.KEYED;
+            boolean keyed = requestClass.idempotency() == Idempotency.KEYED;
             return rules.check(new Request(
                     RequestParameters.hex(command.text(2), "the id"),
                     command.text(1),
--- a/gateway/src/main/java/opalcove/resp/WarmUp.java
+++ b/gateway/src/main/java/opalcove/resp/WarmUp.java
@@ -245,11 +245,13 @@
                         settings.plans().get(sent % settings.plans().size()).name(),
                         1,
                         c.deadlineMs(),
-                        c.effect() == Idempotency.KEYED ? id : null,
+                        c.idempotency() == Idempotency.KEYED ? id : null,
                         false,
                         settings.gateways(),
                         0,
-                        c.effect() == Idempotency.SAFE ? null : Unpooled.copiedBuffer(id, StandardCharsets.US_ASCII)),
+                        c.idempotency() == Idempotency.SAFE
+                                ? null
+                                : Unpooled.copiedBuffer(id, StandardCharsets.US_ASCII)),
                 c.deadlineMs(),
                 raw);
     }
--- a/gateway/src/main/java/opalcove/server/GatewayServer.java
+++ b/gateway/src/main/java/opalcove/server/GatewayServer.java
@@ -139,7 +139,7 @@
      */
     private static Future<?> listKnown(Vertx vertx, DiscoveryClient discovery, Versions versions, Parts parts) {
         GatewayConfig config = parts.config();
-        boolean asked = config.settings().duties().listOnRequest();
+        boolean asked = config.settings().obligations().listOnRequest();
         boolean knownWillDo = asked && !config.known().isEmpty();
         discovery.startFrom(knownWillDo ? config.knownIndex() : DiscoveryClient.NO_INDEX);
         Future<?> first = knownWillDo ? Future.succeededFuture() : discovery.firstWord(!asked);
--- a/gateway/src/test/java/opalcove/config/OutsideTextsTest.java
+++ b/gateway/src/test/java/opalcove/config/OutsideTextsTest.java
@@ -46,7 +46,7 @@
         List<Idempotency> read = new ArrayList<>();
         for (String word : List.of("safe", "keyed", "unsafe", "SAFE", "Keyed", "uNsAfE")) {
             read.add(firstClass("\"idempotency\":\"safe\"", "\"idempotency\":\"" + word + "\"")
-                    .effect());
+                    .idempotency());
         }
         List<Idempotency> three = List.of(Idempotency.SAFE, Idempotency.KEYED, Idempotency.UNSAFE);
         assertEquals(read.subList(0, 3), three);
@@ -58,7 +58,7 @@
         List<DeduplicationScope> read = new ArrayList<>();
         for (String word : List.of("all", "zone", "cell", "ALL", "Zone", "cELL")) {
             read.add(firstClass("\"group\":\"all\"", "\"group\":\"" + word + "\"")
-                    .reach());
+                    .deduplicationScope());
         }
         List<DeduplicationScope> three =
                 List.of(DeduplicationScope.ALL, DeduplicationScope.ZONE, DeduplicationScope.CELL);
@@ -92,11 +92,11 @@
     public void loadReportsAndDiscoveryHaveTheseWords() {
         List<Object> read = new ArrayList<>();
         for (String word : List.of("off", "inline", "on_probe")) {
-            read.add(settings("\"how\":\"inline\"", "\"how\":\"" + word + "\"").reports());
+            read.add(settings("\"how\":\"inline\"", "\"how\":\"" + word + "\"").loadReportSource());
         }
         for (String word : List.of("pushed", "on_request")) {
             read.add(settings("\"discovery\":\"pushed\"", "\"discovery\":\"" + word + "\"")
-                    .duties()
+                    .obligations()
                     .listOnRequest());
         }
         assertEquals(
--- a/gateway/src/test/java/opalcove/config/SettingsReaderTest.java
+++ b/gateway/src/test/java/opalcove/config/SettingsReaderTest.java
@@ -155,7 +155,7 @@
         DecisionSettings settings = SettingsReader.checked(JsonFields.parse(TestSettings.JSON
                 .replace("{\"me\":0", "{\"sunshine\":[1],\"me\":0")
                 .replace("svc_ms", "moon_phase")));
-        assertEquals(settings.gauges(), List.of(LoadMetric.UNKNOWN));
+        assertEquals(settings.loadMetrics(), List.of(LoadMetric.UNKNOWN));
     }
 
     /** The whole file at once: its own keys and those of the settings, each line with the file. */
--- a/gateway/src/test/java/opalcove/core/ClocksApartTest.java
+++ b/gateway/src/test/java/opalcove/core/ClocksApartTest.java
@@ -51,7 +51,7 @@
         assertEquals(share("b"), 1.0);
         told(backend("a", discoveryNow - LONG_AGO_MS), backend("b", discoveryNow));
         assertEquals(share("a"), 1.0);
-        double cold = TestSettings.settings().duties().coldShare();
+        double cold = TestSettings.settings().obligations().initialShare();
         assertTrue(share("b") > 0 && share("b") < 1.5 * cold, "b has a share of " + share("b"));
     }
 
@@ -60,7 +60,7 @@
         double discoveryNow = System.currentTimeMillis() + offsetMs;
         told(backend("a", discoveryNow - LONG_AGO_MS));
         told(backend("a", discoveryNow - LONG_AGO_MS), backend("b", discoveryNow));
-        double cold = TestSettings.settings().duties().coldShare();
+        double cold = TestSettings.settings().obligations().initialShare();
         assertTrue(share("b") > 0 && share("b") < 1.5 * cold, "b has a share of " + share("b"));
     }
 
--- a/gateway/src/test/java/opalcove/discovery/DiscoveryBoundsTest.java
+++ b/gateway/src/test/java/opalcove/discovery/DiscoveryBoundsTest.java
@@ -177,7 +177,7 @@
     /** Where the settings name no grace there is one; a grace that is next to none still leaves times to wait. */
     @Test
     public void aGraceIsNeverNone() {
-        assertEquals(settings().duties().drainGraceMs(), DecisionSettings.Obligations.DEFAULT_DRAIN_GRACE_MS);
+        assertEquals(settings().obligations().drainGraceMs(), DecisionSettings.Obligations.DEFAULT_DRAIN_GRACE_MS);
         DiscoveryClient.PollSchedule pace = DiscoveryClient.PollSchedule.of(pushed(0), new SplittableRandom(1));
         assertTrue(pace.waitMs() > 0 && pace.silenceMs() > 0 && pace.again().next(1) == 1, pace + "");
     }
--- a/laboratory/src/main/java/opalcove/laboratory/CeilingModel.java
+++ b/laboratory/src/main/java/opalcove/laboratory/CeilingModel.java
@@ -234,7 +234,7 @@
         DecisionSettings.Plan told = ceilingHeld
                 ? plan
                 : new DecisionSettings.Plan(
-                        plan.name(), plan.rate(), plan.burst(), 0, plan.price(), plan.beyondWorth(), 0, 0, 0, 0);
+                        plan.name(), plan.rate(), plan.burst(), 0, plan.price(), plan.overQuotaWeight(), 0, 0, 0, 0);
         return new DecisionSettings(
                 gateway,
                 GATEWAYS,
--- a/mqtt/src/main/java/opalcove/mqtt/MqttConnector.java
+++ b/mqtt/src/main/java/opalcove/mqtt/MqttConnector.java
@@ -58,7 +58,7 @@
         this.vertx = vertx;
         this.name = name;
         dialMs = (long) Math.max(1, settings.limits().connectTimeoutMs());
-        gauges = settings.gauges();
+        gauges = settings.loadMetrics();
         client = vertx.createNetClient(
                 new NetClientOptions().setReconnectAttempts(0).setConnectTimeout((int) dialMs));
     }
--- a/mqtt/src/main/java/opalcove/mqtt/MqttRequestServer.java
+++ b/mqtt/src/main/java/opalcove/mqtt/MqttRequestServer.java
@@ -228,7 +228,7 @@
                 request = RequestMessage.read(
                         gateway.rules(), id, message.topicName(), message.properties(), message.payload());
                 Idempotency effect =
-                        gateway.rules().requestClass(request.requestClass()).effect();
+                        gateway.rules().requestClass(request.requestClass()).idempotency();
                 if (message.isDup() && effect != Idempotency.SAFE) {
                     // Guards against a second effect: who had the first delivery, and when, is not known here any more.
                     throw new InvalidRequestException("redelivered after its time, it may have had its effect");
--- a/mqtt/src/main/java/opalcove/mqtt/RequestMessage.java
+++ b/mqtt/src/main/java/opalcove/mqtt/RequestMessage.java
@@ -47,7 +47,7 @@
             throw new InvalidRequestException("asks are published below " + TOPIC);
         }
         DecisionSettings.RequestClass requestClass = rules.requestClass(topic.substring(TOPIC.length()));
-        boolean safe = requestClass.effect() == Idempotency.SAFE;
+        boolean safe = requestClass.idempotency() == Idempotency.SAFE;
         if (safe && body.length() > 0) {
             throw new InvalidRequestException(requestClass.name() + " carries no body");
         }
@@ -69,7 +69,7 @@
                 marks.need("plan"),
                 marks.number("units"),
                 waitMs,
-                requestClass.effect() == Idempotency.KEYED ? marks.need("key") : null,
+                requestClass.idempotency() == Idempotency.KEYED ? marks.need("key") : null,
                 marks.set("retry"),
                 marks.whole("entry-points"),
                 marks.whole("first-entry"),
--- a/mqtt/src/test/java/opalcove/mqtt/MessageFormTest.java
+++ b/mqtt/src/test/java/opalcove/mqtt/MessageFormTest.java
@@ -192,7 +192,7 @@
     @Test(dataProvider = "ends")
     public void whatANodesAnswerMeans(String properties, AttemptStatus result, String facts) {
         AttemptResult end = ResponseMessage.read(
-                user(properties), Unpooled.EMPTY_BUFFER, TestSettings.settings().gauges());
+                user(properties), Unpooled.EMPTY_BUFFER, TestSettings.settings().loadMetrics());
         assertEquals(end.result(), result);
         assertEquals(end.usedPercent() + " " + end.trueUnits() + " " + Arrays.toString(end.load()), facts);
         assertEquals(end.value() != null, result == AttemptStatus.SERVED);
--- a/replication/src/main/java/opalcove/replication/ConfigDocument.java
+++ b/replication/src/main/java/opalcove/replication/ConfigDocument.java
@@ -46,14 +46,14 @@
                         own.zone(),
                         settings.tickMs(),
                         settings.meterPeriodMs(),
-                        settings.unitsAreGuesses(),
+                        settings.unitsAreEstimates(),
                         settings.classes(),
                         settings.plans(),
                         settings.limits(),
-                        settings.duties(),
-                        settings.prices(),
-                        settings.reports(),
-                        settings.gauges()),
+                        settings.obligations(),
+                        settings.costs(),
+                        settings.loadReportSource(),
+                        settings.loadMetrics()),
                 nodes);
     }
 
@@ -101,10 +101,10 @@
                 a.name(),
                 least(a.rate(), b.rate()),
                 least(a.burst(), b.burst()),
-                (int) least(a.openCap(), b.openCap()),
+                (int) least(a.maxInFlight(), b.maxInFlight()),
                 a.price(),
-                a.beyondWorth(),
-                a.beyondCost(),
+                a.overQuotaWeight(),
+                a.overQuotaCost(),
                 least(a.ceilingRate(), b.ceilingRate()),
                 least(a.ceilingBurst(), b.ceilingBurst()),
                 a.ceilingSlack());
@@ -123,10 +123,10 @@
                         p.name(),
                         p.rate(),
                         p.burst() / gateways,
-                        p.openCap(),
+                        p.maxInFlight(),
                         p.price(),
-                        p.beyondWorth(),
-                        p.beyondCost(),
+                        p.overQuotaWeight(),
+                        p.overQuotaCost(),
                         p.ceilingRate(),
                         p.ceilingBurst() / gateways,
                         p.ceilingSlack()))
@@ -141,14 +141,14 @@
                 settings.zone(),
                 settings.tickMs(),
                 settings.meterPeriodMs(),
-                settings.unitsAreGuesses(),
+                settings.unitsAreEstimates(),
                 settings.classes(),
                 plans,
                 limits,
-                settings.duties(),
-                settings.prices(),
-                settings.reports(),
-                settings.gauges());
+                settings.obligations(),
+                settings.costs(),
+                settings.loadReportSource(),
+                settings.loadMetrics());
     }
 
     /** 0 is no limit. */
