--- a/control/src/main/java/opalcove/control/xds/ResourceSubscription.java
+++ b/control/src/main/java/opalcove/control/xds/ResourceSubscription.java
@@ -1,9 +1,7 @@
 package opalcove.control.xds;
 
 import com.google.rpc.Status;
-import java.util.ArrayDeque;
 import java.util.ArrayList;
-import java.util.Deque;
 import java.util.HashMap;
 import java.util.HashSet;
 import java.util.LinkedHashMap;
@@ -13,338 +11,342 @@
 import java.util.Set;
 
 /**
- * One type on one stream: what the proxy wants, what it was told, what it answered. Free of I/O. It owes the proxy the
- * latest state alone, however many views went by, and never waits for an answer before it tells news.
+ * One resource type on one stream: what the client subscribes to, what it was sent and what it acknowledged. Free of I/O. Only
+ * the latest state is sent, however many snapshots went by, and changes are sent without waiting for acknowledgements.
  *
- * <p>A refusal (NACK) leaves the proxy with its last good state. Of a response with several resources, one may be at
- * fault and the others held up by it: its resources are told again in halves, until the one that is refused alone is known;
- * that one is told again only when it has changed.
+ * <p>A rejected response (NACK) leaves the client with its last good state. Of a response with several resources one may be at
+ * fault and hold up the others: {@link RejectionIsolator} finds it, so that it alone is withheld until it has changed.
  *
- * @param <Q> requests of this variant of the protocol
- * @param <R> its responses
+ * <p>Owned by the thread of its {@link XdsStream}.
+ *
+ * @param <RequestT> requests of this variant of the protocol
+ * @param <ResponseT> responses of this variant
  */
-abstract class ResourceSubscription<Q, R> {
-    /** Answers owed beyond this are no longer waited for, oldest first: a proxy that never answers must not cost memory. */
-    private static final int MOST_OWED = 64;
-    /** A reason is cut here, characters: it is the proxy's own text. */
-    private static final int MOST_REASON = 500;
-    /** As a version told: the proxy was told that there is no such resource. */
-    private static final String ABSENT = "";
+abstract class ResourceSubscription<RequestT, ResponseT> {
+    /** Stands for a version where the client was sent that there is no such resource. */
+    static final String ABSENT = "";
+
+    private static final String WILDCARD = "*";
+    /** The reason of a rejection is the client's own text and is cut here, in characters. */
+    private static final int MAX_REASON_LENGTH = 500;
 
-    /** A response whose answer is owed: what it told, by name; before: the last view that earlier ones told all of. */
-    private record PendingAck(String nonce, Map<String, String> told, boolean splittable, long before, double at) {}
+    private static final long NEVER = -1;
 
     final ResourceType type;
-    boolean opened;
-    boolean wildcard;
-    final Set<String> names = new LinkedHashSet<>();
-    /** Versions told, by name. */
-    private final Map<String, String> told = new HashMap<>();
-    /** Told in that version, refused alone, not told again. */
-    private final Map<String, String> refusedAlone = new HashMap<>();
-    /** To be told whatever was told before. */
-    private final Set<String> again = new LinkedHashSet<>();
-
-    private final Deque<PendingAck> owed = new ArrayDeque<>();
-    private final Deque<List<String>> halves = new ArrayDeque<>();
-    private final String noncePrefix;
-    private long nonces;
-    private boolean unanswered;
-    private boolean bringsNew;
-    private Object line;
-    private long toldSerial = -1;
-    private long answeredSerial = -1;
-    private long taken;
-    private long refused;
-    private String reason = "";
+    private final Set<String> names = new LinkedHashSet<>();
+    /** Versions sent, by resource name. */
+    private final Map<String, String> sent = new HashMap<>();
+    /** To be sent whatever was sent before. */
+    private final Set<String> forced = new LinkedHashSet<>();
+
+    private final PendingAcks pendingAcks;
+    private final RejectionIsolator rejections = new RejectionIsolator();
+    private boolean opened;
+    private boolean wildcard;
+    private boolean responseDue;
+    private boolean lastResponseHadNewNames;
+    private Object lineage;
+    private long sentRevision = NEVER;
+    private long acknowledgedRevision = NEVER;
+    private long acceptedCount;
+    private long rejectedCount;
+    private String rejectionReason = "";
 
     ResourceSubscription(ResourceType type, String noncePrefix) {
         this.type = type;
-        this.noncePrefix = noncePrefix;
+        pendingAcks = new PendingAcks(noncePrefix);
     }
 
-    /** Takes in a request: its subscriptions, and its answer to an earlier response. */
-    abstract void request(Q request);
+    /** Applies a request: its subscriptions, and its acknowledgement of an earlier response. */
+    abstract void onRequest(RequestT request);
+
+    /** Builds a response of these resources; names without a resource are reported as absent, where this variant can. */
+    abstract ResponseT response(
+            String nonce, ConfigSnapshot snapshot, Map<String, Resource> resources, Set<String> absent);
+
+    /** Builds a response that has the client keep these resources for another lifetime. */
+    abstract ResponseT renewal(String nonce, ConfigSnapshot snapshot, List<Resource> resources);
+
+    /** Whether each response of this variant for this type holds all resources subscribed to. */
+    abstract boolean sendsCompleteState();
+
+    /** Whether a response of these resources and absent names says anything in this variant. */
+    abstract boolean isMeaningful(Map<String, Resource> resources, Set<String> absent);
+
+    /** Whether an acknowledgement covers the responses before the one that it names. */
+    abstract boolean acknowledgesCumulatively();
 
-    /** Builds a response of these resources; names without one are told as absent, where this variant can. */
-    abstract R response(String nonce, ConfigSnapshot view, Map<String, Resource> resources, Set<String> absent);
+    final boolean isOpened() {
+        return opened;
+    }
 
-    /** Builds a response that has the proxy keep these resources for another lifetime. */
-    abstract R heartbeat(String nonce, ConfigSnapshot view, List<Resource> resources);
+    final boolean isWildcard() {
+        return wildcard;
+    }
 
-    /** Whether this variant's response for this type always holds all. */
-    abstract boolean whole();
+    final Set<String> names() {
+        return names;
+    }
 
-    /** Whether a response of these says anything in this variant. */
-    abstract boolean says(Map<String, Resource> resources, Set<String> absent);
+    static boolean isWildcardName(String name) {
+        return name.equals(WILDCARD);
+    }
 
-    final boolean wants(String name) {
+    private boolean isSubscribed(String name) {
         return wildcard || names.contains(name);
     }
 
-    /** Adds a name; it is told even if it was told before (xDS protocol, "unsubscribing and resubscribing"). */
+    /** Adds a name, which is sent even if it was sent before (xDS protocol, "unsubscribing and resubscribing"). */
     final void subscribe(String name) {
         names.add(name);
-        again.add(name);
-        refusedAlone.remove(name);
+        forced.add(name);
+        rejections.forget(name);
+    }
+
+    /** Adds a name whose resource the client has from an earlier stream. */
+    final void resume(String name) {
+        names.add(name);
     }
 
     final void unsubscribe(String name) {
         names.remove(name);
-        again.remove(name);
+        forced.remove(name);
         if (wildcard) {
-            again.add(name); // it may still be in the wildcard: the proxy is told which
+            forced.add(name); // the wildcard may still cover it: the client is sent whether it does
         } else {
-            told.remove(name);
+            sent.remove(name);
         }
     }
 
-    final void wildcard(boolean on) {
+    final void setWildcard(boolean on) {
         if (on) {
-            unanswered = true;
+            responseDue = true;
         } else {
-            told.keySet().removeIf(name -> !names.contains(name));
+            sent.keySet().removeIf(name -> !names.contains(name));
         }
         wildcard = on;
-        toldSerial = -1;
+        sentRevision = NEVER;
     }
 
-    /** A version that the proxy says it has. */
-    final void has(String name, String version) {
-        told.put(name, version);
+    /** Notes a version that the client says it has. */
+    final void onInitialVersion(String name, String version) {
+        sent.put(name, version);
     }
 
-    /** The first request of a type gets an answer, even where there is nothing to tell. */
+    /** The first request of a type gets a response, even where there is nothing to send. */
     final void open() {
         opened = true;
-        unanswered = true;
+        responseDue = true;
     }
 
-    final boolean isLast(String nonce) {
-        return nonce.equals(noncePrefix + nonces);
+    final boolean isLatestNonce(String nonce) {
+        return pendingAcks.isLatest(nonce);
     }
 
-    /** Whether an answer stands for those owed before it, too. */
-    abstract boolean answersForEarlier();
-
-    /** Takes in an answer to the response with that nonce; nothing where no such answer is owed. */
-    final void answered(String nonce, Status error) {
-        PendingAck answered = owed.stream()
-                .filter(each -> each.nonce.equals(nonce))
-                .findFirst()
-                .orElse(null);
-        if (answered == null) {
+    /**
+     * Applies an acknowledgement; one for a response that is not pending has no effect.
+     *
+     * @param error why the client rejects the response; null if it accepts it
+     */
+    final void onAcknowledged(String nonce, Status error) {
+        PendingAck acknowledged = pendingAcks.remove(nonce, acknowledgesCumulatively());
+        if (acknowledged == null) {
             return;
         }
-        while (answersForEarlier() && owed.peekFirst() != answered) {
-            owed.removeFirst();
-        }
-        owed.remove(answered);
         if (error == null) {
-            taken++;
-            reason = "";
-            answered.told.forEach(refusedAlone::remove);
+            acceptedCount++;
+            rejectionReason = "";
+            rejections.onAccepted(acknowledged);
         } else {
-            refused++;
-            String text = error.getMessage().isEmpty() ? "code " + error.getCode() : error.getMessage();
-            reason = text.length() > MOST_REASON ? text.substring(0, MOST_REASON) : text;
-            refused(answered);
-        }
-        answeredSerial = owed.isEmpty() ? toldSerial : Math.max(answeredSerial, owed.peekFirst().before);
-    }
-
-    private void refused(PendingAck answered) {
-        List<String> suspects = new ArrayList<>();
-        answered.told.forEach((name, version) -> {
-            // What was told anew since has an answer of its own to come.
-            if (!version.equals(ABSENT) && version.equals(told.get(name))) {
-                suspects.add(name);
-            }
-        });
-        if (suspects.size() == 1) {
-            refusedAlone.put(suspects.get(0), answered.told.get(suspects.get(0)));
-        } else if (answered.splittable && !suspects.isEmpty()) {
-            halves.add(List.copyOf(suspects.subList(0, suspects.size() / 2)));
-            halves.add(List.copyOf(suspects.subList(suspects.size() / 2, suspects.size())));
+            rejectedCount++;
+            String reason = error.getMessage().isEmpty() ? "code " + error.getCode() : error.getMessage();
+            rejectionReason = reason.length() > MAX_REASON_LENGTH ? reason.substring(0, MAX_REASON_LENGTH) : reason;
+            rejections.onRejected(acknowledged, sent);
         }
+        acknowledgedRevision = pendingAcks.isEmpty()
+                ? sentRevision
+                : Math.max(acknowledgedRevision, pendingAcks.oldest().revisionBefore());
     }
 
-    /** What the proxy is to be told now, or null. */
-    final R due(ConfigSnapshot view, double now) {
+    /** The response to send now, or null if none is due. */
+    final ResponseT nextResponse(ConfigSnapshot snapshot, double nowMs) {
         if (!opened) {
             return null;
         }
-        if (view.line() != line) {
-            // Guards a proxy that is shown another line of views: that one's serials say nothing of what it was told.
-            line = view.line();
-            toldSerial = answeredSerial = -1;
+        if (snapshot.lineage() != lineage) {
+            // Guards a client that moves to another lineage of snapshots: its revisions say nothing of what was sent.
+            lineage = snapshot.lineage();
+            sentRevision = acknowledgedRevision = NEVER;
         }
-        Set<String> news = news(view);
-        if (news.isEmpty() && !unanswered) {
-            upTo(view);
-            return owed.isEmpty() ? half(view, now) : null;
+        Set<String> changed = changedNames(snapshot);
+        if (changed.isEmpty() && !responseDue) {
+            coverWithoutResponse(snapshot);
+            return pendingAcks.isEmpty() ? nextHalf(snapshot, nowMs) : null;
         }
+        responseDue = false;
+        forced.clear();
         Map<String, Resource> resources = new LinkedHashMap<>();
         Set<String> absent = new LinkedHashSet<>();
-        if (whole()) {
-            for (String name : wildcard ? view.all(type).keySet() : names) {
-                put(view, name, resources, absent);
-            }
-            news.stream().filter(name -> view.get(type, name) == null).forEach(absent::add);
-        } else {
-            news.forEach(name -> put(view, name, resources, absent));
-        }
-        unanswered = false;
-        again.clear();
-        if (!says(resources, absent)) {
-            absent.forEach(this::absent);
-            upTo(view);
+        collect(snapshot, changed, resources, absent);
+        if (!isMeaningful(resources, absent)) {
+            absent.forEach(this::noteAbsent);
+            coverWithoutResponse(snapshot);
             return null;
         }
-        R response = tell(view, resources, absent, now);
-        toldSerial = view.serial();
+        ResponseT response = prepare(snapshot, resources, absent, nowMs);
+        sentRevision = snapshot.revision();
         return response;
     }
 
-    /** This view has no news for the proxy. */
-    private void upTo(ConfigSnapshot view) {
-        if (owed.isEmpty() && answeredSerial == toldSerial) {
-            answeredSerial = view.serial();
+    /** This snapshot has nothing new for the client. */
+    private void coverWithoutResponse(ConfigSnapshot snapshot) {
+        if (pendingAcks.isEmpty() && acknowledgedRevision == sentRevision) {
+            acknowledgedRevision = snapshot.revision();
         }
-        toldSerial = view.serial();
+        sentRevision = snapshot.revision();
     }
 
-    private void absent(String name) {
-        refusedAlone.remove(name);
-        if (names.contains(name)) {
-            told.put(name, ABSENT);
-        } else {
-            told.remove(name);
+    /** The names to send: subscribed to anew, or sent in another version than they have. */
+    private Set<String> changedNames(ConfigSnapshot snapshot) {
+        Set<String> changed = new LinkedHashSet<>();
+        forced.stream().filter(this::isSubscribed).forEach(changed::add);
+        for (String name : candidates(snapshot)) {
+            if (isSubscribed(name) && differsFromSent(name, snapshot.resource(type, name))) {
+                changed.add(name);
+            }
         }
+        return changed;
     }
 
-    /** The names to tell: asked for anew, or told in another version than they have. */
-    private Set<String> news(ConfigSnapshot view) {
-        Set<String> news = new LinkedHashSet<>();
-        again.stream().filter(this::wants).forEach(news::add);
-        Set<String> touched = toldSerial < 0 || view.line() != line ? null : view.touchedSince(type, toldSerial);
-        if (touched == null) {
-            touched = new HashSet<>(told.keySet());
-            touched.addAll(wildcard ? view.all(type).keySet() : names);
+    /** All names that may differ from what was sent: those changed since, or all where that is not known. */
+    private Set<String> candidates(ConfigSnapshot snapshot) {
+        boolean comparable = sentRevision != NEVER && snapshot.lineage() == lineage;
+        Set<String> changed = comparable ? snapshot.namesChangedSince(type, sentRevision) : null;
+        if (changed == null) {
+            changed = new HashSet<>(sent.keySet());
+            changed.addAll(wildcard ? snapshot.resources(type).keySet() : names);
         }
-        for (String name : touched) {
-            if (wants(name)) {
-                Resource now = view.get(type, name);
-                String before = told.get(name);
-                if (now == null
-                        ? before != null && !before.equals(ABSENT)
-                        : !now.version().equals(before)) {
-                    news.add(name);
-                }
+        return changed;
+    }
+
+    private boolean differsFromSent(String name, Resource resource) {
+        String before = sent.get(name);
+        return resource == null
+                ? before != null && !before.equals(ABSENT)
+                : !resource.version().equals(before);
+    }
+
+    private void collect(
+            ConfigSnapshot snapshot, Set<String> changed, Map<String, Resource> resources, Set<String> absent) {
+        Set<String> included = changed;
+        if (sendsCompleteState()) {
+            included = wildcard ? snapshot.resources(type).keySet() : names;
+        }
+        for (String name : included) {
+            Resource resource = snapshot.resource(type, name);
+            if (resource == null) {
+                absent.add(name);
+            } else {
+                resources.put(name, resource);
             }
         }
-        return news;
+        changed.stream().filter(name -> snapshot.resource(type, name) == null).forEach(absent::add);
     }
 
-    private void put(ConfigSnapshot view, String name, Map<String, Resource> resources, Set<String> absent) {
-        Resource resource = view.get(type, name);
-        if (resource == null) {
-            absent.add(name);
+    private void noteAbsent(String name) {
+        rejections.forget(name);
+        if (names.contains(name)) {
+            sent.put(name, ABSENT);
         } else {
-            resources.put(name, resource);
+            sent.remove(name);
         }
     }
 
-    private R tell(ConfigSnapshot view, Map<String, Resource> resources, Set<String> absent, double now) {
+    private ResponseT prepare(
+            ConfigSnapshot snapshot, Map<String, Resource> resources, Set<String> absent, double nowMs) {
         Map<String, String> versions = new LinkedHashMap<>();
-        bringsNew = false;
+        lastResponseHadNewNames = false;
         resources.forEach((name, resource) -> {
-            String before = told.get(name);
-            bringsNew |= before == null || before.equals(ABSENT);
+            String before = sent.put(name, resource.version());
+            lastResponseHadNewNames |= before == null || before.equals(ABSENT);
             versions.put(name, resource.version());
-            told.put(name, resource.version());
-            if (!resource.version().equals(refusedAlone.get(name))) {
-                refusedAlone.remove(name);
-            }
+            rejections.onSent(name, resource.version());
         });
         for (String name : absent) {
             versions.put(name, ABSENT);
-            absent(name);
+            noteAbsent(name);
         }
-        return response(owe(versions, now), view, resources, absent);
+        return response(awaitAck(versions, nowMs), snapshot, resources, absent);
+    }
+
+    private String awaitAck(Map<String, String> versions, double nowMs) {
+        return pendingAcks.add(versions, !sendsCompleteState(), sentRevision, nowMs);
     }
 
-    /** Notes that an answer is owed; gives its nonce. */
-    private String owe(Map<String, String> versions, double now) {
-        String nonce = noncePrefix + ++nonces;
-        if (owed.size() == MOST_OWED) {
-            owed.removeFirst();
+    /** Half of the resources of a rejected response, as far as the client still wants them; null if there is none. */
+    private ResponseT nextHalf(ConfigSnapshot snapshot, double nowMs) {
+        for (List<String> half = rejections.pollHalf(); half != null; half = rejections.pollHalf()) {
+            Map<String, Resource> resources = new LinkedHashMap<>();
+            for (String name : half) {
+                Resource resource = snapshot.resource(type, name);
+                if (resource != null && isSubscribed(name)) {
+                    resources.put(name, resource);
+                }
+            }
+            if (!resources.isEmpty()) {
+                return prepare(snapshot, resources, Set.of(), nowMs);
+            }
         }
-        owed.addLast(new PendingAck(nonce, versions, !whole(), toldSerial, now));
-        return nonce;
+        return null;
     }
 
-    /** Renews the lifetime of all that has one and that the proxy was told in this version; null: there is none. */
-    final R renewal(ConfigSnapshot view, double now) {
+    /** Renews the lifetime of all resources that have one and that the client has in this version; null if there are none. */
+    final ResponseT nextRenewal(ConfigSnapshot snapshot, double nowMs) {
         List<Resource> renewed = new ArrayList<>();
-        told.forEach((name, version) -> {
-            Resource resource = view.get(type, name);
+        sent.forEach((name, version) -> {
+            Resource resource = snapshot.resource(type, name);
             if (resource != null
                     && resource.ttlMs() > 0
                     && resource.version().equals(version)
-                    && !version.equals(refusedAlone.get(name))) {
+                    && !rejections.isWithheld(name, version)) {
                 renewed.add(resource);
             }
         });
-        return renewed.isEmpty() ? null : heartbeat(owe(Map.of(), now), view, renewed);
+        return renewed.isEmpty() ? null : renewal(awaitAck(Map.of(), nowMs), snapshot, renewed);
     }
 
-    /** Whether the proxy still owes an answer to a response that brought names it did not have. */
-    final boolean awaitsNewNames() {
-        return bringsNew && !owed.isEmpty();
+    /** Whether an acknowledgement is outstanding after a response with names that the client did not have. */
+    final boolean awaitsAckOfNewNames() {
+        return lastResponseHadNewNames && !pendingAcks.isEmpty();
     }
 
-    /** Whether it has been told all of this view and has answered for it. */
-    final boolean settled(ConfigSnapshot view) {
-        return !opened || owed.isEmpty() && !unanswered && news(view).isEmpty();
+    /** Whether the client was sent all of this snapshot and has acknowledged it. */
+    final boolean isUpToDate(ConfigSnapshot snapshot) {
+        return !opened
+                || pendingAcks.isEmpty()
+                        && !responseDue
+                        && changedNames(snapshot).isEmpty();
     }
 
-    /** Whether the last answer was a refusal. */
-    final boolean refusing() {
-        return !reason.isEmpty();
+    /** Whether the last acknowledgement was a rejection. */
+    final boolean isRejecting() {
+        return !rejectionReason.isEmpty();
     }
 
-    /** Has all compared anew with what was told. */
-    final void recheck() {
-        toldSerial = -1;
-    }
-
-    /** One half of what was refused together, as long as it is still what the proxy was told last. */
-    private R half(ConfigSnapshot view, double now) {
-        while (!halves.isEmpty()) {
-            Map<String, Resource> resources = new LinkedHashMap<>();
-            for (String name : halves.removeFirst()) {
-                Resource resource = view.get(type, name);
-                if (resource != null && wants(name)) {
-                    resources.put(name, resource);
-                }
-            }
-            if (!resources.isEmpty()) {
-                return tell(view, resources, Set.of(), now);
-            }
-        }
-        return null;
+    /** Makes the next response compare all resources with what was sent. */
+    final void compareAll() {
+        sentRevision = NEVER;
     }
 
-    /** What this proxy is known to know. */
-    final ClientVersions knowledge(double now) {
+    /** What the client of this stream has of the type. */
+    final ClientVersions clientVersions(double nowMs) {
         return new ClientVersions(
-                toldSerial,
-                answeredSerial,
-                owed.isEmpty() ? 0 : now - owed.peekFirst().at,
-                taken,
-                refused,
-                reason,
-                refusedAlone.size());
+                sentRevision,
+                acknowledgedRevision,
+                pendingAcks.isEmpty() ? 0 : nowMs - pendingAcks.oldest().sentAtMs(),
+                acceptedCount,
+                rejectedCount,
+                rejectionReason,
+                rejections.withheldCount());
     }
 }
