--- a/control/src/main/java/opalcove/control/cluster/EndpointWeights.java
+++ b/control/src/main/java/opalcove/control/cluster/EndpointWeights.java
@@ -6,7 +6,7 @@
 import java.util.Set;
 import opalcove.config.Backend;
 import opalcove.control.xds.ResourceFactory;
-import opalcove.decision.AdmissionController;
+import opalcove.decision.CapacityShare;
 import opalcove.decision.EndpointState;
 
 /**
@@ -32,15 +32,15 @@
      *
      * @param backends the names of all backends; the shares of others are forgotten
      */
-    boolean update(List<AdmissionController.Room> allowed, Set<String> backends) {
+    boolean update(List<CapacityShare> allowed, Set<String> backends) {
         boolean changed = false;
         shares.keySet().retainAll(backends);
-        for (AdmissionController.Room each : allowed) {
+        for (CapacityShare each : allowed) {
             double share = each.share() >= FULL_SHARE ? 1 : each.share();
-            double before = shares.getOrDefault(each.host(), 0.0);
+            double before = shares.getOrDefault(each.backend(), 0.0);
             boolean moved = share != before && (Math.abs(share - before) > MIN_RELATIVE_CHANGE * before || share == 1);
-            if (backends.contains(each.host()) && moved) {
-                shares.put(each.host(), share);
+            if (backends.contains(each.backend()) && moved) {
+                shares.put(each.backend(), share);
                 changed = true;
             }
         }
--- a/gateway/src/main/java/opalcove/core/RequestValidator.java
+++ b/gateway/src/main/java/opalcove/core/RequestValidator.java
@@ -69,7 +69,7 @@
                         && request.firstGateway() < gateways,
                 "the operator's gateways are out of range");
         need(
-                (request.idempotencyKey() == null) != (known.effect() == Idempotency.KEYED),
+                (request.idempotencyKey() == null) != (known.idempotency() == Idempotency.KEYED),
                 "a key for a class without, or none");
         // A comma would end the key on the wire to an app node.
         need(
--- a/gateway/src/test/java/opalcove/config/SettingsReaderTest.java
+++ b/gateway/src/test/java/opalcove/config/SettingsReaderTest.java
@@ -155,7 +155,7 @@
         DecisionSettings settings = SettingsReader.checked(JsonFields.parse(TestSettings.JSON
                 .replace("{\"me\":0", "{\"sunshine\":[1],\"me\":0")
                 .replace("svc_ms", "moon_phase")));
-        assertEquals(settings.gauges(), List.of(LoadMetric.UNKNOWN));
+        assertEquals(settings.loadMetrics(), List.of(LoadMetric.UNKNOWN));
     }
 
     /** The whole file at once: its own keys and those of the settings, each line with the file. */
@@ -324,25 +324,25 @@
     /** A gateway that the module is never asked to act for. */
     private static final class NoActions implements DecisionActions {
         @Override
-        public void send(String id, String host, double timeoutMs) {}
+        public void startAttempt(String id, String host, double timeoutMs) {}
 
         @Override
-        public void refuse(String id, double retryAfterMs) {}
+        public void shed(String id, double retryAfterMs) {}
 
         @Override
         public void fail(String id) {}
 
         @Override
-        public void cancel(String id, int attempt) {}
+        public void cancelAttempt(String id, int attempt) {}
 
         @Override
-        public void wake(long token, double afterMs) {}
+        public void setTimer(long token, double afterMs) {}
 
         @Override
-        public void probe(String host) {}
+        public void checkHealth(String host) {}
 
         @Override
-        public void follow() {}
+        public void subscribeToEndpoints() {}
 
         @Override
         public void log(String line) {}
--- a/mqtt/src/main/java/opalcove/mqtt/MqttRequestServer.java
+++ b/mqtt/src/main/java/opalcove/mqtt/MqttRequestServer.java
@@ -229,7 +229,7 @@
                         gateway.requestValidator(), id, message.topicName(), message.properties(), message.payload());
                 Idempotency effect = gateway.requestValidator()
                         .requestClass(request.requestClass())
-                        .effect();
+                        .idempotency();
                 if (message.isDup() && effect != Idempotency.SAFE) {
                     // Guards against a second effect: who had the first delivery, and when, is not known here any more.
                     throw new InvalidRequestException("redelivered after its time, it may have had its effect");
