--- a/cli/src/main/java/opalcove/cli/StateCommand.java
+++ b/cli/src/main/java/opalcove/cli/StateCommand.java
@@ -52,14 +52,14 @@
                 paramLabel = "S",
                 defaultValue = "10",
                 description = "how long to try at most (default: ${DEFAULT-VALUE})")
-        private int mostS;
+        private int maxS;
 
         ReplicationClient client() {
             return new ReplicationClient(
                     voters.stream()
                             .map(each -> HostAndPort.read(each, "--voter"))
                             .toList(),
-                    mostS * 1000L);
+                    maxS * 1000L);
         }
     }
 
@@ -100,10 +100,10 @@
                 if (json) {
                     list.add(Json.object()
                             .add("number", each.number())
-                            .add("by", each.by())
+                            .add("by", each.author())
                             .add("id", each.id()));
                 } else {
-                    System.out.println(each.number() + " " + each.by() + " " + each.id());
+                    System.out.println(each.number() + " " + each.author() + " " + each.id());
                 }
             }
             if (json) {
@@ -150,7 +150,7 @@
                 return 0;
             }
             VersionLog.Outcome outcome = client.propose(version.number(), by, text);
-            if (!outcome.taken()) {
+            if (!outcome.accepted()) {
                 throw new InvalidConfigurationException("refused: " + outcome.reason());
             }
             System.out.println("version " + outcome.version() + " is in force");
--- a/control/src/main/java/opalcove/control/cluster/ClusterState.java
+++ b/control/src/main/java/opalcove/control/cluster/ClusterState.java
@@ -77,7 +77,7 @@
             backends.put(backend.name(), backend);
             backendByAddress.put(backend.address(), backend.name());
         });
-        module.hosts(nowMs, true, trusted.stream().map(Backend::host).toList());
+        module.endpointsChanged(nowMs, true, trusted.stream().map(Backend::host).toList());
         updateWeights();
         updateSnapshots();
         updateDrains();
@@ -85,7 +85,7 @@
 
     /** The source of the endpoint list failed; what is known stays. */
     public void onSourceFailed(double timeMs) {
-        module.hostsFailed(timers.advance(timeMs));
+        module.endpointListFailed(timers.advance(timeMs));
     }
 
     /** Applies a proxy's report of one endpoint; one whose address is not in the list has no effect. */
@@ -93,7 +93,7 @@
         double nowMs = timers.advance(timeMs);
         String backend = backendByAddress.get(load.address());
         if (backend != null) {
-            module.reported(nowMs, backend, load.succeeded(), load.failed(), -1);
+            module.loadReported(nowMs, backend, load.succeeded(), load.failed(), -1);
             drains.onLoadReport(nowMs, proxyId, backend, load);
         }
     }
@@ -103,7 +103,7 @@
         double nowMs = timers.advance(timeMs);
         boolean anyDue = false;
         while (timers.isDue()) {
-            module.timer(nowMs, timers.poll());
+            module.timerExpired(nowMs, timers.poll());
             anyDue = true;
         }
         if (!anyDue) {
@@ -145,7 +145,7 @@
     }
 
     private boolean updateWeights() {
-        return weights.update(module.rooms(timers.nowMs()), backends.keySet());
+        return weights.update(module.capacityShares(timers.nowMs()), backends.keySet());
     }
 
     private boolean updateSnapshots() {
--- a/decision/src/main/java/opalcove/decision/AdmissionController.java
+++ b/decision/src/main/java/opalcove/decision/AdmissionController.java
@@ -60,7 +60,7 @@
         settings.check();
         this.now = now;
         this.settings = settings;
-        duties = settings.duties();
+        duties = settings.obligations();
         limits = settings.limits();
         this.actions = actions;
         random = new SplittableRandom(seed);
@@ -68,45 +68,45 @@
         sizeEffects = Stream.generate(SizeEffect::new).limit(usual.length).toArray(SizeEffect[]::new);
         for (int i = 0; i < usual.length; i++) {
             classIndex.put(settings.classes().get(i).name(), i);
-            usual[i] = settings.classes().get(i).aimMs() / 6;
+            usual[i] = settings.classes().get(i).objectiveMs() / 6;
         }
         for (int i = 0; i < settings.plans().size(); i++)
             planIndex.put(settings.plans().get(i).name(), i);
         companion = new Companion();
         hosts = new Hosts();
         split = new Split();
-        if (duties.listOnRequest()) actions.follow();
-        actions.wake(TICK, INTERVAL_MS);
+        if (duties.listOnRequest()) actions.subscribeToEndpoints();
+        actions.setTimer(TICK, INTERVAL_MS);
     }
 
     @Override
-    public void hosts(double time, boolean whole, List<Endpoint> lines) {
+    public void endpointsChanged(double time, boolean whole, List<Endpoint> lines) {
         now = time;
         hosts.listed(whole, lines);
         pump();
     }
 
     @Override
-    public void hostsFailed(double time) {
+    public void endpointListFailed(double time) {
         now = time;
         if (duties.listOnRequest()) hosts.askAt = now + INTERVAL_MS;
     }
 
     @Override
-    public void request(double time, AdmissionRequest r) {
+    public void requestArrived(double time, AdmissionRequest r) {
         now = time;
         Integer cls = classIndex.get(r.requestClass());
         Integer plan = planIndex.get(r.plan());
         if (cls == null || plan == null) {
             actions.log("refused: unknown plan or class " + r.plan() + " " + r.requestClass());
-            actions.refuse(r.id(), 0);
+            actions.shed(r.id(), 0);
             return;
         }
         Customer c = companion.customer(r, plan);
         Flight f = new Flight(r, cls, plan, c);
         flights.put(r.id(), f);
         arm(ANSWER, f, Math.max(0, r.budgetMs() - 2 * settings.tickMs()));
-        boolean inside = companion.inside(c, r.units(), f.aimLeft < f.requestClass.aimMs());
+        boolean inside = companion.inside(c, r.units(), f.aimLeft < f.requestClass.objectiveMs());
         if (f.aimLeft < usual[cls] && (c.keep < 1 || split.bounded) || !inside && !companion.paysBeyond(c)) {
             refuse(f, f.comeBackMs());
             return;
@@ -120,27 +120,27 @@
     }
 
     @Override
-    public void outcome(double time, AttemptOutcome o) {
+    public void attemptEnded(double time, AttemptOutcome o) {
         now = time;
         Flight f = flights.get(o.id());
         if (f == null || o.attempt() >= f.attempts.size() || f.attempts.get(o.attempt()).ended) return;
         Attempt a = f.attempts.get(o.attempt());
         a.ended = true;
-        a.ranMaybe = !o.result().neverRan;
+        a.ranMaybe = !o.status().neverRan;
         f.out--;
         split.out--;
         f.customer.open--;
         hosts.ended(a, o, f);
         settle(f.customer, f.request, o.usedPercent(), o.trueUnits());
         if (!f.done) split.seen(o, f);
-        if (o.over()) finish(f);
-        if (!f.done && f.out == 0) again(f, o.result());
+        if (o.requestEnded()) finish(f);
+        if (!f.done && f.out == 0) again(f, o.status());
         if (f.done && f.out == 0) flights.remove(o.id());
         pump();
     }
 
     @Override
-    public void settled(double time, AdmissionRequest r, int usedPercent, double trueUnits) {
+    public void usageReported(double time, AdmissionRequest r, int usedPercent, double trueUnits) {
         now = time;
         Integer plan = planIndex.get(r.plan());
         if (plan != null) settle(companion.customer(r, plan), r, usedPercent, trueUnits);
@@ -148,31 +148,31 @@
 
     private void settle(Customer c, AdmissionRequest r, int usedPercent, double trueUnits) {
         companion.told(c, usedPercent);
-        if (trueUnits > 0 && settings.unitsAreGuesses()) c.level += r.units() - trueUnits;
+        if (trueUnits > 0 && settings.unitsAreEstimates()) c.level += r.units() - trueUnits;
     }
 
     @Override
-    public void began(double time, String id, int attempt) {
+    public void responseStarted(double time, String id, int attempt) {
         now = time;
         Flight f = flights.get(id);
         if (f != null) f.streaming = true;
     }
 
     @Override
-    public void gone(double time, String id) {
+    public void requestCancelled(double time, String id) {
         now = time;
         Flight f = flights.get(id);
         if (f != null) close(f);
     }
 
     @Override
-    public void probed(double time, String host, ProbeStatus result, double tookMs, double[] load) {
+    public void healthCheckEnded(double time, String host, ProbeStatus result, double tookMs, double[] load) {
         now = time;
         hosts.probed(host, result, load);
     }
 
     @Override
-    public void timer(double time, long token) {
+    public void timerExpired(double time, long token) {
         now = time;
         int kind = (int) (token & 3);
         if (kind == TICK) {
@@ -184,7 +184,7 @@
             split.update();
             hosts.tick();
             companion.age();
-            actions.wake(TICK, INTERVAL_MS);
+            actions.setTimer(TICK, INTERVAL_MS);
         }
         if (kind == PUMP) pumping = false;
         if (kind == TICK || kind == PUMP) pump();
@@ -194,17 +194,14 @@
         if (kind == SLOW) slow(f);
     }
 
-    /** The part of a host's usual room that new work may take now, 0 (none) to 1. */
-    public record Room(String host, double share) {}
-
     /** A room for each host that is remembered, for a front that does not ask for each request. */
-    public List<Room> rooms(double time) {
+    public List<CapacityShare> capacityShares(double time) {
         now = time;
         return hosts.machines.values().stream().map(hosts::room).toList();
     }
 
     /** What such a front was told of work that ended at a host; meanMs: below 0 where no time is known. */
-    public void reported(double time, String host, long served, long failed, double meanMs) {
+    public void loadReported(double time, String host, long served, long failed, double meanMs) {
         now = time;
         Machine m = hosts.machines.get(host);
         if (m == null || served + failed <= 0) return;
@@ -236,7 +233,7 @@
         Long token = serial | kind;
         timers.put(token, f);
         f.armed.add(token);
-        actions.wake(token, afterMs);
+        actions.setTimer(token, afterMs);
     }
 
     /** Sends on, or holds while no host may have it; the first send is charged to quota and ceiling. */
@@ -262,13 +259,13 @@
         split.meanUnits += Math.max(0.02, 1 / ++split.sized) * (f.request.units() - split.meanUnits);
         f.customer.open++;
         hosts.sent(m, f);
-        actions.send(f.request.id(), m.host.id(), 0);
+        actions.startAttempt(f.request.id(), m.host.id(), 0);
         arm(SLOW, f, slowMs(f));
     }
 
     /** From this age on an attempt counts as slow. */
     private double slowMs(Flight f) {
-        return Math.min(f.requestClass.aimMs() * 0.5, usual[f.cls] * 4) + Math.max(0, f.usualMs() - usual[f.cls]);
+        return Math.min(f.requestClass.objectiveMs() * 0.5, usual[f.cls] * 4) + Math.max(0, f.usualMs() - usual[f.cls]);
     }
 
     /** Holds what may still leave; what is given up gets its final answer at once. */
@@ -285,7 +282,7 @@
     }
 
     private void wakePump() {
-        if (!pumping) actions.wake(PUMP, PUMP_MS);
+        if (!pumping) actions.setTimer(PUMP, PUMP_MS);
         pumping = true;
     }
 
@@ -330,7 +327,7 @@
         for (Attempt a : f.attempts) if (!a.ended && now - a.sentAt > 0.9 * slowMs(f)) split.sign(a);
         // Guards against copies that add load where all hosts are slow: none while there is another sign.
         if (f.out != 1 || split.bounded || copies < 1 || split.signs > 1) return;
-        if (f.plan.openCap() > 0 || f.requestClass.effect() == Idempotency.UNSAFE) return;
+        if (f.plan.maxInFlight() > 0 || f.requestClass.idempotency() == Idempotency.UNSAFE) return;
         if (limits.secondCopies()) {
             Machine m = f.maySendMore() ? hosts.choose(f) : null;
             if (m != null && hosts.expected(m, f) * 2 < hosts.worst(f)) {
@@ -343,18 +340,18 @@
         boolean silent = now - f.attempts.get(last).machine.heardAt > 250;
         if (!limits.mayCancel() || last + 1 >= limits.maxAttempts() || !silent) return;
         copies -= 1;
-        actions.cancel(f.request.id(), last);
+        actions.cancelAttempt(f.request.id(), last);
     }
 
     /** The final answer when no host gave one: a refusal where that promise is lawful, else a failure. */
     private void end(Flight f) {
         if (!f.mayRefuse()) actions.fail(f.request.id());
-        else actions.refuse(f.request.id(), limits.retryAfter() ? f.comeBackMs() : 0);
+        else actions.shed(f.request.id(), limits.retryAfter() ? f.comeBackMs() : 0);
         close(f);
     }
 
     private void refuse(Flight f, double retryAfterMs) {
-        actions.refuse(f.request.id(), limits.retryAfter() ? retryAfterMs : 0);
+        actions.shed(f.request.id(), limits.retryAfter() ? retryAfterMs : 0);
         close(f);
     }
 
@@ -366,9 +363,10 @@
     private void finish(Flight f) {
         if (f.done) return;
         f.done = true;
-        for (Long token : f.armed) if (timers.remove(token) != null) actions.forget(token);
+        for (Long token : f.armed) if (timers.remove(token) != null) actions.cancelTimer(token);
         if (!limits.mayCancel()) return;
-        for (int i = 0; i < f.attempts.size(); i++) if (!f.attempts.get(i).ended) actions.cancel(f.request.id(), i);
+        for (int i = 0; i < f.attempts.size(); i++)
+            if (!f.attempts.get(i).ended) actions.cancelAttempt(f.request.id(), i);
     }
 
     /** How the time to an answer goes with a request's units, for one class: a regression on the latest answers. */
@@ -420,7 +418,7 @@
             requestClass = settings.classes().get(cls);
             double waited = Math.max(0, requestClass.deadlineMs() - request.budgetMs());
             boolean later = request.retry() || !firstTry(request.budgetMs() / requestClass.deadlineMs());
-            aimLeft = requestClass.aimMs() - (later ? waited : 0);
+            aimLeft = requestClass.objectiveMs() - (later ? waited : 0);
         }
 
         /** The usual time to an answer to a request of its class and units, ms. */
@@ -450,27 +448,27 @@
             if (done || streaming || attempts.size() >= limits.maxAttempts()) return false;
             if (out > 0 && !limits.secondCopies()) return false;
             Attempt first = ranFirst();
-            if (first == null || requestClass.effect() == Idempotency.SAFE) return true;
+            if (first == null || requestClass.idempotency() == Idempotency.SAFE) return true;
             double windowEnd = first.sentAt + requestClass.windowMs();
-            return requestClass.effect() == Idempotency.KEYED && now + settings.tickMs() < windowEnd;
+            return requestClass.idempotency() == Idempotency.KEYED && now + settings.tickMs() < windowEnd;
         }
 
         /** Whether the next send may go to this host. */
         boolean mayGoTo(Machine m) {
             Attempt first = ranFirst();
             if (first == null
-                    || requestClass.effect() == Idempotency.SAFE
-                    || requestClass.reach() == DeduplicationScope.ALL) return true;
+                    || requestClass.idempotency() == Idempotency.SAFE
+                    || requestClass.deduplicationScope() == DeduplicationScope.ALL) return true;
             Endpoint a = first.machine.host;
-            return requestClass.reach() == DeduplicationScope.ZONE
+            return requestClass.deduplicationScope() == DeduplicationScope.ZONE
                     ? a.zone().equals(m.host.zone())
                     : a.cell() == m.host.cell();
         }
 
         boolean mayRefuse() {
-            Idempotency effect = requestClass.effect();
+            Idempotency effect = requestClass.idempotency();
             if (ranFirst() == null || effect == Idempotency.SAFE) return true;
-            return effect == Idempotency.KEYED && requestClass.reach() == DeduplicationScope.ALL;
+            return effect == Idempotency.KEYED && requestClass.deduplicationScope() == DeduplicationScope.ALL;
         }
 
         boolean tried(Machine m) {
@@ -526,9 +524,8 @@
 
         Customer customer(AdmissionRequest r, int plan) {
             servingSince = Math.min(servingSince, now);
-            Customer c = customers.get(r.customer());
-            if (c == null)
-                customers.put(r.customer(), c = new Customer(plan, r.gateways(), now, servingSince, settings));
+            Customer c = customers.get(r.tenant());
+            if (c == null) customers.put(r.tenant(), c = new Customer(plan, r.gateways(), now, servingSince, settings));
             if (c.span <= 0) fade(c, 1);
             return c;
         }
@@ -594,7 +591,7 @@
 
         /** Soft plans pass beyond quota while that earns more than it costs and there is room. */
         boolean paysBeyond(Customer c) {
-            return c.plan.beyondWorth() > c.plan.beyondCost() && !split.bounded && !split.slow();
+            return c.plan.overQuotaWeight() > c.plan.overQuotaCost() && !split.bounded && !split.slow();
         }
 
         void charge(Flight f) {
@@ -610,7 +607,7 @@
             if (!f.attempts.isEmpty()) return true;
             advance(f.customer);
             boolean underCeiling = f.plan.ceilingRate() <= 0 || f.customer.ceiling >= f.request.units();
-            return underCeiling && (f.plan.openCap() <= 0 || f.customer.open < f.plan.openCap());
+            return underCeiling && (f.plan.maxInFlight() <= 0 || f.customer.open < f.plan.maxInFlight());
         }
 
         /** Takes in a told use, once a meter period: the others' part is what this gateway did not send. */
@@ -695,13 +692,14 @@
 
         Split() {
             int classes = settings.classes().size();
-            for (DecisionSettings.RequestClass c : settings.classes()) shortestAim = Math.min(shortestAim, c.aimMs());
+            for (DecisionSettings.RequestClass c : settings.classes())
+                shortestAim = Math.min(shortestAim, c.objectiveMs());
             lanes = new Lane[settings.plans().size() * classes][2];
             List<Lane> all = new ArrayList<>();
             for (int i = 0; i < lanes.length; i++) {
                 DecisionSettings.Plan p = settings.plans().get(i / classes);
-                double weight = settings.classes().get(i % classes).worth() * p.price();
-                lanes[i][0] = new Lane(weight * Math.max(0, p.beyondWorth() - p.beyondCost()), false);
+                double weight = settings.classes().get(i % classes).weight() * p.price();
+                lanes[i][0] = new Lane(weight * Math.max(0, p.overQuotaWeight() - p.overQuotaCost()), false);
                 lanes[i][1] = new Lane(weight, true);
                 all.addAll(List.of(lanes[i][1], lanes[i][0]));
             }
@@ -750,14 +748,14 @@
         /** Counts served units and the signs of a back end under pressure. */
         void seen(AttemptOutcome o, Flight f) {
             Attempt a = f.attempts.get(o.attempt());
-            double ratio = (now - a.sentAt - f.usualMs() + usual[f.cls]) / f.requestClass.aimMs();
-            boolean answered = o.result() == AttemptStatus.SERVED;
-            boolean sign = o.result() == AttemptStatus.REJECTED
-                    || o.result() == AttemptStatus.TIMED_OUT
+            double ratio = (now - a.sentAt - f.usualMs() + usual[f.cls]) / f.requestClass.objectiveMs();
+            boolean answered = o.status() == AttemptStatus.SERVED;
+            boolean sign = o.status() == AttemptStatus.REJECTED
+                    || o.status() == AttemptStatus.TIMED_OUT
                     || answered && ratio > 0.6;
             served += answered ? f.request.units() : 0;
             news++;
-            if (now < lateUntil && o.result() != AttemptStatus.REJECTED) return;
+            if (now < lateUntil && o.status() != AttemptStatus.REJECTED) return;
             if (sign) sign(a);
             if (a.sign) return;
             answers++;
@@ -929,7 +927,7 @@
         void tick() {
             if (now >= askAt) {
                 askAt = now + 4 * INTERVAL_MS;
-                actions.follow();
+                actions.subscribeToEndpoints();
             }
             double did = warm > 0 ? doneWork / INTERVAL_MS / Math.max(1e-9, warm * meanSize) : pace;
             if (paced > 0 || did > 0) pace += Math.max(0.05, 1 / ++paced) * (did - pace);
@@ -953,21 +951,21 @@
                 }
                 if (m.listed && m.fails > 1 && limits.mayProbe() && now >= m.shunUntil) {
                     m.shunUntil = now + 1000;
-                    actions.probe(m.host.id());
+                    actions.checkHealth(m.host.id());
                 }
             }
         }
 
         /** A starting host's part is bounded by its ramp, a warm one's sinks with errors and lateness. */
-        Room room(Machine m) {
-            if (!m.listed || now < m.shunUntil) return new Room(m.host.id(), 0);
+        CapacityShare room(Machine m) {
+            if (!m.listed || now < m.shunUntil) return new CapacityShare(m.host.id(), 0);
             double ramp = cold(m) ? coldShare(m) * Math.min(0.9, margin) : 1;
             double share = ramp / (Math.max(1, m.slowness) * (1 + 20 * m.errors * m.errors));
-            return new Room(m.host.id(), Math.max(0.02, share));
+            return new CapacityShare(m.host.id(), Math.max(0.02, share));
         }
 
         private double coldShare(Machine m) {
-            double from = duties.coldShare();
+            double from = duties.initialShare();
             return from + (1 - from) * (now - m.coldSince) / Math.max(1, duties.warmAfterMs());
         }
 
@@ -1002,7 +1000,7 @@
                 boolean cold = cold(m);
                 double cost = expected(m, f) * (f.tried(m) ? 4 : 1) * (1 + 0.05 * random.nextDouble());
                 if (!m.host.zone().equals(settings.zone()))
-                    cost *= 1 + 10 * settings.prices().crossZone();
+                    cost *= 1 + 10 * settings.costs().crossZone();
                 if (now < m.shunUntil) continue;
                 if (cold ? m.budget < whole : m.fails > 1 && m.out > 0) continue;
                 cost *= 1 + (connected(m) ? 4 : 20) * (faults(m.zone) + faults(m.kind));
@@ -1027,18 +1025,18 @@
             Machine m = a.machine;
             m.out--;
             m.inHand = m.out == 0 ? 0 : Math.max(0, m.inHand - a.work);
-            switch (o.result()) {
+            switch (o.status()) {
                 case SERVED, ERROR -> {
                     doneWork += cold(m) ? 0 : a.work;
                     m.heardAt = now;
                     fault(m, 0);
                     alive(m);
                     m.refusals = 0;
-                    m.errors += 0.2 * ((o.result() == AttemptStatus.ERROR ? 1 : 0) - m.errors);
-                    if (o.result() == AttemptStatus.ERROR) return; // a quick error must not make a host look fast
+                    m.errors += 0.2 * ((o.status() == AttemptStatus.ERROR ? 1 : 0) - m.errors);
+                    if (o.status() == AttemptStatus.ERROR) return; // a quick error must not make a host look fast
                     slower(m, o.elapsedMs() / f.usualMs());
                     double aboveMs = Math.min(o.elapsedMs(), 5 * usual[f.cls]) - usual[f.cls];
-                    if (!settings.unitsAreGuesses()) sizeEffects[f.cls].learn(f.request.units(), aboveMs);
+                    if (!settings.unitsAreEstimates()) sizeEffects[f.cls].learn(f.request.units(), aboveMs);
                     usual[f.cls] += 0.02 * aboveMs;
                 }
                 case REJECTED -> {
--- a/mqtt/src/main/java/opalcove/mqtt/MqttClientSession.java
+++ b/mqtt/src/main/java/opalcove/mqtt/MqttClientSession.java
@@ -141,7 +141,7 @@
             Idempotency idempotency = dispatcher
                     .requestValidator()
                     .requestClass(request.requestClass())
-                    .effect();
+                    .idempotency();
             if (message.isDup() && idempotency != Idempotency.SAFE) {
                 // Guards against a second effect: where the first delivery went, and when, is no longer known here.
                 throw new InvalidRequestException("redelivered after its time, it may have had its effect");
--- a/mqtt/src/main/java/opalcove/mqtt/MqttConnector.java
+++ b/mqtt/src/main/java/opalcove/mqtt/MqttConnector.java
@@ -37,7 +37,7 @@
         this.vertx = vertx;
         this.name = name;
         connectTimeoutMs = (long) Math.max(1, settings.limits().connectTimeoutMs());
-        metrics = settings.gauges();
+        metrics = settings.loadMetrics();
         client = vertx.createNetClient(
                 new NetClientOptions().setReconnectAttempts(0).setConnectTimeout((int) connectTimeoutMs));
     }
--- a/mqtt/src/main/java/opalcove/mqtt/RequestMessage.java
+++ b/mqtt/src/main/java/opalcove/mqtt/RequestMessage.java
@@ -53,7 +53,7 @@
             throw new InvalidRequestException("asks are published below " + TOPIC_PREFIX);
         }
         DecisionSettings.RequestClass requestClass = validator.requestClass(topic.substring(TOPIC_PREFIX.length()));
-        boolean safe = requestClass.effect() == Idempotency.SAFE;
+        boolean safe = requestClass.idempotency() == Idempotency.SAFE;
         if (safe && body.length() > 0) {
             throw new InvalidRequestException(requestClass.name() + " carries no body");
         }
@@ -74,7 +74,7 @@
                 parameters.required("plan"),
                 parameters.number("units"),
                 Math.min(requestClass.deadlineMs(), expiryMs),
-                requestClass.effect() == Idempotency.KEYED ? parameters.required("key") : null,
+                requestClass.idempotency() == Idempotency.KEYED ? parameters.required("key") : null,
                 parameters.isSet("retry"),
                 parameters.integer("entry-points"),
                 parameters.integer("first-entry"),
