--- a/mqtt/src/test/java/opalcove/ExchangeTest.java
+++ b/mqtt/src/test/java/opalcove/ExchangeTest.java
@@ -46,19 +46,25 @@
 import org.testng.annotations.Test;
 
 /**
- * Plays the recorded byte exchanges in mqtt/src/test/resources/exchanges against both fronts and both kinds of links, all on
- * one core. A line is
- * {@code PARTY > bytes} (the party sends), {@code PARTY >> bytes} (byte by byte), {@code PARTY < bytes} (the party
- * receives just these; {n} stands for digits, {any} for anything), {@code PARTY closed} (sees the end of its
- * connection), {@code PARTY close}, {@code list NODE STATE POD ...}, {@code backend NODE refuses}, {@code discovery}
- * (the gateway follows it from now on, as an agent's pushed list; {@code discovery asked}: as a service's), {@code stall MS} (from now on the event loop is held up for so long),
- * {@code counters A=1 B=2} (the figures come to be so), {@code phase NAME} or {@code stopped} (the front has drained). A party is
- * {@code client/1}, {@code mqtt-client/1} or, for the first connection to a node, {@code n1/1}; nodes whose names
- * begin with m are MQTT servers. The bytes of MQTT parties
- * are written as {@link MqttText}.
+ * Plays the recorded byte exchanges in mqtt/src/test/resources/exchanges against both servers and both kinds of backend
+ * connections, all on one core. A line is one of:
+ *
+ * <ul>
+ *   <li>{@code PARTY > bytes}: the party sends; {@code PARTY >> bytes}: byte by byte; {@code PARTY close}: it closes
+ *   <li>{@code PARTY < bytes}: the party receives just these; {n} stands for digits, {any} for anything
+ *   <li>{@code PARTY closed}: the party sees the end of its connection
+ *   <li>{@code list BACKEND STATE POD ...}; {@code node BACKEND refuses}: connections to it are refused
+ *   <li>{@code discovery}: the gateway follows it from now on, as an agent's pushed list; {@code discovery asked}: as one polled
+ *   <li>{@code stall MS}: from now on the event loop is held up for so long
+ *   <li>{@code counters A=1 B=2}: the counters come to be so
+ *   <li>{@code phase NAME}; {@code stopped}: the servers have drained
+ * </ul>
+ *
+ * <p>A party is {@code client/1}, {@code mqtt-client/1} or, for the first connection to a backend, {@code n1/1}; backends whose
+ * names begin with m are MQTT servers. The bytes of MQTT parties are written as {@link MqttText}.
  */
 public class ExchangeTest {
-    private static final int PATIENCE_MS = 10_000;
+    private static final int TIMEOUT_MS = 10_000;
     private static final Path FOLDER = Path.of("mqtt/src/test/resources/exchanges");
 
     @DataProvider
@@ -71,7 +77,7 @@
     }
 
     @Test(dataProvider = "exchanges")
-    public void theProgramAnswersAsRecorded(String file) throws Exception {
+    public void theGatewayRespondsAsRecorded(String file) throws Exception {
         try (Stage stage = new Stage()) {
             int number = 0;
             for (String line : Files.readAllLines(FOLDER.resolve(file))) {
@@ -87,20 +93,20 @@
         }
     }
 
-    /** In none of the exchanges, ends and breaks among them, was a buffer let go of without a release. */
+    /** In none of the exchanges, closed and broken connections among them, was a buffer dropped without a release. */
     @AfterClass
     public void nothingLeaked() {
         assertEquals(LeakCounter.found(), 0);
     }
 
-    /** A gateway with its front, and the stand-ins around it. */
+    /** A dispatcher with its servers, and the parties around it. */
     private static final class Stage implements AutoCloseable {
         /** One event loop, as in the program: a stall holds all of it up. */
         private final Vertx vertx = Vertx.vertx(new VertxOptions().setEventLoopPoolSize(1));
 
         private final CompletableFuture<Integer> stallPort = new CompletableFuture<>();
         private final SynchronousQueue<Integer> stalls = new SynchronousQueue<>();
-        private final Lifecycle phases = new Lifecycle();
+        private final Lifecycle lifecycle = new Lifecycle();
         private final Map<String, ServerSocket> backends = new HashMap<>();
         private final Map<String, Socket> parties = new HashMap<>();
         private final Map<String, String> unread = new HashMap<>();
@@ -109,10 +115,10 @@
         private final CompletableFuture<Integer> mqttPort = new CompletableFuture<>();
         private final CompletableFuture<Void> stopped = new CompletableFuture<>();
         private final HostAndPort discovery;
-        private RequestDispatcher gateway;
-        private RespServer front;
-        private MqttRequestServer mqttFront;
-        private boolean listed;
+        private RequestDispatcher dispatcher;
+        private RespServer respServer;
+        private MqttRequestServer mqttServer;
+        private boolean hasList;
 
         Stage() throws Exception {
             discovery = new HostAndPort("127.0.0.1", backend("discovery").getLocalPort());
@@ -121,7 +127,7 @@
                 ConnectionPool.Connector resp = new RespConnector(vertx, settings);
                 ConnectionPool.Connector mqtt = new MqttConnector(vertx, settings, "gateway");
                 Clock clock = new Clock();
-                gateway = new RequestDispatcher(
+                dispatcher = new RequestDispatcher(
                         vertx,
                         clock,
                         settings,
@@ -131,21 +137,21 @@
                                 settings,
                                 address -> (address.startsWith(MqttConnector.SCHEME) ? mqtt : resp).connect(address),
                                 50));
-                mqttFront = new MqttRequestServer(vertx, gateway, phases, clock, 50);
-                mqttFront.listen(new HostAndPort("127.0.0.1", 0)).onSuccess(mqttPort::complete);
-                front = new RespServer(vertx, gateway, phases, 4);
-                front.listen(new HostAndPort("127.0.0.1", 0)).onSuccess(port::complete);
+                mqttServer = new MqttRequestServer(vertx, dispatcher, lifecycle, clock, 50);
+                mqttServer.listen(new HostAndPort("127.0.0.1", 0)).onSuccess(mqttPort::complete);
+                respServer = new RespServer(vertx, dispatcher, lifecycle, 4);
+                respServer.listen(new HostAndPort("127.0.0.1", 0)).onSuccess(port::complete);
                 vertx.createNetServer()
                         .connectHandler(socket -> socket.handler(read -> stalled()))
                         .listen(0, "127.0.0.1")
                         .onSuccess(server -> stallPort.complete(server.actualPort()));
-                phases.enter(Lifecycle.Phase.SERVING);
+                lifecycle.enter(Lifecycle.Phase.SERVING);
             });
         }
 
         private void onLoop(Runnable action) throws Exception {
             CompletableFuture<Void> done = new CompletableFuture<>();
-            vertx.runOnContext(go -> {
+            vertx.runOnContext(start -> {
                 try {
                     action.run();
                     done.complete(null);
@@ -153,7 +159,7 @@
                     done.completeExceptionally(e);
                 }
             });
-            done.get(PATIENCE_MS, TimeUnit.MILLISECONDS);
+            done.get(TIMEOUT_MS, TimeUnit.MILLISECONDS);
         }
 
         void play(String line) throws Exception {
@@ -169,15 +175,15 @@
                                             ? TestSettings.settings()
                                             : TestSettings.settingsOfAListThatIsAskedFor(),
                                     new SplittableRandom(1),
-                                    gateway::endpointsChanged)
+                                    dispatcher::endpointsChanged)
                             .start());
                 case "phase" ->
                     onLoop(() -> {
-                        phases.enter(Lifecycle.Phase.valueOf(words[1]));
-                        front.drain(() -> mqttFront.drain(() -> stopped.complete(null)));
+                        lifecycle.enter(Lifecycle.Phase.valueOf(words[1]));
+                        respServer.drain(() -> mqttServer.drain(() -> stopped.complete(null)));
                     });
                 case "stall" -> stall(Integer.parseInt(words[1]));
-                case "stopped" -> stopped.get(PATIENCE_MS, TimeUnit.MILLISECONDS);
+                case "stopped" -> stopped.get(TIMEOUT_MS, TimeUnit.MILLISECONDS);
                 case "counters" ->
                     counters(List.of(line.substring("counters ".length()).split(" ")));
                 default -> party(words);
@@ -187,7 +193,7 @@
         /** Holds the event loop up for so long, ms, amid its reading of a connection; goes on once it does. */
         private void stall(int ms) throws Exception {
             Socket socket =
-                    new Socket(InetAddress.getLoopbackAddress(), stallPort.get(PATIENCE_MS, TimeUnit.MILLISECONDS));
+                    new Socket(InetAddress.getLoopbackAddress(), stallPort.get(TIMEOUT_MS, TimeUnit.MILLISECONDS));
             parties.put("stall " + parties.size(), socket);
             socket.getOutputStream().write(1);
             stalls.put(ms);
@@ -213,7 +219,7 @@
             return word.equals("gone") ? EndpointState.REMOVED : EndpointState.valueOf(word.toUpperCase(Locale.ROOT));
         }
 
-        /** The first list is the whole one, whose nodes are warm; later ones tell changes. */
+        /** The first list is the complete one, whose backends are warm; later ones are changes. */
         private void list(String[] words) throws Exception {
             List<Backend> lines = new ArrayList<>();
             for (int i = 1; i < words.length; i += 3) {
@@ -223,18 +229,18 @@
                         (words[i].startsWith("m") ? "mqtt://" : "") + "127.0.0.1:"
                                 + backend(words[i]).getLocalPort()));
             }
-            boolean whole = !listed;
-            listed = true;
-            onLoop(() -> gateway.endpointsChanged(whole, lines));
+            boolean complete = !hasList;
+            hasList = true;
+            onLoop(() -> dispatcher.endpointsChanged(complete, lines));
         }
 
-        /** The figures may come to this a little later, so they are asked for until they have. */
+        /** The counters may come to this a little later, so they are read until they have. */
         private void counters(List<String> expected) throws Exception {
             List<String> lines = new ArrayList<>();
-            long until = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(PATIENCE_MS);
+            long until = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(TIMEOUT_MS);
             while (!lines.containsAll(expected) && System.nanoTime() < until) {
                 lines.clear();
-                onLoop(() -> lines.addAll(gateway.infoLines().lines().toList()));
+                onLoop(() -> lines.addAll(dispatcher.infoLines().lines().toList()));
             }
             assertTrue(lines.containsAll(expected), "they are " + lines);
         }
@@ -264,11 +270,11 @@
             }
         }
 
-        /** Puts in the nodes' addresses, all of them of 15 characters, for their names in braces. */
+        /** Replaces names in braces by the backends' addresses, all of them of 15 characters. */
         private String addresses(String text) throws IOException {
-            return Pattern.compile("\\{(n\\d)}").matcher(text).replaceAll(m -> {
+            return Pattern.compile("\\{(n\\d)}").matcher(text).replaceAll(match -> {
                 try {
-                    return "127.0.0.1:" + backend(m.group(1)).getLocalPort();
+                    return "127.0.0.1:" + backend(match.group(1)).getLocalPort();
                 } catch (IOException e) {
                     throw new UncheckedIOException(e);
                 }
@@ -281,17 +287,17 @@
                 if (party.startsWith("m")) {
                     packets.put(party, new MqttText());
                 }
-                if (party.contains("terminal")) {
+                if (party.contains("client")) {
                     socket = new Socket(
                             InetAddress.getLoopbackAddress(),
-                            (party.startsWith("m") ? mqttPort : port).get(PATIENCE_MS, TimeUnit.MILLISECONDS));
+                            (party.startsWith("m") ? mqttPort : port).get(TIMEOUT_MS, TimeUnit.MILLISECONDS));
                 } else {
                     ServerSocket backend = backend(party.substring(0, party.indexOf('/')));
-                    backend.setSoTimeout(PATIENCE_MS);
+                    backend.setSoTimeout(TIMEOUT_MS);
                     socket = backend.accept();
                 }
                 socket.setTcpNoDelay(true);
-                socket.setSoTimeout(PATIENCE_MS);
+                socket.setSoTimeout(TIMEOUT_MS);
                 parties.put(party, socket);
             }
             return parties.get(party);
@@ -345,7 +351,7 @@
 
         private static String unescape(String text) {
             Matcher many = Pattern.compile("<(.)x(\\d+)>").matcher(text);
-            return many.replaceAll(m -> m.group(1).repeat(Integer.parseInt(m.group(2))))
+            return many.replaceAll(match -> match.group(1).repeat(Integer.parseInt(match.group(2))))
                     .replace("\\r", "\r")
                     .replace("\\n", "\n");
         }
@@ -361,7 +367,7 @@
             vertx.close()
                     .toCompletionStage()
                     .toCompletableFuture()
-                    .orTimeout(PATIENCE_MS, TimeUnit.MILLISECONDS)
+                    .orTimeout(TIMEOUT_MS, TimeUnit.MILLISECONDS)
                     .join();
         }
     }
--- a/mqtt/src/test/java/opalcove/MqttBackendsTest.java
+++ b/mqtt/src/test/java/opalcove/MqttBackendsTest.java
@@ -35,66 +35,68 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** A terminal asks on while its MQTT nodes die, drain and start cold; answers and attempts are counted by ask. */
+/** A client keeps sending requests while its MQTT backends die, drain and start anew; responses and attempts are counted by
+ * request. */
 public class MqttBackendsTest {
-    private static final long PATIENCE_MS = 20_000;
-    private static final int ASKS = 120;
+    private static final long TIMEOUT_MS = 20_000;
+    private static final int REQUESTS = 120;
 
     private final Vertx vertx = Vertx.vertx();
     private final Clock clock = new Clock();
-    private final Map<String, Node> backends = new HashMap<>();
-    /** By ask, the attempts that nodes have received, and those that are out now. */
+    private final Map<String, EmulatedBackend> backends = new HashMap<>();
+    /** By request, the attempts that backends have received, and those in flight now. */
     private final Map<Integer, List<String>> attempts = new HashMap<>();
 
-    private final Map<String, Integer> out = new HashMap<>();
-    private final Set<String> twoOut = new HashSet<>();
-    private RequestDispatcher gateway;
+    private final Map<String, Integer> inFlight = new HashMap<>();
+    private final Set<String> twoInFlight = new HashSet<>();
+    private RequestDispatcher dispatcher;
     private int port;
 
-    /** A stand-in MQTT server that takes some time for each ask. */
-    private final class Node {
+    /** An MQTT server that takes some time for each request. */
+    private final class EmulatedBackend {
         private final String name;
-        private final List<MqttEndpoint> lines = new ArrayList<>();
+        private final List<MqttEndpoint> connections = new ArrayList<>();
         private MqttServer server;
-        private int at;
+        private int listenPort;
         private int received;
         private boolean alive;
 
-        Node(String name) {
+        EmulatedBackend(String name) {
             this.name = name;
         }
 
         CompletableFuture<?> start() {
-            server = MqttServer.create(vertx).endpointHandler(line -> {
-                lines.add(line);
-                line.subscribeHandler(s -> line.subscribeAcknowledge(s.messageId(), List.of(MqttQoS.AT_LEAST_ONCE)));
-                line.publishAutoAck(true);
-                line.publishHandler(request -> received(line, request));
-                line.accept();
+            server = MqttServer.create(vertx).endpointHandler(connection -> {
+                connections.add(connection);
+                connection.subscribeHandler(subscription ->
+                        connection.subscribeAcknowledge(subscription.messageId(), List.of(MqttQoS.AT_LEAST_ONCE)));
+                connection.publishAutoAck(true);
+                connection.publishHandler(request -> received(connection, request));
+                connection.accept();
             });
             alive = true;
-            return server.listen(at, "127.0.0.1")
-                    .onSuccess(s -> at = s.actualPort())
+            return server.listen(listenPort, "127.0.0.1")
+                    .onSuccess(opened -> listenPort = opened.actualPort())
                     .toCompletionStage()
                     .toCompletableFuture();
         }
 
-        private void received(MqttEndpoint line, MqttPublishMessage request) {
+        private void received(MqttEndpoint connection, MqttPublishMessage request) {
             String id = correlation(request.properties());
             received++;
             attempts.computeIfAbsent(number(request.properties()), i -> new ArrayList<>())
                     .add(name);
-            if (out.merge(id, 1, Integer::sum) > 1) {
-                twoOut.add(id);
+            if (inFlight.merge(id, 1, Integer::sum) > 1) {
+                twoInFlight.add(id);
             }
-            line.closeHandler(closed -> out.put(id, 0));
+            connection.closeHandler(closed -> inFlight.put(id, 0));
             vertx.setTimer(15, done -> {
-                if (alive && line.isConnected()) {
-                    out.put(id, 0);
+                if (alive && connection.isConnected()) {
+                    inFlight.put(id, 0);
                     MqttProperties properties = new MqttProperties();
                     properties.add(new MqttProperties.BinaryProperty(MqttProperties.CORRELATION_DATA, id.getBytes()));
                     properties.add(new MqttProperties.UserProperty("status", "served"));
-                    line.publish(
+                    connection.publish(
                             property(request.properties(), MqttProperties.RESPONSE_TOPIC),
                             Buffer.buffer(name),
                             MqttQoS.AT_MOST_ONCE,
@@ -106,11 +108,11 @@
             });
         }
 
-        /** Dies: its connections are cut, and new ones refused. */
+        /** Dies: its connections are closed, and new ones rejected. */
         CompletableFuture<?> kill() {
             alive = false;
-            List.copyOf(lines).stream().filter(MqttEndpoint::isConnected).forEach(MqttEndpoint::close);
-            lines.clear();
+            List.copyOf(connections).stream().filter(MqttEndpoint::isConnected).forEach(MqttEndpoint::close);
+            connections.clear();
             return server.close().toCompletionStage().toCompletableFuture();
         }
     }
@@ -120,7 +122,7 @@
                 (byte[]) properties.getProperty(MqttProperties.CORRELATION_DATA).value());
     }
 
-    /** The ask's number, which the terminal gives as its operator; nodes get that unchanged. */
+    /** The request's number, which the client sends as its tenant; backends get that unchanged. */
     private static int number(MqttProperties properties) {
         for (MqttProperties.MqttProperty<?> each : properties.getProperties(MqttProperties.USER_PROPERTY)) {
             MqttProperties.StringPair pair = (MqttProperties.StringPair) each.value();
@@ -144,18 +146,19 @@
                 done.completeExceptionally(e);
             }
         });
-        return done.get(PATIENCE_MS, TimeUnit.MILLISECONDS);
+        return done.get(TIMEOUT_MS, TimeUnit.MILLISECONDS);
     }
 
-    private void tell(boolean whole, EndpointState state, double startedMs, String... names) throws Exception {
+    private void updateEndpoints(boolean complete, EndpointState state, double startedMs, String... names)
+            throws Exception {
         onLoop(() -> {
-            List<Backend> lines = new ArrayList<>();
+            List<Backend> entries = new ArrayList<>();
             for (String name : names) {
-                lines.add(new Backend(
+                entries.add(new Backend(
                         new Endpoint(name, "room-a", "std-3", 1, state, 1, startedMs),
-                        "mqtt://127.0.0.1:" + backends.get(name).at));
+                        "mqtt://127.0.0.1:" + backends.get(name).listenPort));
             }
-            gateway.endpointsChanged(whole, lines);
+            dispatcher.endpointsChanged(complete, entries);
             return null;
         });
     }
@@ -163,25 +166,25 @@
     @BeforeMethod
     public void start() throws Exception {
         for (String name : List.of("m1", "m2", "m3")) {
-            Node backend = new Node(name);
+            EmulatedBackend backend = new EmulatedBackend(name);
             backends.put(name, backend);
-            onLoop(backend::start).get(PATIENCE_MS, TimeUnit.MILLISECONDS);
+            onLoop(backend::start).get(TIMEOUT_MS, TimeUnit.MILLISECONDS);
         }
         DecisionSettings settings = TestSettings.settings(200);
         port = onLoop(() -> {
-                    gateway = new RequestDispatcher(
+                    dispatcher = new RequestDispatcher(
                             vertx,
                             clock,
                             settings,
                             7,
                             new ConnectionPool(vertx, settings, new MqttConnector(vertx, settings, "gateway"), 100));
-                    return new MqttRequestServer(vertx, gateway, new Lifecycle(), clock, 10)
+                    return new MqttRequestServer(vertx, dispatcher, new Lifecycle(), clock, 10)
                             .listen(new HostAndPort("127.0.0.1", 0))
                             .toCompletionStage()
                             .toCompletableFuture();
                 })
-                .get(PATIENCE_MS, TimeUnit.MILLISECONDS);
-        tell(true, EndpointState.UP, 0, "m1", "m2", "m3");
+                .get(TIMEOUT_MS, TimeUnit.MILLISECONDS);
+        updateEndpoints(true, EndpointState.UP, 0, "m1", "m2", "m3");
     }
 
     @AfterMethod
@@ -190,27 +193,27 @@
     }
 
     @Test
-    public void everyAskHasOneAnswerAndNoneTwoAttemptsOut() throws Exception {
-        Map<String, List<String>> answers = new HashMap<>();
+    public void everyRequestHasOneResponseAndNeverTwoAttemptsInFlight() throws Exception {
+        Map<String, List<String>> responses = new HashMap<>();
         try (Socket client = new Socket(InetAddress.getLoopbackAddress(), port)) {
-            client.setSoTimeout((int) PATIENCE_MS);
+            client.setSoTimeout((int) TIMEOUT_MS);
             client.setTcpNoDelay(true);
             MqttText packets = new MqttText();
             send(client, packets, "CONNECT client=rack-7");
             send(client, packets, "SUBSCRIBE id=1 filter=a");
-            double coldAt = 0;
-            int warmBefore = 0;
-            for (int i = 0; i < ASKS; i++) {
-                if (i == ASKS / 4) {
-                    onLoop(backends.get("m1")::kill).get(PATIENCE_MS, TimeUnit.MILLISECONDS);
-                    tell(false, EndpointState.REMOVED, 0, "m1");
+            double receivedBefore = 0;
+            int warmReceivedBefore = 0;
+            for (int i = 0; i < REQUESTS; i++) {
+                if (i == REQUESTS / 4) {
+                    onLoop(backends.get("m1")::kill).get(TIMEOUT_MS, TimeUnit.MILLISECONDS);
+                    updateEndpoints(false, EndpointState.REMOVED, 0, "m1");
                 }
-                if (i == ASKS / 2) {
-                    tell(false, EndpointState.DRAINING, 0, "m2");
-                    onLoop(backends.get("m1")::start).get(PATIENCE_MS, TimeUnit.MILLISECONDS);
-                    coldAt = onLoop(() -> backends.get("m1").received);
-                    warmBefore = onLoop(() -> backends.get("m3").received);
-                    tell(false, EndpointState.UP, clock.now(), "m1");
+                if (i == REQUESTS / 2) {
+                    updateEndpoints(false, EndpointState.DRAINING, 0, "m2");
+                    onLoop(backends.get("m1")::start).get(TIMEOUT_MS, TimeUnit.MILLISECONDS);
+                    receivedBefore = onLoop(() -> backends.get("m1").received);
+                    warmReceivedBefore = onLoop(() -> backends.get("m3").received);
+                    updateEndpoints(false, EndpointState.UP, clock.now(), "m1");
                 }
                 String record = i % 2 == 0 ? "swap-record" : "slot-status";
                 send(
@@ -220,49 +223,52 @@
                                 + " response=a correlation=c" + i + " operator=" + String.format("%016d", i)
                                 + " plan=start units=1 entry-points=1 first-entry=0"
                                 + (i % 2 == 0 ? " key=k" + i + " payload=BODY" : ""));
-                read(client, packets, answers, i);
+                read(client, packets, responses, i);
             }
-            read(client, packets, answers, ASKS);
-            int cold = (int) (onLoop(() -> backends.get("m1").received) - coldAt);
-            int warm = onLoop(() -> backends.get("m3").received) - warmBefore;
-            assertTrue(cold < warm, "the cold node had " + cold + " attempts, the warm one " + warm);
+            read(client, packets, responses, REQUESTS);
+            int slowStart = (int) (onLoop(() -> backends.get("m1").received) - receivedBefore);
+            int warm = onLoop(() -> backends.get("m3").received) - warmReceivedBefore;
+            assertTrue(
+                    slowStart < warm, "the backend in slow start had " + slowStart + " attempts, the warm one " + warm);
         }
-        assertEquals(answers.size(), ASKS);
-        answers.forEach((request, given) -> assertEquals(given.size(), 1, request + " " + given));
-        assertEquals(twoOut, Set.of());
-        List<String> counted = onLoop(() -> gateway.infoLines().lines().toList());
+        assertEquals(responses.size(), REQUESTS);
+        responses.forEach((request, given) -> assertEquals(given.size(), 1, request + " " + given));
+        assertEquals(twoInFlight, Set.of());
+        List<String> counted = onLoop(() -> dispatcher.infoLines().lines().toList());
         assertTrue(
-                counted.contains("taken=" + ASKS)
+                counted.contains("taken=" + REQUESTS)
                         && counted.contains("stopped_by_guards=0")
                         && counted.contains("ended_by_deadline_guard=0"),
                 counted.toString());
-        // A swap-record that one node has received is sent again only to its pod; here all are of one, so at most 6.
+        // A swap-record that one backend has received is sent again only to its pod; here all are of one, so 6 is the
+        // maximum.
         attempts.forEach((request, at) -> assertTrue(at.size() <= 6, request + " " + at));
-        // What was asked after the drain was told has not gone to the node that drains.
-        attempts.forEach((request, at) -> assertTrue(request < ASKS / 2 || !at.contains("m2"), request + " " + at));
-        assertTrue(attempts.values().stream().anyMatch(at -> at.contains("m2")), attempts.toString());
+        // No request after the drain began has gone to the draining backend.
+        attempts.forEach((request, at) -> assertTrue(request < REQUESTS / 2 || !at.contains("m2"), request + " " + at));
+        assertTrue(attempts.values().stream().anyMatch(receivers -> receivers.contains("m2")), attempts.toString());
         assertTrue(
-                answers.values().stream()
+                responses.values().stream()
                                 .filter(each -> each.get(0).equals("served"))
                                 .count()
-                        > ASKS / 2,
-                answers.toString());
+                        > REQUESTS / 2,
+                responses.toString());
     }
 
     private static void send(Socket client, MqttText packets, String line) throws Exception {
         client.getOutputStream().write(packets.bytes(line));
     }
 
-    /** Reads until this many asks have an answer, which paces the asks by their answers. */
-    private static void read(Socket client, MqttText packets, Map<String, List<String>> answers, int least)
+    /** Reads until all but four of so many requests have a response, which paces the requests by their responses. */
+    private static void read(Socket client, MqttText packets, Map<String, List<String>> responses, int sent)
             throws Exception {
         byte[] bytes = new byte[8192];
-        while (answers.size() < least - 4 || least == ASKS && answers.size() < ASKS) {
+        while (responses.size() < sent - 4 || sent == REQUESTS && responses.size() < REQUESTS) {
             int length = client.getInputStream().read(bytes);
-            assertTrue(length > 0, "the front closed the connection");
+            assertTrue(length > 0, "the server closed the connection");
             for (String line : packets.text(bytes, length).split("\n")) {
                 if (line.startsWith("PUBLISH")) {
-                    answers.computeIfAbsent(line.replaceAll(".* correlation=(\\S+) .*", "$1"), c -> new ArrayList<>())
+                    responses
+                            .computeIfAbsent(line.replaceAll(".* correlation=(\\S+) .*", "$1"), c -> new ArrayList<>())
                             .add(line.replaceAll(".* status=(\\S+) .*", "$1"));
                 }
             }
--- a/mqtt/src/test/java/opalcove/MqttBytesTest.java
+++ b/mqtt/src/test/java/opalcove/MqttBytesTest.java
@@ -28,49 +28,49 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** Each packet that the front and the links write, byte by byte; the recorded exchanges show what follows what. */
+/** Each packet that the server and the backend connections write, byte by byte; the recorded exchanges show their order. */
 public class MqttBytesTest {
-    private static final int PATIENCE_MS = 10_000;
+    private static final int TIMEOUT_MS = 10_000;
 
     private MqttText packets;
-    private Lifecycle phases;
+    private Lifecycle lifecycle;
     private Vertx vertx;
-    private RequestDispatcher gateway;
-    private MqttRequestServer front;
+    private RequestDispatcher dispatcher;
+    private MqttRequestServer server;
     private ServerSocket backend;
     private Socket client;
 
     @BeforeMethod
     public void start() throws Exception {
         packets = new MqttText();
-        phases = new Lifecycle();
+        lifecycle = new Lifecycle();
         vertx = Vertx.vertx();
         backend = new ServerSocket(0, 5, InetAddress.getLoopbackAddress());
-        backend.setSoTimeout(PATIENCE_MS);
+        backend.setSoTimeout(TIMEOUT_MS);
         CompletableFuture<Integer> port = new CompletableFuture<>();
-        vertx.runOnContext(go -> {
+        vertx.runOnContext(start -> {
             DecisionSettings settings = TestSettings.settings();
             Clock clock = new Clock();
-            gateway = new RequestDispatcher(
+            dispatcher = new RequestDispatcher(
                     vertx,
                     clock,
                     settings,
                     7,
                     new ConnectionPool(vertx, settings, new MqttConnector(vertx, settings, "gateway"), 5));
-            gateway.endpointsChanged(
+            dispatcher.endpointsChanged(
                     true,
                     List.of(new Backend(
                             new Endpoint("m1", "room-a", "std-3", 1, EndpointState.UP, 1, 0),
                             "mqtt://127.0.0.1:" + backend.getLocalPort())));
-            front = new MqttRequestServer(vertx, gateway, phases, clock, 1);
-            front.listen(new HostAndPort("127.0.0.1", 0)).onSuccess(port::complete);
+            server = new MqttRequestServer(vertx, dispatcher, lifecycle, clock, 1);
+            server.listen(new HostAndPort("127.0.0.1", 0)).onSuccess(port::complete);
         });
-        client = connect(port.get(PATIENCE_MS, TimeUnit.MILLISECONDS));
+        client = connect(port.get(TIMEOUT_MS, TimeUnit.MILLISECONDS));
     }
 
     private static Socket connect(int port) throws IOException {
         Socket socket = new Socket(InetAddress.getLoopbackAddress(), port);
-        socket.setSoTimeout(PATIENCE_MS);
+        socket.setSoTimeout(TIMEOUT_MS);
         return socket;
     }
 
@@ -118,29 +118,30 @@
         return text.toString();
     }
 
-    private static final String MARKS = "operator=00000000b4d65521 plan=start units=2 entry-points=1 first-entry=0";
+    private static final String PARAMETERS =
+            "operator=00000000b4d65521 plan=start units=2 entry-points=1 first-entry=0";
 
     @Test
-    public void whatTheFrontWritesToATerminal() throws Exception {
+    public void whatTheServerWritesToAClient() throws Exception {
         write(client, "CONNECT client=rack-7");
         assertEquals(read(client), "2011 00000e2100402401250027000120002a00");
         write(client, "SUBSCRIBE id=1 filter=a");
         assertEquals(read(client), "9004 00010001");
-        write(client, "PUBLISH topic=opalcove/ask/slot-status qos=1 id=5 correlation=c1 " + MARKS);
+        write(client, "PUBLISH topic=opalcove/ask/slot-status qos=1 id=5 correlation=c1 " + PARAMETERS);
         assertEquals(read(client), "4039 000599351f00\"2an ask needs a response topic and correlation data\"");
-        write(client, "PUBLISH topic=opalcove/ask/slot-status qos=1 id=6 response=b correlation=c1 " + MARKS);
+        write(client, "PUBLISH topic=opalcove/ask/slot-status qos=1 id=6 response=b correlation=c1 " + PARAMETERS);
         assertEquals(read(client), "402e 0006902a1f00\"'the response topic is not subscribed to\"");
-        write(client, "PUBLISH topic=opalcove/ask/odd qos=1 id=7 response=a correlation=c1 " + MARKS);
+        write(client, "PUBLISH topic=opalcove/ask/odd qos=1 id=7 response=a correlation=c1 " + PARAMETERS);
         assertEquals(
                 read(client),
                 "3234 00016100012e090002\"c1&\"0006\"status\"0006\"failed&\"0006\"reason\"000d\"unknown class\"");
         assertEquals(read(client), "4002 0007");
-        write(client, "PUBLISH topic=opalcove/ask/slot-status qos=2 id=8 response=a correlation=c1 " + MARKS);
+        write(client, "PUBLISH topic=opalcove/ask/slot-status qos=2 id=8 response=a correlation=c1 " + PARAMETERS);
         assertEquals(read(client), "e002 9b00");
     }
 
     @Test
-    public void howATerminalIsNotTaken() throws Exception {
+    public void howAClientIsRejected() throws Exception {
         write(client, "CONNECT client=rack-7");
         read(client);
         try (Socket second = connect(client.getPort())) {
@@ -152,18 +153,18 @@
             assertEquals(read(old), "2002 0001");
         }
         CompletableFuture<Void> drained = new CompletableFuture<>();
-        vertx.runOnContext(go -> {
-            phases.enter(Lifecycle.Phase.SERVING);
-            phases.enter(Lifecycle.Phase.DRAINING);
-            front.drain(() -> drained.complete(null));
+        vertx.runOnContext(start -> {
+            lifecycle.enter(Lifecycle.Phase.SERVING);
+            lifecycle.enter(Lifecycle.Phase.DRAINING);
+            server.drain(() -> drained.complete(null));
         });
         assertEquals(read(client), "e002 8b00");
         client.close();
-        drained.get(PATIENCE_MS, TimeUnit.MILLISECONDS);
+        drained.get(TIMEOUT_MS, TimeUnit.MILLISECONDS);
     }
 
     @Test
-    public void whatALinkWritesToANodeAndWhatComesOfItsAnswer() throws Exception {
+    public void whatAConnectionWritesToABackendAndWhatComesOfItsResponse() throws Exception {
         write(client, "CONNECT client=rack-7");
         read(client);
         write(client, "SUBSCRIBE id=1 filter=a");
@@ -171,24 +172,24 @@
         write(
                 client,
                 "PUBLISH topic=opalcove/ask/swap-record qos=1 id=5 expiry=3 response=a correlation=c1 key=5c0f retry=1 "
-                        + MARKS + " payload=BODY");
-        try (Socket link = backend.accept()) {
-            link.setSoTimeout(PATIENCE_MS);
-            assertEquals(read(link), "1016 0004\"MQTT\"05020000000009\"gateway-1\"");
-            write(link, "CONNACK code=0");
-            assertEquals(read(link), "821f 0001000019\"opalcove/answer/gateway-1\"01");
-            write(link, "SUBACK id=1");
+                        + PARAMETERS + " payload=BODY");
+        try (Socket connection = backend.accept()) {
+            connection.setSoTimeout(TIMEOUT_MS);
+            assertEquals(read(connection), "1016 0004\"MQTT\"05020000000009\"gateway-1\"");
+            write(connection, "CONNACK code=0");
+            assertEquals(read(connection), "821f 0001000019\"opalcove/answer/gateway-1\"01");
+            write(connection, "SUBACK id=1");
             assertEquals(
-                    read(link),
+                    read(connection),
                     """
                 32c601 \
                 0018"opalcove/ask/swap-record"0001a401080019"opalcove/answer/gateway-1"\
                 090010"cf868f049e4a937e"0200000003260008"operator"0010"00000000b4d65521&"0004"plan"0005"start&\
                 "0005"units"00013226000c"entry-points"00013126000b"first-entry"000130260003"key"0004"5c0f&"0005"retry"0001"1BODY\"""");
             write(
-                    link,
+                    connection,
                     "PUBLISH topic=opalcove/answer/gateway-1 qos=1 id=9 correlation=cf868f049e4a937e status=served payload=done");
-            assertEquals(read(link), "4002 0009");
+            assertEquals(read(connection), "4002 0009");
             assertEquals(read(client), "3220 000161000116090002\"c1&\"0006\"status\"0006\"serveddone\"");
             assertEquals(read(client), "4002 0005");
         }
--- a/mqtt/src/test/java/opalcove/MqttText.java
+++ b/mqtt/src/test/java/opalcove/MqttText.java
@@ -64,49 +64,50 @@
         return value == null ? 0 : Integer.parseInt(value);
     }
 
-    private static MqttMessage message(String type, Map<String, String> f) {
+    private static MqttMessage message(String type, Map<String, String> fields) {
         return switch (type) {
             case "CONNECT" ->
                 MqttMessageBuilders.connect()
-                        .clientId(f.get("client"))
+                        .clientId(fields.get("client"))
                         .cleanSession(true)
                         .keepAlive(0)
-                        .protocolVersion("4".equals(f.get("version")) ? MqttVersion.MQTT_3_1_1 : MqttVersion.MQTT_5)
+                        .protocolVersion(
+                                "4".equals(fields.get("version")) ? MqttVersion.MQTT_3_1_1 : MqttVersion.MQTT_5)
                         .build();
             case "CONNACK" ->
                 MqttMessageBuilders.connAck()
-                        .returnCode(MqttConnectReturnCode.valueOf((byte) number(f, "code")))
+                        .returnCode(MqttConnectReturnCode.valueOf((byte) number(fields, "code")))
                         .properties(new MqttProperties())
                         .build();
             case "SUBSCRIBE" ->
                 MqttMessageBuilders.subscribe()
-                        .messageId(number(f, "id"))
-                        .addSubscription(MqttQoS.AT_LEAST_ONCE, f.get("filter"))
+                        .messageId(number(fields, "id"))
+                        .addSubscription(MqttQoS.AT_LEAST_ONCE, fields.get("filter"))
                         .build();
             case "SUBACK" ->
                 MqttMessageBuilders.subAck()
-                        .packetId(number(f, "id"))
+                        .packetId(number(fields, "id"))
                         .addGrantedQos(MqttQoS.AT_LEAST_ONCE)
                         .build();
             case "PUBACK" ->
                 MqttMessageBuilders.pubAck()
-                        .packetId(number(f, "id"))
-                        .reasonCode((byte) number(f, "code"))
+                        .packetId(number(fields, "id"))
+                        .reasonCode((byte) number(fields, "code"))
                         .build();
-            case "PUBLISH" -> publish(f);
+            case "PUBLISH" -> publish(fields);
             default -> throw new IllegalArgumentException(type);
         };
     }
 
-    private static MqttMessage publish(Map<String, String> f) {
-        MqttQoS qos = MqttQoS.valueOf(number(f, "qos"));
-        boolean dup = f.remove("dup") != null;
-        String topic = f.remove("topic");
-        int id = number(f, "id");
-        String payload = f.getOrDefault("payload", "");
-        f.remove("payload");
+    private static MqttMessage publish(Map<String, String> fields) {
+        MqttQoS qos = MqttQoS.valueOf(number(fields, "qos"));
+        boolean dup = fields.remove("dup") != null;
+        String topic = fields.remove("topic");
+        int id = number(fields, "id");
+        String payload = fields.getOrDefault("payload", "");
+        fields.remove("payload");
         MqttProperties properties = new MqttProperties();
-        f.forEach((name, value) -> properties.add(
+        fields.forEach((name, value) -> properties.add(
                 switch (name) {
                     case "expiry" ->
                         new MqttProperties.IntegerProperty(
@@ -168,26 +169,27 @@
 
     private static String line(MqttPublishMessage publish) {
         MqttPublishVariableHeader header = publish.variableHeader();
-        Map<String, String> f = new TreeMap<>();
+        Map<String, String> fields = new TreeMap<>();
         for (MqttProperties.MqttProperty<?> each : header.properties().listAll()) {
             switch (each.propertyId()) {
                 case MqttProperties.PUBLICATION_EXPIRY_INTERVAL ->
-                    f.put("expiry", each.value().toString());
+                    fields.put("expiry", each.value().toString());
                 case MqttProperties.RESPONSE_TOPIC ->
-                    f.put("response", each.value().toString());
+                    fields.put("response", each.value().toString());
                 case MqttProperties.CORRELATION_DATA ->
-                    f.put("correlation", new String((byte[]) each.value(), StandardCharsets.UTF_8));
+                    fields.put("correlation", new String((byte[]) each.value(), StandardCharsets.UTF_8));
                 case MqttProperties.USER_PROPERTY ->
                     ((Iterable<?>) each.value())
-                            .forEach(pair -> f.put(
+                            .forEach(pair -> fields.put(
                                     ((MqttProperties.StringPair) pair).key, ((MqttProperties.StringPair) pair).value));
-                default -> f.put("property-" + each.propertyId(), String.valueOf(each.value()));
+                default -> fields.put("property-" + each.propertyId(), String.valueOf(each.value()));
             }
         }
         StringBuilder text = new StringBuilder(" topic=" + header.topicName() + " qos="
                 + publish.fixedHeader().qosLevel().value() + " id=" + header.packetId()
                 + (publish.fixedHeader().isDup() ? " dup=1" : ""));
-        f.forEach((name, value) -> text.append(' ').append(name).append('=').append(value));
+        fields.forEach(
+                (name, value) -> text.append(' ').append(name).append('=').append(value));
         return text.append(" payload=")
                 .append(publish.payload().toString(StandardCharsets.UTF_8))
                 .toString();
--- a/mqtt/src/test/java/opalcove/mqtt/MessageFormTest.java
+++ b/mqtt/src/test/java/opalcove/mqtt/MessageFormTest.java
@@ -30,7 +30,7 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** Properties and payloads of asks and answers, and the reasons for which an ask fails, as literal text. */
+/** Properties and payloads of requests and responses, and the reasons for which a request fails, as literal text. */
 public class MessageFormTest {
     private Vertx vertx;
     private RequestValidator rules;
@@ -39,13 +39,13 @@
     public void start() throws Exception {
         vertx = Vertx.vertx();
         CompletableFuture<RequestValidator> ready = new CompletableFuture<>();
-        vertx.runOnContext(go -> ready.complete(new RequestDispatcher(
+        vertx.runOnContext(start -> ready.complete(new RequestDispatcher(
                         vertx,
                         new Clock(),
                         TestSettings.settings(),
                         7,
                         new ConnectionPool(
-                                vertx, TestSettings.settings(), address -> Future.failedFuture("no node here"), 1))
+                                vertx, TestSettings.settings(), address -> Future.failedFuture("no backend here"), 1))
                 .requestValidator()));
         rules = ready.get(20, TimeUnit.SECONDS);
     }
@@ -96,57 +96,60 @@
                 rules, "0123456789abcdef", "opalcove/ask/" + requestClass, user(properties), Buffer.buffer(body));
     }
 
-    private static final String MARKS = "operator=00000000b4d65521 plan=start units=2 entry-points=1 first-entry=0";
+    private static final String PARAMETERS =
+            "operator=00000000b4d65521 plan=start units=2 entry-points=1 first-entry=0";
 
     @Test
-    public void anAskAsItIsForwarded() throws Exception {
+    public void aRequestAsItIsForwarded() throws Exception {
         assertEquals(
-                text(RequestMessage.properties(request("swap-record", MARKS + " key=5c0f retry=1", "x"), 3001, "back")),
+                text(RequestMessage.properties(
+                        request("swap-record", PARAMETERS + " key=5c0f retry=1", "x"), 3001, "back")),
                 "8=back 9=0123456789abcdef 2=4 operator=00000000b4d65521 plan=start units=2 entry-points=1 first-entry=0"
                         + " key=5c0f retry=1");
         assertEquals(
-                text(RequestMessage.properties(request("slot-status", MARKS, ""), 0, "back")),
+                text(RequestMessage.properties(request("slot-status", PARAMETERS, ""), 0, "back")),
                 "8=back 9=0123456789abcdef 2=1 operator=00000000b4d65521 plan=start units=2 entry-points=1 first-entry=0");
     }
 
     @Test
-    public void theTimeOfAnAskIsItsExpiryOrItsClasssDeadline() throws Exception {
-        assertEquals(request("slot-status", MARKS, "").timeoutMs(), 4000.0);
-        assertEquals(request("slot-status", MARKS + " expiry=3", "").timeoutMs(), 3000.0);
-        assertEquals(request("slot-status", MARKS + " expiry=4294967295", "").timeoutMs(), 4000.0);
+    public void theTimeoutOfARequestIsItsExpiryOrItsClasssDeadline() throws Exception {
+        assertEquals(request("slot-status", PARAMETERS, "").timeoutMs(), 4000.0);
+        assertEquals(request("slot-status", PARAMETERS + " expiry=3", "").timeoutMs(), 3000.0);
+        assertEquals(
+                request("slot-status", PARAMETERS + " expiry=4294967295", "").timeoutMs(), 4000.0);
     }
 
     @DataProvider
-    public Object[][] unfit() {
+    public Object[][] invalid() {
         return new Object[][] {
-            {"odd", MARKS, "", "unknown class"},
-            {"slot-status", MARKS, "x", "slot-status carries no body"},
-            {"slot-status", MARKS + " expiry=0", "", "expired"},
-            {"slot-status", MARKS.replace("start", "odd"), "", "unknown plan"},
-            {"slot-status", MARKS.replace("plan=start", "x=y"), "", "plan is missing"},
-            {"slot-status", MARKS.replace("operator=00000000b4d65521", "x=y"), "", "operator is missing"},
-            {"slot-status", MARKS.replace("units=2", "units=x"), "", "units is not a number in range"},
-            {"slot-status", MARKS.replace("units=2", "units=9"), "", "the units are out of range"},
+            {"odd", PARAMETERS, "", "unknown class"},
+            {"slot-status", PARAMETERS, "x", "slot-status carries no body"},
+            {"slot-status", PARAMETERS + " expiry=0", "", "expired"},
+            {"slot-status", PARAMETERS.replace("start", "odd"), "", "unknown plan"},
+            {"slot-status", PARAMETERS.replace("plan=start", "x=y"), "", "plan is missing"},
+            {"slot-status", PARAMETERS.replace("operator=00000000b4d65521", "x=y"), "", "operator is missing"},
+            {"slot-status", PARAMETERS.replace("units=2", "units=x"), "", "units is not a number in range"},
+            {"slot-status", PARAMETERS.replace("units=2", "units=9"), "", "the units are out of range"},
             {
                 "slot-status",
-                MARKS.replace("entry-points=1", "entry-points=0"),
+                PARAMETERS.replace("entry-points=1", "entry-points=0"),
                 "",
                 "the operator's gateways are out of range"
             },
             {
                 "slot-status",
-                MARKS.replace("first-entry=0", "first-entry=1"),
+                PARAMETERS.replace("first-entry=0", "first-entry=1"),
                 "",
                 "the operator's gateways are out of range"
             },
-            {"swap-record", MARKS, "x", "key is missing"},
-            {"swap-record", MARKS + " key=a,b", "x", "the key cannot be passed on"},
-            {"swap-record", MARKS + " key=k", "x".repeat(65_537), "the body is larger than 65536 bytes"},
+            {"swap-record", PARAMETERS, "x", "key is missing"},
+            {"swap-record", PARAMETERS + " key=a,b", "x", "the key cannot be passed on"},
+            {"swap-record", PARAMETERS + " key=k", "x".repeat(65_537), "the body is larger than 65536 bytes"},
         };
     }
 
-    @Test(dataProvider = "unfit")
-    public void anUnfitAskFailsWithItsReason(String requestClass, String properties, String body, String reason) {
+    @Test(dataProvider = "invalid")
+    public void anInvalidRequestFailsWithItsReason(String requestClass, String properties, String body, String reason) {
         assertEquals(
                 expectThrows(InvalidRequestException.class, () -> request(requestClass, properties, body))
                         .getMessage(),
@@ -154,12 +157,12 @@
     }
 
     @Test
-    public void theIdOfAnAskComesFromClientAndCorrelation() {
+    public void theIdOfARequestComesFromClientAndCorrelation() {
         assertEquals(RequestMessage.id("rack-7", "c1".getBytes(StandardCharsets.US_ASCII)), "cf868f049e4a937e");
     }
 
     @Test
-    public void answersAsTheyAreGiven() {
+    public void responsesAsTheyAreSent() {
         byte[] correlation = "c1".getBytes(StandardCharsets.US_ASCII);
         ByteBuf value = Unpooled.copiedBuffer("done", StandardCharsets.US_ASCII);
         ResponseMessage served = ResponseMessage.of(new Response.Served(value), correlation);
@@ -190,7 +193,7 @@
     }
 
     @Test(dataProvider = "ends")
-    public void whatANodesAnswerMeans(String properties, AttemptStatus result, String facts) {
+    public void whatABackendsResponseMeans(String properties, AttemptStatus result, String facts) {
         AttemptResult end = ResponseMessage.read(
                 user(properties), Unpooled.EMPTY_BUFFER, TestSettings.settings().loadMetrics());
         assertEquals(end.result(), result);
