--- a/benchmarks/src/main/java/opalcove/resp/ReaderBenchmark.java
+++ b/benchmarks/src/main/java/opalcove/resp/ReaderBenchmark.java
@@ -58,29 +58,29 @@
                 new ConnectionPool(vertx, settings, new RespConnector(vertx, settings), 1));
         RequestDecoder requestDecoder = new RequestDecoder(gateway::rules);
         BackendReplyDecoder nodeReply = new BackendReplyDecoder(settings);
-        requests = new RespDecoder(8, new RespDecoder.User() {
+        requests = new RespDecoder(8, new RespListener() {
             @Override
-            public void value(RespDecoder value) {
+            public void valueDecoded(RespDecoder value) {
                 try {
-                    read = requestDecoder.read(value, null);
+                    read = requestDecoder.decode(value, null);
                 } catch (opalcove.core.InvalidRequestException e) {
                     throw new IllegalStateException(e);
                 }
             }
 
             @Override
-            public void broken(String reason) {
+            public void decodingFailed(String reason) {
                 throw new IllegalStateException(reason);
             }
         });
-        replies = new RespDecoder(BackendReplyDecoder.PARTS, new RespDecoder.User() {
+        replies = new RespDecoder(BackendReplyDecoder.PARTS, new RespListener() {
             @Override
-            public void value(RespDecoder value) {
-                read = nodeReply.read(value);
+            public void valueDecoded(RespDecoder value) {
+                read = nodeReply.decode(value);
             }
 
             @Override
-            public void broken(String reason) {
+            public void decodingFailed(String reason) {
                 throw new IllegalStateException(reason);
             }
         });
@@ -95,14 +95,14 @@
     /** Parses one request of a client. */
     @Benchmark
     public Object aRequest() {
-        requests.take(request.retainedDuplicate());
+        requests.decode(request.retainedDuplicate());
         return read;
     }
 
     /** Parses one answer of a backend. */
     @Benchmark
     public Object aReply() {
-        replies.take(reply.retainedDuplicate());
+        replies.decode(reply.retainedDuplicate());
         return read;
     }
 }
--- a/gateway/src/main/java/opalcove/resp/BackendReplyDecoder.java
+++ b/gateway/src/main/java/opalcove/resp/BackendReplyDecoder.java
@@ -8,21 +8,24 @@
 import opalcove.decision.LoadMetric;
 import org.tinylog.Logger;
 
-/** Reads an app node's replies by the protocol's outcome table. */
+/**
+ * Decodes the replies of backends, by the protocol's table of outcomes. One object serves all connections of a connector;
+ * owned by their event loop.
+ */
 final class BackendReplyDecoder {
-    /** The value, the figures on use and the load report. */
+    /** The parts of a reply: the value, the usage figures and the load report. */
     static final int PARTS = 3;
-    /** Percent of a quota; more is no figure on use. */
-    private static final double MOST_USED = 100_000;
+    /** Percent of a quota; a larger figure is not a usage. */
+    private static final double MAX_USED_PERCENT = 100_000;
 
     private final List<LoadMetric> gauges;
     private final double maxUnits;
-    /** The name of a gauge that came last, and its column: nodes tell the same ones over and over. */
-    private String gauge = "";
+    /** The name of the gauge that was decoded last, and its column: backends report the same ones over and over. */
+    private String gaugeName = "";
 
-    private int column = -1;
+    private int gaugeColumn = -1;
 
-    private int used;
+    private int usedPercent;
     private double cost;
     private double[] load;
 
@@ -32,93 +35,91 @@
     }
 
     /**
-     * How the attempt ended, or null where the reply is none that a node gives: the attempt may have run. A value is lent
-     * for the time of the reply's call.
+     * The result of an attempt, or null where the reply has a form that no backend sends: the attempt may have run. The
+     * result's value is not retained: valid during the notification of the reply.
      */
-    AttemptResult read(RespDecoder reply) {
-        used = -1;
+    AttemptResult decode(RespDecoder reply) {
+        usedPercent = -1;
         cost = 0;
         load = null;
-        if (reply.kind() == '*' && reply.count() == PARTS && reply.isString(0)) {
+        if (reply.type() == '*' && reply.itemCount() == PARTS && reply.isString(0)) {
             for (int part = 1; part < PARTS; part++) {
                 if (reply.isString(part)) {
-                    take(reply, part, 0, reply.length(part));
+                    decodeFigures(reply, part, 0, reply.length(part));
                 }
             }
-            return new AttemptResult(AttemptStatus.SERVED, reply.lend(0), used, cost, load);
+            return new AttemptResult(AttemptStatus.SERVED, reply.slice(0), usedPercent, cost, load);
         }
-        if (reply.kind() == '-') {
-            int end = reply.length(0);
-            int word = wordEnd(reply, 0, end);
-            boolean busy = reply.is(0, 0, word, "BUSY");
-            if (busy || reply.is(0, 0, word, "ERR")) {
-                for (int from = word + 1; from < end; from = word + 1) {
-                    word = wordEnd(reply, from, end);
-                    take(reply, 0, from, word);
-                }
-                return new AttemptResult(busy ? AttemptStatus.REJECTED : AttemptStatus.ERROR, null, used, cost, load);
-            }
-        }
-        return null;
+        return reply.type() == '-' ? decodeError(reply) : null;
     }
 
-    private static int wordEnd(RespDecoder reply, int from, int end) {
-        return find(reply, 0, from, end, (byte) ' ');
+    private AttemptResult decodeError(RespDecoder reply) {
+        int end = reply.length(0);
+        int tokenEnd = indexOf(reply, 0, 0, end, ' ');
+        boolean isBusy = reply.regionEquals(0, 0, tokenEnd, "BUSY");
+        if (!isBusy && !reply.regionEquals(0, 0, tokenEnd, "ERR")) {
+            return null;
+        }
+        for (int from = tokenEnd + 1; from < end; from = tokenEnd + 1) {
+            tokenEnd = indexOf(reply, 0, from, end, ' ');
+            decodeFigures(reply, 0, from, tokenEnd);
+        }
+        return new AttemptResult(isBusy ? AttemptStatus.REJECTED : AttemptStatus.ERROR, null, usedPercent, cost, load);
     }
 
-    /** Where this byte comes next, or the end. */
-    private static int find(RespDecoder reply, int part, int from, int end, byte sought) {
+    /** The next index of this character, or the end. */
+    private static int indexOf(RespDecoder reply, int part, int from, int end, char wanted) {
         int at = from;
-        while (at < end && reply.at(part, at) != sought) {
+        while (at < end && reply.byteAt(part, at) != wanted) {
             at++;
         }
         return at;
     }
 
-    /** The figures on use or the load report, each a list of name=figure. */
-    private void take(RespDecoder reply, int part, int start, int end) {
+    /** The usage figures or the load report, each a list of name=figure. */
+    private void decodeFigures(RespDecoder reply, int part, int start, int end) {
         for (int from = start; from < end; ) {
-            int to = find(reply, part, from, end, (byte) ',');
-            int equals = find(reply, part, from, to, (byte) '=');
+            int to = indexOf(reply, part, from, end, ',');
+            int equals = indexOf(reply, part, from, to, '=');
             if (equals > from && equals < to) {
-                double value = RequestDecoder.decimal(reply, part, equals + 1, to);
+                double value = ParameterDecoder.decimal(reply, part, equals + 1, to);
                 if (value < 0) {
-                    value = unusual(reply.text(part, equals + 1, to));
+                    value = parseUnusual(reply.text(part, equals + 1, to));
                 }
-                figure(reply, part, from, equals, value);
+                setFigure(reply, part, from, equals, value);
             }
             from = to + 1;
         }
     }
 
     /** A figure of another form, such as 1e2; NaN where it is none. */
-    private static double unusual(String text) {
+    private static double parseUnusual(String text) {
         try {
             return Double.parseDouble(text);
         } catch (NumberFormatException e) {
-            Logger.debug("an app node told {}", text);
+            Logger.debug("a backend reported a figure that is no number: {}", text);
             return Double.NaN;
         }
     }
 
-    /** Guards the module's books against figures that cannot be: what is no figure counts as not told. */
-    private void figure(RespDecoder reply, int part, int from, int to, double value) {
-        boolean costs = reply.is(part, from, to, "cost");
-        if (!(value >= 0 && value <= MOST_USED) || costs && value > maxUnits) {
+    /** Guards the decision module's accounts against impossible figures: what is out of range counts as not reported. */
+    private void setFigure(RespDecoder reply, int part, int from, int to, double value) {
+        boolean isCost = reply.regionEquals(part, from, to, "cost");
+        if (!(value >= 0 && value <= MAX_USED_PERCENT) || isCost && value > maxUnits) {
             return;
         }
-        if (costs) {
+        if (isCost) {
             cost = value;
-        } else if (reply.is(part, from, to, "used")) {
-            used = (int) Math.round(value);
+        } else if (reply.regionEquals(part, from, to, "used")) {
+            usedPercent = (int) Math.round(value);
         } else {
-            if (!reply.is(part, from, to, gauge)) {
-                gauge = reply.text(part, from, to);
-                column = gauges.indexOf(SettingsReader.gauge(gauge));
+            if (!reply.regionEquals(part, from, to, gaugeName)) {
+                gaugeName = reply.text(part, from, to);
+                gaugeColumn = gauges.indexOf(SettingsReader.gauge(gaugeName));
             }
-            if (column >= 0) {
+            if (gaugeColumn >= 0) {
                 load = load == null ? new double[gauges.size()] : load;
-                load[column] = value;
+                load[gaugeColumn] = value;
             }
         }
     }
--- /dev/null
+++ b/gateway/src/main/java/opalcove/resp/CommandHandler.java
@@ -0,0 +1,82 @@
+package opalcove.resp;
+
+import io.netty.buffer.Unpooled;
+import java.nio.charset.StandardCharsets;
+import java.util.Locale;
+import opalcove.core.InvalidRequestException;
+import opalcove.core.Request;
+import opalcove.core.RequestDispatcher;
+import opalcove.metrics.Metrics;
+
+/**
+ * Executes the commands of a server's connections: requests are dispatched, the others are answered here. Owned by the
+ * server's event loop.
+ */
+final class CommandHandler {
+    private final RequestDispatcher dispatcher;
+    private final DrainState drain;
+    private final RequestDecoder requests;
+
+    CommandHandler(RequestDispatcher dispatcher, DrainState drain) {
+        this.dispatcher = dispatcher;
+        this.drain = drain;
+        requests = new RequestDecoder(dispatcher::rules);
+    }
+
+    /** Whether the value has the form of a command: an array of strings that is not empty. */
+    static boolean isCommand(RespDecoder value) {
+        boolean strings = value.type() == '*' && value.itemCount() > 0;
+        for (int i = 0; strings && i < value.itemCount(); i++) {
+            strings = value.isString(i);
+        }
+        return strings;
+    }
+
+    /** Executes one command; its response may be given at once or later. */
+    void execute(RespDecoder command, PipelineSlot slot) {
+        if (RequestDecoder.isRequest(command)) {
+            dispatch(command, slot);
+        } else {
+            respond(command, slot);
+        }
+    }
+
+    private void dispatch(RespDecoder command, PipelineSlot slot) {
+        ClientConnection connection = slot.connection();
+        Request request;
+        try {
+            request = requests.decode(command, connection.socket());
+        } catch (InvalidRequestException e) {
+            if (e.requestClass() != null) {
+                dispatcher.metrics().ended(e.requestClass(), Metrics.End.FAILURE);
+            }
+            connection.reject(slot, e.getMessage());
+            return;
+        }
+        slot.setBody(request.body());
+        slot.setRequest(dispatcher.serve(request, slot, connection.input().unreadMs()));
+        if (drain.isProcessEnding()) {
+            // Its response comes behind those of the requests before it, which may wait longer than this process lasts.
+            connection.pipeline().hurryAll();
+        }
+    }
+
+    private void respond(RespDecoder command, PipelineSlot slot) {
+        ResponsePipeline pipeline = slot.connection().pipeline();
+        switch (command.text(0).toUpperCase(Locale.ROOT)) {
+            case "PING" -> {
+                if (drain.isRequested()) {
+                    pipeline.writeLine(slot, "-ERR draining");
+                } else if (command.itemCount() > 1) {
+                    pipeline.writeValue(slot, command.slice(1));
+                } else {
+                    pipeline.writeLine(slot, "+PONG");
+                }
+            }
+            case "CLIENT", "SELECT" -> pipeline.writeLine(slot, "+OK");
+            case "INFO" ->
+                pipeline.writeValue(slot, Unpooled.copiedBuffer(dispatcher.figures(), StandardCharsets.US_ASCII));
+            default -> pipeline.writeLine(slot, "-ERR unknown command");
+        }
+    }
+}
--- /dev/null
+++ b/gateway/src/main/java/opalcove/resp/DrainState.java
@@ -0,0 +1,36 @@
+package opalcove.resp;
+
+import opalcove.lifecycle.Lifecycle;
+
+/**
+ * Whether a server closes each connection once no response is due on it: an administrator has requested a drain, or the
+ * process is ending. Owned by the server's event loop.
+ */
+final class DrainState {
+    private final Lifecycle phases;
+    private boolean isRequested;
+
+    DrainState(Lifecycle phases) {
+        this.phases = phases;
+    }
+
+    /** Sets whether an administrator requests a drain. */
+    void request(boolean drain) {
+        isRequested = drain;
+    }
+
+    /** Whether an administrator has requested a drain: PING then reports it, so that no new connections are sent here. */
+    boolean isRequested() {
+        return isRequested;
+    }
+
+    /** Whether the process is past taking new connections. */
+    boolean isProcessEnding() {
+        return phases.now().ordinal() >= Lifecycle.Phase.DRAINING.ordinal();
+    }
+
+    /** Whether connections are closed once no response is due on them. */
+    boolean isActive() {
+        return isRequested || isProcessEnding();
+    }
+}
--- /dev/null
+++ b/gateway/src/main/java/opalcove/resp/OpenConnections.java
@@ -0,0 +1,96 @@
+package opalcove.resp;
+
+import java.util.HashSet;
+import java.util.List;
+import java.util.Set;
+import java.util.concurrent.TimeUnit;
+import opalcove.core.RequestDispatcher;
+import opalcove.metrics.ConnectionCloseReason;
+
+/**
+ * The open connections of one server, and which of them are closed because no request is open on them. Owned by the
+ * server's event loop.
+ */
+final class OpenConnections {
+    /** A connection without an open request is closed after this, whether new, idle or in the middle of a command. */
+    static final long IDLE_TIMEOUT_MS = 2000;
+    /** The same during a drain: time for a new connection to bring its first command. */
+    private static final long DRAIN_IDLE_TIMEOUT_MS = 200;
+    /** Connections that may turn out to be in use before a new one is rejected because the server is full. */
+    private static final int MAX_CANDIDATES = 16;
+
+    private final Set<ClientConnection> connections = new HashSet<>();
+    private final int maxConnections;
+    private final DrainState drain;
+    private final RequestDispatcher dispatcher;
+
+    /** Holds up to so many connections. */
+    OpenConnections(int maxConnections, DrainState drain, RequestDispatcher dispatcher) {
+        this.maxConnections = maxConnections;
+        this.drain = drain;
+        this.dispatcher = dispatcher;
+    }
+
+    int size() {
+        return connections.size();
+    }
+
+    boolean isEmpty() {
+        return connections.isEmpty();
+    }
+
+    boolean isFull() {
+        return connections.size() >= maxConnections;
+    }
+
+    void add(ClientConnection connection) {
+        connections.add(connection);
+    }
+
+    void remove(ClientConnection connection) {
+        connections.remove(connection);
+    }
+
+    /**
+     * Closes the connections that have been idle for too long. Guards memory and descriptors against clients that send one
+     * request, or never complete a command, and stay.
+     */
+    void closeIdle() {
+        long timeoutMs = drain.isActive() ? DRAIN_IDLE_TIMEOUT_MS : IDLE_TIMEOUT_MS;
+        long idleSinceNanos = System.nanoTime() - TimeUnit.MILLISECONDS.toNanos(timeoutMs);
+        for (ClientConnection each : List.copyOf(connections)) {
+            if (!each.endIfStalled() && !each.hasOpenCommands() && each.lastUsedNanos() - idleSinceNanos < 0) {
+                each.closeIfIdle(drain.isActive() ? ConnectionCloseReason.DRAINED : ConnectionCloseReason.IDLE);
+            }
+        }
+    }
+
+    /**
+     * Closes the connection that has been idle longest, to free its descriptor; false where all are in use. Guards the
+     * descriptors that connections to backends need, and the server against being filled by connections whose clients
+     * have vanished: between requests a connection may be closed.
+     */
+    boolean closeLongestIdle() {
+        Set<ClientConnection> examined = new HashSet<>();
+        while (examined.size() < MAX_CANDIDATES) {
+            ClientConnection longestIdle = null;
+            for (ClientConnection each : connections) {
+                if (!each.hasOpenCommands()
+                        && (longestIdle == null || each.lastUsedNanos() - longestIdle.lastUsedNanos() < 0)
+                        && !examined.contains(each)) {
+                    longestIdle = each;
+                }
+            }
+            if (longestIdle == null) {
+                return false;
+            }
+            if (longestIdle.closeIfIdle(ConnectionCloseReason.FOR_ROOM)) {
+                dispatcher.connectionEndedForDescriptors(false);
+                return true;
+            }
+            // It stays, because half a command or an unread request was found on it, and must not hide the others.
+            examined.add(longestIdle);
+        }
+        return false;
+    }
+}
--- a/gateway/src/main/java/opalcove/resp/RawSocket.java
+++ b/gateway/src/main/java/opalcove/resp/RawSocket.java
@@ -1,9 +1,7 @@
 package opalcove.resp;
 
 import io.netty.buffer.ByteBuf;
-import io.netty.buffer.ByteBufAllocator;
 import io.netty.buffer.Unpooled;
-import io.netty.channel.AdaptiveRecvByteBufAllocator;
 import io.netty.channel.Channel;
 import io.netty.channel.ChannelFuture;
 import io.netty.channel.ChannelFutureListener;
@@ -21,53 +19,53 @@
 import opalcove.lifecycle.Application;
 
 /**
- * The bytes of one Vert.x socket without the copies and objects that its streams make: what is read is handed over in
- * the buffer that it was read into, and what is written in one turn of the event loop leaves in one call at its end. All
- * else of the socket (its opening, its end, errors) stays with Vert.x. Used on the socket's event loop alone.
+ * The bytes of one Vert.x socket without the copies and objects that its streams make: what is read is handed over in the
+ * buffer that it was read into, and what is written in one turn of the event loop is flushed in one call at its end. All
+ * else of the socket (its opening, its close, errors) stays with Vert.x. Owned by the socket's event loop.
  *
- * <p>Invariants: bytes leave in the order of the calls; what waits for the end of the turn when the socket is closed by
- * {@link #closeUnsent} never leaves; every buffer that was handed over here is released, sent or not.
+ * <p>Invariants: bytes are sent in the order of the calls; what waits for the end of the turn when the socket is closed by
+ * {@link #closeAndDiscard} is never sent; every buffer that was handed over here is released, sent or not.
  */
 final class RawSocket extends ChannelInboundHandlerAdapter implements Runnable, ChannelFutureListener {
-    private static final int LEAST_BATCH = 512;
+    private static final int MIN_BATCH_BYTES = 512;
     private static final ByteBuf CRLF = Unpooled.unreleasableBuffer(
             Unpooled.directBuffer(2).writeByte('\r').writeByte('\n').asReadOnly());
 
-    /** Whose socket it is. */
-    interface User {
-        /** What was read; it is the user's to release. */
-        void read(ByteBuf bytes);
+    /** Notified of what happens to a socket, on its event loop. */
+    interface Listener {
+        /** Bytes were read; they are the listener's to release. */
+        void bytesRead(ByteBuf bytes);
 
-        /** The socket takes bytes again, or takes none for a while. */
-        default void writable() {}
+        /** The socket has become writable, or has ceased to be. */
+        default void writabilityChanged() {}
 
         /**
-         * Asked at the end of a turn, right before what was written in it leaves: whether it still may. Where not, the
-         * socket is closed and nothing of that turn leaves.
+         * Called at the end of a turn, right before what was written in it is flushed: whether it still may be. Where not,
+         * the socket is closed and nothing of that turn is sent.
          */
-        default boolean mayLeave() {
+        default boolean mayFlush() {
             return true;
         }
 
-        /** Something that was written has not left and never will. */
-        default void unwritten() {}
+        /** Something that was written was not sent and never will be. */
+        default void writeFailed() {}
     }
 
     private final ContextInternal context;
     private final ChannelHandlerContext channel;
-    private final User user;
-    private final Handler<Object> reads;
-    private final boolean tellsWrites;
+    private final Listener listener;
+    private final Handler<Object> readHandler;
+    private final boolean reportsWriteFailures;
     private final long waitingSince;
     private ByteBuf batch;
-    private boolean flushes;
+    private boolean isFlushScheduled;
 
-    /** Made in the handler that gets the socket, on its context. The user hears of failed writes only where it asks to. */
-    RawSocket(NetSocket socket, boolean tellsWrites, User user) {
-        this.tellsWrites = tellsWrites;
-        this.user = user;
+    /** Made in the handler that gets the socket, on its context. Failed writes are reported only where that is asked for. */
+    RawSocket(NetSocket socket, boolean reportsWriteFailures, Listener listener) {
+        this.reportsWriteFailures = reportsWriteFailures;
+        this.listener = listener;
         context = (ContextInternal) Vertx.currentContext();
-        reads = bytes -> user.read((ByteBuf) bytes);
+        readHandler = bytes -> listener.bytesRead((ByteBuf) bytes);
         var pipeline = ((NetSocketInternal) socket).channelHandlerContext().pipeline();
         pipeline.addBefore("handler", "raw", this);
         channel = pipeline.context(this);
@@ -75,8 +73,8 @@
     }
 
     /**
-     * Since when this connection may have waited to be accepted, on the scale of {@link System#nanoTime}; when it was made
-     * here, for one that was not accepted.
+     * Since when this connection may have waited to be accepted, by {@link System#nanoTime}; when it was made here, for one
+     * that was not accepted.
      */
     long waitingSince() {
         return waitingSince;
@@ -84,55 +82,34 @@
 
     @Override
     public void channelRead(ChannelHandlerContext from, Object bytes) {
-        context.emit(bytes, reads);
+        context.emit(bytes, readHandler);
     }
 
     @Override
     public void channelWritabilityChanged(ChannelHandlerContext from) {
-        context.emit(null, changed -> user.writable());
+        context.emit(null, changed -> listener.writabilityChanged());
         from.fireChannelWritabilityChanged();
     }
 
     @Override
     public void handlerRemoved(ChannelHandlerContext from) {
-        dropBatch();
+        releaseBatch();
     }
 
-    /** Calls itself writable while no more than so many bytes wait to leave. */
-    void waitsAtMost(int bytes) {
+    /** Sets how many bytes may wait to be sent while the socket counts as writable. */
+    void setMaxPendingBytes(int bytes) {
         channel.channel().config().setWriteBufferWaterMark(new WriteBufferWaterMark(bytes / 2, bytes));
     }
 
-    /** Has the socket's reads be as large as the portions let them; to be told before the first read. */
-    void reads(ReadBufferAllocator portions) {
-        portions.maxMessagesPerRead(channel.channel().metadata().defaultMaxMessagesPerRead());
-        channel.channel().config().setRecvByteBufAllocator(portions);
+    /** Reads into buffers of this allocator; to be called before the first read. */
+    void setReadBufferAllocator(ReadBufferAllocator allocator) {
+        allocator.maxMessagesPerRead(channel.channel().metadata().defaultMaxMessagesPerRead());
+        channel.channel().config().setRecvByteBufAllocator(allocator);
     }
 
-    /** How much is read at a time: as much as comes of late, or no more than a limit while one is set. */
-    static final class ReadBufferAllocator extends AdaptiveRecvByteBufAllocator {
-        private int most = Integer.MAX_VALUE;
-
-        /** Guards memory while long values are passed on. */
-        void limit(int bytes) {
-            most = bytes;
-        }
-
-        @Override
-        @SuppressWarnings("deprecation") // the handle's interface, whose successor has no delegating form
-        public Handle newHandle() {
-            return new DelegatingHandle(super.newHandle()) {
-                @Override
-                public ByteBuf allocate(ByteBufAllocator buffers) {
-                    return buffers.ioBuffer(Math.min(most, guess()));
-                }
-            };
-        }
-    }
-
-    /** Whether the socket is read. What has been read already is handed over all the same. */
-    void reads(boolean yes) {
-        channel.channel().config().setAutoRead(yes);
+    /** Sets whether the socket is read. What has been read already is handed over all the same. */
+    void setAutoRead(boolean autoRead) {
+        channel.channel().config().setAutoRead(autoRead);
     }
 
     /** Reads now what lies unread, in a turn that is not one of reading this socket. */
@@ -150,56 +127,56 @@
         return channel.channel().isWritable();
     }
 
-    /** Whether something that was written has not left yet. */
-    boolean hasUnsent() {
-        var waiting = channel.channel().unsafe().outboundBuffer();
-        return batch != null || waiting != null && !waiting.isEmpty();
+    /** Whether something that was written has not been sent yet. */
+    boolean hasPendingWrites() {
+        var pending = channel.channel().unsafe().outboundBuffer();
+        return batch != null || pending != null && !pending.isEmpty();
     }
 
-    /** A buffer to put that many bytes into, which leave at the end of this turn. */
-    ByteBuf room(int bytes) {
+    /** A buffer to write that many bytes to, which are flushed at the end of this turn. */
+    ByteBuf reserve(int bytes) {
         if (batch != null && batch.writableBytes() < bytes) {
             writeBatch();
         }
         if (batch == null) {
-            batch = channel.alloc().directBuffer(Math.max(bytes, LEAST_BATCH));
+            batch = channel.alloc().directBuffer(Math.max(bytes, MIN_BATCH_BYTES));
         }
-        flushLater();
+        scheduleFlush();
         return batch;
     }
 
-    /** Passes a buffer on as it is, at the end of this turn; it is released then. */
-    void pass(ByteBuf bytes) {
+    /** Writes a buffer as it is, flushed at the end of this turn; it is released then. */
+    void write(ByteBuf bytes) {
         writeBatch();
         channel.write(bytes, promise());
-        flushLater();
+        scheduleFlush();
     }
 
-    void passLineEnd() {
-        pass(CRLF.duplicate());
+    void writeLineEnd() {
+        write(CRLF.duplicate());
     }
 
-    /** A buffer for bytes whose turn to be passed on has not come. */
-    ByteBuf aside(int bytes) {
+    /** Allocates a buffer for bytes that are not to be written yet. */
+    ByteBuf allocate(int bytes) {
         return channel.alloc().directBuffer(bytes);
     }
 
-    private void flushLater() {
-        if (!flushes) {
-            flushes = true;
-            // Runs once this turn's reading is done, so that what it brings for this socket leaves together.
+    private void scheduleFlush() {
+        if (!isFlushScheduled) {
+            isFlushScheduled = true;
+            // Runs once this turn's reading is done, so that what it brings for this socket is flushed together.
             channel.executor().execute(this);
         }
     }
 
-    /** The end of the turn. */
+    /** Flushes at the end of the turn. */
     @Override
     public void run() {
-        flushes = false;
+        isFlushScheduled = false;
         if (channel.isRemoved()) {
-            dropUnsent();
-        } else if (!user.mayLeave()) {
-            closeUnsent();
+            discardUnflushed();
+        } else if (!listener.mayFlush()) {
+            closeAndDiscard();
         } else {
             writeBatch();
             channel.flush();
@@ -214,7 +191,7 @@
         }
     }
 
-    private void dropBatch() {
+    private void releaseBatch() {
         if (batch != null) {
             batch.release();
             batch = null;
@@ -222,39 +199,39 @@
     }
 
     private ChannelPromise promise() {
-        return tellsWrites ? channel.newPromise().addListener(this) : channel.voidPromise();
+        return reportsWriteFailures ? channel.newPromise().addListener(this) : channel.voidPromise();
     }
 
-    /** A write has ended. */
+    /** A write has completed. */
     @Override
     public void operationComplete(ChannelFuture write) {
         if (!write.isSuccess()) {
-            user.unwritten();
+            listener.writeFailed();
         }
     }
 
-    /** Lets go of what waits for the end of this turn, and tells that it is unwritten. */
-    void dropUnsent() {
+    /** Releases what waits for the end of this turn, and reports it as failed. */
+    void discardUnflushed() {
         if (batch != null) {
-            dropBatch();
-            if (tellsWrites) {
-                user.unwritten();
+            releaseBatch();
+            if (reportsWriteFailures) {
+                listener.writeFailed();
             }
         }
     }
 
-    /** Closes the socket; what waits for the end of this turn never leaves, and counts as unwritten. */
-    void closeUnsent() {
-        dropUnsent();
+    /** Closes the socket; what waits for the end of this turn is never sent, and counts as failed. */
+    void closeAndDiscard() {
+        discardUnflushed();
         channel.close();
     }
 
-    /** Closes the output once all that was written has left; the input stays open. */
+    /** Closes the output once all that was written has been sent; the input stays open. */
     void closeOutput() {
         writeBatch();
-        Channel all = channel.channel();
-        channel.writeAndFlush(Unpooled.EMPTY_BUFFER).addListener(left -> {
-            if (left.isSuccess() && all instanceof DuplexChannel duplex && all.isActive()) {
+        Channel whole = channel.channel();
+        channel.writeAndFlush(Unpooled.EMPTY_BUFFER).addListener(flushed -> {
+            if (flushed.isSuccess() && whole instanceof DuplexChannel duplex && whole.isActive()) {
                 duplex.shutdownOutput();
             }
         });
--- a/gateway/src/main/java/opalcove/resp/RequestDecoder.java
+++ b/gateway/src/main/java/opalcove/resp/RequestDecoder.java
@@ -1,9 +1,7 @@
 package opalcove.resp;
 
 import io.netty.buffer.ByteBuf;
-import io.netty.buffer.ByteBufUtil;
 import java.util.HashMap;
-import java.util.List;
 import java.util.Map;
 import java.util.function.Supplier;
 import opalcove.core.InvalidRequestException;
@@ -13,339 +11,145 @@
 import opalcove.decision.DecisionSettings;
 import opalcove.decision.Idempotency;
 
-/** Turns a terminal's command into an ask, and an ask into the command for an app node. */
+/** Decodes requests from the commands of clients. Owned by the server's event loop. */
 final class RequestDecoder {
-    private static final String QUERY = "SVC.QUERY";
-    private static final String SUBMIT = "SVC.SUBMIT";
-    private static final int MARKS = 3;
+    static final String QUERY = "SVC.QUERY";
+    static final String SUBMIT = "SVC.SUBMIT";
+
+    private static final int CUSTOMER = 1;
+    private static final int ID = 2;
+    private static final int PARAMETERS = 3;
     private static final int BODY = 4;
-    private static final int MOST_DIGITS = 15;
 
-    private final Supplier<RequestValidator> newest;
-    private RequestValidator rules;
-    private List<String> classes;
-    private List<String> plans;
-    private final Parameters parameters = new Parameters();
+    private final Supplier<RequestValidator> newestValidator;
+    private final ParameterDecoder parameters = new ParameterDecoder(PARAMETERS);
+    private RequestValidator validator;
 
-    /** Reads asks by the rules in force, which new settings may replace at any time. */
-    RequestDecoder(Supplier<RequestValidator> newest) {
-        this.newest = newest;
-        follow();
+    /** Decodes requests by the rules in force, which new settings may replace at any time. */
+    RequestDecoder(Supplier<RequestValidator> newestValidator) {
+        this.newestValidator = newestValidator;
+        useNewestValidator();
     }
 
-    private void follow() {
-        rules = newest.get();
-        classes = rules.classNames();
-        plans = rules.planNames();
+    private void useNewestValidator() {
+        validator = newestValidator.get();
+        parameters.setNames(validator.classNames(), validator.planNames());
     }
 
-    /** Whether this is the command of an ask, in letters of either case. */
-    static boolean requests(RespDecoder command) {
-        return named(command, QUERY) || named(command, SUBMIT);
+    /** Whether this is the command of a request, in letters of either case. */
+    static boolean isRequest(RespDecoder command) {
+        return isNamed(command, QUERY) || isNamed(command, SUBMIT);
     }
 
-    private static boolean named(RespDecoder command, String name) {
+    private static boolean isNamed(RespDecoder command, String name) {
         boolean same = command.length(0) == name.length();
         for (int i = 0; same && i < name.length(); i++) {
-            same = Character.toUpperCase(command.at(0, i)) == name.charAt(i);
+            same = Character.toUpperCase(command.byteAt(0, i)) == name.charAt(i);
         }
         return same;
     }
 
     /**
-     * Reads the ask. Its body, where it has one, is put into a buffer of the given kind, which is the caller's to release
-     * once the ask is settled.
+     * Decodes the request of a command. Its body, where it has one, is copied to a buffer that the socket allocates; it is
+     * the caller's to release once the request is settled.
+     *
+     * @throws InvalidRequestException if the request cannot be served; the message is for its client
      */
-    Request read(RespDecoder command, RawSocket buffers) throws InvalidRequestException {
-        if (newest.get() != rules) {
-            follow();
+    Request decode(RespDecoder command, RawSocket socket) throws InvalidRequestException {
+        if (newestValidator.get() != validator) {
+            useNewestValidator();
         }
-        boolean submit = named(command, SUBMIT);
-        if (command.count() != (submit ? 5 : 4)) {
-            throw new InvalidRequestException("wrong number of words for " + (submit ? SUBMIT : QUERY));
+        boolean isSubmit = isNamed(command, SUBMIT);
+        if (command.itemCount() != (isSubmit ? 5 : 4)) {
+            throw new InvalidRequestException("wrong number of words for " + (isSubmit ? SUBMIT : QUERY));
         }
-        Request bare = usual(command, submit);
-        if (bare == null) {
-            bare = unusual(command, submit);
+        Request request = decodeUsual(command, isSubmit);
+        if (request == null) {
+            request = decodeUnusual(command, isSubmit);
         }
-        if (!submit) {
-            return bare;
+        if (!isSubmit) {
+            return request;
         }
-        ByteBuf body = buffers.aside(Math.max(1, command.length(BODY))).writeBytes(command.lend(BODY));
+        ByteBuf body = socket.allocate(Math.max(1, command.length(BODY))).writeBytes(command.slice(BODY));
         return new Request(
-                bare.id(),
-                bare.tenant(),
-                bare.requestClass(),
-                bare.plan(),
-                bare.units(),
-                bare.waitMs(),
-                bare.key(),
-                bare.retry(),
-                bare.gateways(),
-                bare.firstGateway(),
+                request.id(),
+                request.tenant(),
+                request.requestClass(),
+                request.plan(),
+                request.units(),
+                request.waitMs(),
+                request.key(),
+                request.retry(),
+                request.gateways(),
+                request.firstGateway(),
                 body);
     }
 
-    /** A request as clients send it, read in one pass over its bytes; null where anything about it is unusual. */
-    private Request usual(RespDecoder command, boolean submit) throws InvalidRequestException {
-        if (!parameters.read(command) || !parameters.complete()) {
+    /** Decodes a request as clients send it, in one pass over its bytes; null where anything about it is unusual. */
+    private Request decodeUsual(RespDecoder command, boolean isSubmit) throws InvalidRequestException {
+        if (!parameters.decode(command) || !parameters.isComplete()) {
             return null;
         }
-        Idempotency effect = rules.requestClass(parameters.requestClass).effect();
-        boolean keyed = effect == Idempotency.KEYED;
-        boolean keyMissing = parameters.key == null || parameters.key.isEmpty();
-        if (submit == (effect == Idempotency.SAFE) || keyed && keyMissing) {
+        Idempotency effect = validator.requestClass(parameters.requestClass()).effect();
+        boolean isKeyed = effect == Idempotency.KEYED;
+        boolean isKeyMissing = parameters.key() == null || parameters.key().isEmpty();
+        if (isSubmit == (effect == Idempotency.SAFE) || isKeyed && isKeyMissing) {
             return null;
         }
-        return rules.check(new Request(
-                RequestParameters.hex(command.text(2), "the id"),
-                command.text(1),
-                parameters.requestClass,
-                parameters.plan,
-                parameters.units,
-                parameters.waitMs,
-                keyed ? parameters.key : null,
-                parameters.retry,
-                (int) parameters.spread,
-                (int) parameters.first,
+        return validator.check(new Request(
+                RequestParameters.hex(command.text(ID), "the id"),
+                command.text(CUSTOMER),
+                parameters.requestClass(),
+                parameters.plan(),
+                parameters.units(),
+                parameters.waitMs(),
+                isKeyed ? parameters.key() : null,
+                parameters.isRetry(),
+                parameters.spread(),
+                parameters.first(),
                 null));
     }
 
-    /** The names and values of one request. One object serves all requests, so that reading allocates nothing. */
-    private final class Parameters {
-        private static final int REQUEST_CLASS = 1;
-        private static final int PLAN = 2;
-        private static final int WAIT = 4;
-        private static final int KEY = 8;
-        private static final int RETRY = 16;
-        private static final int UNITS = 32;
-        private static final int SPREAD = 64;
-        private static final int FIRST = 128;
-        private static final int UNKNOWN = 0;
-
-        private String requestClass;
-        private String plan;
-        private String key;
-        private boolean retry;
-        private double units;
-        private double waitMs;
-        private double spread;
-        private double first;
-        private int seen;
-
-        private void clear() {
-            requestClass = null;
-            plan = null;
-            key = null;
-            retry = false;
-            units = -1;
-            waitMs = -1;
-            spread = -1;
-            first = -1;
-            seen = 0;
-        }
-
-        /** Reads all of them; false where one has an unknown name, has no value or comes twice. */
-        private boolean read(RespDecoder command) {
-            clear();
-            int end = command.length(MARKS);
-            int from = 0;
-            while (from <= end) {
-                int to = indexOf(command, ',', from, end);
-                int equals = indexOf(command, '=', from, to);
-                int name = equals == to ? UNKNOWN : name(command, from, equals);
-                if (name == UNKNOWN || (seen & name) != 0) {
-                    return false;
-                }
-                seen |= name;
-                take(command, name, equals + 1, to);
-                from = to + 1;
-            }
-            return true;
-        }
-
-        private static int indexOf(RespDecoder command, char wanted, int from, int end) {
-            int i = from;
-            while (i < end && command.at(MARKS, i) != wanted) {
-                i++;
-            }
-            return i;
-        }
-
-        private static int name(RespDecoder command, int from, int to) {
-            if (to - from == 1) {
-                return switch (command.at(MARKS, from)) {
-                    case 'c' -> REQUEST_CLASS;
-                    case 't' -> PLAN;
-                    case 'd' -> WAIT;
-                    case 'k' -> KEY;
-                    case 'r' -> RETRY;
-                    default -> UNKNOWN;
-                };
-            }
-            if (command.is(MARKS, from, to, "units")) {
-                return UNITS;
-            }
-            if (command.is(MARKS, from, to, "spread")) {
-                return SPREAD;
-            }
-            return command.is(MARKS, from, to, "first") ? FIRST : UNKNOWN;
-        }
-
-        private void take(RespDecoder command, int name, int from, int to) {
-            switch (name) {
-                case REQUEST_CLASS -> requestClass = known(command, from, to, classes);
-                case PLAN -> plan = known(command, from, to, plans);
-                case WAIT -> waitMs = decimal(command, MARKS, from, to);
-                case KEY -> key = command.text(MARKS, from, to);
-                case RETRY -> retry = to - from == 1 && command.at(MARKS, from) == '1';
-                case UNITS -> units = decimal(command, MARKS, from, to);
-                case SPREAD -> spread = decimal(command, MARKS, from, to);
-                case FIRST -> first = decimal(command, MARKS, from, to);
-                default -> throw new IllegalStateException("no such name: " + name);
-            }
-        }
-
-        /** Whether all that each request needs is there, in the form that it needs. */
-        private boolean complete() {
-            boolean named = requestClass != null && plan != null;
-            boolean numbered = units >= 0 && waitMs >= 0 && spread >= 0 && first >= 0;
-            return named && numbered && spread == (int) spread && first == (int) first;
-        }
-    }
-
-    private static String known(RespDecoder command, int from, int to, List<String> names) {
-        for (int i = 0; i < names.size(); i++) {
-            if (command.is(MARKS, from, to, names.get(i))) {
-                return names.get(i);
-            }
-        }
-        return null;
-    }
-
-    /** A plain number of few digits, perhaps with a point; below 0 where it is none. */
-    static double decimal(RespDecoder value, int item, int from, int to) {
-        long digits = 0;
-        double scale = 0;
-        if (to <= from || to - from > MOST_DIGITS) {
-            return -1;
-        }
-        for (int i = from; i < to; i++) {
-            int digit = value.at(item, i) - '0';
-            if (digit == '.' - '0' && scale == 0 && i > from && i < to - 1) {
-                scale = 1;
-            } else if (digit < 0 || digit > 9) {
-                return -1;
-            } else {
-                digits = digits * 10 + digit;
-                scale *= 10;
+    /** Decodes a request of any form, to report what is wrong with it. */
+    private Request decodeUnusual(RespDecoder command, boolean isSubmit) throws InvalidRequestException {
+        RequestParameters values = new RequestParameters(splitParameters(command.text(PARAMETERS)));
+        String className = values.need("c");
+        try {
+            DecisionSettings.RequestClass requestClass = validator.requestClass(className);
+            if (isSubmit == (requestClass.effect() == Idempotency.SAFE)) {
+                throw new InvalidRequestException(
+                        (isSubmit ? SUBMIT : QUERY) + " does not serve " + requestClass.name());
             }
+            boolean isKeyed = requestClass.effect() == Idempotency.KEYED;
+            return validator.check(new Request(
+                    RequestParameters.hex(command.text(ID), "the id"),
+                    command.text(CUSTOMER),
+                    requestClass.name(),
+                    values.need("t"),
+                    values.number("units"),
+                    values.number("d"),
+                    isKeyed ? values.need("k") : null,
+                    values.set("r"),
+                    values.whole("spread"),
+                    values.whole("first"),
+                    null));
+        } catch (InvalidRequestException e) {
+            // The metrics count the failure in the class that the request names, known or not.
+            throw new InvalidRequestException(e.getMessage(), className);
         }
-        // Both are exact, so the quotient is the number that is nearest to the decimal one.
-        return scale == 0 ? digits : digits / scale;
     }
 
-    /** Reads an ask of any form, to tell what is wrong with it. */
-    private Request unusual(RespDecoder command, boolean submit) throws InvalidRequestException {
+    private static Map<String, String> splitParameters(String text) throws InvalidRequestException {
         Map<String, String> values = new HashMap<>();
-        for (String mark : command.text(MARKS).split(",")) {
-            int equals = mark.indexOf('=');
+        for (String parameter : text.split(",")) {
+            int equals = parameter.indexOf('=');
             if (equals < 1) {
                 throw new InvalidRequestException("expected name=value");
             }
-            if (values.put(mark.substring(0, equals), mark.substring(equals + 1)) != null) {
+            if (values.put(parameter.substring(0, equals), parameter.substring(equals + 1)) != null) {
                 throw new InvalidRequestException("a name comes twice");
             }
         }
-        RequestParameters marks = new RequestParameters(values);
-        String named = marks.need("c");
-        try {
-            DecisionSettings.RequestClass requestClass = rules.requestClass(named);
-            if (submit == (requestClass.effect() == Idempotency.SAFE)) {
-                throw new InvalidRequestException((submit ? SUBMIT : QUERY) + " does not serve " + requestClass.name());
-            }
-            boolean keyed = requestClass.effect() == Idempotency.KEYED;
-            return rules.check(new Request(
-                    RequestParameters.hex(command.text(2), "the id"),
-                    command.text(1),
-                    requestClass.name(),
-                    marks.need("t"),
-                    marks.number("units"),
-                    marks.number("d"),
-                    keyed ? marks.need("k") : null,
-                    marks.set("r"),
-                    marks.whole("spread"),
-                    marks.whole("first"),
-                    null));
-        } catch (InvalidRequestException e) {
-            // The figures count the failure in the class that the request names, known or not.
-            throw new InvalidRequestException(e.getMessage(), named);
-        }
-    }
-
-    /** Writes the command that passes the ask on; waitMs is how long this gateway will wait. */
-    static void write(Request request, double waitMs, RawSocket to) {
-        long wait = (long) waitMs;
-        boolean whole = request.units() == Math.rint(request.units());
-        String units = whole ? null : request.unitsText();
-        int length = 2
-                + request.requestClass().length()
-                + 3
-                + request.plan().length()
-                + 3
-                + Resp.digits(wait)
-                + (request.key() == null ? 0 : 3 + request.key().length())
-                + (request.retry() ? 4 : 0)
-                + 7
-                + (whole ? Resp.digits((long) request.units()) : units.length())
-                + 8
-                + Resp.digits(request.gateways())
-                + 7
-                + Resp.digits(request.firstGateway());
-        ByteBuf out =
-                to.room(6 * Resp.HEAD + request.tenant().length() + request.id().length() + length);
-        Resp.head(out, '*', request.body() == null ? 4 : 5);
-        Resp.string(out, request.body() == null ? QUERY : SUBMIT);
-        Resp.string(out, request.tenant());
-        Resp.string(out, request.id());
-        Resp.head(out, '$', length);
-        mark(out, "c=", request.requestClass());
-        mark(out, ",t=", request.plan());
-        ByteBufUtil.writeAscii(out, ",d=");
-        Resp.number(out, wait);
-        if (request.key() != null) {
-            mark(out, ",k=", request.key());
-        }
-        if (request.retry()) {
-            ByteBufUtil.writeAscii(out, ",r=1");
-        }
-        ByteBufUtil.writeAscii(out, ",units=");
-        if (whole) {
-            Resp.number(out, (long) request.units());
-        } else {
-            ByteBufUtil.writeAscii(out, units);
-        }
-        ByteBufUtil.writeAscii(out, ",spread=");
-        Resp.number(out, request.gateways());
-        ByteBufUtil.writeAscii(out, ",first=");
-        Resp.number(out, request.firstGateway());
-        Resp.lineEnd(out);
-        if (request.body() != null) {
-            writeBody(out, request.body(), to);
-        }
-    }
-
-    private static void mark(ByteBuf out, String name, String value) {
-        ByteBufUtil.writeAscii(out, name);
-        ByteBufUtil.writeAscii(out, value);
-    }
-
-    /** The body goes along in the buffer that the ask holds until it is settled. */
-    private static void writeBody(ByteBuf head, ByteBuf body, RawSocket to) {
-        Resp.head(head, '$', body.readableBytes());
-        if (body.isReadable()) {
-            to.pass(body.retainedDuplicate());
-        }
-        to.passLineEnd();
+        return values;
     }
 }
--- /dev/null
+++ b/gateway/src/main/java/opalcove/resp/RespBackendConnection.java
@@ -0,0 +1,196 @@
+package opalcove.resp;
+
+import io.netty.buffer.ByteBuf;
+import io.vertx.core.Vertx;
+import io.vertx.core.net.NetSocket;
+import opalcove.backend.ConnectionPool;
+import opalcove.core.AttemptResult;
+import opalcove.core.Request;
+import opalcove.core.StreamedValue;
+import org.tinylog.Logger;
+
+/**
+ * One RESP2 connection to a backend: sends attempts, and decodes their replies in order. It is also the streamed value
+ * that is arriving on it. Owned by the event loop of its pool.
+ */
+final class RespBackendConnection
+        implements ConnectionPool.BackendConnection, RawSocket.Listener, RespListener, StreamedValue {
+    /** How much of a streamed value is read at a time. */
+    static final int READ_LIMIT_BYTES = 16 * 1024;
+    /** How long a reply may stand still once it has begun. */
+    private static final long STALL_MS = 300;
+    /** How long a streamed value may stand still while it is read. */
+    private static final long STREAM_STALL_MS = 5000;
+    /** The same while its reading is paused, because its client reads nothing. */
+    private static final long PAUSED_STREAM_STALL_MS = 30_000;
+
+    private static final long NO_TIMER = -1;
+
+    private final Vertx vertx;
+    private final NetSocket netSocket;
+    private final RawSocket socket;
+    private final BackendReplyDecoder replyDecoder;
+    private final ReadBufferAllocator readBuffers = new ReadBufferAllocator();
+    private final RespDecoder decoder = new RespDecoder(BackendReplyDecoder.PARTS, this);
+    private User user;
+    private long stallTimer = NO_TIMER;
+    /** Takes the streamed value that is arriving; null for none. */
+    private Sink sink;
+
+    private int streamLength;
+    private boolean isStreamComplete;
+    private boolean isPaused;
+
+    /** Made in the handler that gets the socket, on its context. */
+    RespBackendConnection(Vertx vertx, NetSocket netSocket, BackendReplyDecoder replyDecoder) {
+        this.vertx = vertx;
+        this.netSocket = netSocket;
+        this.replyDecoder = replyDecoder;
+        socket = new RawSocket(netSocket, true, this);
+        socket.setReadBufferAllocator(readBuffers);
+    }
+
+    @Override
+    public void attach(User attached) {
+        user = attached;
+        netSocket.exceptionHandler(e -> netSocket.close());
+        netSocket.closeHandler(closed -> {
+            decoder.stop();
+            cancelStallTimer();
+            // An attempt that still waited for the end of this turn was not sent, whoever closed the connection.
+            socket.discardUnflushed();
+            if (sink != null && !isStreamComplete) {
+                sink.cut();
+            }
+            user.gone();
+        });
+    }
+
+    @Override
+    public void bytesRead(ByteBuf bytes) {
+        decoder.decode(bytes);
+        restartStallTimer();
+    }
+
+    @Override
+    public boolean mayFlush() {
+        return user.mayLeave();
+    }
+
+    @Override
+    public void writeFailed() {
+        user.unwritten();
+    }
+
+    @Override
+    public void valueDecoded(RespDecoder reply) {
+        AttemptResult result = replyDecoder.decode(reply);
+        sink = null;
+        if (result == null) {
+            decodingFailed("a reply of unknown form");
+        } else {
+            user.replied(result);
+        }
+    }
+
+    /**
+     * Guards the attempt against a reply that is shorter than it announces: backends write a reply at once, so one that
+     * stands still half way will not be completed.
+     */
+    private void restartStallTimer() {
+        cancelStallTimer();
+        if (decoder.isMidValue()) {
+            stallTimer = vertx.setTimer(stallTimeoutMs(), due -> decodingFailed("a reply without an end"));
+        }
+    }
+
+    private long stallTimeoutMs() {
+        if (sink == null || isStreamComplete) {
+            return STALL_MS;
+        }
+        return isPaused ? PAUSED_STREAM_STALL_MS : STREAM_STALL_MS;
+    }
+
+    private void cancelStallTimer() {
+        if (stallTimer != NO_TIMER) {
+            vertx.cancelTimer(stallTimer);
+            stallTimer = NO_TIMER;
+        }
+    }
+
+    @Override
+    public boolean streamStarted(int length) {
+        streamLength = length;
+        isStreamComplete = false;
+        readBuffers.limit(READ_LIMIT_BYTES);
+        return user.began(this);
+    }
+
+    @Override
+    public int length() {
+        return streamLength;
+    }
+
+    @Override
+    public void to(Sink streamSink) {
+        sink = streamSink;
+    }
+
+    @Override
+    public void streamPart(ByteBuf bytes) {
+        sink.part(bytes);
+    }
+
+    @Override
+    public void streamEnded() {
+        isStreamComplete = true;
+        readBuffers.removeLimit();
+        sink.whole();
+        // What follows the value is read whatever its client does.
+        setReading(true);
+    }
+
+    @Override
+    public boolean whole() {
+        return isStreamComplete;
+    }
+
+    @Override
+    public void reads(boolean reads) {
+        if (!isStreamComplete) {
+            setReading(reads);
+        }
+    }
+
+    private void setReading(boolean reads) {
+        if (isPaused == reads) {
+            isPaused = !reads;
+            socket.setAutoRead(reads);
+            restartStallTimer();
+        }
+    }
+
+    /** What cannot be decoded ends the connection, and with it the attempt, as a reset; nothing after it is decoded. */
+    @Override
+    public void decodingFailed(String reason) {
+        Logger.debug("closing a backend connection: {}", reason);
+        decoder.stop();
+        socket.closeAndDiscard();
+    }
+
+    @Override
+    public boolean isThere() {
+        socket.readNow();
+        return socket.isOpen();
+    }
+
+    @Override
+    public void send(Request request, double timeoutMs) {
+        RequestEncoder.encode(request, timeoutMs, socket);
+    }
+
+    @Override
+    public void close() {
+        socket.closeAndDiscard();
+    }
+}
--- a/gateway/src/main/java/opalcove/resp/RespDecoder.java
+++ b/gateway/src/main/java/opalcove/resp/RespDecoder.java
@@ -4,155 +4,130 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * Reads RESP2 values from bytes that may be split anywhere, in the buffers that they came in: a value is looked at in
- * place while its user hears of it, and nothing is made for it. A value that is split over several reads is put together
- * in one buffer, each byte copied once. After the first error it reads nothing more.
+ * Decodes RESP2 values from bytes that may be split anywhere, in the buffers that they were read into: a value is examined
+ * in place while its listener is notified, and nothing is allocated for it. A value that is split over several reads is
+ * put together in one buffer, each byte copied once. After the first error it decodes nothing more. Used by one thread.
  *
- * <p>A value is a line ({@code + - :}), a bulk string or an array. The items of an array are told where all of them are
- * lines or strings; of one with arrays in it, only that it came.
+ * <p>A value is a line ({@code + - :}), a bulk string or an array. The items of an array are available where all of them
+ * are lines or strings; of an array that holds arrays, only that it arrived.
  */
 final class RespDecoder {
-    /** The longest string that is gathered; a longer one is passed on while it comes, where its user takes it. */
-    static final int MOST_BYTES = 64 * 1024;
-    /** The longest string that is passed on. */
-    static final int MOST_PASSED = 64 * 1024 * 1024;
-
-    private static final int MOST_LINE = 4 * 1024;
-    private static final int MOST_DEPTH = 3;
-    private static final int SPARE = 64;
-
-    /** Who hears of the values. */
-    interface User {
-        /** A value has come; it can be looked at during this call. */
-        void value(RespDecoder value);
-
-        /**
-         * A string of that many bytes, too long to be gathered, begins as the first item of an array; tells whether its
-         * parts are taken. Once they have all come the array is told as any other, with an empty string in that place.
-         */
-        default boolean began(int length) {
-            return false;
-        }
-
-        /** The next bytes of such a string; they are the user's to release. */
-        default void part(ByteBuf bytes) {
-            bytes.release();
-        }
+    /** The longest string that is buffered; a longer one is streamed, where its listener accepts it. */
+    static final int MAX_STRING_BYTES = 64 * 1024;
+    /** The longest string that is streamed. */
+    static final int MAX_STREAMED_BYTES = 64 * 1024 * 1024;
 
-        /** All parts have come. */
-        default void partsEnded() {}
+    private static final int MAX_LINE_BYTES = 4 * 1024;
+    private static final int MAX_DEPTH = 3;
+    private static final int SPARE_BYTES = 64;
 
-        /** What came is no RESP2, or larger than is taken here; comes once, and nothing after it. */
-        void broken(String reason);
-    }
-
-    private final int mostItems;
-    private final User user;
+    private final int maxItems;
+    private final RespListener listener;
     private final int[] starts;
     private final int[] lengths;
-    private final byte[] kinds;
+    private final byte[] types;
     /** Items still to come of each open array, the outermost first. */
-    private final int[] left = new int[MOST_DEPTH];
+    private final int[] remainingItems = new int[MAX_DEPTH];
 
     private int depth;
-    /** From the first byte of the value that is being read; null between values. */
-    private ByteBuf bytes;
-    /** The next byte to be looked at as a part of that value. */
-    private int at;
-    /** Where the search for the end of a line goes on. */
-    private int sought;
-    /** The length of the string that is being read, or -1. */
-    private int bulk = -1;
-    /** Bytes still to come of a string that is passed on, or -1. While some are, all that came is looked at. */
-    private int passing = -1;
-
-    private byte kind;
+    /** From the first byte of the value that is being decoded; null between values. */
+    private ByteBuf buffer;
+    /** The next byte of that value to be examined. */
+    private int position;
+    /** Where the search for the end of a line continues. */
+    private int searchFrom;
+    /** The length of the string that is being decoded, or -1. */
+    private int bulkLength = -1;
+    /** Bytes still to come of a string that is streamed, or -1. While there are some, nothing else is buffered. */
+    private int streamedRemaining = -1;
+
+    private byte type;
     private int count;
-    private boolean flat = true;
-    private boolean parsing;
-    private boolean stopped;
-
-    /** Arrays of more than mostItems are errors, as are lines, values and depths beyond the limits above. */
-    RespDecoder(int mostItems, User user) {
-        this.mostItems = mostItems;
-        this.user = user;
-        starts = new int[mostItems];
-        lengths = new int[mostItems];
-        kinds = new byte[mostItems];
+    private boolean isFlat = true;
+    private boolean isParsing;
+    private boolean isStopped;
+
+    /** Arrays of more than maxItems are errors, as are lines, values and depths beyond the limits above. */
+    RespDecoder(int maxItems, RespListener listener) {
+        this.maxItems = maxItems;
+        this.listener = listener;
+        starts = new int[maxItems];
+        lengths = new int[maxItems];
+        types = new byte[maxItems];
     }
 
-    /** Reads on; the bytes are released here. */
-    void take(ByteBuf more) {
-        if (stopped) {
-            more.release();
+    /** Decodes further bytes, which are released here. */
+    void decode(ByteBuf bytes) {
+        if (isStopped) {
+            bytes.release();
             return;
         }
-        if (passing > 0) {
-            pass(more);
-            if (stopped || !more.isReadable()) {
-                more.release();
+        if (streamedRemaining > 0) {
+            stream(bytes);
+            if (isStopped || !bytes.isReadable()) {
+                bytes.release();
                 return;
             }
         }
-        if (bytes == null) {
-            bytes = more;
-            at = sought = more.readerIndex();
+        if (buffer == null) {
+            buffer = bytes;
+            position = searchFrom = bytes.readerIndex();
         } else {
-            append(more);
+            append(bytes);
         }
-        parsing = true;
+        isParsing = true;
         try {
             parse();
         } finally {
-            parsing = false;
-            if (stopped) {
+            isParsing = false;
+            if (isStopped) {
                 release();
-            } else if (bytes == more) {
-                // Guards memory against half a value that keeps the whole buffer of a read.
-                moveTo(more, remaining(0));
+            } else if (buffer == bytes) {
+                // Guards memory against half a value that retains the whole buffer of a read.
+                moveTo(bytes, neededCapacity(0));
             }
         }
     }
 
-    /** Whether a value has begun and its end has not come. */
-    boolean within() {
-        return bytes != null;
+    /** Whether a value has begun and its end has not arrived. */
+    boolean isMidValue() {
+        return buffer != null;
     }
 
-    /** Reads nothing more, and lets go of what was read. */
+    /** Decodes nothing more, and releases what was buffered. */
     void stop() {
-        stopped = true;
-        if (!parsing) {
+        isStopped = true;
+        if (!isParsing) {
             release();
         }
     }
 
-    /** What came: {@code *} an array, {@code $} a bulk string, or the mark of a line. */
-    byte kind() {
-        return kind;
+    /** The type of the value: {@code *} an array, {@code $} a bulk string, or the first byte of a line. */
+    byte type() {
+        return type;
     }
 
-    /** The items of an array, 0 for one with arrays in it; 1 for a line or a string. */
-    int count() {
-        return flat ? count : 0;
+    /** The items of an array, 0 for one that holds arrays; 1 for a line or a string. */
+    int itemCount() {
+        return isFlat ? count : 0;
     }
 
     /** Whether this item is a string and not the null one. */
     boolean isString(int item) {
-        return kinds[item] == '$' && lengths[item] >= 0;
+        return types[item] == '$' && lengths[item] >= 0;
     }
 
     int length(int item) {
         return lengths[item];
     }
 
-    byte at(int item, int index) {
-        return bytes.getByte(starts[item] + index);
+    byte byteAt(int item, int index) {
+        return buffer.getByte(starts[item] + index);
     }
 
-    /** The item's bytes where they lie, lent for the time of the call. */
-    ByteBuf lend(int item) {
-        return bytes.slice(starts[item], lengths[item]);
+    /** The item's bytes in place, not retained: valid during the notification. */
+    ByteBuf slice(int item) {
+        return buffer.slice(starts[item], lengths[item]);
     }
 
     String text(int item) {
@@ -160,16 +135,16 @@
     }
 
     String text(int item, int from, int to) {
-        return bytes.toString(starts[item] + from, to - from, StandardCharsets.ISO_8859_1);
+        return buffer.toString(starts[item] + from, to - from, StandardCharsets.ISO_8859_1);
     }
 
-    /** Whether a part of the item is this text, in ASCII. */
-    boolean is(int item, int from, int to, String text) {
+    /** Whether a region of the item equals this ASCII text. */
+    boolean regionEquals(int item, int from, int to, String text) {
         if (to - from != text.length()) {
             return false;
         }
         for (int i = 0; i < text.length(); i++) {
-            if (bytes.getByte(starts[item] + from + i) != text.charAt(i)) {
+            if (buffer.getByte(starts[item] + from + i) != text.charAt(i)) {
                 return false;
             }
         }
@@ -177,222 +152,222 @@
     }
 
     private void release() {
-        if (bytes != null) {
-            bytes.release();
-            bytes = null;
+        if (buffer != null) {
+            buffer.release();
+            buffer = null;
         }
     }
 
-    /** How many bytes the value that is being read is known to need, or at least what there are and as many more. */
-    private int remaining(int more) {
-        int known = bulk >= 0 ? at - bytes.readerIndex() + bulk + 2 : 0;
-        return Math.max(known, bytes.readableBytes() + more + SPARE);
+    /** How many bytes the value that is being decoded is known to need, or what it has and as many more. */
+    private int neededCapacity(int moreBytes) {
+        int known = bulkLength >= 0 ? position - buffer.readerIndex() + bulkLength + 2 : 0;
+        return Math.max(known, buffer.readableBytes() + moreBytes + SPARE_BYTES);
     }
 
-    private void append(ByteBuf more) {
-        if (bytes.writableBytes() < more.readableBytes()) {
-            moveTo(bytes, remaining(more.readableBytes()));
+    private void append(ByteBuf bytes) {
+        if (buffer.writableBytes() < bytes.readableBytes()) {
+            moveTo(buffer, neededCapacity(bytes.readableBytes()));
         }
-        bytes.writeBytes(more);
-        more.release();
+        buffer.writeBytes(bytes);
+        bytes.release();
     }
 
     /** Puts what there is of the value into a buffer of its own. */
     private void moveTo(ByteBuf from, int capacity) {
         int shift = from.readerIndex();
-        bytes = from.alloc().directBuffer(capacity).writeBytes(from, shift, from.readableBytes());
+        buffer = from.alloc().directBuffer(capacity).writeBytes(from, shift, from.readableBytes());
         from.release();
-        at -= shift;
-        sought -= shift;
+        position -= shift;
+        searchFrom -= shift;
         for (int i = 0; i < count; i++) {
             starts[i] -= shift;
         }
     }
 
-    /** Passes on what this buffer has of the long string, from its read index on. */
-    private void pass(ByteBuf from) {
-        int part = Math.min(passing, from.readableBytes());
-        passing -= part;
+    /** Gives the listener what this buffer has of the streamed string, from its reader index on. */
+    private void stream(ByteBuf from) {
+        int part = Math.min(streamedRemaining, from.readableBytes());
+        streamedRemaining -= part;
         if (part > 0) {
-            user.part(from.readRetainedSlice(part));
+            listener.streamPart(from.readRetainedSlice(part));
         }
     }
 
     private void parse() {
-        while (!stopped && bytes != null) {
-            if (passing >= 0) {
-                if (!passes()) {
+        while (!isStopped && buffer != null) {
+            if (streamedRemaining >= 0) {
+                if (!continueStream()) {
                     return;
                 }
-            } else if (bulk >= 0) {
-                if (bytes.writerIndex() - at < bulk + 2) {
+            } else if (bulkLength >= 0) {
+                if (buffer.writerIndex() - position < bulkLength + 2) {
                     return;
                 }
-                string();
+                parseString();
             } else {
-                int end = lineEnd();
+                int end = findLineEnd();
                 if (end < 0) {
-                    if (bytes.writerIndex() - at > MOST_LINE) {
+                    if (buffer.writerIndex() - position > MAX_LINE_BYTES) {
                         // Guards memory against a line that never ends.
                         fail("too long a line");
                     }
                     return;
                 }
-                line(end);
+                parseLine(end);
             }
         }
     }
 
-    /** Where the line ends, which is with \r\n, or -1. */
-    private int lineEnd() {
-        int end = bytes.writerIndex();
-        for (int feed = bytes.indexOf(sought, end, (byte) '\n');
-                feed >= 0;
-                feed = bytes.indexOf(feed + 1, end, (byte) '\n')) {
-            if (feed > at && bytes.getByte(feed - 1) == '\r') {
-                return feed - 1;
+    /** The index of the line's end, which is \r\n, or -1. */
+    private int findLineEnd() {
+        int end = buffer.writerIndex();
+        for (int lineFeed = buffer.indexOf(searchFrom, end, (byte) '\n');
+                lineFeed >= 0;
+                lineFeed = buffer.indexOf(lineFeed + 1, end, (byte) '\n')) {
+            if (lineFeed > position && buffer.getByte(lineFeed - 1) == '\r') {
+                return lineFeed - 1;
             }
         }
-        sought = end;
+        searchFrom = end;
         return -1;
     }
 
-    /** Goes on with a string that is passed on; false where more of it has to come. */
-    private boolean passes() {
-        if (passing > 0) {
-            bytes.readerIndex(at);
-            pass(bytes);
-            at = sought = bytes.readerIndex();
+    /** Continues a streamed string; false where more of it has to arrive. */
+    private boolean continueStream() {
+        if (streamedRemaining > 0) {
+            buffer.readerIndex(position);
+            stream(buffer);
+            position = searchFrom = buffer.readerIndex();
         }
-        if (passing > 0 || stopped || bytes.writerIndex() - at < 2) {
+        if (streamedRemaining > 0 || isStopped || buffer.writerIndex() - position < 2) {
             return false;
         }
-        passing = -1;
-        int start = at;
-        if (bytes.getByte(start) != '\r' || bytes.getByte(start + 1) != '\n') {
+        streamedRemaining = -1;
+        int start = position;
+        if (buffer.getByte(start) != '\r' || buffer.getByte(start + 1) != '\n') {
             fail("a bulk string is longer than announced");
             return false;
         }
-        user.partsEnded();
-        at = sought = start + 2;
-        item((byte) '$', start, 0);
+        listener.streamEnded();
+        position = searchFrom = start + 2;
+        addItem((byte) '$', start, 0);
         return true;
     }
 
-    private void string() {
-        int length = bulk;
-        int start = at;
-        if (bytes.getByte(at + length) != '\r' || bytes.getByte(at + length + 1) != '\n') {
+    private void parseString() {
+        int length = bulkLength;
+        int start = position;
+        if (buffer.getByte(position + length) != '\r' || buffer.getByte(position + length + 1) != '\n') {
             fail("a bulk string is longer than announced");
             return;
         }
-        bulk = -1;
-        at = sought = start + length + 2;
-        item((byte) '$', start, length);
+        bulkLength = -1;
+        position = searchFrom = start + length + 2;
+        addItem((byte) '$', start, length);
     }
 
-    private void line(int end) {
-        int start = at;
+    private void parseLine(int end) {
+        int start = position;
         int length = end - start;
-        if (length == 0 || length > MOST_LINE) {
+        if (length == 0 || length > MAX_LINE_BYTES) {
             fail(length == 0 ? "an empty line" : "too long a line");
             return;
         }
-        byte mark = bytes.getByte(start);
-        at = sought = end + 2;
-        switch (mark) {
+        byte lineType = buffer.getByte(start);
+        position = searchFrom = end + 2;
+        switch (lineType) {
             case '$' -> {
-                boolean passable = depth == 1 && count == 0;
-                int bulkLength = number(start + 1, end, passable ? MOST_PASSED : MOST_BYTES);
-                if (bulkLength == -1) {
-                    item(mark, start, -1);
-                } else if (bulkLength <= MOST_BYTES) {
-                    bulk = bulkLength;
-                } else if (user.began(bulkLength)) {
-                    passing = bulkLength;
+                boolean mayStream = depth == 1 && count == 0;
+                int stringLength = parseLength(start + 1, end, mayStream ? MAX_STREAMED_BYTES : MAX_STRING_BYTES);
+                if (stringLength == -1) {
+                    addItem(lineType, start, -1);
+                } else if (stringLength <= MAX_STRING_BYTES) {
+                    bulkLength = stringLength;
+                } else if (listener.streamStarted(stringLength)) {
+                    streamedRemaining = stringLength;
                 } else {
-                    fail("a string of " + bulkLength + " bytes is not taken here");
+                    fail("a string of " + stringLength + " bytes is not taken here");
                 }
             }
-            case '*' -> array(number(start + 1, end, mostItems));
-            case '+', '-', ':' -> item(mark, start + 1, length - 1);
+            case '*' -> beginArray(parseLength(start + 1, end, maxItems));
+            case '+', '-', ':' -> addItem(lineType, start + 1, length - 1);
             default -> fail("expected a RESP2 value");
         }
     }
 
-    private void array(int size) {
-        if (stopped) {
+    private void beginArray(int size) {
+        if (isStopped) {
             return;
         }
-        if (size > 0 && depth == MOST_DEPTH) {
+        if (size > 0 && depth == MAX_DEPTH) {
             fail("arrays too deep");
         } else if (size > 0) {
-            flat &= depth == 0;
-            left[depth++] = size;
+            isFlat &= depth == 0;
+            remainingItems[depth++] = size;
         } else if (depth == 0) {
-            told((byte) '*');
+            valueComplete((byte) '*');
         } else {
-            flat = false;
-            ended();
+            isFlat = false;
+            itemComplete();
         }
     }
 
-    /** The length, -1 for null; another than from 0 to the most is an error. */
-    private int number(int from, int to, int most) {
-        if (to - from == 2 && bytes.getByte(from) == '-' && bytes.getByte(from + 1) == '1') {
+    /** A length, -1 for null; anything else than from 0 to the maximum is an error. */
+    private int parseLength(int from, int to, int max) {
+        if (to - from == 2 && buffer.getByte(from) == '-' && buffer.getByte(from + 1) == '1') {
             return -1;
         }
         int number = 0;
-        boolean fits = to > from && to - from <= 9;
-        for (int i = from; fits && i < to; i++) {
-            int digit = bytes.getByte(i) - '0';
-            fits = digit >= 0 && digit <= 9;
+        boolean isNumber = to > from && to - from <= 9;
+        for (int i = from; isNumber && i < to; i++) {
+            int digit = buffer.getByte(i) - '0';
+            isNumber = digit >= 0 && digit <= 9;
             number = number * 10 + digit;
         }
-        if (!fits || number > most) {
-            fail("a length must be a number from 0 to " + most);
+        if (!isNumber || number > max) {
+            fail("a length must be a number from 0 to " + max);
             return -1;
         }
         return number;
     }
 
-    private void item(byte mark, int start, int length) {
-        if (stopped) {
+    private void addItem(byte itemType, int start, int length) {
+        if (isStopped) {
             return;
         }
         if (depth <= 1) {
-            kinds[count] = mark;
+            types[count] = itemType;
             starts[count] = start;
             lengths[count++] = length;
         }
         if (depth == 0) {
-            told(mark);
+            valueComplete(itemType);
         } else {
-            ended();
+            itemComplete();
         }
     }
 
-    /** An item of the innermost open array has ended, and with it perhaps that array, and so on. */
-    private void ended() {
-        while (--left[depth - 1] == 0) {
+    /** An item of the innermost open array is complete, and with it perhaps that array, and so on. */
+    private void itemComplete() {
+        while (--remainingItems[depth - 1] == 0) {
             if (--depth == 0) {
-                told((byte) '*');
+                valueComplete((byte) '*');
                 return;
             }
         }
     }
 
-    private void told(byte mark) {
-        kind = mark;
+    private void valueComplete(byte valueType) {
+        type = valueType;
         try {
-            user.value(this);
+            listener.valueDecoded(this);
         } finally {
-            // Guards the next values against a slip in the hearing of this one: it is not told again.
+            // Guards the next values against an exception of the listener: this one is not given to it again.
             count = 0;
-            flat = true;
-            if (!stopped) {
-                bytes.readerIndex(at);
-                if (!bytes.isReadable()) {
+            isFlat = true;
+            if (!isStopped) {
+                buffer.readerIndex(position);
+                if (!buffer.isReadable()) {
                     release();
                 }
             }
@@ -400,9 +375,9 @@
     }
 
     private void fail(String reason) {
-        if (!stopped) {
-            stopped = true;
-            user.broken(reason);
+        if (!isStopped) {
+            isStopped = true;
+            listener.decodingFailed(reason);
         }
     }
 }
--- /dev/null
+++ b/gateway/src/main/java/opalcove/resp/ResponsePipeline.java
@@ -0,0 +1,152 @@
+package opalcove.resp;
+
+import io.netty.buffer.ByteBuf;
+import java.util.ArrayDeque;
+import java.util.Deque;
+import opalcove.core.Response;
+
+/**
+ * The commands of one connection whose responses are due. Writes the responses in the order of the commands, and holds
+ * back those that are ready early. Owned by the connection's event loop.
+ */
+final class ResponsePipeline {
+    private final Deque<PipelineSlot> slots = new ArrayDeque<>(4);
+    private final ClientConnection connection;
+    private final RawSocket socket;
+
+    ResponsePipeline(ClientConnection connection, RawSocket socket) {
+        this.connection = connection;
+        this.socket = socket;
+    }
+
+    /** Adds a command behind all others. */
+    PipelineSlot add() {
+        PipelineSlot slot = new PipelineSlot(connection);
+        slots.add(slot);
+        return slot;
+    }
+
+    int size() {
+        return slots.size();
+    }
+
+    boolean isEmpty() {
+        return slots.isEmpty();
+    }
+
+    boolean isFirst(PipelineSlot slot) {
+        return slots.peek() == slot;
+    }
+
+    /** Whether this is the only command whose response is due. */
+    boolean isOnly(PipelineSlot slot) {
+        return slots.size() == 1 && slots.peek() == slot;
+    }
+
+    /** Writes the final response; its value is shared for the time of this call. */
+    void respond(PipelineSlot slot, Response response) {
+        if (response instanceof Response.Served served) {
+            writeValue(slot, served.value());
+        } else if (response instanceof Response.Refused refused) {
+            writeLine(slot, refused.comeBackMs() > 0 ? "-BUSY " + refused.comeBackMs() : "-BUSY");
+        } else {
+            writeLine(slot, "-ERR " + ((Response.Failed) response).reason());
+        }
+    }
+
+    /** Writes a value, or holds it back until its turn. */
+    void writeValue(PipelineSlot slot, ByteBuf value) {
+        int length = value.readableBytes();
+        if (!isFirst(slot)) {
+            ByteBuf deferred = socket.allocate(length + RespWriter.MAX_HEADER_BYTES);
+            slot.defer(deferred);
+            writeValue(deferred, value, length);
+        } else if (length < RespWriter.MIN_FORWARDED_BYTES) {
+            writeValue(socket.reserve(length + RespWriter.MAX_HEADER_BYTES), value, length);
+        } else {
+            RespWriter.writeHeader(socket.reserve(RespWriter.MAX_HEADER_BYTES), '$', length);
+            socket.write(value.retainedSlice());
+            socket.writeLineEnd();
+        }
+        complete(slot);
+    }
+
+    private static void writeValue(ByteBuf out, ByteBuf value, int length) {
+        RespWriter.writeHeader(out, '$', length);
+        out.writeBytes(value, value.readerIndex(), length);
+        RespWriter.writeLineEnd(out);
+    }
+
+    /** Writes a line that begins with its type, or holds it back until its turn. */
+    void writeLine(PipelineSlot slot, String text) {
+        if (isFirst(slot)) {
+            RespWriter.writeLine(socket.reserve(text.length() + 2), text);
+        } else {
+            ByteBuf deferred = socket.allocate(text.length() + 2);
+            slot.defer(deferred);
+            RespWriter.writeLine(deferred, text);
+        }
+        complete(slot);
+    }
+
+    /** The streamed value of the first slot has been written but for its line end. */
+    void streamEnded(PipelineSlot slot) {
+        socket.writeLineEnd();
+        complete(slot);
+    }
+
+    /** Writes what is next in order: this response if it is the first, and those held back behind it. */
+    private void complete(PipelineSlot slot) {
+        slot.complete();
+        if (!isFirst(slot)) {
+            return;
+        }
+        slots.poll();
+        while (!slots.isEmpty() && slots.peek().isComplete()) {
+            socket.write(slots.poll().takeDeferred());
+        }
+        connection.responsesWritten(slot);
+    }
+
+    /** Continues the streamed value of the first slot, if it has one. */
+    void advanceFirstStream() {
+        PipelineSlot first = slots.peek();
+        ResponseStream stream = first == null ? null : first.stream();
+        if (stream != null) {
+            stream.advance();
+        }
+    }
+
+    /** Continues the streamed value of the first slot, if it has one of which bytes have been written. */
+    void continueFirstStream() {
+        PipelineSlot first = slots.peek();
+        if (first != null && first.stream() != null && first.stream().isWriting()) {
+            first.stream().advance();
+        }
+    }
+
+    /** Asks all open requests to end before the process does. */
+    void hurryAll() {
+        slots.forEach(slot -> {
+            if (slot.request() != null) {
+                slot.request().hurry();
+            }
+        });
+    }
+
+    /** Removes the first slot, whose response cannot be completed; gives how many commands were behind it. */
+    int removeFirst() {
+        slots.poll().discard();
+        return slots.size();
+    }
+
+    /** Removes all slots, and ends their requests as those of a client that has disconnected. */
+    void cancelAll() {
+        for (PipelineSlot slot = slots.poll(); slot != null; slot = slots.poll()) {
+            slot.discard();
+            if (slot.request() != null) {
+                slot.request().leave();
+            }
+        }
+    }
+}
--- /dev/null
+++ b/gateway/src/main/java/opalcove/resp/ResponseStream.java
@@ -0,0 +1,178 @@
+package opalcove.resp;
+
+import io.netty.buffer.ByteBuf;
+import java.util.ArrayDeque;
+import java.util.Deque;
+import opalcove.core.RequestDispatcher;
+import opalcove.core.StreamedValue;
+import org.tinylog.Logger;
+
+/**
+ * A streamed value that is written to its client while its backend sends it. Owned by the connection's event loop.
+ *
+ * <p>A value that its backend cuts off while it is written ends the connection, for nothing else tells the client that it
+ * is incomplete. Guards the requests behind it, which would be lost with the connection: where some were read, the value
+ * is buffered whole before any of it is written; where none was, none is read until the value has been written.
+ */
+final class ResponseStream implements StreamedValue.Sink {
+    /** How long after its request's deadline a value is waited for that has begun to arrive and is not being written. */
+    private static final long GRACE_MS = 200;
+
+    private final PipelineSlot slot;
+    private final ClientConnection connection;
+    private final StreamedValue value;
+    /** Whether its header was written. */
+    private boolean isWriting;
+    /** Whether nothing of it is written before it is complete. */
+    private boolean isBufferedWhole;
+    /** It is the first in order, and a timer bounds how long it is waited for. */
+    private boolean hasTimeout;
+    /** Whether its slot has another response, and what arrives of it is dropped. */
+    private boolean isAbandoned;
+    /** Its parts that arrived and are not written. */
+    private final Deque<ByteBuf> pending = new ArrayDeque<>(4);
+    /** Bytes that it holds of the server's budget. */
+    private int reservedBytes;
+
+    ResponseStream(PipelineSlot slot, StreamedValue value) {
+        this.slot = slot;
+        this.value = value;
+        connection = slot.connection();
+    }
+
+    boolean isWriting() {
+        return isWriting;
+    }
+
+    @Override
+    public void part(ByteBuf bytes) {
+        if (connection.isClosing() || isAbandoned) {
+            bytes.release();
+        } else {
+            pending.add(bytes);
+            advance();
+        }
+    }
+
+    @Override
+    public void whole() {
+        if (!connection.isClosing() && !isAbandoned) {
+            advance();
+        }
+    }
+
+    /** Continues if it is the first in order: writes what has arrived, or waits for more of it. */
+    void advance() {
+        if (isAbandoned || !connection.pipeline().isFirst(slot)) {
+            return;
+        }
+        if (!isWriting && !mayBegin()) {
+            return;
+        }
+        if (!isWriting) {
+            begin();
+        }
+        writePending();
+    }
+
+    private boolean mayBegin() {
+        if (value.whole()) {
+            return true;
+        }
+        if (!pending.isEmpty() && !isBufferedWhole && !connection.isOnlyCommandRead(slot)) {
+            if (!connection.server().streamBudget().reserve(value.length())) {
+                abandon("requests are behind it, and the buffer budget is used up");
+                return false;
+            }
+            isBufferedWhole = true;
+            reservedBytes = value.length();
+        }
+        value.reads(true);
+        boolean begins = !pending.isEmpty() && !isBufferedWhole;
+        if (!begins) {
+            setTimeout();
+        }
+        return begins;
+    }
+
+    /** Guards the response against a backend that sends the rest of a value late: unless it is being written it is due in time. */
+    private void setTimeout() {
+        if (hasTimeout || slot.request() == null) {
+            return;
+        }
+        hasTimeout = true;
+        long timeoutMs = (long) Math.max(0, slot.request().remainingMs()) + GRACE_MS;
+        connection.server().vertx().setTimer(timeoutMs, due -> {
+            if (!isWriting && !isAbandoned && !value.whole() && !slot.isComplete() && !connection.isClosing()) {
+                abandon("it is incomplete after its deadline");
+            }
+        });
+    }
+
+    private void begin() {
+        isWriting = true;
+        if (!value.whole()) {
+            connection.input().suspend();
+        }
+        connection.socket().setMaxPendingBytes(2 * RespBackendConnection.READ_LIMIT_BYTES);
+        RespWriter.writeHeader(connection.socket().reserve(RespWriter.MAX_HEADER_BYTES), '$', value.length());
+    }
+
+    private void writePending() {
+        RawSocket socket = connection.socket();
+        while (!pending.isEmpty() && (!value.whole() || socket.isWritable())) {
+            ByteBuf part = pending.poll();
+            releaseBudget(part.readableBytes());
+            socket.write(part);
+        }
+        // A write may have made the socket unwritable, which is reported at once and re-enters here: it has ended then.
+        if (slot.isComplete()) {
+            return;
+        }
+        if (pending.isEmpty() && value.whole()) {
+            connection.pipeline().streamEnded(slot);
+        } else {
+            value.reads(socket.isWritable());
+        }
+    }
+
+    /** Fails this request alone: nothing of the value was written, so the connection and the requests behind it go on. */
+    private void abandon(String cause) {
+        Logger.warn("abandoning a streamed value of {} bytes: {}", value.length(), cause);
+        isAbandoned = true;
+        RequestDispatcher.RequestHandle request = slot.request();
+        discard();
+        connection.pipeline().writeLine(slot, "-ERR failed");
+        if (request != null) {
+            request.giveUpValue();
+        }
+    }
+
+    private void releaseBudget(int bytes) {
+        int released = Math.min(reservedBytes, bytes);
+        reservedBytes -= released;
+        connection.server().streamBudget().release(released);
+    }
+
+    /** Releases what has not been written. */
+    void discard() {
+        pending.forEach(ByteBuf::release);
+        pending.clear();
+        releaseBudget(reservedBytes);
+    }
+
+    @Override
+    public void cut() {
+        slot.forgetRequest();
+        if (connection.isClosing() || isAbandoned) {
+            return;
+        }
+        if (isWriting && !value.whole()) {
+            Logger.warn("a streamed value was cut off by its backend while it was written");
+            connection.endInIncompleteValue();
+        } else {
+            slot.discard();
+            connection.pipeline().writeLine(slot, "-ERR failed");
+        }
+    }
+}
--- /dev/null
+++ b/gateway/src/main/java/opalcove/resp/ServerContext.java
@@ -0,0 +1,21 @@
+package opalcove.resp;
+
+import io.vertx.core.Vertx;
+import opalcove.core.RequestDispatcher;
+
+/**
+ * What the connections of one server share. All of it is owned by the server's event loop.
+ *
+ * @param commands executes the commands of all connections
+ * @param connectionClosed runs each time a connection has been closed and removed
+ */
+record ServerContext(
+        Vertx vertx,
+        RequestDispatcher dispatcher,
+        DrainState drain,
+        CommandHandler commands,
+        DisconnectDetector disconnects,
+        BufferBudget streamBudget,
+        OpenConnections open,
+        HalfOpenConnections halfOpen,
+        Runnable connectionClosed) {}
--- a/gateway/src/main/java/opalcove/resp/WarmUp.java
+++ b/gateway/src/main/java/opalcove/resp/WarmUp.java
@@ -39,218 +39,224 @@
 import org.tinylog.Logger;
 
 /**
- * Plays asks through the program before it opens: a front, a core and links of their own, and a stand-in for an app
- * node, over UNIX sockets in a private folder. Guards the first terminals against a program that is still cold, with
- * classes to load and code to compile: on a part of a core their asks waited for up to a second.
+ * Runs requests through the program before it opens: a server, a dispatcher and connections of their own, and an emulated
+ * backend, over UNIX sockets in a private folder. Guards the first clients against a program whose classes are not loaded
+ * and whose code is not compiled: on a part of a core their requests waited for up to a second. Called from the starting
+ * thread; all else runs on the event loop that is made for it.
  */
 public final class WarmUp {
-    static final int ASKS = 500;
-    /** Asks under way at a time. */
+    static final int REQUESTS = 500;
+    /** The prefix of the private folder's name. */
+    static final String FOLDER_PREFIX = "warm-up-";
+    /** Requests in flight at a time. */
     private static final int WINDOW = 2;
 
-    private static final int NODES = 3;
-    private static final int MOST_LINKS = 64;
+    private static final int BACKENDS = 3;
+    private static final int MAX_CONNECTIONS = 64;
+    private static final int MAX_ITEMS = 5;
 
     private final DecisionSettings settings;
-    private final Promise<Void> played = Promise.promise();
-    private int sent;
-    private volatile int answered;
-    private volatile int most = ASKS;
+    private final Promise<Void> done = Promise.promise();
+    private int sentCount;
+    private volatile int answeredCount;
+    private volatile int maxRequests = REQUESTS;
 
     private WarmUp(DecisionSettings settings) {
         this.settings = settings;
     }
 
     /**
-     * Plays and closes the Vert.x instance, made only if there is a play, all within the budget; what has not closed by
-     * then closes by itself. A failure costs nothing but time. Gives the number of asks that were answered.
+     * Runs the warm-up and closes its Vert.x instance, which is made only if there is a run, all within the budget; what
+     * has not closed in time closes by itself. A failure costs nothing but time.
+     *
+     * @return the number of requests that were answered
      */
-    public static int play(Supplier<Vertx> loop, DecisionSettings settings, TimeBudget budget) {
-        WarmUp rehearsal = new WarmUp(settings);
+    public static int run(Supplier<Vertx> eventLoop, DecisionSettings settings, TimeBudget budget) {
+        WarmUp warmUp = new WarmUp(settings);
         try {
-            Path folder = privateFolder();
+            Path folder = createPrivateFolder();
             Path backend = folder.resolve("node");
-            Path front = folder.resolve("front");
-            if (budget.remainingMs() == 0 || !reached(backend)) {
+            Path server = folder.resolve("front");
+            if (budget.remainingMs() == 0 || !canConnectAt(backend)) {
                 Files.delete(folder);
-                Logger.info("no rehearsal: nobody is reached at a UNIX socket here, or there is no time");
+                Logger.info("no warm-up: UNIX sockets cannot be connected to here, or there is no time");
                 return 0;
             }
-            Vertx vertx = loop.get();
+            Vertx vertx = eventLoop.get();
             try {
-                vertx.runOnContext(start -> rehearsal
-                        .open(
+                vertx.runOnContext(start -> warmUp.open(
                                 vertx,
                                 SocketAddress.domainSocketAddress(backend.toString()),
-                                SocketAddress.domainSocketAddress(front.toString()))
-                        .onFailure(rehearsal.played::tryFail));
-                rehearsal.end(budget);
+                                SocketAddress.domainSocketAddress(server.toString()))
+                        .onFailure(warmUp.done::tryFail));
+                warmUp.awaitEnd(budget);
             } finally {
                 Future<Void> closed = vertx.close();
                 try {
                     closed.toCompletionStage().toCompletableFuture().get(budget.remainingMs(), TimeUnit.MILLISECONDS);
                 } finally {
-                    for (Path each : List.of(backend, front, folder)) {
+                    for (Path each : List.of(backend, server, folder)) {
                         Files.deleteIfExists(each);
                     }
                 }
             }
         } catch (TimeoutException e) {
-            Logger.info("the rehearsal did not end in its time");
+            Logger.info("the warm-up did not end in its time");
         } catch (IOException | ExecutionException e) {
-            Logger.warn("no rehearsal: {}", e.getMessage());
+            Logger.warn("no warm-up: {}", e.getMessage());
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
-        return rehearsal.answered;
+        return warmUp.answeredCount;
     }
 
     /**
-     * Makes a folder that only this user may enter; one of that name must not be there. Not by Files.createTempDirectory,
-     * whose names are drawn by a SecureRandom: its setting up took 20 ms of a start on a whole core.
+     * Creates a folder that only this user may enter and that must not exist. Not by Files.createTempDirectory, whose names
+     * are drawn by a SecureRandom: its initialization takes 20 ms of a start on a whole core.
      */
-    private static Path privateFolder() throws IOException {
-        String name = "rehearsal-" + ProcessHandle.current().pid() + "-" + Long.toHexString(System.nanoTime());
+    private static Path createPrivateFolder() throws IOException {
+        String name = FOLDER_PREFIX + ProcessHandle.current().pid() + "-" + Long.toHexString(System.nanoTime());
         return Files.createDirectory(
                 Path.of(System.getProperty("java.io.tmpdir"), name),
                 PosixFilePermissions.asFileAttribute(PosixFilePermissions.fromString("rwx------")));
     }
 
     /**
-     * Whether a UNIX socket in this folder is any good. Guards the start on platforms that let one listen there and
-     * nobody come: an event loop, front and links were set up for nothing, a quarter of the start's processor time.
+     * Whether a UNIX socket at this path can be connected to. Guards the start on platforms that allow to listen there and
+     * not to connect: an event loop, a server and connections were set up for nothing, a quarter of the start's processor
+     * time.
      */
-    static boolean reached(Path at) throws IOException {
-        UnixDomainSocketAddress address = UnixDomainSocketAddress.of(at);
+    static boolean canConnectAt(Path path) throws IOException {
+        UnixDomainSocketAddress address = UnixDomainSocketAddress.of(path);
         try (ServerSocketChannel server = ServerSocketChannel.open(StandardProtocolFamily.UNIX)) {
             server.bind(address);
-            try (SocketChannel caller = SocketChannel.open(address)) {
-                return caller.isConnected();
+            try (SocketChannel client = SocketChannel.open(address)) {
+                return client.isConnected();
             }
         } catch (IOException | UnsupportedOperationException e) {
             return false;
         } finally {
-            Files.deleteIfExists(at);
+            Files.deleteIfExists(path);
         }
     }
 
     /**
-     * Waits for the end of the play, or ends it when three quarters of what is left are over: asks no more, and waits for
-     * what is under way. Guards the log and the close against lines that are still being dialled to a node that closes.
+     * Waits for the end, or brings it about when three quarters of the remaining time are over: sends no more requests, and
+     * waits for those in flight. Guards the log and the close against connections that are still being opened to a backend
+     * that closes.
      */
-    private void end(TimeBudget budget) throws ExecutionException, InterruptedException, TimeoutException {
-        CompletableFuture<Void> over = played.future().toCompletionStage().toCompletableFuture();
+    private void awaitEnd(TimeBudget budget) throws ExecutionException, InterruptedException, TimeoutException {
+        CompletableFuture<Void> end = done.future().toCompletionStage().toCompletableFuture();
         try {
-            over.get(budget.remainingMs() * 3 / 4, TimeUnit.MILLISECONDS);
+            end.get(budget.remainingMs() * 3 / 4, TimeUnit.MILLISECONDS);
         } catch (TimeoutException e) {
-            Logger.debug("the rehearsal took its time");
-            most = 0;
-            over.get(budget.remainingMs() / 2, TimeUnit.MILLISECONDS);
+            Logger.debug("ending the warm-up early");
+            maxRequests = 0;
+            end.get(budget.remainingMs() / 2, TimeUnit.MILLISECONDS);
         }
     }
 
-    private Future<?> open(Vertx vertx, SocketAddress backend, SocketAddress at) {
-        ConnectionPool links =
-                new ConnectionPool(vertx, settings, new RespConnector(vertx, settings, address -> backend), MOST_LINKS);
-        RequestDispatcher gateway = new RequestDispatcher(vertx, new Clock(), settings, 1, links);
+    private Future<?> open(Vertx vertx, SocketAddress backend, SocketAddress server) {
+        ConnectionPool connections = new ConnectionPool(
+                vertx, settings, new RespConnector(vertx, settings, address -> backend), MAX_CONNECTIONS);
+        RequestDispatcher dispatcher = new RequestDispatcher(vertx, new Clock(), settings, 1, connections);
         List<Backend> backends = new ArrayList<>();
-        for (int i = 0; i < NODES; i++) {
-            backends.add(
-                    new Backend(new Endpoint("rehearsal-" + i, settings.zone(), "", i, EndpointState.UP, 1, 0), ""));
+        for (int i = 0; i < BACKENDS; i++) {
+            backends.add(new Backend(new Endpoint("warm-up-" + i, settings.zone(), "", i, EndpointState.UP, 1, 0), ""));
         }
-        gateway.endpointsChanged(true, backends);
+        dispatcher.endpointsChanged(true, backends);
         return vertx.createNetServer()
-                .connectHandler(WarmUp::work)
+                .connectHandler(WarmUp::emulateBackend)
                 .listen(backend)
-                .compose(open -> new RespServer(vertx, gateway, new Lifecycle(), WINDOW).listen(at))
-                .compose(open -> vertx.createNetClient().connect(at))
-                .onSuccess(this::request);
+                .compose(listening -> new RespServer(vertx, dispatcher, new Lifecycle(), WINDOW).listen(server))
+                .compose(listening -> vertx.createNetClient().connect(server))
+                .onSuccess(this::sendRequests);
     }
 
-    /** A party of the play: hears values, and writes at the end of each turn. */
-    private static final class Party implements RawSocket.User, RespDecoder.User {
-        private final RawSocket raw;
-        private final RespDecoder reader = new RespDecoder(5, this);
-        private final BiConsumer<RespDecoder, RawSocket> values;
-        private final Consumer<String> errors;
+    /** One end of a connection: is given values, and writes at the end of each turn. */
+    private static final class Peer implements RawSocket.Listener, RespListener {
+        private final RawSocket socket;
+        private final RespDecoder decoder = new RespDecoder(MAX_ITEMS, this);
+        private final BiConsumer<RespDecoder, RawSocket> valueHandler;
+        private final Consumer<String> errorHandler;
 
-        Party(NetSocket socket, BiConsumer<RespDecoder, RawSocket> values, Consumer<String> errors) {
-            this.values = values;
-            this.errors = errors;
-            raw = new RawSocket(socket, false, this);
-            // Else Vert.x logs a connection that breaks at the end of the play as an error, without a word on which it
-            // was.
-            socket.exceptionHandler(e -> Logger.debug("a connection of the rehearsal broke: {}", e.getMessage()));
-            socket.closeHandler(closed -> reader.stop());
+        Peer(NetSocket netSocket, BiConsumer<RespDecoder, RawSocket> valueHandler, Consumer<String> errorHandler) {
+            this.valueHandler = valueHandler;
+            this.errorHandler = errorHandler;
+            socket = new RawSocket(netSocket, false, this);
+            // Otherwise Vert.x logs a connection that fails at the end of the warm-up as an error that does not name
+            // it.
+            netSocket.exceptionHandler(e -> Logger.debug("a connection of the warm-up failed: {}", e.getMessage()));
+            netSocket.closeHandler(closed -> decoder.stop());
         }
 
         @Override
-        public void read(ByteBuf bytes) {
-            reader.take(bytes);
+        public void bytesRead(ByteBuf bytes) {
+            decoder.decode(bytes);
         }
 
         @Override
-        public void value(RespDecoder value) {
-            values.accept(value, raw);
+        public void valueDecoded(RespDecoder value) {
+            valueHandler.accept(value, socket);
         }
 
         @Override
-        public void broken(String reason) {
-            errors.accept(reason);
+        public void decodingFailed(String reason) {
+            errorHandler.accept(reason);
         }
     }
 
-    /** An app node that gives each ask's id as its value. */
-    private static void work(NetSocket socket) {
-        new Party(
-                socket,
-                (command, raw) -> {
+    /** A backend that returns each request's id as its value. */
+    private static void emulateBackend(NetSocket netSocket) {
+        new Peer(
+                netSocket,
+                (command, socket) -> {
                     String id = command.text(2);
-                    ByteBuf out = raw.room(5 * Resp.HEAD + id.length());
-                    Resp.head(out, '*', 3);
-                    Resp.string(out, id);
-                    Resp.string(out, "used=1,cost=1");
-                    Resp.string(out, "latency_ms=1.5");
+                    ByteBuf out = socket.reserve(5 * RespWriter.MAX_HEADER_BYTES + id.length());
+                    RespWriter.writeHeader(out, '*', 3);
+                    RespWriter.writeBulkString(out, id);
+                    RespWriter.writeBulkString(out, "used=1,cost=1");
+                    RespWriter.writeBulkString(out, "latency_ms=1.5");
                 },
-                reason -> socket.close());
+                reason -> netSocket.close());
     }
 
-    private void request(NetSocket socket) {
-        Party client = new Party(
-                socket,
-                (answer, raw) -> {
-                    answered++;
-                    if (sent < most) {
-                        next(raw);
-                    } else if (answered == sent) {
-                        played.tryComplete();
+    private void sendRequests(NetSocket netSocket) {
+        Peer client = new Peer(
+                netSocket,
+                (response, socket) -> {
+                    answeredCount++;
+                    if (sentCount < maxRequests) {
+                        sendNext(socket);
+                    } else if (answeredCount == sentCount) {
+                        done.tryComplete();
                     }
                 },
-                played::tryFail);
-        while (sent < WINDOW) {
-            next(client.raw);
+                done::tryFail);
+        while (sentCount < WINDOW) {
+            sendNext(client.socket);
         }
     }
 
-    /** Each ask from another operator, so that no quota ends the play; classes and plans in turn. */
-    private void next(RawSocket raw) {
-        DecisionSettings.RequestClass c =
-                settings.classes().get(sent % settings.classes().size());
-        String id = String.format("%016x", sent++);
-        RequestDecoder.write(
-                new Request(
-                        id,
-                        id,
-                        c.name(),
-                        settings.plans().get(sent % settings.plans().size()).name(),
-                        1,
-                        c.deadlineMs(),
-                        c.effect() == Idempotency.KEYED ? id : null,
-                        false,
-                        settings.gateways(),
-                        0,
-                        c.effect() == Idempotency.SAFE ? null : Unpooled.copiedBuffer(id, StandardCharsets.US_ASCII)),
-                c.deadlineMs(),
-                raw);
+    /** Each request is of another tenant, so that no quota ends the warm-up; classes and plans alternate. */
+    private void sendNext(RawSocket socket) {
+        DecisionSettings.RequestClass requestClass =
+                settings.classes().get(sentCount % settings.classes().size());
+        String id = String.format("%016x", sentCount++);
+        boolean isKeyed = requestClass.effect() == Idempotency.KEYED;
+        boolean hasBody = requestClass.effect() != Idempotency.SAFE;
+        Request request = new Request(
+                id,
+                id,
+                requestClass.name(),
+                settings.plans().get(sentCount % settings.plans().size()).name(),
+                1,
+                requestClass.deadlineMs(),
+                isKeyed ? id : null,
+                false,
+                settings.gateways(),
+                0,
+                hasBody ? Unpooled.copiedBuffer(id, StandardCharsets.US_ASCII) : null);
+        RequestEncoder.encode(request, requestClass.deadlineMs(), socket);
     }
 }
--- a/gateway/src/main/java/opalcove/server/GatewayServer.java
+++ b/gateway/src/main/java/opalcove/server/GatewayServer.java
@@ -51,7 +51,7 @@
         times.reached(StartPhase.DOOR_OPEN);
         Logger.info(
                 "rehearsed {} asks",
-                WarmUp.play(Application::eventLoop, config.settings(), TimeBudget.ofMs(config.rehearsalMs())));
+                WarmUp.run(Application::eventLoop, config.settings(), TimeBudget.ofMs(config.rehearsalMs())));
         times.reached(StartPhase.REHEARSED);
         Application program = new Application();
         Parts parts = new Parts(config, door, hangups, times, membership, agreed);
@@ -93,7 +93,7 @@
                 vertx, config.settings(), new RespConnector(vertx, config.settings()), budget.backends());
         RequestDispatcher gateway = new RequestDispatcher(vertx, new Clock(), config.settings(), config.seed(), links);
         RespServer front =
-                new RespServer(vertx, gateway, program.phases(), RespServer.maxClientsWithin(budget.clients()));
+                new RespServer(vertx, gateway, program.phases(), RespServer.maxConnectionsWithin(budget.clients()));
         Versions versions = new Versions(gateway);
         DiscoveryClient discovery = new DiscoveryClient(
                 vertx, config.discovery(), config.settings(), new SplittableRandom(config.seed()), versions);
@@ -316,7 +316,7 @@
             front = wiredFront;
             phases.watch(next -> phase = next);
             if (away) {
-                vertx.runOnContext(told -> front.sendAway(true));
+                vertx.runOnContext(told -> front.setDrainRequested(true));
             }
         }
 
@@ -344,7 +344,7 @@
         public synchronized void sendAway(boolean send) {
             away = send;
             if (vertx != null) {
-                vertx.runOnContext(told -> front.sendAway(send));
+                vertx.runOnContext(told -> front.setDrainRequested(send));
             }
         }
     }
--- a/gateway/src/test/java/opalcove/resp/EndCrossingsTest.java
+++ b/gateway/src/test/java/opalcove/resp/EndCrossingsTest.java
@@ -138,8 +138,8 @@
             RespTestBed.say(client, RespTestBed.PING);
             assertEquals(RespTestBed.answer(client), "+PONG");
             stage.unread(() -> RespTestBed.say(client, RespTestBed.PING), () -> {
-                stage.front.sendAway(true);
-                stage.front.sendAway(false);
+                stage.front.setDrainRequested(true);
+                stage.front.setDrainRequested(false);
             });
             assertEquals(RespTestBed.answer(client), "+PONG");
             RespTestBed.say(client, RespTestBed.PING);
--- a/gateway/src/test/java/opalcove/resp/FullServerTest.java
+++ b/gateway/src/test/java/opalcove/resp/FullServerTest.java
@@ -106,10 +106,10 @@
                 client.connect(new InetSocketAddress(InetAddress.getLoopbackAddress(), port));
                 RespTestBed.say(client, RespTestBed.words("INFO").repeat(UNREAD_ANSWERS));
             }
-            until(() -> stage.front.open() == silent.size() + 1, stage);
-            stage.onLoop(() -> stage.front.sendAway(true));
-            until(() -> stage.front.open() == 0, stage);
-            until(() -> stage.front.halfOpen() <= mostHalfOpen, stage);
+            until(() -> stage.front.openCount() == silent.size() + 1, stage);
+            stage.onLoop(() -> stage.front.setDrainRequested(true));
+            until(() -> stage.front.openCount() == 0, stage);
+            until(() -> stage.front.halfOpenCount() <= mostHalfOpen, stage);
         } finally {
             for (Socket each : silent) {
                 each.close();
@@ -120,7 +120,9 @@
     private static void until(BooleanSupplier reached, RespTestBed stage) throws Exception {
         long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(RespTestBed.PATIENCE_S);
         while (!stage.onLoop(reached::getAsBoolean)) {
-            assertTrue(System.nanoTime() < end, stage.front.open() + " open, " + stage.front.halfOpen() + " half open");
+            assertTrue(
+                    System.nanoTime() < end,
+                    stage.front.openCount() + " open, " + stage.front.halfOpenCount() + " half open");
             Thread.sleep(5);
         }
     }
--- a/gateway/src/test/java/opalcove/resp/RawSocketTest.java
+++ b/gateway/src/test/java/opalcove/resp/RawSocketTest.java
@@ -48,15 +48,15 @@
         vertx.runOnContext(go -> vertx.createNetServer()
                 .connectHandler(socket -> {
                     RawSocket[] raw = new RawSocket[1];
-                    raw[0] = new RawSocket(socket, true, new RawSocket.User() {
+                    raw[0] = new RawSocket(socket, true, new RawSocket.Listener() {
                         @Override
-                        public void read(ByteBuf bytes) {
+                        public void bytesRead(ByteBuf bytes) {
                             bytes.release();
                             action.accept(raw[0], socket);
                         }
 
                         @Override
-                        public void unwritten() {
+                        public void writeFailed() {
                             told.add("unwritten");
                         }
                     });
@@ -77,15 +77,15 @@
     public void allOfATurnLeavesInOrder() throws Exception {
         String large = "L".repeat(100_000);
         try (Socket socket = connect((raw, all) -> {
-            text(raw.room(10), "one ");
-            raw.pass(Unpooled.copiedBuffer("two ", StandardCharsets.US_ASCII));
-            text(raw.room(10), "three ");
-            ByteBuf aside = raw.aside(large.length());
+            text(raw.reserve(10), "one ");
+            raw.write(Unpooled.copiedBuffer("two ", StandardCharsets.US_ASCII));
+            text(raw.reserve(10), "three ");
+            ByteBuf aside = raw.allocate(large.length());
             text(aside, large);
-            raw.pass(aside);
+            raw.write(aside);
             // More than is left of the batch: what is in it goes first.
-            text(raw.room(600), "s".repeat(600));
-            raw.passLineEnd();
+            text(raw.reserve(600), "s".repeat(600));
+            raw.writeLineEnd();
         })) {
             socket.getOutputStream().write(1);
             String expected = "one two three " + large + "s".repeat(600) + "\r\n";
@@ -100,10 +100,10 @@
     public void aCloseBetweenBatchAndFlushSendsNothing() throws Exception {
         ByteBuf kept = Unpooled.directBuffer(8).writeZero(8);
         try (Socket socket = connect((raw, all) -> {
-            text(raw.room(10), "never");
-            raw.pass(kept.retainedDuplicate());
-            text(raw.room(10), "never");
-            raw.closeUnsent();
+            text(raw.reserve(10), "never");
+            raw.write(kept.retainedDuplicate());
+            text(raw.reserve(10), "never");
+            raw.closeAndDiscard();
         })) {
             socket.getOutputStream().write(1);
             assertEquals(rest(socket.getInputStream()), "");
@@ -121,7 +121,7 @@
     @Test
     public void theOutputClosesBehindWhatWasWritten() throws Exception {
         try (Socket socket = connect((raw, all) -> {
-            text(raw.room(10), "last");
+            text(raw.reserve(10), "last");
             raw.closeOutput();
         })) {
             socket.getOutputStream().write(1);
@@ -134,7 +134,7 @@
     @Test
     public void aBatchForASocketThatHasEndedIsReleased() throws Exception {
         try (Socket socket = connect((raw, all) -> all.close().onComplete(closed -> {
-            text(raw.room(10), "too late");
+            text(raw.reserve(10), "too late");
             told.add("put in");
         }))) {
             socket.getOutputStream().write(1);
--- a/gateway/src/test/java/opalcove/resp/RespDecoderTest.java
+++ b/gateway/src/test/java/opalcove/resp/RespDecoderTest.java
@@ -23,18 +23,18 @@
     /** Reads the parts and writes down what was heard. */
     private static List<String> read(List<String> parts) {
         List<String> heard = new ArrayList<>();
-        RespDecoder reader = new RespDecoder(MOST_ITEMS, new RespDecoder.User() {
+        RespDecoder reader = new RespDecoder(MOST_ITEMS, new RespListener() {
             @Override
-            public void value(RespDecoder value) {
-                StringBuilder text = new StringBuilder().append((char) value.kind());
-                for (int i = 0; i < value.count(); i++) {
+            public void valueDecoded(RespDecoder value) {
+                StringBuilder text = new StringBuilder().append((char) value.type());
+                for (int i = 0; i < value.itemCount(); i++) {
                     text.append(' ').append(value.length(i) < 0 ? "null" : value.text(i));
                 }
                 heard.add(text.toString());
             }
 
             @Override
-            public void broken(String reason) {
+            public void decodingFailed(String reason) {
                 heard.add("broken: " + reason);
             }
         });
@@ -42,8 +42,8 @@
             ByteBuf bytes = PooledByteBufAllocator.DEFAULT
                     .directBuffer(Math.max(1, each.length()))
                     .writeBytes(each.getBytes(StandardCharsets.ISO_8859_1));
-            reader.take(bytes);
-            if (!reader.within()) {
+            reader.decode(bytes);
+            if (!reader.isMidValue()) {
                 assertEquals(0, bytes.refCnt(), "a buffer is held between values");
             }
         }
@@ -107,7 +107,7 @@
     /** A value of just the most there may be, cut at every kilobyte, is put together once. */
     @Example
     void theLargestValueIsReadFromManyParts() {
-        String value = "v".repeat(RespDecoder.MOST_BYTES);
+        String value = "v".repeat(RespDecoder.MAX_STRING_BYTES);
         String whole = "*2\r\n$" + value.length() + "\r\n" + value + "\r\n$3\r\nend\r\n+next\r\n";
         List<String> parts = new ArrayList<>();
         for (int from = 0; from < whole.length(); from += 1024) {
@@ -121,22 +121,22 @@
     void nothingIsHeardAfterStop() {
         List<String> heard = new ArrayList<>();
         RespDecoder[] reader = new RespDecoder[1];
-        reader[0] = new RespDecoder(MOST_ITEMS, new RespDecoder.User() {
+        reader[0] = new RespDecoder(MOST_ITEMS, new RespListener() {
             @Override
-            public void value(RespDecoder value) {
+            public void valueDecoded(RespDecoder value) {
                 heard.add(value.text(0));
                 reader[0].stop();
             }
 
             @Override
-            public void broken(String reason) {
+            public void decodingFailed(String reason) {
                 heard.add(reason);
             }
         });
         ByteBuf bytes = PooledByteBufAllocator.DEFAULT
                 .directBuffer(64)
                 .writeBytes("+one\r\n+two\r\nnonsense".getBytes(StandardCharsets.US_ASCII));
-        reader[0].take(bytes);
+        reader[0].decode(bytes);
         assertEquals(List.of("one"), heard);
         assertEquals(0, bytes.refCnt());
     }
@@ -145,9 +145,9 @@
     @Example
     void aValueIsToldOnceEvenIfItsHearingFails() {
         List<String> heard = new ArrayList<>();
-        RespDecoder reader = new RespDecoder(MOST_ITEMS, new RespDecoder.User() {
+        RespDecoder reader = new RespDecoder(MOST_ITEMS, new RespListener() {
             @Override
-            public void value(RespDecoder value) {
+            public void valueDecoded(RespDecoder value) {
                 heard.add(value.text(0));
                 if (heard.size() == 1) {
                     throw new IllegalStateException("a slip");
@@ -155,16 +155,16 @@
             }
 
             @Override
-            public void broken(String reason) {
+            public void decodingFailed(String reason) {
                 heard.add(reason);
             }
         });
         byte[] one = "+one\r\n+two\r\n".getBytes(StandardCharsets.US_ASCII);
         assertThrows(
                 IllegalStateException.class,
-                () -> reader.take(
+                () -> reader.decode(
                         PooledByteBufAllocator.DEFAULT.directBuffer(64).writeBytes(one)));
-        reader.take(PooledByteBufAllocator.DEFAULT
+        reader.decode(PooledByteBufAllocator.DEFAULT
                 .directBuffer(64)
                 .writeBytes("+three\r\n".getBytes(StandardCharsets.US_ASCII)));
         assertEquals(List.of("one", "two", "three"), heard);
--- a/gateway/src/test/java/opalcove/resp/RespRepliesTest.java
+++ b/gateway/src/test/java/opalcove/resp/RespRepliesTest.java
@@ -101,9 +101,9 @@
             exchange(stage, RespTestBed.words("HELLO", "3"), "-ERR unknown command\r\n");
             exchange(stage, RespTestBed.words("GET", "a"), "-ERR unknown command\r\n");
             exchange(stage, RespTestBed.words(""), "-ERR unknown command\r\n");
-            stage.onLoop(() -> stage.front.sendAway(true));
+            stage.onLoop(() -> stage.front.setDrainRequested(true));
             exchange(stage, RespTestBed.PING, "-ERR draining\r\n");
-            stage.onLoop(() -> stage.front.sendAway(false));
+            stage.onLoop(() -> stage.front.setDrainRequested(false));
             exchange(stage, RespTestBed.PING, "+PONG\r\n");
         }
     }
--- a/gateway/src/test/java/opalcove/resp/ShedClientsTest.java
+++ b/gateway/src/test/java/opalcove/resp/ShedClientsTest.java
@@ -63,14 +63,14 @@
     public void pingSaysNoAndAConnectionAtRestIsClosedThenUndrainSaysYes() throws Exception {
         try (Socket kept = connect()) {
             assertEquals(say(kept, PING, 7), "+PONG\r\n");
-            vertx.runOnContext(told -> front.sendAway(true));
+            vertx.runOnContext(told -> front.setDrainRequested(true));
             try (Socket other = connect()) {
                 untilSays(other, "-ERR draining\r\n", "+PONG\r\n", "the drain never took");
             }
             // The kept connection owes nothing, so the gateway closes it: the terminal reads its end.
             assertEquals(kept.getInputStream().read(), -1);
         }
-        vertx.runOnContext(told -> front.sendAway(false));
+        vertx.runOnContext(told -> front.setDrainRequested(false));
         try (Socket again = connect()) {
             untilSays(again, "+PONG\r\n", "-ERR draining\r\n", "the undrain never took");
         }
--- a/gateway/src/test/java/opalcove/resp/StreamedValueTest.java
+++ b/gateway/src/test/java/opalcove/resp/StreamedValueTest.java
@@ -94,14 +94,16 @@
                 assertTrue(attempt.began(value));
                 assertTrue(value.reads);
                 // Nothing leaves within this turn: as at a terminal that does not read.
-                value.sink.part(Unpooled.wrappedBuffer(new byte[RespConnector.PORTION]));
+                value.sink.part(Unpooled.wrappedBuffer(new byte[RespBackendConnection.READ_LIMIT_BYTES]));
                 assertTrue(value.reads);
-                value.sink.part(Unpooled.wrappedBuffer(new byte[2 * RespConnector.PORTION]));
+                value.sink.part(Unpooled.wrappedBuffer(new byte[2 * RespBackendConnection.READ_LIMIT_BYTES]));
                 assertFalse(value.reads, "no more is read while that much waits to leave");
             });
             InputStream in = client.getInputStream();
             assertEquals(text(in, HEAD.length()), HEAD);
-            assertEquals(in.readNBytes(3 * RespConnector.PORTION).length, 3 * RespConnector.PORTION);
+            assertEquals(
+                    in.readNBytes(3 * RespBackendConnection.READ_LIMIT_BYTES).length,
+                    3 * RespBackendConnection.READ_LIMIT_BYTES);
             value.readOn.get(10, TimeUnit.SECONDS);
         }
     }
@@ -243,7 +245,7 @@
     public void aValueTooLongToBeGatheredFailsAloneWhereRequestsAreBehindIt() throws Exception {
         try (RespTestBed stage = new RespTestBed()) {
             Pipelined requests = Pipelined.on(stage, 4000);
-            requests.first().say("*3\r\n$" + (ByteAccumulator.MOST + 1) + "\r\n" + "v".repeat(100_000));
+            requests.first().say("*3\r\n$" + (BufferBudget.MAX_BYTES + 1) + "\r\n" + "v".repeat(100_000));
             requests.second().serve("second");
             assertTrue(RespTestBed.answer(requests.client()).startsWith("-ERR"));
             assertEquals(RespTestBed.answer(requests.client()), "second");
--- a/gateway/src/test/java/opalcove/resp/WarmUpTest.java
+++ b/gateway/src/test/java/opalcove/resp/WarmUpTest.java
@@ -20,14 +20,14 @@
     @Test
     public void allItsAsksAreAnsweredAndItLeavesNothing() throws Exception {
         long before = folders();
-        assertEquals(WarmUp.play(Vertx::vertx, TestSettings.settings(), TimeBudget.ofMs(60_000)), WarmUp.ASKS);
+        assertEquals(WarmUp.run(Vertx::vertx, TestSettings.settings(), TimeBudget.ofMs(60_000)), WarmUp.REQUESTS);
         assertEquals(folders(), before);
     }
 
     @Test
     public void aBudgetThatIsOverPlaysNothing() {
         assertEquals(
-                WarmUp.play(
+                WarmUp.run(
                         () -> {
                             throw new AssertionError("no event loop is made for no play");
                         },
@@ -45,7 +45,7 @@
         Vertx vertx = Vertx.vertx(new VertxOptions().setEventLoopPoolSize(1));
         try {
             assertEquals(
-                    WarmUp.play(
+                    WarmUp.run(
                             () -> {
                                 // The loop that the play is to run on is held up till after its end: no ask can be
                                 // answered.
@@ -72,16 +72,16 @@
     @Test
     public void whereNoSocketCanBeMadeThereIsNoPlay() throws Exception {
         Path tooLong = Path.of(System.getProperty("java.io.tmpdir"), "x".repeat(200));
-        assertFalse(WarmUp.reached(tooLong));
+        assertFalse(WarmUp.canConnectAt(tooLong));
         Path fit = Files.createTempDirectory("reached").resolve("at");
-        assertTrue(WarmUp.reached(fit));
+        assertTrue(WarmUp.canConnectAt(fit));
         assertFalse(Files.exists(fit));
         Files.delete(fit.getParent());
     }
 
     private static long folders() throws Exception {
         try (Stream<Path> all = Files.list(Path.of(System.getProperty("java.io.tmpdir")))) {
-            return all.filter(each -> each.getFileName().toString().startsWith("rehearsal"))
+            return all.filter(each -> each.getFileName().toString().startsWith(WarmUp.FOLDER_PREFIX))
                     .count();
         }
     }
--- a/gateway/src/test/java/opalcove/server/DescriptorBudgetTest.java
+++ b/gateway/src/test/java/opalcove/server/DescriptorBudgetTest.java
@@ -35,7 +35,7 @@
     @Test
     public void aFrontHoldsNoMoreThanTheShareOfClients() {
         for (int clients = DescriptorBudget.LEAST_SHARE; clients <= MOST; clients++) {
-            int held = RespServer.mostDescriptors(RespServer.maxClientsWithin(clients));
+            int held = RespServer.maxDescriptors(RespServer.maxConnectionsWithin(clients));
             assertTrue(held <= clients, held + " of " + clients);
         }
     }
