--- a/gateway/src/main/java/opalcove/resp/ClientConnection.java
+++ b/gateway/src/main/java/opalcove/resp/ClientConnection.java
@@ -182,8 +182,8 @@
         int behind = pipeline.removeFirst();
         if (behind > 0) {
             server.dispatcher()
-                    .checks()
-                    .broken(Invariant.CLOSED_UNANSWERED, "-", behind + " requests behind a value that was cut off");
+                    .invariants()
+                    .violated(Invariant.CLOSED_UNANSWERED, "-", behind + " requests behind a value that was cut off");
         }
         beginHalfClose(ConnectionCloseReason.CUT);
         pipeline.cancelAll();
@@ -257,7 +257,7 @@
      * first, may have sent it again elsewhere.
      */
     private void beginHalfClose(ConnectionCloseReason reason) {
-        server.dispatcher().connectionEnded(reason);
+        server.dispatcher().clientConnectionClosed(reason);
         stopReading();
         server.halfOpen().add(this);
         halfOpenSinceNanos = System.nanoTime();
--- a/gateway/src/main/java/opalcove/resp/CommandHandler.java
+++ b/gateway/src/main/java/opalcove/resp/CommandHandler.java
@@ -20,7 +20,7 @@
     CommandHandler(RequestDispatcher dispatcher, DrainState drain) {
         this.dispatcher = dispatcher;
         this.drain = drain;
-        requests = new RequestDecoder(dispatcher::rules);
+        requests = new RequestDecoder(dispatcher::requestValidator);
     }
 
     /** Whether the value has the form of a command: an array of strings that is not empty. */
@@ -48,13 +48,13 @@
             request = requests.decode(command, connection.socket());
         } catch (InvalidRequestException e) {
             if (e.requestClass() != null) {
-                dispatcher.metrics().ended(e.requestClass(), Metrics.End.FAILURE);
+                dispatcher.metrics().requestEnded(e.requestClass(), Metrics.RequestOutcome.FAILURE);
             }
             connection.reject(slot, e.getMessage());
             return;
         }
         slot.setBody(request.body());
-        slot.setRequest(dispatcher.serve(request, slot, connection.input().unreadMs()));
+        slot.setRequest(dispatcher.dispatch(request, slot, connection.input().unreadMs()));
         if (drain.isProcessEnding()) {
             // Its response comes behind those of the requests before it, which may wait longer than this process lasts.
             connection.pipeline().hurryAll();
@@ -75,7 +75,7 @@
             }
             case "CLIENT", "SELECT" -> pipeline.writeLine(slot, "+OK");
             case "INFO" ->
-                pipeline.writeValue(slot, Unpooled.copiedBuffer(dispatcher.figures(), StandardCharsets.US_ASCII));
+                pipeline.writeValue(slot, Unpooled.copiedBuffer(dispatcher.infoLines(), StandardCharsets.US_ASCII));
             default -> pipeline.writeLine(slot, "-ERR unknown command");
         }
     }
--- a/gateway/src/main/java/opalcove/resp/DrainState.java
+++ b/gateway/src/main/java/opalcove/resp/DrainState.java
@@ -26,7 +26,7 @@
 
     /** Whether the process is past taking new connections. */
     boolean isProcessEnding() {
-        return phases.now().ordinal() >= Lifecycle.Phase.DRAINING.ordinal();
+        return phases.current().ordinal() >= Lifecycle.Phase.DRAINING.ordinal();
     }
 
     /** Whether connections are closed once no response is due on them. */
--- a/gateway/src/main/java/opalcove/resp/OpenConnections.java
+++ b/gateway/src/main/java/opalcove/resp/OpenConnections.java
@@ -85,7 +85,7 @@
                 return false;
             }
             if (longestIdle.closeIfIdle(ConnectionCloseReason.FOR_ROOM)) {
-                dispatcher.connectionEndedForDescriptors(false);
+                dispatcher.clientConnectionClosedForDescriptors(false);
                 return true;
             }
             // It stays, because half a command or an unread request was found on it, and must not hide the others.
--- a/gateway/src/main/java/opalcove/resp/PipelineSlot.java
+++ b/gateway/src/main/java/opalcove/resp/PipelineSlot.java
@@ -70,19 +70,19 @@
     }
 
     @Override
-    public void answered(Response response) {
+    public void onResponse(Response response) {
         connection.pipeline().respond(this, response);
     }
 
     @Override
-    public boolean passes(StreamedValue value) {
+    public boolean acceptsStreamedValue(StreamedValue value) {
         if (connection.isClosing()) {
             return false;
         }
         stream = new ResponseStream(this, value);
-        value.to(stream);
+        value.deliverTo(stream);
         // Before its turn a value waits at its backend.
-        value.reads(connection.pipeline().isFirst(this));
+        value.setReading(connection.pipeline().isFirst(this));
         stream.advance();
         return true;
     }
@@ -104,7 +104,7 @@
     }
 
     @Override
-    public void settled() {
+    public void onReleased() {
         if (body != null) {
             body.release();
             body = null;
--- a/gateway/src/main/java/opalcove/resp/RequestDecoder.java
+++ b/gateway/src/main/java/opalcove/resp/RequestDecoder.java
@@ -77,10 +77,10 @@
                 request.requestClass(),
                 request.plan(),
                 request.units(),
-                request.waitMs(),
-                request.key(),
+                request.timeoutMs(),
+                request.idempotencyKey(),
                 request.retry(),
-                request.gateways(),
+                request.gatewayCount(),
                 request.firstGateway(),
                 body);
     }
@@ -96,8 +96,8 @@
         if (isSubmit == (effect == Idempotency.SAFE) || isKeyed && isKeyMissing) {
             return null;
         }
-        return validator.check(new Request(
-                RequestParameters.hex(command.text(ID), "the id"),
+        return validator.validate(new Request(
+                RequestParameters.hexId(command.text(ID), "the id"),
                 command.text(CUSTOMER),
                 parameters.requestClass(),
                 parameters.plan(),
@@ -113,7 +113,7 @@
     /** Decodes a request of any form, to report what is wrong with it. */
     private Request decodeUnusual(RespDecoder command, boolean isSubmit) throws InvalidRequestException {
         RequestParameters values = new RequestParameters(splitParameters(command.text(PARAMETERS)));
-        String className = values.need("c");
+        String className = values.required("c");
         try {
             DecisionSettings.RequestClass requestClass = validator.requestClass(className);
             if (isSubmit == (requestClass.effect() == Idempotency.SAFE)) {
@@ -121,17 +121,17 @@
                         (isSubmit ? SUBMIT : QUERY) + " does not serve " + requestClass.name());
             }
             boolean isKeyed = requestClass.effect() == Idempotency.KEYED;
-            return validator.check(new Request(
-                    RequestParameters.hex(command.text(ID), "the id"),
+            return validator.validate(new Request(
+                    RequestParameters.hexId(command.text(ID), "the id"),
                     command.text(CUSTOMER),
                     requestClass.name(),
-                    values.need("t"),
+                    values.required("t"),
                     values.number("units"),
                     values.number("d"),
-                    isKeyed ? values.need("k") : null,
-                    values.set("r"),
-                    values.whole("spread"),
-                    values.whole("first"),
+                    isKeyed ? values.required("k") : null,
+                    values.isSet("r"),
+                    values.integer("spread"),
+                    values.integer("first"),
                     null));
         } catch (InvalidRequestException e) {
             // The metrics count the failure in the class that the request names, known or not.
--- a/gateway/src/main/java/opalcove/resp/RequestEncoder.java
+++ b/gateway/src/main/java/opalcove/resp/RequestEncoder.java
@@ -47,12 +47,14 @@
                 + request.plan().length()
                 + TIMEOUT.length()
                 + RespWriter.digitCount(timeoutMs)
-                + (request.key() == null ? 0 : KEY.length() + request.key().length())
+                + (request.idempotencyKey() == null
+                        ? 0
+                        : KEY.length() + request.idempotencyKey().length())
                 + (request.retry() ? RETRY.length() : 0)
                 + UNITS.length()
                 + (units == null ? RespWriter.digitCount((long) request.units()) : units.length())
                 + SPREAD.length()
-                + RespWriter.digitCount(request.gateways())
+                + RespWriter.digitCount(request.gatewayCount())
                 + FIRST.length()
                 + RespWriter.digitCount(request.firstGateway());
     }
@@ -61,8 +63,8 @@
         writeParameter(out, CLASS, request.requestClass());
         writeParameter(out, PLAN, request.plan());
         writeParameter(out, TIMEOUT, timeoutMs);
-        if (request.key() != null) {
-            writeParameter(out, KEY, request.key());
+        if (request.idempotencyKey() != null) {
+            writeParameter(out, KEY, request.idempotencyKey());
         }
         if (request.retry()) {
             ByteBufUtil.writeAscii(out, RETRY);
@@ -72,7 +74,7 @@
         } else {
             writeParameter(out, UNITS, units);
         }
-        writeParameter(out, SPREAD, request.gateways());
+        writeParameter(out, SPREAD, request.gatewayCount());
         writeParameter(out, FIRST, request.firstGateway());
     }
 
--- a/gateway/src/main/java/opalcove/resp/RespBackendConnection.java
+++ b/gateway/src/main/java/opalcove/resp/RespBackendConnection.java
@@ -32,7 +32,7 @@
     private final BackendReplyDecoder replyDecoder;
     private final ReadBufferAllocator readBuffers = new ReadBufferAllocator();
     private final RespDecoder decoder = new RespDecoder(BackendReplyDecoder.PARTS, this);
-    private User user;
+    private Listener listener;
     private long stallTimer = NO_TIMER;
     /** Takes the streamed value that is arriving; null for none. */
     private Sink sink;
@@ -51,8 +51,8 @@
     }
 
     @Override
-    public void attach(User attached) {
-        user = attached;
+    public void setListener(Listener newListener) {
+        listener = newListener;
         netSocket.exceptionHandler(e -> netSocket.close());
         netSocket.closeHandler(closed -> {
             decoder.stop();
@@ -60,9 +60,9 @@
             // An attempt that still waited for the end of this turn was not sent, whoever closed the connection.
             socket.discardUnflushed();
             if (sink != null && !isStreamComplete) {
-                sink.cut();
+                sink.onTruncated();
             }
-            user.gone();
+            listener.onClosed();
         });
     }
 
@@ -74,12 +74,12 @@
 
     @Override
     public boolean mayFlush() {
-        return user.mayLeave();
+        return listener.maySend();
     }
 
     @Override
     public void writeFailed() {
-        user.unwritten();
+        listener.onWriteFailed();
     }
 
     @Override
@@ -89,7 +89,7 @@
         if (result == null) {
             decodingFailed("a reply of unknown form");
         } else {
-            user.replied(result);
+            listener.onReply(result);
         }
     }
 
@@ -123,7 +123,7 @@
         streamLength = length;
         isStreamComplete = false;
         readBuffers.limit(READ_LIMIT_BYTES);
-        return user.began(this);
+        return listener.acceptsStreamedValue(this);
     }
 
     @Override
@@ -132,37 +132,37 @@
     }
 
     @Override
-    public void to(Sink streamSink) {
+    public void deliverTo(Sink streamSink) {
         sink = streamSink;
     }
 
     @Override
     public void streamPart(ByteBuf bytes) {
-        sink.part(bytes);
+        sink.onPart(bytes);
     }
 
     @Override
     public void streamEnded() {
         isStreamComplete = true;
         readBuffers.removeLimit();
-        sink.whole();
+        sink.onComplete();
         // What follows the value is read whatever its client does.
-        setReading(true);
+        applyReading(true);
     }
 
     @Override
-    public boolean whole() {
+    public boolean isComplete() {
         return isStreamComplete;
     }
 
     @Override
-    public void reads(boolean reads) {
+    public void setReading(boolean reads) {
         if (!isStreamComplete) {
-            setReading(reads);
+            applyReading(reads);
         }
     }
 
-    private void setReading(boolean reads) {
+    private void applyReading(boolean reads) {
         if (isPaused == reads) {
             isPaused = !reads;
             socket.setAutoRead(reads);
@@ -179,7 +179,7 @@
     }
 
     @Override
-    public boolean isThere() {
+    public boolean isAlive() {
         socket.readNow();
         return socket.isOpen();
     }
--- a/gateway/src/main/java/opalcove/resp/RespConnector.java
+++ b/gateway/src/main/java/opalcove/resp/RespConnector.java
@@ -36,7 +36,7 @@
     }
 
     @Override
-    public Future<ConnectionPool.BackendConnection> dial(String address) {
+    public Future<ConnectionPool.BackendConnection> connect(String address) {
         return client.connect(addressResolver.apply(address))
                 .map(socket -> new RespBackendConnection(vertx, socket, replyDecoder));
     }
--- a/gateway/src/main/java/opalcove/resp/RespServer.java
+++ b/gateway/src/main/java/opalcove/resp/RespServer.java
@@ -125,7 +125,7 @@
     private void connectionAccepted(NetSocket socket) {
         if (open.isFull() && !open.closeLongestIdle()) {
             Logger.debug("closing a new client connection: {} are open and in use", open.size());
-            dispatcher.connectionEndedForDescriptors(true);
+            dispatcher.clientConnectionClosedForDescriptors(true);
             socket.close();
             return;
         }
--- a/gateway/src/main/java/opalcove/resp/ResponsePipeline.java
+++ b/gateway/src/main/java/opalcove/resp/ResponsePipeline.java
@@ -48,7 +48,7 @@
         if (response instanceof Response.Served served) {
             writeValue(slot, served.value());
         } else if (response instanceof Response.Refused refused) {
-            writeLine(slot, refused.comeBackMs() > 0 ? "-BUSY " + refused.comeBackMs() : "-BUSY");
+            writeLine(slot, refused.retryAfterMs() > 0 ? "-BUSY " + refused.retryAfterMs() : "-BUSY");
         } else {
             writeLine(slot, "-ERR " + ((Response.Failed) response).reason());
         }
@@ -129,7 +129,7 @@
     void hurryAll() {
         slots.forEach(slot -> {
             if (slot.request() != null) {
-                slot.request().hurry();
+                slot.request().expedite();
             }
         });
     }
@@ -145,7 +145,7 @@
         for (PipelineSlot slot = slots.poll(); slot != null; slot = slots.poll()) {
             slot.discard();
             if (slot.request() != null) {
-                slot.request().leave();
+                slot.request().clientLeft();
             }
         }
     }
--- a/gateway/src/main/java/opalcove/resp/ResponseStream.java
+++ b/gateway/src/main/java/opalcove/resp/ResponseStream.java
@@ -45,7 +45,7 @@
     }
 
     @Override
-    public void part(ByteBuf bytes) {
+    public void onPart(ByteBuf bytes) {
         if (connection.isClosing() || isAbandoned) {
             bytes.release();
         } else {
@@ -55,7 +55,7 @@
     }
 
     @Override
-    public void whole() {
+    public void onComplete() {
         if (!connection.isClosing() && !isAbandoned) {
             advance();
         }
@@ -76,7 +76,7 @@
     }
 
     private boolean mayBegin() {
-        if (value.whole()) {
+        if (value.isComplete()) {
             return true;
         }
         if (!pending.isEmpty() && !isBufferedWhole && !connection.isOnlyCommandRead(slot)) {
@@ -87,7 +87,7 @@
             isBufferedWhole = true;
             reservedBytes = value.length();
         }
-        value.reads(true);
+        value.setReading(true);
         boolean begins = !pending.isEmpty() && !isBufferedWhole;
         if (!begins) {
             setTimeout();
@@ -103,7 +103,7 @@
         hasTimeout = true;
         long timeoutMs = (long) Math.max(0, slot.request().remainingMs()) + GRACE_MS;
         connection.server().vertx().setTimer(timeoutMs, due -> {
-            if (!isWriting && !isAbandoned && !value.whole() && !slot.isComplete() && !connection.isClosing()) {
+            if (!isWriting && !isAbandoned && !value.isComplete() && !slot.isComplete() && !connection.isClosing()) {
                 abandon("it is incomplete after its deadline");
             }
         });
@@ -111,7 +111,7 @@
 
     private void begin() {
         isWriting = true;
-        if (!value.whole()) {
+        if (!value.isComplete()) {
             connection.input().suspend();
         }
         connection.socket().setMaxPendingBytes(2 * RespBackendConnection.READ_LIMIT_BYTES);
@@ -120,7 +120,7 @@
 
     private void writePending() {
         RawSocket socket = connection.socket();
-        while (!pending.isEmpty() && (!value.whole() || socket.isWritable())) {
+        while (!pending.isEmpty() && (!value.isComplete() || socket.isWritable())) {
             ByteBuf part = pending.poll();
             releaseBudget(part.readableBytes());
             socket.write(part);
@@ -129,10 +129,10 @@
         if (slot.isComplete()) {
             return;
         }
-        if (pending.isEmpty() && value.whole()) {
+        if (pending.isEmpty() && value.isComplete()) {
             connection.pipeline().streamEnded(slot);
         } else {
-            value.reads(socket.isWritable());
+            value.setReading(socket.isWritable());
         }
     }
 
@@ -144,7 +144,7 @@
         discard();
         connection.pipeline().writeLine(slot, "-ERR failed");
         if (request != null) {
-            request.giveUpValue();
+            request.abortStreamedValue();
         }
     }
 
@@ -162,12 +162,12 @@
     }
 
     @Override
-    public void cut() {
+    public void onTruncated() {
         slot.forgetRequest();
         if (connection.isClosing() || isAbandoned) {
             return;
         }
-        if (isWriting && !value.whole()) {
+        if (isWriting && !value.isComplete()) {
             Logger.warn("a streamed value was cut off by its backend while it was written");
             connection.endInIncompleteValue();
         } else {
--- a/gateway/src/main/java/opalcove/server/GatewayServer.java
+++ b/gateway/src/main/java/opalcove/server/GatewayServer.java
@@ -46,7 +46,7 @@
         openConsole(config, door);
         ReplicatedConfig agreed = agree(config);
         door.agreed = agreed;
-        MembershipService membership = join(config, agreed == null ? List.of() : agreed.known());
+        MembershipService membership = join(config, agreed == null ? List.of() : agreed.knownMembers());
         door.membership = membership;
         times.reached(StartPhase.DOOR_OPEN);
         Logger.info(
@@ -117,7 +117,7 @@
 
     /** Tells the other gateways when the program begins to leave. */
     private static void leaveWith(Application program, Parts parts) {
-        program.phases().watch(phase -> {
+        program.phases().onChange(phase -> {
             if (phase != Lifecycle.Phase.LEAVING) {
                 return;
             }
@@ -147,8 +147,8 @@
             return first;
         }
         MembershipService membership = parts.membership();
-        return first.eventually(
-                () -> versions.follow(vertx, parts.agreed(), membership == null ? List::of : membership::fleet));
+        return first.eventually(() ->
+                versions.follow(vertx, parts.agreed(), membership == null ? List::of : membership::presentMembers));
     }
 
     /** Joins the other gateways where the settings have it; a member that cannot listen ends the start with 1. */
@@ -177,7 +177,7 @@
                 .findFirst()
                 .orElseThrow(() -> new InvalidConfigurationException(
                         "field agreement: this program has no part for it, opalcove.jar has"))
-                .make(
+                .create(
                         Application.eventLoop(),
                         config.name(),
                         config.agreement(),
@@ -197,8 +197,8 @@
         /** Acts on what is agreed from now on; done once that is known, or after so long that clients are taken without. */
         Future<Void> follow(Vertx vertx, ReplicatedConfig agreed, Supplier<List<Member>> fleet) {
             gateway.beforeEachRequest(() -> {
-                ReplicatedConfig.EffectiveConfig lapsed = agreed.lapsed();
-                if (lapsed != null && acting != null && !acting.strict()) {
+                ReplicatedConfig.EffectiveConfig lapsed = agreed.effectiveIfExpired();
+                if (lapsed != null && acting != null && !acting.isStrict()) {
                     act(lapsed);
                 }
             });
@@ -221,7 +221,7 @@
         private void act(ReplicatedConfig.EffectiveConfig next) {
             boolean colder = next.coldSinceMs() > 0 && (acting == null || acting.coldSinceMs() != next.coldSinceMs());
             acting = next;
-            gateway.retune(next.settings());
+            gateway.applySettings(next.settings());
             if (next.backends() != null) {
                 gateway.endpointsChanged(true, cold(next.backends()));
             } else if (colder) {
@@ -249,12 +249,12 @@
 
         @Override
         public void heard() {
-            gateway.listHeard();
+            gateway.endpointSourceContacted();
         }
 
         @Override
         public void untold(boolean refused) {
-            gateway.listUntold(refused);
+            gateway.endpointUpdateFailed(refused);
         }
 
         boolean hold() {
@@ -285,7 +285,7 @@
                     Logger.info(
                             "new settings are in force: {} classes",
                             config.settings().classes().size());
-                    gateway.retune(config.settings());
+                    gateway.applySettings(config.settings());
                     discovery.retune(config.settings());
                 }
                 discovery.moveTo(config.discovery());
@@ -314,7 +314,7 @@
             vertx = loop;
             gateway = wired;
             front = wiredFront;
-            phases.watch(next -> phase = next);
+            phases.onChange(next -> phase = next);
             if (away) {
                 vertx.runOnContext(told -> front.setDrainRequested(true));
             }
@@ -323,21 +323,21 @@
         @Override
         public String notReady() {
             if (phase != Lifecycle.Phase.SERVING) {
-                return phase.word();
+                return phase.operatorName();
             }
             return away ? "clients are sent away" : null;
         }
 
         @Override
         public synchronized String figures() {
-            return (gateway == null ? "" : gateway.metrics().lines())
-                    + (membership == null ? "" : membership.lines())
-                    + (agreed == null ? "" : agreed.lines());
+            return (gateway == null ? "" : gateway.metrics().statsdLines())
+                    + (membership == null ? "" : membership.figures())
+                    + (agreed == null ? "" : agreed.figures());
         }
 
         @Override
         public String members() {
-            return membership == null ? null : membership.members();
+            return membership == null ? null : membership.memberList();
         }
 
         @Override
