--- a/cli/src/main/java/opalcove/cli/RecoveryCommand.java
+++ b/cli/src/main/java/opalcove/cli/RecoveryCommand.java
@@ -10,6 +10,8 @@
 import java.util.concurrent.Callable;
 import opalcove.config.InvalidConfigurationException;
 import opalcove.recovery.Recovery;
+import opalcove.recovery.RecoveryConfig;
+import opalcove.recovery.RecoveryPlan;
 import opalcove.recovery.Snapshot;
 import opalcove.replication.SnapshotFile;
 import picocli.CommandLine;
@@ -87,27 +89,27 @@
             }
             Map<String, Long> fleet = new HashMap<>();
             members.forEach((name, seconds) -> fleet.put(name, started - Math.round(seconds * 1000)));
-            Recovery.Plan plan = new Recovery(started, snapshot, whyNone, Recovery.Figures.of(meterPeriodMs))
+            RecoveryPlan plan = new Recovery(started, snapshot, whyNone, RecoveryConfig.of(meterPeriodMs))
                     .plan(started + Math.round(afterS * 1000), agreed, fleet);
             if (json) {
                 System.out.println(Json.object()
                         .add("phase", plan.phase().name())
-                        .add("ready", plan.ready())
-                        .add("quotas_held", plan.quotasHeld())
-                        .add("nodes_cold", plan.nodesCold())
-                        .add("from_snapshot", plan.fromSnapshot())
+                        .add("ready", plan.isReady())
+                        .add("quotas_held", plan.areQuotasHeld())
+                        .add("nodes_cold", plan.areBackendsCold())
+                        .add("from_snapshot", plan.usesSnapshot())
                         .add("trusted", list(plan.trusted()))
                         .add("refused", list(plan.refused()))
-                        .add("asked", list(plan.asked())));
+                        .add("asked", list(plan.pending())));
                 return 0;
             }
             System.out.println(plan.phase()
-                    + (plan.ready() ? ": clients are taken" : ": no clients yet")
-                    + (plan.quotasHeld() ? ", bursts are held" : "")
-                    + (plan.nodesCold() ? ", all nodes are cold" : ""));
+                    + (plan.isReady() ? ": clients are taken" : ": no clients yet")
+                    + (plan.areQuotasHeld() ? ", bursts are held" : "")
+                    + (plan.areBackendsCold() ? ", all nodes are cold" : ""));
             plan.trusted().forEach(each -> System.out.println("trusted  " + each));
             plan.refused().forEach(each -> System.out.println("refused  " + each));
-            plan.asked().forEach(each -> System.out.println("asked    " + each));
+            plan.pending().forEach(each -> System.out.println("asked    " + each));
             return 0;
         }
 
--- a/recovery/src/main/java/opalcove/recovery/Recovery.java
+++ b/recovery/src/main/java/opalcove/recovery/Recovery.java
@@ -6,159 +6,166 @@
 import java.util.Map;
 
 /**
- * What a gateway that has started does with what it knew before, by what the others say now: what to trust, what to ask, and
- * when to take clients. It makes no I/O and has no clock: it is told the time, Unix ms. Not for several threads.
+ * The recovery of a gateway after its start: what of its snapshot to trust, given what the voters and the other
+ * gateways report, and when to accept clients. It does no I/O and reads no clock: the host passes the time in, in Unix
+ * ms that never go back. Not thread-safe; owned by one thread of its host.
  */
 public final class Recovery {
-    /** Where a gateway is on its way back. */
-    public enum Phase {
-        WAITING,
-        ALONE,
-        RESTORING,
-        FULL
-    }
-
     /**
-     * settleMs: how long to wait for the voters' word; joinMs: how long for members known from before; windowMs: members that
-     * started within it lost their power together; holdMs: how long bursts are held.
+     * The phases of the recovery. The constants' names are also the phases' names in events and in the output of
+     * commands.
      */
-    public record Figures(long settleMs, long joinMs, long windowMs, long holdMs) {
-        /** The usual figures, with a hold of two of the meter's periods. */
-        public static Figures of(long meterPeriodMs) {
-            return new Figures(10_000, 1500, 30_000, Math.max(1000, 2 * meterPeriodMs));
+    public enum Phase {
+        /** Waits for the voters and the members known from before; clients are not accepted yet. */
+        WAITING(0),
+        /** No voter responded in time: the gateway acts on its snapshot, strictly. */
+        ALONE(1),
+        /** The fleet lost power: bursts are held down for a while. */
+        RESTORING(2),
+        /** Back to normal. */
+        FULL(3);
+
+        private final int code;
+
+        Phase(int code) {
+            this.code = code;
+        }
+
+        /** The phase's number in the figure {@code recovery.phase}. */
+        public int code() {
+            return code;
         }
     }
 
-    /**
-     * What to do now. ready: clients may be taken; quotasHeld: bursts are cut to this gateway's part; nodesCold: every node counts
-     * as started at the gateway's start; fromSnapshot: the snapshot's version is acted on, strictly. The rest says why, a line each.
-     */
-    public record Plan(
-            Phase phase,
-            boolean ready,
-            boolean quotasHeld,
-            boolean nodesCold,
-            boolean fromSnapshot,
-            List<String> trusted,
-            List<String> refused,
-            List<String> asked) {}
-
-    private final long startedMs;
+    private final long startedAtMs;
     private final Snapshot snapshot;
-    private final String whyNone;
-    private final Figures figures;
+    private final String whyNoSnapshot;
+    private final RecoveryConfig config;
     private Phase phase = Phase.WAITING;
-    private boolean fleetLost;
-    private long readyAt;
+    private boolean hasFleetLostPower;
+    private long readyAtMs;
 
-    /** Starts at that time, with the snapshot found; null where there is none that can be used, whyNone says why. */
-    public Recovery(long startedMs, Snapshot snapshot, String whyNone, Figures figures) {
-        this.startedMs = startedMs;
+    /**
+     * A recovery that starts at that time.
+     *
+     * @param snapshot the snapshot found; null if there is none that can be used
+     * @param whyNoSnapshot why there is none; else empty
+     */
+    public Recovery(long startedAtMs, Snapshot snapshot, String whyNoSnapshot, RecoveryConfig config) {
+        this.startedAtMs = startedAtMs;
         this.snapshot = snapshot;
-        this.whyNone = whyNone;
-        this.figures = figures;
+        this.whyNoSnapshot = whyNoSnapshot;
+        this.config = config;
     }
 
-    /** The phase of the recovery. */
+    /** The current phase. */
     public Phase phase() {
         return phase;
     }
 
     /**
-     * What to do now. agreed: the version in force as the voters say, below 0 while they have not said; fleet: the other gateways
-     * that are there, name and incarnation.
+     * Moves on to the phase that is due, and says what to do in it.
+     *
+     * @param agreedVersion the version in force as the voters reported it; below 0 while none has responded
+     * @param incarnations the incarnations of the other gateways that are present, by name
      */
-    public Plan plan(long nowMs, long agreed, Map<String, Long> fleet) {
-        long waited = nowMs - startedMs;
-        if (phase == Phase.WAITING && agreed >= 0 && (joined(fleet) || waited >= figures.joinMs())) {
-            fleetLost = fleetLost(fleet);
-            enter(fleetLost ? Phase.RESTORING : Phase.FULL, nowMs);
-        } else if (phase == Phase.WAITING && waited >= figures.settleMs()) {
-            fleetLost = true;
+    public RecoveryPlan plan(long nowMs, long agreedVersion, Map<String, Long> incarnations) {
+        long elapsedMs = nowMs - startedAtMs;
+        if (phase == Phase.WAITING
+                && agreedVersion >= 0
+                && (haveMembersJoined(incarnations) || elapsedMs >= config.membersTimeoutMs())) {
+            hasFleetLostPower = hasFleetLostPower(incarnations);
+            enter(hasFleetLostPower ? Phase.RESTORING : Phase.FULL, nowMs);
+        } else if (phase == Phase.WAITING && elapsedMs >= config.votersTimeoutMs()) {
+            hasFleetLostPower = true;
             enter(Phase.ALONE, nowMs);
-        } else if (phase == Phase.ALONE && agreed >= 0) {
+        } else if (phase == Phase.ALONE && agreedVersion >= 0) {
             phase = Phase.RESTORING;
         }
-        if (phase == Phase.RESTORING && nowMs >= readyAt + figures.holdMs()) {
+        if (phase == Phase.RESTORING && nowMs >= readyAtMs + config.quotaHoldMs()) {
             phase = Phase.FULL;
         }
-        return told(nowMs, agreed, fleet);
+        return describe(nowMs, agreedVersion, incarnations.size());
     }
 
-    /** When the plan may change by time alone. */
-    public long due() {
+    /** When the plan may change by time alone, in ms. */
+    public long nextChangeMs() {
         return switch (phase) {
-            case WAITING -> startedMs + figures.joinMs();
-            case RESTORING -> readyAt + figures.holdMs();
+            case WAITING -> startedAtMs + config.membersTimeoutMs();
+            case RESTORING -> readyAtMs + config.quotaHoldMs();
             case ALONE, FULL -> Long.MAX_VALUE;
         };
     }
 
     private void enter(Phase next, long nowMs) {
         phase = next;
-        readyAt = nowMs;
+        readyAtMs = nowMs;
     }
 
-    /** Whether enough of those known from before are there to tell how they came back. */
-    private boolean joined(Map<String, Long> fleet) {
+    /** Whether enough of the members known from before are present to tell whether the fleet lost power. */
+    private boolean haveMembersJoined(Map<String, Long> incarnations) {
         if (snapshot == null) {
-            return fleet.values().stream().anyMatch(this::older);
+            return incarnations.values().stream().anyMatch(this::isOlderThanOutage);
         }
-        long there = snapshot.members().stream()
-                .filter(each -> fleet.containsKey(each.name()))
+        long present = snapshot.members().stream()
+                .filter(each -> incarnations.containsKey(each.name()))
                 .count();
-        return 2 * there >= snapshot.members().size();
+        return 2 * present >= snapshot.members().size();
     }
 
-    /** A member that runs since before: it has not lost its power with this gateway. */
-    private boolean older(long incarnation) {
-        return incarnation < startedMs - figures.windowMs();
+    /** Whether a process of that incarnation was running before: it did not lose power together with this gateway. */
+    private boolean isOlderThanOutage(long incarnation) {
+        return incarnation < startedAtMs - config.outageWindowMs();
     }
 
-    private boolean fleetLost(Map<String, Long> fleet) {
-        Map<String, Long> known = new HashMap<>(fleet);
+    private boolean hasFleetLostPower(Map<String, Long> incarnations) {
+        Map<String, Long> known = new HashMap<>(incarnations);
         if (snapshot != null) {
             snapshot.members().forEach(each -> known.putIfAbsent(each.name(), Long.MAX_VALUE));
         }
-        long stayed = known.values().stream().filter(this::older).count();
-        return 2 * stayed <= known.size();
+        long keptRunning =
+                known.values().stream().filter(this::isOlderThanOutage).count();
+        return 2 * keptRunning <= known.size();
     }
 
-    private Plan told(long nowMs, long agreed, Map<String, Long> fleet) {
+    private RecoveryPlan describe(long nowMs, long agreedVersion, int presentMembers) {
         List<String> trusted = new ArrayList<>();
         List<String> refused = new ArrayList<>();
-        List<String> asked = new ArrayList<>();
-        if (snapshot == null) {
-            refused.add("the snapshot: " + whyNone);
-        } else {
-            long age = Math.max(0, nowMs - snapshot.writtenMs());
-            trusted.add("the snapshot's " + snapshot.members().size() + " members, as whom to call");
-            if (agreed == snapshot.version()) {
-                trusted.add("the snapshot's version " + agreed + ", which the voters confirm");
-            } else if (agreed >= 0) {
-                refused.add("the snapshot's version " + snapshot.version() + " of " + age + " ms ago: version " + agreed
-                        + " is in force");
-            }
-        }
-        if (agreed < 0) {
-            asked.add("the voters: which version is in force");
+        judgeSnapshot(nowMs, agreedVersion, trusted, refused);
+        List<String> pending = new ArrayList<>();
+        if (agreedVersion < 0) {
+            pending.add("the voters: which version is in force");
         }
         if (phase == Phase.WAITING) {
-            asked.add("the members: since when they run (" + fleet.size() + " are there)");
+            pending.add("the members: since when they run (" + presentMembers + " are there)");
         }
-        boolean back = phase == Phase.RESTORING || phase == Phase.ALONE;
-        boolean alone = phase == Phase.ALONE && snapshot != null && snapshot.version() > 0;
-        if (alone) {
+        boolean usesSnapshot = phase == Phase.ALONE && snapshot != null && snapshot.version() > 0;
+        if (usesSnapshot) {
             trusted.add("the snapshot's version " + snapshot.version() + ", strictly: no voter answers");
         }
-        return new Plan(
+        return new RecoveryPlan(
                 phase,
                 phase != Phase.WAITING,
-                back,
-                fleetLost && phase != Phase.WAITING,
-                alone,
+                phase == Phase.RESTORING || phase == Phase.ALONE,
+                hasFleetLostPower && phase != Phase.WAITING,
+                usesSnapshot,
                 trusted,
                 refused,
-                asked);
+                pending);
+    }
+
+    private void judgeSnapshot(long nowMs, long agreedVersion, List<String> trusted, List<String> refused) {
+        if (snapshot == null) {
+            refused.add("the snapshot: " + whyNoSnapshot);
+            return;
+        }
+        long ageMs = Math.max(0, nowMs - snapshot.writtenAtMs());
+        trusted.add("the snapshot's " + snapshot.members().size() + " members, as whom to call");
+        if (agreedVersion == snapshot.version()) {
+            trusted.add("the snapshot's version " + agreedVersion + ", which the voters confirm");
+        } else if (agreedVersion >= 0) {
+            refused.add("the snapshot's version " + snapshot.version() + " of " + ageMs + " ms ago: version "
+                    + agreedVersion + " is in force");
+        }
     }
 }
--- a/recovery/src/test/java/opalcove/recovery/RecoveryTest.java
+++ b/recovery/src/test/java/opalcove/recovery/RecoveryTest.java
@@ -12,7 +12,7 @@
 /** The way back after a start, against the test's own clock. */
 public class RecoveryTest {
     private static final long START = 1_000_000;
-    private static final Recovery.Figures FIGURES = Recovery.Figures.of(2000);
+    private static final RecoveryConfig FIGURES = RecoveryConfig.of(2000);
     private static final Snapshot BEFORE = new Snapshot(
             "g1",
             START - 5000,
@@ -25,27 +25,27 @@
     @Test
     public void afterAPowerLossBurstsAreHeldAndAllNodesAreCold() {
         Recovery recovery = new Recovery(START, BEFORE, "", FIGURES);
-        Recovery.Plan waiting = recovery.plan(START + 100, -1, Map.of());
-        assertFalse(waiting.ready());
-        assertEquals(waiting.asked().size(), 2);
-        assertFalse(recovery.plan(START + 500, 4, Map.of()).ready(), "members are waited for");
-        Recovery.Plan plan = recovery.plan(START + 600, 4, Map.of("g2", START + 200));
+        RecoveryPlan waiting = recovery.plan(START + 100, -1, Map.of());
+        assertFalse(waiting.isReady());
+        assertEquals(waiting.pending().size(), 2);
+        assertFalse(recovery.plan(START + 500, 4, Map.of()).isReady(), "members are waited for");
+        RecoveryPlan plan = recovery.plan(START + 600, 4, Map.of("g2", START + 200));
         assertEquals(plan.phase(), Phase.RESTORING);
-        assertTrue(plan.ready() && plan.quotasHeld() && plan.nodesCold());
+        assertTrue(plan.isReady() && plan.areQuotasHeld() && plan.areBackendsCold());
         assertTrue(plan.trusted().contains("the snapshot's version 4, which the voters confirm"), plan.toString());
-        assertEquals(recovery.due(), START + 600 + 4000);
-        Recovery.Plan full = recovery.plan(START + 4600, 4, Map.of("g2", START + 200));
+        assertEquals(recovery.nextChangeMs(), START + 600 + 4000);
+        RecoveryPlan full = recovery.plan(START + 4600, 4, Map.of("g2", START + 200));
         assertEquals(full.phase(), Phase.FULL);
-        assertFalse(full.quotasHeld());
-        assertTrue(full.nodesCold(), "their ramp goes on from the start");
+        assertFalse(full.areQuotasHeld());
+        assertTrue(full.areBackendsCold(), "their ramp goes on from the start");
     }
 
     @Test
     public void aRestartAloneHoldsNothing() {
         Recovery recovery = new Recovery(START, BEFORE, "", FIGURES);
-        Recovery.Plan plan = recovery.plan(START + 300, 5, Map.of("g2", 2L, "g3", 3L));
+        RecoveryPlan plan = recovery.plan(START + 300, 5, Map.of("g2", 2L, "g3", 3L));
         assertEquals(plan.phase(), Phase.FULL);
-        assertFalse(plan.quotasHeld() || plan.nodesCold());
+        assertFalse(plan.areQuotasHeld() || plan.areBackendsCold());
         assertEquals(plan.refused(), List.of("the snapshot's version 4 of 5300 ms ago: version 5 is in force"));
     }
 
@@ -61,7 +61,7 @@
     public void withoutASnapshotOnlyOneThatRunsForLongShowsThatTheFleetDoes() {
         Recovery recovery = new Recovery(START, null, "there is none", FIGURES);
         assertEquals(recovery.plan(START + 400, 4, Map.of("g2", START - 100)).phase(), Phase.WAITING);
-        Recovery.Plan plan = recovery.plan(START + 1500, 4, Map.of("g2", START - 100));
+        RecoveryPlan plan = recovery.plan(START + 1500, 4, Map.of("g2", START - 100));
         assertEquals(plan.phase(), Phase.RESTORING);
         assertEquals(plan.refused(), List.of("the snapshot: there is none"));
         assertEquals(
@@ -74,13 +74,13 @@
     @Test
     public void withoutTheVotersTheSnapshotIsActedOnAndTheirWordEndsIt() {
         Recovery recovery = new Recovery(START, BEFORE, "", FIGURES);
-        assertFalse(recovery.plan(START + 9999, -1, Map.of("g2", 2L, "g3", 3L)).ready());
-        Recovery.Plan alone = recovery.plan(START + 10_000, -1, Map.of());
+        assertFalse(recovery.plan(START + 9999, -1, Map.of("g2", 2L, "g3", 3L)).isReady());
+        RecoveryPlan alone = recovery.plan(START + 10_000, -1, Map.of());
         assertEquals(alone.phase(), Phase.ALONE);
-        assertTrue(alone.fromSnapshot() && alone.quotasHeld() && alone.nodesCold());
-        Recovery.Plan back = recovery.plan(START + 11_000, 6, Map.of());
+        assertTrue(alone.usesSnapshot() && alone.areQuotasHeld() && alone.areBackendsCold());
+        RecoveryPlan back = recovery.plan(START + 11_000, 6, Map.of());
         assertEquals(back.phase(), Phase.RESTORING);
-        assertFalse(back.fromSnapshot());
+        assertFalse(back.usesSnapshot());
         assertEquals(recovery.plan(START + 14_000, 6, Map.of()).phase(), Phase.FULL);
     }
 }
--- a/replication/src/main/java/opalcove/replication/ReplicatedConfigService.java
+++ b/replication/src/main/java/opalcove/replication/ReplicatedConfigService.java
@@ -28,6 +28,8 @@
 import opalcove.decision.DecisionSettings;
 import opalcove.membership.Member;
 import opalcove.recovery.Recovery;
+import opalcove.recovery.RecoveryConfig;
+import opalcove.recovery.RecoveryPlan;
 import opalcove.recovery.Snapshot;
 import org.tinylog.Logger;
 
@@ -69,7 +71,7 @@
     /** The way back after a start; null where nothing is kept. */
     private final Recovery recovery;
 
-    private Recovery.Plan plan;
+    private RecoveryPlan plan;
     private ConfigDocument held;
     private ConfigDocument before;
     private long timer = -1;
@@ -108,7 +110,7 @@
         snapshot = found;
         recovery = settings.snapshotFile() == null
                 ? null
-                : new Recovery(startedMs, found, whyNone, Recovery.Figures.of((long) ownSettings.meterPeriodMs()));
+                : new Recovery(startedMs, found, whyNone, RecoveryConfig.of((long) ownSettings.meterPeriodMs()));
         socket = own.createDatagramSocket(
                 new DatagramSocketOptions().setReceiveBufferSize(BUFFER).setSendBufferSize(BUFFER));
     }
@@ -175,7 +177,7 @@
         fleet.get().stream()
                 .filter(each -> !each.name().equals(name))
                 .forEach(each -> there.put(each.name(), each.incarnation()));
-        Recovery.Plan before = plan;
+        RecoveryPlan before = plan;
         plan = recovery.plan(
                 (long) clock.now(),
                 desk.lease().hasResponse() ? desk.lease().state().version() : -1,
@@ -188,15 +190,15 @@
                 plan.phase(),
                 plan.trusted(),
                 plan.refused(),
-                plan.asked());
+                plan.pending());
         JsonArray refused = new JsonArray();
         plan.refused().forEach(refused::add);
         event(Json.object()
                 .add("event", "recovery")
                 .add("phase", plan.phase().name())
                 .add("refused", refused)
-                .add("cold", plan.nodesCold()));
-        if (plan.ready()) {
+                .add("cold", plan.areBackendsCold()));
+        if (plan.isReady()) {
             act();
             heard.tryComplete();
         }
@@ -204,7 +206,7 @@
 
     /** Writes what is known now, off this loop. */
     private Future<Void> snapshot(boolean clean) {
-        if (recovery == null || plan == null || !plan.ready()) {
+        if (recovery == null || plan == null || !plan.isReady()) {
             // Until then the old snapshot knows more than this process.
             return Future.succeededFuture();
         }
@@ -240,15 +242,15 @@
     /** Has the gateway act on what holds now. */
     private void act() {
         LeaseState standing = desk.lease().state();
-        long coldSince = plan != null && plan.nodesCold() ? startedMs : 0;
+        long coldSince = plan != null && plan.areBackendsCold() ? startedMs : 0;
         ConfigDocument base = held != null ? held : new ConfigDocument(own, null);
         boolean isStrict = standing.version() > 0 && standing.mode() != LeaseState.Mode.FULL;
-        if (standing.version() == 0 && plan != null && plan.fromSnapshot()) {
+        if (standing.version() == 0 && plan != null && plan.usesSnapshot()) {
             base = ConfigDocument.read(snapshot.text()).at(own);
             isStrict = true;
         }
         ConfigDocument least = base.strict(before == null ? base : before);
-        boolean holds = plan != null && plan.quotasHeld();
+        boolean holds = plan != null && plan.areQuotasHeld();
         // A version that it did not hear of may have drained any node: at first a lapsed lease sends nothing to any.
         strict = acting(standing.version(), (holds ? least.held() : least).closed(), true, coldSince);
         EffectiveConfig next = !isStrict
@@ -352,9 +354,9 @@
         figure(text, "unreadable", unreadable, 'c');
         if (plan != null) {
             text.append("recovery.phase:")
-                    .append(plan.phase().ordinal())
+                    .append(plan.phase().code())
                     .append("|g\nrecovery.snapshot_age_ms:")
-                    .append(snapshot == null ? -1 : Math.max(0, startedMs - snapshot.writtenMs()))
+                    .append(snapshot == null ? -1 : Math.max(0, startedMs - snapshot.writtenAtMs()))
                     .append("|g\nrecovery.trusted:")
                     .append(plan.trusted().size())
                     .append("|g\nrecovery.refused:")
--- a/replication/src/main/java/opalcove/replication/SnapshotFile.java
+++ b/replication/src/main/java/opalcove/replication/SnapshotFile.java
@@ -28,9 +28,9 @@
         JsonObject object = Json.object()
                 .add("snapshot", FORM)
                 .add("gateway", snapshot.gateway())
-                .add("written_ms", snapshot.writtenMs())
+                .add("written_ms", snapshot.writtenAtMs())
                 .add("incarnation", snapshot.incarnation())
-                .add("clean", snapshot.clean())
+                .add("clean", snapshot.isClean())
                 .add("version", snapshot.version())
                 .add("text", snapshot.text())
                 .add("members", members);
--- a/replication/src/test/java/opalcove/replication/WrittenFormTest.java
+++ b/replication/src/test/java/opalcove/replication/WrittenFormTest.java
@@ -237,7 +237,7 @@
         SnapshotFile.write(again, snapshot);
         assertEquals(Files.readAllBytes(again), resource("recovery.snapshot"));
         Files.delete(file);
-        assertFalse(SnapshotFile.read(file, "g1").clean(), "the content before is used");
+        assertFalse(SnapshotFile.read(file, "g1").isClean(), "the content before is used");
     }
 
     @Test
