--- a/cli/src/main/java/opalcove/cli/RecoveryCommand.java
+++ b/cli/src/main/java/opalcove/cli/RecoveryCommand.java
@@ -96,7 +96,7 @@
                         .add("phase", plan.phase().name())
                         .add("ready", plan.isReady())
                         .add("quotas_held", plan.areQuotasHeld())
-                        .add("nodes_cold", plan.areBackendsCold())
+                        .add("nodes_cold", plan.areBackendsWarmingUp())
                         .add("from_snapshot", plan.usesSnapshot())
                         .add("trusted", list(plan.trusted()))
                         .add("refused", list(plan.refused()))
@@ -106,7 +106,7 @@
             System.out.println(plan.phase()
                     + (plan.isReady() ? ": clients are taken" : ": no clients yet")
                     + (plan.areQuotasHeld() ? ", bursts are held" : "")
-                    + (plan.areBackendsCold() ? ", all nodes are cold" : ""));
+                    + (plan.areBackendsWarmingUp() ? ", all nodes are cold" : ""));
             plan.trusted().forEach(each -> System.out.println("trusted  " + each));
             plan.refused().forEach(each -> System.out.println("refused  " + each));
             plan.pending().forEach(each -> System.out.println("asked    " + each));
--- a/cli/src/main/java/opalcove/cli/StateCommand.java
+++ b/cli/src/main/java/opalcove/cli/StateCommand.java
@@ -74,7 +74,7 @@
 
         @Override
         public Integer call() throws IOException {
-            VersionLog.Version version = voters.client().show();
+            VersionLog.Version version = voters.client().current();
             System.err.println(version.number() == 0 ? "no version yet" : "version " + version.number());
             System.out.println(version.text());
             return 0;
@@ -101,9 +101,9 @@
                     list.add(Json.object()
                             .add("number", each.number())
                             .add("by", each.author())
-                            .add("id", each.id()));
+                            .add("id", each.proposalId()));
                 } else {
-                    System.out.println(each.number() + " " + each.author() + " " + each.id());
+                    System.out.println(each.number() + " " + each.author() + " " + each.proposalId());
                 }
             }
             if (json) {
@@ -142,7 +142,7 @@
                 throw new InvalidConfigurationException(file + ": " + e.getMessage());
             }
             ReplicationClient client = voters.client();
-            VersionLog.Version version = client.show();
+            VersionLog.Version version = client.current();
             List<String> changes = changes(version.text(), text);
             changes.forEach(System.out::println);
             System.out.println(changes.size() + " changes to version " + version.number());
--- a/configlease/src/main/java/opalcove/configlease/VersionLog.java
+++ b/configlease/src/main/java/opalcove/configlease/VersionLog.java
@@ -14,22 +14,22 @@
     /**
      * A proposed change. Stored and sent between voters in serialized form.
      *
-     * @param id the proposal's own id, by which a repetition is recognized
+     * @param proposalId its own id, by which a repetition is recognized
      * @param baseVersion the version that it changes
      * @param author who proposes it
      * @param text the complete new document
      */
-    public record Proposal(String id, long baseVersion, String author, String text) implements Serializable {}
+    public record Proposal(String proposalId, long baseVersion, String author, String text) implements Serializable {}
 
     /**
      * One version. Stored and sent between voters in serialized form.
      *
      * @param number its number, from 1
-     * @param id the id of its proposal
+     * @param proposalId the id of its proposal
      * @param author who proposed it
      * @param text its document; empty for all but the newest
      */
-    public record Version(long number, String id, String author, String text) implements Serializable {}
+    public record Version(long number, String proposalId, String author, String text) implements Serializable {}
 
     /**
      * The outcome of a proposal.
@@ -64,7 +64,7 @@
      */
     public Outcome decide(Proposal proposal) {
         for (Version each : versions) {
-            if (each.id().equals(proposal.id())) {
+            if (each.proposalId().equals(proposal.proposalId())) {
                 return new Outcome(true, each.number(), "");
             }
         }
@@ -79,9 +79,9 @@
         }
         if (newest != null) {
             versions.removeLast();
-            versions.addLast(new Version(number, newest.id(), newest.author(), ""));
+            versions.addLast(new Version(number, newest.proposalId(), newest.author(), ""));
         }
-        versions.addLast(new Version(number + 1, proposal.id(), proposal.author(), proposal.text()));
+        versions.addLast(new Version(number + 1, proposal.proposalId(), proposal.author(), proposal.text()));
         if (versions.size() > MAX_HISTORY) {
             versions.removeFirst();
         }
--- a/laboratory/src/main/java/opalcove/laboratory/AgreementModel.java
+++ b/laboratory/src/main/java/opalcove/laboratory/AgreementModel.java
@@ -1,7 +1,5 @@
 package opalcove.laboratory;
 
-import com.eclipsesource.json.Json;
-import com.eclipsesource.json.JsonObject;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.LinkedHashMap;
@@ -12,6 +10,7 @@
 import java.util.TreeMap;
 import opalcove.config.InvalidConfigurationException;
 import opalcove.configlease.LeaseState;
+import opalcove.configlease.VersionLog;
 import opalcove.replication.ConfigReplica;
 import opalcove.replication.ReplicationMessage;
 
@@ -21,41 +20,41 @@
  * Seeded; the same seed and calls give the same history.
  */
 public final class AgreementModel extends VirtualNet {
-    /** What a proposal came to: taken or not, the version told and why; null fields until an answer came. */
+    /** A proposal, and its outcome as soon as a voter has responded. */
     public static final class Proposed {
-        private JsonObject answer;
+        private VersionLog.Outcome outcome;
 
-        /** Whether an answer has come. */
-        public boolean answered() {
-            return answer != null;
+        /** Whether a voter has responded. */
+        public boolean isDecided() {
+            return outcome != null;
         }
 
         /** Whether the proposal was accepted. */
         public boolean accepted() {
-            return answer != null && answer.getBoolean("taken", false);
+            return outcome != null && outcome.accepted();
         }
 
-        /** The version that the answer names. */
+        /** The version that the response names. */
         public long version() {
-            return answer.getLong("v", 0);
+            return outcome.version();
         }
 
         /** Why the proposal was refused; empty if it was accepted. */
         public String reason() {
-            return answer.getString("reason", "");
+            return outcome.reason();
         }
     }
 
     private final class Node extends Process implements ConfigReplica.Host {
         private final String name;
         private final long skew;
-        private final ConfigReplica desk;
+        private final ConfigReplica replica;
         private long tickAt = Long.MAX_VALUE;
 
         Node(String name, boolean votes, long skew) {
             this.name = name;
             this.skew = skew;
-            desk = new ConfigReplica(
+            replica = new ConfigReplica(
                     new ConfigReplica.Setup(
                             name, name, voters, votes, null, leaseMs, new Random(random.nextLong()), text -> {
                                 if (text.isEmpty()) {
@@ -66,22 +65,22 @@
         }
 
         @Override
-        public long now() {
+        public long nowMs() {
             return AgreementModel.this.now() + skew;
         }
 
         @Override
-        public void send(String address, ReplicationMessage packet) {
-            carry(name, address, packet);
+        public void send(String address, ReplicationMessage message) {
+            carry(name, address, message);
         }
 
         @Override
-        public void later(long ms, Runnable task) {
-            at(AgreementModel.this.now() + ms, () -> whenAwake(task));
+        public void schedule(long delayMs, Runnable task) {
+            at(AgreementModel.this.now() + delayMs, () -> whenAwake(task));
         }
 
         @Override
-        public void stands(LeaseState before, LeaseState after, String text) {
+        public void leaseChanged(LeaseState before, LeaseState after, String text) {
             long at = AgreementModel.this.now();
             long ended = before.mode() == LeaseState.Mode.FULL ? before.expiresAtMs() - skew : at;
             acted.stands(name, after.version(), after.mode() == LeaseState.Mode.FULL, at, ended);
@@ -90,13 +89,13 @@
 
         @Override
         void arm() {
-            long due = Math.max(AgreementModel.this.now(), desk.lease().nextTickMs() - skew);
+            long due = Math.max(AgreementModel.this.now(), replica.lease().nextTickMs() - skew);
             if (due < tickAt) {
                 tickAt = due;
                 at(due, () -> {
                     if (tickAt == due) {
                         tickAt = Long.MAX_VALUE;
-                        whenAwake(desk::tick);
+                        whenAwake(replica::tick);
                     }
                 });
             }
@@ -121,25 +120,25 @@
         for (int i = 1; i <= gateways; i++) {
             Node node = new Node("g" + i, i <= voting, skewMs == 0 ? 0 : random.nextLong(-skewMs, skewMs + 1));
             nodes.put(node.name, node);
-            node.desk.start();
+            node.replica.start();
             node.arm();
         }
     }
 
-    private void carry(String from, String to, ReplicationMessage packet) {
+    private void carry(String from, String to, ReplicationMessage message) {
         messages++;
-        byte[] bytes = packet.bytes();
+        byte[] bytes = message.bytes();
         carry(from, to, () -> arrive(to, ReplicationMessage.read(bytes)));
     }
 
-    private void arrive(String to, ReplicationMessage packet) {
+    private void arrive(String to, ReplicationMessage message) {
         Proposed proposed = proposals.get(to);
-        if (proposed != null && packet.kind() == ReplicationMessage.Kind.DECIDED) {
-            proposed.answer = packet.body();
+        if (proposed != null && message.kind() == ReplicationMessage.Kind.PROPOSAL_RESPONSE) {
+            proposed.outcome = message.outcome();
         }
         Node node = nodes.get(to);
         if (node != null) {
-            node.whenAwake(() -> node.desk.received(packet));
+            node.whenAwake(() -> node.replica.receive(message));
         }
     }
 
@@ -153,7 +152,7 @@
     }
 
     private void call(String client, String through, long base, String text, int tries) {
-        if (proposals.get(client).answered() || tries > 100) {
+        if (proposals.get(client).isDecided() || tries > 100) {
             return;
         }
         List<String> all = List.copyOf(voters.keySet());
@@ -164,13 +163,9 @@
                 new ReplicationMessage(
                         client,
                         client,
-                        ReplicationMessage.Kind.PROPOSE,
+                        ReplicationMessage.Kind.PROPOSAL,
                         tries,
-                        Json.object()
-                                .add("id", client)
-                                .add("base", base)
-                                .add("by", client)
-                                .add("t", ReplicationMessage.packed(text))));
+                        ReplicationMessage.proposalBody(new VersionLog.Proposal(client, base, client, text))));
         at(now() + 300, () -> call(client, through, base, text, tries + 1));
     }
 
@@ -198,7 +193,7 @@
     /** The voter that leads, as those that run have it; null where none does. */
     public String leader() {
         return nodes.values().stream()
-                .filter(each -> each.isAwake() && each.desk.leads())
+                .filter(each -> each.isAwake() && each.replica.isLeader())
                 .map(each -> each.name)
                 .findFirst()
                 .orElse(null);
@@ -209,7 +204,7 @@
         Map<String, LeaseState> standings = new TreeMap<>();
         nodes.values().stream()
                 .filter(Node::isUp)
-                .forEach(each -> standings.put(each.name, each.desk.lease().state()));
+                .forEach(each -> standings.put(each.name, each.replica.lease().state()));
         return standings;
     }
 
--- a/laboratory/src/main/java/opalcove/laboratory/AgreementTrial.java
+++ b/laboratory/src/main/java/opalcove/laboratory/AgreementTrial.java
@@ -190,7 +190,7 @@
             rig.start(name);
         }
         // A round of the voters ends when they all have come up: the answer tells that there is no version.
-        rig.operator("g1").show();
+        rig.operator("g1").current();
         return rig;
     }
 
@@ -331,7 +331,7 @@
         @Override
         public List<Boolean> outcomes() {
             List<Boolean> outcomes = new ArrayList<>();
-            proposals.forEach(each -> outcomes.add(each.answered() ? each.accepted() : null));
+            proposals.forEach(each -> outcomes.add(each.isDecided() ? each.accepted() : null));
             return outcomes;
         }
 
--- a/laboratory/src/test/java/opalcove/laboratory/AgreementModelTest.java
+++ b/laboratory/src/test/java/opalcove/laboratory/AgreementModelTest.java
@@ -99,7 +99,7 @@
         AgreementModel.Proposed a = model.propose("g1", 1, "mine");
         AgreementModel.Proposed b = model.propose("g2", 1, "yours");
         model.run(3000);
-        assertTrue(a.answered() && b.answered());
+        assertTrue(a.isDecided() && b.isDecided());
         assertTrue(a.accepted() ^ b.accepted(), "one is taken");
         AgreementModel.Proposed lost = a.accepted() ? b : a;
         assertTrue(lost.reason().contains("version 2 by client-"), lost.reason());
--- a/laboratory/src/test/java/opalcove/laboratory/AgreementRigTest.java
+++ b/laboratory/src/test/java/opalcove/laboratory/AgreementRigTest.java
@@ -92,7 +92,7 @@
             VersionLog.Outcome broken = rig.operator("g1").propose(2, "ops", "{\"settings\":{}}");
             assertFalse(broken.accepted());
             assertTrue(broken.reason().contains("field "), broken.reason());
-            assertEquals(rig.operator("g1").show().number(), 2);
+            assertEquals(rig.operator("g1").current().number(), 2);
             assertEquals(
                     rig.operator("g1").history().stream()
                             .map(VersionLog.Version::number)
--- a/recovery/src/main/java/opalcove/recovery/Recovery.java
+++ b/recovery/src/main/java/opalcove/recovery/Recovery.java
@@ -123,9 +123,9 @@
         if (snapshot != null) {
             snapshot.members().forEach(each -> known.putIfAbsent(each.name(), Long.MAX_VALUE));
         }
-        long keptRunning =
+        long stillRunning =
                 known.values().stream().filter(this::isOlderThanOutage).count();
-        return 2 * keptRunning <= known.size();
+        return 2 * stillRunning <= known.size();
     }
 
     private RecoveryPlan describe(long nowMs, long agreedVersion, int presentMembers) {
--- a/recovery/src/main/java/opalcove/recovery/RecoveryPlan.java
+++ b/recovery/src/main/java/opalcove/recovery/RecoveryPlan.java
@@ -8,7 +8,7 @@
  * @param phase the phase of the recovery
  * @param isReady whether clients may be accepted
  * @param areQuotasHeld whether each burst is cut to this gateway's share
- * @param areBackendsCold whether every backend counts as started at the gateway's start
+ * @param areBackendsWarmingUp whether every backend counts as started at the gateway's start
  * @param usesSnapshot whether the snapshot's version is acted on, strictly
  * @param trusted what is trusted and why, a line each
  * @param refused what is not trusted and why, a line each
@@ -18,7 +18,7 @@
         Recovery.Phase phase,
         boolean isReady,
         boolean areQuotasHeld,
-        boolean areBackendsCold,
+        boolean areBackendsWarmingUp,
         boolean usesSnapshot,
         List<String> trusted,
         List<String> refused,
--- a/recovery/src/test/java/opalcove/recovery/RecoveryTest.java
+++ b/recovery/src/test/java/opalcove/recovery/RecoveryTest.java
@@ -31,13 +31,13 @@
         assertFalse(recovery.plan(START + 500, 4, Map.of()).isReady(), "members are waited for");
         RecoveryPlan plan = recovery.plan(START + 600, 4, Map.of("g2", START + 200));
         assertEquals(plan.phase(), Phase.RESTORING);
-        assertTrue(plan.isReady() && plan.areQuotasHeld() && plan.areBackendsCold());
+        assertTrue(plan.isReady() && plan.areQuotasHeld() && plan.areBackendsWarmingUp());
         assertTrue(plan.trusted().contains("the snapshot's version 4, which the voters confirm"), plan.toString());
         assertEquals(recovery.nextChangeMs(), START + 600 + 4000);
         RecoveryPlan full = recovery.plan(START + 4600, 4, Map.of("g2", START + 200));
         assertEquals(full.phase(), Phase.FULL);
         assertFalse(full.areQuotasHeld());
-        assertTrue(full.areBackendsCold(), "their ramp goes on from the start");
+        assertTrue(full.areBackendsWarmingUp(), "their ramp goes on from the start");
     }
 
     @Test
@@ -45,7 +45,7 @@
         Recovery recovery = new Recovery(START, BEFORE, "", FIGURES);
         RecoveryPlan plan = recovery.plan(START + 300, 5, Map.of("g2", 2L, "g3", 3L));
         assertEquals(plan.phase(), Phase.FULL);
-        assertFalse(plan.areQuotasHeld() || plan.areBackendsCold());
+        assertFalse(plan.areQuotasHeld() || plan.areBackendsWarmingUp());
         assertEquals(plan.refused(), List.of("the snapshot's version 4 of 5300 ms ago: version 5 is in force"));
     }
 
@@ -77,7 +77,7 @@
         assertFalse(recovery.plan(START + 9999, -1, Map.of("g2", 2L, "g3", 3L)).isReady());
         RecoveryPlan alone = recovery.plan(START + 10_000, -1, Map.of());
         assertEquals(alone.phase(), Phase.ALONE);
-        assertTrue(alone.usesSnapshot() && alone.areQuotasHeld() && alone.areBackendsCold());
+        assertTrue(alone.usesSnapshot() && alone.areQuotasHeld() && alone.areBackendsWarmingUp());
         RecoveryPlan back = recovery.plan(START + 11_000, 6, Map.of());
         assertEquals(back.phase(), Phase.RESTORING);
         assertFalse(back.usesSnapshot());
--- a/replication/src/main/java/opalcove/replication/AtomicFile.java
+++ b/replication/src/main/java/opalcove/replication/AtomicFile.java
@@ -10,17 +10,19 @@
 import org.tinylog.Logger;
 
 /**
- * Bytes kept in a file, whole or not at all: written beside it, synced and moved into its place. A head tells the form's
- * version, the length and a CRC32C of what follows. The content before is kept under another name, for who may use an
- * older one.
+ * Replaces a file's content as a whole or not at all: the new content is written beside the file, synced and moved into
+ * its place. A header holds the version of the format, the length and a CRC32C of the content. The previous content is
+ * kept under another name, for readers that may use an older one.
  *
- * <p>A write that has failed in any step has not been done: its caller must not count on it. What was written by then is
- * deleted and not synced once more, for after a failed sync the system may take what it could not write for written.
+ * <p>A write that fails in any step has not been done; its caller must not rely on it. What was written so far is
+ * deleted and not synced again: after a failed sync the system may take for written what it could not write.
  */
 final class AtomicFile {
-    private static final byte[] MARK = {'o', 'p', 'l', 'v'};
-    private static final int FORM = 1;
-    private static final int HEAD = MARK.length + 3 * Integer.BYTES;
+    private static final byte[] MAGIC = {'o', 'p', 'l', 'v'};
+    private static final int FORMAT_VERSION = 1;
+    private static final int HEADER_BYTES = MAGIC.length + 3 * Integer.BYTES;
+    private static final String NEW_SUFFIX = ".part";
+    private static final String PREVIOUS_SUFFIX = ".before";
 
     private AtomicFile() {}
 
@@ -28,116 +30,119 @@
         write(FileOperations.REAL, file, content);
     }
 
-    static void write(FileOperations disk, Path file, byte[] content) throws IOException {
-        ByteBuffer bytes = ByteBuffer.allocate(HEAD + content.length)
-                .put(MARK)
-                .putInt(FORM)
+    static void write(FileOperations operations, Path file, byte[] content) throws IOException {
+        ByteBuffer bytes = ByteBuffer.allocate(HEADER_BYTES + content.length)
+                .put(MAGIC)
+                .putInt(FORMAT_VERSION)
                 .putInt(content.length)
-                .putInt(sum(content))
+                .putInt(checksum(content))
                 .put(content)
                 .flip();
-        Path part = beside(file, ".part");
-        disk.delete(part);
+        Path newFile = withSuffix(file, NEW_SUFFIX);
+        operations.delete(newFile);
         try {
-            disk.write(part, bytes);
-            disk.sync(part);
+            operations.write(newFile, bytes);
+            operations.sync(newFile);
         } catch (IOException e) {
-            deleteAfter(e, disk, part);
+            deleteAfter(e, operations, newFile);
             throw e;
         }
-        keepBefore(disk, file);
-        disk.rename(part, file);
-        disk.sync(file.toAbsolutePath().getParent());
+        keepPrevious(operations, file);
+        operations.rename(newFile, file);
+        operations.sync(file.toAbsolutePath().getParent());
     }
 
-    /** Keeps the content before under its own name, where it is whole. */
-    private static void keepBefore(FileOperations disk, Path file) throws IOException {
-        if (Files.exists(file) && isWhole(file)) {
-            Path before = beside(file, ".before");
-            disk.delete(before);
-            disk.link(before, file);
+    /** Keeps the previous content under its own name, if it is intact. */
+    private static void keepPrevious(FileOperations operations, Path file) throws IOException {
+        if (Files.exists(file) && isIntact(file)) {
+            Path previous = withSuffix(file, PREVIOUS_SUFFIX);
+            operations.delete(previous);
+            operations.link(previous, file);
         }
     }
 
-    private static void deleteAfter(IOException failure, FileOperations disk, Path part) {
+    private static void deleteAfter(IOException failure, FileOperations operations, Path newFile) {
         try {
-            disk.delete(part);
+            operations.delete(newFile);
         } catch (IOException e) {
             failure.addSuppressed(e);
         }
     }
 
-    private static boolean isWhole(Path file) throws IOException {
+    private static boolean isIntact(Path file) throws IOException {
         try {
-            readOne(file);
+            read(file);
             return true;
         } catch (InvalidConfigurationException torn) {
             return false;
         }
     }
 
-    private static Path beside(Path file, String ending) {
-        return file.resolveSibling(file.getFileName() + ending);
+    private static Path withSuffix(Path file, String suffix) {
+        return file.resolveSibling(file.getFileName() + suffix);
     }
 
-    /** Whether there is a content, be it the one before. */
-    static boolean existsOrBefore(Path file) {
-        return Files.exists(file) || Files.exists(beside(file, ".before"));
-    }
-
-    /** The content; a file that is torn, empty, foreign or of another form is refused with the reason. */
-    static byte[] read(Path file) throws IOException {
-        return readOne(file);
+    /** Whether there is a content, even if only the previous one. */
+    static boolean existsOrPrevious(Path file) {
+        return Files.exists(file) || Files.exists(withSuffix(file, PREVIOUS_SUFFIX));
     }
 
     /**
-     * The content, or the one before where the file cannot be read or is not there; that is said. Refused with the reason where
-     * neither can be read. Not for what must not be older than was promised, such as a vote.
+     * The content.
+     *
+     * @throws InvalidConfigurationException with the reason, if the file is torn, empty, foreign or of another format
      */
-    static byte[] readOrBefore(Path file) throws IOException {
-        Path before = beside(file, ".before");
-        if (!Files.exists(file) && Files.exists(before)) {
-            Logger.warn("{} is not there: the content before is used", file);
-            return readOne(before);
-        }
-        try {
-            return readOne(file);
-        } catch (InvalidConfigurationException refused) {
-            if (!Files.exists(before)) {
-                throw refused;
-            }
-            byte[] content = readOne(before);
-            Logger.warn("{}: the content before is used", refused.getMessage());
-            return content;
-        }
-    }
-
-    private static byte[] readOne(Path file) throws IOException {
+    static byte[] read(Path file) throws IOException {
         ByteBuffer bytes = ByteBuffer.wrap(Files.readAllBytes(file));
-        byte[] mark = new byte[MARK.length];
-        bytes.get(mark, 0, Math.min(mark.length, bytes.remaining()));
-        if (bytes.capacity() < HEAD || !Arrays.equals(mark, MARK)) {
+        byte[] magic = new byte[MAGIC.length];
+        bytes.get(magic, 0, Math.min(magic.length, bytes.remaining()));
+        if (bytes.capacity() < HEADER_BYTES || !Arrays.equals(magic, MAGIC)) {
             throw new InvalidConfigurationException(
                     file + ": " + (bytes.capacity() == 0 ? "it is empty" : "it is no state of this program"));
         }
-        int form = bytes.getInt();
-        if (form != FORM) {
-            throw new InvalidConfigurationException(file + ": its form is " + form + ", not " + FORM);
+        int formatVersion = bytes.getInt();
+        if (formatVersion != FORMAT_VERSION) {
+            throw new InvalidConfigurationException(
+                    file + ": its form is " + formatVersion + ", not " + FORMAT_VERSION);
         }
         int length = bytes.getInt();
-        int sum = bytes.getInt();
+        int checksum = bytes.getInt();
         byte[] content = new byte[bytes.remaining()];
         bytes.get(content);
-        if (length != content.length || sum != sum(content)) {
+        if (length != content.length || checksum != checksum(content)) {
             throw new InvalidConfigurationException(file + ": it is torn (" + content.length + " of " + length
                     + " bytes, or their checksum does not hold)");
         }
         return content;
     }
 
-    private static int sum(byte[] content) {
-        CRC32C sum = new CRC32C();
-        sum.update(content);
-        return (int) sum.getValue();
+    /**
+     * The content, or the previous one if the file cannot be read or does not exist, which is logged. Not for what must
+     * not be older than was promised, such as a vote.
+     *
+     * @throws InvalidConfigurationException with the reason, if neither can be read
+     */
+    static byte[] readOrPrevious(Path file) throws IOException {
+        Path previous = withSuffix(file, PREVIOUS_SUFFIX);
+        if (!Files.exists(file) && Files.exists(previous)) {
+            Logger.warn("{} does not exist: using its previous content", file);
+            return read(previous);
+        }
+        try {
+            return read(file);
+        } catch (InvalidConfigurationException refused) {
+            if (!Files.exists(previous)) {
+                throw refused;
+            }
+            byte[] content = read(previous);
+            Logger.warn("{}: using the previous content", refused.getMessage());
+            return content;
+        }
+    }
+
+    private static int checksum(byte[] content) {
+        CRC32C checksum = new CRC32C();
+        checksum.update(content);
+        return (int) checksum.getValue();
     }
 }
--- a/replication/src/main/java/opalcove/replication/ConfigDocument.java
+++ b/replication/src/main/java/opalcove/replication/ConfigDocument.java
@@ -14,11 +14,20 @@
 import opalcove.decision.DecisionSettings;
 import opalcove.decision.EndpointState;
 
-/** A version's text read: {@code settings} as in the configuration file, and {@code nodes}, null where discovery has the list. */
-record ConfigDocument(DecisionSettings settings, List<Backend> nodes) {
+/**
+ * The document of a version, and the parts of it that are in force under restrictions.
+ *
+ * @param settings settings as in the configuration file
+ * @param backends the endpoint list; null if discovery has the list
+ */
+record ConfigDocument(DecisionSettings settings, List<Backend> backends) {
     private static final Set<String> KEYS = Set.of("settings", "nodes");
 
-    /** Reads and checks a text, as a file is at SIGHUP: one that is broken is refused with key and reason. */
+    /**
+     * Reads and validates a document.
+     *
+     * @throws InvalidConfigurationException with key and reason, if it is not valid
+     */
     static ConfigDocument read(String text) {
         JsonFields fields = JsonFields.parse(text);
         for (String name : fields.names()) {
@@ -28,17 +37,17 @@
             }
         }
         Set<String> names = new HashSet<>();
-        List<Backend> nodes = fields.has("nodes") ? EndpointCodec.read(fields.objects("nodes")) : null;
-        for (Backend each : nodes == null ? List.<Backend>of() : nodes) {
+        List<Backend> backends = fields.has("nodes") ? EndpointCodec.read(fields.objects("nodes")) : null;
+        for (Backend each : backends == null ? List.<Backend>of() : backends) {
             if (!names.add(each.name())) {
                 throw new InvalidConfigurationException("field nodes names " + each.name() + " twice");
             }
         }
-        return new ConfigDocument(SettingsReader.checked(fields.object("settings")), nodes);
+        return new ConfigDocument(SettingsReader.checked(fields.object("settings")), backends);
     }
 
-    /** The same for one gateway: which one it is, and where, stays its own. */
-    ConfigDocument at(DecisionSettings own) {
+    /** The same for one gateway: its index and its zone are those of its own settings. */
+    ConfigDocument forGateway(DecisionSettings own) {
         return new ConfigDocument(
                 new DecisionSettings(
                         own.self(),
@@ -54,84 +63,84 @@
                         settings.prices(),
                         settings.reports(),
                         settings.gauges()),
-                nodes);
+                backends);
     }
 
     /**
-     * What cannot contradict, as far as a gateway can know that only knows this version and the one before: one attempt, each
-     * plan's lesser quota, and only nodes that take new work by both.
+     * What cannot conflict with another version, as far as a gateway can know that has only this version and the previous
+     * one: one attempt, the lower limits of each plan, and only backends that take new work in both.
      */
-    ConfigDocument strict(ConfigDocument before) {
-        Map<String, DecisionSettings.Plan> earlier = before.settings.plans().stream()
+    ConfigDocument strict(ConfigDocument previous) {
+        Map<String, DecisionSettings.Plan> previousPlans = previous.settings.plans().stream()
                 .collect(Collectors.toMap(DecisionSettings.Plan::name, plan -> plan, (one, other) -> one));
         List<DecisionSettings.Plan> plans = new ArrayList<>();
         for (DecisionSettings.Plan plan : settings.plans()) {
-            plans.add(lesser(plan, earlier.getOrDefault(plan.name(), plan)));
+            plans.add(stricter(plan, previousPlans.getOrDefault(plan.name(), plan)));
         }
-        DecisionSettings.Limits l = settings.limits();
+        DecisionSettings.Limits current = settings.limits();
         DecisionSettings.Limits limits = new DecisionSettings.Limits(
                 1,
                 false,
-                l.mayCancel(),
-                l.mayProbe(),
-                l.retryAfter(),
-                l.maxRetryAfterMs(),
-                l.idleCloseMs(),
-                l.counter(),
-                l.connectTimeoutMs(),
-                l.maxOpen(),
-                l.maxUnits());
-        Set<String> closed = before.nodes == null
+                current.mayCancel(),
+                current.mayProbe(),
+                current.retryAfter(),
+                current.maxRetryAfterMs(),
+                current.idleCloseMs(),
+                current.counter(),
+                current.connectTimeoutMs(),
+                current.maxOpen(),
+                current.maxUnits());
+        Set<String> drained = previous.backends == null
                 ? Set.of()
-                : before.nodes.stream()
-                        .filter(node -> node.host().state() != EndpointState.UP)
+                : previous.backends.stream()
+                        .filter(backend -> backend.host().state() != EndpointState.UP)
                         .map(Backend::name)
                         .collect(Collectors.toSet());
         return new ConfigDocument(
                 with(plans, limits),
-                nodes == null
+                backends == null
                         ? null
-                        : nodes.stream()
-                                .filter(node -> !closed.contains(node.name()))
+                        : backends.stream()
+                                .filter(backend -> !drained.contains(backend.name()))
                                 .toList());
     }
 
-    private static DecisionSettings.Plan lesser(DecisionSettings.Plan a, DecisionSettings.Plan b) {
+    private static DecisionSettings.Plan stricter(DecisionSettings.Plan plan, DecisionSettings.Plan previous) {
         return new DecisionSettings.Plan(
-                a.name(),
-                least(a.rate(), b.rate()),
-                least(a.burst(), b.burst()),
-                (int) least(a.openCap(), b.openCap()),
-                a.price(),
-                a.beyondWorth(),
-                a.beyondCost(),
-                least(a.ceilingRate(), b.ceilingRate()),
-                least(a.ceilingBurst(), b.ceilingBurst()),
-                a.ceilingSlack());
+                plan.name(),
+                lowerLimit(plan.rate(), previous.rate()),
+                lowerLimit(plan.burst(), previous.burst()),
+                (int) lowerLimit(plan.openCap(), previous.openCap()),
+                plan.price(),
+                plan.beyondWorth(),
+                plan.beyondCost(),
+                lowerLimit(plan.ceilingRate(), previous.ceilingRate()),
+                lowerLimit(plan.ceilingBurst(), previous.ceilingBurst()),
+                plan.ceilingSlack());
     }
 
-    /** The same with no node that takes new work, where the list is agreed on. */
-    ConfigDocument closed() {
-        return nodes == null ? this : new ConfigDocument(settings, List.of());
+    /** The same without any backend, if the document has the endpoint list. */
+    ConfigDocument withoutBackends() {
+        return backends == null ? this : new ConfigDocument(settings, List.of());
     }
 
-    /** The same with each plan's burst cut to one gateway's part of it. */
-    ConfigDocument held() {
+    /** The same with each plan's burst cut to this gateway's share of it. */
+    ConfigDocument withHeldBursts() {
         int gateways = Math.max(1, settings.gateways());
         List<DecisionSettings.Plan> plans = settings.plans().stream()
-                .map(p -> new DecisionSettings.Plan(
-                        p.name(),
-                        p.rate(),
-                        p.burst() / gateways,
-                        p.openCap(),
-                        p.price(),
-                        p.beyondWorth(),
-                        p.beyondCost(),
-                        p.ceilingRate(),
-                        p.ceilingBurst() / gateways,
-                        p.ceilingSlack()))
+                .map(plan -> new DecisionSettings.Plan(
+                        plan.name(),
+                        plan.rate(),
+                        plan.burst() / gateways,
+                        plan.openCap(),
+                        plan.price(),
+                        plan.beyondWorth(),
+                        plan.beyondCost(),
+                        plan.ceilingRate(),
+                        plan.ceilingBurst() / gateways,
+                        plan.ceilingSlack()))
                 .toList();
-        return new ConfigDocument(with(plans, settings.limits()), nodes);
+        return new ConfigDocument(with(plans, settings.limits()), backends);
     }
 
     private DecisionSettings with(List<DecisionSettings.Plan> plans, DecisionSettings.Limits limits) {
@@ -151,8 +160,8 @@
                 settings.gauges());
     }
 
-    /** 0 is no limit. */
-    private static double least(double a, double b) {
-        return a <= 0 || b <= 0 ? Math.max(a, b) : Math.min(a, b);
+    /** The lower of two limits, of which 0 is none. */
+    private static double lowerLimit(double one, double other) {
+        return one <= 0 || other <= 0 ? Math.max(one, other) : Math.min(one, other);
     }
 }
--- a/replication/src/main/java/opalcove/replication/ConfigReplica.java
+++ b/replication/src/main/java/opalcove/replication/ConfigReplica.java
@@ -1,163 +1,182 @@
 package opalcove.replication;
 
-import com.eclipsesource.json.Json;
-import com.eclipsesource.json.JsonArray;
 import com.eclipsesource.json.JsonObject;
-import io.microraft.executor.RaftNodeExecutor;
-import java.time.Clock;
-import java.time.Instant;
-import java.time.ZoneId;
-import java.time.ZoneOffset;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
 import java.util.Random;
-import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
 import opalcove.config.InvalidConfigurationException;
 import opalcove.configlease.ConfigLease;
 import opalcove.configlease.LeaseConfig;
 import opalcove.configlease.LeaseState;
 import opalcove.configlease.VersionLog;
+import opalcove.replication.ReplicationMessage.Kind;
 
 /**
- * One gateway's part in agreed versions, without sockets and timers of its own: its {@link ConfigLease} and, where it votes, its
- * {@link RaftVoter}, and what the packets between gateways do to them. The program's host runs it on datagrams, the laboratory's
- * in virtual time. All on one thread.
+ * One gateway's replica of the configuration, without sockets and timers of its own: its {@link ConfigLease} and, if it
+ * is a voter, its {@link RaftVoter}, and how the messages between gateways drive them. The program runs it on
+ * datagrams, the simulation in virtual time. Not thread-safe; owned by one thread of its host.
  */
 public final class ConfigReplica {
-    /** What a desk has its host do. */
+    /** The effects of a replica, on the thread that calls it. */
     public interface Host {
-        /** Milliseconds that only go forward, of this gateway alone. */
-        long now();
+        /** This gateway's monotonic clock, in ms. */
+        long nowMs();
 
-        /** Sends a packet to an address; it may be lost. */
-        void send(String address, ReplicationMessage packet);
+        /** Sends a message, without any guarantee of delivery. */
+        void send(String address, ReplicationMessage message);
 
-        /** Runs the task so much later, never within this call. */
-        void later(long ms, Runnable task);
+        /** Runs the task after the delay, never within this call. */
+        void schedule(long delayMs, Runnable task);
 
-        /** What may be acted on has changed. */
-        void stands(LeaseState before, LeaseState after, String text);
+        /** Version or mode of the lease have changed; text is the document of the version held. */
+        void leaseChanged(LeaseState before, LeaseState after, String text);
     }
 
-    /** A gateway; voters: name and address; store: where its vote is kept, null in a model or where it does not vote. */
+    /**
+     * A gateway and its voters.
+     *
+     * @param name the gateway's name
+     * @param address the gateway's address
+     * @param voters the voters' addresses by name
+     * @param isVoter whether this gateway takes part in the votes
+     * @param store where the voter's state is stored; null in a simulation and for a gateway that is no voter
+     * @param leaseMs how long a confirmed version may be acted on
+     * @param random draws the first voter to request, and the voter's election timeouts
+     * @param validator throws InvalidConfigurationException for a document that must not be accepted
+     */
     public record Setup(
             String name,
             String address,
             Map<String, String> voters,
-            boolean votes,
+            boolean isVoter,
             RaftVoterStore store,
             long leaseMs,
             Random random,
-            Consumer<String> check) {}
-
-    /** How much faster the voters' clock goes than the wall's: the library's periods are whole seconds of it. */
-    private static final int PACE = 4;
+            Consumer<String> validator) {}
 
     private final Setup setup;
     private final Host host;
     private final ConfigLease lease;
     private final RaftVoter voter;
-    /** Who asked within a lease's time, and is told of news: by address. */
-    private final Map<String, Long> askers = new HashMap<>();
+    /**
+     * Addresses that requested a version within a lease's time, and are notified of newer ones; with the time of the
+     * request.
+     */
+    private final Map<String, Long> subscribers = new HashMap<>();
 
-    /** Acts on packets for this process by its setup; the host sends and stores for it. */
+    /** A replica that holds no version yet. */
     public ConfigReplica(Setup setup, Host host) {
         this.setup = setup;
         this.host = host;
-        List<String> names = new ArrayList<>(setup.voters().keySet());
+        List<String> voterNames = new ArrayList<>(setup.voters().keySet());
+        int firstVoter = voterNames.contains(setup.name())
+                ? voterNames.indexOf(setup.name())
+                : setup.random().nextInt(voterNames.size());
         lease = new ConfigLease(
-                host.now(),
-                names,
-                names.contains(setup.name())
-                        ? names.indexOf(setup.name())
-                        : setup.random().nextInt(names.size()),
-                LeaseConfig.of(setup.leaseMs()),
-                new ConfigLease.Host() {
+                host.nowMs(), voterNames, firstVoter, LeaseConfig.of(setup.leaseMs()), new ConfigLease.Host() {
                     @Override
-                    public void requestVersion(String asked, long number, long version) {
-                        ours(asked, number, version);
+                    public void requestVersion(String voterName, long sequence, long heldVersion) {
+                        sendVersionRequest(voterName, sequence, heldVersion);
                     }
 
                     @Override
                     public void leaseChanged(LeaseState before, LeaseState after, String text) {
-                        host.stands(before, after, text);
+                        host.leaseChanged(before, after, text);
                     }
                 });
-        voter = !setup.votes()
+        voter = !setup.isVoter()
                 ? null
                 : new RaftVoter(
                         new RaftVoter.Setup(
-                                setup.name(), names, setup.store(), new Executor(), new PacedClock(), setup.random()),
-                        (to, message) -> host.send(
-                                setup.voters().get(to),
-                                packet(ReplicationMessage.Kind.RAFT, 0, ReplicationMessage.raft(message))),
-                        this::agreed);
+                                setup.name(),
+                                voterNames,
+                                setup.store(),
+                                new VoterTime.Executor(host),
+                                new VoterTime.PacedClock(host),
+                                setup.random()),
+                        (voterName, message) -> host.send(
+                                setup.voters().get(voterName),
+                                message(Kind.RAFT, 0, ReplicationMessage.raftBody(message))),
+                        this::announceVersion);
     }
 
-    /** Takes part from now on; the host then calls {@link #tick} when it is due. */
+    /** Takes part from now on; the host then calls {@link #tick} when the lease is due. */
     public void start() {
         if (voter != null) {
             voter.start();
         }
     }
 
-    /** The lease, to be looked at. */
+    /** This gateway's lease, to be read only. */
     public ConfigLease lease() {
         return lease;
     }
 
-    /** Whether this process is a voter. */
-    public boolean votes() {
+    /** Whether this gateway takes part in the votes. */
+    public boolean isVoter() {
         return voter != null;
     }
 
-    /** Whether this gateway leads the voters, as far as it knows. */
-    public boolean leads() {
+    /** Whether this gateway is the leader of the voters, as far as it knows. */
+    public boolean isLeader() {
         return voter != null && setup.name().equals(voter.leader());
     }
 
     /** Does what is due. */
     public void tick() {
-        lease.tick(host.now());
-    }
-
-    private ReplicationMessage packet(ReplicationMessage.Kind kind, long number, JsonObject body) {
-        return new ReplicationMessage(setup.name(), setup.address(), kind, number, body);
+        lease.tick(host.nowMs());
     }
 
-    private void ours(String asked, long number, long version) {
-        ReplicationMessage question =
-                packet(ReplicationMessage.Kind.ASK, number, Json.object().add("v", version));
-        if (asked.equals(setup.name()) && voter != null) {
-            // Its own voter needs no network; the answer takes the usual way, past the leader where that is another.
-            host.later(0, () -> asked(question));
-        } else {
-            host.send(setup.voters().get(asked), question);
-        }
-    }
-
-    /** Takes a packet in; one that makes no sense fails and changes nothing. */
-    public void received(ReplicationMessage packet) {
-        switch (packet.kind()) {
+    /**
+     * Handles a message.
+     *
+     * @throws InvalidConfigurationException if it makes no sense; nothing has changed then
+     */
+    public void receive(ReplicationMessage message) {
+        switch (message.kind()) {
             case RAFT -> {
                 if (voter != null) {
-                    voter.handle(packet.raft());
+                    voter.handle(message.raftMessage());
                 }
             }
-            case ASK -> asked(packet);
-            case PROPOSE -> proposed(packet);
-            case HISTORY -> answer(packet, ReplicationMessage.Kind.VERSIONS, history());
-            case TOLD, DECIDED -> answered(packet);
-            case NEWS -> lease.onVersionAnnounced(host.now(), packet.version());
-            default -> throw new InvalidConfigurationException("nobody here asked for " + packet.kind());
+            case VERSION_REQUEST -> onVersionRequest(message);
+            case PROPOSAL -> onProposal(message);
+            case HISTORY_REQUEST ->
+                respond(
+                        message,
+                        Kind.HISTORY_RESPONSE,
+                        ReplicationMessage.historyBody(voter == null ? List.of() : voter.history()));
+            case VERSION_RESPONSE, PROPOSAL_RESPONSE -> onResponse(message);
+            case VERSION_ANNOUNCEMENT -> lease.onVersionAnnounced(host.nowMs(), message.version());
+            default ->
+                throw new InvalidConfigurationException("no request of this gateway is answered by " + message.kind());
         }
     }
 
-    /** Has the leader see to a question, where this voter is not it: who asks knows any voter. False where it is up to it. */
-    private boolean passedOn(ReplicationMessage packet) {
+    private ReplicationMessage message(Kind kind, long sequence, JsonObject body) {
+        return new ReplicationMessage(setup.name(), setup.address(), kind, sequence, body);
+    }
+
+    private void sendVersionRequest(String voterName, long sequence, long heldVersion) {
+        ReplicationMessage request =
+                message(Kind.VERSION_REQUEST, sequence, ReplicationMessage.versionBody(heldVersion));
+        if (voterName.equals(setup.name()) && voter != null) {
+            // The gateway's own voter needs no network; the response takes the usual way, by the leader if that is
+            // another one.
+            host.schedule(0, () -> onVersionRequest(request));
+        } else {
+            host.send(setup.voters().get(voterName), request);
+        }
+    }
+
+    /**
+     * Forwards a request to the leader if this voter is not the leader: clients may send to any voter. False if it is
+     * up to this voter to respond.
+     */
+    private boolean forwardedToLeader(ReplicationMessage request) {
         if (voter == null) {
             return true;
         }
@@ -165,141 +184,80 @@
         if (setup.name().equals(leader)) {
             return false;
         }
-        if (leader != null && packet.origin() == null) {
-            JsonObject body =
-                    packet.body().add("o", Json.object().add("n", packet.from()).add("a", packet.address()));
-            host.send(setup.voters().get(leader), packet.by(setup.name(), setup.address(), body));
+        if (leader != null && request.origin() == null) {
+            host.send(setup.voters().get(leader), request.forwardedBy(setup.name(), setup.address()));
         }
         return true;
     }
 
-    private void asked(ReplicationMessage packet) {
-        if (voter != null && packet.origin() == null) {
-            askers.put(packet.address(), host.now());
+    private void onVersionRequest(ReplicationMessage request) {
+        if (voter != null && request.origin() == null) {
+            subscribers.put(request.address(), host.nowMs());
         }
-        if (passedOn(packet)) {
+        if (forwardedToLeader(request)) {
             return;
         }
-        voter.confirm(
-                newest -> {
-                    JsonObject body = Json.object().add("v", newest.number());
-                    if (newest.number() != packet.version()) {
-                        body.add("t", ReplicationMessage.packed(newest.text()));
-                    }
-                    answer(packet, ReplicationMessage.Kind.TOLD, body);
-                },
+        voter.readNewest(
+                newest -> respond(
+                        request,
+                        Kind.VERSION_RESPONSE,
+                        newest.number() == request.version()
+                                ? ReplicationMessage.versionBody(newest.number())
+                                : ReplicationMessage.versionBody(newest.number(), newest.text())),
                 () -> {});
     }
 
-    private void proposed(ReplicationMessage packet) {
-        if (passedOn(packet)) {
+    private void onProposal(ReplicationMessage request) {
+        if (forwardedToLeader(request)) {
             return;
         }
-        String text = packet.text();
-        String id = packet.body().getString("id", "");
+        String text = request.text();
         try {
-            setup.check().accept(text == null ? "" : text);
-            int packed = ReplicationMessage.packed(text).length();
-            if (id.isEmpty() || packed > ReplicationMessage.MOST_BYTES / 2) {
-                throw new InvalidConfigurationException(
-                        id.isEmpty()
-                                ? "a proposal needs an id"
-                                : "the document is too large: " + packed + " bytes deflated, of "
-                                        + ReplicationMessage.MOST_BYTES / 2);
-            }
+            validate(request.proposalId(), text);
         } catch (InvalidConfigurationException e) {
-            answer(packet, ReplicationMessage.Kind.DECIDED, decided(new VersionLog.Outcome(false, 0, e.getMessage())));
+            respond(
+                    request,
+                    Kind.PROPOSAL_RESPONSE,
+                    ReplicationMessage.outcomeBody(new VersionLog.Outcome(false, 0, e.getMessage())));
             return;
         }
         voter.propose(
-                new VersionLog.Proposal(
-                        id, packet.body().getLong("base", 0), packet.body().getString("by", ""), text),
-                outcome -> answer(packet, ReplicationMessage.Kind.DECIDED, decided(outcome)),
+                request.proposal(text),
+                outcome -> respond(request, Kind.PROPOSAL_RESPONSE, ReplicationMessage.outcomeBody(outcome)),
                 () -> {});
     }
 
-    private static JsonObject decided(VersionLog.Outcome outcome) {
-        return Json.object()
-                .add("taken", outcome.accepted())
-                .add("v", outcome.version())
-                .add("reason", outcome.reason());
-    }
-
-    private JsonObject history() {
-        JsonArray versions = new JsonArray();
-        for (VersionLog.Version each : voter == null ? List.<VersionLog.Version>of() : voter.history()) {
-            versions.add(Json.object()
-                    .add("number", each.number())
-                    .add("by", each.author())
-                    .add("id", each.id()));
+    private void validate(String proposalId, String text) {
+        setup.validator().accept(text == null ? "" : text);
+        int packedBytes = ReplicationMessage.packed(text).length();
+        if (proposalId.isEmpty()) {
+            throw new InvalidConfigurationException("a proposal needs an id");
         }
-        return Json.object().add("versions", versions);
-    }
-
-    private void answer(ReplicationMessage question, ReplicationMessage.Kind kind, JsonObject body) {
-        if (question.origin() != null) {
-            body.add("o", question.origin());
-        }
-        host.send(question.address(), packet(kind, question.number(), body));
-    }
-
-    private void answered(ReplicationMessage packet) {
-        if (packet.origin() != null) {
-            String to = packet.origin().getString("a", "");
-            packet.body().remove("o");
-            host.send(to, packet.by(setup.name(), setup.address(), packet.body()));
-        } else if (packet.kind() == ReplicationMessage.Kind.TOLD) {
-            lease.onResponse(host.now(), packet.number(), packet.version(), packet.text());
+        if (packedBytes > ReplicationMessage.MAX_BYTES / 2) {
+            throw new InvalidConfigurationException("the document is too large: " + packedBytes + " bytes deflated, of "
+                    + ReplicationMessage.MAX_BYTES / 2);
         }
     }
 
-    /** A version was agreed on: who asked of late is told that there is one, and asks. */
-    private void agreed(long version) {
-        long oldest = host.now() - setup.leaseMs();
-        askers.values().removeIf(at -> at < oldest);
-        for (String each : askers.keySet()) {
-            host.send(
-                    each, packet(ReplicationMessage.Kind.NEWS, 0, Json.object().add("v", version)));
-        }
+    private void respond(ReplicationMessage request, Kind kind, JsonObject body) {
+        host.send(request.address(), message(kind, request.sequence(), request.withOrigin(body)));
     }
 
-    /** Runs the voter on the host's thread, in its own faster time. */
-    private final class Executor implements RaftNodeExecutor {
-        @Override
-        public void execute(Runnable task) {
-            host.later(0, task);
-        }
-
-        @Override
-        public void submit(Runnable task) {
-            host.later(0, task);
-        }
-
-        @Override
-        public void schedule(Runnable task, long delay, TimeUnit unit) {
-            host.later(Math.max(1, unit.toMillis(delay) / PACE), task);
+    private void onResponse(ReplicationMessage response) {
+        if (response.origin() != null) {
+            String originAddress = response.origin().address();
+            host.send(originAddress, response.returnedBy(setup.name(), setup.address()));
+        } else if (response.kind() == Kind.VERSION_RESPONSE) {
+            lease.onResponse(host.nowMs(), response.sequence(), response.version(), response.text());
         }
     }
 
-    private final class PacedClock extends Clock {
-        @Override
-        public ZoneId getZone() {
-            return ZoneOffset.UTC;
-        }
-
-        @Override
-        public Clock withZone(ZoneId zone) {
-            return this;
-        }
-
-        @Override
-        public long millis() {
-            return host.now() * PACE;
-        }
-
-        @Override
-        public Instant instant() {
-            return Instant.ofEpochMilli(millis());
+    /** Notifies the addresses that requested a version within a lease's time; they request the new one. */
+    private void announceVersion(long version) {
+        long oldestMs = host.nowMs() - setup.leaseMs();
+        subscribers.values().removeIf(requestedAtMs -> requestedAtMs < oldestMs);
+        for (String address : subscribers.keySet()) {
+            host.send(address, message(Kind.VERSION_ANNOUNCEMENT, 0, ReplicationMessage.versionBody(version)));
         }
     }
 }
--- a/replication/src/main/java/opalcove/replication/FileOperations.java
+++ b/replication/src/main/java/opalcove/replication/FileOperations.java
@@ -8,12 +8,12 @@
 import java.nio.file.StandardCopyOption;
 import java.nio.file.StandardOpenOption;
 
-/** The steps by which a file is replaced; each may fail, and the process may end after each. */
+/** The steps by which a file is replaced. Each may fail, and the process may end after each. */
 interface FileOperations {
-    /** The machine's own. */
+    /** The operations of the file system. */
     FileOperations REAL = new FileOperations() {};
 
-    /** Writes the bytes into a new file, which must not be there. */
+    /** Writes the bytes into a new file, which must not exist. */
     default void write(Path file, ByteBuffer bytes) throws IOException {
         try (FileChannel channel = FileChannel.open(file, StandardOpenOption.CREATE_NEW, StandardOpenOption.WRITE)) {
             while (bytes.hasRemaining()) {
@@ -22,26 +22,26 @@
         }
     }
 
-    /** Has the system put a file, or a folder's entries, on the medium. */
+    /** Has the system write a file, or the entries of a folder, to the medium. */
     default void sync(Path file) throws IOException {
-        boolean folder = Files.isDirectory(file);
+        boolean isFolder = Files.isDirectory(file);
         try (FileChannel channel =
-                FileChannel.open(file, folder ? StandardOpenOption.READ : StandardOpenOption.WRITE)) {
+                FileChannel.open(file, isFolder ? StandardOpenOption.READ : StandardOpenOption.WRITE)) {
             channel.force(true);
         }
     }
 
-    /** Gives a file another name, in the place of one that had it. */
+    /** Renames a file, replacing one that has the new name. */
     default void rename(Path from, Path to) throws IOException {
         Files.move(from, to, StandardCopyOption.ATOMIC_MOVE);
     }
 
-    /** Gives a file a second name, which must not be taken. */
+    /** Gives a file a second name, which must not exist. */
     default void link(Path name, Path file) throws IOException {
         Files.createLink(name, file);
     }
 
-    /** Takes a name away, where there is such a file. */
+    /** Deletes a name, if it exists. */
     default void delete(Path file) throws IOException {
         Files.deleteIfExists(file);
     }
--- a/replication/src/main/java/opalcove/replication/RaftVoterStore.java
+++ b/replication/src/main/java/opalcove/replication/RaftVoterStore.java
@@ -19,11 +19,11 @@
 import org.tinylog.Logger;
 
 /**
- * What a voter must not forget: its vote, and the log since the last snapshot. It is small, a few versions, and so is written
- * whole at each flush ({@link AtomicFile}).
+ * What a voter must not forget: its vote, and the log since the last snapshot. It is small, a few versions, so each
+ * flush writes all of it to an {@link AtomicFile}. Not thread-safe; owned by its voter's thread.
  */
 public final class RaftVoterStore implements RaftStore {
-    /** All of it, as it lies in the file. */
+    /** The content of the file. */
     static final class State implements Serializable {
         private static final long serialVersionUID = 1;
         private RaftEndpointPersistentState endpoint;
@@ -33,45 +33,49 @@
         private SnapshotChunk snapshot;
     }
 
-    private final FileOperations disk;
+    private final FileOperations operations;
     private final Path file;
     private final State state;
-    /** The last flush has failed: what this voter holds is not in its file. */
-    private boolean failed;
+    /** Whether the last flush failed: the state of this voter is not in its file. */
+    private boolean hasFailed;
 
-    private RaftVoterStore(FileOperations disk, Path file, State state) {
-        this.disk = disk;
+    private RaftVoterStore(FileOperations operations, Path file, State state) {
+        this.operations = operations;
         this.file = file;
         this.state = state;
     }
 
-    /** The store in that file, new where there is none; one that is torn or foreign is refused with the reason. */
+    /**
+     * Opens the store in that file, a new one if the file does not exist.
+     *
+     * @throws opalcove.config.InvalidConfigurationException with the reason, if the file is torn or foreign
+     */
     static RaftVoterStore open(Path file) throws IOException {
         return open(FileOperations.REAL, file);
     }
 
-    static RaftVoterStore open(FileOperations disk, Path file) throws IOException {
+    static RaftVoterStore open(FileOperations operations, Path file) throws IOException {
         State state = Files.exists(file) ? SerializedForm.read(AtomicFile.read(file), State.class) : new State();
-        return new RaftVoterStore(disk, file, state);
+        return new RaftVoterStore(operations, file, state);
     }
 
     /**
-     * Whether all that this voter holds is in its file, having tried once more where the last flush has failed. Guards the
-     * votes: a voter that cannot write says nothing that others may count on.
+     * Whether the state of this voter is in its file; tries to write it again if the last flush failed. Guards the
+     * votes: a voter that cannot write sends nothing that others may rely on.
      */
     boolean isWritten() {
-        if (failed) {
+        if (hasFailed) {
             try {
                 flush();
-                Logger.info("agreement: the voter's state is written again");
+                Logger.info("agreement: voter state written again");
             } catch (IOException e) {
-                Logger.debug("agreement: the voter's state is still not written: {}", e.getMessage());
+                Logger.debug("agreement: voter state still not written: {}", e.getMessage());
             }
         }
-        return !failed;
+        return !hasFailed;
     }
 
-    /** What was kept, null where nothing was. */
+    /** The state that was stored; null if there is none. */
     RestoredRaftState restored() {
         if (state.endpoint == null || state.members == null) {
             return null;
@@ -140,15 +144,15 @@
 
     @Override
     public void flush() throws IOException {
-        boolean before = failed;
-        failed = true;
+        boolean hadFailed = hasFailed;
+        hasFailed = true;
         try {
-            AtomicFile.write(disk, file, SerializedForm.write(state));
-            failed = false;
+            AtomicFile.write(operations, file, SerializedForm.write(state));
+            hasFailed = false;
         } catch (IOException e) {
-            if (!before) {
+            if (!hadFailed) {
                 Logger.error(
-                        "agreement: the voter's state is not written, it says nothing till it is: {}", e.getMessage());
+                        "agreement: voter state not written, this voter is silent until it is: {}", e.getMessage());
             }
             throw e;
         }
--- a/replication/src/main/java/opalcove/replication/ReplicationClient.java
+++ b/replication/src/main/java/opalcove/replication/ReplicationClient.java
@@ -2,14 +2,12 @@
 
 import com.eclipsesource.json.Json;
 import com.eclipsesource.json.JsonObject;
-import com.eclipsesource.json.JsonValue;
 import java.io.IOException;
 import java.net.DatagramPacket;
 import java.net.DatagramSocket;
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
 import java.net.SocketTimeoutException;
-import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.List;
 import java.util.UUID;
@@ -17,86 +15,88 @@
 import opalcove.config.HostAndPort;
 import opalcove.config.InvalidConfigurationException;
 import opalcove.configlease.VersionLog;
+import opalcove.replication.ReplicationMessage.Kind;
 
-/** Asks the voters from outside, as operators' commands do: each in turn, until one answers. For the machine of a voter. */
+/**
+ * A client of the voters for commands: sends a request to one voter after the other until one responds. It binds to loopback
+ * and so runs on the machine of a voter. Each call blocks; it has no state and may be used on any thread.
+ */
 public final class ReplicationClient {
-    private static final int PATIENCE_MS = 300;
+    private static final int RESPONSE_TIMEOUT_MS = 300;
+    /** No version has this number, so the response holds the document. */
+    private static final long NO_HELD_VERSION = -1;
 
     private final List<HostAndPort> voters;
-    private final long mostMs;
+    private final long callTimeoutMs;
 
-    /** Voters' addresses, and how long all of a call may take, ms. */
-    public ReplicationClient(List<HostAndPort> voters, long mostMs) {
+    /** A client of the voters at these addresses; callTimeoutMs bounds a call with all its attempts. */
+    public ReplicationClient(List<HostAndPort> voters, long callTimeoutMs) {
         this.voters = List.copyOf(voters);
-        this.mostMs = mostMs;
+        this.callTimeoutMs = callTimeoutMs;
     }
 
-    /** The version in force; number 0 where there is none. */
-    public VersionLog.Version show() throws IOException {
-        ReplicationMessage told = call(
-                ReplicationMessage.Kind.ASK,
-                ReplicationMessage.Kind.TOLD,
-                Json.object().add("v", -1));
-        return new VersionLog.Version(told.version(), "", "", told.version() == 0 ? "" : told.text());
+    /**
+     * The version in force; number 0 if there is none.
+     *
+     * @throws IOException if no voter responds in time
+     */
+    public VersionLog.Version current() throws IOException {
+        ReplicationMessage response =
+                call(Kind.VERSION_REQUEST, Kind.VERSION_RESPONSE, ReplicationMessage.versionBody(NO_HELD_VERSION));
+        return new VersionLog.Version(response.version(), "", "", response.version() == 0 ? "" : response.text());
     }
 
-    /** The last versions, oldest first, without their texts. */
+    /**
+     * The last versions, oldest first, without their documents.
+     *
+     * @throws IOException if no voter responds in time
+     */
     public List<VersionLog.Version> history() throws IOException {
-        List<VersionLog.Version> versions = new ArrayList<>();
-        ReplicationMessage told =
-                call(ReplicationMessage.Kind.HISTORY, ReplicationMessage.Kind.VERSIONS, Json.object());
-        for (JsonValue each : told.body().get("versions").asArray()) {
-            JsonObject version = each.asObject();
-            versions.add(new VersionLog.Version(
-                    version.getLong("number", 0), version.getString("id", ""), version.getString("by", ""), ""));
-        }
-        return versions;
+        return call(Kind.HISTORY_REQUEST, Kind.HISTORY_RESPONSE, Json.object()).history();
     }
 
-    /** Proposes a whole new text in place of version {@code base}; repeated until its outcome is known. */
-    public VersionLog.Outcome propose(long base, String by, String text) throws IOException {
-        ReplicationMessage decided = call(
-                ReplicationMessage.Kind.PROPOSE,
-                ReplicationMessage.Kind.DECIDED,
-                Json.object()
-                        .add("id", UUID.randomUUID().toString())
-                        .add("base", base)
-                        .add("by", by)
-                        .add("t", ReplicationMessage.packed(text)));
-        return new VersionLog.Outcome(
-                decided.body().getBoolean("taken", false),
-                decided.version(),
-                decided.body().getString("reason", ""));
+    /**
+     * Proposes a complete new document in place of a version, repeatedly until the outcome is known.
+     *
+     * @throws IOException if no voter responds in time; the outcome is not known then
+     */
+    public VersionLog.Outcome propose(long baseVersion, String author, String text) throws IOException {
+        VersionLog.Proposal proposal = new VersionLog.Proposal(UUID.randomUUID().toString(), baseVersion, author, text);
+        return call(Kind.PROPOSAL, Kind.PROPOSAL_RESPONSE, ReplicationMessage.proposalBody(proposal))
+                .outcome();
     }
 
-    private ReplicationMessage call(ReplicationMessage.Kind kind, ReplicationMessage.Kind wanted, JsonObject body)
-            throws IOException {
+    private ReplicationMessage call(Kind kind, Kind responseKind, JsonObject body) throws IOException {
         try (DatagramSocket socket = new DatagramSocket(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0))) {
-            socket.setSoTimeout(PATIENCE_MS);
+            socket.setSoTimeout(RESPONSE_TIMEOUT_MS);
             String address = socket.getLocalAddress().getHostAddress() + ":" + socket.getLocalPort();
-            byte[] question = new ReplicationMessage("client-" + socket.getLocalPort(), address, kind, 1, body).bytes();
-            if (question.length > ReplicationMessage.MOST_BYTES) {
+            byte[] request = new ReplicationMessage("client-" + socket.getLocalPort(), address, kind, 1, body).bytes();
+            if (request.length > ReplicationMessage.MAX_BYTES) {
                 throw new InvalidConfigurationException(
-                        "the document is too large for a datagram: " + question.length + " bytes");
+                        "the document is too large for a datagram: " + request.length + " bytes");
             }
-            byte[] buffer = new byte[ReplicationMessage.MOST_BYTES + 1];
-            long end = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(mostMs);
-            for (int turn = 0; System.nanoTime() < end; turn++) {
-                HostAndPort to = voters.get(turn % voters.size());
-                socket.send(
-                        new DatagramPacket(question, question.length, new InetSocketAddress(to.address(), to.port())));
-                try {
-                    DatagramPacket answer = new DatagramPacket(buffer, buffer.length);
-                    socket.receive(answer);
-                    ReplicationMessage packet = ReplicationMessage.read(Arrays.copyOf(buffer, answer.getLength()));
-                    if (packet.kind() == wanted) {
-                        return packet;
-                    }
-                } catch (SocketTimeoutException e) {
-                    continue; // The next voter.
+            long endNanos = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(callTimeoutMs);
+            for (int attempt = 0; System.nanoTime() < endNanos; attempt++) {
+                ReplicationMessage response = request(socket, request, voters.get(attempt % voters.size()));
+                if (response != null && response.kind() == responseKind) {
+                    return response;
                 }
             }
-            throw new IOException("none of the voters " + voters + " answered within " + mostMs + " ms");
+            throw new IOException("none of the voters " + voters + " answered within " + callTimeoutMs + " ms");
+        }
+    }
+
+    /** The next message after a request; null if there is none in time. */
+    private static ReplicationMessage request(DatagramSocket socket, byte[] request, HostAndPort voter)
+            throws IOException {
+        socket.send(new DatagramPacket(request, request.length, new InetSocketAddress(voter.address(), voter.port())));
+        byte[] buffer = new byte[ReplicationMessage.MAX_BYTES + 1];
+        try {
+            DatagramPacket response = new DatagramPacket(buffer, buffer.length);
+            socket.receive(response);
+            return ReplicationMessage.read(Arrays.copyOf(buffer, response.getLength()));
+        } catch (SocketTimeoutException e) {
+            return null;
         }
     }
 }
--- a/replication/src/main/java/opalcove/replication/ReplicationConfig.java
+++ b/replication/src/main/java/opalcove/replication/ReplicationConfig.java
@@ -9,9 +9,16 @@
 import opalcove.config.JsonFields;
 
 /**
- * The section {@code agreement}: where this gateway listens for datagrams, the address that it tells the others, the voters by
- * name, how long a confirmed version may be acted on, where a voter keeps its vote, where what is known is kept over a power loss (null: nowhere, and there is no recovery), and
- * whether changes are told as events.
+ * The section {@code agreement} of the configuration.
+ *
+ * @param listen where this gateway listens for datagrams
+ * @param advertise the address that it gives to other gateways; empty for the one that it listens at
+ * @param voters the voters' addresses by name, in the order of the section
+ * @param leaseMs how long a confirmed version may be acted on
+ * @param stateFile where a voter stores its vote; null for a gateway that is no voter
+ * @param snapshotFile where the gateway stores what it knows, for a recovery after a loss of power; null for no
+ *     recovery
+ * @param events whether changes are written as events
  */
 record ReplicationConfig(
         HostAndPort listen,
@@ -23,45 +30,59 @@
         boolean events) {
     private static final Set<String> KEYS =
             Set.of("listen", "advertise", "voters", "lease_ms", "state_file", "snapshot_file", "events");
+    private static final int MAX_VOTERS = 9;
+    private static final int MIN_LEASE_MS = 200;
+    private static final int MAX_LEASE_MS = 60_000;
+    private static final int DEFAULT_LEASE_MS = 2000;
 
-    /** Reads the section for the gateway of that name; what is wrong is told with its key. */
-    static ReplicationConfig read(String name, JsonFields f) {
-        for (String key : f.names()) {
+    /**
+     * Reads the section for the gateway of that name.
+     *
+     * @throws InvalidConfigurationException with the key of what is wrong
+     */
+    static ReplicationConfig read(String name, JsonFields fields) {
+        for (String key : fields.names()) {
             if (!KEYS.contains(key)) {
                 throw new InvalidConfigurationException("field agreement." + key + " is not known");
             }
         }
-        Map<String, String> voters = new LinkedHashMap<>();
-        for (JsonFields each : f.objects("voters")) {
-            HostAndPort.read(each.text("address"), each.path() + ".address");
-            if (voters.put(each.text("name"), each.text("address")) != null) {
-                throw new InvalidConfigurationException("field " + each.path() + ".name names a voter twice");
-            }
-        }
-        if (voters.isEmpty() || voters.size() > 9 || voters.size() % 2 == 0) {
-            throw new InvalidConfigurationException("field agreement.voters must name 1, 3, 5, 7 or 9 gateways");
-        }
-        int leaseMs = f.wholeOr("lease_ms", 2000);
-        if (leaseMs < 200 || leaseMs > 60_000) {
-            throw new InvalidConfigurationException("field agreement.lease_ms must be from 200 to 60000");
+        Map<String, String> voters = voters(fields);
+        int leaseMs = fields.wholeOr("lease_ms", DEFAULT_LEASE_MS);
+        if (leaseMs < MIN_LEASE_MS || leaseMs > MAX_LEASE_MS) {
+            throw new InvalidConfigurationException(
+                    "field agreement.lease_ms must be from " + MIN_LEASE_MS + " to " + MAX_LEASE_MS);
         }
-        String file = f.textOr("state_file", "");
-        if (voters.containsKey(name) && file.isEmpty()) {
+        String stateFile = fields.textOr("state_file", "");
+        if (voters.containsKey(name) && stateFile.isEmpty()) {
             throw new InvalidConfigurationException(
                     "field agreement.state_file must name a file: a voter must not forget its vote");
         }
-        String snapshot = f.textOr("snapshot_file", "");
-        String advertise = f.textOr("advertise", "");
+        String snapshotFile = fields.textOr("snapshot_file", "");
+        String advertise = fields.textOr("advertise", "");
         if (!advertise.isEmpty()) {
             HostAndPort.read(advertise, "agreement.advertise");
         }
         return new ReplicationConfig(
-                HostAndPort.read(f.text("listen"), "agreement.listen"),
+                HostAndPort.read(fields.text("listen"), "agreement.listen"),
                 advertise,
                 voters,
                 leaseMs,
-                file.isEmpty() ? null : Path.of(file),
-                snapshot.isEmpty() ? null : Path.of(snapshot),
-                f.flag("events"));
+                stateFile.isEmpty() ? null : Path.of(stateFile),
+                snapshotFile.isEmpty() ? null : Path.of(snapshotFile),
+                fields.flag("events"));
+    }
+
+    private static Map<String, String> voters(JsonFields fields) {
+        Map<String, String> voters = new LinkedHashMap<>();
+        for (JsonFields each : fields.objects("voters")) {
+            HostAndPort.read(each.text("address"), each.path() + ".address");
+            if (voters.put(each.text("name"), each.text("address")) != null) {
+                throw new InvalidConfigurationException("field " + each.path() + ".name names a voter twice");
+            }
+        }
+        if (voters.isEmpty() || voters.size() > MAX_VOTERS || voters.size() % 2 == 0) {
+            throw new InvalidConfigurationException("field agreement.voters must name 1, 3, 5, 7 or 9 gateways");
+        }
+        return voters;
     }
 }
--- a/replication/src/main/java/opalcove/replication/SerializedForm.java
+++ b/replication/src/main/java/opalcove/replication/SerializedForm.java
@@ -11,10 +11,11 @@
 import opalcove.config.InvalidConfigurationException;
 
 /**
- * The consensus library's messages and records as bytes. They are serializable Java objects; what is read back may be of its
- * model, of the project's {@link WrittenClass}es and of the plainest classes alone, and is bounded in size and depth.
+ * Messages and records of the consensus library as bytes: serialized Java objects, deflated. Only the library's model,
+ * the project's classes of {@link WrittenClass} and plain classes of the JDK are read, with bounds on size and depth.
  */
 final class SerializedForm {
+    /** Guards against objects of other classes in bytes from the network or from a file, and against oversized ones. */
     private static final ObjectInputFilter ALLOWED = ObjectInputFilter.Config.createFilter(
             "maxbytes=16777216;maxdepth=24;maxarray=65536;io.microraft.model.**;io.microraft.MembershipChangeMode;"
                     + WrittenClass.filterPatterns() + ";java.util.*;java.lang.*;!*");
@@ -26,11 +27,17 @@
         try (ObjectOutputStream out = new WrittenClass.Output(new DeflaterOutputStream(bytes))) {
             out.writeObject(object);
         } catch (IOException e) {
-            throw new IllegalStateException("not to be written: " + object, e);
+            throw new IllegalStateException("cannot be serialized: " + object, e);
         }
         return bytes.toByteArray();
     }
 
+    /**
+     * Reads an object.
+     *
+     * @throws InvalidConfigurationException with the reason, if the bytes hold no object of that type and of allowed
+     *     classes
+     */
     static <T> T read(byte[] bytes, Class<T> type) {
         try (ObjectInputStream in = new WrittenClass.Input(new InflaterInputStream(new ByteArrayInputStream(bytes)))) {
             in.setObjectInputFilter(ALLOWED);
--- a/replication/src/main/java/opalcove/replication/SnapshotFile.java
+++ b/replication/src/main/java/opalcove/replication/SnapshotFile.java
@@ -11,9 +11,9 @@
 import opalcove.config.JsonFields;
 import opalcove.recovery.Snapshot;
 
-/** A gateway's snapshot as JSON in a {@link AtomicFile}. */
+/** A gateway's snapshot as JSON in an {@link AtomicFile}. */
 public final class SnapshotFile {
-    private static final int FORM = 1;
+    private static final int FORMAT_VERSION = 1;
 
     private SnapshotFile() {}
 
@@ -26,7 +26,7 @@
                     .add("incarnation", each.incarnation()));
         }
         JsonObject object = Json.object()
-                .add("snapshot", FORM)
+                .add("snapshot", FORMAT_VERSION)
                 .add("gateway", snapshot.gateway())
                 .add("written_ms", snapshot.writtenAtMs())
                 .add("incarnation", snapshot.incarnation())
@@ -37,28 +37,18 @@
         AtomicFile.write(file, object.toString().getBytes(StandardCharsets.UTF_8));
     }
 
-    /** Reads a snapshot; one that is not there, torn, of another form or no snapshot at all is refused with the reason. */
+    /**
+     * Reads a snapshot, the previous one if the newest cannot be read.
+     *
+     * @throws InvalidConfigurationException with the reason, if there is none, or if it is torn, of another format or
+     *     no snapshot
+     */
     public static Snapshot read(Path file) throws IOException {
-        if (!AtomicFile.existsOrBefore(file)) {
+        if (!AtomicFile.existsOrPrevious(file)) {
             throw new InvalidConfigurationException(file + ": there is none");
         }
-        JsonFields f;
         try {
-            f = JsonFields.parse(new String(AtomicFile.readOrBefore(file), StandardCharsets.UTF_8));
-            if (f.whole("snapshot") != FORM) {
-                throw new InvalidConfigurationException("its form is " + f.whole("snapshot") + ", not " + FORM);
-            }
-            List<Snapshot.Peer> members = f.objects("members").stream()
-                    .map(each -> new Snapshot.Peer(each.text("name"), each.text("address"), each.serial("incarnation")))
-                    .toList();
-            return new Snapshot(
-                    f.text("gateway"),
-                    f.serial("written_ms"),
-                    f.serial("incarnation"),
-                    f.flag("clean"),
-                    f.serial("version"),
-                    f.text("text"),
-                    members);
+            return parse(JsonFields.parse(new String(AtomicFile.readOrPrevious(file), StandardCharsets.UTF_8)));
         } catch (InvalidConfigurationException e) {
             throw e.getMessage().startsWith(file.toString())
                     ? e
@@ -66,7 +56,27 @@
         }
     }
 
-    /** As {@link #read}, for the gateway of that name alone. */
+    private static Snapshot parse(JsonFields fields) {
+        if (fields.whole("snapshot") != FORMAT_VERSION) {
+            throw new InvalidConfigurationException(
+                    "its form is " + fields.whole("snapshot") + ", not " + FORMAT_VERSION);
+        }
+        List<Snapshot.Peer> members = fields.objects("members").stream()
+                .map(each -> new Snapshot.Peer(each.text("name"), each.text("address"), each.serial("incarnation")))
+                .toList();
+        return new Snapshot(
+                fields.text("gateway"),
+                fields.serial("written_ms"),
+                fields.serial("incarnation"),
+                fields.flag("clean"),
+                fields.serial("version"),
+                fields.text("text"),
+                members);
+    }
+
+    /**
+     * Reads the snapshot of the gateway of that name, as {@link #read(Path)}; one of another gateway is rejected too.
+     */
     static Snapshot read(Path file, String gateway) throws IOException {
         Snapshot snapshot = read(file);
         if (!snapshot.gateway().equals(gateway)) {
--- a/replication/src/main/java/opalcove/replication/WrittenClass.java
+++ b/replication/src/main/java/opalcove/replication/WrittenClass.java
@@ -15,15 +15,16 @@
 import opalcove.configlease.VersionLog;
 
 /**
- * The project's classes in serialized streams. Stored states and the messages between voters outlive a build, and an older process
- * must be able to read what this one writes: each class has the name and the field names it is written under here, whatever it and
- * its fields are called in the code. Fields are named in the order of the stream, primitive ones first.
+ * The project's classes in serialized streams, each with its name and the names of its fields in the stream. These stay the
+ * same when a class or a field is renamed in the code: stored states outlive a build, and processes of an older build must be
+ * able to read the messages of this one. Fields are listed in the order of the stream: primitive ones first, each group by its
+ * names in the code; so a new name in the code must sort in the same place.
  */
 enum WrittenClass {
     PROPOSAL("opalcove.agreement.Registry$Proposal", VersionLog.Proposal.class, "base", "by", "id", "text"),
     VERSION("opalcove.agreement.Registry$Version", VersionLog.Version.class, "number", "by", "id", "text"),
     OUTCOME("opalcove.agreement.Registry$Outcome", VersionLog.Outcome.class, "taken", "version", "reason"),
-    VOTER_NAME("opalcove.versions.Voter$Named", RaftVoter.Named.class, "id"),
+    VOTER_ID("opalcove.versions.Voter$Named", RaftVoter.VoterId.class, "id"),
     VOTER_STATE(
             "opalcove.versions.VoterStore$State",
             RaftVoterStore.State.class,
@@ -68,7 +69,7 @@
         }
     }
 
-    /** Guards against values of one field read into another: fields are told apart by their place alone. */
+    /** Guards against values of one field read into another: fields are matched by their position alone. */
     private ObjectStreamClass checked(ObjectStreamClass read) throws InvalidClassException {
         ObjectStreamField[] readFields = read.getFields();
         ObjectStreamField[] fields = descriptor.getFields();
--- a/replication/src/test/java/opalcove/replication/AgreementOutputTest.java
+++ b/replication/src/test/java/opalcove/replication/AgreementOutputTest.java
@@ -44,7 +44,7 @@
                 {"listen":"127.0.0.1:%d","voters":[{"name":"g1","address":"127.0.0.1:%d"}],
                  "state_file":"%s/state","snapshot_file":"%s/snapshot","events":true}"""
                         .formatted(port, port, folder, folder);
-        return new ReplicatedConfigService.Maker()
+        return new ReplicatedConfigService.ServiceProvider()
                 .create(vertx, "g1", JsonFields.parse(section), TestSettings.settings(), events::add);
     }
 
--- a/replication/src/test/java/opalcove/replication/PacketFormTest.java
+++ b/replication/src/test/java/opalcove/replication/PacketFormTest.java
@@ -34,29 +34,29 @@
         return new Object[][] {
             {
                 ReplicationMessage.Kind.RAFT,
-                ReplicationMessage.raft(new byte[] {1, 2, -1}),
+                ReplicationMessage.raftBody(new byte[] {1, 2, -1}),
                 "\"k\":\"RAFT\",\"s\":7,\"b\":\"AQL/\""
             },
-            {ReplicationMessage.Kind.ASK, Json.object().add("v", 3), "\"k\":\"ASK\",\"s\":7,\"v\":3"},
+            {ReplicationMessage.Kind.VERSION_REQUEST, Json.object().add("v", 3), "\"k\":\"ASK\",\"s\":7,\"v\":3"},
             {
-                ReplicationMessage.Kind.TOLD,
+                ReplicationMessage.Kind.VERSION_RESPONSE,
                 Json.object().add("v", 3).add("t", PACKED_ONE).add("o", origin),
                 "\"k\":\"TOLD\",\"s\":7,\"v\":3,\"t\":\"" + PACKED_ONE + "\",\"o\":{\"n\":\"g9\",\"a\":\"127.0.0.1:9\"}"
             },
-            {ReplicationMessage.Kind.NEWS, Json.object().add("v", 4), "\"k\":\"NEWS\",\"s\":7,\"v\":4"},
+            {ReplicationMessage.Kind.VERSION_ANNOUNCEMENT, Json.object().add("v", 4), "\"k\":\"NEWS\",\"s\":7,\"v\":4"},
             {
-                ReplicationMessage.Kind.PROPOSE,
+                ReplicationMessage.Kind.PROPOSAL,
                 Json.object().add("id", "x").add("base", 1).add("by", "ops").add("t", PACKED_ONE),
                 "\"k\":\"PROPOSE\",\"s\":7,\"id\":\"x\",\"base\":1,\"by\":\"ops\",\"t\":\"" + PACKED_ONE + "\""
             },
             {
-                ReplicationMessage.Kind.DECIDED,
+                ReplicationMessage.Kind.PROPOSAL_RESPONSE,
                 Json.object().add("taken", true).add("v", 2).add("reason", ""),
                 "\"k\":\"DECIDED\",\"s\":7,\"taken\":true,\"v\":2,\"reason\":\"\""
             },
-            {ReplicationMessage.Kind.HISTORY, Json.object(), "\"k\":\"HISTORY\",\"s\":7"},
+            {ReplicationMessage.Kind.HISTORY_REQUEST, Json.object(), "\"k\":\"HISTORY\",\"s\":7"},
             {
-                ReplicationMessage.Kind.VERSIONS,
+                ReplicationMessage.Kind.HISTORY_RESPONSE,
                 Json.object()
                         .add(
                                 "versions",
@@ -109,7 +109,7 @@
         private long order;
 
         @Override
-        public long now() {
+        public long nowMs() {
             return nowMs;
         }
 
@@ -119,12 +119,12 @@
         }
 
         @Override
-        public void later(long ms, Runnable task) {
-            tasks.add(new Task(nowMs + ms, order++, task));
+        public void schedule(long delayMs, Runnable task) {
+            tasks.add(new Task(nowMs + delayMs, order++, task));
         }
 
         @Override
-        public void stands(LeaseState before, LeaseState after, String text) {
+        public void leaseChanged(LeaseState before, LeaseState after, String text) {
             sent.add(after.version() + " " + after.mode().name() + " " + text);
         }
 
@@ -145,7 +145,7 @@
         }
     }
 
-    private static ConfigReplica desk(Host host, Map<String, String> voters, boolean votes) {
+    private static ConfigReplica replica(Host host, Map<String, String> voters, boolean votes) {
         return new ConfigReplica(
                 new ConfigReplica.Setup("g1", "a:1", voters, votes, null, 2000, new Random(5), text -> {}), host);
     }
@@ -157,40 +157,40 @@
     @Test
     public void aVoterAnswersEachQuestionInItsForm() {
         Host host = new Host();
-        ConfigReplica desk = desk(host, Map.of("g1", "a:1"), true);
-        desk.start();
+        ConfigReplica replica = replica(host, Map.of("g1", "a:1"), true);
+        replica.start();
         host.run(5000);
-        assertTrue(desk.leads());
+        assertTrue(replica.isLeader());
         String us = "c:1 {\"f\":{\"n\":\"g1\",\"a\":\"a:1\"},";
-        desk.received(packet("\"k\":\"ASK\",\"s\":1,\"v\":0"));
+        replica.receive(packet("\"k\":\"ASK\",\"s\":1,\"v\":0"));
         host.run(100);
         assertEquals(host.takeSent(), List.of(us + "\"k\":\"TOLD\",\"s\":1,\"v\":0}"));
         String proposal = "\"s\":2,\"id\":\"x\",\"base\":0,\"by\":\"ops\",\"t\":\"" + PACKED_ONE + "\"";
-        desk.received(packet("\"k\":\"PROPOSE\"," + proposal));
+        replica.receive(packet("\"k\":\"PROPOSE\"," + proposal));
         host.run(100);
         assertEquals(
                 host.takeSent(),
                 List.of(
                         us + "\"k\":\"NEWS\",\"s\":0,\"v\":1}",
                         us + "\"k\":\"DECIDED\",\"s\":2,\"taken\":true,\"v\":1,\"reason\":\"\"}"));
-        desk.received(packet("\"k\":\"PROPOSE\"," + proposal.replace("\"x\"", "\"y\"")));
+        replica.receive(packet("\"k\":\"PROPOSE\"," + proposal.replace("\"x\"", "\"y\"")));
         host.run(100);
         assertEquals(
                 host.takeSent(),
                 List.of(us + "\"k\":\"DECIDED\",\"s\":2,\"taken\":false,\"v\":1,"
                         + "\"reason\":\"it changes version 0, but version 1 by ops is in force\"}"));
-        desk.received(packet("\"k\":\"PROPOSE\"," + proposal.replace("\"x\"", "\"\"")));
+        replica.receive(packet("\"k\":\"PROPOSE\"," + proposal.replace("\"x\"", "\"\"")));
         host.run(100);
         assertEquals(
                 host.takeSent(),
                 List.of(us
                         + "\"k\":\"DECIDED\",\"s\":2,\"taken\":false,\"v\":0,\"reason\":\"a proposal needs an id\"}"));
-        desk.received(packet("\"k\":\"HISTORY\",\"s\":3"));
+        replica.receive(packet("\"k\":\"HISTORY\",\"s\":3"));
         host.run(100);
         assertEquals(
                 host.takeSent(),
                 List.of(us + "\"k\":\"VERSIONS\",\"s\":3,\"versions\":[{\"number\":1,\"by\":\"ops\",\"id\":\"x\"}]}"));
-        desk.received(packet("\"k\":\"ASK\",\"s\":4,\"v\":0,\"o\":{\"n\":\"g9\",\"a\":\"d:9\"}"));
+        replica.receive(packet("\"k\":\"ASK\",\"s\":4,\"v\":0,\"o\":{\"n\":\"g9\",\"a\":\"d:9\"}"));
         host.run(100);
         String told = host.takeSent().toString();
         assertTrue(told.startsWith("[" + us + "\"k\":\"TOLD\",\"s\":4,\"v\":1,\"t\":\""), told);
@@ -200,19 +200,19 @@
     @Test
     public void aGatewayAsksAVoterAndTakesItsAnswer() {
         Host host = new Host();
-        ConfigReplica desk = desk(host, Map.of("g2", "b:2"), false);
-        desk.tick();
+        ConfigReplica replica = replica(host, Map.of("g2", "b:2"), false);
+        replica.tick();
         assertEquals(
                 host.takeSent(), List.of("b:2 {\"f\":{\"n\":\"g1\",\"a\":\"a:1\"},\"k\":\"ASK\",\"s\":1,\"v\":0}"));
-        desk.received(packet("\"k\":\"TOLD\",\"s\":1,\"v\":3,\"t\":\"" + PACKED_ONE + "\""));
+        replica.receive(packet("\"k\":\"TOLD\",\"s\":1,\"v\":3,\"t\":\"" + PACKED_ONE + "\""));
         assertEquals(host.takeSent(), List.of("3 FULL one"));
-        desk.received(packet("\"k\":\"NEWS\",\"s\":0,\"v\":4"));
+        replica.receive(packet("\"k\":\"NEWS\",\"s\":0,\"v\":4"));
         assertEquals(
                 host.takeSent(), List.of("b:2 {\"f\":{\"n\":\"g1\",\"a\":\"a:1\"},\"k\":\"ASK\",\"s\":2,\"v\":3}"));
         host.run(2000);
-        desk.tick();
+        replica.tick();
         assertEquals(host.takeSent().get(0), "3 STRICT one");
-        desk.received(packet("\"k\":\"TOLD\",\"s\":9,\"v\":4,\"o\":{\"n\":\"g9\",\"a\":\"d:9\"}"));
+        replica.receive(packet("\"k\":\"TOLD\",\"s\":9,\"v\":4,\"o\":{\"n\":\"g9\",\"a\":\"d:9\"}"));
         assertEquals(
                 host.takeSent(),
                 List.of("d:9 {\"f\":{\"n\":\"g1\",\"a\":\"a:1\"},\"k\":\"TOLD\",\"s\":9,\"v\":4}"),
--- a/replication/src/test/java/opalcove/replication/ReplicationTest.java
+++ b/replication/src/test/java/opalcove/replication/ReplicationTest.java
@@ -40,7 +40,7 @@
         assertEquals(strict.settings().limits().maxAttempts(), 1);
         assertEquals(strict.settings().plans().get(1).rate(), 20.0);
         assertEquals(strict.settings().plans().get(1).burst(), 100.0);
-        assertEquals(strict.nodes().stream().map(Backend::name).toList(), List.of("n1"));
+        assertEquals(strict.backends().stream().map(Backend::name).toList(), List.of("n1"));
     }
 
     @Test
@@ -137,7 +137,7 @@
     @Test
     public void heldCutsEachBurstToOneGatewaysPart() {
         ConfigDocument held = document(TestSettings.JSON.replace("\"balancers\":1", "\"balancers\":4"), "up")
-                .held();
+                .withHeldBursts();
         assertEquals(held.settings().plans().get(0).burst(), 25.0);
         assertEquals(held.settings().plans().get(0).rate(), 50.0);
     }
--- a/replication/src/test/java/opalcove/replication/WrittenFormTest.java
+++ b/replication/src/test/java/opalcove/replication/WrittenFormTest.java
@@ -242,7 +242,7 @@
 
     @Test
     public void aClassOfTheProjectThatIsNoRecordIsNotRead() {
-        for (Serializable other : new Serializable[] {ReplicationMessage.Kind.ASK, LeaseState.Mode.FULL}) {
+        for (Serializable other : new Serializable[] {ReplicationMessage.Kind.VERSION_REQUEST, LeaseState.Mode.FULL}) {
             String told = expectThrows(
                             InvalidConfigurationException.class,
                             () -> SerializedForm.read(SerializedForm.write(other), Serializable.class))
