--- a/replication/src/main/java/opalcove/replication/ConfigDocument.java
+++ b/replication/src/main/java/opalcove/replication/ConfigDocument.java
@@ -55,14 +55,14 @@
                         own.zone(),
                         settings.tickMs(),
                         settings.meterPeriodMs(),
-                        settings.unitsAreGuesses(),
+                        settings.unitsAreEstimates(),
                         settings.classes(),
                         settings.plans(),
                         settings.limits(),
-                        settings.duties(),
-                        settings.prices(),
-                        settings.reports(),
-                        settings.gauges()),
+                        settings.obligations(),
+                        settings.costs(),
+                        settings.loadReportSource(),
+                        settings.loadMetrics()),
                 backends);
     }
 
@@ -110,10 +110,10 @@
                 plan.name(),
                 lowerLimit(plan.rate(), previous.rate()),
                 lowerLimit(plan.burst(), previous.burst()),
-                (int) lowerLimit(plan.openCap(), previous.openCap()),
+                (int) lowerLimit(plan.maxInFlight(), previous.maxInFlight()),
                 plan.price(),
-                plan.beyondWorth(),
-                plan.beyondCost(),
+                plan.overQuotaWeight(),
+                plan.overQuotaCost(),
                 lowerLimit(plan.ceilingRate(), previous.ceilingRate()),
                 lowerLimit(plan.ceilingBurst(), previous.ceilingBurst()),
                 plan.ceilingSlack());
@@ -132,10 +132,10 @@
                         plan.name(),
                         plan.rate(),
                         plan.burst() / gateways,
-                        plan.openCap(),
+                        plan.maxInFlight(),
                         plan.price(),
-                        plan.beyondWorth(),
-                        plan.beyondCost(),
+                        plan.overQuotaWeight(),
+                        plan.overQuotaCost(),
                         plan.ceilingRate(),
                         plan.ceilingBurst() / gateways,
                         plan.ceilingSlack()))
@@ -150,14 +150,14 @@
                 settings.zone(),
                 settings.tickMs(),
                 settings.meterPeriodMs(),
-                settings.unitsAreGuesses(),
+                settings.unitsAreEstimates(),
                 settings.classes(),
                 plans,
                 limits,
-                settings.duties(),
-                settings.prices(),
-                settings.reports(),
-                settings.gauges());
+                settings.obligations(),
+                settings.costs(),
+                settings.loadReportSource(),
+                settings.loadMetrics());
     }
 
     /** The lower of two limits, of which 0 is none. */
