--- a/cli/src/main/java/opalcove/cli/AgreementTrialCommand.java
+++ b/cli/src/main/java/opalcove/cli/AgreementTrialCommand.java
@@ -11,8 +11,8 @@
         mixinStandardHelpOptions = true,
         versionProvider = Opalcove.Version.class,
         description =
-                "Starts so many gateways on this machine that agree on versions, and tells how soon all act on a new"
-                        + " one; beside it, what the model in virtual time says. With --faults, runs of drawn faults: pauses, cuts one"
+                "Starts gateways with a replicated configuration on this machine, and reports how soon all act on a new"
+                        + " one; beside it, the result of the model in virtual time. With --faults, runs of random faults: pauses, partitions one"
                         + " way and both, lost messages, a kill; exits with 1 where a contradiction outlived the lease.")
 final class AgreementTrialCommand implements Callable<Integer> {
     @Option(names = "--gateways", defaultValue = "7", description = "gateways (default: ${DEFAULT-VALUE})")
@@ -30,7 +30,7 @@
     @Option(
             names = "--faults",
             defaultValue = "0",
-            description = "runs of drawn faults, of the seeds from --seed on,"
+            description = "runs of random faults, of the seeds from --seed on,"
                     + " instead of rounds (default: ${DEFAULT-VALUE})")
     private int faults;
 
--- a/cli/src/main/java/opalcove/cli/ApplyCommand.java
+++ b/cli/src/main/java/opalcove/cli/ApplyCommand.java
@@ -13,12 +13,13 @@
         name = "apply",
         mixinStandardHelpOptions = true,
         versionProvider = Opalcove.Version.class,
-        description = "Applies a plan to the gateway of which it was made; one made of an older node list is refused.")
+        description =
+                "Applies a plan to the gateway of which it was made; one made of an older endpoint list is refused.")
 final class ApplyCommand implements Callable<Integer> {
     @Parameters(paramLabel = "PLAN", description = "the plan file")
     private Path planFile;
 
-    @Option(names = "--json", description = "print an object with the node list's new index")
+    @Option(names = "--json", description = "print an object with the endpoint list's new index")
     private boolean json;
 
     @Override
--- a/cli/src/main/java/opalcove/cli/RigCommand.java
+++ b/cli/src/main/java/opalcove/cli/ClusterScenarioCommand.java
@@ -13,9 +13,9 @@
         mixinStandardHelpOptions = true,
         versionProvider = Opalcove.Version.class,
         description =
-                "Plays a scenario with several gateways on this machine and faults between them; prints what they told"
-                        + " of one another, a JSON line each. Exits with 1 where it did not come out as the scenario wants.")
-final class RigCommand implements Callable<Integer> {
+                "Plays a scenario with several gateways on this machine and faults between them; prints what they report"
+                        + " of one another, a JSON line each. Exits with 1 where the outcome is not the expected one.")
+final class ClusterScenarioCommand implements Callable<Integer> {
     @Parameters(paramLabel = "FILE", description = "the scenario, such as example/rig-faults.json")
     private Path file;
 
--- a/cli/src/main/java/opalcove/cli/PairCommand.java
+++ b/cli/src/main/java/opalcove/cli/ComparisonCommand.java
@@ -15,9 +15,9 @@
         name = "pair",
         mixinStandardHelpOptions = true,
         versionProvider = Opalcove.Version.class,
-        description = "Runs programs in turns against the same node and load, and compares processor time, start and"
+        description = "Runs programs in turns against the same backend and load, and compares CPU time, start and"
                 + " memory.")
-final class PairCommand implements Callable<Integer> {
+final class ComparisonCommand implements Callable<Integer> {
     @Mixin
     private LoadOptions options;
 
--- a/cli/src/main/java/opalcove/cli/ControlCommand.java
+++ b/cli/src/main/java/opalcove/cli/ControlCommand.java
@@ -24,7 +24,7 @@
         name = "control",
         mixinStandardHelpOptions = true,
         versionProvider = Opalcove.Version.class,
-        description = "Hands its choices of node and drain to other proxies through xDS, until SIGTERM.",
+        description = "Serves endpoints, weights and drains to other proxies through xDS, until SIGTERM.",
         subcommands = ControlCommand.Status.class)
 final class ControlCommand implements Callable<Integer>, Opalcove.Serves {
     @Spec
@@ -60,7 +60,7 @@
             name = "status",
             mixinStandardHelpOptions = true,
             versionProvider = Opalcove.Version.class,
-            description = "Tells the state of a running control service: proxies, who lags, drains under way.")
+            description = "Shows the state of a running control service: proxies, which lag, drains in progress.")
     static final class Status implements Callable<Integer> {
         private static final Duration TIMEOUT = Duration.ofSeconds(10);
 
@@ -106,6 +106,12 @@
                         .append(state.get("missing"))
                         .append('\n');
             }
+            appendProxies(text, state);
+            appendDrains(text, state);
+            return text.toString();
+        }
+
+        private static void appendProxies(StringBuilder text, JsonObject state) {
             text.append(String.format(
                     "%-20s %-12s %-10s %-10s %8s %10s %8s  %s%n",
                     "proxy", "cluster", "room", "type", "behind", "waits ms", "refused", "reason"));
@@ -125,6 +131,9 @@
                             knows.getString("reason", "")));
                 }
             }
+        }
+
+        private static void appendDrains(StringBuilder text, JsonObject state) {
             for (JsonValue each : state.get("drains").asArray()) {
                 JsonObject drain = each.asObject();
                 text.append("drain of ")
@@ -146,7 +155,6 @@
                             .append('\n');
                 }
             }
-            return text.toString();
         }
     }
 }
--- a/cli/src/main/java/opalcove/cli/GuardCommand.java
+++ b/cli/src/main/java/opalcove/cli/CostCheckCommand.java
@@ -16,9 +16,9 @@
         mixinStandardHelpOptions = true,
         versionProvider = Opalcove.Version.class,
         description =
-                "Counts what an ask costs and holds it against a baseline: exits with 1 where a count has grown by"
+                "Counts what a request costs and compares it with a baseline: exits with 1 where a count has grown by"
                         + " more than 5%%. The build does the same.")
-final class GuardCommand implements Callable<Integer> {
+final class CostCheckCommand implements Callable<Integer> {
     @Parameters(paramLabel = "FILE", description = "the baseline, such as laboratory/baseline.json")
     private Path file;
 
--- a/cli/src/main/java/opalcove/cli/LoadCommand.java
+++ b/cli/src/main/java/opalcove/cli/LoadCommand.java
@@ -14,12 +14,12 @@
         name = "load",
         mixinStandardHelpOptions = true,
         versionProvider = Opalcove.Version.class,
-        description = "Puts load on a gateway's front and tells how its asks were answered.")
+        description = "Puts load on a gateway and reports how its requests were answered.")
 final class LoadCommand implements Callable<Integer> {
     @Mixin
     private LoadOptions options;
 
-    @Parameters(paramLabel = "ADDRESS", description = "where the front listens, such as 127.0.0.1:7100")
+    @Parameters(paramLabel = "ADDRESS", description = "where the gateway listens, such as 127.0.0.1:7100")
     private String address;
 
     @Option(names = "--json", description = "print one object")
--- a/cli/src/main/java/opalcove/cli/LoadOptions.java
+++ b/cli/src/main/java/opalcove/cli/LoadOptions.java
@@ -6,7 +6,7 @@
 
 /** What a load asks, for all commands that put one on. */
 final class LoadOptions {
-    @Option(names = "--mqtt", description = "ask over MQTT 5 instead of RESP2")
+    @Option(names = "--mqtt", description = "send requests over MQTT 5 instead of RESP2")
     private boolean mqtt;
 
     @Option(names = "--connections", paramLabel = "N", defaultValue = "1", description = "(default: ${DEFAULT-VALUE})")
@@ -16,14 +16,14 @@
             names = "--depth",
             paramLabel = "N",
             defaultValue = "16",
-            description = "asks out on each connection, in a" + " closed loop (default: ${DEFAULT-VALUE})")
+            description = "requests in flight on each connection, in a" + " closed loop (default: ${DEFAULT-VALUE})")
     private int depth;
 
     @Option(
             names = "--rate",
             paramLabel = "N",
             defaultValue = "0",
-            description = "open loop: asks a second in all, sent" + " when they are due; 0 is a closed loop")
+            description = "open loop: requests a second in all, sent" + " when they are due; 0 is a closed loop")
     private double rate;
 
     @Option(names = "--asks", paramLabel = "N", defaultValue = "12000", description = "(default: ${DEFAULT-VALUE})")
@@ -46,7 +46,7 @@
             names = "--wait",
             paramLabel = "MS",
             defaultValue = "7500",
-            description = "how long a terminal waits" + " (default: ${DEFAULT-VALUE})")
+            description = "how long a client waits" + " (default: ${DEFAULT-VALUE})")
     private int waitMs;
 
     LoadPlan plan(String host, int port) {
--- a/cli/src/main/java/opalcove/cli/MembersCommand.java
+++ b/cli/src/main/java/opalcove/cli/MembersCommand.java
@@ -21,7 +21,7 @@
         mixinStandardHelpOptions = true,
         versionProvider = Opalcove.Version.class,
         description =
-                "Tells what a gateway knows of the other gateways: name, address, incarnation and state, itself first.")
+                "Shows what a gateway knows of the other gateways: name, address, incarnation and state, itself first.")
 final class MembersCommand implements Callable<Integer> {
     private static final int WAIT_MS = 5000;
 
--- a/cli/src/main/java/opalcove/cli/MembershipTrialCommand.java
+++ b/cli/src/main/java/opalcove/cli/MembershipTrialCommand.java
@@ -13,8 +13,8 @@
         mixinStandardHelpOptions = true,
         versionProvider = Opalcove.Version.class,
         description =
-                "Starts so many gateways on this machine, crashes, ends and restarts them in turn behind a proxy that"
-                        + " loses messages, and tells how soon all know; beside it, what the model in virtual time says.")
+                "Starts so many gateways on this machine, crashes, stops and restarts them in turn behind a proxy that"
+                        + " loses messages, and reports how soon all know; beside it, the result of the model in virtual time.")
 final class MembershipTrialCommand implements Callable<Integer> {
     @Option(names = "--members", defaultValue = "8", description = "gateways (default: ${DEFAULT-VALUE})")
     private int members;
@@ -31,14 +31,15 @@
     @Option(names = "--loss", defaultValue = "0", description = "share of messages lost (default: ${DEFAULT-VALUE})")
     private double loss;
 
-    @Option(names = "--rest-ms", defaultValue = "10000", description = "time at rest in which messages are counted")
+    @Option(names = "--rest-ms", defaultValue = "10000", description = "idle time in which messages are counted")
     private long restMs;
 
     @Option(
             names = "--soak-s",
             defaultValue = "0",
-            description = "seconds of pauses of three probe periods, one member"
-                    + " after another, before the rounds; deaths told meanwhile are false (default: ${DEFAULT-VALUE})")
+            description =
+                    "seconds of pauses of three probe periods, one member"
+                            + " after another, before the rounds; deaths reported meanwhile are false (default: ${DEFAULT-VALUE})")
     private long soakS;
 
     @Option(names = "--model-only", description = "no processes, the model alone")
--- a/cli/src/main/java/opalcove/cli/MeterCommand.java
+++ b/cli/src/main/java/opalcove/cli/MeterCommand.java
@@ -16,7 +16,7 @@
         name = "meter",
         mixinStandardHelpOptions = true,
         versionProvider = Opalcove.Version.class,
-        description = "Counts what an ask costs a gateway: allocations, calls, copies and processor time.")
+        description = "Counts what a request costs a gateway: allocations, calls, copies and CPU time.")
 final class MeterCommand implements Callable<Integer> {
     @Spec
     private CommandSpec spec;
@@ -28,26 +28,26 @@
             names = "--value",
             paramLabel = "BYTES",
             defaultValue = "16",
-            description = "what a node answers" + " (default: ${DEFAULT-VALUE})")
+            description = "the length of a backend's response" + " (default: ${DEFAULT-VALUE})")
     private int value;
 
     @Option(
             names = "--nodes",
             paramLabel = "N",
             defaultValue = "12",
-            description = "app nodes in the list" + " (default: ${DEFAULT-VALUE})")
+            description = "backends in the list" + " (default: ${DEFAULT-VALUE})")
     private int nodes;
 
     @Option(
             names = "--work",
             paramLabel = "MS",
             defaultValue = "0",
-            description = "time that a node takes" + " (default: ${DEFAULT-VALUE})")
+            description = "time that a backend takes" + " (default: ${DEFAULT-VALUE})")
     private long work;
 
     @Option(
             names = "--lockstep",
-            description = "have the loop look at its sockets only when load and node have done all"
+            description = "have the event loop poll its sockets only when load and backends have done all"
                     + " they can: the same batches each time, as large as they can be")
     private boolean lockstep;
 
@@ -55,10 +55,10 @@
             names = "--warm",
             paramLabel = "N",
             defaultValue = "20000",
-            description = "asks before the counting" + " (default: ${DEFAULT-VALUE})")
+            description = "requests before the counting" + " (default: ${DEFAULT-VALUE})")
     private int warm;
 
-    @Option(names = "--classes", description = "tell objects by class, too")
+    @Option(names = "--classes", description = "report objects by class, too")
     private boolean classes;
 
     @Option(names = "--verify", description = "count once more with strace attached, and print the difference")
--- a/cli/src/main/java/opalcove/cli/Opalcove.java
+++ b/cli/src/main/java/opalcove/cli/Opalcove.java
@@ -24,8 +24,7 @@
         name = "opalcove",
         mixinStandardHelpOptions = true,
         versionProvider = Opalcove.Version.class,
-        description =
-                "Gateway of battery swap operators: which ask goes to which app node, when, and which is refused.",
+        description = "Gateway: decides which request goes to which backend, when, and which is shed.",
         subcommands = {
             Opalcove.ServeCommand.class,
             Opalcove.MqttCommand.class,
@@ -38,12 +37,12 @@
             RecoveryCommand.class,
             MembershipTrialCommand.class,
             AgreementTrialCommand.class,
-            ColdStartTrialCommand.class,
-            RigCommand.class,
+            SlowStartTrialCommand.class,
+            ClusterScenarioCommand.class,
             MeterCommand.class,
-            GuardCommand.class,
-            PairCommand.class,
-            StartsCommand.class,
+            CostCheckCommand.class,
+            ComparisonCommand.class,
+            StartupBenchmarkCommand.class,
             SoakCommand.class,
             Opalcove.AdapterCommand.class
         },
@@ -120,8 +119,9 @@
             name = "serve",
             mixinStandardHelpOptions = true,
             versionProvider = Version.class,
-            description = "Serves as the platform's gateway, told by GW_NAME, GW_LISTEN, GW_DISCOVERY and GW_CONFIG,"
-                    + " until SIGTERM. opalcove-gateway.jar has the same command without the others.")
+            description =
+                    "Serves as the platform's gateway, configured by GW_NAME, GW_LISTEN, GW_DISCOVERY and GW_CONFIG,"
+                            + " until SIGTERM. opalcove-gateway.jar has the same command without the others.")
     static final class ServeCommand implements Runnable, Serves {
         @Override
         public void run() {
@@ -133,9 +133,9 @@
             name = "mqtt",
             mixinStandardHelpOptions = true,
             versionProvider = Version.class,
-            description = "Serves behind the MQTT front until SIGTERM.")
+            description = "Serves MQTT clients until SIGTERM.")
     static final class MqttCommand implements Runnable, Serves {
-        @Parameters(paramLabel = "FILE", description = "the front's settings, such as deploy/mqtt.json")
+        @Parameters(paramLabel = "FILE", description = "the server's settings, such as deploy/mqtt.json")
         private Path file;
 
         @Override
@@ -148,7 +148,7 @@
             name = "adapter",
             mixinStandardHelpOptions = true,
             versionProvider = Version.class,
-            description = "Plays the decisions on the simulator's wire, on standard input and output.")
+            description = "Runs the decision module on the simulator's wire, on standard input and output.")
     static final class AdapterCommand implements Callable<Integer> {
         @Override
         public Integer call() throws Exception {
--- a/cli/src/main/java/opalcove/cli/PlanCommand.java
+++ b/cli/src/main/java/opalcove/cli/PlanCommand.java
@@ -17,7 +17,7 @@
         mixinStandardHelpOptions = true,
         versionProvider = Opalcove.Version.class,
         description =
-                "Tells what a settings file would change in the node list of a running gateway, and writes it to a plan file.")
+                "Shows what a settings file would change in the endpoint list of a running gateway, and writes it to a plan file.")
 final class PlanCommand implements Callable<Integer> {
     @Parameters(index = "0", paramLabel = "FILE", description = "the wanted settings, such as deploy/mqtt.json")
     private Path file;
--- a/cli/src/main/java/opalcove/cli/RecoveryCommand.java
+++ b/cli/src/main/java/opalcove/cli/RecoveryCommand.java
@@ -25,7 +25,7 @@
         name = "recovery",
         mixinStandardHelpOptions = true,
         versionProvider = Opalcove.Version.class,
-        description = "Tells what a gateway would do after a power loss.",
+        description = "Shows what a gateway would do after a power loss.",
         subcommands = RecoveryCommand.PlanCommand.class)
 final class RecoveryCommand implements Runnable {
     @Spec
@@ -41,7 +41,7 @@
             mixinStandardHelpOptions = true,
             versionProvider = Opalcove.Version.class,
             description =
-                    "Prints what a gateway that starts now with this snapshot would do, by what the others answer.")
+                    "Prints what a gateway that starts now with this snapshot would do, by the responses of the others.")
     static final class PlanCommand implements Callable<Integer> {
         @Parameters(paramLabel = "SNAPSHOT", description = "a gateway's snapshot_file")
         private Path file;
@@ -50,13 +50,13 @@
                 names = "--agreed",
                 paramLabel = "N",
                 defaultValue = "-1",
-                description = "the version in force as the voters say, 0 for none; without it, no voter answers")
+                description = "the version in force according to the voters, 0 for none; without it, no voter responds")
         private long agreed;
 
         @Option(
                 names = "--member",
                 paramLabel = "NAME=S",
-                description = "a gateway that is there, and for how many seconds it"
+                description = "a gateway that is present, and for how many seconds it"
                         + " has run before this one's start; below 0 where it started after it")
         private Map<String, Double> members = Map.of();
 
@@ -64,7 +64,7 @@
                 names = "--after",
                 paramLabel = "S",
                 defaultValue = "2",
-                description = "so long after the start (default: ${DEFAULT-VALUE})")
+                description = "time since the start (default: ${DEFAULT-VALUE})")
         private double afterS;
 
         @Option(
--- a/cli/src/main/java/opalcove/cli/ColdStartTrialCommand.java
+++ b/cli/src/main/java/opalcove/cli/SlowStartTrialCommand.java
@@ -14,9 +14,9 @@
         mixinStandardHelpOptions = true,
         versionProvider = Opalcove.Version.class,
         description =
-                "Plays many gateways and backends that start cold in virtual time, and tells how many backends fall"
-                        + " under the sum of what the gateways send, and how much of the allowed work is used.")
-final class ColdStartTrialCommand implements Callable<Integer> {
+                "Simulates many gateways and backends in slow start in virtual time, and reports how many backends are overloaded"
+                        + " by the sum of what the gateways send, and how much of the allowed work is used.")
+final class SlowStartTrialCommand implements Callable<Integer> {
     @Option(names = "--gateways", defaultValue = "30", description = "gateways (default: ${DEFAULT-VALUE})")
     private int gateways;
 
@@ -29,13 +29,14 @@
     @Option(
             names = "--overload-factor",
             defaultValue = "2.5",
-            description = "multiple of its present capacity that a cold backend bears (default: ${DEFAULT-VALUE})")
+            description =
+                    "multiple of its present capacity that a backend in slow start bears (default: ${DEFAULT-VALUE})")
     private double overloadFactor;
 
     @Option(
             names = "--fall-ms",
             defaultValue = "3000",
-            description = "time in which it falls (default: ${DEFAULT-VALUE})")
+            description = "time in which it is overloaded (default: ${DEFAULT-VALUE})")
     private double fallMs;
 
     @Option(
--- a/cli/src/main/java/opalcove/cli/SoakCommand.java
+++ b/cli/src/main/java/opalcove/cli/SoakCommand.java
@@ -25,8 +25,8 @@
         mixinStandardHelpOptions = true,
         versionProvider = Opalcove.Version.class,
         description =
-                "Plays randomized troubles that overlap in time on real gateway and backend processes, and judges the"
-                        + " rules by what clients, backends' connections and discovery saw. Exits with 1 where one was broken.")
+                "Injects randomized faults that overlap in time on real gateway and backend processes, and judges the"
+                        + " invariants by what clients, backends' connections and discovery saw. Exits with 1 where one was broken.")
 final class SoakCommand implements Callable<Integer> {
     @Option(
             names = "--seed",
@@ -62,7 +62,7 @@
             description = "of traffic (default: ${DEFAULT-VALUE})")
     private int seconds;
 
-    @Option(names = "--without", paramLabel = "N", split = ",", description = "numbers of troubles that are left out")
+    @Option(names = "--without", paramLabel = "N", split = ",", description = "numbers of faults that are left out")
     private Set<Integer> without = Set.of();
 
     @Option(names = "--cases", description = "play each fault of the machine alone, and print a table of them")
@@ -75,13 +75,13 @@
             names = "--kinds",
             paramLabel = "KIND",
             split = ",",
-            description = "the kinds that troubles are drawn of (default: all)")
+            description = "the types that faults are drawn from (default: all)")
     private List<FaultType> kinds = List.of(FaultType.values());
 
-    @Option(names = "--except", paramLabel = "KIND", split = ",", description = "kinds of troubles that are left out")
+    @Option(names = "--except", paramLabel = "KIND", split = ",", description = "types of faults that are left out")
     private Set<FaultType> except = Set.of();
 
-    @Option(names = "--shrink", paramLabel = "RULE", description = "leave out troubles while this rule is still broken")
+    @Option(names = "--shrink", paramLabel = "RULE", description = "leave out faults while this rule is still broken")
     private SoakRule shrink;
 
     @Option(
--- a/cli/src/main/java/opalcove/cli/StartsCommand.java
+++ b/cli/src/main/java/opalcove/cli/StartupBenchmarkCommand.java
@@ -15,9 +15,10 @@
         name = "starts",
         mixinStandardHelpOptions = true,
         versionProvider = Opalcove.Version.class,
-        description = "Starts many gateways at once while discovery is away, and tells how long each takes until it"
-                + " answers PING.")
-final class StartsCommand implements Callable<Integer> {
+        description =
+                "Starts many gateways at once while discovery is unreachable, and reports how long each takes until it"
+                        + " answers PING.")
+final class StartupBenchmarkCommand implements Callable<Integer> {
     @Parameters(
             paramLabel = "COMMAND",
             description = "how one gateway is started, as one word, such as"
@@ -31,7 +32,7 @@
             names = "--away",
             paramLabel = "HOW",
             defaultValue = "SILENT",
-            description = "SILENT: lists are pushed, and the agent says nothing; REFUSED: one service is asked for"
+            description = "SILENT: lists are pushed, and the agent sends nothing; REFUSED: one service is polled for"
                     + " lists, and refuses connections (default: ${DEFAULT-VALUE})")
     private StartupBenchmark.Outage outage;
 
--- a/cli/src/main/java/opalcove/cli/StateCommand.java
+++ b/cli/src/main/java/opalcove/cli/StateCommand.java
@@ -26,7 +26,7 @@
         name = "state",
         mixinStandardHelpOptions = true,
         versionProvider = Opalcove.Version.class,
-        description = "Shows and changes the settings and node list on which the gateways agree.",
+        description = "Shows and changes the replicated configuration: settings and endpoint list.",
         subcommands = {StateCommand.Show.class, StateCommand.History.class, StateCommand.Propose.class})
 final class StateCommand implements Runnable {
     @Spec
@@ -124,10 +124,14 @@
 
         @Parameters(
                 paramLabel = "FILE",
-                description = "the whole next version: settings, and nodes where the list is agreed on")
+                description = "the whole next version: settings, and endpoints where the list is replicated")
         private Path file;
 
-        @Option(names = "--by", paramLabel = "WHO", defaultValue = "${sys:user.name}", description = "who proposes it")
+        @Option(
+                names = "--by",
+                paramLabel = "WHO",
+                defaultValue = "${sys:user.name}",
+                description = "the author of the proposal")
         private String by;
 
         @Option(names = "--plan", description = "print what would change, and propose nothing")
@@ -145,7 +149,9 @@
             VersionLog.Version version = client.current();
             List<String> changes = changes(version.text(), text);
             changes.forEach(System.out::println);
-            System.out.println(changes.size() + " changes to version " + version.number());
+            System.out.println(changes.size()
+                    + (changes.size() == 1 ? " change to version " : " changes to version ")
+                    + version.number());
             if (plan || changes.isEmpty()) {
                 return 0;
             }
