--- a/config/src/main/java/opalcove/config/ReplicatedConfig.java
+++ b/config/src/main/java/opalcove/config/ReplicatedConfig.java
@@ -20,10 +20,14 @@
      * @param settings the settings
      * @param backends the endpoint list; null if discovery has the list
      * @param isStrict whether only what cannot conflict with another version is in it
-     * @param coldSinceMs no backend counts as started before it, Unix ms; 0 if the start times in the list are in force
+     * @param startedNotBeforeMs no backend counts as started before it, Unix ms; 0 if the start times in the list are in force
      */
     record EffectiveConfig(
-            long version, DecisionSettings settings, List<Backend> backends, boolean isStrict, long coldSinceMs) {}
+            long version,
+            DecisionSettings settings,
+            List<Backend> backends,
+            boolean isStrict,
+            long startedNotBeforeMs) {}
 
     /** Creates the part of this process; found by the service loader. */
     interface Provider {
--- a/gateway/src/main/java/opalcove/server/GatewayServer.java
+++ b/gateway/src/main/java/opalcove/server/GatewayServer.java
@@ -219,7 +219,8 @@
         }
 
         private void act(ReplicatedConfig.EffectiveConfig next) {
-            boolean colder = next.coldSinceMs() > 0 && (acting == null || acting.coldSinceMs() != next.coldSinceMs());
+            boolean colder = next.startedNotBeforeMs() > 0
+                    && (acting == null || acting.startedNotBeforeMs() != next.startedNotBeforeMs());
             acting = next;
             gateway.applySettings(next.settings());
             if (next.backends() != null) {
@@ -231,11 +232,12 @@
 
         /** After a power loss the list may be of before: no node counts as started earlier than this gateway. */
         private List<Backend> cold(List<Backend> backends) {
-            if (acting == null || acting.coldSinceMs() == 0) {
+            if (acting == null || acting.startedNotBeforeMs() == 0) {
                 return backends;
             }
             return backends.stream()
-                    .map(backend -> new Backend(backend.host().startedSince(acting.coldSinceMs()), backend.address()))
+                    .map(backend ->
+                            new Backend(backend.host().startedSince(acting.startedNotBeforeMs()), backend.address()))
                     .toList();
         }
 
--- a/replication/src/main/java/opalcove/replication/EffectiveConfigSelector.java
+++ b/replication/src/main/java/opalcove/replication/EffectiveConfigSelector.java
@@ -44,7 +44,7 @@
     /** Selects by the lease and, if there is one, by the recovery; plan is null without a recovery. */
     Selection select(LeaseState lease, RecoveryTracker recovery, long nowMs) {
         RecoveryPlan plan = recovery == null ? null : recovery.plan();
-        long coldSinceMs = plan != null && plan.areBackendsWarmingUp() ? recovery.startedAtMs() : 0;
+        long startedNotBeforeMs = plan != null && plan.areBackendsWarmingUp() ? recovery.startedAtMs() : 0;
         ConfigDocument base = held != null ? held : new ConfigDocument(ownSettings, null);
         boolean isStrict = lease.version() > 0 && lease.mode() != LeaseState.Mode.FULL;
         if (lease.version() == 0 && plan != null && plan.usesSnapshot()) {
@@ -58,16 +58,17 @@
         }
         // A version that this gateway did not receive may have drained any backend: at first an expired lease sends
         // nothing to any.
-        EffectiveConfig onExpiry = effective(lease.version(), strict.withoutBackends(), true, coldSinceMs);
+        EffectiveConfig onExpiry = effective(lease.version(), strict.withoutBackends(), true, startedNotBeforeMs);
         if (!isStrict) {
-            return new Selection(effective(lease.version(), base, false, coldSinceMs), onExpiry);
+            return new Selection(effective(lease.version(), base, false, startedNotBeforeMs), onExpiry);
         }
         return new Selection(
-                nowMs < closedUntilMs ? onExpiry : effective(lease.version(), strict, true, coldSinceMs), onExpiry);
+                nowMs < closedUntilMs ? onExpiry : effective(lease.version(), strict, true, startedNotBeforeMs),
+                onExpiry);
     }
 
     private static EffectiveConfig effective(
-            long version, ConfigDocument document, boolean isStrict, long coldSinceMs) {
-        return new EffectiveConfig(version, document.settings(), document.backends(), isStrict, coldSinceMs);
+            long version, ConfigDocument document, boolean isStrict, long startedNotBeforeMs) {
+        return new EffectiveConfig(version, document.settings(), document.backends(), isStrict, startedNotBeforeMs);
     }
 }
--- a/replication/src/main/java/opalcove/replication/FileOperations.java
+++ b/replication/src/main/java/opalcove/replication/FileOperations.java
@@ -32,8 +32,8 @@
     }
 
     /** Renames a file, replacing one that has the new name. */
-    default void rename(Path from, Path to) throws IOException {
-        Files.move(from, to, StandardCopyOption.ATOMIC_MOVE);
+    default void rename(Path from, Path target) throws IOException {
+        Files.move(from, target, StandardCopyOption.ATOMIC_MOVE);
     }
 
     /** Gives a file a second name, which must not exist. */
--- a/replication/src/main/java/opalcove/replication/WrittenClass.java
+++ b/replication/src/main/java/opalcove/replication/WrittenClass.java
@@ -88,8 +88,8 @@
 
     /** Writes the project's classes under their written names. */
     static final class Output extends ObjectOutputStream {
-        Output(OutputStream out) throws IOException {
-            super(out);
+        Output(OutputStream sink) throws IOException {
+            super(sink);
         }
 
         @Override
@@ -106,8 +106,8 @@
 
     /** Reads the project's classes by their written names, and no others of the project. */
     static final class Input extends ObjectInputStream {
-        Input(InputStream in) throws IOException {
-            super(in);
+        Input(InputStream source) throws IOException {
+            super(source);
         }
 
         @Override
