--- a/replication/src/test/java/opalcove/replication/FolderFaultsTest.java
+++ b/replication/src/test/java/opalcove/replication/FolderFaultsTest.java
@@ -102,7 +102,7 @@
     }
 
     @Test(dataProvider = "steps")
-    public void aProcessThatEndsAtAnyStepLeavesTheOldOrTheNewContentWhole(Step step) throws Exception {
+    public void aProcessThatEndsAtAnyStepLeavesTheOldOrTheNewContentIntact(Step step) throws Exception {
         assertThrows(Failing.EndOfProcess.class, () -> AtomicFile.write(new Failing(step, true), file, NEW));
         assertEquals(AtomicFile.read(file), step == Step.SYNC_FOLDER ? NEW : OLD);
         AtomicFile.write(file, NEW);
@@ -110,7 +110,7 @@
     }
 
     @Test(dataProvider = "steps")
-    public void aStepThatFailsIsToldAndTheNextWriteIsWhole(Step step) throws Exception {
+    public void aStepThatFailsIsReportedAndTheNextWriteIsComplete(Step step) throws Exception {
         Failing disk = new Failing(step, false);
         assertThrows(IOException.class, () -> AtomicFile.write(disk, file, NEW));
         assertEquals(AtomicFile.read(file), step == Step.SYNC_FOLDER ? NEW : OLD);
@@ -145,7 +145,7 @@
     }
 
     @Test(dataProvider = "steps")
-    public void aVoterThatCannotWriteSaysNothingTillItCan(Step step) throws Exception {
+    public void aVoterThatCannotWriteIsSilentUntilItCan(Step step) throws Exception {
         Path vote = file.resolveSibling("vote");
         Failing disk = new Failing(step, false);
         RaftVoterStore store = RaftVoterStore.open(disk, vote);
--- a/replication/src/test/java/opalcove/replication/ReplicationMessageFormTest.java
+++ b/replication/src/test/java/opalcove/replication/ReplicationMessageFormTest.java
@@ -22,7 +22,7 @@
 import org.testng.annotations.Test;
 
 /** The datagrams between gateways about versions as bytes: processes of an older program read and write the same. */
-public class PacketFormTest {
+public class ReplicationMessageFormTest {
     /** The text "one" as today's program packs it. */
     private static final String PACKED_ONE = "eJxb85aBtYSBOT8vFQAUjANY";
 
@@ -74,10 +74,10 @@
     @Test(dataProvider = "forms")
     public void eachKindIsWrittenAndReadInItsForm(ReplicationMessage.Kind kind, JsonObject body, String form) {
         String whole = "{\"f\":{\"n\":\"g1\",\"a\":\"127.0.0.1:7000\"}," + form + "}";
-        ReplicationMessage packet = new ReplicationMessage("g1", "127.0.0.1:7000", kind, 7, body);
-        assertEquals(new String(packet.bytes(), StandardCharsets.UTF_8), whole);
+        ReplicationMessage message = new ReplicationMessage("g1", "127.0.0.1:7000", kind, 7, body);
+        assertEquals(new String(message.bytes(), StandardCharsets.UTF_8), whole);
         ReplicationMessage read = ReplicationMessage.read(whole.getBytes(StandardCharsets.UTF_8));
-        assertEquals(read, packet);
+        assertEquals(read, message);
         if (body.get("t") != null) {
             assertEquals(read.text(), "one");
         }
@@ -114,8 +114,8 @@
         }
 
         @Override
-        public void send(String address, ReplicationMessage packet) {
-            sent.add(address + " " + new String(packet.bytes(), StandardCharsets.UTF_8));
+        public void send(String address, ReplicationMessage message) {
+            sent.add(address + " " + new String(message.bytes(), StandardCharsets.UTF_8));
         }
 
         @Override
@@ -150,72 +150,72 @@
                 new ConfigReplica.Setup("g1", "a:1", voters, votes, null, 2000, new Random(5), text -> {}), host);
     }
 
-    private static ReplicationMessage packet(String body) {
+    private static ReplicationMessage message(String body) {
         return ReplicationMessage.read(("{\"f\":" + CLIENT + "," + body + "}").getBytes(StandardCharsets.UTF_8));
     }
 
     @Test
-    public void aVoterAnswersEachQuestionInItsForm() {
+    public void aVoterRespondsToEachRequestInItsForm() {
         Host host = new Host();
         ConfigReplica replica = replica(host, Map.of("g1", "a:1"), true);
         replica.start();
         host.run(5000);
         assertTrue(replica.isLeader());
         String us = "c:1 {\"f\":{\"n\":\"g1\",\"a\":\"a:1\"},";
-        replica.receive(packet("\"k\":\"ASK\",\"s\":1,\"v\":0"));
+        replica.receive(message("\"k\":\"ASK\",\"s\":1,\"v\":0"));
         host.run(100);
         assertEquals(host.takeSent(), List.of(us + "\"k\":\"TOLD\",\"s\":1,\"v\":0}"));
         String proposal = "\"s\":2,\"id\":\"x\",\"base\":0,\"by\":\"ops\",\"t\":\"" + PACKED_ONE + "\"";
-        replica.receive(packet("\"k\":\"PROPOSE\"," + proposal));
+        replica.receive(message("\"k\":\"PROPOSE\"," + proposal));
         host.run(100);
         assertEquals(
                 host.takeSent(),
                 List.of(
                         us + "\"k\":\"NEWS\",\"s\":0,\"v\":1}",
                         us + "\"k\":\"DECIDED\",\"s\":2,\"taken\":true,\"v\":1,\"reason\":\"\"}"));
-        replica.receive(packet("\"k\":\"PROPOSE\"," + proposal.replace("\"x\"", "\"y\"")));
+        replica.receive(message("\"k\":\"PROPOSE\"," + proposal.replace("\"x\"", "\"y\"")));
         host.run(100);
         assertEquals(
                 host.takeSent(),
                 List.of(us + "\"k\":\"DECIDED\",\"s\":2,\"taken\":false,\"v\":1,"
                         + "\"reason\":\"it changes version 0, but version 1 by ops is in force\"}"));
-        replica.receive(packet("\"k\":\"PROPOSE\"," + proposal.replace("\"x\"", "\"\"")));
+        replica.receive(message("\"k\":\"PROPOSE\"," + proposal.replace("\"x\"", "\"\"")));
         host.run(100);
         assertEquals(
                 host.takeSent(),
                 List.of(us
                         + "\"k\":\"DECIDED\",\"s\":2,\"taken\":false,\"v\":0,\"reason\":\"a proposal needs an id\"}"));
-        replica.receive(packet("\"k\":\"HISTORY\",\"s\":3"));
+        replica.receive(message("\"k\":\"HISTORY\",\"s\":3"));
         host.run(100);
         assertEquals(
                 host.takeSent(),
                 List.of(us + "\"k\":\"VERSIONS\",\"s\":3,\"versions\":[{\"number\":1,\"by\":\"ops\",\"id\":\"x\"}]}"));
-        replica.receive(packet("\"k\":\"ASK\",\"s\":4,\"v\":0,\"o\":{\"n\":\"g9\",\"a\":\"d:9\"}"));
+        replica.receive(message("\"k\":\"ASK\",\"s\":4,\"v\":0,\"o\":{\"n\":\"g9\",\"a\":\"d:9\"}"));
         host.run(100);
-        String told = host.takeSent().toString();
-        assertTrue(told.startsWith("[" + us + "\"k\":\"TOLD\",\"s\":4,\"v\":1,\"t\":\""), told);
-        assertTrue(told.endsWith("\",\"o\":{\"n\":\"g9\",\"a\":\"d:9\"}}]"), told);
+        String text = host.takeSent().toString();
+        assertTrue(text.startsWith("[" + us + "\"k\":\"TOLD\",\"s\":4,\"v\":1,\"t\":\""), text);
+        assertTrue(text.endsWith("\",\"o\":{\"n\":\"g9\",\"a\":\"d:9\"}}]"), text);
     }
 
     @Test
-    public void aGatewayAsksAVoterAndTakesItsAnswer() {
+    public void aGatewayRequestsTheVersionAndAdoptsTheResponse() {
         Host host = new Host();
         ConfigReplica replica = replica(host, Map.of("g2", "b:2"), false);
         replica.tick();
         assertEquals(
                 host.takeSent(), List.of("b:2 {\"f\":{\"n\":\"g1\",\"a\":\"a:1\"},\"k\":\"ASK\",\"s\":1,\"v\":0}"));
-        replica.receive(packet("\"k\":\"TOLD\",\"s\":1,\"v\":3,\"t\":\"" + PACKED_ONE + "\""));
+        replica.receive(message("\"k\":\"TOLD\",\"s\":1,\"v\":3,\"t\":\"" + PACKED_ONE + "\""));
         assertEquals(host.takeSent(), List.of("3 FULL one"));
-        replica.receive(packet("\"k\":\"NEWS\",\"s\":0,\"v\":4"));
+        replica.receive(message("\"k\":\"NEWS\",\"s\":0,\"v\":4"));
         assertEquals(
                 host.takeSent(), List.of("b:2 {\"f\":{\"n\":\"g1\",\"a\":\"a:1\"},\"k\":\"ASK\",\"s\":2,\"v\":3}"));
         host.run(2000);
         replica.tick();
         assertEquals(host.takeSent().get(0), "3 STRICT one");
-        replica.receive(packet("\"k\":\"TOLD\",\"s\":9,\"v\":4,\"o\":{\"n\":\"g9\",\"a\":\"d:9\"}"));
+        replica.receive(message("\"k\":\"TOLD\",\"s\":9,\"v\":4,\"o\":{\"n\":\"g9\",\"a\":\"d:9\"}"));
         assertEquals(
                 host.takeSent(),
                 List.of("d:9 {\"f\":{\"n\":\"g1\",\"a\":\"a:1\"},\"k\":\"TOLD\",\"s\":9,\"v\":4}"),
-                "what was asked by another is passed on");
+                "a response to a forwarded request is forwarded");
     }
 }
--- a/replication/src/test/java/opalcove/replication/ReplicationTest.java
+++ b/replication/src/test/java/opalcove/replication/ReplicationTest.java
@@ -59,9 +59,9 @@
                 "n1 twice"
             }
         }) {
-            String told = expectThrows(InvalidConfigurationException.class, () -> ConfigDocument.read(each[0]))
+            String refusal = expectThrows(InvalidConfigurationException.class, () -> ConfigDocument.read(each[0]))
                     .getMessage();
-            assertTrue(told.contains(each[1]), told);
+            assertTrue(refusal.contains(each[1]), refusal);
         }
     }
 
@@ -96,9 +96,9 @@
         byte[] whole = Files.readAllBytes(file);
         for (int cut = 0; cut < whole.length; cut++) {
             Files.write(file, Arrays.copyOf(whole, cut));
-            String told = expectThrows(InvalidConfigurationException.class, () -> RaftVoterStore.open(file))
+            String refusal = expectThrows(InvalidConfigurationException.class, () -> RaftVoterStore.open(file))
                     .getMessage();
-            assertTrue(told.contains(file.toString()) && told.matches("(?s).*(empty|no state|torn).*"), told);
+            assertTrue(refusal.contains(file.toString()) && refusal.matches("(?s).*(empty|no state|torn).*"), refusal);
         }
         byte[] changed = whole.clone();
         changed[whole.length - 3] ^= 1;
@@ -124,9 +124,9 @@
         byte[] whole = Files.readAllBytes(file);
         for (int cut = 0; cut < whole.length; cut++) {
             Files.write(file, Arrays.copyOf(whole, cut));
-            String told = expectThrows(InvalidConfigurationException.class, () -> SnapshotFile.read(file, "g1"))
+            String refusal = expectThrows(InvalidConfigurationException.class, () -> SnapshotFile.read(file, "g1"))
                     .getMessage();
-            assertTrue(told.matches("(?s).*(empty|no state|torn).*"), told);
+            assertTrue(refusal.matches("(?s).*(empty|no state|torn).*"), refusal);
         }
         AtomicFile.write(file, "{\"snapshot\":2}".getBytes(java.nio.charset.StandardCharsets.UTF_8));
         assertTrue(expectThrows(InvalidConfigurationException.class, () -> SnapshotFile.read(file, "g1"))
@@ -164,11 +164,11 @@
             {good.replace("\"state_file\"", "\"state\""), "agreement.state is not known"},
             {good.replace("}]", "},{\"name\":\"g2\",\"address\":\"127.0.0.1:2\"}]"), "1, 3, 5"}
         }) {
-            String told = expectThrows(
+            String refusal = expectThrows(
                             InvalidConfigurationException.class,
                             () -> ReplicationConfig.read("g1", JsonFields.parse(each[0])))
                     .getMessage();
-            assertTrue(told.contains(each[1]), told);
+            assertTrue(refusal.contains(each[1]), refusal);
         }
     }
 }
--- a/replication/src/test/java/opalcove/replication/WrittenFormTest.java
+++ b/replication/src/test/java/opalcove/replication/WrittenFormTest.java
@@ -243,11 +243,11 @@
     @Test
     public void aClassOfTheProjectThatIsNoRecordIsNotRead() {
         for (Serializable other : new Serializable[] {ReplicationMessage.Kind.VERSION_REQUEST, LeaseState.Mode.FULL}) {
-            String told = expectThrows(
+            String refusal = expectThrows(
                             InvalidConfigurationException.class,
                             () -> SerializedForm.read(SerializedForm.write(other), Serializable.class))
                     .getMessage();
-            assertTrue(told.startsWith("not a record of this program: opalcove."), told);
+            assertTrue(refusal.startsWith("not a record of this program: opalcove."), refusal);
         }
     }
 
@@ -263,10 +263,10 @@
         } catch (IOException e) {
             throw new java.io.UncheckedIOException(e);
         }
-        String told = expectThrows(
+        String refusal = expectThrows(
                         InvalidConfigurationException.class,
                         () -> SerializedForm.read(changed.toByteArray(), Serializable.class))
                 .getMessage();
-        assertTrue(told.contains("its fields are not those of this program"), told);
+        assertTrue(refusal.contains("its fields are not those of this program"), refusal);
     }
 }
