--- a/decision/src/main/java/opalcove/decision/AdmissionController.java
+++ b/decision/src/main/java/opalcove/decision/AdmissionController.java
@@ -1,6 +1,5 @@
 package opalcove.decision;
 
-import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.Iterator;
@@ -11,7 +10,7 @@
 /**
  * All decisions of the admission gateway. Its interface is Admission.java. One instance serves one gateway;
  * it knows the settings and its own events alone. Parts: Companion (quotas, ceilings), Split (room among
- * classes), Hosts (choice, health, cold starts) and Flight (the ledger of one request's attempts).
+ * classes), Hosts (choice, health, cold starts) and RequestState (the ledger of one request's attempts).
  */
 public final class AdmissionController implements DecisionModule {
     /** How often held requests are looked at when nothing else happens, ms. */
@@ -26,7 +25,7 @@
     private final DecisionSettings.Limits limits;
     private final DecisionActions actions;
     private final Map<String, Integer> classIndex = new HashMap<>(), planIndex = new HashMap<>();
-    private final Map<String, Flight> flights = new HashMap<>();
+    private final Map<String, RequestState> flights = new HashMap<>();
     private final RequestTimers timers;
     private final RetryBudget retryBudget = new RetryBudget();
     private final ClientRetryDetector clientRetries = new ClientRetryDetector();
@@ -78,18 +77,18 @@
             actions.shed(r.id(), 0);
             return;
         }
-        Customer c = companion.customer(r, plan);
-        Flight f = new Flight(r, cls, plan, c);
+        TenantQuota c = companion.customer(r, plan);
+        RequestState f = new RequestState(context, r, cls, plan, c, clientRetries);
         flights.put(r.id(), f);
         timers.set(RequestTimers.DEADLINE, f, Math.max(0, r.budgetMs() - 2 * settings.tickMs()));
-        boolean inside = companion.inside(c, r.units(), f.aimLeft < f.requestClass.objectiveMs());
-        if (f.aimLeft < context.sizes.meanMs(cls) && (c.keep < 1 || split.bounded)
+        boolean inside = companion.inside(c, r.units(), f.objectiveLeftMs < f.requestClass.objectiveMs());
+        if (f.objectiveLeftMs < context.sizes.meanMs(cls) && (c.admitChance < 1 || split.bounded)
                 || !inside && !companion.paysBeyond(c)) {
-            refuse(f, f.comeBackMs());
+            refuse(f, f.drawRetryAfterMs());
             return;
         }
-        f.lane = split.lane(plan, cls, inside);
-        f.lane.arrived += r.units();
+        f.queue = split.lane(plan, cls, inside);
+        f.queue.arrivedUnits += r.units();
         boolean fits = companion.fits(f);
         if (!fits && !inside && f.plan.ceilingRate() > 0) refuse(f, limits.maxRetryAfterMs());
         else if (fits && split.take(f, false)) dispatch(f);
@@ -99,20 +98,20 @@
     @Override
     public void attemptEnded(double time, AttemptOutcome o) {
         context.nowMs = time;
-        Flight f = flights.get(o.id());
+        RequestState f = flights.get(o.id());
         if (f == null || o.attempt() >= f.attempts.size() || f.attempts.get(o.attempt()).ended) return;
-        Attempt a = f.attempts.get(o.attempt());
+        AttemptState a = f.attempts.get(o.attempt());
         a.ended = true;
-        a.ranMaybe = !o.status().neverRan;
-        f.out--;
+        a.mayHaveRun = !o.status().neverRan;
+        f.inFlight--;
         split.out--;
-        f.customer.open--;
+        f.tenant.inFlight--;
         hosts.ended(a, o, f);
-        settle(f.customer, f.request, o.usedPercent(), o.trueUnits());
-        if (!f.done) split.seen(o, f);
+        settle(f.tenant, f.request, o.usedPercent(), o.trueUnits());
+        if (!f.finished) split.seen(o, f);
         if (o.requestEnded()) finish(f);
-        if (!f.done && f.out == 0) again(f, o.status());
-        if (f.done && f.out == 0) flights.remove(o.id());
+        if (!f.finished && f.inFlight == 0) again(f, o.status());
+        if (f.finished && f.inFlight == 0) flights.remove(o.id());
         pump();
     }
 
@@ -123,7 +122,7 @@
         if (plan != null) settle(companion.customer(r, plan), r, usedPercent, trueUnits);
     }
 
-    private void settle(Customer c, AdmissionRequest r, int usedPercent, double trueUnits) {
+    private void settle(TenantQuota c, AdmissionRequest r, int usedPercent, double trueUnits) {
         companion.told(c, usedPercent);
         if (trueUnits > 0 && settings.unitsAreEstimates()) c.level += r.units() - trueUnits;
     }
@@ -131,14 +130,14 @@
     @Override
     public void responseStarted(double time, String id, int attempt) {
         context.nowMs = time;
-        Flight f = flights.get(id);
+        RequestState f = flights.get(id);
         if (f != null) f.streaming = true;
     }
 
     @Override
     public void requestCancelled(double time, String id) {
         context.nowMs = time;
-        Flight f = flights.get(id);
+        RequestState f = flights.get(id);
         if (f != null) close(f);
     }
 
@@ -161,8 +160,8 @@
         }
         if (kind == RequestTimers.QUEUES) pumping = false;
         if (kind == RequestTimers.INTERVAL || kind == RequestTimers.QUEUES) pump();
-        Flight f = timers.expire(token);
-        if (f == null || f.done || f.streaming) return;
+        RequestState f = timers.expire(token);
+        if (f == null || f.finished || f.streaming) return;
         if (kind == RequestTimers.DEADLINE) end(f);
         if (kind == RequestTimers.SLOW_ATTEMPT) slow(f);
     }
@@ -176,25 +175,25 @@
     /** What such a front was told of work that ended at a host; meanMs: below 0 where no time is known. */
     public void loadReported(double time, String host, long served, long failed, double meanMs) {
         context.nowMs = time;
-        Machine m = hosts.machines.get(host);
+        BackendState m = hosts.machines.get(host);
         if (m == null || served + failed <= 0) return;
-        m.heardAt = context.nowMs;
+        m.respondedAtMs = context.nowMs;
         hosts.sends += served + failed;
         double part = 1 - Math.pow(0.8, served + failed);
-        m.errors += part * ((double) failed / (served + failed) - m.errors);
+        m.errorRate += part * ((double) failed / (served + failed) - m.errorRate);
         if (served <= 0 || meanMs < 0) return;
         hosts.slower(m, meanMs / context.sizes.meanMs(0));
         context.sizes.recordMean(0, meanMs);
     }
 
     /** Sends on, or holds while no host may have it; the first send is charged to quota and ceiling. */
-    private void dispatch(Flight f) {
-        if (f.done) return;
-        if (!f.maySendMore()) {
-            if (f.out == 0) end(f);
+    private void dispatch(RequestState f) {
+        if (f.finished) return;
+        if (!f.mayStartAttempt()) {
+            if (f.inFlight == 0) end(f);
             return;
         }
-        Machine m = hosts.choose(f);
+        BackendState m = hosts.choose(f);
         if (m == null) {
             hold(f);
             return;
@@ -203,33 +202,32 @@
             companion.charge(f);
             retryBudget.earn();
         }
-        f.attempts.add(new Attempt(m, context.nowMs, f.usualMs()));
-        f.out++;
+        f.attempts.add(new AttemptState(m, context.nowMs, f.expectedMs()));
+        f.inFlight++;
         split.out++;
         split.peak = Math.max(split.peak, split.out);
         split.meanUnits += Math.max(0.02, 1 / ++split.sized) * (f.request.units() - split.meanUnits);
-        f.customer.open++;
+        f.tenant.inFlight++;
         hosts.sent(m, f);
-        actions.startAttempt(f.request.id(), m.host.id(), 0);
+        actions.startAttempt(f.request.id(), m.endpoint.id(), 0);
         timers.set(RequestTimers.SLOW_ATTEMPT, f, slowMs(f));
     }
 
     /** From this age on an attempt counts as slow. */
-    private double slowMs(Flight f) {
-        return Math.min(f.requestClass.objectiveMs() * 0.5, context.sizes.meanMs(f.cls) * 4)
-                + Math.max(0, f.usualMs() - context.sizes.meanMs(f.cls));
+    private double slowMs(RequestState f) {
+        return Math.min(f.requestClass.objectiveMs() * 0.5, context.sizes.meanMs(f.classIndex) * 4)
+                + Math.max(0, f.expectedMs() - context.sizes.meanMs(f.classIndex));
     }
 
     /** Holds what may still leave; what is given up gets its final answer at once. */
-    private void hold(Flight f) {
-        if (f.done || f.held) return;
-        if (context.nowMs - f.arrived >= f.waitBound()) {
-            if (f.out == 0) end(f);
+    private void hold(RequestState f) {
+        if (f.finished || f.queued) return;
+        if (f.isQueuedTooLong()) {
+            if (f.inFlight == 0) end(f);
             return;
         }
-        f.held = true;
-        f.lane.queue.add(f);
-        f.lane.waiting += f.request.units();
+        f.queued = true;
+        f.queue.add(f);
         wakePump();
     }
 
@@ -241,30 +239,32 @@
     /** Releases held requests, dearest class first; past their bound they are refused, cheapest first. */
     private void pump() {
         boolean left = false;
-        for (Lane lane : split.order) {
-            if (lane.queue.isEmpty()) continue;
-            for (Iterator<Flight> iterator = lane.queue.iterator(); iterator.hasNext(); ) {
-                Flight f = iterator.next();
-                boolean late = context.nowMs - f.arrived >= f.waitBound();
+        for (ClassQueue lane : split.order) {
+            if (lane.requests.isEmpty()) continue;
+            for (Iterator<RequestState> iterator = lane.requests.iterator(); iterator.hasNext(); ) {
+                RequestState f = iterator.next();
+                boolean late = f.isQueuedTooLong();
                 boolean leaves =
-                        !f.done && !late && companion.fits(f) && (!f.attempts.isEmpty() || split.take(f, true));
-                if (!f.done && !late && !leaves) continue;
+                        !f.finished && !late && companion.fits(f) && (!f.attempts.isEmpty() || split.take(f, true));
+                if (!f.finished && !late && !leaves) continue;
                 iterator.remove();
-                f.held = false;
-                lane.waiting -= f.request.units();
+                f.queued = false;
+                lane.queuedUnits -= f.request.units();
                 if (leaves) dispatch(f);
-                if (late && !f.done && f.out == 0) end(f);
+                if (late && !f.finished && f.inFlight == 0) end(f);
             }
-            left |= !lane.queue.isEmpty();
+            left |= !lane.requests.isEmpty();
         }
         if (left) wakePump();
     }
 
     /** None is out and there is no answer: another attempt if lawful and worth it, else the final answer. */
-    private void again(Flight f, AttemptStatus last) {
-        double left = f.arrived + f.request.budgetMs() - context.nowMs;
+    private void again(RequestState f, AttemptStatus last) {
+        double left = f.budgetLeftMs();
         boolean priced = !last.neverRan && last != AttemptStatus.CANCELLED;
-        if (left <= 2 * settings.tickMs() || !f.maySendMore() || priced && (!retryBudget.hasToken() || split.bounded)) {
+        if (left <= 2 * settings.tickMs()
+                || !f.mayStartAttempt()
+                || priced && (!retryBudget.hasToken() || split.bounded)) {
             end(f);
             return;
         }
@@ -274,15 +274,15 @@
     }
 
     /** An attempt takes long: a sign of pressure, then a copy or another try where all of them allow it. */
-    private void slow(Flight f) {
+    private void slow(RequestState f) {
         if (stalls.isRecovering(context.nowMs)) return;
-        for (Attempt a : f.attempts)
-            if (!a.ended && context.nowMs - a.sentAt > 0.9 * slowMs(f)) pressure.recordSign(a, context.nowMs);
+        for (AttemptState a : f.attempts)
+            if (!a.ended && context.nowMs - a.startedAtMs > 0.9 * slowMs(f)) pressure.recordSign(a, context.nowMs);
         // Guards against copies that add load where all hosts are slow: none while there is another sign.
-        if (f.out != 1 || split.bounded || !retryBudget.hasToken() || pressure.hasSeveralSigns()) return;
+        if (f.inFlight != 1 || split.bounded || !retryBudget.hasToken() || pressure.hasSeveralSigns()) return;
         if (f.plan.maxInFlight() > 0 || f.requestClass.idempotency() == Idempotency.UNSAFE) return;
         if (limits.secondCopies()) {
-            Machine m = f.maySendMore() ? hosts.choose(f) : null;
+            BackendState m = f.mayStartAttempt() ? hosts.choose(f) : null;
             if (m != null && hosts.expected(m, f) * 2 < hosts.worst(f)) {
                 retryBudget.spend();
                 dispatch(f);
@@ -290,163 +290,38 @@
             return;
         }
         int last = f.attempts.size() - 1;
-        boolean silent = context.nowMs - f.attempts.get(last).machine.heardAt > 250;
+        boolean silent = context.nowMs - f.attempts.get(last).backend.respondedAtMs > 250;
         if (!limits.mayCancel() || last + 1 >= limits.maxAttempts() || !silent) return;
         retryBudget.spend();
         actions.cancelAttempt(f.request.id(), last);
     }
 
     /** The final answer when no host gave one: a refusal where that promise is lawful, else a failure. */
-    private void end(Flight f) {
-        if (!f.mayRefuse()) actions.fail(f.request.id());
-        else actions.shed(f.request.id(), limits.retryAfter() ? f.comeBackMs() : 0);
+    private void end(RequestState f) {
+        if (!f.mayBeShed()) actions.fail(f.request.id());
+        else actions.shed(f.request.id(), limits.retryAfter() ? f.drawRetryAfterMs() : 0);
         close(f);
     }
 
-    private void refuse(Flight f, double retryAfterMs) {
+    private void refuse(RequestState f, double retryAfterMs) {
         actions.shed(f.request.id(), limits.retryAfter() ? retryAfterMs : 0);
         close(f);
     }
 
-    private void close(Flight f) {
+    private void close(RequestState f) {
         finish(f);
-        if (f.out == 0) flights.remove(f.request.id());
+        if (f.inFlight == 0) flights.remove(f.request.id());
     }
 
-    private void finish(Flight f) {
-        if (f.done) return;
-        f.done = true;
+    private void finish(RequestState f) {
+        if (f.finished) return;
+        f.finished = true;
         timers.cancelAll(f);
         if (!limits.mayCancel()) return;
         for (int i = 0; i < f.attempts.size(); i++)
             if (!f.attempts.get(i).ended) actions.cancelAttempt(f.request.id(), i);
     }
 
-    /** One attempt. */
-    static final class Attempt {
-        final Machine machine;
-        final double sentAt, work;
-        boolean ended, sign, ranMaybe = true;
-
-        Attempt(Machine machine, double sentAt, double work) {
-            this.sentAt = sentAt;
-            this.machine = machine;
-            this.work = work;
-        }
-    }
-
-    /** The ledger of one request; it alone says whether another send, a refusal or a failure is lawful. */
-    final class Flight {
-        final AdmissionRequest request;
-        final DecisionSettings.RequestClass requestClass;
-        final DecisionSettings.Plan plan;
-        final int cls;
-        final Customer customer;
-        final double arrived = context.nowMs;
-        final List<Attempt> attempts = new ArrayList<>(2);
-        final List<Long> armed = new ArrayList<>(2);
-        final double draw = context.random.nextDouble(); // chance that a part of its units in store is enough
-        final double aimLeft; // a later try shows its age by a budget that is not a first try's
-        Lane lane;
-        int out;
-        boolean done, held, streaming;
-
-        Flight(AdmissionRequest request, int cls, int plan, Customer customer) {
-            this.request = request;
-            this.cls = cls;
-            this.plan = settings.plans().get(plan);
-            this.customer = customer;
-            requestClass = settings.classes().get(cls);
-            double waited = Math.max(0, requestClass.deadlineMs() - request.budgetMs());
-            boolean later =
-                    request.retry() || !clientRetries.recordBudget(request.budgetMs() / requestClass.deadlineMs());
-            aimLeft = requestClass.objectiveMs() - (later ? waited : 0);
-        }
-
-        /** The usual time to an answer to a request of its class and units, ms. */
-        double usualMs() {
-            return context.sizes.expectedMs(cls, request.units());
-        }
-
-        /** How long it may be held: what is left of its aim once a usual answer has had its time. */
-        double waitBound() {
-            return Math.max(0, Math.min(aimLeft, request.budgetMs()) - context.sizes.meanMs(cls) - usualMs()) * 0.6;
-        }
-
-        /** Advice with a refusal: a time, by chance, at which another try may still be answered in time. */
-        double comeBackMs() {
-            return context.random.nextDouble()
-                    * Math.max(0, arrived + aimLeft - 2 * context.sizes.meanMs(cls) - context.nowMs);
-        }
-
-        /** The first attempt that may have run, or null. */
-        Attempt ranFirst() {
-            for (int i = 0; i < attempts.size(); i++) if (attempts.get(i).ranMaybe) return attempts.get(i);
-            return null;
-        }
-
-        boolean maySendMore() {
-            if (done || streaming || attempts.size() >= limits.maxAttempts()) return false;
-            if (out > 0 && !limits.secondCopies()) return false;
-            Attempt first = ranFirst();
-            if (first == null || requestClass.idempotency() == Idempotency.SAFE) return true;
-            double windowEnd = first.sentAt + requestClass.windowMs();
-            return requestClass.idempotency() == Idempotency.KEYED && context.nowMs + settings.tickMs() < windowEnd;
-        }
-
-        /** Whether the next send may go to this host. */
-        boolean mayGoTo(Machine m) {
-            Attempt first = ranFirst();
-            if (first == null
-                    || requestClass.idempotency() == Idempotency.SAFE
-                    || requestClass.deduplicationScope() == DeduplicationScope.ALL) return true;
-            Endpoint a = first.machine.host;
-            return requestClass.deduplicationScope() == DeduplicationScope.ZONE
-                    ? a.zone().equals(m.host.zone())
-                    : a.cell() == m.host.cell();
-        }
-
-        boolean mayRefuse() {
-            Idempotency effect = requestClass.idempotency();
-            if (ranFirst() == null || effect == Idempotency.SAFE) return true;
-            return effect == Idempotency.KEYED && requestClass.deduplicationScope() == DeduplicationScope.ALL;
-        }
-
-        boolean tried(Machine m) {
-            for (int i = 0; i < attempts.size(); i++) if (attempts.get(i).machine == m) return true;
-            return false;
-        }
-    }
-
-    /** What this gateway knows of a customer. */
-    private static final class Customer {
-        static final int RING = 8;
-        final DecisionSettings.Plan plan;
-        final int pool, gateways;
-        final double[] sent = new double[RING];
-        final long[] period = new long[RING];
-        double level, ceiling, at, asks, seen, span;
-        double toldAt = -1e18, askedAt = -1e18;
-        double keep = 1, kept = 1;
-        int told = -1;
-        int open;
-
-        Customer(int pool, int gateways, double now, double servingSince, DecisionSettings settings) {
-            plan = settings.plans().get(pool);
-            this.pool = pool;
-            this.gateways = Math.max(1, gateways);
-            level = plan.burst() / Math.sqrt(this.gateways);
-            fillCeiling((now - servingSince) / 1000);
-            at = now;
-        }
-
-        /** Guards against a gateway that starts again: the ceiling's store is as it stood, so its part starts empty. */
-        void fillCeiling(double seconds) {
-            double most = plan.ceilingBurst() / (gateways + 1);
-            ceiling = Math.min(most, ceiling + seconds * plan.ceilingRate() / gateways);
-        }
-    }
-
     /** The told-use companion: refusal chances by customer, and the local parts of ceilings and open caps. */
     private final class Companion {
         /** Memory of a customer's own arrivals, ms. */
@@ -456,139 +331,128 @@
         /** Told use fades towards its plan's mean over this time, ms. */
         static final double FADE_MS = 10_000;
 
-        private final LinkedHashMap<String, Customer> customers = new LinkedHashMap<>(64, 0.75f, true);
+        private final LinkedHashMap<String, TenantQuota> customers = new LinkedHashMap<>(64, 0.75f, true);
         /** By plan; 0 until a use of that plan is told. */
         private final double[] pool = new double[settings.plans().size()];
 
         private final double periodMs = Math.max(1, settings.meterPeriodMs());
         private double servingSince = Double.MAX_VALUE;
 
-        Customer customer(AdmissionRequest r, int plan) {
+        TenantQuota customer(AdmissionRequest r, int plan) {
             servingSince = Math.min(servingSince, context.nowMs);
-            Customer c = customers.get(r.tenant());
+            TenantQuota c = customers.get(r.tenant());
             if (c == null)
-                customers.put(r.tenant(), c = new Customer(plan, r.gateways(), context.nowMs, servingSince, settings));
-            if (c.span <= 0) fade(c, 1);
+                customers.put(
+                        r.tenant(), c = new TenantQuota(plan, r.gateways(), context.nowMs, servingSince, settings));
+            if (c.otherSeconds <= 0) fade(c, 1);
             return c;
         }
 
         /** Forgets customers whose stores have had time to fill since they were last heard of. */
         void age() {
-            for (Iterator<Customer> iterator = customers.values().iterator(); iterator.hasNext(); iterator.remove()) {
-                Customer eldest = iterator.next();
+            for (Iterator<TenantQuota> iterator = customers.values().iterator();
+                    iterator.hasNext();
+                    iterator.remove()) {
+                TenantQuota eldest = iterator.next();
                 DecisionSettings.Plan p = eldest.plan;
                 double fillMs = p.ceilingRate() > 0 ? 1000 * p.ceilingBurst() / p.ceilingRate() : 0;
-                if (eldest.open > 0 || context.nowMs - eldest.at < Math.max(DecisionContext.FORGET_AFTER_MS, fillMs))
+                if (eldest.inFlight > 0
+                        || context.nowMs - eldest.updatedAtMs < Math.max(DecisionContext.FORGET_AFTER_MS, fillMs))
                     return;
             }
         }
 
-        private int slot(Customer c, double time) {
-            long p = (long) Math.floor(time / periodMs);
-            int i = (int) Math.floorMod(p, (long) Customer.RING);
-            if (c.period[i] != p) c.sent[i] = 0;
-            c.period[i] = p;
-            return i;
+        private long period(double timeMs) {
+            return (long) Math.floor(timeMs / periodMs);
         }
 
-        private void advance(Customer c) {
-            double s = (context.nowMs - c.at) / 1000;
-            c.at = context.nowMs;
-            double drain = others(c) * c.kept;
-            c.asks *= Math.exp(-s * 1000 / MEMORY_MS);
+        private void advance(TenantQuota c) {
+            double s = (context.nowMs - c.updatedAtMs) / 1000;
+            c.updatedAtMs = context.nowMs;
+            double drain = others(c) * c.meanAdmitChance;
+            c.arrivedUnits *= Math.exp(-s * 1000 / MEMORY_MS);
             fade(c, 1 - Math.exp(-s * 1000 / FADE_MS));
             c.level = Math.max(0, Math.min(c.plan.burst(), c.level + s * (c.plan.rate() - drain)));
             c.fillCeiling(s);
         }
 
         /** Lets what is known of a customer's other gateways go towards its plan's usual use by this part. */
-        private void fade(Customer c, double part) {
-            double calm = pool[c.pool] > 0 ? pool[c.pool] : 1;
+        private void fade(TenantQuota c, double part) {
+            double calm = pool[c.planIndex] > 0 ? pool[c.planIndex] : 1;
             double mean = c.plan.rate() / calm * (c.gateways - 1) / c.gateways;
-            c.seen += part * (split.meanUnits - c.seen);
-            c.span += part * (split.meanUnits / Math.max(mean, 0.01) - c.span);
+            c.otherUnits += part * (split.meanUnits - c.otherUnits);
+            c.otherSeconds += part * (split.meanUnits / Math.max(mean, 0.01) - c.otherSeconds);
         }
 
         /**
          * What its other gateways are asked, units a second. Guards against thin evidence: it starts with one
          * usual request at the plan's mean, which gives way to told use and, before that, to own arrivals.
          */
-        private double others(Customer c) {
-            if (c.gateways < 2 || c.toldAt > 0) return c.gateways < 2 ? 0 : c.seen / c.span;
-            return (c.seen + c.asks) / (c.span + MEMORY_MS / 1000 / (c.gateways - 1));
+        private double others(TenantQuota c) {
+            if (c.gateways < 2 || c.reportedAtMs > 0) return c.gateways < 2 ? 0 : c.otherUnits / c.otherSeconds;
+            return (c.otherUnits + c.arrivedUnits) / (c.otherSeconds + MEMORY_MS / 1000 / (c.gateways - 1));
         }
 
         /** Whether a request passes as inside its customer's quota: while the copy lasts, else by chance. */
-        boolean inside(Customer c, double units, boolean later) {
+        boolean inside(TenantQuota c, double units, boolean later) {
             if (c.plan.rate() <= 0) return true;
             advance(c);
-            c.asks += units;
+            c.arrivedUnits += units;
             double room = c.plan.rate() + c.level * 1000 / SPEND_MS;
-            double own = c.asks * 1000 / MEMORY_MS / (c.toldAt > 0 ? 1 : c.gateways); // untold: in others
-            c.keep = Math.min(1, room / Math.max(own + others(c), 1e-9));
-            c.kept += (1 - Math.exp((c.askedAt - context.nowMs) / SPEND_MS)) * (c.keep - c.kept); // others keep alike
-            c.askedAt = context.nowMs;
-            if (c.keep >= 1 && c.level >= units) return true;
-            return context.random.nextDouble() < (later ? c.keep * c.keep : c.keep);
+            double own = c.arrivedUnits * 1000 / MEMORY_MS / (c.reportedAtMs > 0 ? 1 : c.gateways); // untold: in others
+            c.admitChance = Math.min(1, room / Math.max(own + others(c), 1e-9));
+            c.meanAdmitChance += (1 - Math.exp((c.arrivedAtMs - context.nowMs) / SPEND_MS))
+                    * (c.admitChance - c.meanAdmitChance); // others keep alike
+            c.arrivedAtMs = context.nowMs;
+            if (c.admitChance >= 1 && c.level >= units) return true;
+            return context.random.nextDouble() < (later ? c.admitChance * c.admitChance : c.admitChance);
         }
 
         /** Soft plans pass beyond quota while that earns more than it costs and there is room. */
-        boolean paysBeyond(Customer c) {
+        boolean paysBeyond(TenantQuota c) {
             return c.plan.overQuotaWeight() > c.plan.overQuotaCost() && !split.bounded && !pressure.isSlow();
         }
 
-        void charge(Flight f) {
-            Customer c = f.customer;
+        void charge(RequestState f) {
+            TenantQuota c = f.tenant;
             advance(c);
-            c.sent[slot(c, context.nowMs)] += f.request.units();
+            c.addForwarded(period(context.nowMs), f.request.units());
             c.level = Math.max(0, c.level - f.request.units());
-            c.ceiling -= f.request.units();
+            c.ceilingLevel -= f.request.units();
         }
 
         /** Whether a first attempt fits in the cap on open ones and in this gateway's part of the ceiling. */
-        boolean fits(Flight f) {
+        boolean fits(RequestState f) {
             if (!f.attempts.isEmpty()) return true;
-            advance(f.customer);
-            boolean underCeiling = f.plan.ceilingRate() <= 0 || f.customer.ceiling >= f.request.units();
-            return underCeiling && (f.plan.maxInFlight() <= 0 || f.customer.open < f.plan.maxInFlight());
+            advance(f.tenant);
+            boolean underCeiling = f.plan.ceilingRate() <= 0 || f.tenant.ceilingLevel >= f.request.units();
+            return underCeiling && (f.plan.maxInFlight() <= 0 || f.tenant.inFlight < f.plan.maxInFlight());
         }
 
         /** Takes in a told use, once a meter period: the others' part is what this gateway did not send. */
-        void told(Customer c, int percent) {
+        void told(TenantQuota c, int percent) {
             if (percent < 0 || periodMs <= 1 || c.plan.rate() <= 0) return;
-            if (percent == c.told && context.nowMs - c.toldAt < periodMs * 0.9) return;
+            if (percent == c.reportedPercent && context.nowMs - c.reportedAtMs < periodMs * 0.9) return;
             advance(c);
-            c.told = percent;
-            c.toldAt = context.nowMs;
+            c.reportedPercent = percent;
+            c.reportedAtMs = context.nowMs;
             double sent = 0;
-            for (int back = 1; back <= 3; back++) sent += c.sent[slot(c, context.nowMs - (back - 0.3) * periodMs)] / 3;
+            for (int back = 1; back <= 3; back++)
+                sent += c.forwardedIn(period(context.nowMs - (back - 0.3) * periodMs)) / 3;
             double used = c.plan.rate() * percent / 100 * periodMs / 1000;
-            c.seen += Math.max(0, used - sent) / Math.max(0.1, c.kept) - 0.35 * c.seen;
-            c.span += periodMs / 1000 - 0.35 * c.span;
+            c.otherUnits += Math.max(0, used - sent) / Math.max(0.1, c.meanAdmitChance) - 0.35 * c.otherUnits;
+            c.otherSeconds += periodMs / 1000 - 0.35 * c.otherSeconds;
             // Guards against tellings that come mostly from heavy customers: the harmonic mean of told use,
             // not divided by our own chance. The mean of demand had calm unseen customers refused as heavy.
             double calm = Math.min(4, 100.0 / Math.max(1, percent));
-            pool[c.pool] = pool[c.pool] > 0 ? pool[c.pool] + 0.03 * (calm - pool[c.pool]) : calm;
-        }
-    }
-
-    /** A class of the split: a plan and a request class, inside the quota or (for soft plans) beyond it. */
-    static final class Lane {
-        final double weight;
-        final boolean inside;
-        final ArrayDeque<Flight> queue = new ArrayDeque<>();
-        double arrived, rate, waiting, store;
-
-        Lane(double weight, boolean inside) {
-            this.weight = weight;
-            this.inside = inside;
+            pool[c.planIndex] = pool[c.planIndex] > 0 ? pool[c.planIndex] + 0.03 * (calm - pool[c.planIndex]) : calm;
         }
     }
 
     /** The harmonic split of this gateway's measured room. */
     private final class Split {
-        final Lane[] order;
-        private final Lane[][] lanes;
+        final ClassQueue[] order;
+        private final ClassQueue[][] lanes;
         private double served, servedRate, spare, news, usualNews;
         private double calmSince = context.nowMs, shortestAim = Double.MAX_VALUE, meanUnits = 1, sized = 1;
         /** Guards against thin evidence: what an interval weighs, less where few answers come. */
@@ -603,32 +467,32 @@
             int classes = settings.classes().size();
             for (DecisionSettings.RequestClass c : settings.classes())
                 shortestAim = Math.min(shortestAim, c.objectiveMs());
-            lanes = new Lane[settings.plans().size() * classes][2];
-            List<Lane> all = new ArrayList<>();
+            lanes = new ClassQueue[settings.plans().size() * classes][2];
+            List<ClassQueue> all = new ArrayList<>();
             for (int i = 0; i < lanes.length; i++) {
                 DecisionSettings.Plan p = settings.plans().get(i / classes);
                 double weight = settings.classes().get(i % classes).weight() * p.price();
-                lanes[i][0] = new Lane(weight * Math.max(0, p.overQuotaWeight() - p.overQuotaCost()), false);
-                lanes[i][1] = new Lane(weight, true);
+                lanes[i][0] = new ClassQueue(weight * Math.max(0, p.overQuotaWeight() - p.overQuotaCost()), false);
+                lanes[i][1] = new ClassQueue(weight, true);
                 all.addAll(List.of(lanes[i][1], lanes[i][0]));
             }
             all.sort((first, second) -> Double.compare(second.weight, first.weight));
-            order = all.toArray(new Lane[0]);
+            order = all.toArray(new ClassQueue[0]);
         }
 
-        Lane lane(int plan, int cls, boolean inside) {
+        ClassQueue lane(int plan, int cls, boolean inside) {
             return lanes[plan * settings.classes().size() + cls][inside ? 1 : 0];
         }
 
         /** Whether a request may leave context.nowMs: on its class's store or, when held, on what others left. */
-        boolean take(Flight f, boolean held) {
-            Lane lane = f.lane;
+        boolean take(RequestState f, boolean held) {
+            ClassQueue lane = f.queue;
             double units = f.request.units();
-            if (full(f) || bounded && !held && !lane.queue.isEmpty()) return false;
+            if (full(f) || bounded && !held && !lane.requests.isEmpty()) return false;
             if (!bounded) return true;
-            boolean own = lane.store >= units * f.draw;
+            boolean own = lane.tokens >= units * f.tokenShare;
             if (!own && (!held || spare < units)) return false;
-            if (own) lane.store -= units;
+            if (own) lane.tokens -= units;
             else spare -= units;
             return true;
         }
@@ -638,18 +502,18 @@
          * it answers within half the shortest aim, but enough to keep a gateway's part of the hosts busy.
          * While it is not, a surge may pass what was out without a sign by a third: hosts are not overrun.
          */
-        private boolean full(Flight f) {
+        private boolean full(RequestState f) {
             double part = (double) hosts.usable / settings.gateways();
             double depth = bounded
                     ? Math.max(room / meanUnits * 0.2 * shortestAim / 1000, 2.5 * part)
                     : Math.max(1.3 * proven, 3 * part);
-            return hosts.usable > 0 && out + 1 > Math.max(bounded ? 2 : 3, depth) + f.draw;
+            return hosts.usable > 0 && out + 1 > Math.max(bounded ? 2 : 3, depth) + f.tokenShare;
         }
 
         /** Counts served units and the signs of a back end under pressure. */
-        void seen(AttemptOutcome o, Flight f) {
-            Attempt a = f.attempts.get(o.attempt());
-            double ratio = (context.nowMs - a.sentAt - f.usualMs() + context.sizes.meanMs(f.cls))
+        void seen(AttemptOutcome o, RequestState f) {
+            AttemptState a = f.attempts.get(o.attempt());
+            double ratio = (context.nowMs - a.startedAtMs - f.expectedMs() + context.sizes.meanMs(f.classIndex))
                     / f.requestClass.objectiveMs();
             boolean answered = o.status() == AttemptStatus.SERVED;
             boolean sign = o.status() == AttemptStatus.REJECTED
@@ -659,7 +523,7 @@
             news++;
             if (stalls.isRecovering(context.nowMs) && o.status() != AttemptStatus.REJECTED) return;
             if (sign) pressure.recordSign(a, context.nowMs);
-            if (!a.sign) pressure.recordResponse(answered ? ratio : 0);
+            if (!a.countedAsPressure) pressure.recordResponse(answered ? ratio : 0);
         }
 
         void update() {
@@ -672,16 +536,16 @@
             hosts.count();
             boolean pressed = pressure.hasSign() && pressure.isSlow() && hosts.pressed * 3 >= hosts.heard;
             double demand = 0;
-            for (Lane lane : order) {
-                lane.rate += DECAY * weight * (lane.arrived / seconds - lane.rate);
-                lane.arrived = 0;
-                demand += lane.rate + ALPHA * lane.waiting / seconds;
+            for (ClassQueue lane : order) {
+                lane.arrivalRate += DECAY * weight * (lane.arrivedUnits / seconds - lane.arrivalRate);
+                lane.arrivedUnits = 0;
+                demand += lane.arrivalRate + ALPHA * lane.queuedUnits / seconds;
             }
             if (pressed) {
                 calmSince = context.nowMs;
                 if (!bounded) {
                     actions.log("room bounded at " + Math.round(servedRate) + " units/s");
-                    for (Lane lane : order) lane.store = 1;
+                    for (ClassQueue lane : order) lane.tokens = 1;
                 }
                 room = bounded ? Math.max(0.93 * room, servedRate) : servedRate;
                 bounded = true;
@@ -702,38 +566,27 @@
             int n = order.length;
             double[][] a = new double[4][n];
             for (int i = 0; i < n; i++) {
-                Lane lane = order[i];
+                ClassQueue lane = order[i];
                 a[0][i] = lane.weight;
-                a[1][i] = lane.rate + ALPHA * lane.waiting / seconds;
-                a[2][i] = lane.inside ? lane.rate : 0;
-                a[3][i] = Math.max(lane.rate, a[1][i]) * 1.3;
+                a[1][i] = lane.arrivalRate + ALPHA * lane.queuedUnits / seconds;
+                a[2][i] = lane.withinQuota ? lane.arrivalRate : 0;
+                a[3][i] = Math.max(lane.arrivalRate, a[1][i]) * 1.3;
             }
             double[] share = CapacityAllocator.allocate(room, a[0], a[1], a[2], a[3]);
             double over = room * seconds;
             for (int i = 0; i < n; i++) {
                 double depth = Math.max(share[i] * seconds, share[i] > 0 ? 1 : 0);
-                double store = order[i].store + share[i] * seconds;
-                order[i].store = Math.min(depth, store);
+                double store = order[i].tokens + share[i] * seconds;
+                order[i].tokens = Math.min(depth, store);
                 over += Math.max(0, store - depth) - share[i] * seconds;
             }
             spare = Math.min(room * seconds, spare + Math.max(0, over));
         }
     }
 
-    /** A host as this gateway sees it. */
-    static final class Machine {
-        Endpoint host;
-        String zone, kind;
-        boolean listed;
-        double goneAt = Double.MAX_VALUE;
-        double slowness = 1, errors, budget, inHand, heardAt, oldestAt, shunUntil;
-        double coldSince = -1e18, signAt = -1e18, metAt = -1e18, downSince = -1;
-        int out, fails, unreached, refusals;
-    }
-
     /** The hosts: the list, the choice, health and cold starts. */
     private final class Hosts {
-        private final Map<String, Machine> machines = new LinkedHashMap<>();
+        private final Map<String, BackendState> machines = new LinkedHashMap<>();
         /** What a starting host may be given, as a multiple of its ramp: real ramps are seldom the slowest. */
         private final double margin = Math.min(1.2, 0.5 * context.obligations.overloadFactor());
 
@@ -751,54 +604,56 @@
 
         void listed(boolean whole, List<Endpoint> lines) {
             askAt = Double.MAX_VALUE;
-            for (Machine m : whole ? machines.values() : List.<Machine>of()) {
+            for (BackendState m : whole ? machines.values() : List.<BackendState>of()) {
                 m.listed = false;
-                m.goneAt = Math.min(m.goneAt, context.nowMs);
+                m.removedAtMs = Math.min(m.removedAtMs, context.nowMs);
             }
             for (Endpoint line : lines) {
-                Machine m = machines.get(line.id());
+                BackendState m = machines.get(line.id());
                 boolean fresh = m == null;
                 if (fresh) {
-                    m = new Machine();
-                    m.heardAt = context.nowMs;
+                    m = new BackendState();
+                    m.respondedAtMs = context.nowMs;
                     machines.put(line.id(), m);
                 }
-                boolean restarted = !fresh && line.startedMs() > 0 && line.startedMs() != m.host.startedMs();
+                boolean restarted = !fresh && line.startedMs() > 0 && line.startedMs() != m.endpoint.startedMs();
                 boolean recent = line.startedMs() > Math.max(0, context.nowMs - context.obligations.warmAfterMs());
                 if (restarted || fresh && (recent || !first)) {
-                    chill(m, line.startedMs() > 0 ? Math.max(line.startedMs(), m.coldSince) : context.nowMs);
+                    chill(m, line.startedMs() > 0 ? Math.max(line.startedMs(), m.startedAtMs) : context.nowMs);
                 }
-                m.host = line;
-                m.zone = "zone " + line.zone();
-                m.kind = "kind " + line.kind();
+                m.endpoint = line;
+                m.zoneGroup = "zone " + line.zone();
+                m.kindGroup = "kind " + line.kind();
                 m.listed = line.state() == EndpointState.UP;
-                m.goneAt = line.state() == EndpointState.REMOVED ? Math.min(m.goneAt, context.nowMs) : Double.MAX_VALUE;
+                m.removedAtMs = line.state() == EndpointState.REMOVED
+                        ? Math.min(m.removedAtMs, context.nowMs)
+                        : Double.MAX_VALUE;
             }
             count();
             first = false;
         }
 
-        private void chill(Machine m, double since) {
-            m.coldSince = since;
+        private void chill(BackendState m, double since) {
+            m.startedAtMs = since;
             // Guards against gateways in step, and against each saving up a whole request before any sends.
-            m.budget = context.random.nextDouble() * whole;
+            m.slowStartBudgetMs = context.random.nextDouble() * whole;
             m.slowness = 1;
-            m.fails = 0;
-            m.shunUntil = 0;
+            m.failures = 0;
+            m.ejectedUntilMs = 0;
         }
 
-        private boolean cold(Machine m) {
-            return context.nowMs - m.coldSince < context.obligations.warmAfterMs();
+        private boolean cold(BackendState m) {
+            return context.nowMs - m.startedAtMs < context.obligations.warmAfterMs();
         }
 
         /** Counts the hosts that are listed, heard of lately, and seen under pressure lately. */
         void count() {
             usable = heard = pressed = warm = 0;
-            for (Machine m : machines.values()) {
+            for (BackendState m : machines.values()) {
                 usable += m.listed ? 1 : 0;
-                if (m.listed && !cold(m) && m.fails < 2) meanSize += (m.host.size() - meanSize) / ++warm;
-                heard += m.listed && context.nowMs - m.heardAt < 2000 / split.weight ? 1 : 0;
-                pressed += m.listed && context.nowMs - m.signAt < 2000 / split.weight ? 1 : 0;
+                if (m.listed && !cold(m) && !m.isFailing()) meanSize += (m.endpoint.size() - meanSize) / ++warm;
+                heard += m.listed && context.nowMs - m.respondedAtMs < 2000 / split.weight ? 1 : 0;
+                pressed += m.listed && context.nowMs - m.pressureAtMs < 2000 / split.weight ? 1 : 0;
             }
         }
 
@@ -816,37 +671,38 @@
             sends = 0;
             memory = Math.max(0.2, Math.min(1, 20 * visits / Math.max(1, usable)));
             // Guards memory and each choice against hosts replaced for days: those that left are forgotten.
-            machines.values().removeIf(m -> m.out == 0 && context.nowMs - m.goneAt > DecisionContext.FORGET_AFTER_MS);
+            machines.values()
+                    .removeIf(m -> m.inFlight == 0 && context.nowMs - m.removedAtMs > DecisionContext.FORGET_AFTER_MS);
             for (double[] part : faults.values()) part[0] *= 0.97;
-            for (Machine m : machines.values()) {
+            for (BackendState m : machines.values()) {
                 m.slowness += 0.04 * memory * (1 - m.slowness);
-                m.errors *= 1 - 0.04 * memory;
+                m.errorRate *= 1 - 0.04 * memory;
                 if (cold(m)) {
                     // Guards against sizes that tell the load of the moment: a bound whatever they say.
                     double part =
-                            Math.min(margin * m.host.size(), 0.7 * context.obligations.overloadFactor() * meanSize);
+                            Math.min(margin * m.endpoint.size(), 0.7 * context.obligations.overloadFactor() * meanSize);
                     double rate = coldShare(m) * pace * part;
                     double depth = Math.max(whole, rate * 1000);
-                    m.budget = Math.min(depth, m.budget + rate * DecisionContext.INTERVAL_MS);
+                    m.slowStartBudgetMs = Math.min(depth, m.slowStartBudgetMs + rate * DecisionContext.INTERVAL_MS);
                 }
-                if (m.listed && m.fails > 1 && limits.mayProbe() && context.nowMs >= m.shunUntil) {
-                    m.shunUntil = context.nowMs + 1000;
-                    actions.checkHealth(m.host.id());
+                if (m.listed && m.isFailing() && limits.mayProbe() && context.nowMs >= m.ejectedUntilMs) {
+                    m.ejectedUntilMs = context.nowMs + 1000;
+                    actions.checkHealth(m.endpoint.id());
                 }
             }
         }
 
         /** A starting host's part is bounded by its ramp, a warm one's sinks with errors and lateness. */
-        CapacityShare room(Machine m) {
-            if (!m.listed || context.nowMs < m.shunUntil) return new CapacityShare(m.host.id(), 0);
+        CapacityShare room(BackendState m) {
+            if (!m.listed || context.nowMs < m.ejectedUntilMs) return new CapacityShare(m.endpoint.id(), 0);
             double ramp = cold(m) ? coldShare(m) * Math.min(0.9, margin) : 1;
-            double share = ramp / (Math.max(1, m.slowness) * (1 + 20 * m.errors * m.errors));
-            return new CapacityShare(m.host.id(), Math.max(0.02, share));
+            double share = ramp / (Math.max(1, m.slowness) * (1 + 20 * m.errorRate * m.errorRate));
+            return new CapacityShare(m.endpoint.id(), Math.max(0.02, share));
         }
 
-        private double coldShare(Machine m) {
+        private double coldShare(BackendState m) {
             double from = context.obligations.initialShare();
-            return from + (1 - from) * (context.nowMs - m.coldSince) / Math.max(1, context.obligations.warmAfterMs());
+            return from + (1 - from) * (context.nowMs - m.startedAtMs) / Math.max(1, context.obligations.warmAfterMs());
         }
 
         /**
@@ -854,36 +710,37 @@
          * hosts too busy to accept): where connects fail, hosts that answered lately go first. Could hurt by
          * sending much to few hosts; their answers then get slow, and others are tried again.
          */
-        private boolean connected(Machine m) {
-            return context.nowMs - m.metAt < limits.idleCloseMs();
+        private boolean connected(BackendState m) {
+            return context.nowMs - m.connectedAtMs < limits.idleCloseMs();
         }
 
-        double expected(Machine m, Flight f) {
-            double stall = m.out == 0 ? 0 : (context.nowMs - Math.max(m.heardAt, m.oldestAt)) / 2;
-            double wait = m.slowness * (m.inHand * Math.min(2, settings.gateways() / 2.0) + f.usualMs());
-            return wait * (1 + 20 * m.errors * m.errors) + Math.max(0, stall - context.sizes.meanMs(f.cls));
+        double expected(BackendState m, RequestState f) {
+            double stall = m.inFlight == 0 ? 0 : (context.nowMs - Math.max(m.respondedAtMs, m.busySinceMs)) / 2;
+            double wait = m.slowness * (m.outstandingMs * Math.min(2, settings.gateways() / 2.0) + f.expectedMs());
+            return wait * (1 + 20 * m.errorRate * m.errorRate)
+                    + Math.max(0, stall - context.sizes.meanMs(f.classIndex));
         }
 
-        double worst(Flight f) {
+        double worst(RequestState f) {
             double worst = 0;
-            for (Attempt a : f.attempts)
-                if (!a.ended) worst = Math.max(worst, expected(a.machine, f) + (context.nowMs - a.sentAt) / 2);
+            for (AttemptState a : f.attempts)
+                if (!a.ended) worst = Math.max(worst, expected(a.backend, f) + (context.nowMs - a.startedAtMs) / 2);
             return worst;
         }
 
         /** The host with the least expected wait among those that may have this request. */
-        Machine choose(Flight f) {
-            Machine best = null;
+        BackendState choose(RequestState f) {
+            BackendState best = null;
             double least = Double.MAX_VALUE;
-            for (Machine m : machines.values()) {
-                if (!m.listed || !f.mayGoTo(m) || f.out > 0 && f.tried(m)) continue;
+            for (BackendState m : machines.values()) {
+                if (!m.listed || !f.mayUse(m) || f.inFlight > 0 && f.hasTried(m)) continue;
                 boolean cold = cold(m);
-                double cost = expected(m, f) * (f.tried(m) ? 4 : 1) * (1 + 0.05 * context.random.nextDouble());
-                if (!m.host.zone().equals(settings.zone()))
+                double cost = expected(m, f) * (f.hasTried(m) ? 4 : 1) * (1 + 0.05 * context.random.nextDouble());
+                if (!m.endpoint.zone().equals(settings.zone()))
                     cost *= 1 + 10 * settings.costs().crossZone();
-                if (context.nowMs < m.shunUntil) continue;
-                if (cold ? m.budget < whole : m.fails > 1 && m.out > 0) continue;
-                cost *= 1 + (connected(m) ? 4 : 20) * (faults(m.zone) + faults(m.kind));
+                if (context.nowMs < m.ejectedUntilMs) continue;
+                if (cold ? m.slowStartBudgetMs < whole : m.isFailing() && m.inFlight > 0) continue;
+                cost *= 1 + (connected(m) ? 4 : 20) * (faults(m.zoneGroup) + faults(m.kindGroup));
                 // Its budget bounds a cold host; warm ones may look idle here while others load them.
                 if (cold) cost /= 2 * Math.sqrt(coldShare(m));
                 if (cost >= least) continue;
@@ -893,55 +750,56 @@
             return best;
         }
 
-        void sent(Machine m, Flight f) {
-            if (m.out == 0) m.oldestAt = context.nowMs;
+        void sent(BackendState m, RequestState f) {
+            if (m.inFlight == 0) m.busySinceMs = context.nowMs;
             sends++;
-            m.out++;
-            m.inHand += f.usualMs();
-            if (cold(m)) m.budget -= context.sizes.meanMs(f.cls);
+            m.inFlight++;
+            m.outstandingMs += f.expectedMs();
+            if (cold(m)) m.slowStartBudgetMs -= context.sizes.meanMs(f.classIndex);
         }
 
-        void ended(Attempt a, AttemptOutcome o, Flight f) {
-            Machine m = a.machine;
-            m.out--;
-            m.inHand = m.out == 0 ? 0 : Math.max(0, m.inHand - a.work);
+        void ended(AttemptState a, AttemptOutcome o, RequestState f) {
+            BackendState m = a.backend;
+            m.inFlight--;
+            m.outstandingMs = m.inFlight == 0 ? 0 : Math.max(0, m.outstandingMs - a.expectedMs);
             switch (o.status()) {
                 case SERVED, ERROR -> {
-                    doneWork += cold(m) ? 0 : a.work;
-                    m.heardAt = context.nowMs;
+                    doneWork += cold(m) ? 0 : a.expectedMs;
+                    m.respondedAtMs = context.nowMs;
                     fault(m, 0);
                     alive(m);
-                    m.refusals = 0;
-                    m.errors += 0.2 * ((o.status() == AttemptStatus.ERROR ? 1 : 0) - m.errors);
+                    m.rejections = 0;
+                    m.errorRate += 0.2 * ((o.status() == AttemptStatus.ERROR ? 1 : 0) - m.errorRate);
                     if (o.status() == AttemptStatus.ERROR) return; // a quick error must not make a host look fast
-                    slower(m, o.elapsedMs() / f.usualMs());
-                    context.sizes.recordResponse(f.cls, f.request.units(), o.elapsedMs());
+                    slower(m, o.elapsedMs() / f.expectedMs());
+                    context.sizes.recordResponse(f.classIndex, f.request.units(), o.elapsedMs());
                 }
                 case REJECTED -> {
-                    m.heardAt = context.nowMs;
+                    m.respondedAtMs = context.nowMs;
                     alive(m);
-                    m.refusals++;
-                    m.shunUntil = context.nowMs + Math.min(2000, 100 * m.refusals) / memory * (cold(m) ? 10 : 1);
+                    m.rejections++;
+                    m.ejectedUntilMs = context.nowMs + Math.min(2000, 100 * m.rejections) / memory * (cold(m) ? 10 : 1);
                 }
                 case UNREACHABLE -> {
-                    m.unreached++;
+                    m.failedConnects++;
                     failed(m);
                 }
                 case BROKEN -> failed(m);
                 // Guards against hosts that let attempts lie: one called off took at least its time out.
-                case CANCELLED, TIMED_OUT -> slower(m, Math.max(m.slowness, (context.nowMs - a.sentAt) / f.usualMs()));
+                case CANCELLED, TIMED_OUT ->
+                    slower(m, Math.max(m.slowness, (context.nowMs - a.startedAtMs) / f.expectedMs()));
                 default -> {}
             }
         }
 
-        private void slower(Machine m, double ratio) {
+        private void slower(BackendState m, double ratio) {
             double step = (ratio > m.slowness ? 0.15 : 0.1) / Math.sqrt(memory);
             m.slowness += step * (Math.min(20, ratio) - m.slowness);
         }
 
-        private void fault(Machine m, double part) {
-            fault(m.zone, part);
-            fault(m.kind, part);
+        private void fault(BackendState m, double part) {
+            fault(m.zoneGroup, part);
+            fault(m.kindGroup, part);
         }
 
         private void fault(String group, double part) {
@@ -953,30 +811,30 @@
             return faults.getOrDefault(group, NO_FAULTS)[0];
         }
 
-        private void failed(Machine m) {
+        private void failed(BackendState m) {
             fault(m, 1);
-            m.metAt = -1e18;
-            m.fails++;
-            if (m.downSince < 0) m.downSince = context.nowMs;
-            m.shunUntil = context.nowMs + Math.min(4000, 500 * m.fails) / memory;
+            m.connectedAtMs = -1e18;
+            m.failures++;
+            if (m.failingSinceMs < 0) m.failingSinceMs = context.nowMs;
+            m.ejectedUntilMs = context.nowMs + Math.min(4000, 500 * m.failures) / memory;
         }
 
         /**
          * Back after failed connects: it may have started anew before the list says so, so it is cold. Guards
          * also against links that break context.nowMs and then: two such in a row had warm hosts paced as cold ones.
          */
-        private void alive(Machine m) {
-            if (m.unreached > 2 && m.downSince >= 0 && context.nowMs - m.downSince > 1000 && !cold(m))
+        private void alive(BackendState m) {
+            if (m.failedConnects > 2 && m.failingSinceMs >= 0 && context.nowMs - m.failingSinceMs > 1000 && !cold(m))
                 chill(m, context.nowMs);
-            m.metAt = context.nowMs;
-            m.fails = m.unreached = 0;
-            m.downSince = -1;
+            m.connectedAtMs = context.nowMs;
+            m.failures = m.failedConnects = 0;
+            m.failingSinceMs = -1;
         }
 
         void probed(String id, ProbeStatus result, double[] load) {
-            Machine m = machines.get(id);
+            BackendState m = machines.get(id);
             if (m == null) return;
-            m.shunUntil = 0;
+            m.ejectedUntilMs = 0;
             if (result == ProbeStatus.DONE) alive(m);
             else failed(m);
         }
--- /dev/null
+++ b/decision/src/main/java/opalcove/decision/AttemptState.java
@@ -0,0 +1,24 @@
+package opalcove.decision;
+
+/** One attempt of a request at a backend. Owned by the thread that delivers the instance's events. */
+final class AttemptState {
+    final BackendState backend;
+    final double startedAtMs;
+
+    /** The response time expected when the attempt began, ms. */
+    final double expectedMs;
+
+    boolean ended;
+
+    /** Whether it has been counted as a sign of pressure. */
+    boolean countedAsPressure;
+
+    /** Whether the backend may have executed it: true until an outcome proves that it never ran. */
+    boolean mayHaveRun = true;
+
+    AttemptState(BackendState backend, double startedAtMs, double expectedMs) {
+        this.backend = backend;
+        this.startedAtMs = startedAtMs;
+        this.expectedMs = expectedMs;
+    }
+}
--- a/decision/src/main/java/opalcove/decision/PressureMonitor.java
+++ b/decision/src/main/java/opalcove/decision/PressureMonitor.java
@@ -47,15 +47,15 @@
      * fewer the signs. Also for broken connections, lost responses, stalled backends. Could hurt where a tenth of a
      * class's work is that long.
      */
-    void recordSign(AdmissionController.Attempt attempt, double nowMs) {
-        if (attempt.sign) {
+    void recordSign(AttemptState attempt, double nowMs) {
+        if (attempt.countedAsPressure) {
             return;
         }
-        attempt.sign = true;
+        attempt.countedAsPressure = true;
         responses++;
         signs++;
         objectiveShares++;
-        attempt.machine.signAt = nowMs;
+        attempt.backend.pressureAtMs = nowMs;
     }
 
     /** Counts a response that is no sign of pressure. */
--- /dev/null
+++ b/decision/src/main/java/opalcove/decision/RequestState.java
@@ -0,0 +1,141 @@
+package opalcove.decision;
+
+import java.util.ArrayList;
+import java.util.List;
+import opalcove.decision.DecisionSettings.Plan;
+import opalcove.decision.DecisionSettings.RequestClass;
+
+/**
+ * One request and its attempts. It alone says whether another attempt, a shed response or a failure keeps the rules of
+ * the request's class. Owned by the thread that delivers the instance's events.
+ */
+final class RequestState {
+    private final DecisionContext context;
+    final AdmissionRequest request;
+    final RequestClass requestClass;
+    final Plan plan;
+    final int classIndex;
+    final TenantQuota tenant;
+    final double arrivedAtMs;
+    final List<AttemptState> attempts = new ArrayList<>(2);
+    final List<Long> timerTokens = new ArrayList<>(2);
+
+    /** The share of its units that has to be in its class's token bucket, drawn by chance. */
+    final double tokenShare;
+
+    /** What was left of the latency objective on arrival, ms: a client's retry shows its age by its smaller budget. */
+    final double objectiveLeftMs;
+
+    ClassQueue queue;
+    int inFlight;
+    boolean finished;
+    boolean queued;
+    boolean streaming;
+
+    RequestState(
+            DecisionContext context,
+            AdmissionRequest request,
+            int classIndex,
+            int planIndex,
+            TenantQuota tenant,
+            ClientRetryDetector retries) {
+        this.context = context;
+        this.request = request;
+        this.classIndex = classIndex;
+        this.tenant = tenant;
+        arrivedAtMs = context.nowMs;
+        tokenShare = context.random.nextDouble();
+        plan = context.settings.plans().get(planIndex);
+        requestClass = context.settings.classes().get(classIndex);
+        double waitedMs = Math.max(0, requestClass.deadlineMs() - request.budgetMs());
+        boolean retry = request.retry() || !retries.recordBudget(request.budgetMs() / requestClass.deadlineMs());
+        objectiveLeftMs = requestClass.objectiveMs() - (retry ? waitedMs : 0);
+    }
+
+    /** What is left of the client's time budget, ms. */
+    double budgetLeftMs() {
+        return arrivedAtMs + request.budgetMs() - context.nowMs;
+    }
+
+    /** The response time to expect for its class and units, ms. */
+    double expectedMs() {
+        return context.sizes.expectedMs(classIndex, request.units());
+    }
+
+    /** How long it may be queued, ms: what is left of its objective once a usual response has had its time. */
+    double maxQueuedMs() {
+        double leftMs = Math.min(objectiveLeftMs, request.budgetMs());
+        return Math.max(0, leftMs - context.sizes.meanMs(classIndex) - expectedMs()) * 0.6;
+    }
+
+    /** Whether it has been queued for as long as it may be. */
+    boolean isQueuedTooLong() {
+        return context.nowMs - arrivedAtMs >= maxQueuedMs();
+    }
+
+    /** A Retry-After for a shed request, ms: drawn so that a retry may still be answered in time. */
+    double drawRetryAfterMs() {
+        double lastRetryMs = arrivedAtMs + objectiveLeftMs - 2 * context.sizes.meanMs(classIndex);
+        return context.random.nextDouble() * Math.max(0, lastRetryMs - context.nowMs);
+    }
+
+    /** The first attempt that may have run, or null. */
+    AttemptState firstThatMayHaveRun() {
+        for (int i = 0; i < attempts.size(); i++) {
+            if (attempts.get(i).mayHaveRun) {
+                return attempts.get(i);
+            }
+        }
+        return null;
+    }
+
+    /** Whether the rules allow another attempt now. */
+    boolean mayStartAttempt() {
+        if (finished || streaming || attempts.size() >= context.limits.maxAttempts()) {
+            return false;
+        }
+        if (inFlight > 0 && !context.limits.secondCopies()) {
+            return false;
+        }
+        AttemptState first = firstThatMayHaveRun();
+        if (first == null || requestClass.idempotency() == Idempotency.SAFE) {
+            return true;
+        }
+        double windowEndMs = first.startedAtMs + requestClass.windowMs();
+        return requestClass.idempotency() == Idempotency.KEYED
+                && context.nowMs + context.settings.tickMs() < windowEndMs;
+    }
+
+    /** Whether the rules allow the next attempt at this backend. */
+    boolean mayUse(BackendState backend) {
+        AttemptState first = firstThatMayHaveRun();
+        if (first == null
+                || requestClass.idempotency() == Idempotency.SAFE
+                || requestClass.deduplicationScope() == DeduplicationScope.ALL) {
+            return true;
+        }
+        Endpoint used = first.backend.endpoint;
+        return requestClass.deduplicationScope() == DeduplicationScope.ZONE
+                ? used.zone().equals(backend.endpoint.zone())
+                : used.cell() == backend.endpoint.cell();
+    }
+
+    /** Whether the rules allow to shed the request, which promises that a retry is harmless. */
+    boolean mayBeShed() {
+        Idempotency effect = requestClass.idempotency();
+        if (firstThatMayHaveRun() == null || effect == Idempotency.SAFE) {
+            return true;
+        }
+        return effect == Idempotency.KEYED && requestClass.deduplicationScope() == DeduplicationScope.ALL;
+    }
+
+    /** Whether an attempt went to this backend before. */
+    boolean hasTried(BackendState backend) {
+        for (int i = 0; i < attempts.size(); i++) {
+            if (attempts.get(i).backend == backend) {
+                return true;
+            }
+        }
+        return false;
+    }
+}
--- a/decision/src/main/java/opalcove/decision/RequestTimers.java
+++ b/decision/src/main/java/opalcove/decision/RequestTimers.java
@@ -20,7 +20,7 @@
     private static final int SERIAL_STEP = 4;
 
     private final DecisionContext context;
-    private final Map<Long, AdmissionController.Flight> states = new HashMap<>();
+    private final Map<Long, RequestState> states = new HashMap<>();
     private long serial;
 
     RequestTimers(DecisionContext context) {
@@ -33,22 +33,22 @@
     }
 
     /** Sets a timer of a request. */
-    void set(int kind, AdmissionController.Flight state, double afterMs) {
+    void set(int kind, RequestState state, double afterMs) {
         serial += SERIAL_STEP;
         Long token = serial | kind;
         states.put(token, state);
-        state.armed.add(token);
+        state.timerTokens.add(token);
         context.actions.setTimer(token, afterMs);
     }
 
     /** Removes a timer that expired; returns its request, or null where it is no longer needed. */
-    AdmissionController.Flight expire(long token) {
+    RequestState expire(long token) {
         return states.remove(token);
     }
 
     /** Cancels all timers of a request. */
-    void cancelAll(AdmissionController.Flight state) {
-        for (Long token : state.armed) {
+    void cancelAll(RequestState state) {
+        for (Long token : state.timerTokens) {
             if (states.remove(token) != null) {
                 context.actions.cancelTimer(token);
             }
