--- a/decision/src/main/java/opalcove/decision/AdmissionController.java
+++ b/decision/src/main/java/opalcove/decision/AdmissionController.java
@@ -33,7 +33,10 @@
     private final PressureMonitor pressure = new PressureMonitor();
     private final Companion companion;
     private final Split split;
-    private final Hosts hosts;
+    private final SlowStart slowStart;
+    private final BackendHealth health;
+    private final BackendRegistry registry;
+    private final BackendSelector selector;
     private boolean pumping;
     /** Starts a gateway's module; settings that contradict themselves are turned away. */
     public AdmissionController(double now, DecisionSettings settings, long seed, DecisionActions actions) {
@@ -48,7 +51,10 @@
         for (int i = 0; i < settings.plans().size(); i++)
             planIndex.put(settings.plans().get(i).name(), i);
         companion = new Companion();
-        hosts = new Hosts();
+        slowStart = new SlowStart(context);
+        health = new BackendHealth(context, slowStart);
+        registry = new BackendRegistry(context, slowStart);
+        selector = new BackendSelector(context, registry, health, slowStart);
         split = new Split();
         if (context.obligations.listOnRequest()) actions.subscribeToEndpoints();
         actions.setTimer(RequestTimers.INTERVAL, DecisionContext.INTERVAL_MS);
@@ -57,14 +63,15 @@
     @Override
     public void endpointsChanged(double time, boolean whole, List<Endpoint> lines) {
         context.nowMs = time;
-        hosts.listed(whole, lines);
+        registry.update(whole, lines);
+        registry.count(split.weight);
         pump();
     }
 
     @Override
     public void endpointListFailed(double time) {
         context.nowMs = time;
-        if (context.obligations.listOnRequest()) hosts.askAt = context.nowMs + DecisionContext.INTERVAL_MS;
+        registry.schedulePoll();
     }
 
     @Override
@@ -106,7 +113,7 @@
         f.inFlight--;
         split.out--;
         f.tenant.inFlight--;
-        hosts.ended(a, o, f);
+        health.attemptEnded(a, o, f);
         settle(f.tenant, f.request, o.usedPercent(), o.trueUnits());
         if (!f.finished) split.seen(o, f);
         if (o.requestEnded()) finish(f);
@@ -144,7 +151,8 @@
     @Override
     public void healthCheckEnded(double time, String host, ProbeStatus result, double tookMs, double[] load) {
         context.nowMs = time;
-        hosts.probed(host, result, load);
+        BackendState m = registry.find(host);
+        if (m != null) health.checkEnded(m, result);
     }
 
     @Override
@@ -154,7 +162,7 @@
         if (kind == RequestTimers.INTERVAL) {
             if (stalls.recordTick(context.nowMs)) pressure.reset();
             split.update();
-            hosts.tick();
+            updateBackends();
             companion.age();
             actions.setTimer(RequestTimers.INTERVAL, DecisionContext.INTERVAL_MS);
         }
@@ -169,21 +177,27 @@
     /** A room for each host that is remembered, for a front that does not ask for each request. */
     public List<CapacityShare> capacityShares(double time) {
         context.nowMs = time;
-        return hosts.machines.values().stream().map(hosts::room).toList();
+        return registry.all().stream().map(health::capacityShare).toList();
     }
 
     /** What such a front was told of work that ended at a host; meanMs: below 0 where no time is known. */
     public void loadReported(double time, String host, long served, long failed, double meanMs) {
         context.nowMs = time;
-        BackendState m = hosts.machines.get(host);
-        if (m == null || served + failed <= 0) return;
-        m.respondedAtMs = context.nowMs;
-        hosts.sends += served + failed;
-        double part = 1 - Math.pow(0.8, served + failed);
-        m.errorRate += part * ((double) failed / (served + failed) - m.errorRate);
-        if (served <= 0 || meanMs < 0) return;
-        hosts.slower(m, meanMs / context.sizes.meanMs(0));
-        context.sizes.recordMean(0, meanMs);
+        BackendState m = registry.find(host);
+        if (m != null) health.loadReported(m, served, failed, meanMs);
+    }
+
+    /** Once an interval: polls the list where that is due, lets marks fade, fills the budgets of starting backends. */
+    private void updateBackends() {
+        registry.pollIfDue();
+        slowStart.updatePace();
+        health.update(registry.listedCount());
+        registry.forgetRemoved();
+        for (BackendState backend : registry.all()) {
+            health.fade(backend);
+            slowStart.refill(backend);
+            health.checkIfDue(backend);
+        }
     }
 
     /** Sends on, or holds while no host may have it; the first send is charged to quota and ceiling. */
@@ -193,7 +207,7 @@
             if (f.inFlight == 0) end(f);
             return;
         }
-        BackendState m = hosts.choose(f);
+        BackendState m = selector.select(f);
         if (m == null) {
             hold(f);
             return;
@@ -208,7 +222,7 @@
         split.peak = Math.max(split.peak, split.out);
         split.meanUnits += Math.max(0.02, 1 / ++split.sized) * (f.request.units() - split.meanUnits);
         f.tenant.inFlight++;
-        hosts.sent(m, f);
+        health.attemptStarted(m, f);
         actions.startAttempt(f.request.id(), m.endpoint.id(), 0);
         timers.set(RequestTimers.SLOW_ATTEMPT, f, slowMs(f));
     }
@@ -282,8 +296,8 @@
         if (f.inFlight != 1 || split.bounded || !retryBudget.hasToken() || pressure.hasSeveralSigns()) return;
         if (f.plan.maxInFlight() > 0 || f.requestClass.idempotency() == Idempotency.UNSAFE) return;
         if (limits.secondCopies()) {
-            BackendState m = f.mayStartAttempt() ? hosts.choose(f) : null;
-            if (m != null && hosts.expected(m, f) * 2 < hosts.worst(f)) {
+            BackendState m = f.mayStartAttempt() ? selector.select(f) : null;
+            if (m != null && selector.expectedWaitMs(m, f) * 2 < selector.longestWaitMs(f)) {
                 retryBudget.spend();
                 dispatch(f);
             }
@@ -503,11 +517,11 @@
          * While it is not, a surge may pass what was out without a sign by a third: hosts are not overrun.
          */
         private boolean full(RequestState f) {
-            double part = (double) hosts.usable / settings.gateways();
+            double part = (double) registry.listedCount() / settings.gateways();
             double depth = bounded
                     ? Math.max(room / meanUnits * 0.2 * shortestAim / 1000, 2.5 * part)
                     : Math.max(1.3 * proven, 3 * part);
-            return hosts.usable > 0 && out + 1 > Math.max(bounded ? 2 : 3, depth) + f.tokenShare;
+            return registry.listedCount() > 0 && out + 1 > Math.max(bounded ? 2 : 3, depth) + f.tokenShare;
         }
 
         /** Counts served units and the signs of a back end under pressure. */
@@ -533,8 +547,8 @@
             weight = Math.max(0.2, Math.min(1, usualNews / 1.5));
             servedRate += DECAY * weight * (served / seconds - servedRate);
             served = 0;
-            hosts.count();
-            boolean pressed = pressure.hasSign() && pressure.isSlow() && hosts.pressed * 3 >= hosts.heard;
+            registry.count(weight);
+            boolean pressed = pressure.hasSign() && pressure.isSlow() && registry.isPressed();
             double demand = 0;
             for (ClassQueue lane : order) {
                 lane.arrivalRate += DECAY * weight * (lane.arrivedUnits / seconds - lane.arrivalRate);
@@ -583,260 +597,4 @@
             spare = Math.min(room * seconds, spare + Math.max(0, over));
         }
     }
-
-    /** The hosts: the list, the choice, health and cold starts. */
-    private final class Hosts {
-        private final Map<String, BackendState> machines = new LinkedHashMap<>();
-        /** What a starting host may be given, as a multiple of its ramp: real ramps are seldom the slowest. */
-        private final double margin = Math.min(1.2, 0.5 * context.obligations.overloadFactor());
-
-        private boolean first = true;
-        private double pace, paced, meanSize = 1, doneWork, sends, visits, whole = context.sizes.largestMeanMs();
-        /** How fast marks fade: slower where a gateway comes back to a host seldom, or none would be used. */
-        private double memory = 1;
-        /** Guards against hosts failing together (a zone cut, a kind restarting): parts failed by group. */
-        private final Map<String, double[]> faults = new HashMap<>();
-
-        private static final double[] NO_FAULTS = new double[1];
-
-        double askAt = Double.MAX_VALUE;
-        private int usable, heard, pressed, warm;
-
-        void listed(boolean whole, List<Endpoint> lines) {
-            askAt = Double.MAX_VALUE;
-            for (BackendState m : whole ? machines.values() : List.<BackendState>of()) {
-                m.listed = false;
-                m.removedAtMs = Math.min(m.removedAtMs, context.nowMs);
-            }
-            for (Endpoint line : lines) {
-                BackendState m = machines.get(line.id());
-                boolean fresh = m == null;
-                if (fresh) {
-                    m = new BackendState();
-                    m.respondedAtMs = context.nowMs;
-                    machines.put(line.id(), m);
-                }
-                boolean restarted = !fresh && line.startedMs() > 0 && line.startedMs() != m.endpoint.startedMs();
-                boolean recent = line.startedMs() > Math.max(0, context.nowMs - context.obligations.warmAfterMs());
-                if (restarted || fresh && (recent || !first)) {
-                    chill(m, line.startedMs() > 0 ? Math.max(line.startedMs(), m.startedAtMs) : context.nowMs);
-                }
-                m.endpoint = line;
-                m.zoneGroup = "zone " + line.zone();
-                m.kindGroup = "kind " + line.kind();
-                m.listed = line.state() == EndpointState.UP;
-                m.removedAtMs = line.state() == EndpointState.REMOVED
-                        ? Math.min(m.removedAtMs, context.nowMs)
-                        : Double.MAX_VALUE;
-            }
-            count();
-            first = false;
-        }
-
-        private void chill(BackendState m, double since) {
-            m.startedAtMs = since;
-            // Guards against gateways in step, and against each saving up a whole request before any sends.
-            m.slowStartBudgetMs = context.random.nextDouble() * whole;
-            m.slowness = 1;
-            m.failures = 0;
-            m.ejectedUntilMs = 0;
-        }
-
-        private boolean cold(BackendState m) {
-            return context.nowMs - m.startedAtMs < context.obligations.warmAfterMs();
-        }
-
-        /** Counts the hosts that are listed, heard of lately, and seen under pressure lately. */
-        void count() {
-            usable = heard = pressed = warm = 0;
-            for (BackendState m : machines.values()) {
-                usable += m.listed ? 1 : 0;
-                if (m.listed && !cold(m) && !m.isFailing()) meanSize += (m.endpoint.size() - meanSize) / ++warm;
-                heard += m.listed && context.nowMs - m.respondedAtMs < 2000 / split.weight ? 1 : 0;
-                pressed += m.listed && context.nowMs - m.pressureAtMs < 2000 / split.weight ? 1 : 0;
-            }
-        }
-
-        /** Once an interval: pace of warm hosts by size, budgets of cold ones; slow marks fade so hosts are tried. */
-        void tick() {
-            if (context.nowMs >= askAt) {
-                askAt = context.nowMs + 4 * DecisionContext.INTERVAL_MS;
-                actions.subscribeToEndpoints();
-            }
-            double did = warm > 0 ? doneWork / DecisionContext.INTERVAL_MS / Math.max(1e-9, warm * meanSize) : pace;
-            if (paced > 0 || did > 0) pace += Math.max(0.05, 1 / ++paced) * (did - pace);
-            doneWork = 0;
-            whole = context.sizes.largestMeanMs();
-            visits += 0.1 * (sends - visits);
-            sends = 0;
-            memory = Math.max(0.2, Math.min(1, 20 * visits / Math.max(1, usable)));
-            // Guards memory and each choice against hosts replaced for days: those that left are forgotten.
-            machines.values()
-                    .removeIf(m -> m.inFlight == 0 && context.nowMs - m.removedAtMs > DecisionContext.FORGET_AFTER_MS);
-            for (double[] part : faults.values()) part[0] *= 0.97;
-            for (BackendState m : machines.values()) {
-                m.slowness += 0.04 * memory * (1 - m.slowness);
-                m.errorRate *= 1 - 0.04 * memory;
-                if (cold(m)) {
-                    // Guards against sizes that tell the load of the moment: a bound whatever they say.
-                    double part =
-                            Math.min(margin * m.endpoint.size(), 0.7 * context.obligations.overloadFactor() * meanSize);
-                    double rate = coldShare(m) * pace * part;
-                    double depth = Math.max(whole, rate * 1000);
-                    m.slowStartBudgetMs = Math.min(depth, m.slowStartBudgetMs + rate * DecisionContext.INTERVAL_MS);
-                }
-                if (m.listed && m.isFailing() && limits.mayProbe() && context.nowMs >= m.ejectedUntilMs) {
-                    m.ejectedUntilMs = context.nowMs + 1000;
-                    actions.checkHealth(m.endpoint.id());
-                }
-            }
-        }
-
-        /** A starting host's part is bounded by its ramp, a warm one's sinks with errors and lateness. */
-        CapacityShare room(BackendState m) {
-            if (!m.listed || context.nowMs < m.ejectedUntilMs) return new CapacityShare(m.endpoint.id(), 0);
-            double ramp = cold(m) ? coldShare(m) * Math.min(0.9, margin) : 1;
-            double share = ramp / (Math.max(1, m.slowness) * (1 + 20 * m.errorRate * m.errorRate));
-            return new CapacityShare(m.endpoint.id(), Math.max(0.02, share));
-        }
-
-        private double coldShare(BackendState m) {
-            double from = context.obligations.initialShare();
-            return from + (1 - from) * (context.nowMs - m.startedAtMs) / Math.max(1, context.obligations.warmAfterMs());
-        }
-
-        /**
-         * Guards against connects that fail while standing connections are served (lost packets, full tables,
-         * hosts too busy to accept): where connects fail, hosts that answered lately go first. Could hurt by
-         * sending much to few hosts; their answers then get slow, and others are tried again.
-         */
-        private boolean connected(BackendState m) {
-            return context.nowMs - m.connectedAtMs < limits.idleCloseMs();
-        }
-
-        double expected(BackendState m, RequestState f) {
-            double stall = m.inFlight == 0 ? 0 : (context.nowMs - Math.max(m.respondedAtMs, m.busySinceMs)) / 2;
-            double wait = m.slowness * (m.outstandingMs * Math.min(2, settings.gateways() / 2.0) + f.expectedMs());
-            return wait * (1 + 20 * m.errorRate * m.errorRate)
-                    + Math.max(0, stall - context.sizes.meanMs(f.classIndex));
-        }
-
-        double worst(RequestState f) {
-            double worst = 0;
-            for (AttemptState a : f.attempts)
-                if (!a.ended) worst = Math.max(worst, expected(a.backend, f) + (context.nowMs - a.startedAtMs) / 2);
-            return worst;
-        }
-
-        /** The host with the least expected wait among those that may have this request. */
-        BackendState choose(RequestState f) {
-            BackendState best = null;
-            double least = Double.MAX_VALUE;
-            for (BackendState m : machines.values()) {
-                if (!m.listed || !f.mayUse(m) || f.inFlight > 0 && f.hasTried(m)) continue;
-                boolean cold = cold(m);
-                double cost = expected(m, f) * (f.hasTried(m) ? 4 : 1) * (1 + 0.05 * context.random.nextDouble());
-                if (!m.endpoint.zone().equals(settings.zone()))
-                    cost *= 1 + 10 * settings.costs().crossZone();
-                if (context.nowMs < m.ejectedUntilMs) continue;
-                if (cold ? m.slowStartBudgetMs < whole : m.isFailing() && m.inFlight > 0) continue;
-                cost *= 1 + (connected(m) ? 4 : 20) * (faults(m.zoneGroup) + faults(m.kindGroup));
-                // Its budget bounds a cold host; warm ones may look idle here while others load them.
-                if (cold) cost /= 2 * Math.sqrt(coldShare(m));
-                if (cost >= least) continue;
-                best = m;
-                least = cost;
-            }
-            return best;
-        }
-
-        void sent(BackendState m, RequestState f) {
-            if (m.inFlight == 0) m.busySinceMs = context.nowMs;
-            sends++;
-            m.inFlight++;
-            m.outstandingMs += f.expectedMs();
-            if (cold(m)) m.slowStartBudgetMs -= context.sizes.meanMs(f.classIndex);
-        }
-
-        void ended(AttemptState a, AttemptOutcome o, RequestState f) {
-            BackendState m = a.backend;
-            m.inFlight--;
-            m.outstandingMs = m.inFlight == 0 ? 0 : Math.max(0, m.outstandingMs - a.expectedMs);
-            switch (o.status()) {
-                case SERVED, ERROR -> {
-                    doneWork += cold(m) ? 0 : a.expectedMs;
-                    m.respondedAtMs = context.nowMs;
-                    fault(m, 0);
-                    alive(m);
-                    m.rejections = 0;
-                    m.errorRate += 0.2 * ((o.status() == AttemptStatus.ERROR ? 1 : 0) - m.errorRate);
-                    if (o.status() == AttemptStatus.ERROR) return; // a quick error must not make a host look fast
-                    slower(m, o.elapsedMs() / f.expectedMs());
-                    context.sizes.recordResponse(f.classIndex, f.request.units(), o.elapsedMs());
-                }
-                case REJECTED -> {
-                    m.respondedAtMs = context.nowMs;
-                    alive(m);
-                    m.rejections++;
-                    m.ejectedUntilMs = context.nowMs + Math.min(2000, 100 * m.rejections) / memory * (cold(m) ? 10 : 1);
-                }
-                case UNREACHABLE -> {
-                    m.failedConnects++;
-                    failed(m);
-                }
-                case BROKEN -> failed(m);
-                // Guards against hosts that let attempts lie: one called off took at least its time out.
-                case CANCELLED, TIMED_OUT ->
-                    slower(m, Math.max(m.slowness, (context.nowMs - a.startedAtMs) / f.expectedMs()));
-                default -> {}
-            }
-        }
-
-        private void slower(BackendState m, double ratio) {
-            double step = (ratio > m.slowness ? 0.15 : 0.1) / Math.sqrt(memory);
-            m.slowness += step * (Math.min(20, ratio) - m.slowness);
-        }
-
-        private void fault(BackendState m, double part) {
-            fault(m.zoneGroup, part);
-            fault(m.kindGroup, part);
-        }
-
-        private void fault(String group, double part) {
-            double[] known = faults.computeIfAbsent(group, none -> new double[1]);
-            known[0] = 0.7 * known[0] + 0.3 * part;
-        }
-
-        private double faults(String group) {
-            return faults.getOrDefault(group, NO_FAULTS)[0];
-        }
-
-        private void failed(BackendState m) {
-            fault(m, 1);
-            m.connectedAtMs = -1e18;
-            m.failures++;
-            if (m.failingSinceMs < 0) m.failingSinceMs = context.nowMs;
-            m.ejectedUntilMs = context.nowMs + Math.min(4000, 500 * m.failures) / memory;
-        }
-
-        /**
-         * Back after failed connects: it may have started anew before the list says so, so it is cold. Guards
-         * also against links that break context.nowMs and then: two such in a row had warm hosts paced as cold ones.
-         */
-        private void alive(BackendState m) {
-            if (m.failedConnects > 2 && m.failingSinceMs >= 0 && context.nowMs - m.failingSinceMs > 1000 && !cold(m))
-                chill(m, context.nowMs);
-            m.connectedAtMs = context.nowMs;
-            m.failures = m.failedConnects = 0;
-            m.failingSinceMs = -1;
-        }
-
-        void probed(String id, ProbeStatus result, double[] load) {
-            BackendState m = machines.get(id);
-            if (m == null) return;
-            m.ejectedUntilMs = 0;
-            if (result == ProbeStatus.DONE) alive(m);
-            else failed(m);
-        }
-    }
 }
--- /dev/null
+++ b/decision/src/main/java/opalcove/decision/BackendSelector.java
@@ -0,0 +1,92 @@
+package opalcove.decision;
+
+/**
+ * Selects the backend of each attempt by the expected wait. Owned by the thread that delivers the instance's events.
+ */
+final class BackendSelector {
+    private final DecisionContext context;
+    private final BackendRegistry registry;
+    private final BackendHealth health;
+    private final SlowStart slowStart;
+
+    BackendSelector(DecisionContext context, BackendRegistry registry, BackendHealth health, SlowStart slowStart) {
+        this.context = context;
+        this.registry = registry;
+        this.health = health;
+        this.slowStart = slowStart;
+    }
+
+    /** The backend with the least expected wait among those that may have this request, or null where none may. */
+    BackendState select(RequestState state) {
+        BackendState best = null;
+        double leastCost = Double.MAX_VALUE;
+        for (BackendState backend : registry.all()) {
+            if (!backend.listed || !state.mayUse(backend) || state.inFlight > 0 && state.hasTried(backend)) {
+                continue;
+            }
+            double cost = cost(backend, state);
+            if (!isAvailable(backend) || cost >= leastCost) {
+                continue;
+            }
+            best = backend;
+            leastCost = cost;
+        }
+        return best;
+    }
+
+    private boolean isAvailable(BackendState backend) {
+        if (context.nowMs < backend.ejectedUntilMs) {
+            return false;
+        }
+        return slowStart.isWarmingUp(backend)
+                ? !slowStart.isExhausted(backend)
+                : !(backend.isFailing() && backend.inFlight > 0);
+    }
+
+    private double cost(BackendState backend, RequestState state) {
+        double cost = expectedWaitMs(backend, state)
+                * (state.hasTried(backend) ? 4 : 1)
+                * (1 + 0.05 * context.random.nextDouble());
+        if (!backend.endpoint.zone().equals(context.settings.zone())) {
+            cost *= 1 + 10 * context.settings.costs().crossZone();
+        }
+        cost *= 1 + (isConnected(backend) ? 4 : 20) * health.groupFaults(backend);
+        // Its budget bounds a starting backend; warm ones may look idle here while others load them.
+        if (slowStart.isWarmingUp(backend)) {
+            cost /= 2 * Math.sqrt(slowStart.rampShare(backend));
+        }
+        return cost;
+    }
+
+    /** The wait to expect for a response from this backend, ms. */
+    double expectedWaitMs(BackendState backend, RequestState state) {
+        double silentMs =
+                backend.inFlight == 0 ? 0 : (context.nowMs - Math.max(backend.respondedAtMs, backend.busySinceMs)) / 2;
+        double otherGateways = Math.min(2, context.settings.gateways() / 2.0);
+        double waitMs = backend.slowness * (backend.outstandingMs * otherGateways + state.expectedMs());
+        return waitMs * BackendHealth.errorPenalty(backend)
+                + Math.max(0, silentMs - context.sizes.meanMs(state.classIndex));
+    }
+
+    /** The longest wait to expect for the attempts in flight of a request, ms. */
+    double longestWaitMs(RequestState state) {
+        double longestMs = 0;
+        for (AttemptState attempt : state.attempts) {
+            if (!attempt.ended) {
+                double waitedMs = context.nowMs - attempt.startedAtMs;
+                longestMs = Math.max(longestMs, expectedWaitMs(attempt.backend, state) + waitedMs / 2);
+            }
+        }
+        return longestMs;
+    }
+
+    /**
+     * Whether this gateway may still have an open connection to the backend. Guards against connects that fail while
+     * open connections are served (lost packets, full tables, backends too busy to accept): where connects fail,
+     * backends that responded lately go first. Could hurt by sending much to few backends; their responses then get
+     * slow, and others are tried again.
+     */
+    private boolean isConnected(BackendState backend) {
+        return context.nowMs - backend.connectedAtMs < context.limits.idleCloseMs();
+    }
+}
