--- /dev/null
+++ b/decision/src/main/java/opalcove/decision/CapacityController.java
@@ -0,0 +1,282 @@
+package opalcove.decision;
+
+import java.util.ArrayList;
+import java.util.List;
+import opalcove.decision.DecisionSettings.Plan;
+import opalcove.decision.DecisionSettings.RequestClass;
+
+/**
+ * Measures this gateway's capacity and splits it among the classes while it is bounded, after the paper named at {@link
+ * CapacityAllocator}: it is unbounded while no sign of pressure shows. Owned by the thread that delivers the instance's
+ * events.
+ */
+final class CapacityController {
+    private static final double INTERVAL_SECONDS = DecisionContext.INTERVAL_MS / 1000;
+
+    /** Weight of the newest interval in a decayed rate. */
+    private static final double DECAY = 0.25;
+
+    /** Part of the backlog that counts as demand (the paper's alpha). */
+    private static final double BACKLOG_SHARE = 0.5;
+
+    private final DecisionContext context;
+    private final BackendRegistry registry;
+    private final PressureMonitor pressure;
+    private final StallDetector stalls;
+    private final ClassQueue[] queuesByWeight;
+    private final ClassQueue[][] queues;
+    private final double shortestObjectiveMs;
+    private double servedUnits;
+    private double servedRate;
+    private double outcomes;
+    private double meanOutcomes;
+
+    /** Guards against thin evidence: what an interval weighs, less where few responses come. */
+    private double evidenceWeight = 1;
+
+    private double pressedAtMs;
+    private double meanUnits = 1;
+    private double sampledAttempts = 1;
+
+    /** The most attempts that were in flight without a sign of pressure, decayed. */
+    private double provenInFlight;
+
+    private double peakInFlight;
+    private int inFlight;
+    private boolean bounded;
+
+    /** Units a second that the backends serve, while capacity is bounded. */
+    private double capacity;
+
+    /** Units that no class's share has used, for queued requests of any class. */
+    private double spareUnits;
+
+    CapacityController(
+            DecisionContext context, BackendRegistry registry, PressureMonitor pressure, StallDetector stalls) {
+        this.context = context;
+        this.registry = registry;
+        this.pressure = pressure;
+        this.stalls = stalls;
+        pressedAtMs = context.nowMs;
+        shortestObjectiveMs = shortestObjectiveMs(context.settings.classes());
+        queues = queues(context.settings);
+        queuesByWeight = byWeight(queues);
+    }
+
+    private static double shortestObjectiveMs(List<RequestClass> classes) {
+        double shortestMs = Double.MAX_VALUE;
+        for (RequestClass each : classes) {
+            shortestMs = Math.min(shortestMs, each.objectiveMs());
+        }
+        return shortestMs;
+    }
+
+    /** For each plan and request class in turn: the queue beyond the quota, and the one within it. */
+    private static ClassQueue[][] queues(DecisionSettings settings) {
+        int classes = settings.classes().size();
+        ClassQueue[][] queues = new ClassQueue[settings.plans().size() * classes][];
+        for (int i = 0; i < queues.length; i++) {
+            Plan plan = settings.plans().get(i / classes);
+            double weight = settings.classes().get(i % classes).weight() * plan.price();
+            double beyondQuota = Math.max(0, plan.overQuotaWeight() - plan.overQuotaCost());
+            queues[i] = new ClassQueue[] {new ClassQueue(weight * beyondQuota, false), new ClassQueue(weight, true)};
+        }
+        return queues;
+    }
+
+    private static ClassQueue[] byWeight(ClassQueue[][] queues) {
+        List<ClassQueue> all = new ArrayList<>();
+        for (ClassQueue[] each : queues) {
+            all.add(each[1]);
+            all.add(each[0]);
+        }
+        all.sort((first, second) -> Double.compare(second.weight, first.weight));
+        return all.toArray(new ClassQueue[0]);
+    }
+
+    /** The queue of a plan's and a request class's requests. */
+    ClassQueue queue(int planIndex, int classIndex, boolean withinQuota) {
+        return queues[planIndex * context.settings.classes().size() + classIndex][withinQuota ? 1 : 0];
+    }
+
+    /** All queues, from the highest weight to the lowest. */
+    ClassQueue[] queuesByWeight() {
+        return queuesByWeight;
+    }
+
+    /** Whether signs of pressure bound the capacity. */
+    boolean isBounded() {
+        return bounded;
+    }
+
+    /** The mean units of the attempts so far; recent ones weigh more. */
+    double meanUnits() {
+        return meanUnits;
+    }
+
+    /**
+     * Takes a request's units from the tokens of its class or, where it was queued, from what other classes left.
+     *
+     * @return whether the request may be forwarded now; if not, nothing was taken
+     */
+    boolean tryTake(RequestState state, boolean wasQueued) {
+        ClassQueue queue = state.queue;
+        double units = state.request.units();
+        if (isInFlightLimitReached(state) || bounded && !wasQueued && !queue.requests.isEmpty()) {
+            return false;
+        }
+        if (!bounded) {
+            return true;
+        }
+        boolean hasOwnTokens = queue.tokens >= units * state.tokenShare;
+        if (!hasOwnTokens && (!wasQueued || spareUnits < units)) {
+            return false;
+        }
+        if (hasOwnTokens) {
+            queue.tokens -= units;
+        } else {
+            spareUnits -= units;
+        }
+        return true;
+    }
+
+    /**
+     * Guards against stale queues at the backends (any cause): while capacity is bounded no more is in flight than it
+     * serves within half the shortest objective, but enough to keep a gateway's part of the backends busy. While it is
+     * not, a surge may exceed what was in flight without a sign by a third: backends are not overrun.
+     */
+    private boolean isInFlightLimitReached(RequestState state) {
+        int backends = registry.listedCount();
+        double part = (double) backends / context.settings.gateways();
+        double depth = bounded
+                ? Math.max(capacity / meanUnits * 0.2 * shortestObjectiveMs / 1000, 2.5 * part)
+                : Math.max(1.3 * provenInFlight, 3 * part);
+        return backends > 0 && inFlight + 1 > Math.max(bounded ? 2 : 3, depth) + state.tokenShare;
+    }
+
+    /** Counts an attempt that begins. */
+    void attemptStarted(double units) {
+        inFlight++;
+        peakInFlight = Math.max(peakInFlight, inFlight);
+        meanUnits += Math.max(0.02, 1 / ++sampledAttempts) * (units - meanUnits);
+    }
+
+    /** Counts an attempt out, however it ended. */
+    void attemptEnded() {
+        inFlight--;
+    }
+
+    /** Takes in the outcome of an attempt: served units, and the signs of backends under pressure. */
+    void recordOutcome(AttemptOutcome outcome, RequestState state) {
+        AttemptState attempt = state.attempts.get(outcome.attempt());
+        double usualMs = context.sizes.meanMs(state.classIndex);
+        double objectiveShare =
+                (context.nowMs - attempt.startedAtMs - state.expectedMs() + usualMs) / state.requestClass.objectiveMs();
+        boolean served = outcome.status() == AttemptStatus.SERVED;
+        boolean rejected = outcome.status() == AttemptStatus.REJECTED;
+        servedUnits += served ? state.request.units() : 0;
+        outcomes++;
+        if (stalls.isRecovering(context.nowMs) && !rejected) {
+            return;
+        }
+        if (rejected || outcome.status() == AttemptStatus.TIMED_OUT || served && objectiveShare > 0.6) {
+            pressure.recordSign(attempt, context.nowMs);
+        }
+        if (!attempt.countedAsPressure) {
+            pressure.recordResponse(served ? objectiveShare : 0);
+        }
+    }
+
+    /** Once an interval: measures the capacity, bounds or unbounds it, and splits a bounded one among the classes. */
+    void update() {
+        meanOutcomes += 0.1 * (outcomes - meanOutcomes);
+        outcomes = 0;
+        evidenceWeight = Math.max(0.2, Math.min(1, meanOutcomes / 1.5));
+        servedRate += DECAY * evidenceWeight * (servedUnits / INTERVAL_SECONDS - servedRate);
+        servedUnits = 0;
+        countBackends();
+        boolean pressed = pressure.hasSign() && pressure.isSlow() && registry.isPressed();
+        double demand = updateDemand();
+        if (pressed) {
+            bound();
+        } else if (bounded) {
+            relax(demand);
+        }
+        provenInFlight = pressure.isCalm() ? Math.max(0.99 * provenInFlight, peakInFlight) : 0.97 * provenInFlight;
+        peakInFlight = inFlight;
+        pressure.decay(evidenceWeight);
+        if (bounded) {
+            distribute();
+        }
+    }
+
+    /** Counts the backends anew, after a change of the endpoint list or once an interval. */
+    void countBackends() {
+        registry.count(evidenceWeight);
+    }
+
+    /** Takes in the arrivals of this interval; returns the demand of all classes, units a second. */
+    private double updateDemand() {
+        double demand = 0;
+        for (ClassQueue queue : queuesByWeight) {
+            queue.arrivalRate += DECAY * evidenceWeight * (queue.arrivedUnits / INTERVAL_SECONDS - queue.arrivalRate);
+            queue.arrivedUnits = 0;
+            demand += demand(queue);
+        }
+        return demand;
+    }
+
+    /** The paper's demand: arrivals and a part of the backlog, units a second. */
+    private static double demand(ClassQueue queue) {
+        return queue.arrivalRate + BACKLOG_SHARE * queue.queuedUnits / INTERVAL_SECONDS;
+    }
+
+    private void bound() {
+        pressedAtMs = context.nowMs;
+        if (!bounded) {
+            context.actions.log("room bounded at " + Math.round(servedRate) + " units/s");
+            for (ClassQueue queue : queuesByWeight) {
+                queue.tokens = 1;
+            }
+        }
+        capacity = bounded ? Math.max(0.93 * capacity, servedRate) : servedRate;
+        bounded = true;
+    }
+
+    /** Raises a bounded capacity step by step, and unbounds it once it exceeds the demand for a while. */
+    private void relax(double demand) {
+        capacity = Math.max(capacity, Math.min(servedRate, demand)) * 1.04 + 0.01;
+        if (capacity > 1.3 * demand && context.nowMs - pressedAtMs > 2000 / evidenceWeight) {
+            bounded = false;
+            context.actions.log("room unbounded again");
+        }
+    }
+
+    private void distribute() {
+        int classes = queuesByWeight.length;
+        double[] weight = new double[classes];
+        double[] demand = new double[classes];
+        double[] floor = new double[classes];
+        double[] max = new double[classes];
+        for (int i = 0; i < classes; i++) {
+            ClassQueue queue = queuesByWeight[i];
+            weight[i] = queue.weight;
+            demand[i] = demand(queue);
+            floor[i] = queue.withinQuota ? queue.arrivalRate : 0;
+            max[i] = Math.max(queue.arrivalRate, demand[i]) * 1.3;
+        }
+        refill(CapacityAllocator.allocate(capacity, weight, demand, floor, max));
+    }
+
+    /** Fills each class's tokens at its share, one interval deep; what overflows is spare. */
+    private void refill(double[] share) {
+        double overflow = capacity * INTERVAL_SECONDS;
+        for (int i = 0; i < share.length; i++) {
+            double depth = Math.max(share[i] * INTERVAL_SECONDS, share[i] > 0 ? 1 : 0);
+            double tokens = queuesByWeight[i].tokens + share[i] * INTERVAL_SECONDS;
+            queuesByWeight[i].tokens = Math.min(depth, tokens);
+            overflow += Math.max(0, tokens - depth) - share[i] * INTERVAL_SECONDS;
+        }
+        spareUnits = Math.min(capacity * INTERVAL_SECONDS, spareUnits + Math.max(0, overflow));
+    }
+}
--- /dev/null
+++ b/decision/src/main/java/opalcove/decision/QuotaController.java
@@ -0,0 +1,200 @@
+package opalcove.decision;
+
+import java.util.Iterator;
+import java.util.LinkedHashMap;
+import opalcove.decision.DecisionSettings.Plan;
+
+/**
+ * Holds tenants to their quotas by the use that the meter reports (refusal chances by tenant), and to this gateway's
+ * parts of ceilings and caps on open requests. Owned by the thread that delivers the instance's events.
+ */
+final class QuotaController {
+    /** Memory of a tenant's own arrivals, ms. */
+    private static final double MEMORY_MS = 1500;
+
+    /** Time over which what is left in a bucket's copy is spent, ms: reported use is about this old. */
+    private static final double SPEND_MS = 2000;
+
+    /** Reported use fades towards its plan's mean over this time, ms. */
+    private static final double FADE_MS = 10_000;
+
+    private final DecisionContext context;
+    private final CapacityController capacity;
+    private final PressureMonitor pressure;
+
+    /** In the order of their last access, so that the longest idle one comes first. */
+    private final LinkedHashMap<String, TenantQuota> tenants = new LinkedHashMap<>(64, 0.75f, true);
+
+    /** The inverse of reported use by plan, a moving mean; 0 until a use of that plan is reported. */
+    private final double[] planCalm;
+
+    private final double periodMs;
+    private double servingSinceMs = Double.MAX_VALUE;
+
+    QuotaController(DecisionContext context, CapacityController capacity, PressureMonitor pressure) {
+        this.context = context;
+        this.capacity = capacity;
+        this.pressure = pressure;
+        planCalm = new double[context.settings.plans().size()];
+        periodMs = Math.max(1, context.settings.meterPeriodMs());
+    }
+
+    /** The quota of a request's tenant, created at its first request. */
+    TenantQuota tenant(AdmissionRequest request, int planIndex) {
+        servingSinceMs = Math.min(servingSinceMs, context.nowMs);
+        TenantQuota tenant = tenants.get(request.tenant());
+        if (tenant == null) {
+            tenant = new TenantQuota(planIndex, request.gateways(), context.nowMs, servingSinceMs, context.settings);
+            tenants.put(request.tenant(), tenant);
+        }
+        if (tenant.otherSeconds <= 0) {
+            fade(tenant, 1);
+        }
+        return tenant;
+    }
+
+    /** Forgets tenants whose buckets have had time to fill since they were last heard of. */
+    void forgetIdle() {
+        for (Iterator<TenantQuota> iterator = tenants.values().iterator(); iterator.hasNext(); iterator.remove()) {
+            TenantQuota eldest = iterator.next();
+            Plan plan = eldest.plan;
+            double fillMs = plan.ceilingRate() > 0 ? 1000 * plan.ceilingBurst() / plan.ceilingRate() : 0;
+            double idleMs = context.nowMs - eldest.updatedAtMs;
+            if (eldest.inFlight > 0 || idleMs < Math.max(DecisionContext.FORGET_AFTER_MS, fillMs)) {
+                return;
+            }
+        }
+    }
+
+    private long period(double timeMs) {
+        return (long) Math.floor(timeMs / periodMs);
+    }
+
+    /** Brings a tenant's decayed figures and buckets to the present. */
+    private void advance(TenantQuota tenant) {
+        double seconds = (context.nowMs - tenant.updatedAtMs) / 1000;
+        tenant.updatedAtMs = context.nowMs;
+        double drain = otherGatewaysRate(tenant) * tenant.meanAdmitChance;
+        tenant.arrivedUnits *= Math.exp(-seconds * 1000 / MEMORY_MS);
+        fade(tenant, 1 - Math.exp(-seconds * 1000 / FADE_MS));
+        double level = tenant.level + seconds * (tenant.plan.rate() - drain);
+        tenant.level = Math.max(0, Math.min(tenant.plan.burst(), level));
+        tenant.fillCeiling(seconds);
+    }
+
+    /** Moves what is known of a tenant's other gateways towards its plan's usual use by this part. */
+    private void fade(TenantQuota tenant, double part) {
+        double calm = planCalm[tenant.planIndex] > 0 ? planCalm[tenant.planIndex] : 1;
+        double meanRate = tenant.plan.rate() / calm * (tenant.gateways - 1) / tenant.gateways;
+        tenant.otherUnits += part * (capacity.meanUnits() - tenant.otherUnits);
+        tenant.otherSeconds += part * (capacity.meanUnits() / Math.max(meanRate, 0.01) - tenant.otherSeconds);
+    }
+
+    /**
+     * What arrives at the tenant's other gateways, units a second. Guards against thin evidence: it starts with one
+     * usual request at the plan's mean, which gives way to reported use and, before that, to own arrivals.
+     */
+    private double otherGatewaysRate(TenantQuota tenant) {
+        if (tenant.gateways < 2 || tenant.reportedAtMs > 0) {
+            return tenant.gateways < 2 ? 0 : tenant.otherUnits / tenant.otherSeconds;
+        }
+        return (tenant.otherUnits + tenant.arrivedUnits)
+                / (tenant.otherSeconds + MEMORY_MS / 1000 / (tenant.gateways - 1));
+    }
+
+    /**
+     * Takes in an arrival and decides whether it passes as within its tenant's quota: while the bucket's copy lasts,
+     * else by chance. The companion of the split, after the design's formula for the refusal chance.
+     *
+     * @param isRetry whether the client has tried before, which squares the chance
+     */
+    boolean recordArrival(TenantQuota tenant, double units, boolean isRetry) {
+        if (tenant.plan.rate() <= 0) {
+            return true;
+        }
+        advance(tenant);
+        tenant.arrivedUnits += units;
+        double available = tenant.plan.rate() + tenant.level * 1000 / SPEND_MS;
+        // Before the first report, the rate of the other gateways holds their part of the own arrivals.
+        double ownRate = tenant.arrivedUnits * 1000 / MEMORY_MS / (tenant.reportedAtMs > 0 ? 1 : tenant.gateways);
+        tenant.admitChance = Math.min(1, available / Math.max(ownRate + otherGatewaysRate(tenant), 1e-9));
+        // The other gateways admit alike.
+        tenant.meanAdmitChance += (1 - Math.exp((tenant.arrivedAtMs - context.nowMs) / SPEND_MS))
+                * (tenant.admitChance - tenant.meanAdmitChance);
+        tenant.arrivedAtMs = context.nowMs;
+        if (tenant.admitChance >= 1 && tenant.level >= units) {
+            return true;
+        }
+        double chance = isRetry ? tenant.admitChance * tenant.admitChance : tenant.admitChance;
+        return context.random.nextDouble() < chance;
+    }
+
+    /**
+     * Whether a soft plan's requests pass beyond the quota: while that earns more than it costs and capacity is left.
+     */
+    boolean mayExceedQuota(TenantQuota tenant) {
+        return tenant.plan.overQuotaWeight() > tenant.plan.overQuotaCost()
+                && !capacity.isBounded()
+                && !pressure.isSlow();
+    }
+
+    /** Charges a request's first attempt to its tenant's quota and ceiling. */
+    void charge(RequestState state) {
+        TenantQuota tenant = state.tenant;
+        double units = state.request.units();
+        advance(tenant);
+        tenant.addForwarded(period(context.nowMs), units);
+        tenant.level = Math.max(0, tenant.level - units);
+        tenant.ceilingLevel -= units;
+    }
+
+    /** Whether a first attempt fits under the cap on open requests and in this gateway's part of the ceiling. */
+    boolean fits(RequestState state) {
+        if (!state.attempts.isEmpty()) {
+            return true;
+        }
+        TenantQuota tenant = state.tenant;
+        advance(tenant);
+        boolean underCeiling = state.plan.ceilingRate() <= 0 || tenant.ceilingLevel >= state.request.units();
+        return underCeiling && (state.plan.maxInFlight() <= 0 || tenant.inFlight < state.plan.maxInFlight());
+    }
+
+    /**
+     * Takes in figures that came with a response.
+     *
+     * @param usedPercent the tenant's use of its rate over all gateways; below 0 where none is reported
+     * @param trueUnits the request's true units; 0 where none are reported
+     */
+    void recordUsage(TenantQuota tenant, double units, int usedPercent, double trueUnits) {
+        recordMeter(tenant, usedPercent);
+        if (trueUnits > 0 && context.settings.unitsAreEstimates()) {
+            tenant.level += units - trueUnits;
+        }
+    }
+
+    /** Takes in reported use, once a meter period: the others' part is what this gateway did not forward. */
+    private void recordMeter(TenantQuota tenant, int percent) {
+        if (percent < 0 || periodMs <= 1 || tenant.plan.rate() <= 0) {
+            return;
+        }
+        if (percent == tenant.reportedPercent && context.nowMs - tenant.reportedAtMs < periodMs * 0.9) {
+            return;
+        }
+        advance(tenant);
+        tenant.reportedPercent = percent;
+        tenant.reportedAtMs = context.nowMs;
+        double forwarded = 0;
+        for (int back = 1; back <= 3; back++) {
+            forwarded += tenant.forwardedIn(period(context.nowMs - (back - 0.3) * periodMs)) / 3;
+        }
+        double used = tenant.plan.rate() * percent / 100 * periodMs / 1000;
+        tenant.otherUnits +=
+                Math.max(0, used - forwarded) / Math.max(0.1, tenant.meanAdmitChance) - 0.35 * tenant.otherUnits;
+        tenant.otherSeconds += periodMs / 1000 - 0.35 * tenant.otherSeconds;
+        // Guards against reports that come mostly from heavy tenants: the harmonic mean of reported use, not divided
+        // by our own chance. The mean of demand had calm unseen tenants refused as heavy.
+        double calm = Math.min(4, 100.0 / Math.max(1, percent));
+        double known = planCalm[tenant.planIndex];
+        planCalm[tenant.planIndex] = known > 0 ? known + 0.03 * (calm - known) : calm;
+    }
+}
