--- /dev/null
+++ b/decision/src/main/java/opalcove/decision/RequestForwarder.java
@@ -0,0 +1,291 @@
+package opalcove.decision;
+
+import java.util.HashMap;
+import java.util.Iterator;
+import java.util.Map;
+
+/**
+ * Takes each admitted request to its final response: queue, first attempt, retries, hedged requests, and shedding or
+ * failure where no backend served it. Owned by the thread that delivers the instance's events.
+ */
+final class RequestForwarder {
+    /** How often queued requests are looked at when nothing else happens, ms. */
+    private static final double QUEUE_INTERVAL_MS = 20;
+
+    /** A backend that has not responded for longer than this is silent, ms. */
+    private static final double SILENT_MS = 250;
+
+    private final DecisionContext context;
+    private final QuotaController quotas;
+    private final CapacityController capacity;
+    private final PressureMonitor pressure;
+    private final StallDetector stalls;
+    private final BackendSelector selector;
+    private final BackendHealth health;
+    private final RequestTimers timers;
+    private final RetryBudget retryBudget = new RetryBudget();
+    private final Map<String, RequestState> requests = new HashMap<>();
+    private boolean queueTimerSet;
+
+    RequestForwarder(
+            DecisionContext context,
+            QuotaController quotas,
+            CapacityController capacity,
+            PressureMonitor pressure,
+            StallDetector stalls,
+            BackendSelector selector,
+            BackendHealth health,
+            RequestTimers timers) {
+        this.context = context;
+        this.quotas = quotas;
+        this.capacity = capacity;
+        this.pressure = pressure;
+        this.stalls = stalls;
+        this.selector = selector;
+        this.health = health;
+        this.timers = timers;
+    }
+
+    /** The request with this id, or null once it is over and none of its attempts is in flight. */
+    RequestState find(String id) {
+        return requests.get(id);
+    }
+
+    /** Takes on a request; it gets its final response shortly before its budget ends at the latest. */
+    void add(RequestState state) {
+        requests.put(state.request.id(), state);
+        double budgetMs = state.request.budgetMs();
+        timers.set(RequestTimers.DEADLINE, state, Math.max(0, budgetMs - 2 * context.settings.tickMs()));
+    }
+
+    /** Starts an attempt, or queues while no backend may have it; the first attempt is charged to quota and ceiling. */
+    void forward(RequestState state) {
+        if (state.finished) {
+            return;
+        }
+        if (!state.mayStartAttempt()) {
+            if (state.inFlight == 0) {
+                endUnserved(state);
+            }
+            return;
+        }
+        BackendState backend = selector.select(state);
+        if (backend == null) {
+            queue(state);
+            return;
+        }
+        if (state.attempts.isEmpty()) {
+            quotas.charge(state);
+            retryBudget.earn();
+        }
+        state.attempts.add(new AttemptState(backend, context.nowMs, state.expectedMs()));
+        state.inFlight++;
+        capacity.attemptStarted(state.request.units());
+        state.tenant.inFlight++;
+        health.attemptStarted(backend, state);
+        context.actions.startAttempt(state.request.id(), backend.endpoint.id(), 0);
+        timers.set(RequestTimers.SLOW_ATTEMPT, state, slowAfterMs(state));
+    }
+
+    /** From this age on an attempt counts as slow, ms. */
+    private double slowAfterMs(RequestState state) {
+        double usualMs = context.sizes.meanMs(state.classIndex);
+        return Math.min(state.requestClass.objectiveMs() * 0.5, usualMs * 4)
+                + Math.max(0, state.expectedMs() - usualMs);
+    }
+
+    /** Queues what may still be forwarded; anything else gets its final response at once. */
+    void queue(RequestState state) {
+        if (state.finished || state.queued) {
+            return;
+        }
+        if (state.isQueuedTooLong()) {
+            if (state.inFlight == 0) {
+                endUnserved(state);
+            }
+            return;
+        }
+        state.queued = true;
+        state.queue.add(state);
+        setQueueTimer();
+    }
+
+    private void setQueueTimer() {
+        if (!queueTimerSet) {
+            context.actions.setTimer(RequestTimers.QUEUES, QUEUE_INTERVAL_MS);
+        }
+        queueTimerSet = true;
+    }
+
+    /** Takes in that the timer of the queues expired. */
+    void queueTimerExpired() {
+        queueTimerSet = false;
+    }
+
+    /** Releases queued requests, highest weight first; past their bound they are shed. */
+    void releaseQueued() {
+        boolean left = false;
+        for (ClassQueue queue : capacity.queuesByWeight()) {
+            if (!queue.requests.isEmpty()) {
+                release(queue);
+                left |= !queue.requests.isEmpty();
+            }
+        }
+        if (left) {
+            setQueueTimer();
+        }
+    }
+
+    private void release(ClassQueue queue) {
+        for (Iterator<RequestState> iterator = queue.requests.iterator(); iterator.hasNext(); ) {
+            RequestState state = iterator.next();
+            boolean tooLong = state.isQueuedTooLong();
+            boolean released = !state.finished
+                    && !tooLong
+                    && quotas.fits(state)
+                    && (!state.attempts.isEmpty() || capacity.tryTake(state, true));
+            if (!state.finished && !tooLong && !released) {
+                continue;
+            }
+            iterator.remove();
+            state.queued = false;
+            queue.queuedUnits -= state.request.units();
+            if (released) {
+                forward(state);
+            }
+            if (tooLong && !state.finished && state.inFlight == 0) {
+                endUnserved(state);
+            }
+        }
+    }
+
+    /** Takes in how an attempt ended; retries the request or ends it where no attempt is left in flight. */
+    void attemptEnded(RequestState state, AttemptOutcome outcome) {
+        AttemptState attempt = state.attempts.get(outcome.attempt());
+        attempt.ended = true;
+        attempt.mayHaveRun = !outcome.status().neverRan;
+        state.inFlight--;
+        capacity.attemptEnded();
+        state.tenant.inFlight--;
+        health.attemptEnded(attempt, outcome, state);
+        quotas.recordUsage(state.tenant, state.request.units(), outcome.usedPercent(), outcome.trueUnits());
+        if (!state.finished) {
+            capacity.recordOutcome(outcome, state);
+        }
+        if (outcome.requestEnded()) {
+            finish(state);
+        }
+        if (!state.finished && state.inFlight == 0) {
+            retryOrEnd(state, outcome.status());
+        }
+        if (state.finished && state.inFlight == 0) {
+            requests.remove(outcome.id());
+        }
+    }
+
+    /**
+     * No attempt is in flight and there is no response: another attempt if allowed and worth it, else the final
+     * response.
+     */
+    private void retryOrEnd(RequestState state, AttemptStatus last) {
+        boolean addsLoad = !last.neverRan && last != AttemptStatus.CANCELLED;
+        if (state.budgetLeftMs() <= 2 * context.settings.tickMs()
+                || !state.mayStartAttempt()
+                || addsLoad && (!retryBudget.hasToken() || capacity.isBounded())) {
+            endUnserved(state);
+            return;
+        }
+        if (addsLoad) {
+            retryBudget.spend();
+        }
+        if (last == AttemptStatus.REJECTED && state.attempts.size() > 1) {
+            queue(state);
+        } else {
+            forward(state);
+        }
+    }
+
+    /** An attempt is slow: a sign of pressure, then a hedged request or a retry where all of them allow it. */
+    void attemptSlow(RequestState state) {
+        if (stalls.isRecovering(context.nowMs)) {
+            return;
+        }
+        for (AttemptState attempt : state.attempts) {
+            if (!attempt.ended && context.nowMs - attempt.startedAtMs > 0.9 * slowAfterMs(state)) {
+                pressure.recordSign(attempt, context.nowMs);
+            }
+        }
+        // Guards against hedged requests that add load where all backends are slow: none while there is another sign.
+        if (state.inFlight != 1 || capacity.isBounded() || !retryBudget.hasToken() || pressure.hasSeveralSigns()) {
+            return;
+        }
+        if (state.plan.maxInFlight() > 0 || state.requestClass.idempotency() == Idempotency.UNSAFE) {
+            return;
+        }
+        if (context.limits.secondCopies()) {
+            hedge(state);
+        } else {
+            cancelSilent(state);
+        }
+    }
+
+    private void hedge(RequestState state) {
+        BackendState backend = state.mayStartAttempt() ? selector.select(state) : null;
+        if (backend != null && selector.expectedWaitMs(backend, state) * 2 < selector.longestWaitMs(state)) {
+            retryBudget.spend();
+            forward(state);
+        }
+    }
+
+    /** Cancels the last attempt at a silent backend, so that its outcome brings a retry. */
+    private void cancelSilent(RequestState state) {
+        int last = state.attempts.size() - 1;
+        boolean silent = context.nowMs - state.attempts.get(last).backend.respondedAtMs > SILENT_MS;
+        if (!context.limits.mayCancel() || last + 1 >= context.limits.maxAttempts() || !silent) {
+            return;
+        }
+        retryBudget.spend();
+        context.actions.cancelAttempt(state.request.id(), last);
+    }
+
+    /** The final response when no backend gave one: shed where that promise is allowed, else failed. */
+    void endUnserved(RequestState state) {
+        if (!state.mayBeShed()) {
+            context.actions.fail(state.request.id());
+        } else {
+            context.actions.shed(state.request.id(), context.limits.retryAfter() ? state.drawRetryAfterMs() : 0);
+        }
+        close(state);
+    }
+
+    /** Sheds a request, which none of the rules of its class forbids before its first attempt. */
+    void shed(RequestState state, double retryAfterMs) {
+        context.actions.shed(state.request.id(), context.limits.retryAfter() ? retryAfterMs : 0);
+        close(state);
+    }
+
+    /** Ends a request that has its final response, or whose client has gone. */
+    void close(RequestState state) {
+        finish(state);
+        if (state.inFlight == 0) {
+            requests.remove(state.request.id());
+        }
+    }
+
+    /** Cancels a request's timers and, where that is allowed, its attempts in flight. */
+    private void finish(RequestState state) {
+        if (state.finished) {
+            return;
+        }
+        state.finished = true;
+        timers.cancelAll(state);
+        if (!context.limits.mayCancel()) {
+            return;
+        }
+        for (int i = 0; i < state.attempts.size(); i++) {
+            if (!state.attempts.get(i).ended) {
+                context.actions.cancelAttempt(state.request.id(), i);
+            }
+        }
+    }
+}
