--- a/benchmarks/src/main/java/opalcove/resp/ReaderBenchmark.java
+++ b/benchmarks/src/main/java/opalcove/resp/ReaderBenchmark.java
@@ -30,11 +30,12 @@
         value = 1,
         jvmArgsAppend = {"-XX:+UseSerialGC", "-XX:TieredStopAtLevel=1"})
 public class ReaderBenchmark {
-    private static final String ASK = "*4\r\n$9\r\nSVC.QUERY\r\n$16\r\n00000000b4d65521\r\n$16\r\n9b1f03aa5c7e2d41\r\n"
-            + "$53\r\nc=slot-status,t=start,d=4000,units=2,spread=1,first=0\r\n";
+    private static final String REQUEST =
+            "*4\r\n$9\r\nSVC.QUERY\r\n$16\r\n00000000b4d65521\r\n$16\r\n9b1f03aa5c7e2d41\r\n"
+                    + "$53\r\nc=slot-status,t=start,d=4000,units=2,spread=1,first=0\r\n";
     private static final String REPLY = "*3\r\n$16\r\nvvvvvvvvvvvvvvvv\r\n$14\r\nused=12,cost=1\r\n$8\r\nsvc_ms=5\r\n";
 
-    private final ByteBuf request = bytes(ASK);
+    private final ByteBuf request = bytes(REQUEST);
     private final ByteBuf reply = bytes(REPLY);
     private io.vertx.core.Vertx vertx;
     private RespDecoder requests;
@@ -58,29 +59,29 @@
                 new ConnectionPool(vertx, settings, new RespConnector(vertx, settings), 1));
         RequestDecoder requestDecoder = new RequestDecoder(gateway::requestValidator);
         BackendReplyDecoder nodeReply = new BackendReplyDecoder(settings);
-        requests = new RespDecoder(8, new RespDecoder.User() {
+        requests = new RespDecoder(8, new RespListener() {
             @Override
-            public void value(RespDecoder value) {
+            public void valueDecoded(RespDecoder value) {
                 try {
-                    read = requestDecoder.read(value, null);
+                    read = requestDecoder.decode(value, null);
                 } catch (opalcove.core.InvalidRequestException e) {
                     throw new IllegalStateException(e);
                 }
             }
 
             @Override
-            public void broken(String reason) {
+            public void decodingFailed(String reason) {
                 throw new IllegalStateException(reason);
             }
         });
-        replies = new RespDecoder(BackendReplyDecoder.PARTS, new RespDecoder.User() {
+        replies = new RespDecoder(BackendReplyDecoder.PARTS, new RespListener() {
             @Override
-            public void value(RespDecoder value) {
-                read = nodeReply.read(value);
+            public void valueDecoded(RespDecoder value) {
+                read = nodeReply.decode(value);
             }
 
             @Override
-            public void broken(String reason) {
+            public void decodingFailed(String reason) {
                 throw new IllegalStateException(reason);
             }
         });
@@ -95,14 +96,14 @@
     /** Parses one request of a client. */
     @Benchmark
     public Object aRequest() {
-        requests.take(request.retainedDuplicate());
+        requests.decode(request.retainedDuplicate());
         return read;
     }
 
     /** Parses one answer of a backend. */
     @Benchmark
     public Object aReply() {
-        replies.take(reply.retainedDuplicate());
+        replies.decode(reply.retainedDuplicate());
         return read;
     }
 }
--- a/cli/src/main/java/opalcove/cli/StateCommand.java
+++ b/cli/src/main/java/opalcove/cli/StateCommand.java
@@ -52,14 +52,14 @@
                 paramLabel = "S",
                 defaultValue = "10",
                 description = "how long to try at most (default: ${DEFAULT-VALUE})")
-        private int mostS;
+        private int maxS;
 
         ReplicationClient client() {
             return new ReplicationClient(
                     voters.stream()
                             .map(each -> HostAndPort.read(each, "--voter"))
                             .toList(),
-                    mostS * 1000L);
+                    maxS * 1000L);
         }
     }
 
@@ -74,7 +74,7 @@
 
         @Override
         public Integer call() throws IOException {
-            VersionLog.Version version = voters.client().show();
+            VersionLog.Version version = voters.client().current();
             System.err.println(version.number() == 0 ? "no version yet" : "version " + version.number());
             System.out.println(version.text());
             return 0;
@@ -100,10 +100,10 @@
                 if (json) {
                     list.add(Json.object()
                             .add("number", each.number())
-                            .add("by", each.by())
-                            .add("id", each.id()));
+                            .add("by", each.author())
+                            .add("id", each.proposalId()));
                 } else {
-                    System.out.println(each.number() + " " + each.by() + " " + each.id());
+                    System.out.println(each.number() + " " + each.author() + " " + each.proposalId());
                 }
             }
             if (json) {
@@ -142,7 +142,7 @@
                 throw new InvalidConfigurationException(file + ": " + e.getMessage());
             }
             ReplicationClient client = voters.client();
-            VersionLog.Version version = client.show();
+            VersionLog.Version version = client.current();
             List<String> changes = changes(version.text(), text);
             changes.forEach(System.out::println);
             System.out.println(changes.size() + " changes to version " + version.number());
@@ -150,7 +150,7 @@
                 return 0;
             }
             VersionLog.Outcome outcome = client.propose(version.number(), by, text);
-            if (!outcome.taken()) {
+            if (!outcome.accepted()) {
                 throw new InvalidConfigurationException("refused: " + outcome.reason());
             }
             System.out.println("version " + outcome.version() + " is in force");
--- a/replication/src/test/java/opalcove/replication/WrittenFormTest.java
+++ b/replication/src/test/java/opalcove/replication/WrittenFormTest.java
@@ -237,12 +237,12 @@
         SnapshotFile.write(again, snapshot);
         assertEquals(Files.readAllBytes(again), resource("recovery.snapshot"));
         Files.delete(file);
-        assertFalse(SnapshotFile.read(file, "g1").clean(), "the content before is used");
+        assertFalse(SnapshotFile.read(file, "g1").isClean(), "the content before is used");
     }
 
     @Test
     public void aClassOfTheProjectThatIsNoRecordIsNotRead() {
-        for (Serializable other : new Serializable[] {ReplicationMessage.Kind.ASK, LeaseState.Mode.FULL}) {
+        for (Serializable other : new Serializable[] {ReplicationMessage.Kind.VERSION_REQUEST, LeaseState.Mode.FULL}) {
             String told = expectThrows(
                             InvalidConfigurationException.class,
                             () -> SerializedForm.read(SerializedForm.write(other), Serializable.class))
