--- a/control/src/main/java/opalcove/control/cluster/DecisionTimers.java
+++ b/control/src/main/java/opalcove/control/cluster/DecisionTimers.java
@@ -51,22 +51,22 @@
     }
 
     @Override
-    public void startAttempt(String id, String host, double timeoutMs) {
+    public void startAttempt(String requestId, String backend, double timeoutMs) {
         throw noRequest();
     }
 
     @Override
-    public void shed(String id, double retryAfterMs) {
+    public void shed(String requestId, double retryAfterMs) {
         throw noRequest();
     }
 
     @Override
-    public void fail(String id) {
+    public void fail(String requestId) {
         throw noRequest();
     }
 
     @Override
-    public void cancelAttempt(String id, int attempt) {
+    public void cancelAttempt(String requestId, int attempt) {
         throw noRequest();
     }
 
@@ -75,7 +75,7 @@
     }
 
     @Override
-    public void checkHealth(String host) {
+    public void checkHealth(String backend) {
         // Does not occur: the settings of a control service do not allow health checks.
     }
 
--- a/control/src/main/java/opalcove/control/server/ControlService.java
+++ b/control/src/main/java/opalcove/control/server/ControlService.java
@@ -103,7 +103,7 @@
                 executor,
                 this::snapshotFor,
                 config.clusters().stream().map(ClusterDefinition::name).toList(),
-                (proxy, load) -> cluster.onLoadReport(clock.now(), proxy.id(), load));
+                (proxy, load) -> cluster.onLoadReport(clock.now(), proxy.proxyId(), load));
     }
 
     private static InetSocketAddress socketAddress(HostAndPort address) {
--- a/control/src/main/java/opalcove/control/server/LoadReportService.java
+++ b/control/src/main/java/opalcove/control/server/LoadReportService.java
@@ -77,10 +77,10 @@
             if (proxy == null) {
                 proxy = ProxyIdentity.from(request.getNode());
                 if (snapshots.snapshotFor(proxy) == null) {
-                    Logger.warn("load reports of proxy {} rejected: it is not admitted", proxy.id());
+                    Logger.warn("load reports of proxy {} rejected: it is not admitted", proxy.proxyId());
                     ended = true;
                     responses.onError(Status.PERMISSION_DENIED
-                            .withDescription("proxy " + proxy.id() + " is not admitted")
+                            .withDescription("proxy " + proxy.proxyId() + " is not admitted")
                             .asRuntimeException());
                     return;
                 }
--- a/control/src/main/java/opalcove/control/server/StatusReport.java
+++ b/control/src/main/java/opalcove/control/server/StatusReport.java
@@ -52,7 +52,7 @@
                                 .add("refused", versions.rejectedCount())
                                 .add("reason", versions.rejectionReason())));
         return Json.object()
-                .add("id", proxy.identity().id())
+                .add("id", proxy.identity().proxyId())
                 .add("cluster", proxy.identity().cluster())
                 .add("room", proxy.identity().zone())
                 .add("types", types);
@@ -62,7 +62,7 @@
         JsonArray notAcknowledgedBy = new JsonArray();
         proxies.stream()
                 .filter(each -> !hasAcknowledged(each, drain))
-                .forEach(each -> notAcknowledgedBy.add(each.identity().id()));
+                .forEach(each -> notAcknowledgedBy.add(each.identity().proxyId()));
         return Json.object()
                 .add("node", drain.backend())
                 .add("since_ms", Math.round(nowMs - drain.sinceMs()))
--- a/control/src/main/java/opalcove/control/server/XdsSession.java
+++ b/control/src/main/java/opalcove/control/server/XdsSession.java
@@ -60,7 +60,7 @@
         if (stream == null) {
             proxy = ProxyIdentity.from(variant.node().apply(request));
             if (registry.snapshotFor(proxy) == null) {
-                reject(Status.PERMISSION_DENIED.withDescription("proxy " + proxy.id() + " is not admitted"));
+                reject(Status.PERMISSION_DENIED.withDescription("proxy " + proxy.proxyId() + " is not admitted"));
                 return;
             }
             stream = variant.streamFactory().apply(registry.nextNoncePrefix(), proxy);
@@ -74,7 +74,7 @@
         }
         if (type == null) {
             // Not rejected: the proxy's other types would be lost with the stream.
-            Logger.info("proxy {} requests type {}, which is not served", proxy.id(), typeUrl);
+            Logger.info("proxy {} requests type {}, which is not served", proxy.proxyId(), typeUrl);
             return;
         }
         stream.onRequest(type, request);
@@ -94,7 +94,7 @@
         }
         ConfigSnapshot snapshot = registry.snapshotFor(proxy);
         if (snapshot == null) {
-            reject(Status.PERMISSION_DENIED.withDescription("proxy " + proxy.id() + " is no longer admitted"));
+            reject(Status.PERMISSION_DENIED.withDescription("proxy " + proxy.proxyId() + " is no longer admitted"));
             return;
         }
         if (snapshot == ConfigSnapshot.EMPTY) {
--- a/mqtt/src/main/java/opalcove/mqtt/MqttClientSession.java
+++ b/mqtt/src/main/java/opalcove/mqtt/MqttClientSession.java
@@ -109,8 +109,8 @@
     }
 
     private void onRequest(MqttPublishMessage message, String responseTopic, byte[] correlation) {
-        String id = RequestMessage.id(connection.clientIdentifier(), correlation);
-        OpenRequest inFlight = requests.find(id);
+        String requestId = RequestMessage.id(connection.clientIdentifier(), correlation);
+        OpenRequest inFlight = requests.find(requestId);
         if (inFlight != null) {
             // Guards against a redelivery becoming a second request: it joins the one in flight.
             inFlight.onDelivered(this, message);
@@ -118,8 +118,8 @@
             return;
         }
         // Without DUP it is a new request, whose client merely uses its correlation data again.
-        ResponseMessage given = message.isDup() ? requests.recentResponse(id) : null;
-        OpenRequest opened = new OpenRequest(requests, id, responseTopic, correlation);
+        ResponseMessage given = message.isDup() ? requests.recentResponse(requestId) : null;
+        OpenRequest opened = new OpenRequest(requests, requestId, responseTopic, correlation);
         opened.onDelivered(this, message);
         if (given != null) {
             dispatcher.redeliveryJoined();
@@ -134,7 +134,7 @@
         try {
             request = RequestMessage.read(
                     dispatcher.requestValidator(),
-                    opened.id,
+                    opened.requestId,
                     message.topicName(),
                     message.properties(),
                     message.payload());
--- a/mqtt/src/main/java/opalcove/mqtt/OpenRequest.java
+++ b/mqtt/src/main/java/opalcove/mqtt/OpenRequest.java
@@ -11,7 +11,7 @@
  * <p>Owned by the event loop of its gateway.
  */
 final class OpenRequest implements RequestDispatcher.ResponseHandler {
-    final String id;
+    final String requestId;
     final String responseTopic;
     final byte[] correlation;
     private final OpenRequests requests;
@@ -23,16 +23,16 @@
     MqttQoS qos;
     int messageId;
 
-    OpenRequest(OpenRequests requests, String id, String responseTopic, byte[] correlation) {
+    OpenRequest(OpenRequests requests, String requestId, String responseTopic, byte[] correlation) {
         this.requests = requests;
-        this.id = id;
+        this.requestId = requestId;
         this.responseTopic = responseTopic;
         this.correlation = correlation;
     }
 
     /** The response goes to the session that delivered the request last. */
-    void onDelivered(MqttClientSession by, MqttPublishMessage message) {
-        session = by;
+    void onDelivered(MqttClientSession deliveredBy, MqttPublishMessage message) {
+        session = deliveredBy;
         qos = message.qosLevel();
         messageId = message.messageId();
     }
--- a/mqtt/src/main/java/opalcove/mqtt/OpenRequests.java
+++ b/mqtt/src/main/java/opalcove/mqtt/OpenRequests.java
@@ -36,13 +36,13 @@
     }
 
     /** The request with this id, or null if it is not open. */
-    OpenRequest find(String id) {
-        return open.get(id);
+    OpenRequest find(String requestId) {
+        return open.get(requestId);
     }
 
     /** The response that this request got, or null if it is no longer known. */
-    ResponseMessage recentResponse(String id) {
-        return recent.get(id, clock.now());
+    ResponseMessage recentResponse(String requestId) {
+        return recent.get(requestId, clock.now());
     }
 
     boolean hasMaxRequests(MqttClientSession session) {
@@ -55,16 +55,16 @@
 
     /** Dispatches a request; its response may come before this returns. */
     void dispatch(OpenRequest opened, Request request) {
-        open.put(opened.id, opened);
+        open.put(opened.requestId, opened);
         opened.deadlineMs = clock.now() + request.timeoutMs();
         opened.handle = dispatcher.dispatch(request, opened);
     }
 
     /** Sends a request's response, and keeps it for redeliveries. */
     void complete(OpenRequest request, Response response) {
-        open.remove(request.id);
+        open.remove(request.requestId);
         ResponseMessage message = ResponseMessage.of(response, request.correlation);
-        recent.put(request.id, message, clock.now(), request.deadlineMs);
+        recent.put(request.requestId, message, clock.now(), request.deadlineMs);
         request.session.respond(request, message);
         onCompleted.run();
     }
@@ -73,7 +73,7 @@
     void onClientLeft(MqttClientSession session) {
         for (OpenRequest each : List.copyOf(open.values())) {
             if (each.session == session && each.qos == MqttQoS.AT_MOST_ONCE) {
-                open.remove(each.id);
+                open.remove(each.requestId);
                 each.handle.clientLeft();
             }
         }
--- a/mqtt/src/main/java/opalcove/mqtt/PropertyReader.java
+++ b/mqtt/src/main/java/opalcove/mqtt/PropertyReader.java
@@ -22,20 +22,20 @@
     }
 
     /** A text, or null if it is absent. */
-    static String text(MqttProperties properties, int id) {
-        MqttProperty<?> property = properties.getProperty(id);
+    static String text(MqttProperties properties, int propertyId) {
+        MqttProperty<?> property = properties.getProperty(propertyId);
         return property == null ? null : (String) property.value();
     }
 
     /** Binary data, or null if it is absent. */
-    static byte[] bytes(MqttProperties properties, int id) {
-        MqttProperty<?> property = properties.getProperty(id);
+    static byte[] bytes(MqttProperties properties, int propertyId) {
+        MqttProperty<?> property = properties.getProperty(propertyId);
         return property == null ? null : (byte[]) property.value();
     }
 
     /** A number of up to 32 unsigned bits, or null if it is absent. */
-    static Integer number(MqttProperties properties, int id) {
-        MqttProperty<?> property = properties.getProperty(id);
+    static Integer number(MqttProperties properties, int propertyId) {
+        MqttProperty<?> property = properties.getProperty(propertyId);
         return property == null ? null : (Integer) property.value();
     }
 }
--- a/mqtt/src/main/java/opalcove/mqtt/RequestMessage.java
+++ b/mqtt/src/main/java/opalcove/mqtt/RequestMessage.java
@@ -47,7 +47,8 @@
      *
      * @throws InvalidRequestException if it cannot be read or is not valid, with the reason for its client
      */
-    static Request read(RequestValidator validator, String id, String topic, MqttProperties properties, Buffer body)
+    static Request read(
+            RequestValidator validator, String requestId, String topic, MqttProperties properties, Buffer body)
             throws InvalidRequestException {
         if (!topic.startsWith(TOPIC_PREFIX)) {
             throw new InvalidRequestException("asks are published below " + TOPIC_PREFIX);
@@ -68,7 +69,7 @@
         double expiryMs = expiry == null ? Double.MAX_VALUE : Integer.toUnsignedLong(expiry) * MS_PER_SECOND;
         RequestParameters parameters = new RequestParameters(PropertyReader.userProperties(properties));
         return validator.validate(new Request(
-                id,
+                requestId,
                 parameters.required("operator"),
                 requestClass.name(),
                 parameters.required("plan"),
--- a/mqtt/src/main/java/opalcove/mqtt/ResponseCache.java
+++ b/mqtt/src/main/java/opalcove/mqtt/ResponseCache.java
@@ -19,9 +19,9 @@
     private final Map<String, Entry> responses = new LinkedHashMap<>();
     private int bytes;
 
-    void put(String id, ResponseMessage response, double nowMs, double deadlineMs) {
-        subtract(responses.remove(id));
-        responses.put(id, new Entry(response, deadlineMs));
+    void put(String requestId, ResponseMessage response, double nowMs, double deadlineMs) {
+        subtract(responses.remove(requestId));
+        responses.put(requestId, new Entry(response, deadlineMs));
         bytes += response.payload().length();
         Iterator<Entry> oldest = responses.values().iterator();
         while (oldest.hasNext()) {
@@ -35,8 +35,8 @@
     }
 
     /** The response to this request, or null if it is not cached. */
-    ResponseMessage get(String id, double nowMs) {
-        Entry entry = responses.get(id);
+    ResponseMessage get(String requestId, double nowMs) {
+        Entry entry = responses.get(requestId);
         return entry == null || entry.deadlineMs <= nowMs ? null : entry.response;
     }
 
--- a/mqtt/src/test/java/opalcove/mqtt/MqttConfigTest.java
+++ b/mqtt/src/test/java/opalcove/mqtt/MqttConfigTest.java
@@ -55,7 +55,7 @@
     }
 
     @Test
-    public void everyProblemIsTold() throws IOException {
+    public void everyProblemIsReported() throws IOException {
         assertEquals(problems("\"listen\"", "\"port\"").lines().toList().size(), 2);
     }
 
