--- a/control/src/test/java/opalcove/control/server/ControlSettingsFormTest.java
+++ b/control/src/test/java/opalcove/control/server/ControlConfigFormTest.java
@@ -13,7 +13,7 @@
 import org.testng.annotations.Test;
 
 /** The keys of the control service's settings file, their defaults, and the refusals of wrong ones as literal text. */
-public class ControlSettingsFormTest {
+public class ControlConfigFormTest {
     private static final Path GOOD = Path.of("deploy/control.json");
     /** Follows a problem of the clusters: none of them is known then, and the listener names one. */
     private static final String NO_SUCH_CLUSTER = "\nfield listeners[0].cluster is not among the clusters: swaps";
--- a/mqtt/src/test/java/opalcove/mqtt/MqttSettingsFormTest.java
+++ b/mqtt/src/test/java/opalcove/mqtt/MqttConfigFormTest.java
@@ -13,7 +13,7 @@
 import org.testng.annotations.Test;
 
 /** Keys of the MQTT front's settings file that {@link MqttConfigTest} leaves out, and their defaults. */
-public class MqttSettingsFormTest {
+public class MqttConfigFormTest {
     private static final Path GOOD = Path.of("deploy/mqtt.json");
 
     @DataProvider
