--- a/gateway/src/main/java/opalcove/discovery/DiscoveryClient.java
+++ b/gateway/src/main/java/opalcove/discovery/DiscoveryClient.java
@@ -18,292 +18,184 @@
 import java.util.concurrent.TimeUnit;
 import java.util.random.RandomGenerator;
 import opalcove.config.Backend;
-import opalcove.config.EndpointCodec;
 import opalcove.config.HostAndPort;
 import opalcove.config.InvalidConfigurationException;
-import opalcove.config.JsonFields;
 import opalcove.core.EndpointSource;
 import opalcove.decision.DecisionSettings;
 import org.tinylog.Logger;
 
-/** Follows the node list at discovery: the whole list first, then a watch that is renewed at once. */
+/**
+ * Follows the endpoint list at discovery: the complete list first, then a watch that is renewed at once. Owned by the
+ * event loop it is started on.
+ */
 public final class DiscoveryClient implements EndpointSource {
-    /** The version of no list: the whole one is asked for. */
+    /** The index of no list: the complete one is requested. */
     public static final long NO_INDEX = -1;
-    /**
-     * How calls are made. A list that is pushed lies with an agent on this machine, which answers at once and at no cost:
-     * it is asked at once, and again soon. One that is asked for is one service for all gateways, of so much capacity: they
-     * spread their first calls, wait longer each time, and wait for its refusal rather than leave calls in its line.
-     *
-     * <p>What a pushed list's agent has counts as told at once, also when the agent has been silent and no call that
-     * was made meanwhile is ever answered: all of a call and the wait after it end within the drain grace, the time in
-     * which sends to a drained node have to stop. A change of a list that is asked for counts as told 6 s after
-     * discovery had it and could be reached, whatever calls failed before. docs/design/crossings.md has the sums.
-     *
-     * @param waitMs how long a watch may wait for news
-     * @param silenceMs how much later its answer may come before the watch counts as broken
-     * @param firstAfterMs when the first call goes out
-     * @param again waits after failed calls
-     * @param betweenMs the longest time from the start of a call that fails to the start of the next
-     * @param freshMs a list is fresh that was taken in so soon after it was asked for: while an older one was on its
-     *     way its agent may have learnt of a drain, whose grace began then
-     * @param lateMs a watch whose answer is taken in so much later than its wait shows that this process was held up
-     */
-    public record PollSchedule(
-            int waitMs, int silenceMs, long firstAfterMs, Backoff again, long betweenMs, long freshMs, long lateMs) {
-        /**
-         * The first calls of all gateways, and those after a failure that all of them met, are spread over so long for
-         * each of them, ms: a release, or a service that breaks all its connections, does not have them call in one
-         * instant.
-         */
-        private static final double SPREAD_MS = 20;
-        /**
-         * A list that is asked for: a service in want of capacity refuses a call after it was in line for 2 s, which
-         * the silence outlasts. All of a call and the wait after it leave 1.5 s of the 6 s for the next call's answer
-         * and for a process that is held up.
-         */
-        private static final int ASKED_WAIT_MS = 1500;
-
-        private static final int ASKED_SILENCE_MS = 2500;
-        private static final long ASKED_BETWEEN_MS = 4500;
-        private static final double ASKED_AGAIN_MS = 200;
-        private static final double ASKED_AGAIN_MOST_MS = 3200;
-        /**
-         * After a move a change counts as told 4 s after SIGHUP: a call that fails before that is made again within so
-         * long of the move, ms.
-         */
-        private static final long MOVED_MS = 3200;
-
-        /** The times of a pushed list as parts of the drain grace; a fifth is left for a process that is held up. */
-        private static final double WAIT_PART = 0.25;
-
-        private static final double SILENCE_PART = 0.4;
-        private static final double AGAIN_PART = 0.05;
-        private static final double BETWEEN_PART = 0.8;
-        private static final double FRESH_PART = 0.3;
-        private static final double LATE_PART = 0.4;
-        /** Shorter than this no agent is given up, ms. */
-        private static final double LEAST_GRACE_MS = 100;
-        /** A longer grace makes no call slower than this one does, ms: nodes that leave refuse attempts. */
-        private static final double MOST_GRACE_MS = 1000;
-
-        /** A pace whose calls are not bounded together; nothing is late. */
-        public PollSchedule(int waitMs, int silenceMs, long firstAfterMs, Backoff again) {
-            this(waitMs, silenceMs, firstAfterMs, again, Long.MAX_VALUE, 300, Long.MAX_VALUE);
-        }
-
-        static PollSchedule of(DecisionSettings settings, RandomGenerator random) {
-            return settings.duties().listOnRequest()
-                    ? ofAsked(settings.gateways(), random)
-                    : ofPushed(settings.duties().drainGraceMs(), random);
-        }
 
-        private static PollSchedule ofAsked(int gateways, RandomGenerator random) {
-            double fleetMs = SPREAD_MS * (gateways - 1);
-            double spreadMs = Math.min(fleetMs, ASKED_BETWEEN_MS);
-            double againMs = Math.min(Math.max(ASKED_AGAIN_MS, fleetMs), ASKED_AGAIN_MOST_MS);
-            return new PollSchedule(
-                    ASKED_WAIT_MS,
-                    ASKED_SILENCE_MS,
-                    (long) (spreadMs * random.nextDouble()),
-                    new Backoff(againMs, ASKED_AGAIN_MOST_MS, random),
-                    ASKED_BETWEEN_MS,
-                    Long.MAX_VALUE,
-                    Long.MAX_VALUE);
-        }
-
-        /** How long the wait after a failed call may be, ms; moves: how often the address has changed. */
-        long waitAtMostMs(long msSinceCall, int moves, long msSinceMove) {
-            long left = betweenMs - msSinceCall;
-            boolean moved = moves > 0 && msSinceMove < MOVED_MS;
-            return Math.max(1, moved ? Math.min(left, MOVED_MS - msSinceMove) : left);
-        }
-
-        private static PollSchedule ofPushed(double drainGraceMs, RandomGenerator random) {
-            double graceMs = Math.max(LEAST_GRACE_MS, Math.min(drainGraceMs, MOST_GRACE_MS));
-            return new PollSchedule(
-                    (int) (WAIT_PART * graceMs),
-                    (int) (SILENCE_PART * graceMs),
-                    0,
-                    new Backoff(AGAIN_PART * graceMs, 2 * AGAIN_PART * graceMs, random),
-                    (long) (BETWEEN_PART * graceMs),
-                    (long) (FRESH_PART * graceMs),
-                    (long) (LATE_PART * graceMs));
-        }
+    private static final String PATH = "/v1/endpoints";
+    /** Failed calls after which a list that has not arrived yet is not waited for: discovery does not respond. */
+    private static final int MAX_FAILURES_BEFORE_READY = 2;
+    /** Calls that may return late before a process that is always slow becomes ready all the same. */
+    private static final int MAX_LATE_BEFORE_READY = 8;
 
+    /** Notified of what discovery sends, on the client's event loop. */
+    public interface Listener {
         /**
-         * How long a connection to discovery may take to come up, ms. One that was tried while the agent was away may never
-         * come up, and is part of the same second as a call that is never answered.
+         * Backends were received.
+         *
+         * @param isComplete whether they are the complete list, or else the entries that changed
+         * @param discoveryNowMs discovery's own clock as it sent them, as Unix time; 0 where it gave none
          */
-        int connectMs() {
-            return Math.min(CONNECT_MS, silenceMs);
-        }
-    }
-
-    /** The same before the first list, ms: a process that has just started is slow itself. */
-    private static final int CONNECT_MS = 1000;
-
-    /** Takes in lines of the node list. */
-    public interface Listener {
-        /** The list, whole or only its changed entries; discovery's own time as it gave them, or 0 where it told none. */
-        void told(boolean whole, List<Backend> lines, double discoveryNow);
+        void endpointsReceived(boolean isComplete, List<Backend> backends, double discoveryNowMs);
 
-        /** A call was answered, with or without news, which were told before. */
-        default void heard() {}
+        /** A call was answered, with or without changes, which were given before. */
+        default void responseReceived() {}
 
-        /** A call has brought no list that can be used: none at all, or one that is refused. */
-        default void untold(boolean refused) {}
+        /** A call has brought no usable list: no response, or one that is invalid. */
+        default void callFailed(boolean isInvalid) {}
     }
 
     private final Vertx vertx;
     private final HttpClient client;
     private final Listener listener;
-    /** Failed calls after which a list that has not come yet is not waited for: it does not answer. */
-    private static final int FAILS_OF_SILENCE = 2;
-    /** Calls that may come back late before a process that is always slow opens its front all the same. */
-    private static final int MOST_LATE = 8;
-
-    private final Promise<Void> first = Promise.promise();
-    private final Promise<Void> firstWord = Promise.promise();
     private final RandomGenerator random;
-    private PollSchedule pace;
+    private final Promise<Void> firstList = Promise.promise();
+    private final Promise<Void> ready = Promise.promise();
+    private final List<Runnable> whenCurrent = new ArrayList<>();
+
+    private PollSchedule schedule;
     private HostAndPort address;
-    /** How often the address has changed: what began at an earlier one is not heard any more. */
-    private int moves;
+    /** How often the address has changed: the result of a call that began at an earlier address is ignored. */
+    private int moveCount;
     /** When it last changed, by {@link System#nanoTime}. */
-    private long movedAt;
+    private long movedAtNanos;
 
-    private HttpClientRequest running;
-    /** Discovery's own time as its last answer told it, in Unix milliseconds; 0 where it did not. */
-    private double discoveryNow;
+    private HttpClientRequest currentRequest;
+    /** Discovery's own clock as its last response gave it, as Unix time; 0 where it gave none. */
+    private double discoveryNowMs;
 
     private long index = NO_INDEX;
-    private boolean silent;
-    private boolean started;
-    private int failsBeforeFirst;
-    /** Somebody waits for a fresh list. */
-    private boolean freshAwaited;
-
-    private int late;
-    /** An answer lay unread here while the process was held up, and what came after it is being asked for. */
-    private boolean catchingUp;
-
-    private final List<Runnable> whenCurrent = new ArrayList<>();
-
-    /** Watches the list of backends at this address; {@link #start} begins. */
+    /** Whether a failure was logged and no list has arrived since. */
+    private boolean isFailing;
+
+    private boolean isStarted;
+    private int failuresBeforeReady;
+    private int lateBeforeReady;
+    /** Whether only a fresh list makes this client ready. */
+    private boolean needsFreshList;
+    /** A response lay unread while the process was held up, and what followed it is being requested. */
+    private boolean isCatchingUp;
+
+    /** Follows the list at this address; {@link #startFrom} begins. */
     public DiscoveryClient(
             Vertx vertx, HostAndPort address, DecisionSettings settings, RandomGenerator random, Listener listener) {
         this(vertx, address, PollSchedule.of(settings, random), random, listener);
     }
 
-    /** Follows discovery at this address by this schedule; calls are not spread. */
-    public DiscoveryClient(Vertx vertx, HostAndPort address, PollSchedule pace, Listener listener) {
-        this(vertx, address, pace, null, listener);
+    /** Follows the list at this address by a schedule that no settings change. */
+    public DiscoveryClient(Vertx vertx, HostAndPort address, PollSchedule schedule, Listener listener) {
+        this(vertx, address, schedule, null, listener);
     }
 
     private DiscoveryClient(
-            Vertx vertx, HostAndPort address, PollSchedule pace, RandomGenerator random, Listener listener) {
+            Vertx vertx, HostAndPort address, PollSchedule schedule, RandomGenerator random, Listener listener) {
         this.random = random;
-        this.pace = pace;
+        this.schedule = schedule;
         this.vertx = vertx;
         this.listener = listener;
         this.address = address;
         client = vertx.createHttpClient(new HttpClientOptions()
                 .setKeepAlive(true)
-                .setConnectTimeout(CONNECT_MS)
+                .setConnectTimeout(PollSchedule.FIRST_CONNECT_MS)
                 .setDecompressionSupported(false));
     }
 
-    /** Starts following with the whole list; the future succeeds once that has come, however many calls it takes. */
+    /** Starts with the complete list; the future succeeds once that has arrived, however many calls it takes. */
     public Future<Void> start() {
         return startFrom(NO_INDEX);
     }
 
     /**
-     * Starts following with what changed since a version that is known. Guards a shared service after a release: each
-     * gateway asks it for one watch, not for the whole list and then for a watch.
+     * Starts with what changed since a known index. Guards a shared service after a release: each gateway sends it one
+     * watch, not a call for the complete list and then a watch.
      */
-    public Future<Void> startFrom(long known) {
-        // A version of a discovery that was left before the start says nothing of this one.
-        index = moves == 0 ? known : NO_INDEX;
-        started = true;
-        if (pace.firstAfterMs() > 0) {
-            int move = moves;
-            vertx.setTimer(pace.firstAfterMs(), due -> watchStill(move));
+    public Future<Void> startFrom(long knownIndex) {
+        // An index of a discovery that was left before the start says nothing of this one.
+        index = moveCount == 0 ? knownIndex : NO_INDEX;
+        isStarted = true;
+        if (schedule.firstAfterMs() > 0) {
+            int move = moveCount;
+            vertx.setTimer(schedule.firstAfterMs(), due -> watchUnlessMoved(move));
         } else {
             watch();
         }
-        return first.future();
+        return firstList.future();
     }
 
     /**
-     * Succeeds once a list is known, a fresh one where that is wanted, or once discovery does not answer. Guards nodes that were drained while this
-     * process started, of which its agent's word counts as told from its first moment: while a call is on its way its answer
-     * is waited for, and a list that was long on its way, as the first one of a process on a part of a core is, may have been
-     * overtaken by a drain, so what came since is asked for. Where one service is asked by all gateways and is slow itself,
-     * any list will do: nothing of it is told before it has answered.
+     * Succeeds once a list is known, or once discovery does not respond. Guards backends that were drained while this
+     * process started, of which its agent's knowledge counts as known here from the first moment: while a call is in
+     * flight its response is waited for, and a list that took long to arrive, as the first one of a slow process does, may
+     * have been overtaken by a drain, so what followed it is requested. Where one slow service is polled by all gateways
+     * any list will do: nothing of it counts as known before it has responded.
+     *
+     * @param freshListOnly whether only a fresh list will do
      */
-    public Future<Void> firstWord(boolean fresh) {
-        freshAwaited = fresh;
-        return firstWord.future();
-    }
-
-    /** A call that began then has been answered, and its list taken in. */
-    private void heard(long askedAt) {
-        if (!freshAwaited || msSince(askedAt) <= pace.freshMs() || ++late >= MOST_LATE) {
-            firstWord.tryComplete();
-        }
+    public Future<Void> whenReady(boolean freshListOnly) {
+        needsFreshList = freshListOnly;
+        return ready.future();
     }
 
-    /** New settings are in force: calls from now on are made at their pace. */
-    public void retune(DecisionSettings settings) {
-        pace = PollSchedule.of(settings, random);
+    /** New settings are in force: calls from now on follow their schedule. */
+    public void applySettings(DecisionSettings settings) {
+        schedule = PollSchedule.of(settings, random);
     }
 
-    /** Follows discovery at another address from now on, whole list first; until that comes the last list holds. */
-    public void moveTo(HostAndPort elsewhere) {
-        if (elsewhere.equals(address)) {
+    /** Follows discovery at another address, with the complete list first; until that arrives the last list holds. */
+    public void moveTo(HostAndPort newAddress) {
+        if (newAddress.equals(address)) {
             return;
         }
-        Logger.info("discovery moves from {} to {}", address, elsewhere);
-        address = elsewhere;
-        // Guards against versions of two discoveries taken for one another's, and against a late answer of the old one.
-        moves++;
-        movedAt = System.nanoTime();
-        pace.again().reset();
-        catchUp(false);
+        Logger.info("discovery moves from {} to {}", address, newAddress);
+        address = newAddress;
+        // Guards against indexes of two discoveries taken for one another's, and against a late response of the old
+        // one.
+        moveCount++;
+        movedAtNanos = System.nanoTime();
+        schedule.backoff().reset();
+        setCatchingUp(false);
         index = NO_INDEX;
-        if (running != null) {
-            running.reset();
+        if (currentRequest != null) {
+            currentRequest.reset();
         }
-        // Before the start there is no watch to go on with, and the start's own is made at the new address.
-        if (started) {
+        // Before the start there is no watch to continue, and the start's own is made at the new address.
+        if (isStarted) {
             watch();
         }
     }
 
     /**
-     * Guards a drained node while the process was held up: the answer that lay unread ended the watch, and what the
-     * agent learnt after it is told to the next call alone, though its grace has begun.
+     * Guards a draining backend while the process was held up: the response that lay unread ended the watch, and what the
+     * agent learnt after it is given to the next call alone, though its grace has begun.
      */
-    private void catchUp(boolean begins) {
-        catchingUp = begins;
+    private void setCatchingUp(boolean begins) {
+        isCatchingUp = begins;
         if (!begins && !whenCurrent.isEmpty()) {
             List<Runnable> waiting = List.copyOf(whenCurrent);
             whenCurrent.clear();
-            // Each by itself: the watch goes on whatever becomes of them.
+            // Each by itself: the watch continues whatever becomes of them.
             waiting.forEach(action -> vertx.runOnContext(run -> action.run()));
         }
     }
 
     @Override
     public boolean isCurrent() {
-        return !catchingUp;
+        return !isCatchingUp;
     }
 
     @Override
     public void whenCurrent(Runnable action) {
-        if (catchingUp) {
+        if (isCatchingUp) {
             whenCurrent.add(action);
         } else {
             action.run();
@@ -314,136 +206,148 @@
         return TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - nanoTime);
     }
 
-    private void next(boolean answered, long askedAt, int move) {
-        if (move != moves) {
-            return;
-        }
-        if (answered) {
-            // Not within the end of the answer, when its connection is not free yet and a second would be opened.
-            vertx.runOnContext(free -> watchStill(move));
-        } else {
-            long atMostMs = pace.waitAtMostMs(msSince(askedAt), moves, msSince(movedAt));
-            vertx.setTimer(pace.again().next(atMostMs), due -> watchStill(move));
-        }
-    }
-
-    private void watchStill(int move) {
-        if (move == moves) {
+    private void watchUnlessMoved(int move) {
+        if (move == moveCount) {
             watch();
         }
     }
 
-    /** The next call goes out once an answer is taken in: a watch lasts while it is renewed within 200 ms. */
+    /** Makes the next call, at once after a response is received: a watch lasts while it is renewed within 200 ms. */
     private void watch() {
-        int move = moves;
-        long askedAt = System.nanoTime();
-        // Before the first word, and after the process was held up, nothing is waited for but what has come already.
-        boolean noWait = catchingUp || freshAwaited && !firstWord.future().isComplete();
-        int waitMs = noWait ? 1 : pace.waitMs();
+        int move = moveCount;
+        long calledAtNanos = System.nanoTime();
+        // Before this client is ready, and after the process was held up, only what is available already is requested.
+        boolean isUrgent = isCatchingUp || needsFreshList && !ready.future().isComplete();
+        int waitMs = isUrgent ? 1 : schedule.waitMs();
         Future<Void> call = index < 0
-                ? call("/v1/endpoints", pace.silenceMs(), askedAt, move)
+                ? call(PATH, schedule.silenceMs(), calledAtNanos, move)
                 : call(
-                        "/v1/endpoints?since=" + index + "&timeout_ms=" + waitMs,
-                        waitMs + pace.silenceMs(),
-                        askedAt,
+                        PATH + "?since=" + index + "&timeout_ms=" + waitMs,
+                        waitMs + schedule.silenceMs(),
+                        calledAtNanos,
                         move);
-        call.onComplete(answer -> {
-            if (answer.succeeded()) {
-                heard(askedAt);
+        call.onComplete(response -> {
+            if (response.succeeded()) {
+                completeReady(calledAtNanos);
             }
-            if (move == moves) {
-                boolean lay = answer.succeeded() && msSince(askedAt) - waitMs > pace.lateMs();
-                // Once for each such answer: a process that is always slow goes on all the same.
-                catchUp(lay && !catchingUp);
+            if (move == moveCount) {
+                boolean layUnread = response.succeeded() && msSince(calledAtNanos) - waitMs > schedule.lateMs();
+                // Once for each such response: a process that is always slow continues all the same.
+                setCatchingUp(layUnread && !isCatchingUp);
             }
-            next(answer.succeeded(), askedAt, move);
+            scheduleNext(response.succeeded(), calledAtNanos, move);
         });
     }
 
-    /** The time for an answer, ms: a call whose connection was slow to come up ends no later than any other. */
-    private long answerMs(int silenceMs, long askedAt) {
-        // Before the front opens, counted from when the call has left: a process that has just started is slow itself.
-        long connectedIn = firstWord.future().isComplete() ? msSince(askedAt) : 0;
-        return Math.max(1, Math.min(silenceMs, pace.waitMs() + pace.silenceMs() - connectedIn));
+    /** The response to a call of that time was received, and its list is known. */
+    private void completeReady(long calledAtNanos) {
+        if (!needsFreshList
+                || msSince(calledAtNanos) <= schedule.freshMs()
+                || ++lateBeforeReady >= MAX_LATE_BEFORE_READY) {
+            ready.tryComplete();
+        }
+    }
+
+    private void scheduleNext(boolean hasSucceeded, long calledAtNanos, int move) {
+        if (move != moveCount) {
+            return;
+        }
+        if (hasSucceeded) {
+            // Not within the end of the response, when its connection is not free yet and a second would be opened.
+            vertx.runOnContext(free -> watchUnlessMoved(move));
+        } else {
+            long maxMs = schedule.maxBackoffMs(msSince(calledAtNanos), moveCount, msSince(movedAtNanos));
+            vertx.setTimer(schedule.backoff().next(maxMs), due -> watchUnlessMoved(move));
+        }
     }
 
-    private Future<Void> call(String uri, int silenceMs, long askedAt, int move) {
+    private Future<Void> call(String uri, int silenceMs, long calledAtNanos, int move) {
         return client.request(new RequestOptions()
                         .setMethod(HttpMethod.GET)
                         .setHost(address.address())
                         .setPort(address.port())
                         .setURI(uri)
-                        .setConnectTimeout(firstWord.future().isComplete() ? pace.connectMs() : CONNECT_MS))
-                .compose(request -> {
-                    if (move != moves) {
-                        request.reset();
-                        return Future.failedFuture("discovery has moved");
-                    }
-                    running = request;
-                    // Else Vert.x logs it as an error, without a word on which connection it was.
-                    request.connection()
-                            .exceptionHandler(e -> Logger.debug("discovery's connection broke: {}", e.getMessage()));
-                    Future<Buffer> answer = request.send().compose(this::body);
-                    // Guards against an answer that stops half way: the client's own idle time-out was seen not to end
-                    // it.
-                    long late = vertx.setTimer(answerMs(silenceMs, askedAt), due -> request.reset());
-                    return answer.onComplete(done -> vertx.cancelTimer(late));
-                })
-                .compose(body -> move == moves ? take(body) : Future.failedFuture("discovery has moved"))
-                .onFailure(reason -> failed(reason, move));
+                        .setConnectTimeout(
+                                ready.future().isComplete() ? schedule.connectMs() : PollSchedule.FIRST_CONNECT_MS))
+                .compose(request -> send(request, silenceMs, calledAtNanos, move))
+                .compose(body -> move == moveCount ? receive(body) : hasMoved())
+                .onFailure(cause -> callFailed(cause, move));
+    }
+
+    private Future<Buffer> send(HttpClientRequest request, int silenceMs, long calledAtNanos, int move) {
+        if (move != moveCount) {
+            request.reset();
+            return hasMoved();
+        }
+        currentRequest = request;
+        // Otherwise Vert.x logs it as an error that does not name the connection.
+        request.connection().exceptionHandler(e -> Logger.debug("discovery's connection failed: {}", e.getMessage()));
+        Future<Buffer> body = request.send().compose(this::readBody);
+        // Guards against a response that stops half way: the client's own idle time-out was seen not to end it.
+        long timeout = vertx.setTimer(responseTimeoutMs(silenceMs, calledAtNanos), due -> request.reset());
+        return body.onComplete(done -> vertx.cancelTimer(timeout));
+    }
+
+    private static <T> Future<T> hasMoved() {
+        return Future.failedFuture("discovery has moved");
+    }
+
+    /** The time for a response, ms: a call whose connection was slow to come up ends no later than any other. */
+    private long responseTimeoutMs(int silenceMs, long calledAtNanos) {
+        // Before this client is ready, counted from when the call was sent: a process that has just started is slow
+        // itself.
+        long connectMs = ready.future().isComplete() ? msSince(calledAtNanos) : 0;
+        return Math.max(1, Math.min(silenceMs, schedule.waitMs() + schedule.silenceMs() - connectMs));
     }
 
-    private Future<Buffer> body(HttpClientResponse response) {
+    private Future<Buffer> readBody(HttpClientResponse response) {
         int status = response.statusCode();
-        String date = response.getHeader(HttpHeaders.DATE);
-        Date told = date == null ? null : DateFormatter.parseHttpDate(date);
-        discoveryNow = told == null ? 0 : told.getTime();
-        // The body is waited for in either case. Guards the client's few connections against refusals whose body never
-        // comes: each would keep one, until no call could be made any more.
-        Future<Buffer> whole = response.body();
-        return status == 200 ? whole : whole.compose(body -> Future.failedFuture("status " + status));
+        String dateHeader = response.getHeader(HttpHeaders.DATE);
+        Date date = dateHeader == null ? null : DateFormatter.parseHttpDate(dateHeader);
+        discoveryNowMs = date == null ? 0 : date.getTime();
+        // The body is read in either case. Guards the client's few connections against rejections whose body never
+        // arrives: each would occupy one, until no call could be made any more.
+        Future<Buffer> body = response.body();
+        return status == 200 ? body : body.compose(read -> Future.failedFuture("status " + status));
     }
 
-    /** Counts each call without a usable list; tells the first of each such time, not the calls made until one comes. */
-    private void failed(Throwable reason, int move) {
-        if (move != moves) {
+    /** Reports each call without a usable list; logs the first of consecutive ones only. */
+    private void callFailed(Throwable cause, int move) {
+        if (move != moveCount) {
             return;
         }
-        boolean refused = reason instanceof InvalidConfigurationException;
-        listener.untold(refused);
-        if (++failsBeforeFirst >= FAILS_OF_SILENCE) {
-            firstWord.tryComplete();
+        boolean isInvalid = cause instanceof InvalidConfigurationException;
+        listener.callFailed(isInvalid);
+        if (++failuresBeforeReady >= MAX_FAILURES_BEFORE_READY) {
+            ready.tryComplete();
         }
-        if (!silent) {
-            silent = true;
+        if (!isFailing) {
+            isFailing = true;
             Logger.warn(
                     "{}: {}",
-                    refused ? "a list of discovery is refused" : "discovery does not answer",
-                    reason.getMessage());
+                    isInvalid ? "discovery sent an invalid list" : "discovery does not respond",
+                    cause.getMessage());
         }
     }
 
-    private Future<Void> take(Buffer body) {
+    private Future<Void> receive(Buffer body) {
         try {
-            JsonFields list = JsonFields.parse(body.toString());
-            List<Backend> lines = EndpointCodec.read(list.objects("endpoints"));
-            long version = list.serial("index");
-            boolean whole = list.flag("snapshot");
-            if (!whole && version < index) {
-                // Guards nodes that are known to be drained against changes of before their drain.
+            EndpointListResponse response = EndpointListResponse.parse(body.toString());
+            if (!response.isComplete() && response.index() < index) {
+                // Guards backends that are known to be draining against changes from before their drain.
                 long known = index;
                 index = NO_INDEX;
                 throw new InvalidConfigurationException(
-                        "changes up to version " + version + " do not follow version " + known);
+                        "changes up to version " + response.index() + " do not follow version " + known);
             }
-            index = version;
-            silent = false;
-            pace.again().reset();
-            if (whole || !lines.isEmpty()) {
-                listener.told(whole, lines, discoveryNow);
+            index = response.index();
+            isFailing = false;
+            schedule.backoff().reset();
+            if (response.isComplete() || !response.backends().isEmpty()) {
+                listener.endpointsReceived(response.isComplete(), response.backends(), discoveryNowMs);
             }
-            listener.heard();
-            first.tryComplete();
+            listener.responseReceived();
+            firstList.tryComplete();
             return Future.succeededFuture();
         } catch (InvalidConfigurationException e) {
             return Future.failedFuture(e);
--- a/gateway/src/main/java/opalcove/server/GatewayServer.java
+++ b/gateway/src/main/java/opalcove/server/GatewayServer.java
@@ -142,7 +142,7 @@
         boolean asked = config.settings().duties().listOnRequest();
         boolean knownWillDo = asked && !config.known().isEmpty();
         discovery.startFrom(knownWillDo ? config.knownIndex() : DiscoveryClient.NO_INDEX);
-        Future<?> first = knownWillDo ? Future.succeededFuture() : discovery.firstWord(!asked);
+        Future<?> first = knownWillDo ? Future.succeededFuture() : discovery.whenReady(!asked);
         if (parts.agreed() == null) {
             return first;
         }
@@ -241,19 +241,19 @@
 
         /** Discovery's word holds where no agreed version has the list. */
         @Override
-        public void told(boolean whole, List<Backend> lines, double discoveryNow) {
+        public void endpointsReceived(boolean whole, List<Backend> lines, double discoveryNow) {
             if (acting == null || acting.backends() == null) {
                 gateway.endpointsChanged(whole, cold(lines), discoveryNow);
             }
         }
 
         @Override
-        public void heard() {
+        public void responseReceived() {
             gateway.endpointSourceContacted();
         }
 
         @Override
-        public void untold(boolean refused) {
+        public void callFailed(boolean refused) {
             gateway.endpointUpdateFailed(refused);
         }
 
@@ -286,7 +286,7 @@
                             "new settings are in force: {} classes",
                             config.settings().classes().size());
                     gateway.applySettings(config.settings());
-                    discovery.retune(config.settings());
+                    discovery.applySettings(config.settings());
                 }
                 discovery.moveTo(config.discovery());
             });
--- a/gateway/src/test/java/opalcove/discovery/DiscoveryBoundsTest.java
+++ b/gateway/src/test/java/opalcove/discovery/DiscoveryBoundsTest.java
@@ -71,13 +71,13 @@
     }
 
     /** The longest times that a call of this pace takes until it has failed, ms: at once, in line, connecting, silent. */
-    private static double[] failuresMs(DiscoveryClient.PollSchedule pace) {
+    private static double[] failuresMs(PollSchedule pace) {
         return new double[] {0, Math.min(LINE_MS, pace.silenceMs()), pace.connectMs(), pace.waitMs() + pace.silenceMs()
         };
     }
 
-    private static double wait(DiscoveryClient.PollSchedule pace, double failedAfterMs) {
-        return pace.again().next(pace.waitAtMostMs((long) failedAfterMs, 0, 0));
+    private static double wait(PollSchedule pace, double failedAfterMs) {
+        return pace.backoff().next(pace.maxBackoffMs((long) failedAfterMs, 0, 0));
     }
 
     @DataProvider
@@ -89,11 +89,10 @@
     @Test(dataProvider = "fleets")
     public void aChangeIsAskedForInTimeWhateverFailed(int gateways) {
         for (int seed = 0; seed < 50; seed++) {
-            DiscoveryClient.PollSchedule pace =
-                    DiscoveryClient.PollSchedule.of(asked(gateways), new SplittableRandom(seed));
+            PollSchedule pace = PollSchedule.of(asked(gateways), new SplittableRandom(seed));
             assertTrue(pace.firstAfterMs() <= TOLD_AFTER_MS - MARGIN_MS, "first call after " + pace.firstAfterMs());
             for (double failedAfterMs : failuresMs(pace)) {
-                pace.again().reset();
+                pace.backoff().reset();
                 for (int failed = 0; failed < 20; failed++) {
                     double ms = failedAfterMs + wait(pace, failedAfterMs);
                     assertTrue(ms <= TOLD_AFTER_MS - MARGIN_MS, failed + " calls failed, the next after " + ms);
@@ -106,15 +105,14 @@
     @Test(dataProvider = "fleets")
     public void aMovedServiceIsAskedAgainInTime(int gateways) {
         for (int seed = 0; seed < 50; seed++) {
-            DiscoveryClient.PollSchedule pace =
-                    DiscoveryClient.PollSchedule.of(asked(gateways), new SplittableRandom(seed));
+            PollSchedule pace = PollSchedule.of(asked(gateways), new SplittableRandom(seed));
             for (double failedAfterMs : new double[] {0, LINE_MS, pace.connectMs(), pace.silenceMs()}) {
-                pace.again().reset();
+                pace.backoff().reset();
                 long since = (long) failedAfterMs;
-                long ms = since + pace.again().next(pace.waitAtMostMs(since, 1, since));
+                long ms = since + pace.backoff().next(pace.maxBackoffMs(since, 1, since));
                 assertTrue(ms <= 3200, "the next after " + ms);
             }
-            assertEquals(pace.waitAtMostMs(0, 1, 3200), pace.betweenMs());
+            assertEquals(pace.maxBackoffMs(0, 1, 3200), pace.maxPeriodMs());
         }
     }
 
@@ -123,8 +121,7 @@
     public void gatewaysWhoseWatchesBreakTogetherComeBackOverSeconds(int gateways) {
         int[] inTenths = new int[60];
         for (int seed = 0; seed < gateways; seed++) {
-            DiscoveryClient.PollSchedule pace =
-                    DiscoveryClient.PollSchedule.of(asked(gateways), new SplittableRandom(seed));
+            PollSchedule pace = PollSchedule.of(asked(gateways), new SplittableRandom(seed));
             inTenths[(int) wait(pace, 0) / 100]++;
         }
         int most = IntStream.of(inTenths).max().orElseThrow();
@@ -134,13 +131,12 @@
     /** The bound does not have a fleet come back as one: after each kind of failure its next calls are spread. */
     @Test(dataProvider = "fleets")
     public void gatewaysThatFailedTogetherDoNotComeBackTogether(int gateways) {
-        DiscoveryClient.PollSchedule first = DiscoveryClient.PollSchedule.of(asked(gateways), new SplittableRandom(0));
+        PollSchedule first = PollSchedule.of(asked(gateways), new SplittableRandom(0));
         for (double failedAfterMs : failuresMs(first)) {
             Set<Double> waits = new HashSet<>();
             double mean = 0;
             for (int seed = 0; seed < gateways; seed++) {
-                DiscoveryClient.PollSchedule pace =
-                        DiscoveryClient.PollSchedule.of(asked(gateways), new SplittableRandom(seed));
+                PollSchedule pace = PollSchedule.of(asked(gateways), new SplittableRandom(seed));
                 for (int failed = 0; failed < 6; failed++) {
                     wait(pace, failedAfterMs);
                 }
@@ -163,8 +159,7 @@
     @Test(dataProvider = "graces")
     public void aPushedChangeIsAskedForWithinTheGrace(int graceMs) {
         for (int seed = 0; seed < 50; seed++) {
-            DiscoveryClient.PollSchedule pace =
-                    DiscoveryClient.PollSchedule.of(pushed(graceMs), new SplittableRandom(seed));
+            PollSchedule pace = PollSchedule.of(pushed(graceMs), new SplittableRandom(seed));
             for (double failedAfterMs : failuresMs(pace)) {
                 for (int failed = 0; failed < 20; failed++) {
                     assertTrue(failedAfterMs + wait(pace, failedAfterMs) <= 0.8 * graceMs, failedAfterMs + "");
@@ -178,8 +173,8 @@
     @Test
     public void aGraceIsNeverNone() {
         assertEquals(settings().duties().drainGraceMs(), DecisionSettings.Obligations.DEFAULT_DRAIN_GRACE_MS);
-        DiscoveryClient.PollSchedule pace = DiscoveryClient.PollSchedule.of(pushed(0), new SplittableRandom(1));
-        assertTrue(pace.waitMs() > 0 && pace.silenceMs() > 0 && pace.again().next(1) == 1, pace + "");
+        PollSchedule pace = PollSchedule.of(pushed(0), new SplittableRandom(1));
+        assertTrue(pace.waitMs() > 0 && pace.silenceMs() > 0 && pace.backoff().next(1) == 1, pace + "");
     }
 
     /** What discovery does with a call. */
@@ -251,10 +246,10 @@
         }
         follow(port, new DiscoveryClient.Listener() {
             @Override
-            public void told(boolean whole, List<Backend> lines, double discoveryNow) {}
+            public void endpointsReceived(boolean whole, List<Backend> lines, double discoveryNow) {}
 
             @Override
-            public void untold(boolean refused) {
+            public void callFailed(boolean refused) {
                 failed.countDown();
             }
         });
@@ -264,8 +259,7 @@
     private void follow(int port, DiscoveryClient.Listener listener) {
         double hourMs = TimeUnit.HOURS.toMillis(1);
         Backoff grown = new Backoff(hourMs, hourMs, new SplittableRandom(1));
-        DiscoveryClient.PollSchedule pace =
-                new DiscoveryClient.PollSchedule(20, 150, 0, grown, 250, Long.MAX_VALUE, Long.MAX_VALUE);
+        PollSchedule pace = new PollSchedule(20, 150, 0, grown, 250, Long.MAX_VALUE, Long.MAX_VALUE);
         vertx.runOnContext(
                 start -> new DiscoveryClient(vertx, new HostAndPort("127.0.0.1", port), pace, listener).start());
     }
--- a/gateway/src/test/java/opalcove/discovery/DiscoveryClientTest.java
+++ b/gateway/src/test/java/opalcove/discovery/DiscoveryClientTest.java
@@ -78,14 +78,14 @@
         DecisionSettings agent = settings("pushed");
         Set<Long> starts = new HashSet<>();
         for (int seed = 0; seed < 14; seed++) {
-            DiscoveryClient.PollSchedule asked = DiscoveryClient.PollSchedule.of(one, new SplittableRandom(seed));
+            PollSchedule asked = PollSchedule.of(one, new SplittableRandom(seed));
             starts.add(asked.firstAfterMs());
-            IntStream.range(0, 6).forEach(i -> asked.again().next());
-            assertTrue(asked.again().next() >= 1600);
-            DiscoveryClient.PollSchedule pushed = DiscoveryClient.PollSchedule.of(agent, new SplittableRandom(seed));
+            IntStream.range(0, 6).forEach(i -> asked.backoff().next());
+            assertTrue(asked.backoff().next() >= 1600);
+            PollSchedule pushed = PollSchedule.of(agent, new SplittableRandom(seed));
             assertEquals(pushed.firstAfterMs(), 0);
-            IntStream.range(0, 6).forEach(i -> pushed.again().next());
-            assertTrue(pushed.again().next() <= 300);
+            IntStream.range(0, 6).forEach(i -> pushed.backoff().next());
+            assertTrue(pushed.backoff().next() <= 300);
         }
         assertTrue(starts.size() >= 10, starts + "");
     }
@@ -98,10 +98,8 @@
     @Test
     public void aSilentWatchIsOpenedAnewBeforeWhatItMissedHasToBeKnown() {
         for (int seed = 0; seed < 14; seed++) {
-            assertTrue(
-                    longestGap(DiscoveryClient.PollSchedule.of(settings("pushed"), new SplittableRandom(seed))) < 1000);
-            assertTrue(longestGap(DiscoveryClient.PollSchedule.of(settings("on_request"), new SplittableRandom(seed)))
-                    < 6000);
+            assertTrue(longestGap(PollSchedule.of(settings("pushed"), new SplittableRandom(seed))) < 1000);
+            assertTrue(longestGap(PollSchedule.of(settings("on_request"), new SplittableRandom(seed))) < 6000);
         }
     }
 
@@ -112,17 +110,16 @@
     @Test
     public void afterALongSilenceAPushedListIsHeardWithinTheSecond() {
         for (int seed = 0; seed < 14; seed++) {
-            DiscoveryClient.PollSchedule pace =
-                    DiscoveryClient.PollSchedule.of(settings("pushed"), new SplittableRandom(seed));
+            PollSchedule pace = PollSchedule.of(settings("pushed"), new SplittableRandom(seed));
             for (int failed = 0; failed < 50; failed++) {
                 assertTrue(longestGap(pace) < 1000);
             }
         }
     }
 
-    private static double longestGap(DiscoveryClient.PollSchedule pace) {
+    private static double longestGap(PollSchedule pace) {
         return Math.max(pace.connectMs(), pace.waitMs() + pace.silenceMs())
-                + pace.again().next();
+                + pace.backoff().next();
     }
 
     /** A connection hangs in an agent's full backlog: it is given up within the silence, not after a second, and tried anew. */
@@ -135,17 +132,16 @@
         int silenceMs = 600;
         try (ServerSocket agent = new ServerSocket(0, 1, InetAddress.getByName("127.0.0.1"))) {
             agent.setSoTimeout(20_000);
-            DiscoveryClient.PollSchedule pace =
-                    new DiscoveryClient.PollSchedule(10_000, silenceMs, 0, new Backoff(1, 2, new SplittableRandom(1)));
+            PollSchedule pace = new PollSchedule(10_000, silenceMs, 0, new Backoff(1, 2, new SplittableRandom(1)));
             assertEquals(pace.connectMs(), silenceMs);
             watch(agent.getLocalPort(), pace, new DiscoveryClient.Listener() {
                 @Override
-                public void told(boolean whole, List<Backend> lines, double discoveryNow) {
+                public void endpointsReceived(boolean whole, List<Backend> lines, double discoveryNow) {
                     listed.countDown();
                 }
 
                 @Override
-                public void untold(boolean refused) {
+                public void callFailed(boolean refused) {
                     untold.add(refused);
                     at.add(System.nanoTime());
                     if (untold.size() == 4) {
@@ -216,15 +212,15 @@
         });
         watch(
                 port,
-                new DiscoveryClient.PollSchedule(10_000, 20_000, 0, new Backoff(1, 2, new SplittableRandom(1))),
+                new PollSchedule(10_000, 20_000, 0, new Backoff(1, 2, new SplittableRandom(1))),
                 new DiscoveryClient.Listener() {
                     @Override
-                    public void told(boolean whole, List<Backend> lines, double discoveryNow) {
+                    public void endpointsReceived(boolean whole, List<Backend> lines, double discoveryNow) {
                         lines.forEach(line -> told.add(line.host().state().name()));
                     }
 
                     @Override
-                    public void untold(boolean refused) {
+                    public void callFailed(boolean refused) {
                         untold.add(refused);
                     }
                 });
@@ -260,7 +256,7 @@
         });
         watch(
                 port,
-                new DiscoveryClient.PollSchedule(20, 500, 0, new Backoff(1, 2, new SplittableRandom(1))),
+                new PollSchedule(20, 500, 0, new Backoff(1, 2, new SplittableRandom(1))),
                 (whole, lines, discoveryNow) -> lines.stream()
                         .filter(line -> line.host().state() == EndpointState.DRAINING)
                         .forEach(drained::complete));
@@ -300,7 +296,7 @@
         });
         DiscoveryClient watch = watch(
                 old,
-                new DiscoveryClient.PollSchedule(10_000, 20_000, 0, new Backoff(1, 2, new SplittableRandom(1))),
+                new PollSchedule(10_000, 20_000, 0, new Backoff(1, 2, new SplittableRandom(1))),
                 (whole, lines, discoveryNow) -> lines.forEach(
                         line -> told.add(line.name() + " " + line.host().state())));
         watched.get(20, TimeUnit.SECONDS);
@@ -319,7 +315,7 @@
             discovery.setSoTimeout(20_000);
             watch(
                     discovery.getLocalPort(),
-                    new DiscoveryClient.PollSchedule(10_000, silenceMs, 0, new Backoff(1, 2, new SplittableRandom(1))),
+                    new PollSchedule(10_000, silenceMs, 0, new Backoff(1, 2, new SplittableRandom(1))),
                     (whole, lines, discoveryNow) -> heard.complete(lines.get(0)));
             try (Socket line = discovery.accept()) {
                 assertEquals(call(line), "GET /v1/endpoints HTTP/1.1");
@@ -358,12 +354,12 @@
                         call.response().end("{\"index\":4,\"snapshot\":false,\"endpoints\":[]}");
                     }
                 }),
-                new DiscoveryClient.PollSchedule(10_000, 20_000, 0, new Backoff(1, 2, new SplittableRandom(1))),
+                new PollSchedule(10_000, 20_000, 0, new Backoff(1, 2, new SplittableRandom(1))),
                 (whole, lines, discoveryNow) -> told.addAll(lines));
         HttpServerRequest call = held.get(20, TimeUnit.SECONDS);
-        assertFalse(watch.firstWord(true).isComplete(), "opens while the list is on its way");
+        assertFalse(watch.whenReady(true).isComplete(), "opens while the list is on its way");
         call.response().end("{\"index\":4,\"snapshot\":true,\"endpoints\":[" + NODE + "]}");
-        watch.firstWord(true).toCompletionStage().toCompletableFuture().get(20, TimeUnit.SECONDS);
+        watch.whenReady(true).toCompletionStage().toCompletableFuture().get(20, TimeUnit.SECONDS);
         assertEquals(told.size(), 1);
         Queue<String> refused = new ConcurrentLinkedQueue<>();
         DiscoveryClient away = watch(
@@ -371,9 +367,9 @@
                     refused.add(each.uri());
                     each.response().setStatusCode(503).end();
                 }),
-                new DiscoveryClient.PollSchedule(10_000, 20_000, 0, new Backoff(1, 2, new SplittableRandom(1))),
+                new PollSchedule(10_000, 20_000, 0, new Backoff(1, 2, new SplittableRandom(1))),
                 (whole, lines, discoveryNow) -> told.addAll(lines));
-        away.firstWord(true).toCompletionStage().toCompletableFuture().get(20, TimeUnit.SECONDS);
+        away.whenReady(true).toCompletionStage().toCompletableFuture().get(20, TimeUnit.SECONDS);
         assertTrue(refused.size() >= 2, refused + "");
         assertEquals(told.size(), 1);
     }
@@ -417,10 +413,10 @@
             DiscoveryClient watch = new DiscoveryClient(
                     vertx,
                     new HostAndPort("127.0.0.1", port),
-                    new DiscoveryClient.PollSchedule(10_000, 20_000, 0, new Backoff(1, 2, new SplittableRandom(1))),
+                    new PollSchedule(10_000, 20_000, 0, new Backoff(1, 2, new SplittableRandom(1))),
                     (whole, lines, discoveryNow) ->
                             lines.forEach(line -> told.add(line.host().state().name())));
-            watch.firstWord(fresh).onSuccess(word -> knownAtTheWord.complete(List.copyOf(told)));
+            watch.whenReady(fresh).onSuccess(word -> knownAtTheWord.complete(List.copyOf(told)));
             watch.start();
         });
         return knownAtTheWord.get(20, TimeUnit.SECONDS);
@@ -443,7 +439,7 @@
             DiscoveryClient watch = new DiscoveryClient(
                     vertx,
                     new HostAndPort("127.0.0.1", 1),
-                    new DiscoveryClient.PollSchedule(10_000, 20_000, 0, new Backoff(1, 2, new SplittableRandom(1))),
+                    new PollSchedule(10_000, 20_000, 0, new Backoff(1, 2, new SplittableRandom(1))),
                     (whole, lines, discoveryNow) -> {});
             watch.moveTo(new HostAndPort("127.0.0.1", elsewhere));
             watch.startFrom(41);
@@ -474,8 +470,7 @@
                 .actualPort();
     }
 
-    private DiscoveryClient watch(int port, DiscoveryClient.PollSchedule pace, DiscoveryClient.Listener listener)
-            throws Exception {
+    private DiscoveryClient watch(int port, PollSchedule pace, DiscoveryClient.Listener listener) throws Exception {
         CompletableFuture<DiscoveryClient> watch = new CompletableFuture<>();
         vertx.runOnContext(start -> {
             loop = Vertx.currentContext();
@@ -553,7 +548,7 @@
         vertx.runOnContext(start -> new DiscoveryClient(
                         vertx,
                         new HostAndPort("127.0.0.1", port),
-                        new DiscoveryClient.PollSchedule(10_000, 20_000, 1, waits),
+                        new PollSchedule(10_000, 20_000, 1, waits),
                         (whole, lines, discoveryNow) -> backends.addAll(lines))
                 .startFrom(known)
                 .onSuccess(first::complete));
--- a/gateway/src/test/java/opalcove/discovery/DiscoveryRequestsTest.java
+++ b/gateway/src/test/java/opalcove/discovery/DiscoveryRequestsTest.java
@@ -60,7 +60,7 @@
                         new SplittableRandom(1),
                         (whole, lines, discoveryNow) -> {});
                 if (fresh) {
-                    watch.firstWord(true);
+                    watch.whenReady(true);
                 }
                 watch.startFrom(known);
             });
--- a/gateway/src/test/java/opalcove/resp/ConnectionCrossingsTest.java
+++ b/gateway/src/test/java/opalcove/resp/ConnectionCrossingsTest.java
@@ -20,6 +20,7 @@
 import opalcove.discovery.Backoff;
 import opalcove.discovery.DiscoveryClient;
 import opalcove.discovery.DiscoveryClientTest;
+import opalcove.discovery.PollSchedule;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
@@ -60,8 +61,7 @@
                 new DiscoveryClient(
                                 stage.vertx,
                                 new HostAndPort("127.0.0.1", discovery.getLocalPort()),
-                                new DiscoveryClient.PollSchedule(
-                                        60_000, 20_000, 0, new Backoff(1, 2, new SplittableRandom(1))),
+                                new PollSchedule(60_000, 20_000, 0, new Backoff(1, 2, new SplittableRandom(1))),
                                 stage.gateway::endpointsChanged)
                         .start();
             });
@@ -106,8 +106,7 @@
             discovery.setSoTimeout(20_000);
             Backoff again = new Backoff(1, 2, new SplittableRandom(1));
             // Watches wait for 1 ms, so that an answer is late without regard to how long the test took before.
-            DiscoveryClient.PollSchedule pace =
-                    new DiscoveryClient.PollSchedule(1, 20_000, 0, again, Long.MAX_VALUE, Long.MAX_VALUE, graceMs / 4);
+            PollSchedule pace = new PollSchedule(1, 20_000, 0, again, Long.MAX_VALUE, Long.MAX_VALUE, graceMs / 4);
             stage.onLoop(() -> {
                 DiscoveryClient watch = new DiscoveryClient(
                         stage.vertx,
