--- /dev/null
+++ b/gateway/src/main/java/opalcove/admin/AdminCommands.java
@@ -0,0 +1,61 @@
+package opalcove.admin;
+
+import java.util.Locale;
+import java.util.concurrent.atomic.AtomicLong;
+import org.tinylog.Logger;
+
+/**
+ * Executes the commands of administrators. A response is one line that begins with {@code +OK} or {@code -ERR}; for {@code
+ * STATS} and {@code MEMBERS} lines follow, ended by a line {@code .}. Owned by the admin server's thread.
+ */
+final class AdminCommands {
+    /** How much of an unknown command is repeated in its response and in the log, characters. */
+    private static final int MAX_SHOWN = 32;
+
+    private final AdminTarget target;
+    private final AtomicLong invalidCount = new AtomicLong();
+
+    AdminCommands(AdminTarget target) {
+        this.target = target;
+    }
+
+    /** The response to a command, with its line ends. */
+    String execute(String command) {
+        switch (command.toUpperCase(Locale.ROOT)) {
+            case "READY" -> {
+                String reason = target.notReady();
+                return reason == null ? "+OK ready\n" : "-ERR not ready: " + reason + "\n";
+            }
+            case "STATS" -> {
+                return "+OK\n" + target.metrics() + ".\n";
+            }
+            case "MEMBERS" -> {
+                String members = target.members();
+                return members == null ? "-ERR membership is off\n" : "+OK\n" + members + ".\n";
+            }
+            case "DRAIN" -> {
+                target.setDrainRequested(true);
+                return "+OK draining\n";
+            }
+            case "UNDRAIN" -> {
+                target.setDrainRequested(false);
+                return "+OK taking clients\n";
+            }
+            default -> {
+                String shown = command.length() > MAX_SHOWN ? command.substring(0, MAX_SHOWN) + "..." : command;
+                logInvalid("unknown command " + shown);
+                return "-ERR unknown call '" + shown + "'; calls are READY, STATS, DRAIN and UNDRAIN\n";
+            }
+        }
+    }
+
+    /** The response to a command of more than so many bytes. */
+    String rejectOverlong(int maxBytes) {
+        logInvalid("a command longer than " + maxBytes + " bytes");
+        return "-ERR a call is one line of at most " + maxBytes + " bytes\n";
+    }
+
+    private void logInvalid(String problem) {
+        Logger.warn("admin: {} ({} invalid commands so far)", problem, invalidCount.incrementAndGet());
+    }
+}
--- /dev/null
+++ b/gateway/src/main/java/opalcove/server/ConfigurationApplier.java
@@ -0,0 +1,102 @@
+package opalcove.server;
+
+import io.vertx.core.Future;
+import io.vertx.core.Promise;
+import io.vertx.core.Vertx;
+import java.util.List;
+import java.util.function.Supplier;
+import opalcove.config.Backend;
+import opalcove.config.ReplicatedConfig;
+import opalcove.core.RequestDispatcher;
+import opalcove.discovery.DiscoveryClient;
+import opalcove.membership.Member;
+import org.tinylog.Logger;
+
+/**
+ * Applies configuration to the gateway: the replicated version in force, or where there is none, the gateway's own file
+ * and discovery. Owned by the gateway's event loop.
+ */
+final class ConfigurationApplier implements DiscoveryClient.Listener {
+    /** How long a voter's first message on the version in force is waited for. */
+    private static final long FIRST_VERSION_MS = 12_000;
+
+    private final RequestDispatcher dispatcher;
+    /** The replicated version in force, or null. */
+    private ReplicatedConfig.EffectiveConfig inForce;
+
+    ConfigurationApplier(RequestDispatcher dispatcher) {
+        this.dispatcher = dispatcher;
+    }
+
+    /**
+     * Applies what is replicated from now on. Completes once the version in force is known, or after the time in which it
+     * should have been: clients are then accepted without.
+     */
+    Future<Void> follow(Vertx vertx, ReplicatedConfig replicated, Supplier<List<Member>> presentMembers) {
+        dispatcher.beforeEachRequest(() -> {
+            ReplicatedConfig.EffectiveConfig expired = replicated.effectiveIfExpired();
+            if (expired != null && inForce != null && !inForce.isStrict()) {
+                apply(expired);
+            }
+        });
+        Promise<Void> known = Promise.promise();
+        replicated
+                .start(next -> vertx.runOnContext(run -> apply(next)), presentMembers)
+                .onFailure(e -> {
+                    Logger.error("cannot listen at agreement.listen: {}", e.getMessage());
+                    Runtime.getRuntime().halt(1);
+                })
+                .onSuccess(started -> vertx.runOnContext(run -> known.tryComplete()));
+        vertx.setTimer(FIRST_VERSION_MS, due -> {
+            if (known.tryComplete()) {
+                Logger.error("no voter has named the version in force: serving clients by the settings of the file");
+            }
+        });
+        return known.future();
+    }
+
+    private void apply(ReplicatedConfig.EffectiveConfig next) {
+        boolean restartsSlowStart =
+                next.coldSinceMs() > 0 && (inForce == null || inForce.coldSinceMs() != next.coldSinceMs());
+        inForce = next;
+        dispatcher.applySettings(next.settings());
+        if (next.backends() != null) {
+            dispatcher.endpointsChanged(true, withStartTimes(next.backends()));
+        } else if (restartsSlowStart) {
+            dispatcher.endpointsChanged(true, withStartTimes(dispatcher.backends()));
+        }
+    }
+
+    /** After a power loss the list may be older than that: no backend counts as started earlier than this gateway. */
+    private List<Backend> withStartTimes(List<Backend> backends) {
+        if (inForce == null || inForce.coldSinceMs() == 0) {
+            return backends;
+        }
+        return backends.stream()
+                .map(backend -> new Backend(backend.host().startedSince(inForce.coldSinceMs()), backend.address()))
+                .toList();
+    }
+
+    /** Discovery's list is applied where no replicated version has one. */
+    @Override
+    public void endpointsReceived(boolean isComplete, List<Backend> backends, double discoveryNowMs) {
+        if (inForce == null || inForce.backends() == null) {
+            dispatcher.endpointsChanged(isComplete, withStartTimes(backends), discoveryNowMs);
+        }
+    }
+
+    @Override
+    public void responseReceived() {
+        dispatcher.endpointSourceContacted();
+    }
+
+    @Override
+    public void callFailed(boolean isInvalid) {
+        dispatcher.endpointUpdateFailed(isInvalid);
+    }
+
+    /** Whether a replicated version is in force, so that the settings of the file are not. */
+    boolean hasReplicatedVersion() {
+        return inForce != null;
+    }
+}
--- a/gateway/src/main/java/opalcove/server/GatewayConfig.java
+++ b/gateway/src/main/java/opalcove/server/GatewayConfig.java
@@ -15,8 +15,19 @@
 import opalcove.discovery.DiscoveryClient;
 
 /**
- * What the platform tells a gateway at its start; console is null where no operators' door is named, membership and
- * agreement (read by who has a part for it) where the gateways do not talk, as on the platform. rehearsalMs is how long the start may rehearse, 0 for not at all.
+ * The configuration of a gateway: its file and the environment.
+ *
+ * @param name the gateway's own name, which may be empty
+ * @param listen where clients connect
+ * @param console where administrators connect; null for nowhere
+ * @param discovery where discovery is called
+ * @param seed of the gateway's random draws
+ * @param sockets the descriptors that the process may hold
+ * @param known the endpoint list known from before the start; empty for none
+ * @param knownIndex its version
+ * @param warmUpMs how long the start may warm up; 0 for not at all
+ * @param membership null where membership is off
+ * @param agreement the section {@code agreement}, unread; null where it is absent
  */
 public record GatewayConfig(
         String name,
@@ -28,25 +39,25 @@
         List<Backend> known,
         long knownIndex,
         DecisionSettings settings,
-        int rehearsalMs,
+        int warmUpMs,
         MembershipConfig membership,
         JsonFields agreement) {
     /**
-     * How long the rehearsal may take with all its waits, ms; it is over sooner on a whole core. The platform allows a
-     * start 6 s to its yes, of which the machine may take its part first.
+     * How long the warm-up may take with all its waits; it ends sooner on a whole core. A start has 6 s to become ready, of
+     * which the machine may take a part first.
      */
-    private static final int REHEARSAL_MS = 2500;
+    private static final int DEFAULT_WARM_UP_MS = 2500;
 
-    private static final int MOST_REHEARSAL_MS = 60_000;
+    private static final int MAX_WARM_UP_MS = 60_000;
 
-    private static final int SOCKETS = 1024;
+    private static final int DEFAULT_SOCKETS = 1024;
 
-    /** With fewer descriptors no share of them is left for connections to clients and backends. */
-    private static final int LEAST_SOCKETS = 16;
+    /** With fewer descriptors no share of them remains for connections to clients and backends. */
+    private static final int MIN_SOCKETS = 16;
 
     /**
-     * Reads the file that GW_CONFIG names. The other variables go before what it says, but for discovery: they are as
-     * old as the process, and the file may have been replaced under it.
+     * Reads the file that GW_CONFIG names. The other variables take precedence over it, except for discovery: they are as
+     * old as the process, and the file may have been replaced since.
      *
      * @throws InvalidConfigurationException with every problem of the file, each by file, key and reason
      */
@@ -55,22 +66,22 @@
         if (file == null) {
             throw new InvalidConfigurationException("GW_CONFIG is not set");
         }
-        ConfigValidator check = new ConfigValidator(Path.of(file));
-        JsonFields fields = check.fields();
+        ConfigValidator validator = new ConfigValidator(Path.of(file));
+        JsonFields fields = validator.fields();
         GatewayConfig config = new GatewayConfig(
-                check.valueOr(() -> environment.getOrDefault("GW_NAME", fields.textOr("name", "")), ""),
-                check.valueOr(() -> listen(fields, environment), null),
-                check.valueOr(() -> console(fields, environment), null),
-                check.valueOr(() -> discovery(fields, environment), null),
-                check.valueOr(() -> seed(fields), 0L),
-                check.valueOr(() -> sockets(fields), SOCKETS),
-                check.valueOr(() -> known(fields), List.of()),
-                check.valueOr(() -> knownIndex(fields), DiscoveryClient.NO_INDEX),
-                check.valueOr(() -> SettingsReader.checked(fields.object("settings")), null),
-                check.valueOr(() -> rehearsalMs(fields), 0),
-                check.valueOr(() -> membership(fields), null),
-                check.valueOr(() -> fields.has("agreement") ? fields.object("agreement") : null, null));
-        check.throwIfInvalid();
+                validator.valueOr(() -> environment.getOrDefault("GW_NAME", fields.textOr("name", "")), ""),
+                validator.valueOr(() -> listen(fields, environment), null),
+                validator.valueOr(() -> console(fields, environment), null),
+                validator.valueOr(() -> discovery(fields, environment), null),
+                validator.valueOr(() -> seed(fields), 0L),
+                validator.valueOr(() -> sockets(fields), DEFAULT_SOCKETS),
+                validator.valueOr(() -> known(fields), List.of()),
+                validator.valueOr(() -> knownIndex(fields), DiscoveryClient.NO_INDEX),
+                validator.valueOr(() -> SettingsReader.checked(fields.object("settings")), null),
+                validator.valueOr(() -> warmUpMs(fields), 0),
+                validator.valueOr(() -> membership(fields), null),
+                validator.valueOr(() -> fields.has("agreement") ? fields.object("agreement") : null, null));
+        validator.throwIfInvalid();
         return config;
     }
 
@@ -95,12 +106,12 @@
 
     private static int sockets(JsonFields fields) {
         if (!fields.has("limits") || !fields.object("limits").has("sockets")) {
-            return SOCKETS;
+            return DEFAULT_SOCKETS;
         }
         long sockets = fields.object("limits").serial("sockets");
-        if (sockets < LEAST_SOCKETS || sockets > Integer.MAX_VALUE / 2) {
+        if (sockets < MIN_SOCKETS || sockets > Integer.MAX_VALUE / 2) {
             throw new InvalidConfigurationException(
-                    "limits.sockets", "must be a whole number from " + LEAST_SOCKETS + " on");
+                    "limits.sockets", "must be a whole number from " + MIN_SOCKETS + " on");
         }
         return (int) sockets;
     }
@@ -115,12 +126,12 @@
                 : DiscoveryClient.NO_INDEX;
     }
 
-    private static int rehearsalMs(JsonFields fields) {
-        int rehearsalMs = fields.wholeOr("rehearsal_ms", REHEARSAL_MS);
-        if (rehearsalMs < 0 || rehearsalMs > MOST_REHEARSAL_MS) {
-            throw new InvalidConfigurationException("rehearsal_ms", "must be from 0 to " + MOST_REHEARSAL_MS);
+    private static int warmUpMs(JsonFields fields) {
+        int warmUpMs = fields.wholeOr("rehearsal_ms", DEFAULT_WARM_UP_MS);
+        if (warmUpMs < 0 || warmUpMs > MAX_WARM_UP_MS) {
+            throw new InvalidConfigurationException("rehearsal_ms", "must be from 0 to " + MAX_WARM_UP_MS);
         }
-        return rehearsalMs;
+        return warmUpMs;
     }
 
     private static MembershipConfig membership(JsonFields fields) {
--- a/gateway/src/main/java/opalcove/server/GatewayServer.java
+++ b/gateway/src/main/java/opalcove/server/GatewayServer.java
@@ -1,16 +1,13 @@
 package opalcove.server;
 
 import io.vertx.core.Future;
-import io.vertx.core.Promise;
 import io.vertx.core.Vertx;
 import java.util.List;
 import java.util.ServiceLoader;
 import java.util.SplittableRandom;
-import java.util.function.Supplier;
 import opalcove.admin.AdminServer;
 import opalcove.backend.ConnectionPool;
 import opalcove.cluster.MembershipService;
-import opalcove.config.Backend;
 import opalcove.config.Clock;
 import opalcove.config.InvalidConfigurationException;
 import opalcove.config.ReplicatedConfig;
@@ -27,132 +24,138 @@
 import opalcove.resp.WarmUp;
 import org.tinylog.Logger;
 
-/** The platform's gateway: RESP2 on both sides, the node list from discovery. */
+/** Starts the gateway: RESP2 on both sides, the endpoint list from discovery. */
 public final class GatewayServer {
-    /** How long to wait for a voter's word on the version in force, ms. */
-    private static final long FIRST_VERSION_MS = 12_000;
-
     private GatewayServer() {}
 
-    /** Starts the gateway by what the platform tells; gives way at once, the program goes on by itself. */
+    /**
+     * Starts the gateway by the environment and its configuration; returns at once, and the gateway runs on its own threads.
+     *
+     * @throws InvalidConfigurationException if the configuration cannot be used
+     */
     public static void start() {
         StartupTimes times = new StartupTimes();
-        // Before anything else: unheard, SIGHUP would end the program.
-        ReloadSignal hangups = new ReloadSignal();
+        // Before anything else: without a handler SIGHUP would end the process.
+        ReloadSignal reloadSignal = new ReloadSignal();
         GatewayConfig config = GatewayConfig.read(System.getenv());
         times.reached(StartPhase.CONFIGURATION_READ);
-        // The door opens first, so that operators are told how far the start has come.
-        AdminCommands door = new AdminCommands();
-        openConsole(config, door);
-        ReplicatedConfig agreed = agree(config);
-        door.agreed = agreed;
-        MembershipService membership = join(config, agreed == null ? List.of() : agreed.knownMembers());
-        door.membership = membership;
+        // The admin server opens first, so that administrators see how far the start has progressed.
+        GatewayStatus status = new GatewayStatus();
+        startAdminServer(config, status);
+        ReplicatedConfig replicatedConfig = createReplicatedConfig(config);
+        status.setReplicatedConfig(replicatedConfig);
+        MembershipService membership =
+                startMembership(config, replicatedConfig == null ? List.of() : replicatedConfig.knownMembers());
+        status.setMembership(membership);
         times.reached(StartPhase.DOOR_OPEN);
         Logger.info(
-                "rehearsed {} asks",
-                WarmUp.run(Application::eventLoop, config.settings(), TimeBudget.ofMs(config.rehearsalMs())));
+                "warmed up with {} requests",
+                WarmUp.run(Application::eventLoop, config.settings(), TimeBudget.ofMs(config.warmUpMs())));
         times.reached(StartPhase.REHEARSED);
-        Application program = new Application();
-        Parts parts = new Parts(config, door, hangups, times, membership, agreed);
-        program.start(vertx -> open(vertx, program, parts));
+        Application application = new Application();
+        Parts parts = new Parts(config, status, reloadSignal, times, membership, replicatedConfig);
+        application.start(vertx -> open(vertx, application, parts));
     }
 
     /**
-     * What the start has made before the event loop runs; {@code membership} and {@code agreed} are null where the settings
-     * have none.
+     * What exists before the event loop runs.
+     *
+     * @param membership null where the configuration has none
+     * @param replicatedConfig null where the configuration has none
      */
     private record Parts(
             GatewayConfig config,
-            AdminCommands door,
-            ReloadSignal hangups,
+            GatewayStatus status,
+            ReloadSignal reloadSignal,
             StartupTimes times,
             MembershipService membership,
-            ReplicatedConfig agreed) {}
+            ReplicatedConfig replicatedConfig) {}
 
-    private static void openConsole(GatewayConfig config, AdminCommands door) {
+    private static void startAdminServer(GatewayConfig config, GatewayStatus status) {
         if (config.console() == null) {
             return;
         }
-        Vertx loop = Application.eventLoop();
-        Application.listening(loop, () -> new AdminServer(loop, door).listen(config.console()))
+        Vertx eventLoop = Application.eventLoop();
+        Application.listening(eventLoop, () -> new AdminServer(eventLoop, status).listen(config.console()))
                 .onFailure(e -> {
                     Logger.error("cannot listen at the console address {}: {}", config.console(), e.getMessage());
                     Runtime.getRuntime().halt(1);
                 });
     }
 
-    /** Puts the gateway together on its event loop, and opens its front once the list of backends is known. */
-    private static void open(Vertx vertx, Application program, Parts parts) {
+    /** Wires the gateway on its event loop, and listens for clients once the endpoint list is known. */
+    private static void open(Vertx vertx, Application application, Parts parts) {
         GatewayConfig config = parts.config();
         StartupTimes times = parts.times();
         times.reached(StartPhase.EVENT_LOOP_UP);
         DescriptorBudget budget = DescriptorBudget.ofThisProcess(config.sockets(), config.console() != null);
         Logger.info("descriptors: {}", budget);
-        ConnectionPool links = new ConnectionPool(
+        ConnectionPool connections = new ConnectionPool(
                 vertx, config.settings(), new RespConnector(vertx, config.settings()), budget.backends());
-        RequestDispatcher gateway = new RequestDispatcher(vertx, new Clock(), config.settings(), config.seed(), links);
-        RespServer front =
-                new RespServer(vertx, gateway, program.phases(), RespServer.maxConnectionsWithin(budget.clients()));
-        Versions versions = new Versions(gateway);
+        RequestDispatcher dispatcher =
+                new RequestDispatcher(vertx, new Clock(), config.settings(), config.seed(), connections);
+        RespServer server = new RespServer(
+                vertx, dispatcher, application.phases(), RespServer.maxConnectionsWithin(budget.clients()));
+        ConfigurationApplier applier = new ConfigurationApplier(dispatcher);
         DiscoveryClient discovery = new DiscoveryClient(
-                vertx, config.discovery(), config.settings(), new SplittableRandom(config.seed()), versions);
-        gateway.endpointSource(discovery);
-        program.atEnd(gateway, front::drain);
-        leaveWith(program, parts);
-        parts.door().serve(vertx, gateway, front, program.phases());
+                vertx, config.discovery(), config.settings(), new SplittableRandom(config.seed()), applier);
+        dispatcher.endpointSource(discovery);
+        application.atEnd(dispatcher, server::drain);
+        leaveCluster(application, parts);
+        parts.status().gatewayWired(vertx, dispatcher, server, application.phases());
         if (!config.known().isEmpty()) {
-            // An empty list would make every node of discovery's first one look newly started, and cold.
-            gateway.endpointsChanged(true, config.known(), 0);
+            // An empty list would make every backend of discovery's first one look newly started, and due a slow start.
+            dispatcher.endpointsChanged(true, config.known(), 0);
         }
-        parts.hangups().listen(() -> reload(config, vertx, discovery, gateway, versions));
-        listKnown(vertx, discovery, versions, parts).onComplete(ready -> {
+        parts.reloadSignal().listen(() -> reload(config, vertx, discovery, dispatcher, applier));
+        whenEndpointsKnown(vertx, discovery, applier, parts).onComplete(known -> {
             times.reached(StartPhase.LIST_KNOWN);
-            program.open(() -> front.listen(config.listen()).onSuccess(port -> {
+            application.open(() -> server.listen(config.listen()).onSuccess(port -> {
                 times.reached(StartPhase.FRONT_OPEN);
                 Logger.info(times.line());
             }));
         });
     }
 
-    /** Tells the other gateways when the program begins to leave. */
-    private static void leaveWith(Application program, Parts parts) {
-        program.phases().onChange(phase -> {
+    /** Notifies the other gateways when the process begins to end. */
+    private static void leaveCluster(Application application, Parts parts) {
+        application.phases().onChange(phase -> {
             if (phase != Lifecycle.Phase.LEAVING) {
                 return;
             }
             if (parts.membership() != null) {
                 parts.membership().leave();
             }
-            if (parts.agreed() != null) {
-                parts.agreed().leave();
+            if (parts.replicatedConfig() != null) {
+                parts.replicatedConfig().leave();
             }
         });
     }
 
     /**
-     * Follows discovery, and the agreed versions where there are any, and completes once requests may be taken.
+     * Follows discovery, and the replicated configuration where there is one; completes once requests may be accepted.
      *
-     * <p>A list known from before may be out of date: requests must not go to a backend that the agent could have told is
-     * gone, and only where that does not answer must the known list do. Where one service has to be asked the known list
-     * will do, for waiting for that service only keeps a gateway away longer.
+     * <p>A list known from before may be out of date: requests must not go to a backend that a local agent may know to be
+     * removed, and only where the agent does not respond must the known list do. Where one service is polled the known
+     * list will do, for waiting for that service would only keep the gateway out of service longer.
      */
-    private static Future<?> listKnown(Vertx vertx, DiscoveryClient discovery, Versions versions, Parts parts) {
+    private static Future<?> whenEndpointsKnown(
+            Vertx vertx, DiscoveryClient discovery, ConfigurationApplier applier, Parts parts) {
         GatewayConfig config = parts.config();
-        boolean asked = config.settings().duties().listOnRequest();
-        boolean knownWillDo = asked && !config.known().isEmpty();
-        discovery.startFrom(knownWillDo ? config.knownIndex() : DiscoveryClient.NO_INDEX);
-        Future<?> first = knownWillDo ? Future.succeededFuture() : discovery.whenReady(!asked);
-        if (parts.agreed() == null) {
-            return first;
+        boolean isPolled = config.settings().duties().listOnRequest();
+        boolean knownListWillDo = isPolled && !config.known().isEmpty();
+        discovery.startFrom(knownListWillDo ? config.knownIndex() : DiscoveryClient.NO_INDEX);
+        Future<?> listed = knownListWillDo ? Future.succeededFuture() : discovery.whenReady(!isPolled);
+        if (parts.replicatedConfig() == null) {
+            return listed;
         }
         MembershipService membership = parts.membership();
-        return first.eventually(() ->
-                versions.follow(vertx, parts.agreed(), membership == null ? List::of : membership::presentMembers));
+        return listed.eventually(() -> applier.follow(
+                vertx, parts.replicatedConfig(), membership == null ? List::of : membership::presentMembers));
     }
 
-    /** Joins the other gateways where the settings have it; a member that cannot listen ends the start with 1. */
-    private static MembershipService join(GatewayConfig config, List<Member> known) {
+    /** Joins the other gateways where membership is on; a member that cannot listen ends the process with 1. */
+    private static MembershipService startMembership(GatewayConfig config, List<Member> known) {
         if (config.membership() == null) {
             return null;
         }
@@ -168,8 +171,8 @@
         return membership;
     }
 
-    /** Takes part in agreed versions where the settings have it; the platform's program has no part for that. */
-    private static ReplicatedConfig agree(GatewayConfig config) {
+    /** Creates the replicated configuration where it is on; the gateway's own jar has no provider for it. */
+    private static ReplicatedConfig createReplicatedConfig(GatewayConfig config) {
         if (config.agreement() == null) {
             return null;
         }
@@ -185,167 +188,37 @@
                         System.out::println);
     }
 
-    /** The gateway by agreed versions; without any, by its own file and by discovery. On the gateway's event loop. */
-    private static final class Versions implements DiscoveryClient.Listener {
-        private final RequestDispatcher gateway;
-        private ReplicatedConfig.EffectiveConfig acting;
-
-        Versions(RequestDispatcher gateway) {
-            this.gateway = gateway;
-        }
-
-        /** Acts on what is agreed from now on; done once that is known, or after so long that clients are taken without. */
-        Future<Void> follow(Vertx vertx, ReplicatedConfig agreed, Supplier<List<Member>> fleet) {
-            gateway.beforeEachRequest(() -> {
-                ReplicatedConfig.EffectiveConfig lapsed = agreed.effectiveIfExpired();
-                if (lapsed != null && acting != null && !acting.isStrict()) {
-                    act(lapsed);
-                }
-            });
-            Promise<Void> known = Promise.promise();
-            agreed.start(next -> vertx.runOnContext(told -> act(next)), fleet)
-                    .onFailure(e -> {
-                        Logger.error("cannot listen at agreement.listen: {}", e.getMessage());
-                        Runtime.getRuntime().halt(1);
-                    })
-                    .onSuccess(heard -> vertx.runOnContext(told -> known.tryComplete()));
-            vertx.setTimer(FIRST_VERSION_MS, due -> {
-                if (known.tryComplete()) {
-                    Logger.error(
-                            "no voter has said which version is in force: clients are taken by the file's settings");
-                }
-            });
-            return known.future();
-        }
-
-        private void act(ReplicatedConfig.EffectiveConfig next) {
-            boolean colder = next.coldSinceMs() > 0 && (acting == null || acting.coldSinceMs() != next.coldSinceMs());
-            acting = next;
-            gateway.applySettings(next.settings());
-            if (next.backends() != null) {
-                gateway.endpointsChanged(true, cold(next.backends()));
-            } else if (colder) {
-                gateway.endpointsChanged(true, cold(gateway.backends()));
-            }
-        }
-
-        /** After a power loss the list may be of before: no node counts as started earlier than this gateway. */
-        private List<Backend> cold(List<Backend> backends) {
-            if (acting == null || acting.coldSinceMs() == 0) {
-                return backends;
-            }
-            return backends.stream()
-                    .map(backend -> new Backend(backend.host().startedSince(acting.coldSinceMs()), backend.address()))
-                    .toList();
-        }
-
-        /** Discovery's word holds where no agreed version has the list. */
-        @Override
-        public void endpointsReceived(boolean whole, List<Backend> lines, double discoveryNow) {
-            if (acting == null || acting.backends() == null) {
-                gateway.endpointsChanged(whole, cold(lines), discoveryNow);
-            }
-        }
-
-        @Override
-        public void responseReceived() {
-            gateway.endpointSourceContacted();
-        }
-
-        @Override
-        public void callFailed(boolean refused) {
-            gateway.endpointUpdateFailed(refused);
-        }
-
-        boolean hold() {
-            return acting != null;
-        }
-    }
-
     /**
-     * The file was replaced: discovery moves and new settings are taken at once (asks under way keep theirs); a file
-     * that cannot be used leaves the old one in force, whole.
+     * Applies a configuration file that was replaced: discovery moves and new settings are in force at once (open requests
+     * keep theirs); a file that cannot be used leaves the old one in force, whole.
      */
     private static void reload(
             GatewayConfig started,
             Vertx vertx,
             DiscoveryClient discovery,
-            RequestDispatcher gateway,
-            Versions versions) {
+            RequestDispatcher dispatcher,
+            ConfigurationApplier applier) {
         try {
             GatewayConfig config = GatewayConfig.read(System.getenv());
-            gateway.metrics().reconfigured(true);
+            dispatcher.metrics().reconfigured(true);
             if (!config.listen().equals(started.listen())) {
-                Logger.warn("a new address to listen at needs a restart: the old one stays");
+                Logger.warn("a new listen address needs a restart: the old one stays in use");
             }
             vertx.runOnContext(read -> {
-                if (versions.hold()) {
-                    Logger.warn("the file's settings are left out: an agreed version is in force");
-                } else if (!config.settings().equals(gateway.settings())) {
+                if (applier.hasReplicatedVersion()) {
+                    Logger.warn("ignoring the settings of the file: a replicated version is in force");
+                } else if (!config.settings().equals(dispatcher.settings())) {
                     Logger.info(
                             "new settings are in force: {} classes",
                             config.settings().classes().size());
-                    gateway.applySettings(config.settings());
+                    dispatcher.applySettings(config.settings());
                     discovery.applySettings(config.settings());
                 }
                 discovery.moveTo(config.discovery());
             });
         } catch (InvalidConfigurationException | IllegalArgumentException e) {
-            gateway.metrics().reconfigured(false);
-            Logger.error("the new configuration is refused, the old stays in force: {}", e.getMessage());
-        }
-    }
-
-    /**
-     * What the operators' door sees of the gateway. Until the gateway is wired, the process is starting; afterwards
-     * state is read from the door's thread, so what it reads is published here, and what it does goes to the event loop.
-     */
-    public static final class AdminCommands implements AdminServer.Gateway {
-        private volatile Lifecycle.Phase phase = Lifecycle.Phase.STARTING;
-        private volatile boolean away;
-        private Vertx vertx;
-        private RequestDispatcher gateway;
-        private RespServer front;
-        private volatile MembershipService membership;
-        private volatile ReplicatedConfig agreed;
-
-        /** Publishes the gateway once it is wired. */
-        public synchronized void serve(Vertx loop, RequestDispatcher wired, RespServer wiredFront, Lifecycle phases) {
-            vertx = loop;
-            gateway = wired;
-            front = wiredFront;
-            phases.onChange(next -> phase = next);
-            if (away) {
-                vertx.runOnContext(told -> front.setDrainRequested(true));
-            }
-        }
-
-        @Override
-        public String notReady() {
-            if (phase != Lifecycle.Phase.SERVING) {
-                return phase.operatorName();
-            }
-            return away ? "clients are sent away" : null;
-        }
-
-        @Override
-        public synchronized String figures() {
-            return (gateway == null ? "" : gateway.metrics().statsdLines())
-                    + (membership == null ? "" : membership.figures())
-                    + (agreed == null ? "" : agreed.figures());
-        }
-
-        @Override
-        public String members() {
-            return membership == null ? null : membership.memberList();
-        }
-
-        @Override
-        public synchronized void sendAway(boolean send) {
-            away = send;
-            if (vertx != null) {
-                vertx.runOnContext(told -> front.setDrainRequested(send));
-            }
+            dispatcher.metrics().reconfigured(false);
+            Logger.error("the new configuration is invalid, the old one stays in force: {}", e.getMessage());
         }
     }
 }
--- a/gateway/src/main/java/opalcove/server/ReloadSignal.java
+++ b/gateway/src/main/java/opalcove/server/ReloadSignal.java
@@ -4,49 +4,49 @@
 import org.tinylog.Logger;
 
 /**
- * Hears SIGHUP, by which the platform tells that the configuration file was replaced, from its making on. What comes
- * before anybody listens is kept. A listener runs on a thread of its own.
+ * Handles SIGHUP, which reports that the configuration file was replaced. A signal that arrives before there is a listener
+ * is delivered to it later. Thread-safe; the listener runs on the signal's thread.
  */
 public final class ReloadSignal {
     private Runnable listener;
-    private boolean heard;
+    private boolean isReceived;
 
-    /** Guards the program against its default, which is to end at SIGHUP. */
+    /** Installs the handler. Guards the process against the default, which is to end at SIGHUP. */
     public ReloadSignal() {
         try {
-            // The JDK's module jdk.unsupported has the one way to hear a signal; named directly, it is a warning that
-            // cannot be silenced.
+            // The JDK's module jdk.unsupported has the only way to handle a signal; used directly, it causes a compiler
+            // warning that cannot be suppressed.
             Class<?> signal = Class.forName("sun.misc.Signal");
             Class<?> handler = Class.forName("sun.misc.SignalHandler");
-            Object hears = Proxy.newProxyInstance(
+            Object handlerProxy = Proxy.newProxyInstance(
                     handler.getClassLoader(), new Class<?>[] {handler}, (self, method, arguments) -> {
-                        heard();
+                        signalReceived();
                         return null;
                     });
-            Object before = signal.getMethod("handle", signal, handler)
-                    .invoke(null, signal.getConstructor(String.class).newInstance("HUP"), hears);
-            if (before == handler.getField("SIG_IGN").get(null)) {
-                // Guards whoever counts on it: the JVM leaves a signal alone that is ignored from before, as under
+            Object previous = signal.getMethod("handle", signal, handler)
+                    .invoke(null, signal.getConstructor(String.class).newInstance("HUP"), handlerProxy);
+            if (previous == handler.getField("SIG_IGN").get(null)) {
+                // Guards whoever relies on it: the JVM does not handle a signal that was ignored before, as under
                 // nohup.
-                Logger.error("SIGHUP was ignored when this process was started, and cannot be heard: a replaced"
+                Logger.error("SIGHUP was ignored when this process was started, and cannot be handled: a replaced"
                         + " configuration file needs a restart");
             }
         } catch (ReflectiveOperationException e) {
-            throw new IllegalStateException("SIGHUP cannot be heard", e);
+            throw new IllegalStateException("SIGHUP cannot be handled", e);
         }
     }
 
-    private synchronized void heard() {
-        heard = true;
+    private synchronized void signalReceived() {
+        isReceived = true;
         if (listener != null) {
             listener.run();
         }
     }
 
-    /** Runs the action at each SIGHUP, and at once where one has come already. */
+    /** Runs the action at each SIGHUP, and at once where one was received already. */
     public synchronized void listen(Runnable action) {
         listener = action;
-        if (heard) {
+        if (isReceived) {
             action.run();
         }
     }
--- a/gateway/src/test/java/opalcove/admin/AdminRepliesTest.java
+++ b/gateway/src/test/java/opalcove/admin/AdminRepliesTest.java
@@ -16,7 +16,7 @@
 import opalcove.lifecycle.Lifecycle;
 import opalcove.resp.RespConnector;
 import opalcove.resp.RespServer;
-import opalcove.server.GatewayServer;
+import opalcove.server.GatewayStatus;
 import org.testng.annotations.AfterMethod;
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
@@ -25,7 +25,7 @@
 public class AdminRepliesTest {
     private static final int PATIENCE_S = 20;
 
-    private final GatewayServer.AdminCommands door = new GatewayServer.AdminCommands();
+    private final GatewayStatus status = new GatewayStatus();
     private final Lifecycle phases = new Lifecycle();
     private Vertx vertx;
     private int port;
@@ -33,7 +33,7 @@
     @BeforeMethod
     public void open() throws Exception {
         vertx = Application.eventLoop();
-        port = new AdminServer(vertx, door)
+        port = new AdminServer(vertx, status)
                 .listen(new HostAndPort("127.0.0.1", 0))
                 .toCompletionStage()
                 .toCompletableFuture()
@@ -52,7 +52,7 @@
             ConnectionPool links = new ConnectionPool(
                     vertx, TestSettings.settings(), new RespConnector(vertx, TestSettings.settings()), 64);
             RequestDispatcher gateway = new RequestDispatcher(vertx, new Clock(), TestSettings.settings(), 1, links);
-            door.serve(vertx, gateway, new RespServer(vertx, gateway, phases, 64), phases);
+            status.gatewayWired(vertx, gateway, new RespServer(vertx, gateway, phases, 64), phases);
             wired.complete(null);
         });
         wired.get(PATIENCE_S, TimeUnit.SECONDS);
@@ -124,14 +124,14 @@
 
     @Test
     public void membersOfAGatewayThatTalksToOthers() throws Exception {
-        AdminServer.Gateway talking = new AdminServer.Gateway() {
+        AdminTarget talking = new AdminTarget() {
             @Override
             public String notReady() {
                 return null;
             }
 
             @Override
-            public String figures() {
+            public String metrics() {
                 return "";
             }
 
@@ -141,7 +141,7 @@
             }
 
             @Override
-            public void sendAway(boolean away) {}
+            public void setDrainRequested(boolean away) {}
         };
         port = new AdminServer(vertx, talking)
                 .listen(new HostAndPort("127.0.0.1", 0))
--- a/gateway/src/test/java/opalcove/admin/AdminServerTest.java
+++ b/gateway/src/test/java/opalcove/admin/AdminServerTest.java
@@ -29,19 +29,19 @@
     @BeforeClass
     public void open() throws Exception {
         vertx = Vertx.vertx();
-        AdminServer console = new AdminServer(vertx, new AdminServer.Gateway() {
+        AdminServer console = new AdminServer(vertx, new AdminTarget() {
             @Override
             public String notReady() {
                 return notReady;
             }
 
             @Override
-            public String figures() {
+            public String metrics() {
                 return metrics.statsdLines();
             }
 
             @Override
-            public void sendAway(boolean away) {
+            public void setDrainRequested(boolean away) {
                 synchronized (told) {
                     told.add(away);
                 }
--- a/gateway/src/test/java/opalcove/resp/EndCrossingsTest.java
+++ b/gateway/src/test/java/opalcove/resp/EndCrossingsTest.java
@@ -15,7 +15,7 @@
 import opalcove.decision.EndpointState;
 import opalcove.lifecycle.Application;
 import opalcove.lifecycle.Lifecycle;
-import opalcove.server.GatewayServer;
+import opalcove.server.GatewayStatus;
 import org.testng.annotations.Test;
 
 /** The end of the process crossing asks, new settings and its own start. */
@@ -152,16 +152,16 @@
     public void aDrainThatComesBeforeThereIsAFrontIsKeptForIt() throws Exception {
         for (boolean taken : new boolean[] {false, true}) {
             try (RespTestBed stage = new RespTestBed()) {
-                GatewayServer.AdminCommands door = new GatewayServer.AdminCommands();
-                door.sendAway(true);
+                GatewayStatus status = new GatewayStatus();
+                status.setDrainRequested(true);
                 if (taken) {
-                    door.sendAway(false);
+                    status.setDrainRequested(false);
                 }
-                stage.onLoop(() -> door.serve(stage.vertx, stage.gateway, stage.front, stage.phases));
+                stage.onLoop(() -> status.gatewayWired(stage.vertx, stage.gateway, stage.front, stage.phases));
                 Socket client = stage.client();
                 RespTestBed.say(client, RespTestBed.PING);
                 assertEquals(RespTestBed.answer(client), taken ? "+PONG" : "-ERR draining");
-                door.sendAway(false);
+                status.setDrainRequested(false);
                 stage.onLoop(() -> {});
                 Socket next = stage.client();
                 RespTestBed.say(next, RespTestBed.PING);
--- a/gateway/src/test/java/opalcove/server/DescriptorBudgetTest.java
+++ b/gateway/src/test/java/opalcove/server/DescriptorBudgetTest.java
@@ -18,8 +18,8 @@
                     DescriptorBudget budget = DescriptorBudget.divide(limit, base, withConsole);
                     assertEquals(budget.sum(), limit, budget.toString());
                     assertTrue(budget.discovery() > 0 && budget.counter() > 0, budget.toString());
-                    assertTrue(budget.backends() >= DescriptorBudget.LEAST_SHARE, budget.toString());
-                    assertTrue(budget.clients() >= DescriptorBudget.LEAST_SHARE, budget.toString());
+                    assertTrue(budget.backends() >= DescriptorBudget.MIN_SHARE, budget.toString());
+                    assertTrue(budget.clients() >= DescriptorBudget.MIN_SHARE, budget.toString());
                 }
             }
         }
@@ -28,13 +28,13 @@
     @Test
     public void aLimitTooSmallForAllLeavesEachUseItsLeast() {
         DescriptorBudget budget = DescriptorBudget.divide(20, 40, true);
-        assertEquals(budget.backends(), DescriptorBudget.LEAST_SHARE);
-        assertEquals(budget.clients(), DescriptorBudget.LEAST_SHARE);
+        assertEquals(budget.backends(), DescriptorBudget.MIN_SHARE);
+        assertEquals(budget.clients(), DescriptorBudget.MIN_SHARE);
     }
 
     @Test
     public void aFrontHoldsNoMoreThanTheShareOfClients() {
-        for (int clients = DescriptorBudget.LEAST_SHARE; clients <= MOST; clients++) {
+        for (int clients = DescriptorBudget.MIN_SHARE; clients <= MOST; clients++) {
             int held = RespServer.maxDescriptors(RespServer.maxConnectionsWithin(clients));
             assertTrue(held <= clients, held + " of " + clients);
         }
--- a/gateway/src/test/java/opalcove/server/NotReadyTextTest.java
+++ b/gateway/src/test/java/opalcove/server/NotReadyTextTest.java
@@ -15,13 +15,13 @@
         Vertx vertx = Vertx.vertx();
         try {
             Lifecycle phases = new Lifecycle();
-            GatewayServer.AdminCommands door = new GatewayServer.AdminCommands();
+            GatewayStatus status = new GatewayStatus();
             List<String> told = new ArrayList<>();
-            told.add(door.notReady());
-            door.serve(vertx, null, null, phases);
+            told.add(status.notReady());
+            status.gatewayWired(vertx, null, null, phases);
             for (Lifecycle.Phase phase : Lifecycle.Phase.values()) {
                 phases.enter(phase);
-                told.add(String.valueOf(door.notReady()));
+                told.add(String.valueOf(status.notReady()));
             }
             assertEquals(told, List.of("starting", "starting", "null", "leaving", "draining", "stopped"));
         } finally {
