--- a/gateway/src/main/java/opalcove/core/RequestDispatcher.java
+++ b/gateway/src/main/java/opalcove/core/RequestDispatcher.java
@@ -18,6 +18,7 @@
 import opalcove.decision.AdmissionRequest;
 import opalcove.decision.AttemptOutcome;
 import opalcove.decision.AttemptStatus;
+import opalcove.decision.CapacityShare;
 import opalcove.decision.DecisionActions;
 import opalcove.decision.DecisionSettings;
 import opalcove.decision.Endpoint;
@@ -146,7 +147,7 @@
         generations.add(current);
         ConfigGeneration told = current;
         List<Endpoint> listed = starts.hosts(backends.all());
-        tell(() -> told.module.hosts(clock.now(), true, listed));
+        tell(() -> told.module.endpointsChanged(clock.now(), true, listed));
     }
 
     /** Has this run before each ask is taken: a process that stood still may have settings that hold no more. */
@@ -300,7 +301,7 @@
     }
 
     private void submitToModule(InFlightRequest inFlight) {
-        tell(() -> inFlight.generation.module.request(clock.now(), request(inFlight.request)));
+        tell(() -> inFlight.generation.module.requestArrived(clock.now(), request(inFlight.request)));
     }
 
     private static AdmissionRequest request(Request request) {
@@ -342,7 +343,7 @@
 
     /** The time between two beats of the event loop, ms. */
     private double beatMs() {
-        double part = BEAT_PART * current.settings.duties().drainGraceMs();
+        double part = BEAT_PART * current.settings.obligations().drainGraceMs();
         return Math.max(LEAST_BEAT_MS, Math.min(AVOIDED_MS, part));
     }
 
@@ -435,7 +436,7 @@
         }
         alarms.cancel(inFlight.deadline());
         double now = clock.now();
-        tell(() -> inFlight.generation.module.outcome(
+        tell(() -> inFlight.generation.module.attemptEnded(
                 now,
                 new AttemptOutcome(
                         inFlight.request.id(),
@@ -464,7 +465,7 @@
                 inFlight.finish(null);
             }
             if (end.result() == AttemptStatus.SERVED) {
-                inFlight.generation.module.settled(
+                inFlight.generation.module.usageReported(
                         clock.now(), request(inFlight.request), end.quotaUsedPercent(), end.actualUnits());
             }
         });
@@ -499,7 +500,7 @@
                 follow(inFlight, new InFlightRequest.Step.Respond(new Response.Served(value)));
                 giveUpCopies(inFlight);
             }
-            inFlight.generation.module.outcome(
+            inFlight.generation.module.attemptEnded(
                     now,
                     new AttemptOutcome(
                             inFlight.request.id(),
@@ -604,7 +605,7 @@
     /** Has the module give up the life's attempts, which needs its ledger, and only then closes the ledger. */
     private void end(InFlightRequest inFlight, Runnable closing) {
         tell(() -> {
-            inFlight.generation.module.gone(clock.now(), inFlight.request.id());
+            inFlight.generation.module.requestCancelled(clock.now(), inFlight.request.id());
             turns.add(closing);
         });
     }
@@ -643,7 +644,7 @@
                 reached -> tell(() -> {
                     ProbeStatus result = reached ? ProbeStatus.DONE : ProbeStatus.NOT_DONE;
                     double now = clock.now();
-                    generation.module.probed(now, backend.name(), result, now - began, null);
+                    generation.module.healthCheckEnded(now, backend.name(), result, now - began, null);
                 }));
     }
 
@@ -694,7 +695,7 @@
         }
         generations.removeIf(ConfigGeneration::done);
         for (ConfigGeneration each : generations) {
-            tell(() -> each.module.hosts(clock.now(), whole, hosts));
+            tell(() -> each.module.endpointsChanged(clock.now(), whole, hosts));
         }
         tell(this::countAvoided);
     }
@@ -702,9 +703,9 @@
     /** Listed nodes that get no new work now, be it by the list's word or by the module's. */
     private void countAvoided() {
         Set<String> used = new HashSet<>();
-        for (AdmissionController.Room each : capacityShares()) {
+        for (CapacityShare each : capacityShares()) {
             if (each.share() > 0) {
-                used.add(each.host());
+                used.add(each.backend());
             }
         }
         List<Backend> listed = backends.all();
@@ -723,8 +724,8 @@
     }
 
     /** What the newest module would give each node now. */
-    List<AdmissionController.Room> capacityShares() {
-        return current.module.rooms(clock.now());
+    List<CapacityShare> capacityShares() {
+        return current.module.capacityShares(clock.now());
     }
 
     /** The node list as last told. */
@@ -849,12 +850,12 @@
         }
 
         @Override
-        public void send(String id, String host, double timeoutMs) {
+        public void startAttempt(String id, String host, double timeoutMs) {
             decide(id, new InFlightRequest.Step.Forward(host, timeoutMs));
         }
 
         @Override
-        public void refuse(String id, double retryAfterMs) {
+        public void shed(String id, double retryAfterMs) {
             InFlightRequest inFlight = inFlight(id);
             if (inFlight != null && !guards.mayRefuse(inFlight)) {
                 // Guards against promising that a repeat is harmless when an attempt may have had its effect.
@@ -874,7 +875,7 @@
         }
 
         @Override
-        public void cancel(String id, int attempt) {
+        public void cancelAttempt(String id, int attempt) {
             InFlightRequest inFlight = inFlight(id);
             if (inFlight == null || attempt >= inFlight.attempts.size()) {
                 return;
@@ -889,14 +890,14 @@
         }
 
         @Override
-        public void wake(long token, double afterMs) {
+        public void setTimer(long token, double afterMs) {
             Wake wake = new Wake(generation, token);
             generation.wakes.put(token, wake);
             alarms.schedule(afterMs, wake);
         }
 
         @Override
-        public void forget(long token) {
+        public void cancelTimer(long token) {
             Wake wake = generation.wakes.remove(token);
             if (wake != null) {
                 alarms.cancel(wake);
@@ -904,7 +905,7 @@
         }
 
         @Override
-        public void probe(String host) {
+        public void checkHealth(String host) {
             Backend backend = backends.available(host);
             if (backend != null) {
                 turns.add(() -> RequestDispatcher.this.probe(generation, backend));
@@ -912,7 +913,7 @@
         }
 
         @Override
-        public void follow() {
+        public void subscribeToEndpoints() {
             // The node list is always followed here.
         }
 
@@ -937,7 +938,7 @@
             generation.wakes.remove(token);
             // A generation that is let go has no ask left to decide on, and so no need of its ticks.
             if (!generation.done()) {
-                tell(() -> generation.module.timer(clock.now(), token));
+                tell(() -> generation.module.timerExpired(clock.now(), token));
             }
         }
     }
--- a/gateway/src/main/java/opalcove/discovery/PollSchedule.java
+++ b/gateway/src/main/java/opalcove/discovery/PollSchedule.java
@@ -70,9 +70,9 @@
 
     /** The schedule of the settings' kind of discovery. */
     public static PollSchedule of(DecisionSettings settings, RandomGenerator random) {
-        return settings.duties().listOnRequest()
+        return settings.obligations().listOnRequest()
                 ? polled(settings.gateways(), random)
-                : pushed(settings.duties().drainGraceMs(), random);
+                : pushed(settings.obligations().drainGraceMs(), random);
     }
 
     private static PollSchedule polled(int gateways, RandomGenerator random) {
--- a/gateway/src/main/java/opalcove/resp/RequestDecoder.java
+++ b/gateway/src/main/java/opalcove/resp/RequestDecoder.java
@@ -90,7 +90,7 @@
         if (!parameters.decode(command) || !parameters.isComplete()) {
             return null;
         }
-        Idempotency effect = validator.requestClass(parameters.requestClass()).effect();
+        Idempotency effect = validator.requestClass(parameters.requestClass()).idempotency();
         boolean isKeyed = effect == Idempotency.KEYED;
         boolean isKeyMissing = parameters.key() == null || parameters.key().isEmpty();
         if (isSubmit == (effect == Idempotency.SAFE) || isKeyed && isKeyMissing) {
@@ -116,11 +116,11 @@
         String className = values.required("c");
         try {
             DecisionSettings.RequestClass requestClass = validator.requestClass(className);
-            if (isSubmit == (requestClass.effect() == Idempotency.SAFE)) {
+            if (isSubmit == (requestClass.idempotency() == Idempotency.SAFE)) {
                 throw new InvalidRequestException(
                         (isSubmit ? SUBMIT : QUERY) + " does not serve " + requestClass.name());
             }
-            boolean isKeyed = requestClass.effect() == Idempotency.KEYED;
+            boolean isKeyed = requestClass.idempotency() == Idempotency.KEYED;
             return validator.validate(new Request(
                     RequestParameters.hexId(command.text(ID), "the id"),
                     command.text(CUSTOMER),
--- a/gateway/src/main/java/opalcove/resp/WarmUp.java
+++ b/gateway/src/main/java/opalcove/resp/WarmUp.java
@@ -243,8 +243,8 @@
         DecisionSettings.RequestClass requestClass =
                 settings.classes().get(sentCount % settings.classes().size());
         String id = String.format("%016x", sentCount++);
-        boolean isKeyed = requestClass.effect() == Idempotency.KEYED;
-        boolean hasBody = requestClass.effect() != Idempotency.SAFE;
+        boolean isKeyed = requestClass.idempotency() == Idempotency.KEYED;
+        boolean hasBody = requestClass.idempotency() != Idempotency.SAFE;
         Request request = new Request(
                 id,
                 id,
--- a/gateway/src/main/java/opalcove/server/GatewayServer.java
+++ b/gateway/src/main/java/opalcove/server/GatewayServer.java
@@ -142,7 +142,7 @@
     private static Future<?> whenEndpointsKnown(
             Vertx vertx, DiscoveryClient discovery, ConfigurationApplier applier, Parts parts) {
         GatewayConfig config = parts.config();
-        boolean isPolled = config.settings().duties().listOnRequest();
+        boolean isPolled = config.settings().obligations().listOnRequest();
         boolean knownListWillDo = isPolled && !config.known().isEmpty();
         discovery.startFrom(knownListWillDo ? config.knownIndex() : DiscoveryClient.NO_INDEX);
         Future<?> listed = knownListWillDo ? Future.succeededFuture() : discovery.whenReady(!isPolled);
