--- /dev/null
+++ b/gateway/src/main/java/opalcove/core/BackendDirectory.java
@@ -0,0 +1,97 @@
+package opalcove.core;
+
+import java.util.HashSet;
+import java.util.List;
+import java.util.Set;
+import opalcove.config.Backend;
+import opalcove.config.Clock;
+import opalcove.decision.AdmissionController;
+import opalcove.decision.Endpoint;
+import opalcove.metrics.Counters;
+import opalcove.metrics.Metrics;
+import org.tinylog.Logger;
+
+/**
+ * Takes in the endpoint list and its changes, and passes them on to the transport, the decision modules and the figures.
+ * Used on the event loop only.
+ */
+final class BackendDirectory {
+    private final Clock clock;
+    private final EndpointList endpoints;
+    private final SlowStartTimes starts = new SlowStartTimes();
+    private final BackendTransport transport;
+    private final ConfigGenerations generations;
+    private final TurnQueue turns;
+    private final Counters counters;
+    private final Metrics metrics;
+
+    BackendDirectory(CoreParts parts) {
+        clock = parts.clock();
+        endpoints = parts.endpoints();
+        transport = parts.transport();
+        generations = parts.generations();
+        turns = parts.turns();
+        counters = parts.counters();
+        metrics = parts.metrics();
+    }
+
+    /**
+     * Takes in the complete list or its changed entries.
+     *
+     * @param sourceNowMs the time of the source's own clock as it gave the list, or 0 where it is not known
+     */
+    void endpointsChanged(boolean complete, List<Backend> entries, double sourceNowMs) {
+        endpoints.update(complete, entries).forEach(transport::retire);
+        int implausible = starts.implausibleStarts();
+        List<Endpoint> local = starts.update(complete, entries, clock.now(), sourceNowMs);
+        if (starts.implausibleStarts() > implausible) {
+            counters.implausibleStartTimes += starts.implausibleStarts() - implausible;
+            Logger.warn(
+                    "{} backends have start times that this machine's clock rules out: they count as started now",
+                    starts.implausibleStarts() - implausible);
+        }
+        for (ConfigGeneration each : generations.inUse()) {
+            turns.run(() -> each.module.hosts(clock.now(), complete, local));
+        }
+        countAvoided();
+    }
+
+    /** Hands a new generation's module the list as it is. */
+    void introduceTo(ConfigGeneration generation) {
+        List<Endpoint> local = starts.hosts(endpoints.all());
+        turns.run(() -> generation.module.hosts(clock.now(), true, local));
+    }
+
+    /** The endpoint source was reached, with or without changes. */
+    void sourceContacted() {
+        starts.sourceContacted(clock.now());
+    }
+
+    /** All backends that the list names. */
+    List<Backend> all() {
+        return endpoints.all();
+    }
+
+    /** What the newest module would give each backend now. */
+    List<AdmissionController.Room> capacityShares() {
+        return generations.newest().module.rooms(clock.now());
+    }
+
+    /** Updates the figures of backends that are listed and get no new requests now, for whichever reason. */
+    void countAvoided() {
+        turns.run(this::updateAvoided);
+    }
+
+    private void updateAvoided() {
+        Set<String> used = new HashSet<>();
+        for (AdmissionController.Room each : capacityShares()) {
+            if (each.share() > 0) {
+                used.add(each.host());
+            }
+        }
+        List<Backend> listed = endpoints.all();
+        metrics.backends(listed.size(), (int) listed.stream()
+                .filter(backend -> !used.contains(backend.name()))
+                .count());
+    }
+}
--- /dev/null
+++ b/gateway/src/main/java/opalcove/core/CoreParts.java
@@ -0,0 +1,22 @@
+package opalcove.core;
+
+import io.vertx.core.Vertx;
+import opalcove.config.Clock;
+import opalcove.metrics.Counters;
+import opalcove.metrics.InvariantMonitor;
+import opalcove.metrics.Metrics;
+
+/** What the parts of the core share; all of it is used on one event loop only. */
+record CoreParts(
+        Vertx vertx,
+        Clock clock,
+        TimerQueue timers,
+        TurnQueue turns,
+        BackendTransport transport,
+        EndpointList endpoints,
+        AttemptGuard guard,
+        ConfigGenerations generations,
+        InFlightRequests requests,
+        Counters counters,
+        InvariantMonitor invariants,
+        Metrics metrics) {}
--- a/gateway/src/main/java/opalcove/core/InFlightRequest.java
+++ b/gateway/src/main/java/opalcove/core/InFlightRequest.java
@@ -3,21 +3,21 @@
 import java.util.ArrayList;
 import java.util.List;
 import opalcove.config.Backend;
+import opalcove.decision.AdmissionRequest;
 import opalcove.decision.AttemptStatus;
 import opalcove.decision.DecisionSettings;
 
-/** The ledger of one ask: its attempts, whether it is over, and who waits for its answer. */
-final class InFlightRequest implements RequestDispatcher.RequestHandle {
-    /** What the module wants done next. */
-    sealed interface Step {
-        /** An attempt at a node. */
-        record Forward(String backend, double timeoutMs) implements Step {}
-
-        /** The final answer. */
-        record Respond(Response response) implements Step {}
-    }
-
-    /** A long value and the attempt that brings it. */
+/**
+ * One accepted request: its attempts, whether it is over, and the handler of its response. Owned by the event loop.
+ */
+final class InFlightRequest implements RequestHandle {
+    /**
+     * How much earlier than the client's deadline the module's budget ends, ms. Guards against a final response that is
+     * late because the machine was: a pause of the process or a slow wake-up.
+     */
+    private static final double MODULE_MARGIN_MS = 25;
+
+    /** A value that is being streamed, and the attempt that brings it. */
     record Streaming(Attempt attempt, StreamedValue value) {}
 
     /** One attempt, in the module's numbering. */
@@ -34,6 +34,7 @@
             number = attempts.size();
         }
 
+        /** Whether the backend may have executed it. */
         boolean mayHaveRun() {
             return result == null || !result.neverRan;
         }
@@ -45,12 +46,12 @@
 
         @Override
         public boolean isStillWanted() {
-            return lifecycle.stillWanted(InFlightRequest.this, this);
+            return lifecycle.isStillWanted(InFlightRequest.this, this);
         }
 
         @Override
         public boolean maySend(double deadlineMs) {
-            return lifecycle.mayLeave(InFlightRequest.this, this, deadlineMs);
+            return lifecycle.maySend(InFlightRequest.this, this, deadlineMs);
         }
 
         @Override
@@ -60,34 +61,34 @@
     }
 
     final Request request;
-    /** The settings and module that it was taken under, which decide on it to its end. */
-    final RequestDispatcher.ConfigGeneration generation;
+    /** The settings and module that it was accepted under, which decide on it to its end. */
+    final ConfigGeneration generation;
 
     final DecisionSettings.RequestClass requestClass;
     final double acceptedAtMs;
     final List<Attempt> attempts = new ArrayList<>(2);
-    /** The long value that is being passed on: the ask is bound to its attempt, and its deadline has been met. */
+    /** Set once a value is being streamed: the request is bound to that attempt, and its deadline has been met. */
     Streaming streaming;
 
     boolean over;
-    /** Its terminal left before it was over. */
+    /** Its client left before it was over. */
     boolean clientLeft;
-    /** It ends with the process: an ask that came after it may not wait longer. */
+    /** It ends with the process: a request that came after it may not wait longer. */
     boolean expedited;
 
-    private final RequestDispatcher lifecycle;
-    private final RequestDispatcher.ResponseHandler handler;
+    private final RequestLifecycle lifecycle;
+    private final ResponseHandler handler;
     private final TimerQueue.Timer deadline;
     private boolean released;
 
     InFlightRequest(
-            RequestDispatcher gateway,
-            RequestDispatcher.ConfigGeneration generation,
+            RequestLifecycle lifecycle,
+            ConfigGeneration generation,
             Request request,
             DecisionSettings.RequestClass requestClass,
-            RequestDispatcher.ResponseHandler handler,
+            ResponseHandler handler,
             double acceptedAtMs) {
-        this.lifecycle = gateway;
+        this.lifecycle = lifecycle;
         this.generation = generation;
         this.request = request;
         this.requestClass = requestClass;
@@ -96,19 +97,32 @@
         deadline = new TimerQueue.Timer() {
             @Override
             void onExpiry() {
-                gateway.overdue(InFlightRequest.this);
+                lifecycle.deadlineExpired(InFlightRequest.this);
             }
         };
     }
 
+    /** What the decision module needs to know of it. */
+    AdmissionRequest admissionRequest() {
+        return new AdmissionRequest(
+                request.id(),
+                request.requestClass(),
+                request.plan(),
+                request.tenant(),
+                request.units(),
+                Math.max(1, request.timeoutMs() - MODULE_MARGIN_MS),
+                request.gatewayCount(),
+                request.retry());
+    }
+
+    /** Expires at its deadline, or earlier where it is expedited. */
     TimerQueue.Timer deadline() {
         return deadline;
     }
 
-    /** The terminal has left: nobody waits for an answer any more. */
     @Override
     public void clientLeft() {
-        lifecycle.leave(this);
+        lifecycle.clientLeft(this);
     }
 
     @Override
@@ -118,12 +132,19 @@
 
     @Override
     public void abortStreamedValue() {
-        lifecycle.giveUpValue(this);
+        if (!over && streaming != null) {
+            streaming.attempt().inProgress.cancel();
+        }
     }
 
     @Override
     public void expedite() {
-        lifecycle.hurry(this);
+        lifecycle.expedite(this);
+    }
+
+    /** How much of its time is left then, ms; below 0 once it is over. */
+    double remainingMs(double nowMs) {
+        return acceptedAtMs + request.timeoutMs() - nowMs;
     }
 
     /** Whether its client is still connected, as far as can be known now. */
@@ -131,7 +152,7 @@
         return handler.isConnected();
     }
 
-    /** Hands a long value on; tells whether the terminal's side takes it. */
+    /** Binds the request to a value that has begun to come; false where the handler does not take it. */
     boolean stream(Attempt attempt, StreamedValue value) {
         if (over || streaming != null || attempt.result != null || !handler.acceptsStreamedValue(value)) {
             return false;
@@ -140,24 +161,25 @@
         return true;
     }
 
-    /** Ends the life with an answer, or with none for a terminal that left. */
-    void finish(Response answer) {
+    /** Ends the request with a response, or with none for a client that left. */
+    void finish(Response response) {
         over = true;
-        if (answer != null) {
-            handler.onResponse(answer);
+        if (response != null) {
+            handler.onResponse(response);
         }
         releaseIfDone();
     }
 
-    /** Lets go of the ask once it is over and no attempt is out that could still be written. */
+    /** Releases the request once it is over and no attempt is out that could still be written. */
     void releaseIfDone() {
         if (over && !released && attemptsOut() == 0) {
             released = true;
-            lifecycle.settled(this);
+            lifecycle.cancelDeadline(this);
             handler.onReleased();
         }
     }
 
+    /** How many attempts have not ended. */
     int attemptsOut() {
         int out = 0;
         for (int i = 0; i < attempts.size(); i++) {
--- /dev/null
+++ b/gateway/src/main/java/opalcove/core/InFlightRequests.java
@@ -0,0 +1,59 @@
+package opalcove.core;
+
+import java.util.HashMap;
+import java.util.Map;
+import opalcove.metrics.Metrics;
+
+/** The requests that are open, by their ids. Used on the event loop only. */
+final class InFlightRequests {
+    private final Map<String, InFlightRequest> byId = new HashMap<>();
+    private final Metrics metrics;
+    private final TurnQueue turns;
+    private Runnable whenIdle;
+
+    InFlightRequests(Metrics metrics, TurnQueue turns) {
+        this.metrics = metrics;
+        this.turns = turns;
+    }
+
+    int count() {
+        return byId.size();
+    }
+
+    boolean contains(String id) {
+        return byId.containsKey(id);
+    }
+
+    /** The open request of that id under that generation, or null: an id may be used again under another. */
+    InFlightRequest find(String id, ConfigGeneration generation) {
+        InFlightRequest inFlight = byId.get(id);
+        return inFlight != null && inFlight.generation == generation ? inFlight : null;
+    }
+
+    void open(InFlightRequest inFlight) {
+        inFlight.generation.openRequests++;
+        byId.put(inFlight.request.id(), inFlight);
+        metrics.inFlight(byId.size());
+    }
+
+    void close(InFlightRequest inFlight) {
+        if (byId.remove(inFlight.request.id(), inFlight)) {
+            inFlight.generation.openRequests--;
+        }
+        metrics.inFlight(byId.size());
+        if (byId.isEmpty() && whenIdle != null) {
+            // Not within the turn that writes the last response.
+            turns.append(whenIdle);
+            whenIdle = null;
+        }
+    }
+
+    /** Runs the action once no request is open, which may be now. */
+    void whenIdle(Runnable action) {
+        if (byId.isEmpty()) {
+            action.run();
+        } else {
+            whenIdle = action;
+        }
+    }
+}
--- /dev/null
+++ b/gateway/src/main/java/opalcove/core/LoopHeartbeat.java
@@ -0,0 +1,56 @@
+package opalcove.core;
+
+import opalcove.config.Clock;
+
+/**
+ * A timer that expires at a fixed interval and so shows when the event loop was held up: then it is late. Used on the
+ * event loop only.
+ */
+final class LoopHeartbeat extends TimerQueue.Timer {
+    /** The longest interval, ms: the number of avoided backends in figures may be twice as old. */
+    private static final double MAX_INTERVAL_MS = 250;
+    /** The shortest interval, ms, however short the drain grace is. */
+    private static final double MIN_INTERVAL_MS = 25;
+
+    /**
+     * The part of the drain grace between two beats; a beat that is later than that counts as a loop held up. So a drain
+     * that lies unread behind a request for half of its grace is read first.
+     */
+    private static final double GRACE_PART = 0.25;
+
+    private final Clock clock;
+    private final TimerQueue timers;
+    private final ConfigGenerations generations;
+    private final Runnable onBeat;
+    private double lastBeatMs;
+
+    LoopHeartbeat(Clock clock, TimerQueue timers, ConfigGenerations generations, Runnable onBeat) {
+        this.clock = clock;
+        this.timers = timers;
+        this.generations = generations;
+        this.onBeat = onBeat;
+        lastBeatMs = clock.now();
+    }
+
+    /** Schedules the next beat. */
+    void schedule() {
+        timers.schedule(intervalMs(), this);
+    }
+
+    /** Whether the loop has missed a beat, so that input of that time may not have been read yet. */
+    boolean isLoopHeldUp(double nowMs) {
+        return nowMs - lastBeatMs > 2 * intervalMs();
+    }
+
+    private double intervalMs() {
+        double part = GRACE_PART * generations.newest().settings.duties().drainGraceMs();
+        return Math.max(MIN_INTERVAL_MS, Math.min(MAX_INTERVAL_MS, part));
+    }
+
+    @Override
+    void onExpiry() {
+        lastBeatMs = clock.now();
+        onBeat.run();
+        schedule();
+    }
+}
--- /dev/null
+++ b/gateway/src/main/java/opalcove/core/StreamedResponses.java
@@ -0,0 +1,70 @@
+package opalcove.core;
+
+import opalcove.config.Clock;
+import opalcove.decision.AttemptOutcome;
+import opalcove.decision.AttemptStatus;
+
+/**
+ * Responses whose value is too long to be gathered and is streamed to the client while it comes. Used on the event loop
+ * only.
+ */
+final class StreamedResponses {
+    private final Clock clock;
+    private final TimerQueue timers;
+    private final TurnQueue turns;
+    private final InFlightRequests requests;
+    private final ResponseCounts responseCounts;
+
+    StreamedResponses(CoreParts parts, ResponseCounts responseCounts) {
+        clock = parts.clock();
+        timers = parts.timers();
+        turns = parts.turns();
+        requests = parts.requests();
+        this.responseCounts = responseCounts;
+    }
+
+    /**
+     * A streamed value has begun. It is the final response, for what was forwarded cannot be taken back: to the module
+     * the attempt is served now, whatever time the client takes to read, and its figures follow at the end.
+     */
+    boolean began(InFlightRequest inFlight, InFlightRequest.Attempt attempt, StreamedValue value) {
+        if (!inFlight.stream(attempt, value)) {
+            return false;
+        }
+        timers.cancel(inFlight.deadline());
+        double nowMs = clock.now();
+        turns.run(() -> inFlight.generation.module.outcome(
+                nowMs,
+                new AttemptOutcome(
+                        inFlight.request.id(),
+                        attempt.backend.name(),
+                        attempt.number,
+                        AttemptStatus.SERVED,
+                        nowMs - attempt.startedAtMs,
+                        true,
+                        -1,
+                        0,
+                        null)));
+        return true;
+    }
+
+    /** The attempt whose value was streamed has ended, the value complete or truncated. */
+    void ended(InFlightRequest inFlight, AttemptResult result) {
+        inFlight.streaming.attempt().result = result.result();
+        turns.run(() -> {
+            if (!inFlight.over) {
+                requests.close(inFlight);
+                responseCounts.count(
+                        inFlight.requestClass.name(),
+                        inFlight.streaming.value().isComplete()
+                                ? new Response.Served(null)
+                                : new Response.Failed("cut"));
+                inFlight.finish(null);
+            }
+            if (result.result() == AttemptStatus.SERVED) {
+                inFlight.generation.module.settled(
+                        clock.now(), inFlight.admissionRequest(), result.quotaUsedPercent(), result.actualUnits());
+            }
+        });
+    }
+}
--- a/gateway/src/main/java/opalcove/resp/RespServer.java
+++ b/gateway/src/main/java/opalcove/resp/RespServer.java
@@ -23,7 +23,9 @@
 import opalcove.core.InvalidRequestException;
 import opalcove.core.Request;
 import opalcove.core.RequestDispatcher;
+import opalcove.core.RequestHandle;
 import opalcove.core.Response;
+import opalcove.core.ResponseHandler;
 import opalcove.core.StreamedValue;
 import opalcove.lifecycle.Application;
 import opalcove.lifecycle.Lifecycle;
@@ -271,9 +273,9 @@
     }
 
     /** One command, and room for its answer. */
-    private final class Slot implements RequestDispatcher.ResponseHandler {
+    private final class Slot implements ResponseHandler {
         private final Terminal client;
-        private RequestDispatcher.RequestHandle request;
+        private RequestHandle request;
         private ByteBuf body;
         private boolean responded;
         /** The answer's bytes, where its turn has not come. */
@@ -451,7 +453,7 @@
         private void abandon(String cause) {
             Logger.warn("a value of {} bytes is given up: {}", value.length(), cause);
             abandoned = true;
-            RequestDispatcher.RequestHandle request = slot.request;
+            RequestHandle request = slot.request;
             drop();
             slot.client.line(slot, "-ERR failed");
             if (request != null) {
--- a/mqtt/src/main/java/opalcove/mqtt/MqttRequestServer.java
+++ b/mqtt/src/main/java/opalcove/mqtt/MqttRequestServer.java
@@ -26,7 +26,9 @@
 import opalcove.core.InvalidRequestException;
 import opalcove.core.Request;
 import opalcove.core.RequestDispatcher;
+import opalcove.core.RequestHandle;
 import opalcove.core.Response;
+import opalcove.core.ResponseHandler;
 import opalcove.decision.Idempotency;
 import opalcove.lifecycle.Lifecycle;
 import org.tinylog.Logger;
@@ -108,9 +110,9 @@
     }
 
     /** An ask under way, and the connection and packet by which it was delivered last. */
-    private final class OpenAsk implements RequestDispatcher.ResponseHandler {
+    private final class OpenAsk implements ResponseHandler {
         final String id;
-        RequestDispatcher.RequestHandle underWay;
+        RequestHandle underWay;
         double until;
         final String responseTopic;
         final byte[] correlation;
