--- a/gateway/src/main/java/opalcove/core/AttemptResult.java
+++ b/gateway/src/main/java/opalcove/core/AttemptResult.java
@@ -4,12 +4,16 @@
 import opalcove.decision.AttemptStatus;
 
 /**
- * How an attempt at an app node ended. The value is null unless it was served; usedPercent is below 0 and trueUnits 0
- * where the node told none; load is null without a report.
+ * How an attempt at a backend ended.
+ *
+ * @param value null unless it was served; lent for the time of the call that brings it
+ * @param quotaUsedPercent the tenant's use of its quota as the backend reports it; below 0 where it does not
+ * @param actualUnits the units that the request has cost; 0 where not reported
+ * @param loadReport null where none came
  */
 public record AttemptResult(
-        AttemptStatus result, ByteBuf value, int quotaUsedPercent, double actualUnits, double[] loadReport) {
-    /** An end of which the node told nothing. */
+        AttemptStatus status, ByteBuf value, int quotaUsedPercent, double actualUnits, double[] loadReport) {
+    /** An end of which the backend reported nothing. */
     public static AttemptResult withoutReport(AttemptStatus result) {
         return new AttemptResult(result, null, -1, 0, null);
     }
--- a/gateway/src/main/java/opalcove/core/BackendDirectory.java
+++ b/gateway/src/main/java/opalcove/core/BackendDirectory.java
@@ -58,7 +58,7 @@
 
     /** Hands a new generation's module the list as it is. */
     void introduceTo(ConfigGeneration generation) {
-        List<Endpoint> local = starts.hosts(endpoints.all());
+        List<Endpoint> local = starts.localEndpoints(endpoints.all());
         turns.run(() -> generation.module.hosts(clock.now(), true, local));
     }
 
--- a/gateway/src/main/java/opalcove/core/EndpointList.java
+++ b/gateway/src/main/java/opalcove/core/EndpointList.java
@@ -7,41 +7,44 @@
 import opalcove.config.Backend;
 import opalcove.decision.EndpointState;
 
-/** The node list as this gateway was last told it. */
+/** The endpoint list as last received. Used on the event loop only. */
 final class EndpointList {
     private final Map<String, Backend> backends = new LinkedHashMap<>();
 
-    /** Takes in the whole list or the changed lines; gives the nodes that took new work before and do not now, or elsewhere. */
-    List<Backend> update(boolean whole, List<Backend> lines) {
+    /**
+     * Takes in the complete list or its changed entries; gives the backends that took new requests before and now do
+     * not, or do so at another address.
+     */
+    List<Backend> update(boolean complete, List<Backend> entries) {
         Map<String, Backend> before = new LinkedHashMap<>(backends);
-        if (whole) {
+        if (complete) {
             backends.clear();
         }
-        for (Backend line : lines) {
-            if (line.host().state() == EndpointState.REMOVED) {
-                backends.remove(line.name());
+        for (Backend entry : entries) {
+            if (entry.host().state() == EndpointState.REMOVED) {
+                backends.remove(entry.name());
             } else {
-                backends.put(line.name(), line);
+                backends.put(entry.name(), entry);
             }
         }
-        List<Backend> left = new ArrayList<>();
+        List<Backend> withdrawn = new ArrayList<>();
         before.forEach((name, backend) -> {
-            Backend now = available(name);
+            Backend current = available(name);
             if (backend.host().state() == EndpointState.UP
-                    && (now == null || !now.address().equals(backend.address()))) {
-                left.add(backend);
+                    && (current == null || !current.address().equals(backend.address()))) {
+                withdrawn.add(backend);
             }
         });
-        return left;
+        return withdrawn;
     }
 
-    /** The node if the list says that it takes new work, else null. */
+    /** The backend where the list says that it takes new requests, else null. */
     Backend available(String name) {
         Backend backend = backends.get(name);
         return backend != null && backend.host().state() == EndpointState.UP ? backend : null;
     }
 
-    /** All nodes that the list names. */
+    /** All backends that the list names. */
     List<Backend> all() {
         return List.copyOf(backends.values());
     }
--- a/gateway/src/main/java/opalcove/core/InFlightRequest.java
+++ b/gateway/src/main/java/opalcove/core/InFlightRequest.java
@@ -26,7 +26,7 @@
         final int number;
         final double startedAtMs;
         BackendTransport.Attempt inProgress;
-        AttemptStatus result;
+        AttemptStatus status;
 
         Attempt(Backend backend, double startedAtMs) {
             this.backend = backend;
@@ -36,7 +36,7 @@
 
         /** Whether the backend may have executed it. */
         boolean mayHaveRun() {
-            return result == null || !result.neverRan;
+            return status == null || !status.neverRan;
         }
 
         @Override
@@ -154,7 +154,7 @@
 
     /** Binds the request to a value that has begun to come; false where the handler does not take it. */
     boolean stream(Attempt attempt, StreamedValue value) {
-        if (over || streaming != null || attempt.result != null || !handler.acceptsStreamedValue(value)) {
+        if (over || streaming != null || attempt.status != null || !handler.acceptsStreamedValue(value)) {
             return false;
         }
         streaming = new Streaming(attempt, value);
@@ -183,7 +183,7 @@
     int attemptsOut() {
         int out = 0;
         for (int i = 0; i < attempts.size(); i++) {
-            if (attempts.get(i).result == null) {
+            if (attempts.get(i).status == null) {
                 out++;
             }
         }
--- a/gateway/src/main/java/opalcove/core/ModuleActions.java
+++ b/gateway/src/main/java/opalcove/core/ModuleActions.java
@@ -86,7 +86,7 @@
         InFlightRequest.Attempt unwanted = inFlight.attempts.get(attempt);
         // Guards the value that is being streamed; a hedged attempt beside it may be cancelled.
         boolean streaming = inFlight.streaming != null && inFlight.streaming.attempt() == unwanted;
-        if (!streaming && unwanted.result == null) {
+        if (!streaming && unwanted.status == null) {
             counters.cancelled++;
             turns.append(unwanted.inProgress::cancel);
         }
--- a/gateway/src/main/java/opalcove/core/Request.java
+++ b/gateway/src/main/java/opalcove/core/Request.java
@@ -3,10 +3,14 @@
 import io.netty.buffer.ByteBuf;
 
 /**
- * What a terminal asks of its operator's app, in no wire's words. waitMs is how long the terminal waits, counted from
- * when the ask was taken; key is the repeat key of a keyed class or null; the operator's asks come in through
- * {@code gateways} gateways in a row, the first of them numbered firstGateway. The body is null in a class
- * that is safe to repeat.
+ * A client's request to the app of its tenant, independent of any wire.
+ *
+ * @param timeoutMs how long the client waits, counted from when the request was received
+ * @param idempotencyKey the key of a class whose repeats are recognised by it, else null
+ * @param retry whether the client has sent it before
+ * @param gatewayCount the tenant's requests come in through this many gateways in a row
+ * @param firstGateway the number of the first of them
+ * @param body null in a class that is safe to repeat
  */
 public record Request(
         String id,
@@ -20,7 +24,7 @@
         int gatewayCount,
         int firstGateway,
         ByteBuf body) {
-    /** The same ask of a terminal that waits so long. */
+    /** The same request of a client that waits so long; itself where nothing changes. */
     Request withTimeoutMs(double ms) {
         return ms == timeoutMs
                 ? this
--- a/gateway/src/main/java/opalcove/core/RequestLifecycle.java
+++ b/gateway/src/main/java/opalcove/core/RequestLifecycle.java
@@ -249,13 +249,13 @@
 
     /** An attempt was started and has ended. */
     void attemptEnded(InFlightRequest inFlight, InFlightRequest.Attempt attempt, AttemptResult result) {
-        counters.ended(result.result());
+        counters.ended(result.status());
         if (inFlight.streaming != null && inFlight.streaming.attempt() == attempt) {
             streamedResponses.ended(inFlight, result);
             return;
         }
         // Guards a backend against blame for a connection that only had no time to come up: its client left meanwhile.
-        boolean blameless = inFlight.clientLeft && result.result() == AttemptStatus.UNREACHABLE;
+        boolean blameless = inFlight.clientLeft && result.status() == AttemptStatus.UNREACHABLE;
         reportOutcome(
                 inFlight,
                 attempt,
@@ -266,8 +266,8 @@
     /** Notifies the module of an attempt's end. A served value is final; else the module's next step follows. */
     private void reportOutcome(
             InFlightRequest inFlight, InFlightRequest.Attempt attempt, String backend, AttemptResult result) {
-        attempt.result = result.result();
-        boolean served = result.result() == AttemptStatus.SERVED;
+        attempt.status = result.status();
+        boolean served = result.status() == AttemptStatus.SERVED;
         // Guards a lent value against being read when it is no longer valid: this turn may run later.
         ByteBuf value = served && turns.isRunning() ? Unpooled.copiedBuffer(result.value()) : result.value();
         double nowMs = clock.now();
@@ -283,7 +283,7 @@
                             inFlight.request.id(),
                             backend,
                             attempt.number,
-                            result.result(),
+                            result.status(),
                             nowMs - attempt.startedAtMs,
                             inFlight.over,
                             result.quotaUsedPercent(),
@@ -304,7 +304,7 @@
         // By index: an iterator would be an object for each request.
         for (int i = 0; i < inFlight.attempts.size(); i++) {
             InFlightRequest.Attempt hedge = inFlight.attempts.get(i);
-            if (hedge.result == null) {
+            if (hedge.status == null) {
                 counters.cancelled++;
                 turns.append(hedge.inProgress::cancel);
             }
@@ -320,7 +320,7 @@
     void deadlineExpired(InFlightRequest inFlight) {
         if (inFlight.over) {
             List.copyOf(inFlight.attempts).stream()
-                    .filter(attempt -> attempt.result == null)
+                    .filter(attempt -> attempt.status == null)
                     .forEach(late -> {
                         counters.cancelled++;
                         late.inProgress.cancel();
--- a/gateway/src/main/java/opalcove/core/RequestParameters.java
+++ b/gateway/src/main/java/opalcove/core/RequestParameters.java
@@ -2,7 +2,7 @@
 
 import java.util.Map;
 
-/** The names and values that came along with an ask, whatever the wire. */
+/** The names and values that came with a request, whatever the wire. */
 public final class RequestParameters {
     private final Map<String, String> values;
 
@@ -34,7 +34,7 @@
         return decimal(required(name), name);
     }
 
-    /** A whole number, plain digits alone. */
+    /** A whole number in plain digits. */
     public int integer(String name) throws InvalidRequestException {
         double value = number(name);
         if (value != Math.rint(value)) {
--- a/gateway/src/main/java/opalcove/core/RequestValidator.java
+++ b/gateway/src/main/java/opalcove/core/RequestValidator.java
@@ -9,14 +9,14 @@
 import opalcove.decision.Idempotency;
 
 /**
- * What an ask must be like under this deployment's settings, whatever the wire it came by. Guards the module's books on
- * a usual operator against figures that none of its terminals would send under its name.
+ * What a request must be like under this deployment's settings, whatever its wire. Guards the module's records of a
+ * usual tenant against figures that none of its clients would send under its name. Immutable.
  */
 public final class RequestValidator {
-    /** Operators are numbers below this. */
-    private static final long OPERATORS = 1L << 33;
+    /** Tenants are numbers below this. */
+    private static final long TENANT_LIMIT = 1L << 33;
 
-    private static final int LONGEST_KEY = 64;
+    private static final int MAX_KEY_LENGTH = 64;
 
     private final Map<String, DecisionSettings.RequestClass> classes = new HashMap<>();
     private final Set<String> plans = new HashSet<>();
@@ -25,13 +25,13 @@
 
     /** Checks requests by these settings. */
     public RequestValidator(DecisionSettings settings) {
-        settings.classes().forEach(c -> classes.put(c.name(), c));
-        settings.plans().forEach(p -> plans.add(p.name()));
+        settings.classes().forEach(requestClass -> classes.put(requestClass.name(), requestClass));
+        settings.plans().forEach(plan -> plans.add(plan.name()));
         gateways = settings.gateways();
         maxUnits = settings.limits().maxUnits();
     }
 
-    /** The names of the classes, for a front that reads them from bytes. */
+    /** The names of the classes, for a front end that reads them from bytes. */
     public List<String> classNames() {
         return List.copyOf(classes.keySet());
     }
@@ -41,7 +41,11 @@
         return List.copyOf(plans);
     }
 
-    /** The class of that name. */
+    /**
+     * The class of that name.
+     *
+     * @throws InvalidRequestException if there is none
+     */
     public DecisionSettings.RequestClass requestClass(String name) throws InvalidRequestException {
         DecisionSettings.RequestClass known = classes.get(name);
         if (known == null) {
@@ -50,36 +54,43 @@
         return known;
     }
 
-    /** The ask as it is, if it may be taken. */
+    /**
+     * Gives the request back where it may be accepted.
+     *
+     * @throws InvalidRequestException if not; the message is sent to the client
+     */
     public Request validate(Request request) throws InvalidRequestException {
         DecisionSettings.RequestClass known = requestClass(request.requestClass());
-        need(plans.contains(request.plan()), "unknown plan");
-        need(
+        require(plans.contains(request.plan()), "unknown plan");
+        require(
                 Long.compareUnsigned(
                                 Long.parseUnsignedLong(RequestParameters.hexId(request.tenant(), "the operator"), 16),
-                                OPERATORS)
+                                TENANT_LIMIT)
                         < 0,
                 "the operator is out of range");
-        need(request.units() > 0 && request.units() <= maxUnits, "the units are out of range");
-        need(request.timeoutMs() > 0 && request.timeoutMs() <= known.deadlineMs(), "the time to wait is out of range");
-        need(
+        require(request.units() > 0 && request.units() <= maxUnits, "the units are out of range");
+        require(
+                request.timeoutMs() > 0 && request.timeoutMs() <= known.deadlineMs(),
+                "the time to wait is out of range");
+        require(
                 request.gatewayCount() >= 1
                         && request.gatewayCount() <= gateways
                         && request.firstGateway() >= 0
                         && request.firstGateway() < gateways,
                 "the operator's gateways are out of range");
-        need(
+        require(
                 (request.idempotencyKey() == null) != (known.effect() == Idempotency.KEYED),
                 "a key for a class without, or none");
-        // A comma would end the key on the wire to an app node.
-        need(
+        // A comma would end the key on the wire to a backend.
+        require(
                 request.idempotencyKey() == null
-                        || request.idempotencyKey().length() <= LONGEST_KEY && passesOn(request.idempotencyKey()),
+                        || request.idempotencyKey().length() <= MAX_KEY_LENGTH
+                                && isForwardable(request.idempotencyKey()),
                 "the key cannot be passed on");
         return request;
     }
 
-    private static boolean passesOn(String key) {
+    private static boolean isForwardable(String key) {
         for (int i = 0; i < key.length(); i++) {
             if (key.charAt(i) <= ' ' || key.charAt(i) > '~' || key.charAt(i) == ',') {
                 return false;
@@ -88,9 +99,9 @@
         return true;
     }
 
-    private static void need(boolean holds, String otherwise) throws InvalidRequestException {
+    private static void require(boolean holds, String reason) throws InvalidRequestException {
         if (!holds) {
-            throw new InvalidRequestException(otherwise);
+            throw new InvalidRequestException(reason);
         }
     }
 }
--- a/gateway/src/main/java/opalcove/core/SlowStartTimes.java
+++ b/gateway/src/main/java/opalcove/core/SlowStartTimes.java
@@ -9,101 +9,104 @@
 import opalcove.decision.Endpoint;
 
 /**
- * When nodes have started, by this machine's clock. A list tells it by another machine's clock, which may be apart from this
- * one by any time, forward or back, and may be stepped; so a start is turned into an age when it is told, once, and the age
- * is bounded by what was seen:
+ * When backends have started, by this machine's clock. The list gives start times of another machine's clock, which may
+ * differ from this one by any time, forward or back, and may be stepped; so a start is turned into an age once, when it is
+ * received, and the age is bounded by what was observed:
  *
  * <ul>
- *   <li>A node that starts anew while discovery is followed, or joins its list then, has started since discovery was last
- *       heard, but for the time in which it learns what it tells. An age beyond that, or below 0, shows that the clocks are
- *       apart: then it has started when it was told.
- *   <li>Of the first list nothing was seen before. Where discovery's own time came with it, ages are by that time; else no
- *       node can have started later than discovery's now, so where the youngest start lies ahead of this machine's clock,
- *       ages are counted back from the youngest.
+ *   <li>A backend that restarts, or joins the list, while the source is followed has started since the source was last
+ *       reached, but for the delay of its report. An age beyond that, or below 0, shows that the clocks differ: then it
+ *       counts as started when the report came.
+ *   <li>Before the first list nothing was observed. Where the source's own time came with it, ages are by that time; else no
+ *       backend can have started later than the source's now, so where the youngest start lies ahead of this machine's
+ *       clock, ages are counted back from the youngest.
  * </ul>
  *
- * <p>Free of I/O; the times are its caller's.
+ * <p>Free of I/O; the times are its caller's. Used on the event loop only.
  */
 final class SlowStartTimes {
-    /** What discovery has to tell counts as told so much later at the latest, ms. */
-    private static final double TOLD_WITHIN_MS = 6000;
-    /** A start that is told as this is long ago. */
+    /** A start may be reported this much later than it happened, ms. */
+    private static final double MAX_REPORT_DELAY_MS = 6000;
+    /** The reported start time that stands for long ago. */
     private static final double LONG_AGO = 0;
 
-    /** A node's start as the list told it, and by this machine's clock. */
-    private record Start(double told, double local) {}
+    /** A start as the list reported it, and by this machine's clock, ms. */
+    private record Start(double reportedMs, double localMs) {}
 
     private final Map<String, Start> starts = new HashMap<>();
-    /** When discovery was last heard; negative before that, when the nodes known are those of an earlier process. */
-    private double heardAt = -1;
+    /**
+     * When the endpoint source was last reached; negative before that, when the backends known are those of an earlier
+     * process, ms.
+     */
+    private double lastContactMs = -1;
 
     private int implausibleStarts;
 
-    /** Discovery was heard, with or without news; told after the news. */
-    void sourceContacted(double now) {
-        heardAt = now;
+    /** The endpoint source was reached, with or without changes; called after {@link #update}. */
+    void sourceContacted(double nowMs) {
+        lastContactMs = nowMs;
     }
 
-    /** Starts that were told so that the clocks must be apart. */
+    /** How many reported starts were impossible by this machine's clock, so that the clocks must differ. */
     int implausibleStarts() {
         return implausibleStarts;
     }
 
     /**
-     * Takes in the whole list, or its changed lines, now; gives their hosts with the starts by this machine's clock.
+     * Takes in the complete list, or its changed entries; gives them with their starts by this machine's clock.
      *
-     * @param discoveryNow discovery's own time as it gave the list, or 0 where it is not known
+     * @param discoveryNow the source's own time as it gave the list, or 0 where it is not known
      */
-    List<Endpoint> update(boolean whole, List<Backend> lines, double now, double discoveryNow) {
-        double reference = reference(lines, now, discoveryNow);
-        for (Backend line : lines) {
-            starts.put(line.name(), start(line, now, reference));
+    List<Endpoint> update(boolean complete, List<Backend> entries, double nowMs, double sourceNowMs) {
+        double referenceMs = reference(entries, nowMs, sourceNowMs);
+        for (Backend entry : entries) {
+            starts.put(entry.name(), start(entry, nowMs, referenceMs));
         }
-        if (whole) {
+        if (complete) {
             Set<String> listed = new HashSet<>();
-            lines.forEach(line -> listed.add(line.name()));
+            entries.forEach(entry -> listed.add(entry.name()));
             starts.keySet().retainAll(listed);
         }
-        return hosts(lines);
+        return localEndpoints(entries);
     }
 
-    /** The hosts of nodes that were told before. */
-    List<Endpoint> hosts(List<Backend> backends) {
+    /** The endpoints of backends that were taken in before, with their starts by this machine's clock. */
+    List<Endpoint> localEndpoints(List<Backend> backends) {
         return backends.stream()
                 .map(backend ->
-                        backend.host().started(starts.get(backend.name()).local()))
+                        backend.host().started(starts.get(backend.name()).localMs()))
                 .toList();
     }
 
-    /** What the starts are compared with. */
-    private double reference(List<Backend> lines, double now, double discoveryNow) {
-        if (discoveryNow > 0) {
-            return discoveryNow;
+    /** The time that the reported starts are compared with, ms. */
+    private double reference(List<Backend> entries, double nowMs, double sourceNowMs) {
+        if (sourceNowMs > 0) {
+            return sourceNowMs;
         }
-        if (heardAt >= 0) {
-            return now;
+        if (lastContactMs >= 0) {
+            return nowMs;
         }
-        double youngest = lines.stream()
-                .mapToDouble(line -> line.host().startedMs())
+        double youngest = entries.stream()
+                .mapToDouble(entry -> entry.host().startedMs())
                 .max()
                 .orElse(LONG_AGO);
-        return Math.max(now, youngest);
+        return Math.max(nowMs, youngest);
     }
 
-    private Start start(Backend line, double now, double reference) {
-        double told = line.host().startedMs();
-        Start before = starts.get(line.name());
-        if (before != null && before.told() == told) {
+    private Start start(Backend entry, double nowMs, double referenceMs) {
+        double reportedMs = entry.host().startedMs();
+        Start before = starts.get(entry.name());
+        if (before != null && before.reportedMs() == reportedMs) {
             return before;
         }
-        if (told == LONG_AGO) {
-            return new Start(told, LONG_AGO);
+        if (reportedMs == LONG_AGO) {
+            return new Start(reportedMs, LONG_AGO);
         }
-        double age = reference - told;
-        if (heardAt >= 0 && (age < 0 || age > now - heardAt + TOLD_WITHIN_MS)) {
+        double ageMs = referenceMs - reportedMs;
+        if (lastContactMs >= 0 && (ageMs < 0 || ageMs > nowMs - lastContactMs + MAX_REPORT_DELAY_MS)) {
             implausibleStarts++;
-            age = 0;
+            ageMs = 0;
         }
-        return new Start(told, now - Math.max(0, age));
+        return new Start(reportedMs, nowMs - Math.max(0, ageMs));
     }
 }
--- a/gateway/src/main/java/opalcove/core/StreamedResponses.java
+++ b/gateway/src/main/java/opalcove/core/StreamedResponses.java
@@ -50,7 +50,7 @@
 
     /** The attempt whose value was streamed has ended, the value complete or truncated. */
     void ended(InFlightRequest inFlight, AttemptResult result) {
-        inFlight.streaming.attempt().result = result.result();
+        inFlight.streaming.attempt().status = result.status();
         turns.run(() -> {
             if (!inFlight.over) {
                 requests.close(inFlight);
@@ -61,7 +61,7 @@
                                 : new Response.Failed("cut"));
                 inFlight.finish(null);
             }
-            if (result.result() == AttemptStatus.SERVED) {
+            if (result.status() == AttemptStatus.SERVED) {
                 inFlight.generation.module.settled(
                         clock.now(), inFlight.admissionRequest(), result.quotaUsedPercent(), result.actualUnits());
             }
--- a/gateway/src/main/java/opalcove/core/StreamedValue.java
+++ b/gateway/src/main/java/opalcove/core/StreamedValue.java
@@ -3,23 +3,23 @@
 import io.netty.buffer.ByteBuf;
 
 /**
- * A value too long to be gathered, passed on while an app node gives it. Its parts come in order, on the event loop; who
- * takes them says when to go on reading, so that no more of it is held here than one read brings.
+ * A value too long to be gathered, forwarded while a backend sends it. Its parts come in order, on the event loop; the
+ * sink says when to read on, so that no more of it is held here than one read brings.
  */
 public interface StreamedValue {
-    /** The whole value's length, bytes. */
+    /** The length of the complete value, bytes. */
     int length();
 
-    /** Names who takes the parts; called once, before any part. */
+    /** Sets the receiver of the parts; called once, before any part. */
     void deliverTo(Sink sink);
 
-    /** Whether more of it is read; a part that was read already still comes. */
-    void setReading(boolean yes);
+    /** Starts or stops reading; a part that was read already is still delivered. */
+    void setReading(boolean enabled);
 
     /** Whether all of it has come. */
     boolean isComplete();
 
-    /** Takes a long value. */
+    /** Receives a streamed value. */
     interface Sink {
         /** The next part; it is the sink's to release. */
         void onPart(ByteBuf bytes);
--- a/gateway/src/main/java/opalcove/core/TimerQueue.java
+++ b/gateway/src/main/java/opalcove/core/TimerQueue.java
@@ -5,17 +5,18 @@
 import opalcove.config.Clock;
 
 /**
- * Many alarms on one timer of Vert.x. Nearly all are cancelled before they are due, and then leave the queue at once:
- * it holds what is set and no more. The event loop is woken only for the earliest. A binary heap in which each alarm
- * knows its place, so that setting and cancelling take O(log n) of the alarms that are set.
+ * Many timers on one timer of Vert.x. Nearly all are cancelled before they expire, and then leave the queue at once:
+ * it holds what is scheduled and no more. The event loop is woken only for the earliest. A binary heap in which each
+ * timer knows its index, so that scheduling and cancelling take O(log n) of the timers scheduled. Used on the event
+ * loop only.
  */
 final class TimerQueue {
-    /** Something to be done at its time, set once. */
+    /** An action to be run at its time, scheduled once. */
     abstract static class Timer {
-        private double due;
-        private int place = -1;
+        private double dueMs;
+        private int index = -1;
 
-        /** Its time has come. */
+        /** Runs once its time has come. */
         abstract void onExpiry();
     }
 
@@ -23,42 +24,42 @@
     private final Clock clock;
     private Timer[] heap = new Timer[64];
     private int size;
-    private double armedFor = Double.MAX_VALUE;
-    private long timer = -1;
+    private double armedForMs = Double.MAX_VALUE;
+    private long vertxTimer = -1;
 
     TimerQueue(Vertx vertx, Clock clock) {
         this.vertx = vertx;
         this.clock = clock;
     }
 
-    /** Rings the alarm once, never before this call has returned. */
-    void schedule(double afterMs, Timer alarm) {
-        scheduleAt(clock.now() + afterMs, alarm);
+    /** Schedules the timer to expire once, never before this call has returned. */
+    void schedule(double afterMs, Timer timer) {
+        scheduleAt(clock.now() + afterMs, timer);
     }
 
-    /** Rings the alarm once, at that time of the clock or as soon after as may be. */
-    void scheduleAt(double due, Timer alarm) {
-        alarm.due = due;
+    /** Schedules the timer to expire once, at that time of the clock or as soon after as possible. */
+    void scheduleAt(double dueMs, Timer timer) {
+        timer.dueMs = dueMs;
         if (size == heap.length) {
             heap = Arrays.copyOf(heap, 2 * size);
         }
-        rise(alarm, size++);
+        rise(timer, size++);
         arm();
     }
 
-    /** It will not ring; one that has rung or is not set stays as it is. */
-    void cancel(Timer alarm) {
-        if (alarm.place < 0) {
+    /** It will not expire; one that has expired or is not scheduled stays as it is. */
+    void cancel(Timer timer) {
+        if (timer.index < 0) {
             return;
         }
-        int place = alarm.place;
-        alarm.place = -1;
+        int index = timer.index;
+        timer.index = -1;
         Timer last = heap[--size];
         heap[size] = null;
-        if (last != alarm) {
-            sink(last, place);
-            if (heap[place] == last) {
-                rise(last, place);
+        if (last != timer) {
+            sink(last, index);
+            if (heap[index] == last) {
+                rise(last, index);
             }
         }
         if (heap.length > 64 && size < heap.length / 4) {
@@ -66,67 +67,67 @@
         }
     }
 
-    /** How many are set. */
+    /** How many are scheduled. */
     int size() {
         return size;
     }
 
-    private void rise(Timer alarm, int from) {
-        int place = from;
-        while (place > 0 && heap[(place - 1) / 2].due > alarm.due) {
-            put(heap[(place - 1) / 2], place);
-            place = (place - 1) / 2;
+    private void rise(Timer timer, int from) {
+        int index = from;
+        while (index > 0 && heap[(index - 1) / 2].dueMs > timer.dueMs) {
+            place(heap[(index - 1) / 2], index);
+            index = (index - 1) / 2;
         }
-        put(alarm, place);
+        place(timer, index);
     }
 
-    private void sink(Timer alarm, int from) {
-        int place = from;
-        while (2 * place + 1 < size) {
-            int child = earlierChild(place);
-            if (heap[child].due >= alarm.due) {
+    private void sink(Timer timer, int from) {
+        int index = from;
+        while (2 * index + 1 < size) {
+            int child = earlierChild(index);
+            if (heap[child].dueMs >= timer.dueMs) {
                 break;
             }
-            put(heap[child], place);
-            place = child;
+            place(heap[child], index);
+            index = child;
         }
-        put(alarm, place);
+        place(timer, index);
     }
 
-    /** The child of a place that is due first; the place has a child at least. */
-    private int earlierChild(int place) {
-        int left = 2 * place + 1;
+    /** The child of an index that is due first; the index has at least one child. */
+    private int earlierChild(int index) {
+        int left = 2 * index + 1;
         int right = left + 1;
-        return right < size && heap[right].due < heap[left].due ? right : left;
+        return right < size && heap[right].dueMs < heap[left].dueMs ? right : left;
     }
 
-    private void put(Timer alarm, int place) {
-        heap[place] = alarm;
-        alarm.place = place;
+    private void place(Timer timer, int index) {
+        heap[index] = timer;
+        timer.index = index;
     }
 
     private void arm() {
-        if (size == 0 || heap[0].due >= armedFor) {
+        if (size == 0 || heap[0].dueMs >= armedForMs) {
             return;
         }
-        if (armedFor < Double.MAX_VALUE) {
-            vertx.cancelTimer(timer);
+        if (armedForMs < Double.MAX_VALUE) {
+            vertx.cancelTimer(vertxTimer);
         }
-        armedFor = heap[0].due;
-        timer = vertx.setTimer(Math.max(1, (long) Math.ceil(armedFor - clock.now())), fired -> ring());
+        armedForMs = heap[0].dueMs;
+        vertxTimer = vertx.setTimer(Math.max(1, (long) Math.ceil(armedForMs - clock.now())), fired -> expire());
     }
 
-    private void ring() {
-        armedFor = Double.MAX_VALUE;
-        double now = clock.now();
+    private void expire() {
+        armedForMs = Double.MAX_VALUE;
+        double nowMs = clock.now();
         try {
-            while (size > 0 && heap[0].due <= now) {
+            while (size > 0 && heap[0].dueMs <= nowMs) {
                 Timer next = heap[0];
                 cancel(next);
                 next.onExpiry();
             }
         } finally {
-            // Guards all other asks' deadlines against a slip in one alarm: unarmed, none would ring again.
+            // Guards all other requests' deadlines against a fault in one timer: unarmed, none would expire again.
             arm();
         }
     }
--- a/gateway/src/test/java/opalcove/backend/LocalConnectFailureTest.java
+++ b/gateway/src/test/java/opalcove/backend/LocalConnectFailureTest.java
@@ -57,7 +57,7 @@
         vertx.runOnContext(run -> {
             ConnectionPool pool = new ConnectionPool(vertx, TestSettings.settings(), this::dial, most);
             pool.onLocalConnectFailure(told::add);
-            pool.startAttempt(NODE, ASK, 4000, end -> ends.add(end.result()));
+            pool.startAttempt(NODE, ASK, 4000, end -> ends.add(end.status()));
         });
     }
 
--- a/gateway/src/test/java/opalcove/core/HedgedRequestTest.java
+++ b/gateway/src/test/java/opalcove/core/HedgedRequestTest.java
@@ -60,25 +60,25 @@
 
     @Test
     public void theGuardLetsOneCopyOutWhereCopiesAreAllowedAndNoneElsewhere() {
-        assertEquals(objections(true), "null, null, 2 of its attempts still out");
-        assertEquals(objections(false), "null, 1 of its attempts still out, 1 of its attempts still out");
+        assertEquals(vetoes(true), "null, null, 2 of its attempts still out");
+        assertEquals(vetoes(false), "null, 1 of its attempts still out, 1 of its attempts still out");
     }
 
     /** What the guard says to a first attempt, a second and a third while all before are out. */
-    private static String objections(boolean copies) {
+    private static String vetoes(boolean copies) {
         DecisionSettings settings = settings(copies);
         EndpointList backends = new EndpointList();
         backends.update(true, List.of(backend("n1"), backend("n2"), backend("n3")));
         AttemptGuard guards = new AttemptGuard(settings, backends);
         InFlightRequest inFlight = new InFlightRequest(
                 null, null, request("a1"), settings.classes().get(0), null, 0);
-        List<String> objections = new ArrayList<>();
+        List<String> vetoes = new ArrayList<>();
         for (String name : List.of("n1", "n2", "n3")) {
-            AttemptGuard.Veto objection = guards.vetoAttempt(inFlight, name, 0);
-            objections.add(objection == null ? "null" : objection.cause());
+            AttemptGuard.Veto veto = guards.vetoAttempt(inFlight, name, 0);
+            vetoes.add(veto == null ? "null" : veto.cause());
             inFlight.attempts.add(inFlight.new Attempt(backends.available(name), 0));
         }
-        return String.join(", ", objections);
+        return String.join(", ", vetoes);
     }
 
     /** Has requests hang, after some that were served at once, until one of them has two attempts out. */
--- a/mqtt/src/test/java/opalcove/mqtt/MessageFormTest.java
+++ b/mqtt/src/test/java/opalcove/mqtt/MessageFormTest.java
@@ -193,7 +193,7 @@
     public void whatANodesAnswerMeans(String properties, AttemptStatus result, String facts) {
         AttemptResult end = ResponseMessage.read(
                 user(properties), Unpooled.EMPTY_BUFFER, TestSettings.settings().gauges());
-        assertEquals(end.result(), result);
+        assertEquals(end.status(), result);
         assertEquals(end.quotaUsedPercent() + " " + end.actualUnits() + " " + Arrays.toString(end.loadReport()), facts);
         assertEquals(end.value() != null, result == AttemptStatus.SERVED);
     }
