--- a/gateway/src/main/java/opalcove/resp/RespConnector.java
+++ b/gateway/src/main/java/opalcove/resp/RespConnector.java
@@ -8,7 +8,8 @@
 import io.vertx.core.net.NetSocket;
 import io.vertx.core.net.SocketAddress;
 import java.util.function.Function;
-import opalcove.backend.ConnectionPool;
+import opalcove.backend.BackendConnection;
+import opalcove.backend.Connector;
 import opalcove.config.HostAndPort;
 import opalcove.core.AttemptResult;
 import opalcove.core.Request;
@@ -17,7 +18,7 @@
 import org.tinylog.Logger;
 
 /** Opens RESP2 lines to app nodes. */
-public final class RespConnector implements ConnectionPool.Connector {
+public final class RespConnector implements Connector {
     /** How long an answer may stand still once it has begun, ms. */
     private static final long STALL_MS = 300;
     /** How long a value that is passed on may stand still while it is read, and while its terminal takes nothing, ms. */
@@ -51,12 +52,12 @@
     }
 
     @Override
-    public Future<ConnectionPool.BackendConnection> connect(String address) {
+    public Future<BackendConnection> connect(String address) {
         return client.connect(place.apply(address)).map(RespBackendConnection::new);
     }
 
     private final class RespBackendConnection
-            implements ConnectionPool.BackendConnection, RawSocket.User, RespDecoder.User, StreamedValue {
+            implements BackendConnection, RawSocket.User, RespDecoder.User, StreamedValue {
         private final NetSocket socket;
         private final RawSocket raw;
         private final RawSocket.ReadBufferAllocator portions = new RawSocket.ReadBufferAllocator();
--- a/gateway/src/test/java/opalcove/backend/ConnectionPoolCapacityTest.java
+++ b/gateway/src/test/java/opalcove/backend/ConnectionPoolCapacityTest.java
@@ -72,7 +72,7 @@
         freed.get(20, TimeUnit.SECONDS);
     }
 
-    private Future<ConnectionPool.BackendConnection> dial(String address) {
+    private Future<BackendConnection> dial(String address) {
         FakeLine line = new FakeLine();
         lines.add(line);
         return Future.succeededFuture(line);
@@ -91,7 +91,7 @@
     }
 
     /** A line that takes everything and answers what the test says. */
-    private static final class FakeLine implements ConnectionPool.BackendConnection {
+    private static final class FakeLine implements BackendConnection {
         private Listener user;
 
         @Override
--- a/gateway/src/test/java/opalcove/backend/LocalConnectFailureTest.java
+++ b/gateway/src/test/java/opalcove/backend/LocalConnectFailureTest.java
@@ -61,7 +61,7 @@
         });
     }
 
-    private Future<ConnectionPool.BackendConnection> dial(String address) {
+    private Future<BackendConnection> dial(String address) {
         Throwable failure = failures.poll();
         return failure == null ? Future.succeededFuture(new SilentLine()) : Future.failedFuture(failure);
     }
@@ -101,7 +101,7 @@
     }
 
     /** A line that takes everything and answers nothing. */
-    private final class SilentLine implements ConnectionPool.BackendConnection {
+    private final class SilentLine implements BackendConnection {
         @Override
         public void setListener(Listener attached) {
             // Nothing comes of it.
--- a/gateway/src/test/java/opalcove/resp/BackendCommandsTest.java
+++ b/gateway/src/test/java/opalcove/resp/BackendCommandsTest.java
@@ -11,7 +11,7 @@
 import java.nio.charset.StandardCharsets;
 import java.util.concurrent.TimeUnit;
 import opalcove.TestSettings;
-import opalcove.backend.ConnectionPool;
+import opalcove.backend.BackendConnection;
 import opalcove.core.AttemptResult;
 import opalcove.core.Request;
 import opalcove.core.StreamedValue;
@@ -125,7 +125,7 @@
     }
 
     /** Hears of a connection on which nothing comes. */
-    private static final class Ignored implements ConnectionPool.BackendConnection.Listener {
+    private static final class Ignored implements BackendConnection.Listener {
         @Override
         public boolean acceptsStreamedValue(StreamedValue value) {
             return false;
--- a/gateway/src/test/java/opalcove/resp/ClientLeftTest.java
+++ b/gateway/src/test/java/opalcove/resp/ClientLeftTest.java
@@ -71,7 +71,7 @@
             stage.told(first.is(EndpointState.UP));
             Socket client = stage.client();
             RespTestBed.say(client, RespTestBed.query(1, WAIT_MS));
-            RespTestBed.BackendConnection line = first.accept();
+            RespTestBed.BackendPeer line = first.accept();
             assertTrue(line.command().contains(RespTestBed.id(1)));
             stage.told(first.is(EndpointState.DRAINING), second.is(EndpointState.UP));
             stage.unread(
@@ -93,7 +93,7 @@
             stage.told(backend.is(EndpointState.UP));
             Socket client = stage.client();
             RespTestBed.say(client, RespTestBed.query(1, WAIT_MS));
-            RespTestBed.BackendConnection line = backend.accept();
+            RespTestBed.BackendPeer line = backend.accept();
             line.command();
             line.serve("one");
             assertEquals(RespTestBed.answer(client), "one");
@@ -241,7 +241,7 @@
                     },
                     first);
             RespTestBed.say(client, next.substring(9) + RespTestBed.PING);
-            RespTestBed.BackendConnection line = backend.withCommand();
+            RespTestBed.BackendPeer line = backend.withCommand();
             assertTrue(line.command().contains(RespTestBed.id(1)));
             line.serve("one");
             for (String answer : List.of("one", "two", "two", "+PONG")) {
@@ -286,7 +286,7 @@
         stage.withholdNoMore();
         Socket next = stage.client();
         RespTestBed.say(next, RespTestBed.query(99, WAIT_MS));
-        RespTestBed.BackendConnection line = backend.withCommand();
+        RespTestBed.BackendPeer line = backend.withCommand();
         assertTrue(line.command().contains(RespTestBed.id(99)), "a request of a client that had left was sent on");
         line.serve("next");
         assertEquals(RespTestBed.answer(next), "next");
--- a/gateway/src/test/java/opalcove/resp/ConnectionCrossingsTest.java
+++ b/gateway/src/test/java/opalcove/resp/ConnectionCrossingsTest.java
@@ -71,7 +71,7 @@
                 DiscoveryClientTest.call(agent);
                 Socket client = stage.client();
                 RespTestBed.say(client, RespTestBed.query(1, 4000));
-                RespTestBed.BackendConnection rested = first.accept();
+                RespTestBed.BackendPeer rested = first.accept();
                 rested.command();
                 rested.serve("one");
                 assertEquals(RespTestBed.answer(client), "one");
@@ -83,7 +83,7 @@
                             Thread.sleep(pauseMs);
                         },
                         () -> {});
-                RespTestBed.BackendConnection line = second.accept();
+                RespTestBed.BackendPeer line = second.accept();
                 assertTrue(line.command().contains(RespTestBed.id(2)));
                 line.serve("two");
                 assertEquals(RespTestBed.answer(client), "two");
@@ -135,7 +135,7 @@
                 stage.until("asks_open", 2);
                 list(agent, 5, first.is(EndpointState.DRAINING), second.is(EndpointState.UP));
                 for (Socket each : List.of(client, later)) {
-                    RespTestBed.BackendConnection line = second.withCommand();
+                    RespTestBed.BackendPeer line = second.withCommand();
                     line.command();
                     line.serve("two");
                     assertEquals(RespTestBed.answer(each), "two");
@@ -169,7 +169,7 @@
             stage.handOver(late);
             // The ask goes to the other node, as its second attempt.
             stage.handOver(stage.linkUp());
-            RespTestBed.BackendConnection line = second.accept();
+            RespTestBed.BackendPeer line = second.accept();
             assertTrue(line.command().contains(RespTestBed.id(1)));
             line.serve("two");
             assertEquals(RespTestBed.answer(client), "two");
@@ -191,7 +191,7 @@
             stage.told(after.is(EndpointState.UP));
             stage.handOver(late);
             stage.handOver(stage.linkUp());
-            RespTestBed.BackendConnection line = after.accept();
+            RespTestBed.BackendPeer line = after.accept();
             assertTrue(line.command().contains(RespTestBed.id(1)));
             line.serve("moved");
             assertEquals(RespTestBed.answer(client), "moved");
@@ -215,7 +215,7 @@
             stage.until("links_resting", 1);
             Socket other = stage.client();
             RespTestBed.say(other, RespTestBed.query(2, 4000));
-            RespTestBed.BackendConnection line = backend.accept();
+            RespTestBed.BackendPeer line = backend.accept();
             assertTrue(line.command().contains(RespTestBed.id(2)), "the ask of one who left was sent");
             line.serve("two");
             assertEquals(RespTestBed.answer(other), "two");
@@ -265,7 +265,7 @@
             stage.told(backend.is(EndpointState.UP));
             Socket client = stage.client();
             RespTestBed.say(client, RespTestBed.query(1, 100));
-            RespTestBed.BackendConnection line = backend.accept();
+            RespTestBed.BackendPeer line = backend.accept();
             line.command();
             assertTrue(RespTestBed.answer(client).startsWith("-"));
             assertTrue(line.ended(), "the link is kept for an answer that nobody awaits");
@@ -281,7 +281,7 @@
             RespTestBed.Node other = stage.backend("n2");
             stage.told(backend.is(EndpointState.UP), other.is(EndpointState.DRAINING));
             // The module makes a priced repeat for each ten first attempts.
-            RespTestBed.BackendConnection line = rested(stage, backend);
+            RespTestBed.BackendPeer line = rested(stage, backend);
             for (int i = 0; i < 10; i++) {
                 again(stage, line);
             }
@@ -308,7 +308,7 @@
         try (RespTestBed stage = new RespTestBed(IDLE)) {
             RespTestBed.Node backend = stage.backend("n1");
             stage.told(backend.is(EndpointState.UP));
-            RespTestBed.BackendConnection line = rested(stage, backend);
+            RespTestBed.BackendPeer line = rested(stage, backend);
             BlockingQueue<String> answers = new LinkedBlockingQueue<>();
             stage.unread(
                     () -> {
@@ -316,7 +316,7 @@
                         line.socket.close();
                     },
                     () -> stage.serve(2, 4000, answers));
-            RespTestBed.BackendConnection fresh = backend.accept();
+            RespTestBed.BackendPeer fresh = backend.accept();
             assertTrue(fresh.command().contains(RespTestBed.id(2)));
             fresh.serve("two");
             assertEquals(answers.poll(RespTestBed.PATIENCE_S, TimeUnit.SECONDS), "two");
@@ -330,7 +330,7 @@
         try (RespTestBed stage = new RespTestBed(IDLE)) {
             RespTestBed.Node backend = stage.backend("n1");
             stage.told(backend.is(EndpointState.UP));
-            RespTestBed.BackendConnection line = rested(stage, backend);
+            RespTestBed.BackendPeer line = rested(stage, backend);
             BlockingQueue<String> answers = new LinkedBlockingQueue<>();
             stage.unread(
                     () -> {
@@ -338,7 +338,7 @@
                         line.serve("one again");
                     },
                     () -> stage.serve(2, 4000, answers));
-            RespTestBed.BackendConnection fresh = backend.accept();
+            RespTestBed.BackendPeer fresh = backend.accept();
             assertTrue(fresh.command().contains(RespTestBed.id(2)));
             fresh.serve("two");
             assertEquals(answers.poll(RespTestBed.PATIENCE_S, TimeUnit.SECONDS), "two");
@@ -352,14 +352,14 @@
         try (RespTestBed stage = new RespTestBed()) {
             RespTestBed.Node backend = stage.backend("n1");
             stage.told(backend.is(EndpointState.UP));
-            RespTestBed.BackendConnection line = rested(stage, backend);
+            RespTestBed.BackendPeer line = rested(stage, backend);
             line.serve("one again");
             assertTrue(line.ended());
             for (int round = 0; round < 10; round++) {
-                RespTestBed.BackendConnection next = rested(stage, backend);
+                RespTestBed.BackendPeer next = rested(stage, backend);
                 BlockingQueue<String> answers = new LinkedBlockingQueue<>();
                 stage.unread(() -> next.serve("one again"), () -> stage.serve(2, 4000, answers));
-                RespTestBed.BackendConnection fresh = backend.accept();
+                RespTestBed.BackendPeer fresh = backend.accept();
                 assertTrue(fresh.command().contains(RespTestBed.id(2)));
                 fresh.serve("two");
                 assertEquals(answers.poll(RespTestBed.PATIENCE_S, TimeUnit.SECONDS), "two");
@@ -382,7 +382,7 @@
             stage.told(backend.is(EndpointState.UP));
             Socket client = stage.client();
             RespTestBed.say(client, RespTestBed.query(1, 4000));
-            RespTestBed.BackendConnection line = backend.accept();
+            RespTestBed.BackendPeer line = backend.accept();
             line.command();
             BlockingQueue<String> answers = new LinkedBlockingQueue<>();
             // Both lie unread when the next ask is taken; whichever is read first, the next ask's answer is its own.
@@ -392,7 +392,7 @@
                         client.close();
                     },
                     () -> stage.serve(2, 4000, answers));
-            RespTestBed.BackendConnection other = backend.accept();
+            RespTestBed.BackendPeer other = backend.accept();
             assertTrue(other.command().contains(RespTestBed.id(2)));
             other.serve("two");
             assertEquals(answers.poll(RespTestBed.PATIENCE_S, TimeUnit.SECONDS), "two");
@@ -408,7 +408,7 @@
             stage.told(backend.is(EndpointState.UP));
             Socket client = stage.client();
             RespTestBed.say(client, RespTestBed.query(1, 150));
-            RespTestBed.BackendConnection line = backend.accept();
+            RespTestBed.BackendPeer line = backend.accept();
             line.command();
             String first = RespTestBed.answer(client);
             assertNotEquals(first, "one");
@@ -419,7 +419,7 @@
                 assertTrue(line.ended());
             }
             RespTestBed.say(client, RespTestBed.query(2, 4000));
-            RespTestBed.BackendConnection fresh = backend.accept();
+            RespTestBed.BackendPeer fresh = backend.accept();
             assertTrue(fresh.command().contains(RespTestBed.id(2)));
             fresh.serve("two");
             assertEquals(RespTestBed.answer(client), "two");
@@ -427,10 +427,10 @@
     }
 
     /** A line that has carried an answer and rests. */
-    private static RespTestBed.BackendConnection rested(RespTestBed stage, RespTestBed.Node backend) throws Exception {
+    private static RespTestBed.BackendPeer rested(RespTestBed stage, RespTestBed.Node backend) throws Exception {
         Socket client = stage.client();
         RespTestBed.say(client, RespTestBed.query(1, 4000));
-        RespTestBed.BackendConnection line = backend.accept();
+        RespTestBed.BackendPeer line = backend.accept();
         line.command();
         line.serve("one");
         assertEquals(RespTestBed.answer(client), "one");
@@ -439,7 +439,7 @@
     }
 
     /** One more ask on a line that rests. */
-    private static void again(RespTestBed stage, RespTestBed.BackendConnection line) throws Exception {
+    private static void again(RespTestBed stage, RespTestBed.BackendPeer line) throws Exception {
         BlockingQueue<String> answers = new LinkedBlockingQueue<>();
         stage.onLoop(() -> stage.serve(50, 4000, answers));
         line.command();
--- a/gateway/src/test/java/opalcove/resp/EndCrossingsTest.java
+++ b/gateway/src/test/java/opalcove/resp/EndCrossingsTest.java
@@ -38,7 +38,7 @@
             halfway(stage, client, RespTestBed.query(1, LONG_MS));
             ends(stage, 300);
             RespTestBed.say(client, rest(RespTestBed.query(1, LONG_MS)));
-            RespTestBed.BackendConnection line = backend.accept();
+            RespTestBed.BackendPeer line = backend.accept();
             // Its node is told how long it is waited for.
             assertTrue(line.command().matches(".*,d=[0-3]?[0-9]?[0-9](\\.[0-9]+)?,.*"));
             assertTrue(RespTestBed.answer(client).startsWith("-"));
@@ -55,11 +55,11 @@
             stage.told(backend.is(EndpointState.UP));
             Socket client = stage.client();
             RespTestBed.say(client, RespTestBed.query(1, LONG_MS));
-            RespTestBed.BackendConnection first = backend.accept();
+            RespTestBed.BackendPeer first = backend.accept();
             first.command();
             ends(stage, 300);
             RespTestBed.say(client, RespTestBed.query(2, LONG_MS));
-            RespTestBed.BackendConnection second = backend.accept();
+            RespTestBed.BackendPeer second = backend.accept();
             second.command();
             second.serve("two");
             assertTrue(RespTestBed.answer(client).startsWith("-"));
@@ -101,7 +101,7 @@
             stage.told(backend.is(EndpointState.UP));
             Socket client = stage.client();
             RespTestBed.say(client, RespTestBed.query(1, WAIT_MS));
-            RespTestBed.BackendConnection line = backend.accept();
+            RespTestBed.BackendPeer line = backend.accept();
             line.command();
             stage.onLoop(() -> stage.gateway.applySettings(SettingsReader.checked(
                     JsonFields.parse(TestSettings.JSON.replaceAll("\"deadline_ms\":\\d+", "\"deadline_ms\":300")))));
--- a/gateway/src/test/java/opalcove/resp/FullServerTest.java
+++ b/gateway/src/test/java/opalcove/resp/FullServerTest.java
@@ -39,7 +39,7 @@
             stage.told(backend.is(EndpointState.UP));
             Socket busy = stage.client();
             RespTestBed.say(busy, RespTestBed.query(1, DEADLINE_MS));
-            RespTestBed.BackendConnection line = backend.withCommand();
+            RespTestBed.BackendPeer line = backend.withCommand();
             Socket idle = answered(stage);
             for (int i = 0; i < MOST; i++) {
                 answered(stage);
--- a/gateway/src/test/java/opalcove/resp/LeavingClientTest.java
+++ b/gateway/src/test/java/opalcove/resp/LeavingClientTest.java
@@ -43,7 +43,7 @@
             stage.told(backend.is(EndpointState.UP));
             Socket client = stage.client();
             RespTestBed.say(client, RespTestBed.query(1, WAIT_MS));
-            RespTestBed.BackendConnection line = backend.accept();
+            RespTestBed.BackendPeer line = backend.accept();
             assertTrue(line.command().contains(RespTestBed.id(1)));
             stage.told(backend.is(EndpointState.DRAINING));
             line.say("-BUSY\r\n");
@@ -144,7 +144,7 @@
             stage.handOver(first);
             stage.handOver(second);
             for (int answered = 0; answered < 2; answered++) {
-                RespTestBed.BackendConnection line = backend.withCommand();
+                RespTestBed.BackendPeer line = backend.withCommand();
                 line.serve("value");
             }
             assertEquals(RespTestBed.answer(client), "value");
@@ -167,7 +167,7 @@
     private static void isTheFirstToCome(RespTestBed stage, RespTestBed.Node backend) throws Exception {
         Socket next = stage.client();
         RespTestBed.say(next, RespTestBed.query(9, WAIT_MS));
-        RespTestBed.BackendConnection line = backend.withCommand();
+        RespTestBed.BackendPeer line = backend.withCommand();
         assertTrue(line.command().contains(RespTestBed.id(9)), "the ask of one who left was sent on");
         line.serve("nine");
         assertEquals(RespTestBed.answer(next), "nine");
--- a/gateway/src/test/java/opalcove/resp/RespRepliesTest.java
+++ b/gateway/src/test/java/opalcove/resp/RespRepliesTest.java
@@ -199,7 +199,7 @@
             stage.told(backend.is(EndpointState.UP));
             Socket client = stage.client();
             RespTestBed.say(client, RespTestBed.query(1, DEADLINE_MS));
-            RespTestBed.BackendConnection line = backend.withCommand();
+            RespTestBed.BackendPeer line = backend.withCommand();
             line.command();
             line.serve("value");
             exchange(client, "", "$5\r\nvalue\r\n");
@@ -213,7 +213,7 @@
             // In one write, so that the second is read before the first can be answered.
             String command = RespTestBed.words("SVC.SUBMIT", CUSTOMER, ID, marks, "body");
             RespTestBed.say(client, command + command);
-            RespTestBed.BackendConnection line = backend.withCommand();
+            RespTestBed.BackendPeer line = backend.withCommand();
             line.command();
             line.say("-ERR failed\r\n");
             exchange(client, "", "-ERR failed\r\n-ERR this id is under way\r\n");
@@ -231,7 +231,7 @@
                 stage.told(backend.is(EndpointState.UP));
                 Socket first = stage.client();
                 RespTestBed.say(first, RespTestBed.query(1, DEADLINE_MS));
-                RespTestBed.BackendConnection line = backend.withCommand();
+                RespTestBed.BackendPeer line = backend.withCommand();
                 exchange(stage, RespTestBed.query(2, DEADLINE_MS), advice ? "-BUSY 2000\r\n" : "-BUSY\r\n");
                 line.command();
                 line.serve("value");
--- a/gateway/src/test/java/opalcove/resp/RespTestBed.java
+++ b/gateway/src/test/java/opalcove/resp/RespTestBed.java
@@ -25,7 +25,9 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.Supplier;
 import opalcove.TestSettings;
+import opalcove.backend.BackendConnection;
 import opalcove.backend.ConnectionPool;
+import opalcove.backend.Connector;
 import opalcove.config.Backend;
 import opalcove.config.Clock;
 import opalcove.config.HostAndPort;
@@ -69,7 +71,7 @@
         CompletableFuture<Integer> listening = new CompletableFuture<>();
         CompletableFuture<Object[]> parts = new CompletableFuture<>();
         vertx.runOnContext(start -> {
-            ConnectionPool.Connector sockets = new RespConnector(vertx, settings);
+            Connector sockets = new RespConnector(vertx, settings);
             ConnectionPool links =
                     new ConnectionPool(vertx, settings, address -> withhold(sockets.connect(address)), 64);
             RequestDispatcher core = new RequestDispatcher(vertx, new Clock(), settings, 1, links);
@@ -98,11 +100,11 @@
 
     // Links that come up late.
 
-    private Future<ConnectionPool.BackendConnection> withhold(Future<ConnectionPool.BackendConnection> line) {
+    private Future<BackendConnection> withhold(Future<BackendConnection> line) {
         if (withheld == null) {
             return line;
         }
-        Promise<ConnectionPool.BackendConnection> handed = Promise.promise();
+        Promise<BackendConnection> handed = Promise.promise();
         BlockingQueue<Runnable> queue = withheld;
         line.onComplete(up -> queue.add(() -> line.onComplete(handed)));
         return handed.future();
@@ -217,7 +219,7 @@
     /** An app node. What its lines bring waits until the test looks; what they send is what the test says. */
     static final class Node implements Closeable {
         final String name;
-        private final List<BackendConnection> quiet = new ArrayList<>();
+        private final List<BackendPeer> quiet = new ArrayList<>();
         private final ServerSocket server = new ServerSocket(0, 64, InetAddress.getLoopbackAddress());
 
         Node(String name) throws Exception {
@@ -234,17 +236,17 @@
                     new Endpoint(name, "room-a", "app", cell, state, 1, 0), "127.0.0.1:" + server.getLocalPort());
         }
 
-        BackendConnection accept() throws Exception {
-            return new BackendConnection(server.accept());
+        BackendPeer accept() throws Exception {
+            return new BackendPeer(server.accept());
         }
 
         /** The line on which a command comes next, of all those that were not told by this call before. */
-        BackendConnection withCommand() throws Exception {
+        BackendPeer withCommand() throws Exception {
             long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(PATIENCE_S);
             server.setSoTimeout(1);
             try {
                 while (System.nanoTime() < end) {
-                    for (BackendConnection each : quiet) {
+                    for (BackendPeer each : quiet) {
                         if (each.socket.getInputStream().available() > 0) {
                             quiet.remove(each);
                             return each;
@@ -267,7 +269,7 @@
          * did not give; lines that end without one are passed over.
          */
         boolean gotNothing() throws Exception {
-            for (BackendConnection each : quiet) {
+            for (BackendPeer each : quiet) {
                 if (each.socket.getInputStream().available() > 0) {
                     return false;
                 }
@@ -296,11 +298,11 @@
     }
 
     /** A node's end of a link. */
-    static final class BackendConnection {
+    static final class BackendPeer {
         final Socket socket;
         private final InputStream in;
 
-        BackendConnection(Socket socket) throws Exception {
+        BackendPeer(Socket socket) throws Exception {
             this.socket = socket;
             socket.setSoTimeout(PATIENCE_S * 1000);
             in = socket.getInputStream();
--- a/gateway/src/test/java/opalcove/resp/StalledClientTest.java
+++ b/gateway/src/test/java/opalcove/resp/StalledClientTest.java
@@ -34,7 +34,7 @@
                     client,
                     RespTestBed.submit(1, 7000, "key")
                             + RespTestBed.query(2, 4000).substring(0, 40));
-            RespTestBed.BackendConnection line = backend.withCommand();
+            RespTestBed.BackendPeer line = backend.withCommand();
             line.command();
             // Well after the time for which half a command may stand still, and before its request's time is over.
             TimeUnit.MILLISECONDS.sleep(STALLED_MS);
--- a/gateway/src/test/java/opalcove/resp/StreamedValueTest.java
+++ b/gateway/src/test/java/opalcove/resp/StreamedValueTest.java
@@ -136,15 +136,15 @@
     }
 
     /** Two requests that were written one behind the other, and the links that carry them. */
-    private record Pipelined(Socket client, RespTestBed.BackendConnection first, RespTestBed.BackendConnection second) {
+    private record Pipelined(Socket client, RespTestBed.BackendPeer first, RespTestBed.BackendPeer second) {
         /** The first of them waits so long. */
         static Pipelined on(RespTestBed stage, int firstWaitMs) throws Exception {
             RespTestBed.Node backend = stage.backend("n1");
             stage.told(backend.is(EndpointState.UP));
             Socket client = stage.client();
             RespTestBed.say(client, RespTestBed.query(1, firstWaitMs) + RespTestBed.query(2, 4000));
-            RespTestBed.BackendConnection first = backend.withCommand();
-            RespTestBed.BackendConnection second = backend.withCommand();
+            RespTestBed.BackendPeer first = backend.withCommand();
+            RespTestBed.BackendPeer second = backend.withCommand();
             assertTrue(first.command().contains(RespTestBed.id(1)));
             assertTrue(second.command().contains(RespTestBed.id(2)));
             return new Pipelined(client, first, second);
@@ -171,7 +171,7 @@
             stage.told(backend.is(EndpointState.UP));
             Socket client = stage.client();
             RespTestBed.say(client, RespTestBed.query(1, 4000));
-            RespTestBed.BackendConnection line = backend.withCommand();
+            RespTestBed.BackendPeer line = backend.withCommand();
             line.command();
             line.say("*3\r\n" + HEAD + "v".repeat(100_000));
             assertEquals(text(client.getInputStream(), HEAD.length()), HEAD);
@@ -211,8 +211,8 @@
             Socket client = stage.client();
             for (int length = 70_000; length < 170_000; length += 5_000) {
                 RespTestBed.say(client, RespTestBed.query(length, 4000) + RespTestBed.query(length + 1, 4000));
-                RespTestBed.BackendConnection first = backend.withCommand();
-                RespTestBed.BackendConnection second = backend.withCommand();
+                RespTestBed.BackendPeer first = backend.withCommand();
+                RespTestBed.BackendPeer second = backend.withCommand();
                 first.command();
                 second.command();
                 String value = "v".repeat(length);
--- a/mqtt/src/main/java/opalcove/mqtt/MqttConnector.java
+++ b/mqtt/src/main/java/opalcove/mqtt/MqttConnector.java
@@ -24,7 +24,8 @@
 import io.vertx.core.net.NetSocket;
 import java.util.Arrays;
 import java.util.List;
-import opalcove.backend.ConnectionPool;
+import opalcove.backend.BackendConnection;
+import opalcove.backend.Connector;
 import opalcove.config.HostAndPort;
 import opalcove.core.AttemptResult;
 import opalcove.core.Request;
@@ -37,7 +38,7 @@
  * Opens lines to app nodes that are MQTT 5 servers: connected, and subscribed to the topic of their answers. It stands
  * on Netty's codec, since vertx-mqtt's client speaks MQTT 3.1.1 only and sends unacknowledged messages again by itself.
  */
-public final class MqttConnector implements ConnectionPool.Connector {
+public final class MqttConnector implements Connector {
     public static final String SCHEME = "mqtt://";
     private static final int MOST_PACKET = RequestMessage.MOST_BODY + 8 * 1024;
     private static final int MESSAGE_ID = 1;
@@ -64,9 +65,9 @@
     }
 
     @Override
-    public Future<ConnectionPool.BackendConnection> connect(String address) {
+    public Future<BackendConnection> connect(String address) {
         HostAndPort backend = HostAndPort.read(address.substring(SCHEME.length()), "address");
-        Promise<ConnectionPool.BackendConnection> ready = Promise.promise();
+        Promise<BackendConnection> ready = Promise.promise();
         client.connect(backend.port(), backend.address())
                 .onSuccess(socket -> {
                     MqttLine line = new MqttLine(socket, name + "-" + ++lines, ready);
@@ -78,14 +79,14 @@
         return ready.future();
     }
 
-    private final class MqttLine implements ConnectionPool.BackendConnection {
+    private final class MqttLine implements BackendConnection {
         private final NetSocketInternal socket;
         private final String responseTopic;
-        private final Promise<ConnectionPool.BackendConnection> ready;
+        private final Promise<BackendConnection> ready;
         private Listener user;
         private byte[] correlation;
 
-        MqttLine(NetSocket socket, String clientId, Promise<ConnectionPool.BackendConnection> ready) {
+        MqttLine(NetSocket socket, String clientId, Promise<BackendConnection> ready) {
             this.socket = (NetSocketInternal) socket;
             this.ready = ready;
             responseTopic = "opalcove/answer/" + clientId;
--- a/mqtt/src/main/java/opalcove/mqtt/MqttGateway.java
+++ b/mqtt/src/main/java/opalcove/mqtt/MqttGateway.java
@@ -2,6 +2,7 @@
 
 import io.vertx.core.Future;
 import opalcove.backend.ConnectionPool;
+import opalcove.backend.Connector;
 import opalcove.config.Clock;
 import opalcove.core.RequestDispatcher;
 import opalcove.lifecycle.Application;
@@ -16,8 +17,8 @@
     public static void start(MqttConfig config) {
         Application program = new Application();
         program.start(vertx -> {
-            ConnectionPool.Connector mqtt = new MqttConnector(vertx, config.settings(), config.name());
-            ConnectionPool.Connector resp = new RespConnector(vertx, config.settings());
+            Connector mqtt = new MqttConnector(vertx, config.settings(), config.name());
+            Connector resp = new RespConnector(vertx, config.settings());
             ConnectionPool links = new ConnectionPool(
                     vertx,
                     config.settings(),
--- a/mqtt/src/test/java/opalcove/ExchangeTest.java
+++ b/mqtt/src/test/java/opalcove/ExchangeTest.java
@@ -28,6 +28,7 @@
 import java.util.regex.Pattern;
 import java.util.stream.Stream;
 import opalcove.backend.ConnectionPool;
+import opalcove.backend.Connector;
 import opalcove.config.Backend;
 import opalcove.config.Clock;
 import opalcove.config.HostAndPort;
@@ -118,8 +119,8 @@
             discovery = new HostAndPort("127.0.0.1", backend("discovery").getLocalPort());
             onLoop(() -> {
                 DecisionSettings settings = TestSettings.settings();
-                ConnectionPool.Connector resp = new RespConnector(vertx, settings);
-                ConnectionPool.Connector mqtt = new MqttConnector(vertx, settings, "gateway");
+                Connector resp = new RespConnector(vertx, settings);
+                Connector mqtt = new MqttConnector(vertx, settings, "gateway");
                 Clock clock = new Clock();
                 gateway = new RequestDispatcher(
                         vertx,
