--- a/control/src/main/java/opalcove/control/cluster/DecisionTimers.java
+++ b/control/src/main/java/opalcove/control/cluster/DecisionTimers.java
@@ -46,17 +46,17 @@
     }
 
     @Override
-    public void wake(long token, double afterMs) {
+    public void setTimer(long token, double afterMs) {
         timers.add(new Timer(nowMs + afterMs, token));
     }
 
     @Override
-    public void send(String id, String host, double timeoutMs) {
+    public void startAttempt(String id, String host, double timeoutMs) {
         throw noRequest();
     }
 
     @Override
-    public void refuse(String id, double retryAfterMs) {
+    public void shed(String id, double retryAfterMs) {
         throw noRequest();
     }
 
@@ -66,7 +66,7 @@
     }
 
     @Override
-    public void cancel(String id, int attempt) {
+    public void cancelAttempt(String id, int attempt) {
         throw noRequest();
     }
 
@@ -75,12 +75,12 @@
     }
 
     @Override
-    public void probe(String host) {
+    public void checkHealth(String host) {
         // Does not occur: the settings of a control service do not allow health checks.
     }
 
     @Override
-    public void follow() {
+    public void subscribeToEndpoints() {
         // The owner of the endpoint source follows it from the start.
     }
 
--- a/gateway/src/main/java/opalcove/core/AttemptGuard.java
+++ b/gateway/src/main/java/opalcove/core/AttemptGuard.java
@@ -87,10 +87,10 @@
     private static Veto vetoRepeat(
             InFlightRequest inFlight, InFlightRequest.Attempt first, Backend target, double nowMs) {
         DecisionSettings.RequestClass requestClass = inFlight.requestClass;
-        if (first == null || requestClass.effect() == Idempotency.SAFE) {
+        if (first == null || requestClass.idempotency() == Idempotency.SAFE) {
             return null;
         }
-        if (requestClass.effect() == Idempotency.UNSAFE) {
+        if (requestClass.idempotency() == Idempotency.UNSAFE) {
             return new Veto(Invariant.REPEAT, "it may have run and must not be repeated");
         }
         if (nowMs
@@ -102,7 +102,7 @@
         Endpoint firstEndpoint = first.backend.host();
         Endpoint nextEndpoint = target.host();
         boolean shared =
-                switch (requestClass.reach()) {
+                switch (requestClass.deduplicationScope()) {
                     case ALL -> true;
                     case ZONE -> firstEndpoint.zone().equals(nextEndpoint.zone());
                     case CELL -> firstEndpoint.cell() == nextEndpoint.cell();
@@ -116,7 +116,8 @@
     boolean mayRefuse(InFlightRequest inFlight) {
         DecisionSettings.RequestClass requestClass = inFlight.requestClass;
         return inFlight.firstThatMayHaveRun() == null
-                || requestClass.effect() == Idempotency.SAFE
-                || requestClass.effect() == Idempotency.KEYED && requestClass.reach() == DeduplicationScope.ALL;
+                || requestClass.idempotency() == Idempotency.SAFE
+                || requestClass.idempotency() == Idempotency.KEYED
+                        && requestClass.deduplicationScope() == DeduplicationScope.ALL;
     }
 }
--- a/gateway/src/main/java/opalcove/core/BackendDirectory.java
+++ b/gateway/src/main/java/opalcove/core/BackendDirectory.java
@@ -5,7 +5,7 @@
 import java.util.Set;
 import opalcove.config.Backend;
 import opalcove.config.Clock;
-import opalcove.decision.AdmissionController;
+import opalcove.decision.CapacityShare;
 import opalcove.decision.Endpoint;
 import opalcove.metrics.Counters;
 import opalcove.metrics.Metrics;
@@ -51,7 +51,7 @@
                     starts.implausibleStarts() - implausible);
         }
         for (ConfigGeneration each : generations.inUse()) {
-            turns.run(() -> each.module.hosts(clock.now(), complete, local));
+            turns.run(() -> each.module.endpointsChanged(clock.now(), complete, local));
         }
         countAvoided();
     }
@@ -59,7 +59,7 @@
     /** Hands a new generation's module the list as it is. */
     void introduceTo(ConfigGeneration generation) {
         List<Endpoint> local = starts.localEndpoints(endpoints.all());
-        turns.run(() -> generation.module.hosts(clock.now(), true, local));
+        turns.run(() -> generation.module.endpointsChanged(clock.now(), true, local));
     }
 
     /** The endpoint source was reached, with or without changes. */
@@ -73,8 +73,8 @@
     }
 
     /** What the newest module would give each backend now. */
-    List<AdmissionController.Room> capacityShares() {
-        return generations.newest().module.rooms(clock.now());
+    List<CapacityShare> capacityShares() {
+        return generations.newest().module.capacityShares(clock.now());
     }
 
     /** Updates the figures of backends that are listed and get no new requests now, for whichever reason. */
@@ -84,9 +84,9 @@
 
     private void updateAvoided() {
         Set<String> used = new HashSet<>();
-        for (AdmissionController.Room each : capacityShares()) {
+        for (CapacityShare each : capacityShares()) {
             if (each.share() > 0) {
-                used.add(each.host());
+                used.add(each.backend());
             }
         }
         List<Backend> listed = endpoints.all();
--- a/gateway/src/main/java/opalcove/core/LoopHeartbeat.java
+++ b/gateway/src/main/java/opalcove/core/LoopHeartbeat.java
@@ -43,7 +43,7 @@
     }
 
     private double intervalMs() {
-        double part = GRACE_PART * generations.newest().settings.duties().drainGraceMs();
+        double part = GRACE_PART * generations.newest().settings.obligations().drainGraceMs();
         return Math.max(MIN_INTERVAL_MS, Math.min(MAX_INTERVAL_MS, part));
     }
 
--- a/gateway/src/main/java/opalcove/core/ModuleActions.java
+++ b/gateway/src/main/java/opalcove/core/ModuleActions.java
@@ -54,12 +54,12 @@
     }
 
     @Override
-    public void send(String id, String host, double timeoutMs) {
-        decide(id, new Step.Forward(host, timeoutMs));
+    public void startAttempt(String id, String backend, double timeoutMs) {
+        decide(id, new Step.Forward(backend, timeoutMs));
     }
 
     @Override
-    public void refuse(String id, double retryAfterMs) {
+    public void shed(String id, double retryAfterMs) {
         InFlightRequest inFlight = requests.find(id, generation);
         if (inFlight != null && !guard.mayRefuse(inFlight)) {
             // Guards against promising that a repeat is harmless when an attempt may have had its effect.
@@ -78,7 +78,7 @@
     }
 
     @Override
-    public void cancel(String id, int attempt) {
+    public void cancelAttempt(String id, int attempt) {
         InFlightRequest inFlight = requests.find(id, generation);
         if (inFlight == null || attempt >= inFlight.attempts.size()) {
             return;
@@ -93,14 +93,14 @@
     }
 
     @Override
-    public void wake(long token, double afterMs) {
+    public void setTimer(long token, double afterMs) {
         ModuleTimer timer = new ModuleTimer(token);
         moduleTimers.put(token, timer);
         timers.schedule(afterMs, timer);
     }
 
     @Override
-    public void forget(long token) {
+    public void cancelTimer(long token) {
         ModuleTimer timer = moduleTimers.remove(token);
         if (timer != null) {
             timers.cancel(timer);
@@ -108,8 +108,8 @@
     }
 
     @Override
-    public void probe(String host) {
-        Backend backend = endpoints.available(host);
+    public void checkHealth(String name) {
+        Backend backend = endpoints.available(name);
         if (backend != null) {
             turns.append(() -> checkHealth(backend));
         }
@@ -124,12 +124,12 @@
                 reached -> turns.run(() -> {
                     ProbeStatus status = reached ? ProbeStatus.DONE : ProbeStatus.NOT_DONE;
                     double nowMs = clock.now();
-                    generation.module.probed(nowMs, backend.name(), status, nowMs - beganMs, null);
+                    generation.module.healthCheckEnded(nowMs, backend.name(), status, nowMs - beganMs, null);
                 }));
     }
 
     @Override
-    public void follow() {
+    public void subscribeToEndpoints() {
         // The endpoint list is always followed here.
     }
 
@@ -151,7 +151,7 @@
             moduleTimers.remove(token);
             // A retired generation has no request left to decide on, and so no need of its ticks.
             if (!generations.isRetired(generation)) {
-                turns.run(() -> generation.module.timer(clock.now(), token));
+                turns.run(() -> generation.module.timerExpired(clock.now(), token));
             }
         }
     }
--- a/gateway/src/main/java/opalcove/core/RequestDispatcher.java
+++ b/gateway/src/main/java/opalcove/core/RequestDispatcher.java
@@ -4,7 +4,7 @@
 import java.util.List;
 import opalcove.config.Backend;
 import opalcove.config.Clock;
-import opalcove.decision.AdmissionController;
+import opalcove.decision.CapacityShare;
 import opalcove.decision.DecisionSettings;
 import opalcove.metrics.ConnectionCloseReason;
 import opalcove.metrics.Counters;
@@ -178,7 +178,7 @@
     }
 
     /** What the newest module would give each backend now. */
-    List<AdmissionController.Room> capacityShares() {
+    List<CapacityShare> capacityShares() {
         return directory.capacityShares();
     }
 
--- a/gateway/src/main/java/opalcove/core/RequestLifecycle.java
+++ b/gateway/src/main/java/opalcove/core/RequestLifecycle.java
@@ -145,7 +145,7 @@
     // Decisions of the module.
 
     private void consultModule(InFlightRequest inFlight) {
-        turns.run(() -> inFlight.generation.module.request(clock.now(), inFlight.admissionRequest()));
+        turns.run(() -> inFlight.generation.module.requestArrived(clock.now(), inFlight.admissionRequest()));
     }
 
     /** Does what the module chose; what it chooses for a request that is over has no effect. */
@@ -277,7 +277,7 @@
                 follow(inFlight, new Step.Respond(new Response.Served(value)));
                 cancelHedges(inFlight);
             }
-            inFlight.generation.module.outcome(
+            inFlight.generation.module.attemptEnded(
                     nowMs,
                     new AttemptOutcome(
                             inFlight.request.id(),
@@ -365,7 +365,7 @@
     /** Has the module cancel the request's attempts, which needs its records, and only then closes the request. */
     private void endAttempts(InFlightRequest inFlight, Runnable closing) {
         turns.run(() -> {
-            inFlight.generation.module.gone(clock.now(), inFlight.request.id());
+            inFlight.generation.module.requestCancelled(clock.now(), inFlight.request.id());
             turns.append(closing);
         });
     }
--- a/gateway/src/main/java/opalcove/core/StreamedResponses.java
+++ b/gateway/src/main/java/opalcove/core/StreamedResponses.java
@@ -33,7 +33,7 @@
         }
         timers.cancel(inFlight.deadline());
         double nowMs = clock.now();
-        turns.run(() -> inFlight.generation.module.outcome(
+        turns.run(() -> inFlight.generation.module.attemptEnded(
                 nowMs,
                 new AttemptOutcome(
                         inFlight.request.id(),
@@ -62,7 +62,7 @@
                 inFlight.finish(null);
             }
             if (result.status() == AttemptStatus.SERVED) {
-                inFlight.generation.module.settled(
+                inFlight.generation.module.usageReported(
                         clock.now(), inFlight.admissionRequest(), result.quotaUsedPercent(), result.actualUnits());
             }
         });
