--- a/gateway/src/main/java/opalcove/resp/PipelineSlot.java
+++ b/gateway/src/main/java/opalcove/resp/PipelineSlot.java
@@ -1,15 +1,16 @@
 package opalcove.resp;
 
 import io.netty.buffer.ByteBuf;
-import opalcove.core.RequestDispatcher;
+import opalcove.core.RequestHandle;
 import opalcove.core.Response;
+import opalcove.core.ResponseHandler;
 import opalcove.core.StreamedValue;
 
 /** One command of a connection, and the place of its response in the pipeline. Owned by the connection's event loop. */
-final class PipelineSlot implements RequestDispatcher.ResponseHandler {
+final class PipelineSlot implements ResponseHandler {
     private final ClientConnection connection;
     /** The open request of this command; null for another command, or once the request is over. */
-    private RequestDispatcher.RequestHandle request;
+    private RequestHandle request;
     /** The request's body, which is held until the request is settled; null for none. */
     private ByteBuf body;
 
@@ -31,11 +32,11 @@
         body = requestBody;
     }
 
-    RequestDispatcher.RequestHandle request() {
+    RequestHandle request() {
         return request;
     }
 
-    void setRequest(RequestDispatcher.RequestHandle handle) {
+    void setRequest(RequestHandle handle) {
         request = handle;
     }
 
--- a/gateway/src/main/java/opalcove/resp/ResponseStream.java
+++ b/gateway/src/main/java/opalcove/resp/ResponseStream.java
@@ -3,7 +3,7 @@
 import io.netty.buffer.ByteBuf;
 import java.util.ArrayDeque;
 import java.util.Deque;
-import opalcove.core.RequestDispatcher;
+import opalcove.core.RequestHandle;
 import opalcove.core.StreamedValue;
 import org.tinylog.Logger;
 
@@ -140,7 +140,7 @@
     private void abandon(String cause) {
         Logger.warn("abandoning a streamed value of {} bytes: {}", value.length(), cause);
         isAbandoned = true;
-        RequestDispatcher.RequestHandle request = slot.request();
+        RequestHandle request = slot.request();
         discard();
         connection.pipeline().writeLine(slot, "-ERR failed");
         if (request != null) {
--- a/mqtt/src/main/java/opalcove/mqtt/MqttConnector.java
+++ b/mqtt/src/main/java/opalcove/mqtt/MqttConnector.java
@@ -6,7 +6,8 @@
 import io.vertx.core.net.NetClient;
 import io.vertx.core.net.NetClientOptions;
 import java.util.List;
-import opalcove.backend.ConnectionPool;
+import opalcove.backend.BackendConnection;
+import opalcove.backend.Connector;
 import opalcove.config.HostAndPort;
 import opalcove.decision.DecisionSettings;
 import opalcove.decision.LoadMetric;
@@ -17,7 +18,7 @@
  *
  * <p>Owned by the event loop of its gateway.
  */
-public final class MqttConnector implements ConnectionPool.Connector {
+public final class MqttConnector implements Connector {
     /** Begins the addresses of backends that are MQTT servers. */
     public static final String SCHEME = "mqtt://";
 
@@ -43,9 +44,9 @@
     }
 
     @Override
-    public Future<ConnectionPool.BackendConnection> connect(String address) {
+    public Future<BackendConnection> connect(String address) {
         HostAndPort backend = HostAndPort.read(address.substring(SCHEME.length()), "address");
-        Promise<ConnectionPool.BackendConnection> ready = Promise.promise();
+        Promise<BackendConnection> ready = Promise.promise();
         client.connect(backend.port(), backend.address())
                 .onSuccess(socket -> {
                     String clientId = name + "-" + ++connectionCount;
