--- a/gateway/src/main/java/opalcove/resp/RespConnector.java
+++ b/gateway/src/main/java/opalcove/resp/RespConnector.java
@@ -6,12 +6,13 @@
 import io.vertx.core.net.NetClientOptions;
 import io.vertx.core.net.SocketAddress;
 import java.util.function.Function;
-import opalcove.backend.ConnectionPool;
+import opalcove.backend.BackendConnection;
+import opalcove.backend.Connector;
 import opalcove.config.HostAndPort;
 import opalcove.decision.DecisionSettings;
 
 /** Opens RESP2 connections to backends. Owned by the event loop it is made on. */
-public final class RespConnector implements ConnectionPool.Connector {
+public final class RespConnector implements Connector {
     private final Vertx vertx;
     private final Function<String, SocketAddress> addressResolver;
     private final NetClient client;
@@ -36,7 +37,7 @@
     }
 
     @Override
-    public Future<ConnectionPool.BackendConnection> connect(String address) {
+    public Future<BackendConnection> connect(String address) {
         return client.connect(addressResolver.apply(address))
                 .map(socket -> new RespBackendConnection(vertx, socket, replyDecoder));
     }
--- a/gateway/src/test/java/opalcove/resp/EndCrossingsTest.java
+++ b/gateway/src/test/java/opalcove/resp/EndCrossingsTest.java
@@ -15,7 +15,7 @@
 import opalcove.decision.EndpointState;
 import opalcove.lifecycle.Application;
 import opalcove.lifecycle.Lifecycle;
-import opalcove.server.GatewayServer;
+import opalcove.server.GatewayStatus;
 import org.testng.annotations.Test;
 
 /** The end of the process crossing asks, new settings and its own start. */
@@ -38,7 +38,7 @@
             halfway(stage, client, RespTestBed.query(1, LONG_MS));
             ends(stage, 300);
             RespTestBed.say(client, rest(RespTestBed.query(1, LONG_MS)));
-            RespTestBed.BackendConnection line = backend.accept();
+            RespTestBed.BackendPeer line = backend.accept();
             // Its node is told how long it is waited for.
             assertTrue(line.command().matches(".*,d=[0-3]?[0-9]?[0-9](\\.[0-9]+)?,.*"));
             assertTrue(RespTestBed.answer(client).startsWith("-"));
@@ -55,11 +55,11 @@
             stage.told(backend.is(EndpointState.UP));
             Socket client = stage.client();
             RespTestBed.say(client, RespTestBed.query(1, LONG_MS));
-            RespTestBed.BackendConnection first = backend.accept();
+            RespTestBed.BackendPeer first = backend.accept();
             first.command();
             ends(stage, 300);
             RespTestBed.say(client, RespTestBed.query(2, LONG_MS));
-            RespTestBed.BackendConnection second = backend.accept();
+            RespTestBed.BackendPeer second = backend.accept();
             second.command();
             second.serve("two");
             assertTrue(RespTestBed.answer(client).startsWith("-"));
@@ -101,7 +101,7 @@
             stage.told(backend.is(EndpointState.UP));
             Socket client = stage.client();
             RespTestBed.say(client, RespTestBed.query(1, WAIT_MS));
-            RespTestBed.BackendConnection line = backend.accept();
+            RespTestBed.BackendPeer line = backend.accept();
             line.command();
             stage.onLoop(() -> stage.gateway.applySettings(SettingsReader.checked(
                     JsonFields.parse(TestSettings.JSON.replaceAll("\"deadline_ms\":\\d+", "\"deadline_ms\":300")))));
@@ -152,16 +152,16 @@
     public void aDrainThatComesBeforeThereIsAFrontIsKeptForIt() throws Exception {
         for (boolean taken : new boolean[] {false, true}) {
             try (RespTestBed stage = new RespTestBed()) {
-                GatewayServer.AdminCommands door = new GatewayServer.AdminCommands();
-                door.sendAway(true);
+                GatewayStatus status = new GatewayStatus();
+                status.setDrainRequested(true);
                 if (taken) {
-                    door.sendAway(false);
+                    status.setDrainRequested(false);
                 }
-                stage.onLoop(() -> door.serve(stage.vertx, stage.gateway, stage.front, stage.phases));
+                stage.onLoop(() -> status.gatewayWired(stage.vertx, stage.gateway, stage.front, stage.phases));
                 Socket client = stage.client();
                 RespTestBed.say(client, RespTestBed.PING);
                 assertEquals(RespTestBed.answer(client), taken ? "+PONG" : "-ERR draining");
-                door.sendAway(false);
+                status.setDrainRequested(false);
                 stage.onLoop(() -> {});
                 Socket next = stage.client();
                 RespTestBed.say(next, RespTestBed.PING);
--- a/mqtt/src/main/java/opalcove/mqtt/MqttBackendConnection.java
+++ b/mqtt/src/main/java/opalcove/mqtt/MqttBackendConnection.java
@@ -20,7 +20,7 @@
 import io.vertx.core.net.NetSocket;
 import java.util.Arrays;
 import java.util.List;
-import opalcove.backend.ConnectionPool;
+import opalcove.backend.BackendConnection;
 import opalcove.core.AttemptResult;
 import opalcove.core.Request;
 import opalcove.decision.AttemptStatus;
@@ -32,7 +32,7 @@
  *
  * <p>Owned by the event loop of its gateway.
  */
-final class MqttBackendConnection implements ConnectionPool.BackendConnection {
+final class MqttBackendConnection implements BackendConnection {
     /** One publication is in flight at a time, so one identifier will do. */
     private static final int MESSAGE_ID = 1;
     /** Reason codes from here on are errors. */
@@ -42,7 +42,7 @@
 
     private final NetSocketInternal socket;
     private final String responseTopic;
-    private final Promise<ConnectionPool.BackendConnection> ready;
+    private final Promise<BackendConnection> ready;
     private final List<LoadMetric> metrics;
     private Listener listener;
     /** Of the attempt in flight; null: there is none. */
@@ -55,10 +55,7 @@
      * @param ready completed once the connection can carry an attempt
      */
     MqttBackendConnection(
-            NetSocket socket,
-            String clientId,
-            List<LoadMetric> metrics,
-            Promise<ConnectionPool.BackendConnection> ready) {
+            NetSocket socket, String clientId, List<LoadMetric> metrics, Promise<BackendConnection> ready) {
         this.socket = (NetSocketInternal) socket;
         this.ready = ready;
         this.metrics = metrics;
--- a/mqtt/src/main/java/opalcove/mqtt/OpenRequest.java
+++ b/mqtt/src/main/java/opalcove/mqtt/OpenRequest.java
@@ -2,21 +2,22 @@
 
 import io.netty.handler.codec.mqtt.MqttQoS;
 import io.vertx.mqtt.messages.MqttPublishMessage;
-import opalcove.core.RequestDispatcher;
+import opalcove.core.RequestHandle;
 import opalcove.core.Response;
+import opalcove.core.ResponseHandler;
 
 /**
  * A request without a response yet, and the session and packet by which it was delivered last.
  *
  * <p>Owned by the event loop of its gateway.
  */
-final class OpenRequest implements RequestDispatcher.ResponseHandler {
+final class OpenRequest implements ResponseHandler {
     final String requestId;
     final String responseTopic;
     final byte[] correlation;
     private final OpenRequests requests;
     /** Null before it is dispatched. */
-    RequestDispatcher.RequestHandle handle;
+    RequestHandle handle;
 
     double deadlineMs;
     MqttClientSession session;
