--- a/membership/src/main/java/opalcove/membership/SwimConfig.java
+++ b/membership/src/main/java/opalcove/membership/SwimConfig.java
@@ -59,19 +59,31 @@
 
     /** The default configuration for a probe period in ms. */
     public static SwimConfig of(long probePeriodMs) {
+        long ackTimeoutMs = probePeriodMs * 2 / 5;
+        int indirectProbes = 3;
+        double suspicionPeriods = 3;
+        double suspicionSpread = 2;
+        long gossipPeriodMs = Math.max(1, probePeriodMs / 5);
+        int gossipFanout = 3;
+        int retransmitFactor = 6;
+        int maxGossipEntries = 12;
+        int maxHealthScore = 8;
+        long rejoinPeriodMs = 2 * probePeriodMs;
+        long syncPeriodMs = 20 * probePeriodMs;
+        long retentionMs = 600_000;
         return new SwimConfig(
                 probePeriodMs,
-                probePeriodMs * 2 / 5,
-                3,
-                3,
-                2,
-                Math.max(1, probePeriodMs / 5),
-                3,
-                6,
-                12,
-                8,
-                2 * probePeriodMs,
-                20 * probePeriodMs,
-                600_000);
+                ackTimeoutMs,
+                indirectProbes,
+                suspicionPeriods,
+                suspicionSpread,
+                gossipPeriodMs,
+                gossipFanout,
+                retransmitFactor,
+                maxGossipEntries,
+                maxHealthScore,
+                rejoinPeriodMs,
+                syncPeriodMs,
+                retentionMs);
     }
 }
--- /dev/null
+++ b/membership/src/test/java/opalcove/membership/GossipQueueTest.java
@@ -0,0 +1,62 @@
+package opalcove.membership;
+
+import static org.testng.Assert.assertEquals;
+import static org.testng.Assert.assertTrue;
+
+import java.util.ArrayList;
+import java.util.List;
+import org.testng.annotations.BeforeMethod;
+import org.testng.annotations.Test;
+
+/** Which gossip goes with a message, and how often. */
+public class GossipQueueTest {
+    private static final SwimConfig CONFIG = SwimConfig.of(500);
+
+    private GossipQueue queue;
+
+    @BeforeMethod
+    public void newQueue() {
+        queue = new GossipQueue(CONFIG);
+    }
+
+    private static GossipEntry entry(String name) {
+        return GossipEntry.of(new Member(name, name, 1, Member.State.ALIVE));
+    }
+
+    private List<String> next(String receiver, int memberCount) {
+        List<GossipEntry> entries = new ArrayList<>();
+        queue.drainTo(entries, receiver, memberCount);
+        return entries.stream().map(each -> each.member().name()).toList();
+    }
+
+    @Test
+    public void entriesSentFewestTimesComeFirstAndNoneAboutTheReceiver() {
+        queue.enqueue(entry("b"));
+        queue.enqueue(entry("a"));
+        assertEquals(next("b", 100), List.of("a"));
+        assertEquals(next("c", 100), List.of("b", "a"));
+    }
+
+    @Test
+    public void aNewerEntryStartsAnewAndAnEntrySentOftenEnoughIsDiscarded() {
+        int limit = GossipQueue.transmitLimit(CONFIG, 9);
+        assertEquals(limit, 6, "six for each power of ten of the fleet");
+        queue.enqueue(entry("a"));
+        next("c", 9);
+        queue.enqueue(entry("a"));
+        for (int sent = 0; sent < limit; sent++) {
+            assertEquals(next("c", 9), List.of("a"));
+        }
+        assertTrue(queue.isEmpty());
+    }
+
+    @Test
+    public void aMessageHoldsNoMoreThanTheMaximumAndDiscardingSparesOtherMembers() {
+        for (int i = 0; i < 20; i++) {
+            queue.enqueue(entry(String.format("m%02d", i)));
+        }
+        assertEquals(next("c", 100).size(), CONFIG.maxGossipEntries());
+        queue.discardAbout("m19");
+        assertEquals(next("c", 100).get(0), "m12", "those not sent yet are next");
+    }
+}
--- a/recovery/src/main/java/opalcove/recovery/RecoveryConfig.java
+++ b/recovery/src/main/java/opalcove/recovery/RecoveryConfig.java
@@ -10,8 +10,12 @@
  * @param quotaHoldMs how long bursts are held down after the fleet lost power
  */
 public record RecoveryConfig(long votersTimeoutMs, long membersTimeoutMs, long outageWindowMs, long quotaHoldMs) {
-    /** The default times; quotas are held for two periods of the meter. */
+    /** The default times; quotas are restricted for two periods of the meter. */
     public static RecoveryConfig of(long meterPeriodMs) {
-        return new RecoveryConfig(10_000, 1500, 30_000, Math.max(1000, 2 * meterPeriodMs));
+        long votersTimeoutMs = 10_000;
+        long membersTimeoutMs = 1500;
+        long outageWindowMs = 30_000;
+        long quotaHoldMs = Math.max(1000, 2 * meterPeriodMs);
+        return new RecoveryConfig(votersTimeoutMs, membersTimeoutMs, outageWindowMs, quotaHoldMs);
     }
 }
--- a/replication/src/main/java/opalcove/replication/RaftVoter.java
+++ b/replication/src/main/java/opalcove/replication/RaftVoter.java
@@ -54,6 +54,9 @@
 
     private record PendingRead(Consumer<VersionLog.Version> onResult, Runnable onFailure) {}
 
+    /** Part of each message between voters. */
+    private static final String GROUP_ID = "versions";
+
     private static final String READ_OPERATION = "read";
     /** Stands in the stored logs. */
     private static final String NEW_TERM_OPERATION = "term";
@@ -75,7 +78,7 @@
     public RaftVoter(Setup setup, BiConsumer<String, byte[]> send, LongConsumer onVersion) {
         this.onVersion = onVersion;
         RaftNode.RaftNodeBuilder builder = RaftNode.newBuilder()
-                .setGroupId("versions")
+                .setGroupId(GROUP_ID)
                 .setExecutor(setup.executor())
                 .setClock(setup.clock())
                 .setRandom(setup.random())
--- a/replication/src/main/java/opalcove/replication/ReplicatedConfigService.java
+++ b/replication/src/main/java/opalcove/replication/ReplicatedConfigService.java
@@ -311,6 +311,8 @@
                 selector.adopt(text);
             }
             if (after.mode() == LeaseState.Mode.STRICT) {
+                // A version that this gateway did not receive may have drained any backend: none gets new work for a
+                // while.
                 long graceMs = settings.leaseMs() / 4;
                 selector.closeUntil(monotonicMs() + graceMs);
                 vertx.setTimer(graceMs, due -> activate());
