--- a/recovery/src/main/java/opalcove/recovery/Recovery.java
+++ b/recovery/src/main/java/opalcove/recovery/Recovery.java
@@ -20,7 +20,7 @@
         WAITING(0),
         /** No voter responded in time: the gateway acts on its snapshot, strictly. */
         ALONE(1),
-        /** The fleet lost power: bursts are held down for a while. */
+        /** The fleet lost power: bursts are restricted for a while. */
         RESTORING(2),
         /** Back to normal. */
         FULL(3);
--- a/recovery/src/main/java/opalcove/recovery/RecoveryConfig.java
+++ b/recovery/src/main/java/opalcove/recovery/RecoveryConfig.java
@@ -5,9 +5,8 @@
  *
  * @param votersTimeoutMs how long to wait for the voters to name the version in force
  * @param membersTimeoutMs how long to wait for the members known from before
- * @param outageWindowMs members whose processes started within this time of each other are taken to have lost power
- *     together
- * @param quotaHoldMs how long bursts are held down after the fleet lost power
+ * @param outageWindowMs a member that started longer than this before the gateway kept running while the gateway was down
+ * @param quotaHoldMs how long bursts are restricted after the fleet lost power
  */
 public record RecoveryConfig(long votersTimeoutMs, long membersTimeoutMs, long outageWindowMs, long quotaHoldMs) {
     /** The default times; quotas are restricted for two periods of the meter. */
