--- a/decision/src/test/java/opalcove/decision/ExampleTest.java
+++ b/decision/src/test/java/opalcove/decision/ExampleTest.java
@@ -34,7 +34,7 @@
 
         @Override
         public void setTimer(long token, double afterMs) {
-            // a real gateway calls policy.timerExpired(now, token) after afterMs
+            // a real gateway calls module.timerExpired(now, token) after afterMs
         }
 
         @Override
@@ -71,11 +71,11 @@
                 new DecisionSettings.Costs(0, 0, 0, 0),
                 LoadReportSource.NONE,
                 List.of());
-        DecisionModule policy = new AdmissionController(0, settings, 42, gateway);
-        policy.endpointsChanged(0, true, List.of(new Endpoint("h1", "east", "small", 0, EndpointState.UP, 1, 0)));
-        policy.requestArrived(3, new AdmissionRequest("r1", "read", "basic", "ann", 1, 2000, 2, false));
-        policy.attemptEnded(40, new AttemptOutcome("r1", "h1", 0, AttemptStatus.SERVED, 37, true, 20, 0, null));
-        policy.requestArrived(50, new AdmissionRequest("r2", "read", "gold", "bob", 1, 2000, 2, false));
+        DecisionModule module = new AdmissionController(0, settings, 42, gateway);
+        module.endpointsChanged(0, true, List.of(new Endpoint("h1", "east", "small", 0, EndpointState.UP, 1, 0)));
+        module.requestArrived(3, new AdmissionRequest("r1", "read", "basic", "ann", 1, 2000, 2, false));
+        module.attemptEnded(40, new AttemptOutcome("r1", "h1", 0, AttemptStatus.SERVED, 37, true, 20, 0, null));
+        module.requestArrived(50, new AdmissionRequest("r2", "read", "gold", "bob", 1, 2000, 2, false));
         assertEquals(
                 List.of("send r1 to h1", "log refused: unknown plan or class gold read", "refuse r2"), gateway.done);
     }
