--- a/decision/src/main/java/opalcove/decision/AdmissionController.java
+++ b/decision/src/main/java/opalcove/decision/AdmissionController.java
@@ -85,8 +85,8 @@
         TenantQuota tenant = state.tenant;
         double units = state.request.units();
         boolean withinQuota =
-                quotas.recordArrival(tenant, units, state.objectiveLeftMs < state.requestClass.objectiveMs());
-        boolean isPastObjective = state.objectiveLeftMs < context.sizes.meanMs(state.classIndex);
+                quotas.recordArrival(tenant, units, state.remainingObjectiveMs < state.requestClass.objectiveMs());
+        boolean isPastObjective = state.remainingObjectiveMs < context.sizes.meanMs(state.classIndex);
         boolean isScarce = tenant.admitChance < 1 || capacity.isBounded();
         if (isPastObjective && isScarce || !withinQuota && !quotas.mayExceedQuota(tenant)) {
             forwarder.shed(state, state.drawRetryAfterMs());
@@ -128,29 +128,29 @@
     }
 
     @Override
-    public void responseStarted(double nowMs, String id, int attempt) {
+    public void responseStarted(double nowMs, String requestId, int attempt) {
         context.nowMs = nowMs;
-        RequestState state = forwarder.find(id);
+        RequestState state = forwarder.find(requestId);
         if (state != null) {
             state.streaming = true;
         }
     }
 
     @Override
-    public void requestCancelled(double nowMs, String id) {
+    public void requestCancelled(double nowMs, String requestId) {
         context.nowMs = nowMs;
-        RequestState state = forwarder.find(id);
+        RequestState state = forwarder.find(requestId);
         if (state != null) {
             forwarder.close(state);
         }
     }
 
     @Override
-    public void healthCheckEnded(double nowMs, String host, ProbeStatus result, double elapsedMs, double[] load) {
+    public void healthCheckEnded(double nowMs, String backendId, ProbeStatus status, double elapsedMs, double[] load) {
         context.nowMs = nowMs;
-        BackendState backend = registry.find(host);
+        BackendState backend = registry.find(backendId);
         if (backend != null) {
-            health.checkEnded(backend, result);
+            health.checkEnded(backend, status);
         }
     }
 
@@ -208,9 +208,9 @@
      *
      * @param meanMs the mean response time; below 0 where it is unknown
      */
-    public void loadReported(double nowMs, String host, long served, long failed, double meanMs) {
+    public void loadReported(double nowMs, String backendId, long served, long failed, double meanMs) {
         context.nowMs = nowMs;
-        BackendState backend = registry.find(host);
+        BackendState backend = registry.find(backendId);
         if (backend != null) {
             health.loadReported(backend, served, failed, meanMs);
         }
--- a/decision/src/main/java/opalcove/decision/AttemptOutcome.java
+++ b/decision/src/main/java/opalcove/decision/AttemptOutcome.java
@@ -1,9 +1,16 @@
 package opalcove.decision;
 
 /**
- * How an attempt ended; over: the request has its final answer; usedPercent: the customer's use of its rate over
- * all gateways in the last period told, below 0 where none is told; trueUnits: 0 where none are told; load: null
- * where no report came.
+ * How an attempt ended.
+ *
+ * @param id the request's id
+ * @param attempt the attempt's number, from 0
+ * @param elapsedMs the time since it was started
+ * @param requestEnded whether the request has its final response
+ * @param usedPercent the tenant's use of its rate over all gateways in the last reported period; below 0 where none is
+ *     reported
+ * @param trueUnits the request's true units; 0 where none are reported
+ * @param load the load report of the backend; null where none came
  */
 public record AttemptOutcome(
         String id,
--- a/decision/src/main/java/opalcove/decision/BackendRegistry.java
+++ b/decision/src/main/java/opalcove/decision/BackendRegistry.java
@@ -33,8 +33,8 @@
     }
 
     /** The backend with this id, or null. */
-    BackendState find(String id) {
-        return backends.get(id);
+    BackendState find(String backendId) {
+        return backends.get(backendId);
     }
 
     /** Backends that are listed as up. */
--- a/decision/src/main/java/opalcove/decision/BackendSelector.java
+++ b/decision/src/main/java/opalcove/decision/BackendSelector.java
@@ -19,17 +19,17 @@
     /** The backend with the least expected wait among those that may have this request, or null where none may. */
     BackendState select(RequestState state) {
         BackendState best = null;
-        double leastCost = Double.MAX_VALUE;
+        double minCost = Double.MAX_VALUE;
         for (BackendState backend : registry.all()) {
             if (!backend.listed || !state.mayUse(backend) || state.inFlight > 0 && state.hasTried(backend)) {
                 continue;
             }
             double cost = cost(backend, state);
-            if (!isAvailable(backend) || cost >= leastCost) {
+            if (!isAvailable(backend) || cost >= minCost) {
                 continue;
             }
             best = backend;
-            leastCost = cost;
+            minCost = cost;
         }
         return best;
     }
--- a/decision/src/main/java/opalcove/decision/CapacityController.java
+++ b/decision/src/main/java/opalcove/decision/CapacityController.java
@@ -71,7 +71,7 @@
         return shortestMs;
     }
 
-    /** For each plan and request class in turn: the queue beyond the quota, and the one within it. */
+    /** For each plan and, within it, each request class: the queue beyond the quota, and the one within it. */
     private static ClassQueue[][] queues(DecisionSettings settings) {
         int classes = settings.classes().size();
         ClassQueue[][] queues = new ClassQueue[settings.plans().size() * classes][];
--- a/decision/src/main/java/opalcove/decision/ClientRetryDetector.java
+++ b/decision/src/main/java/opalcove/decision/ClientRetryDetector.java
@@ -22,14 +22,14 @@
      */
     boolean recordBudget(double share) {
         int match = -1;
-        int most = 0;
+        int leading = 0;
         int fewest = 0;
         for (int i = 0; i < CANDIDATES; i++) {
             if (Math.abs(budgets[i] - share) < SAME_BUDGET) {
                 match = i;
             }
-            if (votes[i] > votes[most]) {
-                most = i;
+            if (votes[i] > votes[leading]) {
+                leading = i;
             }
             if (votes[i] < votes[fewest]) {
                 fewest = i;
@@ -43,6 +43,6 @@
         for (int i = 0; i < CANDIDATES; i++) {
             votes[i] = Math.max(0, Math.min(MAX_VOTES, votes[i] + (i == match ? 1 : othersChange)));
         }
-        return votes[most] < 2 || Math.abs(budgets[most] - share) < SAME_BUDGET;
+        return votes[leading] < 2 || Math.abs(budgets[leading] - share) < SAME_BUDGET;
     }
 }
--- a/decision/src/main/java/opalcove/decision/DecisionModule.java
+++ b/decision/src/main/java/opalcove/decision/DecisionModule.java
@@ -3,38 +3,44 @@
 import java.util.List;
 
 /**
- * What an admission gateway and its decision module say to each other. The module implements the events, the embedding
- * gateway implements {@link Actions}. Times are milliseconds of one clock that only goes forward. Types only.
+ * The events that an embedding gateway delivers to its decision module, which answers through {@link DecisionActions}.
+ * Each event carries its time, in milliseconds of one clock that only goes forward. One thread delivers all events.
  */
 public interface DecisionModule {
 
-    /** The host list: whole, or only its changed lines. */
-    void endpointsChanged(double now, boolean whole, List<Endpoint> lines);
+    /** The endpoint list was read: the complete one, or its changed entries alone. */
+    void endpointsChanged(double nowMs, boolean complete, List<Endpoint> endpoints);
 
-    /** Asking for the host list failed, or following it broke off. */
-    void endpointListFailed(double now);
+    /** A poll of the endpoint list failed, or its subscription broke off; the list before remains valid. */
+    void endpointListFailed(double nowMs);
 
-    /** A request was taken. */
-    void requestArrived(double now, AdmissionRequest request);
+    /** A request arrived; the module owes it one final response. */
+    void requestArrived(double nowMs, AdmissionRequest request);
 
-    /** An attempt ended. */
-    void attemptEnded(double now, AttemptOutcome outcome);
+    /** An attempt ended; each attempt that was started ends once. */
+    void attemptEnded(double nowMs, AttemptOutcome outcome);
 
     /**
-     * Figures that came after their attempt's outcome was told, as at the end of a long value: usedPercent below 0 and
-     * trueUnits 0 where none came.
+     * Usage was reported after its attempt's outcome, as at the end of a streamed value.
+     *
+     * @param usedPercent the tenant's use of its rate over all gateways; below 0 where none is reported
+     * @param trueUnits the request's true units; 0 where none are reported
      */
-    void usageReported(double now, AdmissionRequest request, int usedPercent, double trueUnits);
+    void usageReported(double nowMs, AdmissionRequest request, int usedPercent, double trueUnits);
 
-    /** A streamed answer began: the attempt is the client's now. */
-    void responseStarted(double now, String id, int attempt);
+    /** A streamed response began: the attempt belongs to the client now. */
+    void responseStarted(double nowMs, String requestId, int attempt);
 
-    /** The client has left, or the request is over. */
-    void requestCancelled(double now, String id);
+    /** The client has left, or its request was ended without the module; the module owes no final response any more. */
+    void requestCancelled(double nowMs, String requestId);
 
-    /** A timer asked for is due. */
-    void timerExpired(double now, long token);
+    /** A timer expired, as set by {@link DecisionActions#setTimer}. */
+    void timerExpired(double nowMs, long token);
 
-    /** A probe ended. */
-    void healthCheckEnded(double now, String host, ProbeStatus result, double elapsedMs, double[] load);
+    /**
+     * A health check ended.
+     *
+     * @param load the load report of the backend; null where none came
+     */
+    void healthCheckEnded(double nowMs, String backend, ProbeStatus status, double elapsedMs, double[] load);
 }
--- a/decision/src/main/java/opalcove/decision/DecisionSettings.java
+++ b/decision/src/main/java/opalcove/decision/DecisionSettings.java
@@ -2,7 +2,16 @@
 
 import java.util.List;
 
-/** Everything a module is handed at start. */
+/**
+ * The settings of a decision module.
+ *
+ * @param self the number of this gateway among all, from 0
+ * @param gateways the number of gateways that share the backends
+ * @param zone the zone of this gateway
+ * @param tickMs the shortest interval between events of the embedding gateway
+ * @param meterPeriodMs the period over which use is metered; 0 where there is no meter
+ * @param unitsAreEstimates whether a request's true units are known from its outcome only
+ */
 public record DecisionSettings(
         int self,
         int gateways,
@@ -30,19 +39,30 @@
             require(Math.min(requestClass.objectiveMs(), requestClass.deadlineMs()) > 0, "no time");
         }
         for (Plan plan : plans) {
-            double leastQuota = Math.min(plan.rate(), plan.burst());
-            double leastLimit = Math.min(plan.ceilingRate(), plan.maxInFlight());
+            double minQuota = Math.min(plan.rate(), plan.burst());
+            double minLimit = Math.min(plan.ceilingRate(), plan.maxInFlight());
             require(
-                    Math.min(leastQuota, leastLimit) >= 0 && plan.ceilingBurst() >= 0,
+                    Math.min(minQuota, minLimit) >= 0 && plan.ceilingBurst() >= 0,
                     "plan " + plan.name() + " has a figure below 0");
         }
     }
 
     private static void require(boolean holds, String otherwise) {
-        if (!holds) throw new IllegalArgumentException(otherwise);
+        if (!holds) {
+            throw new IllegalArgumentException(otherwise);
+        }
     }
 
-    /** A request class. A keyed class's repeats are dropped within windowMs of the first send that may have run. */
+    /**
+     * A request class.
+     *
+     * @param weight the priority weight of one request
+     * @param lateShare the part of the weight that a response after its objective still earns
+     * @param objectiveMs the latency objective
+     * @param deadlineMs the client's deadline, over all its tries
+     * @param windowMs for keyed requests: how long after the first attempt that may have run repeats are dropped
+     * @param stream whether responses are streamed
+     */
     public record RequestClass(
             String name,
             double weight,
@@ -54,7 +74,19 @@
             double windowMs,
             boolean stream) {}
 
-    /** A plan: a quota (0: none) in units a second with a burst, an open cap (0: none) and a ceiling (rate 0: none). */
+    /**
+     * A plan, whose quotas hold for each tenant over all gateways.
+     *
+     * @param rate the quota in units a second; 0 where there is none
+     * @param burst the units that the quota's bucket holds
+     * @param maxInFlight the cap on requests in flight; 0 where there is none
+     * @param price the factor of a request's weight
+     * @param overQuotaWeight the share of its weight that a request beyond the quota earns
+     * @param overQuotaCost the share of its weight that a request beyond the quota costs
+     * @param ceilingRate the hard ceiling in units a second; 0 where there is none
+     * @param ceilingBurst the units that the ceiling's bucket holds
+     * @param ceilingSlack the units by which that bucket may go below 0
+     */
     public record Plan(
             String name,
             double rate,
@@ -68,9 +100,15 @@
             double ceilingSlack) {}
 
     /**
-     * What the deployment allows; idleCloseMs: idle connections to hosts close after this. The last three bind the
-     * gateway, not the module: how long a connection may take to come up, how many requests may be open at once, and
-     * the units that a request counts at most.
+     * What the deployment allows. The last three bind the gateway, not the module.
+     *
+     * @param secondCopies whether a request may have two attempts in flight
+     * @param retryAfter whether clients are given a Retry-After
+     * @param idleCloseMs idle connections to backends close after this
+     * @param counter whether there is a shared counter
+     * @param connectTimeoutMs how long a connection may take to come up
+     * @param maxOpen the most requests that may be open at once
+     * @param maxUnits the most units that a request counts
      */
     public record Limits(
             int maxAttempts,
@@ -110,8 +148,16 @@
     }
 
     /**
-     * Figures of the cold-start rule, of final answers and of the host list. drainGraceMs: sends to a drained or
-     * removed host have to stop within so long after its drain was told, ms.
+     * Obligations of slow starts, of final responses and of the endpoint list.
+     *
+     * @param answerSlackMs how long after the client's deadline a final response is still in time
+     * @param initialShare the part of its capacity that a backend has when it starts
+     * @param warmAfterMs the time after which it has all of it
+     * @param overloadFactor the multiple of its present capacity that overloads a starting backend
+     * @param overloadMs how long it takes that
+     * @param listOnRequest whether the endpoint list is polled or subscribed to, instead of pushed
+     * @param pollWithinMs how old the list may get without a poll
+     * @param drainGraceMs attempts at a draining or removed backend have to stop this long after the notification
      */
     public record Obligations(
             double answerSlackMs,
@@ -125,7 +171,7 @@
         /** The drain grace where the settings name none, ms. */
         public static final double DEFAULT_DRAIN_GRACE_MS = 1000;
 
-        /** Duties whose settings name no drain grace. */
+        /** Obligations whose settings name no drain grace. */
         public Obligations(
                 double answerSlackMs,
                 double initialShare,
@@ -146,6 +192,6 @@
         }
     }
 
-    /** Prices, as shares of the worth asked for: crossing zones, wasted work, a probe, failing late. */
+    /** Costs, as shares of the requested weight: crossing zones, wasted work, a health check, failing late. */
     public record Costs(double crossZone, double waste, double probe, double lateFail) {}
 }
--- a/decision/src/main/java/opalcove/decision/DeduplicationScope.java
+++ b/decision/src/main/java/opalcove/decision/DeduplicationScope.java
@@ -1,6 +1,6 @@
 package opalcove.decision;
 
-/** Which hosts drop repeats of a keyed request that one of them has seen. */
+/** Which backends drop repeats of a keyed request that one of them has seen. */
 public enum DeduplicationScope {
     ALL,
     ZONE,
--- a/decision/src/main/java/opalcove/decision/Endpoint.java
+++ b/decision/src/main/java/opalcove/decision/Endpoint.java
@@ -1,15 +1,22 @@
 package opalcove.decision;
 
-/** A line of the host list; startedMs is 0 where the start is long ago. */
+/**
+ * An entry of the endpoint list.
+ *
+ * @param id the backend's name
+ * @param cell the number of the set of backends that share knowledge of keyed requests
+ * @param size a figure for comparison with other backends, without a unit
+ * @param startedMs when the backend started; 0 where that is long ago
+ */
 public record Endpoint(
         String id, String zone, String kind, int cell, EndpointState state, double size, double startedMs) {
-    /** The same host, started at that time. */
-    public Endpoint started(double ms) {
-        return new Endpoint(id, zone, kind, cell, state, size, ms);
+    /** The same backend, started at that time. */
+    public Endpoint started(double timeMs) {
+        return new Endpoint(id, zone, kind, cell, state, size, timeMs);
     }
 
-    /** The same host, started at that time at the earliest. */
-    public Endpoint startedSince(double ms) {
-        return new Endpoint(id, zone, kind, cell, state, size, Math.max(startedMs, ms));
+    /** The same backend, started at that time at the earliest. */
+    public Endpoint startedSince(double earliestMs) {
+        return new Endpoint(id, zone, kind, cell, state, size, Math.max(startedMs, earliestMs));
     }
 }
--- a/decision/src/main/java/opalcove/decision/EndpointState.java
+++ b/decision/src/main/java/opalcove/decision/EndpointState.java
@@ -1,6 +1,6 @@
 package opalcove.decision;
 
-/** What the host list says of a host. */
+/** The state of a backend in the endpoint list. */
 public enum EndpointState {
     UP,
     DRAINING,
--- a/decision/src/main/java/opalcove/decision/LoadMetric.java
+++ b/decision/src/main/java/opalcove/decision/LoadMetric.java
@@ -1,6 +1,6 @@
 package opalcove.decision;
 
-/** A value in a load report. */
+/** What a value in a load report measures. */
 public enum LoadMetric {
     IN_HAND,
     WAITING,
--- a/decision/src/main/java/opalcove/decision/ProbeStatus.java
+++ b/decision/src/main/java/opalcove/decision/ProbeStatus.java
@@ -1,6 +1,6 @@
 package opalcove.decision;
 
-/** How a call to the shared counter, or a probe, ended. */
+/** How a health check ended. */
 public enum ProbeStatus {
     DONE,
     NOT_DONE,
--- a/decision/src/main/java/opalcove/decision/RequestForwarder.java
+++ b/decision/src/main/java/opalcove/decision/RequestForwarder.java
@@ -47,8 +47,8 @@
     }
 
     /** The request with this id, or null once it is over and none of its attempts is in flight. */
-    RequestState find(String id) {
-        return requests.get(id);
+    RequestState find(String requestId) {
+        return requests.get(requestId);
     }
 
     /** Takes on a request; it gets its final response shortly before its budget ends at the latest. */
@@ -124,14 +124,14 @@
 
     /** Releases queued requests, highest weight first; past their bound they are shed. */
     void releaseQueued() {
-        boolean left = false;
+        boolean stillQueued = false;
         for (ClassQueue queue : capacity.queuesByWeight()) {
             if (!queue.requests.isEmpty()) {
                 release(queue);
-                left |= !queue.requests.isEmpty();
+                stillQueued |= !queue.requests.isEmpty();
             }
         }
-        if (left) {
+        if (stillQueued) {
             setQueueTimer();
         }
     }
@@ -189,7 +189,7 @@
      */
     private void retryOrEnd(RequestState state, AttemptStatus last) {
         boolean addsLoad = !last.neverRan && last != AttemptStatus.CANCELLED;
-        if (state.budgetLeftMs() <= 2 * context.settings.tickMs()
+        if (state.remainingBudgetMs() <= 2 * context.settings.tickMs()
                 || !state.mayStartAttempt()
                 || addsLoad && (!retryBudget.hasToken() || capacity.isBounded())) {
             endUnserved(state);
--- a/decision/src/main/java/opalcove/decision/RequestState.java
+++ b/decision/src/main/java/opalcove/decision/RequestState.java
@@ -24,7 +24,7 @@
     final double tokenShare;
 
     /** What was left of the latency objective on arrival, ms: a client's retry shows its age by its smaller budget. */
-    final double objectiveLeftMs;
+    final double remainingObjectiveMs;
 
     ClassQueue queue;
     int inFlight;
@@ -49,11 +49,11 @@
         requestClass = context.settings.classes().get(classIndex);
         double waitedMs = Math.max(0, requestClass.deadlineMs() - request.budgetMs());
         boolean retry = request.retry() || !retries.recordBudget(request.budgetMs() / requestClass.deadlineMs());
-        objectiveLeftMs = requestClass.objectiveMs() - (retry ? waitedMs : 0);
+        remainingObjectiveMs = requestClass.objectiveMs() - (retry ? waitedMs : 0);
     }
 
     /** What is left of the client's time budget, ms. */
-    double budgetLeftMs() {
+    double remainingBudgetMs() {
         return arrivedAtMs + request.budgetMs() - context.nowMs;
     }
 
@@ -64,8 +64,8 @@
 
     /** How long it may be queued, ms: what is left of its objective once a usual response has had its time. */
     double maxQueuedMs() {
-        double leftMs = Math.min(objectiveLeftMs, request.budgetMs());
-        return Math.max(0, leftMs - context.sizes.meanMs(classIndex) - expectedMs()) * 0.6;
+        double remainingMs = Math.min(remainingObjectiveMs, request.budgetMs());
+        return Math.max(0, remainingMs - context.sizes.meanMs(classIndex) - expectedMs()) * 0.6;
     }
 
     /** Whether it has been queued for as long as it may be. */
@@ -75,7 +75,7 @@
 
     /** A Retry-After for a shed request, ms: drawn so that a retry may still be answered in time. */
     double drawRetryAfterMs() {
-        double lastRetryMs = arrivedAtMs + objectiveLeftMs - 2 * context.sizes.meanMs(classIndex);
+        double lastRetryMs = arrivedAtMs + remainingObjectiveMs - 2 * context.sizes.meanMs(classIndex);
         return context.random.nextDouble() * Math.max(0, lastRetryMs - context.nowMs);
     }
 
