--- a/gateway/src/test/java/opalcove/simulator/SimulatorAdapterTest.java
+++ b/gateway/src/test/java/opalcove/simulator/SimulatorAdapterTest.java
@@ -39,7 +39,7 @@
     }
 
     @Test
-    void aRequestIsHandedOffAndItsOutcomeTakenIn() throws Exception {
+    void aRequestIsForwardedAndItsOutcomeRead() throws Exception {
         String out = play(BORN + SUBMIT + FLUSH + "{\"verb\":\"Sync\",\"time_ms\":60}\n"
                 + "{\"verb\":\"Outcome\",\"gateway\":0,\"ticket\":\"00ab\",\"host\":\"h\",\"code\":\"completed\","
                 + "\"ended\":true,\"latency_ms\":50,\"shot\":0,\"use_pct\":21}\n" + FLUSH);
@@ -49,7 +49,7 @@
     }
 
     @Test
-    void everyEventOfTheWireIsTakenIn() throws Exception {
+    void everyEventOfTheWireIsRead() throws Exception {
         String out = play(BORN + SUBMIT
                 + "{\"verb\":\"TickDue\",\"gateway\":0,\"handle\":999}\n"
                 + "{\"verb\":\"Established\",\"gateway\":0,\"ticket\":\"zz\",\"host\":\"h\"}\n"
@@ -82,7 +82,7 @@
     }
 
     @Test
-    void badInputIsTurnedAway() {
+    void badInputIsRejected() {
         String sync = "{\"verb\":\"Sync\",\"time_ms\":10}\n";
         for (String bad : new String[] {
             "[1]",
--- a/gateway/src/test/java/opalcove/simulator/SimulatorAdapterTranscriptTest.java
+++ b/gateway/src/test/java/opalcove/simulator/SimulatorAdapterTranscriptTest.java
@@ -54,7 +54,7 @@
                 .collect(Collectors.joining());
     }
 
-    private static void refused(String message, String input) {
+    private static void rejects(String message, String input) {
         assertEquals(
                 message,
                 assertThrows(InvalidConfigurationException.class, () -> play(input), input)
@@ -77,7 +77,7 @@
     }
 
     @Test
-    void hostsUnderPressure() throws IOException {
+    void backendsUnderPressure() throws IOException {
         replay("pressed");
     }
 
@@ -95,60 +95,60 @@
 
     @Test
     void batchesThatAreNotFramed() {
-        refused("Sync inside a batch", SYNC + SYNC);
-        refused("time_ms goes back", SYNC + FLUSH + SYNC.replace("10", "9.5"));
-        refused("Flush outside a batch", FLUSH);
-        refused("Submit outside a batch", "{\"verb\":\"Submit\"}");
-        refused("the input ended inside a batch", SYNC);
-        refused("unknown verb Nosuch", SYNC + "{\"verb\":\"Nosuch\"}");
-        refused("field verb is missing", SYNC + "{\"time\":1}");
-        refused("field verb must be a text", "{\"verb\":7}");
-        refused("field time_ms must be a number", "{\"verb\":\"Sync\",\"time_ms\":\"x\"}");
-        refused("the message must be an object", "[1]");
-        refused("malformed JSON: Unexpected end of input at 1:9", "{\"verb\":");
+        rejects("Sync inside a batch", SYNC + SYNC);
+        rejects("time_ms goes back", SYNC + FLUSH + SYNC.replace("10", "9.5"));
+        rejects("Flush outside a batch", FLUSH);
+        rejects("Submit outside a batch", "{\"verb\":\"Submit\"}");
+        rejects("the input ended inside a batch", SYNC);
+        rejects("unknown verb Nosuch", SYNC + "{\"verb\":\"Nosuch\"}");
+        rejects("field verb is missing", SYNC + "{\"time\":1}");
+        rejects("field verb must be a text", "{\"verb\":7}");
+        rejects("field time_ms must be a number", "{\"verb\":\"Sync\",\"time_ms\":\"x\"}");
+        rejects("the message must be an object", "[1]");
+        rejects("malformed JSON: Unexpected end of input at 1:9", "{\"verb\":");
     }
 
     @Test
-    void eventsThatCannotBeTakenIn() {
-        refused(
+    void eventsThatCannotBeRead() {
+        rejects(
                 "TickDue for gateway 4, which is not running",
                 SYNC + "{\"verb\":\"TickDue\",\"gateway\":4,\"handle\":0}");
-        refused(
+        rejects(
                 "Submit for gateway 4, which is not running",
                 SYNC + BORN + "{\"verb\":\"Killed\",\"gateway\":4}\n{\"verb\":\"Submit\",\"gateway\":4}");
-        refused("field gateway is missing", SYNC + "{\"verb\":\"Inbox\"}");
-        refused("field gateway is missing", SYNC + "{\"verb\":\"Total\"}");
-        refused("field gateway must be a whole number", SYNC + "{\"verb\":\"Killed\",\"gateway\":1.5}");
-        refused("field ticket is missing", SYNC + BORN + "{\"verb\":\"Submit\",\"gateway\":4}");
-        refused(
+        rejects("field gateway is missing", SYNC + "{\"verb\":\"Inbox\"}");
+        rejects("field gateway is missing", SYNC + "{\"verb\":\"Total\"}");
+        rejects("field gateway must be a whole number", SYNC + "{\"verb\":\"Killed\",\"gateway\":1.5}");
+        rejects("field ticket is missing", SYNC + BORN + "{\"verb\":\"Submit\",\"gateway\":4}");
+        rejects(
                 "unknown code odd",
                 SYNC + BORN + "{\"verb\":\"Outcome\",\"gateway\":4,\"ticket\":\"a\",\"host\":\"h\",\"code\":\"odd\"}");
-        refused(
+        rejects(
                 "field feedback must hold numbers",
                 SYNC + BORN + "{\"verb\":\"ProbeDone\",\"gateway\":4,\"host\":\"h\",\"code\":\"completed\","
                         + "\"feedback\":[\"x\"]}");
     }
 
     @Test
-    void listsThatCannotBeTakenIn() {
-        refused("unknown form odd", SYNC + BORN + "{\"verb\":\"Announce\",\"gateway\":4,\"form\":\"odd\",\"ref\":0}");
-        refused(
+    void listsThatCannotBeRead() {
+        rejects("unknown form odd", SYNC + BORN + "{\"verb\":\"Announce\",\"gateway\":4,\"form\":\"odd\",\"ref\":0}");
+        rejects(
                 "no Roster numbered 3",
                 SYNC + BORN + "{\"verb\":\"Announce\",\"gateway\":4,\"form\":\"whole\",\"ref\":3}");
-        refused(
+        rejects(
                 "unknown stage_state odd",
                 SYNC + "{\"verb\":\"Roster\",\"ref\":0,\"lines\":[{\"host\":\"h\",\"stage_state\":\"odd\"}]}");
-        refused("field lines must be a list", SYNC + "{\"verb\":\"Roster\",\"ref\":0,\"lines\":7}");
-        refused(
+        rejects("field lines must be a list", SYNC + "{\"verb\":\"Roster\",\"ref\":0,\"lines\":7}");
+        rejects(
                 "field lines[0].host is missing",
                 SYNC + "{\"verb\":\"Roster\",\"ref\":0,\"lines\":[{\"stage_state\":\"on\"}]}");
     }
 
     @Test
     void settingsThatCannotBeServed() {
-        refused("field facts.profiles[0] must be an object", SYNC + born("7", PLAN));
-        refused("field facts.tiers_of_service must not be empty", SYNC + born(CLASS, ""));
-        refused(
+        rejects("field facts.profiles[0] must be an object", SYNC + born("7", PLAN));
+        rejects("field facts.tiers_of_service must not be empty", SYNC + born(CLASS, ""));
+        rejects(
                 "field facts.tiers_of_service[0].quota_rate must be a finite number not below 0",
                 SYNC + born(CLASS, PLAN.replace("\"quota_rate\":5", "\"quota_rate\":-5")));
     }
