--- a/gateway/src/test/java/opalcove/backend/LocalConnectFailureTest.java
+++ b/gateway/src/test/java/opalcove/backend/LocalConnectFailureTest.java
@@ -57,11 +57,11 @@
         vertx.runOnContext(run -> {
             ConnectionPool pool = new ConnectionPool(vertx, TestSettings.settings(), this::dial, most);
             pool.onLocalConnectFailure(told::add);
-            pool.startAttempt(NODE, ASK, 4000, end -> ends.add(end.result()));
+            pool.startAttempt(NODE, ASK, 4000, end -> ends.add(end.status()));
         });
     }
 
-    private Future<ConnectionPool.BackendConnection> dial(String address) {
+    private Future<BackendConnection> dial(String address) {
         Throwable failure = failures.poll();
         return failure == null ? Future.succeededFuture(new SilentLine()) : Future.failedFuture(failure);
     }
@@ -101,7 +101,7 @@
     }
 
     /** A line that takes everything and answers nothing. */
-    private final class SilentLine implements ConnectionPool.BackendConnection {
+    private final class SilentLine implements BackendConnection {
         @Override
         public void setListener(Listener attached) {
             // Nothing comes of it.
--- a/gateway/src/test/java/opalcove/resp/ConnectionCrossingsTest.java
+++ b/gateway/src/test/java/opalcove/resp/ConnectionCrossingsTest.java
@@ -71,7 +71,7 @@
                 DiscoveryClientTest.call(agent);
                 Socket client = stage.client();
                 RespTestBed.say(client, RespTestBed.query(1, 4000));
-                RespTestBed.BackendConnection rested = first.accept();
+                RespTestBed.BackendPeer rested = first.accept();
                 rested.command();
                 rested.serve("one");
                 assertEquals(RespTestBed.answer(client), "one");
@@ -83,7 +83,7 @@
                             Thread.sleep(pauseMs);
                         },
                         () -> {});
-                RespTestBed.BackendConnection line = second.accept();
+                RespTestBed.BackendPeer line = second.accept();
                 assertTrue(line.command().contains(RespTestBed.id(2)));
                 line.serve("two");
                 assertEquals(RespTestBed.answer(client), "two");
@@ -134,7 +134,7 @@
                 stage.until("asks_open", 2);
                 list(agent, 5, first.is(EndpointState.DRAINING), second.is(EndpointState.UP));
                 for (Socket each : List.of(client, later)) {
-                    RespTestBed.BackendConnection line = second.withCommand();
+                    RespTestBed.BackendPeer line = second.withCommand();
                     line.command();
                     line.serve("two");
                     assertEquals(RespTestBed.answer(each), "two");
@@ -168,7 +168,7 @@
             stage.handOver(late);
             // The ask goes to the other node, as its second attempt.
             stage.handOver(stage.linkUp());
-            RespTestBed.BackendConnection line = second.accept();
+            RespTestBed.BackendPeer line = second.accept();
             assertTrue(line.command().contains(RespTestBed.id(1)));
             line.serve("two");
             assertEquals(RespTestBed.answer(client), "two");
@@ -190,7 +190,7 @@
             stage.told(after.is(EndpointState.UP));
             stage.handOver(late);
             stage.handOver(stage.linkUp());
-            RespTestBed.BackendConnection line = after.accept();
+            RespTestBed.BackendPeer line = after.accept();
             assertTrue(line.command().contains(RespTestBed.id(1)));
             line.serve("moved");
             assertEquals(RespTestBed.answer(client), "moved");
@@ -214,7 +214,7 @@
             stage.until("links_resting", 1);
             Socket other = stage.client();
             RespTestBed.say(other, RespTestBed.query(2, 4000));
-            RespTestBed.BackendConnection line = backend.accept();
+            RespTestBed.BackendPeer line = backend.accept();
             assertTrue(line.command().contains(RespTestBed.id(2)), "the ask of one who left was sent");
             line.serve("two");
             assertEquals(RespTestBed.answer(other), "two");
@@ -264,7 +264,7 @@
             stage.told(backend.is(EndpointState.UP));
             Socket client = stage.client();
             RespTestBed.say(client, RespTestBed.query(1, 100));
-            RespTestBed.BackendConnection line = backend.accept();
+            RespTestBed.BackendPeer line = backend.accept();
             line.command();
             assertTrue(RespTestBed.answer(client).startsWith("-"));
             assertTrue(line.ended(), "the link is kept for an answer that nobody awaits");
@@ -280,7 +280,7 @@
             RespTestBed.Node other = stage.backend("n2");
             stage.told(backend.is(EndpointState.UP), other.is(EndpointState.DRAINING));
             // The module makes a priced repeat for each ten first attempts.
-            RespTestBed.BackendConnection line = rested(stage, backend);
+            RespTestBed.BackendPeer line = rested(stage, backend);
             for (int i = 0; i < 10; i++) {
                 again(stage, line);
             }
@@ -307,7 +307,7 @@
         try (RespTestBed stage = new RespTestBed(IDLE)) {
             RespTestBed.Node backend = stage.backend("n1");
             stage.told(backend.is(EndpointState.UP));
-            RespTestBed.BackendConnection line = rested(stage, backend);
+            RespTestBed.BackendPeer line = rested(stage, backend);
             BlockingQueue<String> answers = new LinkedBlockingQueue<>();
             stage.unread(
                     () -> {
@@ -315,7 +315,7 @@
                         line.socket.close();
                     },
                     () -> stage.serve(2, 4000, answers));
-            RespTestBed.BackendConnection fresh = backend.accept();
+            RespTestBed.BackendPeer fresh = backend.accept();
             assertTrue(fresh.command().contains(RespTestBed.id(2)));
             fresh.serve("two");
             assertEquals(answers.poll(RespTestBed.PATIENCE_S, TimeUnit.SECONDS), "two");
@@ -329,7 +329,7 @@
         try (RespTestBed stage = new RespTestBed(IDLE)) {
             RespTestBed.Node backend = stage.backend("n1");
             stage.told(backend.is(EndpointState.UP));
-            RespTestBed.BackendConnection line = rested(stage, backend);
+            RespTestBed.BackendPeer line = rested(stage, backend);
             BlockingQueue<String> answers = new LinkedBlockingQueue<>();
             stage.unread(
                     () -> {
@@ -337,7 +337,7 @@
                         line.serve("one again");
                     },
                     () -> stage.serve(2, 4000, answers));
-            RespTestBed.BackendConnection fresh = backend.accept();
+            RespTestBed.BackendPeer fresh = backend.accept();
             assertTrue(fresh.command().contains(RespTestBed.id(2)));
             fresh.serve("two");
             assertEquals(answers.poll(RespTestBed.PATIENCE_S, TimeUnit.SECONDS), "two");
@@ -351,14 +351,14 @@
         try (RespTestBed stage = new RespTestBed()) {
             RespTestBed.Node backend = stage.backend("n1");
             stage.told(backend.is(EndpointState.UP));
-            RespTestBed.BackendConnection line = rested(stage, backend);
+            RespTestBed.BackendPeer line = rested(stage, backend);
             line.serve("one again");
             assertTrue(line.ended());
             for (int round = 0; round < 10; round++) {
-                RespTestBed.BackendConnection next = rested(stage, backend);
+                RespTestBed.BackendPeer next = rested(stage, backend);
                 BlockingQueue<String> answers = new LinkedBlockingQueue<>();
                 stage.unread(() -> next.serve("one again"), () -> stage.serve(2, 4000, answers));
-                RespTestBed.BackendConnection fresh = backend.accept();
+                RespTestBed.BackendPeer fresh = backend.accept();
                 assertTrue(fresh.command().contains(RespTestBed.id(2)));
                 fresh.serve("two");
                 assertEquals(answers.poll(RespTestBed.PATIENCE_S, TimeUnit.SECONDS), "two");
@@ -381,7 +381,7 @@
             stage.told(backend.is(EndpointState.UP));
             Socket client = stage.client();
             RespTestBed.say(client, RespTestBed.query(1, 4000));
-            RespTestBed.BackendConnection line = backend.accept();
+            RespTestBed.BackendPeer line = backend.accept();
             line.command();
             BlockingQueue<String> answers = new LinkedBlockingQueue<>();
             // Both lie unread when the next ask is taken; whichever is read first, the next ask's answer is its own.
@@ -391,7 +391,7 @@
                         client.close();
                     },
                     () -> stage.serve(2, 4000, answers));
-            RespTestBed.BackendConnection other = backend.accept();
+            RespTestBed.BackendPeer other = backend.accept();
             assertTrue(other.command().contains(RespTestBed.id(2)));
             other.serve("two");
             assertEquals(answers.poll(RespTestBed.PATIENCE_S, TimeUnit.SECONDS), "two");
@@ -407,7 +407,7 @@
             stage.told(backend.is(EndpointState.UP));
             Socket client = stage.client();
             RespTestBed.say(client, RespTestBed.query(1, 150));
-            RespTestBed.BackendConnection line = backend.accept();
+            RespTestBed.BackendPeer line = backend.accept();
             line.command();
             String first = RespTestBed.answer(client);
             assertNotEquals(first, "one");
@@ -418,7 +418,7 @@
                 assertTrue(line.ended());
             }
             RespTestBed.say(client, RespTestBed.query(2, 4000));
-            RespTestBed.BackendConnection fresh = backend.accept();
+            RespTestBed.BackendPeer fresh = backend.accept();
             assertTrue(fresh.command().contains(RespTestBed.id(2)));
             fresh.serve("two");
             assertEquals(RespTestBed.answer(client), "two");
@@ -426,10 +426,10 @@
     }
 
     /** A line that has carried an answer and rests. */
-    private static RespTestBed.BackendConnection rested(RespTestBed stage, RespTestBed.Node backend) throws Exception {
+    private static RespTestBed.BackendPeer rested(RespTestBed stage, RespTestBed.Node backend) throws Exception {
         Socket client = stage.client();
         RespTestBed.say(client, RespTestBed.query(1, 4000));
-        RespTestBed.BackendConnection line = backend.accept();
+        RespTestBed.BackendPeer line = backend.accept();
         line.command();
         line.serve("one");
         assertEquals(RespTestBed.answer(client), "one");
@@ -438,7 +438,7 @@
     }
 
     /** One more ask on a line that rests. */
-    private static void again(RespTestBed stage, RespTestBed.BackendConnection line) throws Exception {
+    private static void again(RespTestBed stage, RespTestBed.BackendPeer line) throws Exception {
         BlockingQueue<String> answers = new LinkedBlockingQueue<>();
         stage.onLoop(() -> stage.serve(50, 4000, answers));
         line.command();
