--- a/config/src/main/java/opalcove/config/SettingsReader.java
+++ b/config/src/main/java/opalcove/config/SettingsReader.java
@@ -18,11 +18,11 @@
 public final class SettingsReader {
     private static final Map<String, LoadMetric> GAUGES = Map.of(
             "busy_reqs",
-            LoadMetric.IN_HAND,
+            LoadMetric.IN_FLIGHT,
             "pending",
-            LoadMetric.WAITING,
+            LoadMetric.QUEUED,
             "cpu_share",
-            LoadMetric.BUSY_SHARE,
+            LoadMetric.CPU_SHARE,
             "svc_ms",
             LoadMetric.SERVICE_MS,
             "served_ps",
@@ -184,8 +184,8 @@
 
     private static LoadReportSource reports(String word) {
         return switch (word) {
-            case "inline" -> LoadReportSource.IN_ANSWERS;
-            case "on_probe" -> LoadReportSource.ON_PROBES;
+            case "inline" -> LoadReportSource.IN_RESPONSES;
+            case "on_probe" -> LoadReportSource.ON_HEALTH_CHECKS;
             default -> LoadReportSource.NONE;
         };
     }
--- a/decision/src/main/java/opalcove/decision/DecisionSettings.java
+++ b/decision/src/main/java/opalcove/decision/DecisionSettings.java
@@ -150,7 +150,7 @@
     /**
      * Obligations of slow starts, of final responses and of the endpoint list.
      *
-     * @param answerSlackMs how long after the client's deadline a final response is still in time
+     * @param responseSlackMs how long after the client's deadline a final response is still in time
      * @param initialShare the part of its capacity that a backend has when it starts
      * @param warmAfterMs the time after which it has all of it
      * @param overloadFactor the multiple of its present capacity that overloads a starting backend
@@ -160,7 +160,7 @@
      * @param drainGraceMs attempts at a draining or removed backend have to stop this long after the notification
      */
     public record Obligations(
-            double answerSlackMs,
+            double responseSlackMs,
             double initialShare,
             double warmAfterMs,
             double overloadFactor,
@@ -173,7 +173,7 @@
 
         /** Obligations whose settings name no drain grace. */
         public Obligations(
-                double answerSlackMs,
+                double responseSlackMs,
                 double initialShare,
                 double warmAfterMs,
                 double overloadFactor,
@@ -181,7 +181,7 @@
                 boolean listOnRequest,
                 double pollWithinMs) {
             this(
-                    answerSlackMs,
+                    responseSlackMs,
                     initialShare,
                     warmAfterMs,
                     overloadFactor,
--- a/decision/src/main/java/opalcove/decision/LoadMetric.java
+++ b/decision/src/main/java/opalcove/decision/LoadMetric.java
@@ -2,9 +2,9 @@
 
 /** What a value in a load report measures. */
 public enum LoadMetric {
-    IN_HAND,
-    WAITING,
-    BUSY_SHARE,
+    IN_FLIGHT,
+    QUEUED,
+    CPU_SHARE,
     SERVICE_MS,
     SERVED_PER_S,
     ERRORS_PER_S,
--- a/decision/src/main/java/opalcove/decision/LoadReportSource.java
+++ b/decision/src/main/java/opalcove/decision/LoadReportSource.java
@@ -3,6 +3,6 @@
 /** Where load reports come from. */
 public enum LoadReportSource {
     NONE,
-    IN_ANSWERS,
-    ON_PROBES
+    IN_RESPONSES,
+    ON_HEALTH_CHECKS
 }
--- a/decision/src/test/java/opalcove/decision/BackendHealthTest.java
+++ b/decision/src/test/java/opalcove/decision/BackendHealthTest.java
@@ -7,6 +7,9 @@
 
 import java.util.ArrayList;
 import java.util.List;
+import java.util.Set;
+import java.util.TreeSet;
+import java.util.stream.IntStream;
 import org.junit.jupiter.api.Test;
 
 class BackendHealthTest {
@@ -108,7 +111,7 @@
             endpoints.add(new Endpoint("e" + i, "east", "", 0, EndpointState.UP, 1, 0));
         }
         gateway.list(true, endpoints.toArray(new Endpoint[0]));
-        java.util.Set<String> tried = new java.util.TreeSet<>();
+        Set<String> tried = new TreeSet<>();
         for (int i = 0; i < 60; i++) {
             gateway.until(10 * i);
             int before = gateway.sends.size();
@@ -137,56 +140,63 @@
         assertTrue(tried.size() <= 5, "of eight lost backends tried " + tried);
     }
 
+    /** An attempt in flight: its request, its backend and the time at which it ends. */
+    private record Pending(String requestId, String backend, int endsAtMs) {}
+
     @Test
     void whereConnectsFailBackendsThatRespondedLatelyArePreferred() {
         gateway.start(gateway.limits, 2);
-        List<Endpoint> endpoints = new ArrayList<>();
-        for (int i = 0; i < 16; i++) {
-            endpoints.add(up("h" + i));
-        }
-        gateway.list(true, endpoints.toArray(new Endpoint[0]));
-        java.util.Set<String> standing = new java.util.TreeSet<>();
-        List<String> pending = new ArrayList<>();
+        gateway.list(true, IntStream.range(0, 16).mapToObj(i -> up("h" + i)).toArray(Endpoint[]::new));
+        Set<String> connected = new TreeSet<>();
+        List<Pending> pending = new ArrayList<>();
         int failed = 0;
         for (int t = 0; t < 6000; t += 10) {
             gateway.until(t);
-            while (!pending.isEmpty() && Integer.parseInt(pending.get(0).split("@")[2]) <= t) {
-                String[] p = pending.remove(0).split("@");
-                boolean connects = t < 500 || standing.contains(p[1]);
+            while (!pending.isEmpty() && pending.get(0).endsAtMs <= t) {
+                Pending attempt = pending.remove(0);
+                boolean connects = t < 500 || connected.contains(attempt.backend);
                 failed += connects ? 0 : 1;
                 if (connects) {
-                    standing.add(p[1]);
+                    connected.add(attempt.backend);
                 }
                 int from = gateway.sends.size();
-                long attempt = gateway.sends.stream()
-                                .filter(x -> x.startsWith(p[0] + "@"))
-                                .count()
-                        - 1;
-                gateway.module.attemptEnded(
-                        t,
-                        new AttemptOutcome(
-                                p[0],
-                                p[1],
-                                (int) attempt,
-                                connects ? AttemptStatus.SERVED : AttemptStatus.UNREACHABLE,
-                                100,
-                                connects,
-                                -1,
-                                0,
-                                null));
-                gateway.sends
-                        .subList(from, gateway.sends.size())
-                        .forEach(x -> pending.add(x + "@" + (int) (gateway.now + 100)));
+                endLastAttempt(attempt, connects);
+                pending.addAll(pendingSince(from));
             }
             if (t % 20 == 0) {
                 int from = gateway.sends.size();
                 gateway.module.requestArrived(
                         t, new AdmissionRequest("r" + t, "look", "open", "c" + t, 1, 4000, 2, false));
-                int due = t + 100;
-                gateway.sends.subList(from, gateway.sends.size()).forEach(x -> pending.add(x + "@" + due));
+                pending.addAll(pendingSince(from));
             }
         }
-        assertTrue(standing.size() >= 3 && failed <= 12, "connects failed " + failed + ", standing " + standing);
+        assertTrue(connected.size() >= 3 && failed <= 12, "connects failed " + failed + ", connected " + connected);
+    }
+
+    /** The attempts that were started since; each ends after 100 ms. */
+    private List<Pending> pendingSince(int from) {
+        return gateway.sends.subList(from, gateway.sends.size()).stream()
+                .map(send -> send.split("@"))
+                .map(send -> new Pending(send[0], send[1], (int) (gateway.now + 100)))
+                .toList();
+    }
+
+    private void endLastAttempt(Pending pending, boolean connects) {
+        long attempts = gateway.sends.stream()
+                .filter(send -> send.startsWith(pending.requestId + "@"))
+                .count();
+        gateway.module.attemptEnded(
+                gateway.now,
+                new AttemptOutcome(
+                        pending.requestId,
+                        pending.backend,
+                        (int) attempts - 1,
+                        connects ? AttemptStatus.SERVED : AttemptStatus.UNREACHABLE,
+                        100,
+                        connects,
+                        -1,
+                        0,
+                        null));
     }
 
     @Test
--- a/decision/src/test/java/opalcove/decision/SeededTraffic.java
+++ b/decision/src/test/java/opalcove/decision/SeededTraffic.java
@@ -24,11 +24,11 @@
             int gateways,
             double meterPeriodMs,
             boolean unitsAreGuesses,
-            boolean secondCopies,
+            boolean mayHedge,
             boolean mayCancel,
             boolean mayProbe,
             boolean listOnRequest,
-            double coldShare) {}
+            double initialShare) {}
 
     private static final int REQUESTS = 600;
     private static final String[] ZONES = {"east", "west"};
@@ -51,7 +51,7 @@
 
     private final Scenario scenario;
     private final SplittableRandom random;
-    private final AdmissionController policy;
+    private final AdmissionController module;
     private final PriorityQueue<Due> due =
             new PriorityQueue<>((a, b) -> a.at != b.at ? Double.compare(a.at, b.at) : Long.compare(a.serial, b.serial));
     private final Map<String, Integer> counts = new TreeMap<>();
@@ -60,7 +60,7 @@
     private final Set<String> finished = new HashSet<>();
     private final Set<String> ended = new HashSet<>();
     private final Set<Long> forgotten = new HashSet<>();
-    private final List<Endpoint> hosts = new ArrayList<>();
+    private final List<Endpoint> endpoints = new ArrayList<>();
     private final MessageDigest digest;
     private double now = 1000;
     private long serial;
@@ -74,7 +74,7 @@
         } catch (NoSuchAlgorithmException e) {
             throw new IllegalStateException(e);
         }
-        policy = new AdmissionController(now, settings(), seed * 31, this);
+        module = new AdmissionController(now, settings(), seed * 31, this);
     }
 
     /** Runs a scenario; returns the number of actions by kind and a digest of all of them. */
@@ -87,14 +87,15 @@
 
     private static DecisionSettings.RequestClass requestClass(
             String name,
-            double worth,
-            double aimMs,
+            double weight,
+            double objectiveMs,
             double deadlineMs,
-            Idempotency effect,
-            DeduplicationScope reach,
+            Idempotency idempotency,
+            DeduplicationScope deduplicationScope,
             double windowMs,
             boolean stream) {
-        return new DecisionSettings.RequestClass(name, worth, 0, aimMs, deadlineMs, effect, reach, windowMs, stream);
+        return new DecisionSettings.RequestClass(
+                name, weight, 0, objectiveMs, deadlineMs, idempotency, deduplicationScope, windowMs, stream);
     }
 
     private DecisionSettings settings() {
@@ -108,8 +109,9 @@
                 CLASSES,
                 PLANS,
                 new DecisionSettings.Limits(
-                        4, scenario.secondCopies, scenario.mayCancel, scenario.mayProbe, true, 1500, 3000, false),
-                new DecisionSettings.Obligations(8, scenario.coldShare, 6000, 2.5, 2000, scenario.listOnRequest, 4000),
+                        4, scenario.mayHedge, scenario.mayCancel, scenario.mayProbe, true, 1500, 3000, false),
+                new DecisionSettings.Obligations(
+                        8, scenario.initialShare, 6000, 2.5, 2000, scenario.listOnRequest, 4000),
                 new DecisionSettings.Costs(0.05, 0.03, 0.01, 0.1),
                 LoadReportSource.NONE,
                 List.of());
@@ -117,9 +119,10 @@
 
     private void play() {
         for (int i = 0; i < 8; i++) {
-            hosts.add(new Endpoint("h" + i, ZONES[i % 2], KINDS[i % 3], i / 3, EndpointState.UP, 1 + i % 3 * 0.5, 0));
+            endpoints.add(
+                    new Endpoint("h" + i, ZONES[i % 2], KINDS[i % 3], i / 3, EndpointState.UP, 1 + i % 3 * 0.5, 0));
         }
-        policy.endpointsChanged(now, true, List.copyOf(hosts));
+        module.endpointsChanged(now, true, List.copyOf(endpoints));
         for (int i = 0; i < REQUESTS; i++) {
             pressed = i > REQUESTS / 3 && i < REQUESTS / 2;
             advance(now + random.nextDouble(pressed ? 12 : 30));
@@ -131,15 +134,15 @@
                 heldUp();
             }
             if (i % 25 == 24) {
-                noteRooms();
+                recordCapacityShares();
             }
             if (i % 60 == 59) {
-                policy.loadReported(
+                module.loadReported(
                         now, "h" + random.nextInt(9), random.nextInt(20), random.nextInt(3), random.nextInt(400) - 20);
             }
         }
         advance(now + 12_000);
-        noteRooms();
+        recordCapacityShares();
     }
 
     /** Lets time pass; each event that falls due is delivered at its own time. */
@@ -178,44 +181,47 @@
                 1 + random.nextInt(scenario.gateways),
                 later && random.nextBoolean());
         requests.put(id, request);
-        policy.requestArrived(now, request);
+        module.requestArrived(now, request);
         if (random.nextInt(20) == 0) {
             at(random.nextDouble(600), () -> {
                 finished.add(id);
-                policy.requestCancelled(now, id);
+                module.requestCancelled(now, id);
             });
         }
     }
 
     private void changeList() {
-        int index = random.nextInt(hosts.size());
-        Endpoint host = hosts.get(index);
+        int index = random.nextInt(endpoints.size());
+        Endpoint endpoint = endpoints.get(index);
         switch (random.nextInt(5)) {
-            case 0 -> hosts.set(index, with(host, EndpointState.DRAINING, host.startedMs()));
-            case 1 -> hosts.set(index, with(host, EndpointState.UP, now));
-            case 2 -> hosts.set(index, with(host, EndpointState.REMOVED, host.startedMs()));
-            case 3 -> hosts.add(new Endpoint("n" + serial, "west", "large", 7, EndpointState.UP, 2, now - 100));
-            default -> hosts.set(index, with(host, EndpointState.UP, host.startedMs()));
+            case 0 -> endpoints.set(index, with(endpoint, EndpointState.DRAINING, endpoint.startedMs()));
+            case 1 -> endpoints.set(index, with(endpoint, EndpointState.UP, now));
+            case 2 -> endpoints.set(index, with(endpoint, EndpointState.REMOVED, endpoint.startedMs()));
+            case 3 -> endpoints.add(new Endpoint("n" + serial, "west", "large", 7, EndpointState.UP, 2, now - 100));
+            default -> endpoints.set(index, with(endpoint, EndpointState.UP, endpoint.startedMs()));
         }
-        boolean whole = random.nextInt(3) == 0;
+        boolean complete = random.nextInt(3) == 0;
         if (scenario.listOnRequest && random.nextInt(3) == 0) {
-            policy.endpointListFailed(now);
+            module.endpointListFailed(now);
         } else {
-            policy.endpointsChanged(
-                    now, whole, whole ? List.copyOf(hosts) : List.of(hosts.get(Math.min(index, hosts.size() - 1))));
+            module.endpointsChanged(
+                    now,
+                    complete,
+                    complete ? List.copyOf(endpoints) : List.of(endpoints.get(Math.min(index, endpoints.size() - 1))));
         }
     }
 
-    private static Endpoint with(Endpoint host, EndpointState state, double startedMs) {
-        return new Endpoint(host.id(), host.zone(), host.kind(), host.cell(), state, host.size(), startedMs);
+    private static Endpoint with(Endpoint endpoint, EndpointState state, double startedMs) {
+        return new Endpoint(
+                endpoint.id(), endpoint.zone(), endpoint.kind(), endpoint.cell(), state, endpoint.size(), startedMs);
     }
 
-    /** An attempt's end, drawn by the host it went to and by whether the hosts are pressed. */
-    private void answer(String id, int attempt, String host) {
-        double elapsedMs = 20 + random.nextDouble(host.endsWith("3") ? 400 : 150) + (pressed ? 500 : 0);
+    /** An attempt's end, drawn by the backend it went to and by whether the backends are pressed. */
+    private void scheduleOutcome(String id, int attempt, String backend) {
+        double elapsedMs = 20 + random.nextDouble(backend.endsWith("3") ? 400 : 150) + (pressed ? 500 : 0);
         int draw = random.nextInt(100);
         AttemptStatus result;
-        if (host.endsWith("5") && draw < 40) {
+        if (backend.endsWith("5") && draw < 40) {
             result = AttemptStatus.UNREACHABLE;
         } else if (draw < 80) {
             result = AttemptStatus.SERVED;
@@ -235,13 +241,13 @@
         }
         AdmissionRequest request = requests.get(id);
         if (request.requestClass().equals("hear") && result == AttemptStatus.SERVED) {
-            at(elapsedMs / 2, () -> policy.responseStarted(now, id, attempt));
+            at(elapsedMs / 2, () -> module.responseStarted(now, id, attempt));
         }
         double tookMs = elapsedMs;
-        at(elapsedMs, () -> end(id, attempt, host, result, tookMs));
+        at(elapsedMs, () -> end(id, attempt, backend, result, tookMs));
     }
 
-    private void end(String id, int attempt, String host, AttemptStatus result, double elapsedMs) {
+    private void end(String id, int attempt, String backend, AttemptStatus result, double elapsedMs) {
         if (!ended.add(id + "/" + attempt)) {
             return;
         }
@@ -251,22 +257,22 @@
         boolean answered = result == AttemptStatus.SERVED || result == AttemptStatus.ERROR;
         int usedPercent = answered && scenario.meterPeriodMs > 0 && random.nextInt(3) > 0 ? random.nextInt(300) : -1;
         double trueUnits = answered && scenario.unitsAreGuesses ? 1 + random.nextInt(8) : 0;
-        policy.attemptEnded(
+        module.attemptEnded(
                 now,
                 new AttemptOutcome(
-                        id, host, attempt, result, elapsedMs, finished.contains(id), usedPercent, trueUnits, null));
+                        id, backend, attempt, result, elapsedMs, finished.contains(id), usedPercent, trueUnits, null));
         if (answered && random.nextInt(30) == 0) {
-            policy.usageReported(now, requests.get(id), random.nextInt(200), 1 + random.nextInt(4));
+            module.usageReported(now, requests.get(id), random.nextInt(200), 1 + random.nextInt(4));
         }
     }
 
-    private void noteRooms() {
-        for (CapacityShare room : policy.capacityShares(now)) {
-            note("room", room.backend(), room.share());
+    private void recordCapacityShares() {
+        for (CapacityShare share : module.capacityShares(now)) {
+            record("room", share.backend(), share.share());
         }
     }
 
-    private void note(String kind, Object... parts) {
+    private void record(String kind, Object... parts) {
         counts.merge(kind, 1, Integer::sum);
         StringBuilder line = new StringBuilder(kind).append('@').append(rounded(now));
         for (Object part : parts) {
@@ -281,68 +287,68 @@
     }
 
     @Override
-    public void startAttempt(String id, String host, double timeoutMs) {
+    public void startAttempt(String id, String backend, double timeoutMs) {
         int attempt = attempts.merge(id, 1, Integer::sum) - 1;
-        note("send", id, host, timeoutMs);
-        answer(id, attempt, host);
+        record("send", id, backend, timeoutMs);
+        scheduleOutcome(id, attempt, backend);
     }
 
     @Override
     public void shed(String id, double retryAfterMs) {
-        note("refuse", id, retryAfterMs);
+        record("refuse", id, retryAfterMs);
         finished.add(id);
     }
 
     @Override
     public void fail(String id) {
-        note("fail", id);
+        record("fail", id);
         finished.add(id);
     }
 
     @Override
     public void cancelAttempt(String id, int attempt) {
-        note("cancel", id, attempt);
+        record("cancel", id, attempt);
         double afterMs = 1 + random.nextDouble(5);
         at(afterMs, () -> end(id, attempt, "", AttemptStatus.CANCELLED, afterMs));
     }
 
     @Override
     public void setTimer(long token, double afterMs) {
-        note("wake", token, afterMs);
+        record("wake", token, afterMs);
         at(afterMs, () -> {
             if (!forgotten.remove(token)) {
-                policy.timerExpired(now, token);
+                module.timerExpired(now, token);
             }
         });
     }
 
     @Override
     public void cancelTimer(long token) {
-        note("forget", token);
+        record("forget", token);
         forgotten.add(token);
     }
 
     @Override
-    public void checkHealth(String host) {
-        note("probe", host);
+    public void checkHealth(String backend) {
+        record("probe", backend);
         ProbeStatus result = ProbeStatus.values()[random.nextInt(3)];
-        at(30, () -> policy.healthCheckEnded(now, host, result, 30, null));
+        at(30, () -> module.healthCheckEnded(now, backend, result, 30, null));
     }
 
     @Override
     public void subscribeToEndpoints() {
-        note("follow");
+        record("follow");
         at(20, () -> {
             if (random.nextInt(3) == 0) {
-                policy.endpointListFailed(now);
+                module.endpointListFailed(now);
             } else {
-                policy.endpointsChanged(now, true, List.copyOf(hosts));
+                module.endpointsChanged(now, true, List.copyOf(endpoints));
             }
         });
     }
 
     @Override
     public void log(String line) {
-        note("log", line);
+        record("log", line);
     }
 }
--- a/gateway/src/test/java/opalcove/config/OutsideTextsTest.java
+++ b/gateway/src/test/java/opalcove/config/OutsideTextsTest.java
@@ -101,15 +101,20 @@
         }
         assertEquals(
                 read,
-                List.of(LoadReportSource.NONE, LoadReportSource.IN_ANSWERS, LoadReportSource.ON_PROBES, false, true));
+                List.of(
+                        LoadReportSource.NONE,
+                        LoadReportSource.IN_RESPONSES,
+                        LoadReportSource.ON_HEALTH_CHECKS,
+                        false,
+                        true));
         assertEquals(
                 List.of("busy_reqs", "pending", "cpu_share", "svc_ms", "served_ps", "failed_ps", "other").stream()
                         .map(SettingsReader::gauge)
                         .toList(),
                 List.of(
-                        LoadMetric.IN_HAND,
-                        LoadMetric.WAITING,
-                        LoadMetric.BUSY_SHARE,
+                        LoadMetric.IN_FLIGHT,
+                        LoadMetric.QUEUED,
+                        LoadMetric.CPU_SHARE,
                         LoadMetric.SERVICE_MS,
                         LoadMetric.SERVED_PER_S,
                         LoadMetric.ERRORS_PER_S,
