--- a/gateway/src/main/java/opalcove/admin/AdminServer.java
+++ b/gateway/src/main/java/opalcove/admin/AdminServer.java
@@ -23,7 +23,7 @@
 public final class AdminServer {
     /** The longest command, with its line end. */
     static final int MAX_COMMAND_BYTES = 256;
-    /** A connection that has not sent a complete command by then is closed. */
+    /** A connection that has not sent a complete command in time is closed. */
     static final long COMMAND_TIMEOUT_MS = 5000;
     /** Guards the descriptors: the most connections open at once; the oldest is closed for a new one. */
     static final int MAX_CONNECTIONS = 16;
--- a/gateway/src/main/java/opalcove/discovery/PollSchedule.java
+++ b/gateway/src/main/java/opalcove/discovery/PollSchedule.java
@@ -103,9 +103,9 @@
 
     /** How long the wait after a failed call may be, ms; moveCount is how often the address has changed. */
     public long maxBackoffMs(long msSinceCall, int moveCount, long msSinceMove) {
-        long periodLeftMs = maxPeriodMs - msSinceCall;
+        long remainingPeriodMs = maxPeriodMs - msSinceCall;
         boolean hasJustMoved = moveCount > 0 && msSinceMove < MOVED_MS;
-        return Math.max(1, hasJustMoved ? Math.min(periodLeftMs, MOVED_MS - msSinceMove) : periodLeftMs);
+        return Math.max(1, hasJustMoved ? Math.min(remainingPeriodMs, MOVED_MS - msSinceMove) : remainingPeriodMs);
     }
 
     /**
--- a/gateway/src/main/java/opalcove/server/DescriptorBudget.java
+++ b/gateway/src/main/java/opalcove/server/DescriptorBudget.java
@@ -14,7 +14,7 @@
  * more than the limit, unless that is under {@link #minLimit}; then the smallest shares are used all the same.
  *
  * @param limit descriptors that the process may hold
- * @param base those held for the program itself: its files, event loops and listening sockets
+ * @param base those that the program itself uses: its files, event loops and listening sockets
  * @param discovery those reserved for calls of discovery
  * @param counter those reserved for the counter
  * @param console those reserved for the admin server
--- a/gateway/src/main/java/opalcove/transport/DelegatingIoHandler.java
+++ b/gateway/src/main/java/opalcove/transport/DelegatingIoHandler.java
@@ -6,8 +6,8 @@
 import io.netty.channel.IoRegistration;
 
 /**
- * A loop's handler around another, and the loop's context around its own: all goes on, either way, that a subclass does not
- * change. It is the context itself, so that a look at the sockets allocates nothing.
+ * An event loop's handler that delegates to another, and the loop's context that delegates to its own: a subclass overrides
+ * what it changes. It is the context itself, so that a poll of the sockets allocates nothing. Owned by its event loop.
  */
 public abstract class DelegatingIoHandler implements IoHandler, IoHandlerContext {
     private final IoHandler handler;
--- a/gateway/src/main/java/opalcove/transport/DescriptorCounter.java
+++ b/gateway/src/main/java/opalcove/transport/DescriptorCounter.java
@@ -7,21 +7,21 @@
 import java.util.concurrent.atomic.AtomicInteger;
 
 /**
- * The descriptors that one kind of socket holds. A selector gives the descriptor of a closed channel back to the system
- * only at its next look, so a close counts here once the channel's event loop has looked again. Guards the process's
- * limit against many sockets that are closed and replaced within one turn of the event loop. Safe on any thread.
+ * Counts the descriptors that one kind of socket holds. A selector releases the descriptor of a closed channel only at its
+ * next poll, so a close counts here once the channel's event loop has polled again. Guards the process's limit against
+ * many sockets that are closed and replaced within one turn of the event loop. Thread-safe.
  */
 public final class DescriptorCounter {
     private final AtomicInteger held = new AtomicInteger();
     private final AtomicInteger closed = new AtomicInteger();
     private final Runnable whenFreed;
 
-    /** Does nothing when descriptors are given back. */
+    /** Does nothing when descriptors are released. */
     public DescriptorCounter() {
         this(() -> {});
     }
 
-    /** Runs the action each time that descriptors were given back, on the event loop that has closed them. */
+    /** Runs the action each time that descriptors were released, on the event loop that has closed them. */
     public DescriptorCounter(Runnable whenFreed) {
         this.whenFreed = whenFreed;
     }
@@ -31,20 +31,20 @@
         return ((ContextInternal) vertx.getOrCreateContext()).nettyEventLoop();
     }
 
-    /** Those held now, those of channels that were closed in this turn included. */
+    /** Those held now, including those of channels that were closed in this turn. */
     public int held() {
         return held.get();
     }
 
-    /** A socket is opened; gives how many are held with it. */
+    /** Counts a socket that is opened; gives how many are held with it. */
     public int opened() {
         return held.incrementAndGet();
     }
 
-    /** A socket of this event loop was closed. */
+    /** Counts a socket of this event loop that was closed. */
     public void closed(EventExecutor loop) {
         if (closed.getAndIncrement() == 0) {
-            // A task set from within a task is run in a later turn only if it is a timer, and a look lies between
+            // A task scheduled from within a task runs in a later turn only if it is a timer, and a poll lies between
             // turns.
             loop.execute(() -> loop.schedule(this::freed, 1, TimeUnit.MILLISECONDS));
         }
--- a/gateway/src/main/java/opalcove/transport/LibraryLogging.java
+++ b/gateway/src/main/java/opalcove/transport/LibraryLogging.java
@@ -8,16 +8,16 @@
 import org.tinylog.Logger;
 
 /**
- * Hands what Vert.x and Netty log to tinylog, from the level info on. Guards the start against their own search for a
- * logging library, which ends at java.util.logging: its classes are needed for nothing else, and its lines have another
- * form than the program's.
+ * Routes what Vert.x and Netty log to tinylog, from level info up. Guards the start against their own search for a logging
+ * library, which ends at java.util.logging: its classes are needed for nothing else, and its lines have another form than
+ * the program's. Stateless.
  */
 public final class LibraryLogging {
     private static final String VERTX_FACTORY = "vertx.logger-delegate-factory-class-name";
 
     private LibraryLogging() {}
 
-    /** Has to be called before a class of Vert.x or Netty is loaded that logs; a factory that is set already stays. */
+    /** Has to be called before a class of Vert.x or Netty that logs is loaded; a factory that is set already stays. */
     public static void install() {
         if (System.getProperty(VERTX_FACTORY) == null) {
             System.setProperty(VERTX_FACTORY, VertxLogs.class.getName());
--- a/gateway/src/test/java/opalcove/transport/SocketPollerTest.java
+++ b/gateway/src/test/java/opalcove/transport/SocketReadTimesTest.java
@@ -6,23 +6,23 @@
 import org.testng.annotations.Test;
 
 /** Since when what a loop reads may have lain unread, by what the loop has seen of its own time. */
-public class SocketPollerTest {
+public class SocketReadTimesTest {
     private static final long LATE_MS = 60;
     private static final long SLEEP_MS = 30;
 
-    private final SocketPoller polls = new SocketPoller();
+    private final SocketReadTimes times = new SocketReadTimes();
 
-    /** One turn: asks, waits so long, though it should have been no longer than that, and reads so many sockets. */
+    /** One turn: polls, sleeps for so long, though it should have been no longer than the limit, and reads so many sockets. */
     private void turn(long sleepsAtMostMs, long waitsMs, int handled) throws Exception {
-        polls.requests();
-        polls.sleepsAtMost(TimeUnit.MILLISECONDS.toNanos(sleepsAtMostMs));
+        times.pollBegins();
+        times.sleepLimited(TimeUnit.MILLISECONDS.toNanos(sleepsAtMostMs));
         TimeUnit.MILLISECONDS.sleep(waitsMs);
-        polls.polled();
-        polls.read(handled);
+        times.polled();
+        times.socketsRead(handled);
     }
 
     private void assertUnreadForAtLeast(long ms) {
-        long unread = System.nanoTime() - polls.unreadSince();
+        long unread = System.nanoTime() - times.unreadSince();
         assertTrue(unread >= TimeUnit.MILLISECONDS.toNanos(ms), unread + " ns");
     }
 
@@ -31,7 +31,7 @@
         turn(0, 0, 1);
         long before = System.nanoTime();
         turn(10_000, SLEEP_MS, 1);
-        assertTrue(polls.unreadSince() - before >= TimeUnit.MILLISECONDS.toNanos(SLEEP_MS), "it came just now");
+        assertTrue(times.unreadSince() - before >= TimeUnit.MILLISECONDS.toNanos(SLEEP_MS), "it came just now");
     }
 
     @Test
@@ -50,7 +50,7 @@
         long before = System.nanoTime();
         turn(0, 0, 1);
         turn(0, 0, 1);
-        assertTrue(polls.unreadSince() - before >= 0, "once it is read it is over");
+        assertTrue(times.unreadSince() - before >= 0, "once it is read it is over");
     }
 
     @Test
@@ -62,6 +62,6 @@
         long before = System.nanoTime();
         turn(1, LATE_MS, 1);
         turn(1, LATE_MS, 1);
-        assertTrue(polls.unreadSince() - before >= 0, "no older than the look of the turn before");
+        assertTrue(times.unreadSince() - before >= 0, "no older than the look of the turn before");
     }
 }
