--- a/gateway/src/main/java/opalcove/server/ConfigurationApplier.java
+++ b/gateway/src/main/java/opalcove/server/ConfigurationApplier.java
@@ -57,7 +57,7 @@
 
     private void apply(ReplicatedConfig.EffectiveConfig next) {
         boolean restartsSlowStart =
-                next.coldSinceMs() > 0 && (inForce == null || inForce.coldSinceMs() != next.coldSinceMs());
+                next.startedNotBeforeMs() > 0 && (inForce == null || inForce.startedNotBeforeMs() != next.startedNotBeforeMs());
         inForce = next;
         dispatcher.applySettings(next.settings());
         if (next.backends() != null) {
@@ -69,11 +69,11 @@
 
     /** After a power loss the list may be older than that: no backend counts as started earlier than this gateway. */
     private List<Backend> withStartTimes(List<Backend> backends) {
-        if (inForce == null || inForce.coldSinceMs() == 0) {
+        if (inForce == null || inForce.startedNotBeforeMs() == 0) {
             return backends;
         }
         return backends.stream()
-                .map(backend -> new Backend(backend.host().startedSince(inForce.coldSinceMs()), backend.address()))
+                .map(backend -> new Backend(backend.host().startedSince(inForce.startedNotBeforeMs()), backend.address()))
                 .toList();
     }
 
