--- a/gateway/src/main/java/opalcove/server/ConfigurationApplier.java
+++ b/gateway/src/main/java/opalcove/server/ConfigurationApplier.java
@@ -56,8 +56,8 @@
     }
 
     private void apply(ReplicatedConfig.EffectiveConfig next) {
-        boolean restartsSlowStart =
-                next.startedNotBeforeMs() > 0 && (inForce == null || inForce.startedNotBeforeMs() != next.startedNotBeforeMs());
+        boolean restartsSlowStart = next.startedNotBeforeMs() > 0
+                && (inForce == null || inForce.startedNotBeforeMs() != next.startedNotBeforeMs());
         inForce = next;
         dispatcher.applySettings(next.settings());
         if (next.backends() != null) {
@@ -73,7 +73,8 @@
             return backends;
         }
         return backends.stream()
-                .map(backend -> new Backend(backend.host().startedSince(inForce.startedNotBeforeMs()), backend.address()))
+                .map(backend ->
+                        new Backend(backend.host().startedSince(inForce.startedNotBeforeMs()), backend.address()))
                 .toList();
     }
 
--- a/gateway/src/test/java/opalcove/admin/AdminRepliesTest.java
+++ b/gateway/src/test/java/opalcove/admin/AdminRepliesTest.java
@@ -23,7 +23,7 @@
 
 /** The console address of a gateway by its bytes: each reply as literal text. */
 public class AdminRepliesTest {
-    private static final int PATIENCE_S = 20;
+    private static final int TIMEOUT_S = 20;
 
     private final GatewayStatus status = new GatewayStatus();
     private final Lifecycle phases = new Lifecycle();
@@ -37,12 +37,12 @@
                 .listen(new HostAndPort("127.0.0.1", 0))
                 .toCompletionStage()
                 .toCompletableFuture()
-                .get(PATIENCE_S, TimeUnit.SECONDS);
+                .get(TIMEOUT_S, TimeUnit.SECONDS);
     }
 
     @AfterMethod
     public void close() throws Exception {
-        vertx.close().toCompletionStage().toCompletableFuture().get(PATIENCE_S, TimeUnit.SECONDS);
+        vertx.close().toCompletionStage().toCompletableFuture().get(TIMEOUT_S, TimeUnit.SECONDS);
     }
 
     /** Puts a gateway behind the console, as at the end of a start. */
@@ -55,7 +55,7 @@
             status.gatewayWired(vertx, gateway, new RespServer(vertx, gateway, phases, 64), phases);
             wired.complete(null);
         });
-        wired.get(PATIENCE_S, TimeUnit.SECONDS);
+        wired.get(TIMEOUT_S, TimeUnit.SECONDS);
     }
 
     /** One test for all phases: they are entered in order, each once. */
@@ -147,13 +147,13 @@
                 .listen(new HostAndPort("127.0.0.1", 0))
                 .toCompletionStage()
                 .toCompletableFuture()
-                .get(PATIENCE_S, TimeUnit.SECONDS);
+                .get(TIMEOUT_S, TimeUnit.SECONDS);
         assertEquals(exchange("members"), "+OK\nn0 alive\nn1 dead\n.\n");
     }
 
     private String exchange(String call) throws Exception {
         try (Socket socket = new Socket("127.0.0.1", port)) {
-            socket.setSoTimeout(PATIENCE_S * 1000);
+            socket.setSoTimeout(TIMEOUT_S * 1000);
             socket.getOutputStream().write((call + "\n").getBytes(StandardCharsets.US_ASCII));
             return new String(socket.getInputStream().readAllBytes(), StandardCharsets.US_ASCII);
         }
--- a/gateway/src/test/java/opalcove/admin/AdminServerTest.java
+++ b/gateway/src/test/java/opalcove/admin/AdminServerTest.java
@@ -18,7 +18,7 @@
 import org.testng.annotations.BeforeClass;
 import org.testng.annotations.Test;
 
-/** The operators' door, by the bytes that go to it and come back. */
+/** The console address, by the bytes that go to it and come back. */
 public class AdminServerTest {
     private final Metrics metrics = new Metrics();
     private final List<Boolean> told = new ArrayList<>();
@@ -59,7 +59,7 @@
     }
 
     @Test
-    public void readyTellsHowFarTheStartHasCome() throws Exception {
+    public void readyReportsHowFarTheStartHasProgressed() throws Exception {
         notReady = "starting";
         assertEquals(exchange("READY\n"), "-ERR not ready: starting\n");
         notReady = null;
@@ -134,7 +134,7 @@
         }
     }
 
-    /** Sends the bytes on a new connection and reads all until the door closes it. */
+    /** Sends the bytes on a new connection and reads all until the admin server closes it. */
     private String exchange(String call) throws Exception {
         try (Socket socket = new Socket("127.0.0.1", port)) {
             socket.setSoTimeout(10_000);
--- a/gateway/src/test/java/opalcove/discovery/BackoffTest.java
+++ b/gateway/src/test/java/opalcove/discovery/BackoffTest.java
@@ -28,7 +28,7 @@
 
     /** Fourteen gateways that were refused at one instant: their next calls are spread, and rarer each time. */
     @Test
-    public void gatewaysThatAreRefusedTogetherDoNotComeBackTogether() {
+    public void gatewaysThatAreRejectedTogetherDoNotCallAgainTogether() {
         long distinct = IntStream.range(0, 14)
                 .mapToLong(seed -> waits(seed, 3)[2])
                 .distinct()
@@ -53,7 +53,7 @@
     }
 
     @Test
-    public void aTryThatComesOffMakesItShortAgain() {
+    public void anAttemptThatSucceedsMakesItShortAgain() {
         Backoff wait = new Backoff(200, 3200, new SplittableRandom(7));
         IntStream.range(0, 8).forEach(i -> wait.next());
         wait.reset();
--- a/gateway/src/test/java/opalcove/discovery/DiscoveryBoundsTest.java
+++ b/gateway/src/test/java/opalcove/discovery/DiscoveryBoundsTest.java
@@ -35,7 +35,7 @@
     /** More than the connections that the HTTP client has for one address. */
     private static final int FAILURES = 8;
     /** A change counts as told so long after discovery had it and could be reached, ms. */
-    private static final double TOLD_AFTER_MS = 6000;
+    private static final double KNOWN_AFTER_MS = 6000;
     /** What is left of that for the answer of the next call and for a process on a part of a core, ms. */
     private static final double MARGIN_MS = 1500;
     /** When a service in want of capacity refuses a call that is in line, ms. */
@@ -53,7 +53,7 @@
         vertx.close().toCompletionStage().toCompletableFuture().get(20, TimeUnit.SECONDS);
     }
 
-    private static DecisionSettings asked(int gateways) {
+    private static DecisionSettings polled(int gateways) {
         return settings("\"balancers\":1", "\"balancers\":" + gateways, "\"pushed\"", "\"on_request\"");
     }
 
@@ -87,15 +87,15 @@
 
     /** Of a list that is asked for, however often a call has failed before. */
     @Test(dataProvider = "fleets")
-    public void aChangeIsAskedForInTimeWhateverFailed(int gateways) {
+    public void aChangeIsPolledInTimeWhateverFailed(int gateways) {
         for (int seed = 0; seed < 50; seed++) {
-            PollSchedule pace = PollSchedule.of(asked(gateways), new SplittableRandom(seed));
-            assertTrue(pace.firstAfterMs() <= TOLD_AFTER_MS - MARGIN_MS, "first call after " + pace.firstAfterMs());
+            PollSchedule pace = PollSchedule.of(polled(gateways), new SplittableRandom(seed));
+            assertTrue(pace.firstAfterMs() <= KNOWN_AFTER_MS - MARGIN_MS, "first call after " + pace.firstAfterMs());
             for (double failedAfterMs : failuresMs(pace)) {
                 pace.backoff().reset();
                 for (int failed = 0; failed < 20; failed++) {
                     double ms = failedAfterMs + wait(pace, failedAfterMs);
-                    assertTrue(ms <= TOLD_AFTER_MS - MARGIN_MS, failed + " calls failed, the next after " + ms);
+                    assertTrue(ms <= KNOWN_AFTER_MS - MARGIN_MS, failed + " calls failed, the next after " + ms);
                 }
             }
         }
@@ -103,9 +103,9 @@
 
     /** After SIGHUP a change counts 4 s later: the second call at the new address, too, is out by then. */
     @Test(dataProvider = "fleets")
-    public void aMovedServiceIsAskedAgainInTime(int gateways) {
+    public void aMovedServiceIsPolledAgainInTime(int gateways) {
         for (int seed = 0; seed < 50; seed++) {
-            PollSchedule pace = PollSchedule.of(asked(gateways), new SplittableRandom(seed));
+            PollSchedule pace = PollSchedule.of(polled(gateways), new SplittableRandom(seed));
             for (double failedAfterMs : new double[] {0, LINE_MS, pace.connectMs(), pace.silenceMs()}) {
                 pace.backoff().reset();
                 long since = (long) failedAfterMs;
@@ -118,25 +118,25 @@
 
     /** A service breaks the watches of all gateways in one instant: their next calls come over seconds. */
     @Test(dataProvider = "fleets")
-    public void gatewaysWhoseWatchesBreakTogetherComeBackOverSeconds(int gateways) {
+    public void gatewaysWhoseWatchesBreakTogetherCallAgainOverSeconds(int gateways) {
         int[] inTenths = new int[60];
         for (int seed = 0; seed < gateways; seed++) {
-            PollSchedule pace = PollSchedule.of(asked(gateways), new SplittableRandom(seed));
+            PollSchedule pace = PollSchedule.of(polled(gateways), new SplittableRandom(seed));
             inTenths[(int) wait(pace, 0) / 100]++;
         }
-        int most = IntStream.of(inTenths).max().orElseThrow();
-        assertTrue(most <= gateways / 5, most + " of " + gateways + " in a tenth of a second");
+        int max = IntStream.of(inTenths).max().orElseThrow();
+        assertTrue(max <= gateways / 5, max + " of " + gateways + " in a tenth of a second");
     }
 
     /** The bound does not have a fleet come back as one: after each kind of failure its next calls are spread. */
     @Test(dataProvider = "fleets")
-    public void gatewaysThatFailedTogetherDoNotComeBackTogether(int gateways) {
-        PollSchedule first = PollSchedule.of(asked(gateways), new SplittableRandom(0));
+    public void gatewaysThatFailedTogetherDoNotCallAgainTogether(int gateways) {
+        PollSchedule first = PollSchedule.of(polled(gateways), new SplittableRandom(0));
         for (double failedAfterMs : failuresMs(first)) {
             Set<Double> waits = new HashSet<>();
             double mean = 0;
             for (int seed = 0; seed < gateways; seed++) {
-                PollSchedule pace = PollSchedule.of(asked(gateways), new SplittableRandom(seed));
+                PollSchedule pace = PollSchedule.of(polled(gateways), new SplittableRandom(seed));
                 for (int failed = 0; failed < 6; failed++) {
                     wait(pace, failedAfterMs);
                 }
@@ -157,7 +157,7 @@
 
     /** Of a pushed list: a silent agent returns with a drain, and a fifth of the grace is left for sends to end. */
     @Test(dataProvider = "graces")
-    public void aPushedChangeIsAskedForWithinTheGrace(int graceMs) {
+    public void aPushedChangeIsRequestedWithinTheGrace(int graceMs) {
         for (int seed = 0; seed < 50; seed++) {
             PollSchedule pace = PollSchedule.of(pushed(graceMs), new SplittableRandom(seed));
             for (double failedAfterMs : failuresMs(pace)) {
@@ -178,11 +178,11 @@
     }
 
     /** What discovery does with a call. */
-    private interface Deed {
+    private interface Action {
         void to(NetSocket line);
     }
 
-    private static Deed says(String bytes) {
+    private static Action says(String bytes) {
         return line -> line.write(bytes);
     }
 
@@ -199,9 +199,9 @@
             {"refused, its body never ends", says("HTTP/1.1 503 Service Unavailable\r\nContent-Length: 9\r\n\r\nno")},
             {"torn", says(ok("{\"index\":4,\"snapshot\":true,\"endp"))},
             {"stalled in the middle", says(half)},
-            {"broken in the middle", (Deed) line -> line.write(half).onComplete(written -> line.close())},
-            {"broken before", (Deed) NetSocket::close},
-            {"silent", (Deed) line -> {}},
+            {"broken in the middle", (Action) line -> line.write(half).onComplete(written -> line.close())},
+            {"broken before", (Action) NetSocket::close},
+            {"silent", (Action) line -> {}},
         };
     }
 
@@ -210,7 +210,7 @@
      * failures of a kind, and so is what the watch after it brings.
      */
     @Test(dataProvider = "failures")
-    public void theNextCallIsMadeInTime(String kind, Deed failure) throws Exception {
+    public void theNextCallIsMadeInTime(String kind, Action failure) throws Exception {
         AtomicInteger calls = new AtomicInteger();
         int port = vertx.createNetServer()
                 .connectHandler(line -> line.handler(call -> {
--- a/gateway/src/test/java/opalcove/discovery/DiscoveryClientTest.java
+++ b/gateway/src/test/java/opalcove/discovery/DiscoveryClientTest.java
@@ -37,7 +37,7 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** A list service that is overbooked: what the watch asks, and how long it means to wait before it asks again. */
+/** A list service that is overbooked: what the watch requests, and how long it means to wait before it asks again. */
 public class DiscoveryClientTest {
     private static final String NODE = "{\"name\":\"s-1\",\"address\":\"127.0.0.1:1\",\"zone\":\"a\",\"type\":\"m\","
             + "\"group\":0,\"status\":\"up\",\"weight\":1.0,\"since_ms\":0}";
@@ -73,15 +73,15 @@
 
     /** One service for all gateways is asked ever more rarely and not by all at once; an agent on the machine, at once. */
     @Test
-    public void onlyAListThatIsAskedForIsAskedForWithSpread() {
+    public void onlyAPolledListIsPolledWithSpread() {
         DecisionSettings one = settings("on_request");
         DecisionSettings agent = settings("pushed");
         Set<Long> starts = new HashSet<>();
         for (int seed = 0; seed < 14; seed++) {
-            PollSchedule asked = PollSchedule.of(one, new SplittableRandom(seed));
-            starts.add(asked.firstAfterMs());
-            IntStream.range(0, 6).forEach(i -> asked.backoff().next());
-            assertTrue(asked.backoff().next() >= 1600);
+            PollSchedule polled = PollSchedule.of(one, new SplittableRandom(seed));
+            starts.add(polled.firstAfterMs());
+            IntStream.range(0, 6).forEach(i -> polled.backoff().next());
+            assertTrue(polled.backoff().next() >= 1600);
             PollSchedule pushed = PollSchedule.of(agent, new SplittableRandom(seed));
             assertEquals(pushed.firstAfterMs(), 0);
             IntStream.range(0, 6).forEach(i -> pushed.backoff().next());
@@ -108,7 +108,7 @@
      * return what counts as told at once. A connection that was tried before the return may never come up.
      */
     @Test
-    public void afterALongSilenceAPushedListIsHeardWithinTheSecond() {
+    public void afterALongSilenceAPushedListIsReceivedWithinTheSecond() {
         for (int seed = 0; seed < 14; seed++) {
             PollSchedule pace = PollSchedule.of(settings("pushed"), new SplittableRandom(seed));
             for (int failed = 0; failed < 50; failed++) {
@@ -124,7 +124,7 @@
 
     /** A connection hangs in an agent's full backlog: it is given up within the silence, not after a second, and tried anew. */
     @Test
-    public void aConnectionThatNeverComesUpIsGivenUpWithinTheSilence() throws Exception {
+    public void aConnectionThatNeverComesUpIsAbandonedWithinTheSilence() throws Exception {
         Queue<Boolean> untold = new ConcurrentLinkedQueue<>();
         Queue<Long> at = new ConcurrentLinkedQueue<>();
         CompletableFuture<Void> again = new CompletableFuture<>();
@@ -188,9 +188,9 @@
         }
     }
 
-    /** Changes up to an earlier version name a node that has been drained since as up: they are refused, the whole list follows. */
+    /** Changes up to an earlier version name a backend that has been drained since as up: they are refused, the whole list follows. */
     @Test
-    public void changesThatGoBackwardsAreRefusedAndTheWholeListIsAskedFor() throws Exception {
+    public void changesThatGoBackwardsAreRejectedAndTheCompleteListIsRequested() throws Exception {
         Queue<String> calls = new ConcurrentLinkedQueue<>();
         Queue<String> told = new ConcurrentLinkedQueue<>();
         Queue<Boolean> untold = new ConcurrentLinkedQueue<>();
@@ -239,7 +239,7 @@
 
     /** Two watches are never answered: the list goes on, and hears of a drain that it missed. */
     @Test
-    public void whatASilentWatchMissedIsHeardByTheNext() throws Exception {
+    public void whatASilentWatchMissedIsReceivedByTheNext() throws Exception {
         Queue<String> watches = new ConcurrentLinkedQueue<>();
         CompletableFuture<Backend> drained = new CompletableFuture<>();
         int port = serve(call -> {
@@ -264,9 +264,9 @@
         assertEquals(List.copyOf(watches).subList(0, 3), Collections.nCopies(3, "/v1/endpoints?since=4&timeout_ms=20"));
     }
 
-    /** The old discovery answers after the move, with a node that the new one has drained, and the new one counts from less. */
+    /** The old discovery answers after the move, with a backend that the new one has drained, and the new one counts from less. */
     @Test
-    public void aLateAnswerOfTheDiscoveryThatWasLeftIsNotHeard() throws Exception {
+    public void aLateResponseOfTheFormerDiscoveryIsIgnored() throws Exception {
         CompletableFuture<HttpServerRequest> watched = new CompletableFuture<>();
         CompletableFuture<Void> answeredLate = new CompletableFuture<>();
         Queue<String> told = new ConcurrentLinkedQueue<>();
@@ -310,13 +310,13 @@
     @Test
     public void aProcessThatWasHeldUpDoesNotTakeItsOwnSlownessForSilence() throws Exception {
         int silenceMs = 300;
-        CompletableFuture<Backend> heard = new CompletableFuture<>();
+        CompletableFuture<Backend> received = new CompletableFuture<>();
         try (ServerSocket discovery = new ServerSocket(0, 8, InetAddress.getByName("127.0.0.1"))) {
             discovery.setSoTimeout(20_000);
             watch(
                     discovery.getLocalPort(),
                     new PollSchedule(10_000, silenceMs, 0, new Backoff(1, 2, new SplittableRandom(1))),
-                    (whole, lines, discoveryNow) -> heard.complete(lines.get(0)));
+                    (whole, lines, discoveryNow) -> received.complete(lines.get(0)));
             try (Socket line = discovery.accept()) {
                 assertEquals(call(line), "GET /v1/endpoints HTTP/1.1");
                 CountDownLatch held = new CountDownLatch(1);
@@ -338,14 +338,14 @@
                 goOn.countDown();
                 // The watch goes on over the same connection.
                 assertEquals(call(line), "GET /v1/endpoints?since=4&timeout_ms=10000 HTTP/1.1");
-                assertTrue(heard.isDone());
+                assertTrue(received.isDone());
             }
         }
     }
 
-    /** A front opens on the first word: not while a call is on its way, but with its list, or when discovery does not answer. */
+    /** A server opens on the first word: not while a call is on its way, but with its list, or when discovery does not answer. */
     @Test
-    public void theFirstWordIsTheListOrThatThereIsNoAnswer() throws Exception {
+    public void readyIsReachedByTheListOrByTheLackOfAResponse() throws Exception {
         CompletableFuture<HttpServerRequest> held = new CompletableFuture<>();
         Queue<Backend> told = new ConcurrentLinkedQueue<>();
         DiscoveryClient watch = watch(
@@ -376,25 +376,25 @@
 
     /**
      * A drain overtakes the first list, which is long on its way to a process that is slow in its first second: what came
-     * since is asked for, without a wait, before the front opens.
+     * since is asked for, without a wait, before the server opens.
      */
     @Test
-    public void aListThatWasLongOnItsWayIsNoFirstWord() throws Exception {
+    public void aListThatTookLongToArriveDoesNotMakeReady() throws Exception {
         Queue<String> calls = new ConcurrentLinkedQueue<>();
-        assertEquals(knownAtTheWord(true, calls), List.of("UP", "DRAINING"));
+        assertEquals(knownWhenReady(true, calls), List.of("UP", "DRAINING"));
         assertEquals(List.copyOf(calls).subList(0, 2), List.of("/v1/endpoints", "/v1/endpoints?since=4&timeout_ms=1"));
     }
 
     /** One service for all gateways may be slow itself, and tells nothing before it answers: it is not asked more for that. */
     @Test
-    public void anyListOfOneServiceIsAFirstWord() throws Exception {
+    public void anyListOfOneServiceMakesReady() throws Exception {
         Queue<String> calls = new ConcurrentLinkedQueue<>();
-        assertEquals(knownAtTheWord(false, calls), List.of("UP"));
+        assertEquals(knownWhenReady(false, calls), List.of("UP"));
         assertFalse(calls.contains("/v1/endpoints?since=4&timeout_ms=1"), calls + "");
     }
 
-    /** What is known at the first word where the first list is held and its node is drained meanwhile. */
-    private List<String> knownAtTheWord(boolean fresh, Queue<String> calls) throws Exception {
+    /** What is known at the first word where the first list is held and its backend is drained meanwhile. */
+    private List<String> knownWhenReady(boolean fresh, Queue<String> calls) throws Exception {
         Queue<String> told = new ConcurrentLinkedQueue<>();
         int port = serve(call -> {
             calls.add(call.uri());
@@ -408,7 +408,7 @@
                                 + (calls.size() == 2 ? NODE.replace("\"up\"", "\"draining\"") : "") + "]}");
             }
         });
-        CompletableFuture<List<String>> knownAtTheWord = new CompletableFuture<>();
+        CompletableFuture<List<String>> knownWhenReady = new CompletableFuture<>();
         vertx.runOnContext(start -> {
             DiscoveryClient watch = new DiscoveryClient(
                     vertx,
@@ -416,10 +416,10 @@
                     new PollSchedule(10_000, 20_000, 0, new Backoff(1, 2, new SplittableRandom(1))),
                     (whole, lines, discoveryNow) ->
                             lines.forEach(line -> told.add(line.host().state().name())));
-            watch.whenReady(fresh).onSuccess(word -> knownAtTheWord.complete(List.copyOf(told)));
+            watch.whenReady(fresh).onSuccess(word -> knownWhenReady.complete(List.copyOf(told)));
             watch.start();
         });
-        return knownAtTheWord.get(20, TimeUnit.SECONDS);
+        return knownWhenReady.get(20, TimeUnit.SECONDS);
     }
 
     /** SIGHUP came while the process started: one watch, at the new address, of its whole list. */
@@ -500,7 +500,7 @@
 
     /** After a release: a gateway that knows a version asks for one watch, and never for the whole list. */
     @Test
-    public void whoKnowsAVersionAsksForWhatHasChangedSince() throws Exception {
+    public void aKnownVersionIsFollowedByWhatHasChangedSince() throws Exception {
         assertEquals(
                 calls(3),
                 List.of(
@@ -517,7 +517,7 @@
                         "/v1/endpoints?since=5"));
     }
 
-    /** What a watch asks that starts from this version, and when it waits, at a service that refuses now and then. */
+    /** What a watch requests that starts from this version, and when it waits, at a service that refuses now and then. */
     private List<String> calls(long known) throws Exception {
         Queue<String> told = new ConcurrentLinkedQueue<>();
         Queue<String> answers = new ConcurrentLinkedQueue<>(List.of(
--- a/gateway/src/test/java/opalcove/discovery/DiscoveryRequestsTest.java
+++ b/gateway/src/test/java/opalcove/discovery/DiscoveryRequestsTest.java
@@ -17,7 +17,7 @@
 
 /** What is sent to discovery, byte for byte, for a list that is pushed and for one that is polled. */
 public class DiscoveryRequestsTest {
-    private static final int PATIENCE_S = 20;
+    private static final int TIMEOUT_S = 20;
     private static final String LIST = "{\"index\":41,\"snapshot\":true,\"endpoints\":[]}";
     private static final long NO_VERSION = -1;
 
@@ -51,7 +51,7 @@
     private static List<String> requests(DecisionSettings settings, long known, boolean fresh) throws Exception {
         Vertx vertx = Vertx.vertx();
         try (ServerSocket discovery = new ServerSocket(0, 8, InetAddress.getByName("127.0.0.1"))) {
-            discovery.setSoTimeout(PATIENCE_S * 1000);
+            discovery.setSoTimeout(TIMEOUT_S * 1000);
             vertx.runOnContext(start -> {
                 DiscoveryClient watch = new DiscoveryClient(
                         vertx,
@@ -65,7 +65,7 @@
                 watch.startFrom(known);
             });
             try (Socket connection = discovery.accept()) {
-                connection.setSoTimeout(PATIENCE_S * 1000);
+                connection.setSoTimeout(TIMEOUT_S * 1000);
                 String first = head(connection);
                 String reply = "HTTP/1.1 200 OK\r\nContent-Length: " + LIST.length() + "\r\n\r\n" + LIST;
                 connection.getOutputStream().write(reply.getBytes(StandardCharsets.US_ASCII));
@@ -74,7 +74,7 @@
                         first.replace(port, ":PORT\r\n"), head(connection).replace(port, ":PORT\r\n"));
             }
         } finally {
-            vertx.close().toCompletionStage().toCompletableFuture().get(PATIENCE_S, TimeUnit.SECONDS);
+            vertx.close().toCompletionStage().toCompletableFuture().get(TIMEOUT_S, TimeUnit.SECONDS);
         }
     }
 
--- a/gateway/src/test/java/opalcove/resp/BackendCommandsTest.java
+++ b/gateway/src/test/java/opalcove/resp/BackendCommandsTest.java
@@ -20,7 +20,7 @@
 
 /** What is sent to a backend, byte for byte, for a class of each effect. */
 public class BackendCommandsTest {
-    private static final int PATIENCE_S = 20;
+    private static final int TIMEOUT_S = 20;
     private static final String CUSTOMER = "00000000b4d65521";
     private static final String ID = "9b1f03aa5c7e2d41";
 
@@ -104,7 +104,7 @@
     private static String sent(Request request, double waitMs) throws Exception {
         Vertx vertx = Application.eventLoop();
         try (ServerSocket backend = new ServerSocket(0, 8, InetAddress.getLoopbackAddress())) {
-            backend.setSoTimeout(PATIENCE_S * 1000);
+            backend.setSoTimeout(TIMEOUT_S * 1000);
             vertx.runOnContext(start -> new RespConnector(vertx, TestSettings.settings())
                     .connect("127.0.0.1:" + backend.getLocalPort())
                     .onSuccess(line -> {
@@ -113,11 +113,11 @@
                         vertx.setTimer(20, left -> line.close());
                     }));
             try (Socket connection = backend.accept()) {
-                connection.setSoTimeout(PATIENCE_S * 1000);
+                connection.setSoTimeout(TIMEOUT_S * 1000);
                 return new String(connection.getInputStream().readAllBytes(), StandardCharsets.ISO_8859_1);
             }
         } finally {
-            vertx.close().toCompletionStage().toCompletableFuture().get(PATIENCE_S, TimeUnit.SECONDS);
+            vertx.close().toCompletionStage().toCompletableFuture().get(TIMEOUT_S, TimeUnit.SECONDS);
             if (request.body() != null) {
                 request.body().release();
             }
--- a/gateway/src/test/java/opalcove/resp/ClientLeftTest.java
+++ b/gateway/src/test/java/opalcove/resp/ClientLeftTest.java
@@ -51,7 +51,7 @@
     public void heldByTheDecisionModule(Leaving leaving) throws Exception {
         try (RespTestBed stage = new RespTestBed(PATIENT)) {
             RespTestBed.Node backend = stage.backend("n1");
-            stage.told(backend.is(EndpointState.DRAINING));
+            stage.setEndpoints(backend.is(EndpointState.DRAINING));
             Socket client = stage.client();
             RespTestBed.say(client, RespTestBed.query(1, WAIT_MS));
             stage.until("asks_open", 1);
@@ -68,12 +68,12 @@
         try (RespTestBed stage = new RespTestBed(PATIENT)) {
             RespTestBed.Node first = stage.backend("n1");
             RespTestBed.Node second = stage.backend("n2");
-            stage.told(first.is(EndpointState.UP));
+            stage.setEndpoints(first.is(EndpointState.UP));
             Socket client = stage.client();
             RespTestBed.say(client, RespTestBed.query(1, WAIT_MS));
             RespTestBed.BackendConnection line = first.accept();
             assertTrue(line.command().contains(RespTestBed.id(1)));
-            stage.told(first.is(EndpointState.DRAINING), second.is(EndpointState.UP));
+            stage.setEndpoints(first.is(EndpointState.DRAINING), second.is(EndpointState.UP));
             stage.unread(
                     () -> {
                         line.say("-BUSY\r\n");
@@ -85,12 +85,12 @@
         }
     }
 
-    /** The request is read after its client has left; a link is at rest, so that it would be sent on at once. */
+    /** The request is read after its client has left; a connection is at rest, so that it would be sent on at once. */
     @Test(dataProvider = "leavings")
-    public void readAfterItHadLeft(Leaving leaving) throws Exception {
+    public void readAfterItDisconnected(Leaving leaving) throws Exception {
         try (RespTestBed stage = new RespTestBed(PATIENT)) {
             RespTestBed.Node backend = stage.backend("n1");
-            stage.told(backend.is(EndpointState.UP));
+            stage.setEndpoints(backend.is(EndpointState.UP));
             Socket client = stage.client();
             RespTestBed.say(client, RespTestBed.query(1, WAIT_MS));
             RespTestBed.BackendConnection line = backend.accept();
@@ -114,35 +114,36 @@
 
     @Test(dataProvider = "leavings")
     public void waitingForAConnection(Leaving leaving) throws Exception {
-        leavesBeforeItsLinks(leaving, RespTestBed.query(1, WAIT_MS), 1);
+        disconnectsBeforeConnectionsAreUp(leaving, RespTestBed.query(1, WAIT_MS), 1);
     }
 
     @Test(dataProvider = "leavings")
     public void behindOthersOnItsConnection(Leaving leaving) throws Exception {
-        leavesBeforeItsLinks(
+        disconnectsBeforeConnectionsAreUp(
                 leaving, RespTestBed.query(1, WAIT_MS) + RespTestBed.PING + RespTestBed.query(2, WAIT_MS), 2);
     }
 
     @Test(dataProvider = "leavings")
     public void onAConnectionNotReadForWantOfAnswers(Leaving leaving) throws Exception {
-        leavesBeforeItsLinks(leaving, notReadOn() + RespTestBed.PING.repeat(10), 2);
+        disconnectsBeforeConnectionsAreUp(leaving, notReadOn() + RespTestBed.PING.repeat(10), 2);
     }
 
     /** So much lies unread that the end does not show in the first read of it. */
     @Test(dataProvider = "leavings")
     public void onAConnectionNotReadWithMuchBehind(Leaving leaving) throws Exception {
-        leavesBeforeItsLinks(leaving, notReadOn() + RespTestBed.PING.repeat(3000), 2);
+        disconnectsBeforeConnectionsAreUp(leaving, notReadOn() + RespTestBed.PING.repeat(3000), 2);
     }
 
     @Test(dataProvider = "leavings")
     public void onAConnectionNotReadAfterAnError(Leaving leaving) throws Exception {
-        leavesBeforeItsLinks(
+        disconnectsBeforeConnectionsAreUp(
                 leaving, RespTestBed.query(1, WAIT_MS) + RespTestBed.words("UNKNOWN") + "+no command\r\n", 1);
     }
 
     @Test(dataProvider = "leavings")
     public void onAConnectionNotReadAfterWhatIsNoCommand(Leaving leaving) throws Exception {
-        leavesBeforeItsLinks(leaving, RespTestBed.query(1, WAIT_MS) + "no command\r\n" + "x".repeat(100_000), 1);
+        disconnectsBeforeConnectionsAreUp(
+                leaving, RespTestBed.query(1, WAIT_MS) + "no command\r\n" + "x".repeat(100_000), 1);
     }
 
     /** One read of the connection brings what came before the client left, and ends before the end that lies behind it. */
@@ -150,11 +151,11 @@
     public void behindWhatTheSameTurnHasRead(Leaving leaving) throws Exception {
         try (RespTestBed stage = new RespTestBed(PATIENT)) {
             RespTestBed.Node backend = stage.backend("n1");
-            stage.told(backend.is(EndpointState.UP));
-            stage.withholdLinks();
+            stage.setEndpoints(backend.is(EndpointState.UP));
+            stage.holdConnections();
             Socket client = stage.client();
             RespTestBed.say(client, RespTestBed.query(1, WAIT_MS));
-            Runnable link = stage.linkUp();
+            Runnable link = stage.connectionUp();
             stage.unread(
                     () -> {
                         RespTestBed.say(client, RespTestBed.PING);
@@ -175,15 +176,15 @@
         int clients = 12;
         try (RespTestBed stage = new RespTestBed(PATIENT)) {
             RespTestBed.Node backend = stage.backend("n1");
-            stage.told(backend.is(EndpointState.UP));
-            stage.withholdLinks();
+            stage.setEndpoints(backend.is(EndpointState.UP));
+            stage.holdConnections();
             List<Socket> all = new ArrayList<>();
             List<Runnable> links = new ArrayList<>();
             for (int i = 1; i <= clients; i++) {
                 Socket client = stage.client();
                 RespTestBed.say(client, RespTestBed.query(i, WAIT_MS));
                 stage.until("taken", i);
-                links.add(stage.linkUp());
+                links.add(stage.connectionUp());
                 all.add(client);
             }
             stage.unread(
@@ -203,11 +204,11 @@
     public void inTheTurnThatMadeTheAttempt(Leaving leaving) throws Exception {
         try (RespTestBed stage = new RespTestBed(PATIENT)) {
             RespTestBed.Node backend = stage.backend("n1");
-            stage.told(backend.is(EndpointState.UP));
-            stage.withholdLinks();
+            stage.setEndpoints(backend.is(EndpointState.UP));
+            stage.holdConnections();
             Socket client = stage.client();
             RespTestBed.say(client, RespTestBed.query(1, WAIT_MS));
-            Runnable link = stage.linkUp();
+            Runnable link = stage.connectionUp();
             stage.onLoop(() -> {
                 link.run();
                 try {
@@ -227,11 +228,11 @@
     public void oneThatStaysIsAnsweredInOrder() throws Exception {
         try (RespTestBed stage = new RespTestBed(PATIENT)) {
             RespTestBed.Node backend = stage.backend("n1");
-            stage.told(backend.is(EndpointState.UP));
-            stage.withholdLinks();
+            stage.setEndpoints(backend.is(EndpointState.UP));
+            stage.holdConnections();
             Socket client = stage.client();
             RespTestBed.say(client, RespTestBed.query(1, WAIT_MS));
-            Runnable first = stage.linkUp();
+            Runnable first = stage.connectionUp();
             // Looked at with a command and a half unread, though the connection is read.
             String next = RespTestBed.words("PING", "two");
             stage.unread(
@@ -250,16 +251,17 @@
         }
     }
 
-    private static void leavesBeforeItsLinks(Leaving leaving, String commands, int requests) throws Exception {
+    private static void disconnectsBeforeConnectionsAreUp(Leaving leaving, String commands, int requests)
+            throws Exception {
         try (RespTestBed stage = new RespTestBed(PATIENT)) {
             RespTestBed.Node backend = stage.backend("n1");
-            stage.told(backend.is(EndpointState.UP));
-            stage.withholdLinks();
+            stage.setEndpoints(backend.is(EndpointState.UP));
+            stage.holdConnections();
             Socket client = stage.client();
             RespTestBed.say(client, commands);
             List<Runnable> links = new ArrayList<>();
             for (int i = 0; i < requests; i++) {
-                links.add(stage.linkUp());
+                links.add(stage.connectionUp());
             }
             stage.unread(() -> leave(leaving, client), () -> links.forEach(Runnable::run));
             nothingWasSent(stage, backend, requests);
@@ -283,7 +285,7 @@
     private static void nothingWasSent(RespTestBed stage, RespTestBed.Node backend, int requests) throws Exception {
         stage.until("terminals_left", requests);
         stage.until("asks_open", 0);
-        stage.withholdNoMore();
+        stage.holdNoMore();
         Socket next = stage.client();
         RespTestBed.say(next, RespTestBed.query(99, WAIT_MS));
         RespTestBed.BackendConnection line = backend.withCommand();
--- a/gateway/src/test/java/opalcove/resp/ConnectionCrossingsTest.java
+++ b/gateway/src/test/java/opalcove/resp/ConnectionCrossingsTest.java
@@ -24,12 +24,12 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** What crosses a link to an app node: its coming up, its close, the answer that was not awaited any more. */
+/** What crosses a connection to a backend: its coming up, its close, the answer that was not awaited any more. */
 public class ConnectionCrossingsTest {
     private static final String FALL = "\"fall_ms\":3000";
     private static final String NO_CANCEL = "\"may_cancel\":true";
 
-    /** Nodes that close a link after 1.5 s of rest: one that rested for 50 ms is looked at. */
+    /** Backends that close a connection after 1.5 s of rest: one that rested for 50 ms is looked at. */
     private static final String[] IDLE = {"\"idle_close_ms\":30000", "\"idle_close_ms\":1500"};
 
     /**
@@ -47,11 +47,11 @@
     }
 
     /**
-     * The loop is held up; meanwhile an ask comes, and then a drain of the node to which it would go on a link at rest. Both
-     * lie unread as the loop goes on, the ask before the drain.
+     * The loop is held up; meanwhile a request comes, and then a drain of the backend to which it would go on an idle connection. Both
+     * lie unread as the loop goes on, the request before the drain.
      */
     @Test(dataProvider = "gracesAndPauses")
-    public void anAskIsNotSentToANodeWhoseDrainLiesUnreadBehindIt(int graceMs, int pauseMs) throws Exception {
+    public void aRequestIsNotSentToABackendWhoseDrainLiesUnreadBehindIt(int graceMs, int pauseMs) throws Exception {
         try (RespTestBed stage = new RespTestBed(FALL, FALL + ",\"stop_sending_within_ms\":" + graceMs);
                 ServerSocket discovery = new ServerSocket(0, 8, InetAddress.getByName("127.0.0.1"))) {
             RespTestBed.Node first = stage.backend("n1");
@@ -94,11 +94,11 @@
 
     /**
      * The loop is held up; meanwhile the watch ends with no news, the agent learns of a drain, which it can tell to the
-     * next call alone, and an ask comes for the drained node. That ask, and one that comes while the call is out, wait
+     * next call alone, and a request comes for the drained backend. That request, and one that comes while the call is out, wait
      * for it.
      */
     @Test(dataProvider = "gracesAndPauses")
-    public void anAskIsNotSentToANodeWhoseDrainTheNextWatchTells(int graceMs, int pauseMs) throws Exception {
+    public void aRequestIsNotSentToABackendWhoseDrainTheNextWatchBrings(int graceMs, int pauseMs) throws Exception {
         try (RespTestBed stage = new RespTestBed(FALL, FALL + ",\"stop_sending_within_ms\":" + graceMs);
                 ServerSocket discovery = new ServerSocket(0, 8, InetAddress.getByName("127.0.0.1"))) {
             RespTestBed.Node first = stage.backend("n1");
@@ -155,19 +155,19 @@
     }
 
     @Test
-    public void anAskIsNotSentToANodeThatWasDrainedWhileItsLinkCameUp() throws Exception {
+    public void aRequestIsNotSentToABackendThatWasDrainedWhileItsConnectionCameUp() throws Exception {
         try (RespTestBed stage = new RespTestBed()) {
             RespTestBed.Node first = stage.backend("n1");
             RespTestBed.Node second = stage.backend("n2");
-            stage.told(first.is(EndpointState.UP), second.is(EndpointState.DRAINING));
-            stage.withholdLinks();
+            stage.setEndpoints(first.is(EndpointState.UP), second.is(EndpointState.DRAINING));
+            stage.holdConnections();
             Socket client = stage.client();
             RespTestBed.say(client, RespTestBed.query(1, 4000));
-            Runnable late = stage.linkUp();
-            stage.told(first.is(EndpointState.DRAINING), second.is(EndpointState.UP));
+            Runnable late = stage.connectionUp();
+            stage.setEndpoints(first.is(EndpointState.DRAINING), second.is(EndpointState.UP));
             stage.handOver(late);
-            // The ask goes to the other node, as its second attempt.
-            stage.handOver(stage.linkUp());
+            // The request goes to the other backend, as its second attempt.
+            stage.handOver(stage.connectionUp());
             RespTestBed.BackendConnection line = second.accept();
             assertTrue(line.command().contains(RespTestBed.id(1)));
             line.serve("two");
@@ -178,18 +178,18 @@
     }
 
     @Test
-    public void anAskIsNotSentToThePlaceThatItsNodeHasLeftWhileTheLinkCameUp() throws Exception {
+    public void aRequestIsNotSentToTheFormerAddressOfABackendThatMovedWhileTheConnectionCameUp() throws Exception {
         try (RespTestBed stage = new RespTestBed()) {
             RespTestBed.Node before = stage.backend("n1");
             RespTestBed.Node after = stage.backend("n1");
-            stage.told(before.is(EndpointState.UP));
-            stage.withholdLinks();
+            stage.setEndpoints(before.is(EndpointState.UP));
+            stage.holdConnections();
             Socket client = stage.client();
             RespTestBed.say(client, RespTestBed.query(1, 4000));
-            Runnable late = stage.linkUp();
-            stage.told(after.is(EndpointState.UP));
+            Runnable late = stage.connectionUp();
+            stage.setEndpoints(after.is(EndpointState.UP));
             stage.handOver(late);
-            stage.handOver(stage.linkUp());
+            stage.handOver(stage.connectionUp());
             RespTestBed.BackendConnection line = after.accept();
             assertTrue(line.command().contains(RespTestBed.id(1)));
             line.serve("moved");
@@ -199,18 +199,18 @@
     }
 
     @Test(dataProvider = "mayCancel")
-    public void anAskIsNotSentOnceItsTerminalHasLeftWhileTheLinkCameUp(String mayCancel) throws Exception {
+    public void aRequestIsNotSentOnceItsClientDisconnectedWhileTheConnectionCameUp(String mayCancel) throws Exception {
         try (RespTestBed stage = new RespTestBed(NO_CANCEL, "\"may_cancel\":" + mayCancel)) {
             RespTestBed.Node backend = stage.backend("n1");
-            stage.told(backend.is(EndpointState.UP));
-            stage.withholdLinks();
+            stage.setEndpoints(backend.is(EndpointState.UP));
+            stage.holdConnections();
             Socket client = stage.client();
             RespTestBed.say(client, RespTestBed.query(1, 4000));
-            Runnable late = stage.linkUp();
+            Runnable late = stage.connectionUp();
             client.close();
             stage.until("terminals_left", 1);
             stage.handOver(late);
-            // The link is kept, and a later ask is the first that the node gets on it.
+            // The connection is kept, and a later request is the first that the backend gets on it.
             stage.until("links_resting", 1);
             Socket other = stage.client();
             RespTestBed.say(other, RespTestBed.query(2, 4000));
@@ -221,17 +221,17 @@
         }
     }
 
-    /** Of a link that is given up because its terminal left, nothing is held against the node: the next ask goes there at once. */
+    /** Of a connection that is given up because its client left, nothing is held against the backend: the next request goes there at once. */
     @Test
-    public void aNodeIsNotBlamedForALinkThatATerminalDidNotWaitFor() throws Exception {
+    public void aBackendIsNotBlamedForAConnectionThatAClientDidNotWaitFor() throws Exception {
         try (RespTestBed stage = new RespTestBed()) {
             RespTestBed.Node backend = stage.backend("n1");
-            stage.told(backend.is(EndpointState.UP));
-            stage.withholdLinks();
+            stage.setEndpoints(backend.is(EndpointState.UP));
+            stage.holdConnections();
             for (int leaving = 1; leaving <= 4; leaving++) {
                 Socket client = stage.client();
                 RespTestBed.say(client, RespTestBed.query(leaving, 4000));
-                stage.linkUp();
+                stage.connectionUp();
                 client.close();
                 stage.until("terminals_left", leaving);
                 assertEquals(stage.figure("attempts"), leaving);
@@ -242,14 +242,14 @@
     }
 
     @Test(dataProvider = "mayCancel")
-    public void anAskIsNotSentOnceItHasItsAnswerWhileTheLinkCameUp(String mayCancel) throws Exception {
+    public void aRequestIsNotSentOnceItHasItsResponseWhileTheConnectionCameUp(String mayCancel) throws Exception {
         try (RespTestBed stage = new RespTestBed(NO_CANCEL, "\"may_cancel\":" + mayCancel)) {
             RespTestBed.Node backend = stage.backend("n1");
-            stage.told(backend.is(EndpointState.UP));
-            stage.withholdLinks();
+            stage.setEndpoints(backend.is(EndpointState.UP));
+            stage.holdConnections();
             Socket client = stage.client();
             RespTestBed.say(client, RespTestBed.query(1, 100));
-            Runnable late = stage.linkUp();
+            Runnable late = stage.connectionUp();
             assertTrue(RespTestBed.answer(client).startsWith("-"), "a final answer in time, though no link came up");
             stage.handOver(late);
             stage.until("asks_open", 0);
@@ -258,10 +258,10 @@
     }
 
     @Test
-    public void anAttemptThatMayNotBeCalledOffEndsWithItsAsksTime() throws Exception {
+    public void anAttemptThatMayNotBeCancelledEndsAtItsDeadline() throws Exception {
         try (RespTestBed stage = new RespTestBed(NO_CANCEL, "\"may_cancel\":false")) {
             RespTestBed.Node backend = stage.backend("n1");
-            stage.told(backend.is(EndpointState.UP));
+            stage.setEndpoints(backend.is(EndpointState.UP));
             Socket client = stage.client();
             RespTestBed.say(client, RespTestBed.query(1, 100));
             RespTestBed.BackendConnection line = backend.accept();
@@ -273,12 +273,12 @@
     }
 
     @Test
-    public void aRepeatWhoseWindowEndedWhileTheLinkCameUpIsNotSent() throws Exception {
+    public void aRepeatWhoseWindowEndedWhileTheConnectionCameUpIsNotSent() throws Exception {
         try (RespTestBed stage =
                 new RespTestBed("\"window_ms\":4000", "\"window_ms\":700", "\"group\":\"cell\"", "\"group\":\"all\"")) {
             RespTestBed.Node backend = stage.backend("n1");
             RespTestBed.Node other = stage.backend("n2");
-            stage.told(backend.is(EndpointState.UP), other.is(EndpointState.DRAINING));
+            stage.setEndpoints(backend.is(EndpointState.UP), other.is(EndpointState.DRAINING));
             // The module makes a priced repeat for each ten first attempts.
             RespTestBed.BackendConnection line = rested(stage, backend);
             for (int i = 0; i < 10; i++) {
@@ -288,11 +288,11 @@
             RespTestBed.say(client, RespTestBed.submit(99, 2000, "k1"));
             line.command();
             long ran = System.nanoTime();
-            stage.told(backend.is(EndpointState.DRAINING), other.is(EndpointState.UP));
-            stage.withholdLinks();
-            // The first attempt may have run: only within the window may the other node see it.
+            stage.setEndpoints(backend.is(EndpointState.DRAINING), other.is(EndpointState.UP));
+            stage.holdConnections();
+            // The first attempt may have run: only within the window may the other backend see it.
             line.reset();
-            Runnable late = stage.linkUp();
+            Runnable late = stage.connectionUp();
             while (System.nanoTime() - ran < TimeUnit.MILLISECONDS.toNanos(700)) {
                 Thread.onSpinWait();
             }
@@ -303,10 +303,10 @@
     }
 
     @Test
-    public void aLineThatItsNodeHasClosedAtRestIsNotWrittenTo() throws Exception {
+    public void anIdleConnectionThatItsBackendHasClosedIsNotWrittenTo() throws Exception {
         try (RespTestBed stage = new RespTestBed(IDLE)) {
             RespTestBed.Node backend = stage.backend("n1");
-            stage.told(backend.is(EndpointState.UP));
+            stage.setEndpoints(backend.is(EndpointState.UP));
             RespTestBed.BackendConnection line = rested(stage, backend);
             BlockingQueue<String> answers = new LinkedBlockingQueue<>();
             stage.unread(
@@ -318,17 +318,17 @@
             RespTestBed.BackendConnection fresh = backend.accept();
             assertTrue(fresh.command().contains(RespTestBed.id(2)));
             fresh.serve("two");
-            assertEquals(answers.poll(RespTestBed.PATIENCE_S, TimeUnit.SECONDS), "two");
+            assertEquals(answers.poll(RespTestBed.TIMEOUT_S, TimeUnit.SECONDS), "two");
             assertEquals(stage.figure("attempts_broken"), 0);
             assertEquals(stage.figure("attempts"), 2);
         }
     }
 
     @Test
-    public void aSecondAnswerIsNotTakenForTheNextAskThoughItWasNotReadYet() throws Exception {
+    public void aSecondReplyIsNotTakenForTheNextRequestThoughItWasNotReadYet() throws Exception {
         try (RespTestBed stage = new RespTestBed(IDLE)) {
             RespTestBed.Node backend = stage.backend("n1");
-            stage.told(backend.is(EndpointState.UP));
+            stage.setEndpoints(backend.is(EndpointState.UP));
             RespTestBed.BackendConnection line = rested(stage, backend);
             BlockingQueue<String> answers = new LinkedBlockingQueue<>();
             stage.unread(
@@ -340,7 +340,7 @@
             RespTestBed.BackendConnection fresh = backend.accept();
             assertTrue(fresh.command().contains(RespTestBed.id(2)));
             fresh.serve("two");
-            assertEquals(answers.poll(RespTestBed.PATIENCE_S, TimeUnit.SECONDS), "two");
+            assertEquals(answers.poll(RespTestBed.TIMEOUT_S, TimeUnit.SECONDS), "two");
             assertTrue(line.ended(), "a line with a second answer on it is given up");
         }
     }
@@ -350,7 +350,7 @@
     public void afterASecondAnswerALineThatRestedShortlyIsLookedAtToo() throws Exception {
         try (RespTestBed stage = new RespTestBed()) {
             RespTestBed.Node backend = stage.backend("n1");
-            stage.told(backend.is(EndpointState.UP));
+            stage.setEndpoints(backend.is(EndpointState.UP));
             RespTestBed.BackendConnection line = rested(stage, backend);
             line.serve("one again");
             assertTrue(line.ended());
@@ -361,7 +361,7 @@
                 RespTestBed.BackendConnection fresh = backend.accept();
                 assertTrue(fresh.command().contains(RespTestBed.id(2)));
                 fresh.serve("two");
-                assertEquals(answers.poll(RespTestBed.PATIENCE_S, TimeUnit.SECONDS), "two");
+                assertEquals(answers.poll(RespTestBed.TIMEOUT_S, TimeUnit.SECONDS), "two");
                 stage.until("links_resting", 1);
                 fresh.serve("two again");
                 assertTrue(fresh.ended());
@@ -375,16 +375,17 @@
     }
 
     @Test
-    public void aNodesAnswerThatCrossesTheTerminalsLeavingIsNobodysElse() throws Exception {
+    public void aReplyThatCrossesTheClientsDisconnectIsGivenToNobodyElse() throws Exception {
         try (RespTestBed stage = new RespTestBed()) {
             RespTestBed.Node backend = stage.backend("n1");
-            stage.told(backend.is(EndpointState.UP));
+            stage.setEndpoints(backend.is(EndpointState.UP));
             Socket client = stage.client();
             RespTestBed.say(client, RespTestBed.query(1, 4000));
             RespTestBed.BackendConnection line = backend.accept();
             line.command();
             BlockingQueue<String> answers = new LinkedBlockingQueue<>();
-            // Both lie unread when the next ask is taken; whichever is read first, the next ask's answer is its own.
+            // Both lie unread when the next request is taken; whichever is read first, the next request's answer is its
+            // own.
             stage.unread(
                     () -> {
                         line.serve("one");
@@ -394,24 +395,24 @@
             RespTestBed.BackendConnection other = backend.accept();
             assertTrue(other.command().contains(RespTestBed.id(2)));
             other.serve("two");
-            assertEquals(answers.poll(RespTestBed.PATIENCE_S, TimeUnit.SECONDS), "two");
+            assertEquals(answers.poll(RespTestBed.TIMEOUT_S, TimeUnit.SECONDS), "two");
             stage.until("asks_open", 0);
             assertEquals(stage.figure("attempts"), 2);
         }
     }
 
     @Test
-    public void anAnswerThatCrossesTheEndOfItsAsksTimeGivesOneAnswerAndSparesTheNextAsk() throws Exception {
+    public void aReplyThatCrossesItsDeadlineGivesOneResponseAndSparesTheNextRequest() throws Exception {
         try (RespTestBed stage = new RespTestBed()) {
             RespTestBed.Node backend = stage.backend("n1");
-            stage.told(backend.is(EndpointState.UP));
+            stage.setEndpoints(backend.is(EndpointState.UP));
             Socket client = stage.client();
             RespTestBed.say(client, RespTestBed.query(1, 150));
             RespTestBed.BackendConnection line = backend.accept();
             line.command();
             String first = RespTestBed.answer(client);
             assertNotEquals(first, "one");
-            // The attempt was given up with that answer; what its node says now is on a line that is gone.
+            // The attempt was given up with that answer; what its backend says now is on a connection that is closed.
             try {
                 line.serve("one");
             } catch (java.net.SocketException gone) {
@@ -437,13 +438,13 @@
         return line;
     }
 
-    /** One more ask on a line that rests. */
+    /** One more request on an idle connection. */
     private static void again(RespTestBed stage, RespTestBed.BackendConnection line) throws Exception {
         BlockingQueue<String> answers = new LinkedBlockingQueue<>();
         stage.onLoop(() -> stage.serve(50, 4000, answers));
         line.command();
         line.serve("again");
-        assertEquals(answers.poll(RespTestBed.PATIENCE_S, TimeUnit.SECONDS), "again");
+        assertEquals(answers.poll(RespTestBed.TIMEOUT_S, TimeUnit.SECONDS), "again");
         stage.until("links_resting", 1);
     }
 }
--- a/gateway/src/test/java/opalcove/resp/DrainingServerTest.java
+++ b/gateway/src/test/java/opalcove/resp/DrainingServerTest.java
@@ -22,7 +22,7 @@
 import opalcove.lifecycle.Lifecycle;
 import org.testng.annotations.Test;
 
-/** A front that stops taking connections: those that were made by then are served. */
+/** A server that stops taking connections: those that were established before are served. */
 public class DrainingServerTest {
     private static final int CONNECTIONS = 60;
 
--- a/gateway/src/test/java/opalcove/resp/EndCrossingsTest.java
+++ b/gateway/src/test/java/opalcove/resp/EndCrossingsTest.java
@@ -18,28 +18,28 @@
 import opalcove.server.GatewayStatus;
 import org.testng.annotations.Test;
 
-/** The end of the process crossing asks, new settings and its own start. */
+/** The end of the process crossing requests, new settings and its own start. */
 public class EndCrossingsTest {
     private static final int WAIT_MS = 4000;
-    /** An ask that would wait for longer than the test does. */
+    /** A request that would wait for longer than the test does. */
     private static final int LONG_MS = 90_000;
 
     private static final String[] LONG = {
         "\"aim_ms\":2000,\"deadline_ms\":4000", "\"aim_ms\":2000,\"deadline_ms\":90000"
     };
 
-    /** Taken late in the end from a node that never answers: its answer does not wait for its own time, which is over after the end. */
+    /** Taken late in the end from a backend that never answers: its answer does not wait for its own time, which is over after the end. */
     @Test
-    public void anAskTakenLateInTheEndIsAnsweredBeforeTheProcessIsKilled() throws Exception {
+    public void aRequestTakenLateInTheShutdownIsAnsweredBeforeTheProcessIsKilled() throws Exception {
         try (RespTestBed stage = new RespTestBed(LONG)) {
             RespTestBed.Node backend = stage.backend("n1");
-            stage.told(backend.is(EndpointState.UP));
+            stage.setEndpoints(backend.is(EndpointState.UP));
             Socket client = stage.client();
             halfway(stage, client, RespTestBed.query(1, LONG_MS));
             ends(stage, 300);
             RespTestBed.say(client, rest(RespTestBed.query(1, LONG_MS)));
             RespTestBed.BackendConnection line = backend.accept();
-            // Its node is told how long it is waited for.
+            // Its backend is given the time that it is waited for.
             assertTrue(line.command().matches(".*,d=[0-3]?[0-9]?[0-9](\\.[0-9]+)?,.*"));
             assertTrue(RespTestBed.answer(client).startsWith("-"));
             assertTrue(line.ended(), "its attempt is given up");
@@ -47,12 +47,12 @@
         }
     }
 
-    /** Its answer has to come behind that of an ask which was taken before and may wait longer. */
+    /** Its answer has to come behind that of a request which was taken before and may wait longer. */
     @Test
-    public void theAskBeforeOneThatCameLateInTheEndDoesNotHoldItsAnswerBack() throws Exception {
+    public void theRequestBeforeOneThatArrivedLateInTheShutdownDoesNotHoldItsResponseBack() throws Exception {
         try (RespTestBed stage = new RespTestBed(LONG)) {
             RespTestBed.Node backend = stage.backend("n1");
-            stage.told(backend.is(EndpointState.UP));
+            stage.setEndpoints(backend.is(EndpointState.UP));
             Socket client = stage.client();
             RespTestBed.say(client, RespTestBed.query(1, LONG_MS));
             RespTestBed.BackendConnection first = backend.accept();
@@ -68,10 +68,10 @@
     }
 
     @Test
-    public void anAskForWhichNoTimeIsLeftIsRefusedAtOnceAndTheConnectionClosed() throws Exception {
+    public void aRequestWithNoTimeRemainingIsShedAtOnceAndTheConnectionClosed() throws Exception {
         try (RespTestBed stage = new RespTestBed()) {
             RespTestBed.Node backend = stage.backend("n1");
-            stage.told(backend.is(EndpointState.UP));
+            stage.setEndpoints(backend.is(EndpointState.UP));
             Socket client = stage.client();
             halfway(stage, client, RespTestBed.query(1, WAIT_MS));
             ends(stage, 0);
@@ -93,12 +93,12 @@
         }
     }
 
-    /** New settings with shorter deadlines crossing the end: asks that were taken under the old ones still get their answer. */
+    /** New settings with shorter deadlines crossing the end: requests that were taken under the old ones still get their answer. */
     @Test
-    public void theEndWaitsForAsksOfOlderSettings() throws Exception {
+    public void theShutdownWaitsForRequestsOfOlderSettings() throws Exception {
         try (RespTestBed stage = new RespTestBed()) {
             RespTestBed.Node backend = stage.backend("n1");
-            stage.told(backend.is(EndpointState.UP));
+            stage.setEndpoints(backend.is(EndpointState.UP));
             Socket client = stage.client();
             RespTestBed.say(client, RespTestBed.query(1, WAIT_MS));
             RespTestBed.BackendConnection line = backend.accept();
@@ -111,7 +111,7 @@
             assertFalse(none.isDone());
             line.serve("one");
             assertEquals(RespTestBed.answer(client), "one");
-            none.get(RespTestBed.PATIENCE_S, TimeUnit.SECONDS);
+            none.get(RespTestBed.TIMEOUT_S, TimeUnit.SECONDS);
             assertEquals((long) stage.onLoop(() -> stage.gateway.maxDeadlineMs()), 300);
         }
     }
@@ -147,9 +147,9 @@
         }
     }
 
-    /** The operators' door is open before there is a front: what it was told last holds once there is one. */
+    /** The console address is open before there is a server: what was requested last applies once there is one. */
     @Test
-    public void aDrainThatComesBeforeThereIsAFrontIsKeptForIt() throws Exception {
+    public void aDrainRequestedBeforeThereIsAServerAppliesToIt() throws Exception {
         for (boolean taken : new boolean[] {false, true}) {
             try (RespTestBed stage = new RespTestBed()) {
                 GatewayStatus status = new GatewayStatus();
@@ -170,9 +170,9 @@
         }
     }
 
-    /** Told to end before its list was there: a front that opened then would take asks that the process's end cuts off. */
+    /** Ended before its list was there: a server that opened then would take requests that the process's end cuts off. */
     @Test
-    public void aProgramThatIsToldToEndWhileItStartsDoesNotOpenItsFront() {
+    public void aProcessThatIsEndedWhileItStartsDoesNotListen() {
         Application program = new Application();
         AtomicBoolean opened = new AtomicBoolean();
         program.phases().enter(Lifecycle.Phase.LEAVING);
--- a/gateway/src/test/java/opalcove/resp/FullServerTest.java
+++ b/gateway/src/test/java/opalcove/resp/FullServerTest.java
@@ -13,18 +13,18 @@
 import opalcove.decision.EndpointState;
 import org.testng.annotations.Test;
 
-/** A front that has no room for another connection: which of them are closed, and that they are counted. */
+/** A server that has no room for another connection: which of them are closed, and that they are counted. */
 public class FullServerTest {
-    /** As many as the stage's front takes. */
-    private static final int MOST = 64;
+    /** As many as the stage's server takes. */
+    private static final int MAX = 64;
 
     private static final String CLOSED = "connections_closed_for_descriptors";
     private static final String REFUSED = "connections_refused_for_descriptors";
     /** Half a command, of which a byte follows for each of the other connections. */
-    private static final String HALF = "*2\r\n$4\r\nPING\r\n$" + MOST + "\r\n";
+    private static final String HALF = "*2\r\n$4\r\nPING\r\n$" + MAX + "\r\n";
 
     /** A receive buffer that holds a few answers, bytes; and far more answers than that and the gateway's kernel takes. */
-    private static final int LEAST_BUFFER = 1024;
+    private static final int MIN_BUFFER_BYTES = 1024;
 
     private static final int UNREAD_ANSWERS = 8000;
 
@@ -36,12 +36,12 @@
     public void idleConnectionsGiveWayAndOneWithAnOpenRequestStays() throws Exception {
         try (RespTestBed stage = stage()) {
             RespTestBed.Node backend = stage.backend("h1");
-            stage.told(backend.is(EndpointState.UP));
+            stage.setEndpoints(backend.is(EndpointState.UP));
             Socket busy = stage.client();
             RespTestBed.say(busy, RespTestBed.query(1, DEADLINE_MS));
             RespTestBed.BackendConnection line = backend.withCommand();
             Socket idle = answered(stage);
-            for (int i = 0; i < MOST; i++) {
+            for (int i = 0; i < MAX; i++) {
                 answered(stage);
             }
             assertEquals(idle.getInputStream().read(), -1);
@@ -61,13 +61,13 @@
     public void aNewConnectionIsRefusedWhereAllAreInUse() throws Exception {
         try (RespTestBed stage = stage()) {
             RespTestBed.Node backend = stage.backend("h1");
-            stage.told(backend.is(EndpointState.UP));
+            stage.setEndpoints(backend.is(EndpointState.UP));
             List<Socket> busy = new ArrayList<>();
-            for (int i = 0; i < MOST; i++) {
+            for (int i = 0; i < MAX; i++) {
                 busy.add(stage.client());
                 RespTestBed.say(busy.get(i), RespTestBed.query(i, DEADLINE_MS));
             }
-            stage.until("asks_open", MOST);
+            stage.until("asks_open", MAX);
             assertEquals(stage.client().getInputStream().read(), -1);
             assertEquals(stage.figure(REFUSED), 1);
             assertEquals(stage.figure(CLOSED), 0);
@@ -82,36 +82,36 @@
             RespTestBed.say(half, HALF);
             Socket idle = answered(stage);
             List<Socket> others = new ArrayList<>();
-            for (int i = 0; i < MOST - 1; i++) {
+            for (int i = 0; i < MAX - 1; i++) {
                 others.add(stage.client());
                 RespTestBed.say(half, "x");
             }
-            assertEquals(RespTestBed.answer(said(others.get(MOST - 2))), "+PONG");
+            assertEquals(RespTestBed.answer(said(others.get(MAX - 2))), "+PONG");
             assertEquals(idle.getInputStream().read(), -1);
             assertEquals(stage.figure(REFUSED), 0);
             RespTestBed.say(half, "x\r\n");
-            assertEquals(RespTestBed.answer(half), "x".repeat(MOST));
+            assertEquals(RespTestBed.answer(half), "x".repeat(MAX));
         }
     }
 
     /** Connections whose clients read nothing are not kept half open beyond the limit on those. */
     @Test
     public void clientsThatReadNothingHoldNoMoreThanTheHalfOpenShare() throws Exception {
-        int mostHalfOpen = MOST / 8;
+        int maxHalfOpen = MAX / 8;
         List<Socket> silent = new ArrayList<>();
         try (RespTestBed stage = stage()) {
             int port = stage.client().getPort();
-            for (int i = 0; i < mostHalfOpen + 4; i++) {
+            for (int i = 0; i < maxHalfOpen + 4; i++) {
                 Socket client = new Socket();
                 silent.add(client);
-                client.setReceiveBufferSize(LEAST_BUFFER);
+                client.setReceiveBufferSize(MIN_BUFFER_BYTES);
                 client.connect(new InetSocketAddress(InetAddress.getLoopbackAddress(), port));
                 RespTestBed.say(client, RespTestBed.words("INFO").repeat(UNREAD_ANSWERS));
             }
             until(() -> stage.front.openCount() == silent.size() + 1, stage);
             stage.onLoop(() -> stage.front.setDrainRequested(true));
             until(() -> stage.front.openCount() == 0, stage);
-            until(() -> stage.front.halfOpenCount() <= mostHalfOpen, stage);
+            until(() -> stage.front.halfOpenCount() <= maxHalfOpen, stage);
         } finally {
             for (Socket each : silent) {
                 each.close();
@@ -120,7 +120,7 @@
     }
 
     private static void until(BooleanSupplier reached, RespTestBed stage) throws Exception {
-        long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(RespTestBed.PATIENCE_S);
+        long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(RespTestBed.TIMEOUT_S);
         while (!stage.onLoop(reached::getAsBoolean)) {
             assertTrue(
                     System.nanoTime() < end,
--- a/gateway/src/test/java/opalcove/resp/LeavingClientTest.java
+++ b/gateway/src/test/java/opalcove/resp/LeavingClientTest.java
@@ -8,11 +8,11 @@
 import org.testng.annotations.Test;
 
 /**
- * A terminal leaves while its ask waits: nothing of it reaches an app node afterwards, wherever it waited. In each case
- * the leaving is noticed first; then what the ask waited for happens, and the next ask is the first that the node gets.
+ * A client leaves while its request waits: nothing of it reaches a backend afterwards, wherever it waited. In each case
+ * the leaving is noticed first; then what the request waited for happens, and the next request is the first that the backend gets.
  */
 public class LeavingClientTest {
-    /** Asks that may wait for as long as a test does. */
+    /** Requests that may wait for as long as a test does. */
     private static final String[] PATIENT = {
         "\"aim_ms\":2000,\"deadline_ms\":4000", "\"aim_ms\":90000,\"deadline_ms\":90000"
     };
@@ -22,16 +22,16 @@
     private static final int PIPELINED = 256;
 
     @Test
-    public void heldWhileNoNodeMayHaveIt() throws Exception {
+    public void heldWhileNoBackendMayHaveIt() throws Exception {
         try (RespTestBed stage = new RespTestBed(PATIENT)) {
             RespTestBed.Node backend = stage.backend("n1");
-            stage.told(backend.is(EndpointState.DRAINING));
+            stage.setEndpoints(backend.is(EndpointState.DRAINING));
             Socket client = stage.client();
             RespTestBed.say(client, RespTestBed.query(1, WAIT_MS));
             stage.until("asks_open", 1);
             client.close();
             stage.until("terminals_left", 1);
-            stage.told(backend.is(EndpointState.UP));
+            stage.setEndpoints(backend.is(EndpointState.UP));
             isTheFirstToCome(stage, backend);
         }
     }
@@ -40,17 +40,17 @@
     public void waitingForAnotherAttempt() throws Exception {
         try (RespTestBed stage = new RespTestBed(PATIENT)) {
             RespTestBed.Node backend = stage.backend("n1");
-            stage.told(backend.is(EndpointState.UP));
+            stage.setEndpoints(backend.is(EndpointState.UP));
             Socket client = stage.client();
             RespTestBed.say(client, RespTestBed.query(1, WAIT_MS));
             RespTestBed.BackendConnection line = backend.accept();
             assertTrue(line.command().contains(RespTestBed.id(1)));
-            stage.told(backend.is(EndpointState.DRAINING));
+            stage.setEndpoints(backend.is(EndpointState.DRAINING));
             line.say("-BUSY\r\n");
             stage.until("attempts_turned_away", 1);
             client.close();
             stage.until("terminals_left", 1);
-            stage.told(backend.is(EndpointState.UP));
+            stage.setEndpoints(backend.is(EndpointState.UP));
             isTheFirstToCome(stage, backend);
         }
     }
@@ -59,12 +59,12 @@
     public void behindOthersOnItsConnection() throws Exception {
         try (RespTestBed stage = new RespTestBed(PATIENT)) {
             RespTestBed.Node backend = stage.backend("n1");
-            stage.told(backend.is(EndpointState.UP));
-            stage.withholdLinks();
+            stage.setEndpoints(backend.is(EndpointState.UP));
+            stage.holdConnections();
             Socket client = stage.client();
             RespTestBed.say(client, RespTestBed.query(1, WAIT_MS) + RespTestBed.PING + RespTestBed.query(2, WAIT_MS));
-            Runnable first = stage.linkUp();
-            Runnable second = stage.linkUp();
+            Runnable first = stage.connectionUp();
+            Runnable second = stage.connectionUp();
             client.close();
             stage.until("terminals_left", 2);
             stage.handOver(first);
@@ -87,13 +87,13 @@
     private static void leavesUnread(String behind) throws Exception {
         try (RespTestBed stage = new RespTestBed(PATIENT)) {
             RespTestBed.Node backend = stage.backend("n1");
-            stage.told(backend.is(EndpointState.UP));
-            stage.withholdLinks();
+            stage.setEndpoints(backend.is(EndpointState.UP));
+            stage.holdConnections();
             Socket client = stage.client();
             RespTestBed.say(client, unread());
             stage.until("taken", 2);
-            Runnable first = stage.linkUp();
-            Runnable second = stage.linkUp();
+            Runnable first = stage.connectionUp();
+            Runnable second = stage.connectionUp();
             RespTestBed.say(client, behind);
             client.close();
             stage.until("terminals_left", 2);
@@ -108,11 +108,11 @@
     public void whileItsConnectionIsNotReadForWhatIsNoCommand() throws Exception {
         try (RespTestBed stage = new RespTestBed(PATIENT)) {
             RespTestBed.Node backend = stage.backend("n1");
-            stage.told(backend.is(EndpointState.UP));
-            stage.withholdLinks();
+            stage.setEndpoints(backend.is(EndpointState.UP));
+            stage.holdConnections();
             Socket client = stage.client();
             RespTestBed.say(client, RespTestBed.query(1, WAIT_MS) + "no command\r\n" + "x".repeat(300_000));
-            Runnable late = stage.linkUp();
+            Runnable late = stage.connectionUp();
             client.close();
             stage.until("terminals_left", 1);
             stage.handOver(late);
@@ -121,23 +121,23 @@
         }
     }
 
-    /** What is looked at to see a terminal leave is not lost for one that stays: each command has its answer, in order. */
+    /** What is looked at to see a client leave is not lost for one that stays: each command has its answer, in order. */
     @Test
     public void whoStaysGetsTheAnswersToAllThatWasReadMeanwhile() throws Exception {
         try (RespTestBed stage = new RespTestBed(PATIENT)) {
             RespTestBed.Node backend = stage.backend("n1");
-            stage.told(backend.is(EndpointState.UP));
-            stage.withholdLinks();
+            stage.setEndpoints(backend.is(EndpointState.UP));
+            stage.holdConnections();
             Socket client = stage.client();
             RespTestBed.say(client, unread());
             stage.until("taken", 2);
-            Runnable first = stage.linkUp();
-            Runnable second = stage.linkUp();
+            Runnable first = stage.connectionUp();
+            Runnable second = stage.connectionUp();
             RespTestBed.say(client, RespTestBed.words("PING", "behind").repeat(3000) + RespTestBed.query(3, WAIT_MS));
-            // Another terminal's leaving is noticed by the same look that reads what lies behind here.
+            // Another client's leaving is noticed by the same look that reads what lies behind here.
             Socket other = stage.client();
             RespTestBed.say(other, RespTestBed.query(4, WAIT_MS) + "no command\r\n");
-            Runnable others = stage.linkUp();
+            Runnable others = stage.connectionUp();
             other.close();
             stage.until("terminals_left", 1);
             stage.handOver(others);
@@ -159,7 +159,7 @@
         }
     }
 
-    /** An ask, and as many commands and another ask that the connection is not read after them. */
+    /** A request, and as many commands and another request that the connection is not read after them. */
     private static String unread() {
         return RespTestBed.query(1, WAIT_MS) + RespTestBed.PING.repeat(PIPELINED - 1) + RespTestBed.query(2, WAIT_MS);
     }
--- a/gateway/src/test/java/opalcove/resp/RawSocketTest.java
+++ b/gateway/src/test/java/opalcove/resp/RawSocketTest.java
@@ -25,7 +25,7 @@
 
 /** Each assumption on which bytes wait for the end of a turn: their order, a close before it, whose buffers they are. */
 public class RawSocketTest {
-    private static final int PATIENCE_S = 20;
+    private static final int TIMEOUT_S = 20;
 
     private Vertx vertx;
     private final BlockingQueue<String> told = new LinkedBlockingQueue<>();
@@ -38,7 +38,7 @@
 
     @AfterMethod
     public void stop() throws Exception {
-        vertx.close().toCompletionStage().toCompletableFuture().get(PATIENCE_S, TimeUnit.SECONDS);
+        vertx.close().toCompletionStage().toCompletableFuture().get(TIMEOUT_S, TimeUnit.SECONDS);
         assertEquals(LeakCounter.found(), 0);
     }
 
@@ -64,8 +64,8 @@
                 })
                 .listen(0, "127.0.0.1")
                 .onSuccess(server -> port.complete(server.actualPort())));
-        Socket socket = new Socket("127.0.0.1", port.get(PATIENCE_S, TimeUnit.SECONDS));
-        socket.setSoTimeout(PATIENCE_S * 1000);
+        Socket socket = new Socket("127.0.0.1", port.get(TIMEOUT_S, TimeUnit.SECONDS));
+        socket.setSoTimeout(TIMEOUT_S * 1000);
         return socket;
     }
 
@@ -74,7 +74,7 @@
     }
 
     @Test
-    public void allOfATurnLeavesInOrder() throws Exception {
+    public void allOfATurnIsSentInOrder() throws Exception {
         String large = "L".repeat(100_000);
         try (Socket socket = connect((raw, all) -> {
             text(raw.reserve(10), "one ");
@@ -95,26 +95,26 @@
         }
     }
 
-    /** What waits for the end of the turn never leaves, is told once as unwritten for each part, and is released. */
+    /** What waits for the end of the turn never leaves, is reported once as unwritten for each part, and is released. */
     @Test
     public void aCloseBetweenBatchAndFlushSendsNothing() throws Exception {
-        ByteBuf kept = Unpooled.directBuffer(8).writeZero(8);
+        ByteBuf buffered = Unpooled.directBuffer(8).writeZero(8);
         try (Socket socket = connect((raw, all) -> {
             text(raw.reserve(10), "never");
-            raw.write(kept.retainedDuplicate());
+            raw.write(buffered.retainedDuplicate());
             text(raw.reserve(10), "never");
             raw.closeAndDiscard();
         })) {
             socket.getOutputStream().write(1);
             assertEquals(rest(socket.getInputStream()), "");
             for (int part = 0; part < 3; part++) {
-                assertEquals(told.poll(PATIENCE_S, TimeUnit.SECONDS), "unwritten");
+                assertEquals(told.poll(TIMEOUT_S, TimeUnit.SECONDS), "unwritten");
             }
-            assertEquals(told.poll(PATIENCE_S, TimeUnit.SECONDS), "closed");
+            assertEquals(told.poll(TIMEOUT_S, TimeUnit.SECONDS), "closed");
         }
         assertTrue(told.isEmpty());
-        assertEquals(kept.refCnt(), 1);
-        kept.release();
+        assertEquals(buffered.refCnt(), 1);
+        buffered.release();
     }
 
     /** A socket that its own side closes in the same turn lets out what was put in before, and takes no more. */
@@ -127,12 +127,12 @@
             socket.getOutputStream().write(1);
             assertEquals(rest(socket.getInputStream()), "last");
         }
-        assertEquals(told.poll(PATIENCE_S, TimeUnit.SECONDS), "closed");
+        assertEquals(told.poll(TIMEOUT_S, TimeUnit.SECONDS), "closed");
     }
 
     /** The socket has ended by the end of the turn: the batch is let go of, and told as unwritten. */
     @Test
-    public void aBatchForASocketThatHasEndedIsReleased() throws Exception {
+    public void aBatchForAClosedSocketIsReleased() throws Exception {
         try (Socket socket = connect((raw, all) -> all.close().onComplete(closed -> {
             text(raw.reserve(10), "too late");
             told.add("put in");
@@ -141,7 +141,7 @@
             assertEquals(rest(socket.getInputStream()), "");
             Set<String> all = new HashSet<>();
             for (int i = 0; i < 3; i++) {
-                all.add(told.poll(PATIENCE_S, TimeUnit.SECONDS));
+                all.add(told.poll(TIMEOUT_S, TimeUnit.SECONDS));
             }
             assertEquals(all, Set.of("closed", "put in", "unwritten"));
         }
--- a/gateway/src/test/java/opalcove/resp/RespDecoderTest.java
+++ b/gateway/src/test/java/opalcove/resp/RespDecoderTest.java
@@ -18,24 +18,24 @@
 
 /** What is read does not hang on where the network cuts the bytes, and every buffer is let go of. */
 class RespDecoderTest {
-    private static final int MOST_ITEMS = 8;
+    private static final int MAX_ITEMS = 8;
 
     /** Reads the parts and writes down what was heard. */
     private static List<String> read(List<String> parts) {
-        List<String> heard = new ArrayList<>();
-        RespDecoder reader = new RespDecoder(MOST_ITEMS, new RespListener() {
+        List<String> decoded = new ArrayList<>();
+        RespDecoder reader = new RespDecoder(MAX_ITEMS, new RespListener() {
             @Override
             public void valueDecoded(RespDecoder value) {
                 StringBuilder text = new StringBuilder().append((char) value.type());
                 for (int i = 0; i < value.itemCount(); i++) {
                     text.append(' ').append(value.length(i) < 0 ? "null" : value.text(i));
                 }
-                heard.add(text.toString());
+                decoded.add(text.toString());
             }
 
             @Override
             public void decodingFailed(String reason) {
-                heard.add("broken: " + reason);
+                decoded.add("broken: " + reason);
             }
         });
         for (String each : parts) {
@@ -48,7 +48,7 @@
             }
         }
         reader.stop();
-        return heard;
+        return decoded;
     }
 
     @Property(tries = 300, seed = "7")
@@ -80,7 +80,7 @@
                 Arbitraries.frequencyOf(net.jqwik.api.Tuple.of(4, string), net.jqwik.api.Tuple.of(1, line));
         Arbitrary<String> array = item.list()
                 .ofMinSize(1)
-                .ofMaxSize(MOST_ITEMS)
+                .ofMaxSize(MAX_ITEMS)
                 .map(each -> "*" + each.size() + "\r\n" + String.join("", each));
         Arbitrary<String> nested = Combinators.combine(array, item).as((inner, last) -> "*2\r\n" + inner + last);
         Arbitrary<String> wrong = Arbitraries.of(
@@ -118,45 +118,45 @@
 
     /** What is heard stops the reading amid a buffer of many values. */
     @Example
-    void nothingIsHeardAfterStop() {
-        List<String> heard = new ArrayList<>();
+    void nothingIsDecodedAfterStop() {
+        List<String> decoded = new ArrayList<>();
         RespDecoder[] reader = new RespDecoder[1];
-        reader[0] = new RespDecoder(MOST_ITEMS, new RespListener() {
+        reader[0] = new RespDecoder(MAX_ITEMS, new RespListener() {
             @Override
             public void valueDecoded(RespDecoder value) {
-                heard.add(value.text(0));
+                decoded.add(value.text(0));
                 reader[0].stop();
             }
 
             @Override
             public void decodingFailed(String reason) {
-                heard.add(reason);
+                decoded.add(reason);
             }
         });
         ByteBuf bytes = PooledByteBufAllocator.DEFAULT
                 .directBuffer(64)
                 .writeBytes("+one\r\n+two\r\nnonsense".getBytes(StandardCharsets.US_ASCII));
         reader[0].decode(bytes);
-        assertEquals(List.of("one"), heard);
+        assertEquals(List.of("one"), decoded);
         assertEquals(0, bytes.refCnt());
     }
 
     /** A slip in the hearing of one value neither tells it again nor loses the next. */
     @Example
-    void aValueIsToldOnceEvenIfItsHearingFails() {
-        List<String> heard = new ArrayList<>();
-        RespDecoder reader = new RespDecoder(MOST_ITEMS, new RespListener() {
+    void aValueIsGivenOnceEvenIfItsListenerFails() {
+        List<String> decoded = new ArrayList<>();
+        RespDecoder reader = new RespDecoder(MAX_ITEMS, new RespListener() {
             @Override
             public void valueDecoded(RespDecoder value) {
-                heard.add(value.text(0));
-                if (heard.size() == 1) {
+                decoded.add(value.text(0));
+                if (decoded.size() == 1) {
                     throw new IllegalStateException("a slip");
                 }
             }
 
             @Override
             public void decodingFailed(String reason) {
-                heard.add(reason);
+                decoded.add(reason);
             }
         });
         byte[] one = "+one\r\n+two\r\n".getBytes(StandardCharsets.US_ASCII);
@@ -167,7 +167,7 @@
         reader.decode(PooledByteBufAllocator.DEFAULT
                 .directBuffer(64)
                 .writeBytes("+three\r\n".getBytes(StandardCharsets.US_ASCII)));
-        assertEquals(List.of("one", "two", "three"), heard);
+        assertEquals(List.of("one", "two", "three"), decoded);
         reader.stop();
     }
 }
--- a/gateway/src/test/java/opalcove/resp/RespRepliesTest.java
+++ b/gateway/src/test/java/opalcove/resp/RespRepliesTest.java
@@ -13,7 +13,7 @@
     private static final int DEADLINE_MS = 4000;
     private static final String CUSTOMER = "00000000000000b2";
     private static final String ID = "0000000000000001";
-    private static final String MARKS = "c=slot-status,t=start,d=4000,units=1,spread=1,first=0";
+    private static final String PARAMETERS = "c=slot-status,t=start,d=4000,units=1,spread=1,first=0";
     private static final String KEYED = "c=swap-record,t=start,d=4000,units=1,spread=1,first=0";
 
     /** A class whose requests may not be repeated, beside those of the tests' settings. */
@@ -118,31 +118,32 @@
     private static String[][] invalidRequests() {
         return new String[][] {
             {RespTestBed.words("SVC.QUERY", CUSTOMER, ID), "wrong number of words for SVC.QUERY"},
-            {RespTestBed.words("SVC.QUERY", CUSTOMER, ID, MARKS, "body"), "wrong number of words for SVC.QUERY"},
-            {RespTestBed.words("svc.submit", CUSTOMER, ID, MARKS), "wrong number of words for SVC.SUBMIT"},
+            {RespTestBed.words("SVC.QUERY", CUSTOMER, ID, PARAMETERS, "body"), "wrong number of words for SVC.QUERY"},
+            {RespTestBed.words("svc.submit", CUSTOMER, ID, PARAMETERS), "wrong number of words for SVC.SUBMIT"},
             {RespTestBed.words("SVC.QUERY", CUSTOMER, ID, ""), "expected name=value"},
-            {RespTestBed.words("SVC.QUERY", CUSTOMER, ID, "=1," + MARKS), "expected name=value"},
-            {RespTestBed.words("SVC.QUERY", CUSTOMER, ID, MARKS + ",d=3"), "a name comes twice"},
-            {query(MARKS.replace("c=slot-status,", "")), "c is missing"},
-            {query(MARKS.replace("slot-status", "none")), "unknown class"},
+            {RespTestBed.words("SVC.QUERY", CUSTOMER, ID, "=1," + PARAMETERS), "expected name=value"},
+            {RespTestBed.words("SVC.QUERY", CUSTOMER, ID, PARAMETERS + ",d=3"), "a name comes twice"},
+            {query(PARAMETERS.replace("c=slot-status,", "")), "c is missing"},
+            {query(PARAMETERS.replace("slot-status", "none")), "unknown class"},
             {query(KEYED), "SVC.QUERY does not serve swap-record"},
-            {RespTestBed.words("SVC.SUBMIT", CUSTOMER, ID, MARKS, "body"), "SVC.SUBMIT does not serve slot-status"},
-            {RespTestBed.words("SVC.QUERY", CUSTOMER, "1", MARKS), "the id must be 16 hex digits"},
-            {RespTestBed.words("SVC.QUERY", CUSTOMER, "000000000000000g", MARKS), "the id must be 16 hex digits"},
-            {RespTestBed.words("SVC.QUERY", "b2", ID, MARKS), "the operator must be 16 hex digits"},
-            {RespTestBed.words("SVC.QUERY", "0000000200000000", ID, MARKS), "the operator is out of range"},
-            {query(MARKS.replace("t=start", "t=")), "t is missing"},
-            {query(MARKS.replace("t=start", "t=none")), "unknown plan"},
-            {query(MARKS.replace(",units=1", "")), "units is missing"},
-            {query(MARKS.replace("units=1", "units=1e2")), "units is not a number in range"},
-            {query(MARKS.replace("units=1", "units=0")), "the units are out of range"},
-            {query(MARKS.replace("units=1", "units=9")), "the units are out of range"},
-            {query(MARKS.replace("d=4000,", "")), "d is missing"},
-            {query(MARKS.replace("d=4000", "d=-1")), "d is not a number in range"},
-            {query(MARKS.replace("d=4000", "d=4001")), "the time to wait is out of range"},
-            {query(MARKS.replace("spread=1", "spread=1.5")), "spread is not a whole number"},
-            {query(MARKS.replace("spread=1", "spread=2")), "the operator's gateways are out of range"},
-            {query(MARKS.replace("first=0", "first=1")), "the operator's gateways are out of range"},
+            {RespTestBed.words("SVC.SUBMIT", CUSTOMER, ID, PARAMETERS, "body"), "SVC.SUBMIT does not serve slot-status"
+            },
+            {RespTestBed.words("SVC.QUERY", CUSTOMER, "1", PARAMETERS), "the id must be 16 hex digits"},
+            {RespTestBed.words("SVC.QUERY", CUSTOMER, "000000000000000g", PARAMETERS), "the id must be 16 hex digits"},
+            {RespTestBed.words("SVC.QUERY", "b2", ID, PARAMETERS), "the operator must be 16 hex digits"},
+            {RespTestBed.words("SVC.QUERY", "0000000200000000", ID, PARAMETERS), "the operator is out of range"},
+            {query(PARAMETERS.replace("t=start", "t=")), "t is missing"},
+            {query(PARAMETERS.replace("t=start", "t=none")), "unknown plan"},
+            {query(PARAMETERS.replace(",units=1", "")), "units is missing"},
+            {query(PARAMETERS.replace("units=1", "units=1e2")), "units is not a number in range"},
+            {query(PARAMETERS.replace("units=1", "units=0")), "the units are out of range"},
+            {query(PARAMETERS.replace("units=1", "units=9")), "the units are out of range"},
+            {query(PARAMETERS.replace("d=4000,", "")), "d is missing"},
+            {query(PARAMETERS.replace("d=4000", "d=-1")), "d is not a number in range"},
+            {query(PARAMETERS.replace("d=4000", "d=4001")), "the time to wait is out of range"},
+            {query(PARAMETERS.replace("spread=1", "spread=1.5")), "spread is not a whole number"},
+            {query(PARAMETERS.replace("spread=1", "spread=2")), "the operator's gateways are out of range"},
+            {query(PARAMETERS.replace("first=0", "first=1")), "the operator's gateways are out of range"},
             {RespTestBed.words("SVC.SUBMIT", CUSTOMER, ID, KEYED, "body"), "k is missing"},
             {RespTestBed.words("SVC.SUBMIT", CUSTOMER, ID, KEYED + ",k=a b", "body"), "the key cannot be passed on"},
             {"*0\r\n", "expected a command"},
@@ -152,8 +153,8 @@
         };
     }
 
-    private static String query(String marks) {
-        return RespTestBed.words("SVC.QUERY", CUSTOMER, ID, marks);
+    private static String query(String parameters) {
+        return RespTestBed.words("SVC.QUERY", CUSTOMER, ID, parameters);
     }
 
     /** Each is an error in its own place: the connection goes on. */
@@ -168,7 +169,7 @@
         }
     }
 
-    /** What is no RESP2 is told and ends the connection. */
+    /** What is not RESP2 is reported and ends the connection. */
     @Test
     public void malformedInputEndsTheConnection() throws Exception {
         String[][] cases = {
@@ -196,7 +197,7 @@
     public void aServedValueAndABackendsError() throws Exception {
         try (RespTestBed stage = new RespTestBed()) {
             RespTestBed.Node backend = stage.backend("s-1");
-            stage.told(backend.is(EndpointState.UP));
+            stage.setEndpoints(backend.is(EndpointState.UP));
             Socket client = stage.client();
             RespTestBed.say(client, RespTestBed.query(1, DEADLINE_MS));
             RespTestBed.BackendConnection line = backend.withCommand();
@@ -207,11 +208,11 @@
         try (RespTestBed stage = new RespTestBed(
                 "\"max_attempts\":6", "\"max_attempts\":1", "\"profiles\":[", "\"profiles\":[" + UNSAFE)) {
             RespTestBed.Node backend = stage.backend("s-1");
-            stage.told(backend.is(EndpointState.UP));
+            stage.setEndpoints(backend.is(EndpointState.UP));
             Socket client = stage.client();
-            String marks = MARKS.replace("slot-status", "lock");
+            String parameters = PARAMETERS.replace("slot-status", "lock");
             // In one write, so that the second is read before the first can be answered.
-            String command = RespTestBed.words("SVC.SUBMIT", CUSTOMER, ID, marks, "body");
+            String command = RespTestBed.words("SVC.SUBMIT", CUSTOMER, ID, parameters, "body");
             RespTestBed.say(client, command + command);
             RespTestBed.BackendConnection line = backend.withCommand();
             line.command();
@@ -224,11 +225,11 @@
     @Test
     public void aRefusalWithAdviceAndWithout() throws Exception {
         for (boolean advice : new boolean[] {true, false}) {
-            String most = "\"max_retry_after_ms\":2000";
+            String max = "\"max_retry_after_ms\":2000";
             try (RespTestBed stage = new RespTestBed(
-                    "\"max_open\":1000", "\"max_open\":1", most, advice ? most : "\"max_retry_after_ms\":0")) {
+                    "\"max_open\":1000", "\"max_open\":1", max, advice ? max : "\"max_retry_after_ms\":0")) {
                 RespTestBed.Node backend = stage.backend("s-1");
-                stage.told(backend.is(EndpointState.UP));
+                stage.setEndpoints(backend.is(EndpointState.UP));
                 Socket first = stage.client();
                 RespTestBed.say(first, RespTestBed.query(1, DEADLINE_MS));
                 RespTestBed.BackendConnection line = backend.withCommand();
--- a/gateway/src/test/java/opalcove/resp/RespTestBed.java
+++ b/gateway/src/test/java/opalcove/resp/RespTestBed.java
@@ -42,11 +42,11 @@
 import opalcove.metrics.Invariant;
 
 /**
- * A gateway on loopback sockets between terminals and app nodes of a test, which hold and release bytes, links and the
+ * A gateway on loopback sockets between clients and backends of a test, which hold and release bytes, connections and the
  * event loop itself on command: so the order in which two events meet is the test's, every time.
  */
 public final class RespTestBed implements Closeable {
-    static final int PATIENCE_S = 20;
+    static final int TIMEOUT_S = 20;
     static final String PING = "*1\r\n$4\r\nPING\r\n";
 
     final Vertx vertx = Application.eventLoop();
@@ -55,8 +55,8 @@
     final RespServer front;
     private final int port;
     private final List<Closeable> open = new ArrayList<>();
-    /** Links that are up and not handed over yet; null where links are handed over at once. */
-    private BlockingQueue<Runnable> withheld;
+    /** Connections that are up and not handed over yet; null where connections are handed over at once. */
+    private BlockingQueue<Runnable> heldConnections;
 
     /** Starts with the settings of the tests, changed by pairs of a text and what is in its place. */
     RespTestBed(String... changes) throws Exception {
@@ -70,18 +70,17 @@
         CompletableFuture<Object[]> parts = new CompletableFuture<>();
         vertx.runOnContext(start -> {
             ConnectionPool.Connector sockets = new RespConnector(vertx, settings);
-            ConnectionPool links =
-                    new ConnectionPool(vertx, settings, address -> withhold(sockets.connect(address)), 64);
+            ConnectionPool links = new ConnectionPool(vertx, settings, address -> hold(sockets.connect(address)), 64);
             RequestDispatcher core = new RequestDispatcher(vertx, new Clock(), settings, 1, links);
             phases.enter(Lifecycle.Phase.SERVING);
             RespServer resp = new RespServer(vertx, core, phases, 64);
             parts.complete(new Object[] {core, resp});
             resp.listen(new HostAndPort("127.0.0.1", 0)).onSuccess(listening::complete);
         });
-        Object[] made = parts.get(PATIENCE_S, TimeUnit.SECONDS);
+        Object[] made = parts.get(TIMEOUT_S, TimeUnit.SECONDS);
         gateway = (RequestDispatcher) made[0];
         front = (RespServer) made[1];
-        port = listening.get(PATIENCE_S, TimeUnit.SECONDS);
+        port = listening.get(TIMEOUT_S, TimeUnit.SECONDS);
     }
 
     @Override
@@ -96,31 +95,31 @@
         }
     }
 
-    // Links that come up late.
+    // Connections that come up late.
 
-    private Future<ConnectionPool.BackendConnection> withhold(Future<ConnectionPool.BackendConnection> line) {
-        if (withheld == null) {
+    private Future<ConnectionPool.BackendConnection> hold(Future<ConnectionPool.BackendConnection> line) {
+        if (heldConnections == null) {
             return line;
         }
         Promise<ConnectionPool.BackendConnection> handed = Promise.promise();
-        BlockingQueue<Runnable> queue = withheld;
+        BlockingQueue<Runnable> queue = heldConnections;
         line.onComplete(up -> queue.add(() -> line.onComplete(handed)));
         return handed.future();
     }
 
-    /** From now on links come up when the test lets them. */
-    void withholdLinks() throws Exception {
-        onLoop(() -> withheld = new LinkedBlockingQueue<>());
+    /** From now on connections come up when the test lets them. */
+    void holdConnections() throws Exception {
+        onLoop(() -> heldConnections = new LinkedBlockingQueue<>());
     }
 
-    /** Links that are dialled from now on are handed over at once. */
-    void withholdNoMore() throws Exception {
-        onLoop(() -> withheld = null);
+    /** Connections that are opened from now on are handed over at once. */
+    void holdNoMore() throws Exception {
+        onLoop(() -> heldConnections = null);
     }
 
-    /** Waits for a link that is up and was not handed over; it is handed over by {@link #handOver}. */
-    Runnable linkUp() throws Exception {
-        Runnable link = withheld.poll(PATIENCE_S, TimeUnit.SECONDS);
+    /** Waits for a connection that is up and was not handed over; it is handed over by {@link #handOver}. */
+    Runnable connectionUp() throws Exception {
+        Runnable link = heldConnections.poll(TIMEOUT_S, TimeUnit.SECONDS);
         assertNotNull(link, "no link was dialled");
         return link;
     }
@@ -142,7 +141,7 @@
                 done.completeExceptionally(e);
             }
         });
-        return done.get(PATIENCE_S, TimeUnit.SECONDS);
+        return done.get(TIMEOUT_S, TimeUnit.SECONDS);
     }
 
     void onLoop(Runnable work) throws Exception {
@@ -153,7 +152,7 @@
     }
 
     /** What a test does to sockets. */
-    interface Deed {
+    interface Action {
         void run() throws Exception;
     }
 
@@ -161,24 +160,24 @@
      * Holds the loop up while the test does something to its sockets, and has the loop do the other thing before it reads
      * any socket again: so the second is done by a gateway that has not read the first, though the kernel has it.
      */
-    void unread(Deed first, Runnable second) throws Exception {
+    void unread(Action first, Runnable second) throws Exception {
         CountDownLatch held = new CountDownLatch(1);
         CountDownLatch goOn = new CountDownLatch(1);
         CompletableFuture<Void> done = new CompletableFuture<>();
         vertx.runOnContext(hold -> {
             held.countDown();
             try {
-                goOn.await(PATIENCE_S, TimeUnit.SECONDS);
+                goOn.await(TIMEOUT_S, TimeUnit.SECONDS);
                 second.run();
                 done.complete(null);
             } catch (Throwable e) {
                 done.completeExceptionally(e);
             }
         });
-        assertTrue(held.await(PATIENCE_S, TimeUnit.SECONDS));
+        assertTrue(held.await(TIMEOUT_S, TimeUnit.SECONDS));
         first.run();
         goOn.countDown();
-        done.get(PATIENCE_S, TimeUnit.SECONDS);
+        done.get(TIMEOUT_S, TimeUnit.SECONDS);
     }
 
     /** A figure of the gateway's. */
@@ -193,7 +192,7 @@
 
     /** Waits till a figure is this. */
     void until(String name, int figure) throws Exception {
-        long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(PATIENCE_S);
+        long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(TIMEOUT_S);
         int now = figure(name);
         while (now != figure && System.nanoTime() < end) {
             Thread.sleep(1);
@@ -202,7 +201,7 @@
         assertEquals(now, figure, name);
     }
 
-    // App nodes.
+    // Backends.
 
     Node backend(String name) throws Exception {
         Node backend = new Node(name);
@@ -210,11 +209,11 @@
         return backend;
     }
 
-    void told(Backend... lines) throws Exception {
+    void setEndpoints(Backend... lines) throws Exception {
         onLoop(() -> gateway.endpointsChanged(true, List.of(lines)));
     }
 
-    /** An app node. What its lines bring waits until the test looks; what they send is what the test says. */
+    /** A backend. What its connections bring waits until the test looks; what they send is what the test says. */
     static final class Node implements Closeable {
         final String name;
         private final List<BackendConnection> quiet = new ArrayList<>();
@@ -222,7 +221,7 @@
 
         Node(String name) throws Exception {
             this.name = name;
-            server.setSoTimeout(PATIENCE_S * 1000);
+            server.setSoTimeout(TIMEOUT_S * 1000);
         }
 
         Backend is(EndpointState state) {
@@ -240,7 +239,7 @@
 
         /** The line on which a command comes next, of all those that were not told by this call before. */
         BackendConnection withCommand() throws Exception {
-            long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(PATIENCE_S);
+            long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(TIMEOUT_S);
             server.setSoTimeout(1);
             try {
                 while (System.nanoTime() < end) {
@@ -257,7 +256,7 @@
                     }
                 }
             } finally {
-                server.setSoTimeout(PATIENCE_S * 1000);
+                server.setSoTimeout(TIMEOUT_S * 1000);
             }
             throw new AssertionError(name + " got no command");
         }
@@ -285,7 +284,7 @@
             } catch (java.net.SocketTimeoutException e) {
                 return true;
             } finally {
-                server.setSoTimeout(PATIENCE_S * 1000);
+                server.setSoTimeout(TIMEOUT_S * 1000);
             }
         }
 
@@ -295,14 +294,14 @@
         }
     }
 
-    /** A node's end of a link. */
+    /** A backend's end of a connection. */
     static final class BackendConnection {
         final Socket socket;
         private final InputStream in;
 
         BackendConnection(Socket socket) throws Exception {
             this.socket = socket;
-            socket.setSoTimeout(PATIENCE_S * 1000);
+            socket.setSoTimeout(TIMEOUT_S * 1000);
             in = socket.getInputStream();
         }
 
@@ -343,11 +342,11 @@
         }
     }
 
-    // Terminals.
+    // Clients.
 
     Socket client() throws Exception {
         Socket client = new Socket(InetAddress.getLoopbackAddress(), port);
-        client.setSoTimeout(PATIENCE_S * 1000);
+        client.setSoTimeout(TIMEOUT_S * 1000);
         open.add(client);
         return client;
     }
@@ -383,7 +382,7 @@
         return String.format("%016x", number);
     }
 
-    /** An ask that may be repeated. */
+    /** A request that may be repeated. */
     public static String query(int number, int waitMs) {
         return words(
                 "SVC.QUERY",
@@ -392,7 +391,7 @@
                 "c=slot-status,t=start,d=" + waitMs + ",units=1,spread=1,first=0");
     }
 
-    /** An ask with an effect, with a key where its class has one. */
+    /** A request with an effect, with a key where its class has one. */
     static String submit(int number, int waitMs, String key) {
         return words(
                 "SVC.SUBMIT",
@@ -414,7 +413,7 @@
         return command.toString();
     }
 
-    /** Has the gateway serve an ask from within the loop; the answer's text is added to the list. */
+    /** Has the gateway serve a request from within the loop; the answer's text is added to the list. */
     void serve(int number, int waitMs, BlockingQueue<String> answers) {
         gateway.dispatch(
                 new Request(id(number), "00000000000000b2", "slot-status", "start", 1, waitMs, null, false, 1, 0, null),
--- a/gateway/src/test/java/opalcove/resp/ShedClientsTest.java
+++ b/gateway/src/test/java/opalcove/resp/ShedClientsTest.java
@@ -23,16 +23,16 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** An operator's drain on the client port, by the bytes that a terminal sends and gets. */
+/** An administrator's drain on the client port, by the bytes that a client sends and gets. */
 public class ShedClientsTest {
-    /** PINGs that may come before the event loop has taken the operator's word. */
-    private static final int MOST_LOOKS = 10_000;
+    /** PINGs that may come before the event loop has taken the administrator's word. */
+    private static final int MAX_ATTEMPTS = 10_000;
 
     private static final String PING = "*1\r\n$4\r\nPING\r\n";
-    private static final String MARKS = "c=battery-update-ii,t=basis,d=100,units=1,spread=1,first=0";
-    /** An ask of a class that the settings do not name. */
+    private static final String PARAMETERS = "c=battery-update-ii,t=basis,d=100,units=1,spread=1,first=0";
+    /** A request of a class that the settings do not name. */
     private static final String UNKNOWN_CLASS = "*4\r\n$9\r\nSVC.QUERY\r\n$16\r\n00000000000000a1\r\n$16\r\n"
-            + "00000000000000b2\r\n$" + MARKS.length() + "\r\n" + MARKS + "\r\n";
+            + "00000000000000b2\r\n$" + PARAMETERS.length() + "\r\n" + PARAMETERS + "\r\n";
 
     private Vertx vertx;
     private RequestDispatcher gateway;
@@ -45,7 +45,7 @@
         vertx = Vertx.vertx();
         CompletableFuture<Integer> listening = new CompletableFuture<>();
         vertx.runOnContext(start -> {
-            gateway = new RequestDispatcher(vertx, new Clock(), TestSettings.settings(), 1, new NoLinks());
+            gateway = new RequestDispatcher(vertx, new Clock(), TestSettings.settings(), 1, new NoTransport());
             phases = new Lifecycle();
             phases.enter(Lifecycle.Phase.SERVING);
             front = new RespServer(vertx, gateway, phases, 64);
@@ -61,16 +61,16 @@
 
     @Test
     public void pingSaysNoAndAConnectionAtRestIsClosedThenUndrainSaysYes() throws Exception {
-        try (Socket kept = connect()) {
-            assertEquals(say(kept, PING, 7), "+PONG\r\n");
-            vertx.runOnContext(told -> front.setDrainRequested(true));
+        try (Socket buffered = connect()) {
+            assertEquals(say(buffered, PING, 7), "+PONG\r\n");
+            vertx.runOnContext(run -> front.setDrainRequested(true));
             try (Socket other = connect()) {
                 untilSays(other, "-ERR draining\r\n", "+PONG\r\n", "the drain never took");
             }
-            // The kept connection owes nothing, so the gateway closes it: the terminal reads its end.
-            assertEquals(kept.getInputStream().read(), -1);
+            // The kept connection owes nothing, so the gateway closes it: the client reads its end.
+            assertEquals(buffered.getInputStream().read(), -1);
         }
-        vertx.runOnContext(told -> front.setDrainRequested(false));
+        vertx.runOnContext(run -> front.setDrainRequested(false));
         try (Socket again = connect()) {
             untilSays(again, "+PONG\r\n", "-ERR draining\r\n", "the undrain never took");
         }
@@ -93,7 +93,7 @@
             // The error pauses the connection's reads: this PING lies unread when the drain looks at the connection.
             client.getOutputStream().write(PING.getBytes(StandardCharsets.US_ASCII));
             client.getOutputStream().flush();
-            vertx.runOnContext(told -> {
+            vertx.runOnContext(run -> {
                 phases.enter(Lifecycle.Phase.DRAINING);
                 front.drain(() -> {});
             });
@@ -103,12 +103,12 @@
     }
 
     @Test
-    public void halfACommandKeepsTheConnectionThroughADrainTillItsRestCame() throws Exception {
+    public void halfACommandHoldsTheConnectionThroughADrainUntilItIsComplete() throws Exception {
         try (Socket client = connect()) {
             assertEquals(say(client, PING, 7), "+PONG\r\n");
             client.getOutputStream().write(PING.substring(0, 10).getBytes(StandardCharsets.US_ASCII));
             client.getOutputStream().flush();
-            vertx.runOnContext(told -> {
+            vertx.runOnContext(run -> {
                 phases.enter(Lifecycle.Phase.DRAINING);
                 front.drain(() -> {});
             });
@@ -124,14 +124,14 @@
     }
 
     /**
-     * PINGs until the answer is the one wanted. The operator's word reaches the event loop a moment after it was given,
+     * PINGs until the answer is the one wanted. The administrator's word reaches the event loop a moment after it was given,
      * so until then the answer may be the one from before, and nothing else.
      */
     private static void untilSays(Socket socket, String wanted, String before, String never) throws Exception {
         String answer = say(socket, PING, 15);
         for (int look = 0; !answer.equals(wanted); look++) {
             assertEquals(answer, before);
-            assertTrue(look < MOST_LOOKS, never);
+            assertTrue(look < MAX_ATTEMPTS, never);
             answer = say(socket, PING, 15);
         }
     }
@@ -155,8 +155,8 @@
         return got.toString(StandardCharsets.US_ASCII);
     }
 
-    /** No app node is asked in this test. */
-    private static final class NoLinks extends NoOpBackendTransport {
+    /** No backend is asked in this test. */
+    private static final class NoTransport extends NoOpBackendTransport {
         @Override
         public Attempt startAttempt(Backend backend, Request request, double waitMs, AttemptListener ended) {
             throw new AssertionError("no attempt is made here");
--- a/gateway/src/test/java/opalcove/resp/StalledClientTest.java
+++ b/gateway/src/test/java/opalcove/resp/StalledClientTest.java
@@ -28,7 +28,7 @@
     public void oneThatStopsBehindAnOpenRequestIsClosedRightAfterItsAnswer() throws Exception {
         try (RespTestBed stage = new RespTestBed()) {
             RespTestBed.Node backend = stage.backend("n1");
-            stage.told(backend.is(EndpointState.UP));
+            stage.setEndpoints(backend.is(EndpointState.UP));
             Socket client = stage.client();
             RespTestBed.say(
                     client,
--- a/gateway/src/test/java/opalcove/resp/StreamedValueTest.java
+++ b/gateway/src/test/java/opalcove/resp/StreamedValueTest.java
@@ -37,19 +37,19 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** Long values on the platform's front: passed on while they come, held back for a slow terminal, cut with their line. */
+/** Long values on the platform's server: forwarded while they come, held back for a slow client, cut with their line. */
 public class StreamedValueTest {
     private static final int LENGTH = 1 << 20;
     private static final String HEAD = "$" + LENGTH + "\r\n";
-    private static final String MARKS = "c=slot-status,t=start,d=4000,units=1,spread=1,first=0";
+    private static final String PARAMETERS = "c=slot-status,t=start,d=4000,units=1,spread=1,first=0";
 
     private Vertx vertx;
-    private HeldLinks held;
+    private HeldConnections held;
 
     @BeforeMethod
     public void open() {
         vertx = Vertx.vertx();
-        held = new HeldLinks();
+        held = new HeldConnections();
     }
 
     @AfterMethod
@@ -58,14 +58,14 @@
     }
 
     @Test
-    public void itsFirstBytesComeBeforeItsNodeHasGivenTheRestAndItComesWhole() throws Exception {
+    public void itsFirstBytesArriveBeforeItsBackendHasSentTheRestAndItArrivesWhole() throws Exception {
         byte[] value = new byte[LENGTH];
         for (int i = 0; i < LENGTH; i++) {
             value[i] = (byte) ('a' + i % 23);
         }
-        CountDownLatch begunAtTerminal = new CountDownLatch(1);
+        CountDownLatch begunAtClient = new CountDownLatch(1);
         try (ServerSocket backend = new ServerSocket(0, 8, InetAddress.getLoopbackAddress())) {
-            CompletableFuture<Void> given = CompletableFuture.runAsync(() -> give(backend, value, begunAtTerminal));
+            CompletableFuture<Void> given = CompletableFuture.runAsync(() -> give(backend, value, begunAtClient));
             DecisionSettings settings = TestSettings.settings();
             int port = front(
                     "127.0.0.1:" + backend.getLocalPort(),
@@ -74,7 +74,7 @@
                 InputStream in = client.getInputStream();
                 assertEquals(text(in, HEAD.length()), HEAD);
                 byte[] got = Arrays.copyOf(in.readNBytes(1000), LENGTH);
-                begunAtTerminal.countDown();
+                begunAtClient.countDown();
                 assertEquals(in.readNBytes(got, 1000, LENGTH - 1000), LENGTH - 1000);
                 assertTrue(Arrays.equals(got, value), "the value as its node gave it");
                 assertEquals(text(in, 2), "\r\n");
@@ -86,14 +86,14 @@
     }
 
     @Test
-    public void aSlowTerminalHoldsItsValueBackAtTheNodeAndLetsItOnOnceItReads() throws Exception {
+    public void aSlowClientHoldsItsValueBackAtTheBackendUntilItReads() throws Exception {
         try (Socket client = request(front("127.0.0.1:1", held))) {
             FakeValue value = new FakeValue();
             BackendTransport.AttemptListener attempt = held.startAttempt.get(10, TimeUnit.SECONDS);
             onLoop(() -> {
                 assertTrue(attempt.acceptsStreamedValue(value));
                 assertTrue(value.setReading);
-                // Nothing leaves within this turn: as at a terminal that does not read.
+                // Nothing leaves within this turn: as at a client that does not read.
                 value.sink.onPart(Unpooled.wrappedBuffer(new byte[RespBackendConnection.READ_LIMIT_BYTES]));
                 assertTrue(value.setReading);
                 value.sink.onPart(Unpooled.wrappedBuffer(new byte[2 * RespBackendConnection.READ_LIMIT_BYTES]));
@@ -109,7 +109,7 @@
     }
 
     @Test
-    public void aValueCutOffByItsNodeEndsTheConnectionAndCountsAsFailed() throws Exception {
+    public void aValueCutOffByItsBackendEndsTheConnectionAndCountsAsFailed() throws Exception {
         try (Socket client = request(front("127.0.0.1:1", held))) {
             FakeValue value = new FakeValue();
             BackendTransport.AttemptListener attempt = held.startAttempt.get(10, TimeUnit.SECONDS);
@@ -127,7 +127,7 @@
     }
 
     @Test
-    public void aTerminalThatLeavesAmidItsValueGivesItsAttemptUp() throws Exception {
+    public void aClientThatDisconnectsAmidItsValueAbandonsItsAttempt() throws Exception {
         try (Socket client = request(front("127.0.0.1:1", held))) {
             FakeValue value = new FakeValue();
             BackendTransport.AttemptListener attempt = held.startAttempt.get(10, TimeUnit.SECONDS);
@@ -137,12 +137,12 @@
         held.givenUp.get(10, TimeUnit.SECONDS);
     }
 
-    /** Two requests that were written one behind the other, and the links that carry them. */
+    /** Two requests that were written one behind the other, and the connections that carry them. */
     private record Pipelined(Socket client, RespTestBed.BackendConnection first, RespTestBed.BackendConnection second) {
         /** The first of them waits so long. */
         static Pipelined on(RespTestBed stage, int firstWaitMs) throws Exception {
             RespTestBed.Node backend = stage.backend("n1");
-            stage.told(backend.is(EndpointState.UP));
+            stage.setEndpoints(backend.is(EndpointState.UP));
             Socket client = stage.client();
             RespTestBed.say(client, RespTestBed.query(1, firstWaitMs) + RespTestBed.query(2, 4000));
             RespTestBed.BackendConnection first = backend.withCommand();
@@ -167,10 +167,10 @@
     }
 
     @Test
-    public void aRequestThatComesWhileAValueIsPassedOnIsNotReadBeforeItsEnd() throws Exception {
+    public void aRequestThatArrivesWhileAValueIsStreamedIsNotReadBeforeItsEnd() throws Exception {
         try (RespTestBed stage = new RespTestBed()) {
             RespTestBed.Node backend = stage.backend("n1");
-            stage.told(backend.is(EndpointState.UP));
+            stage.setEndpoints(backend.is(EndpointState.UP));
             Socket client = stage.client();
             RespTestBed.say(client, RespTestBed.query(1, 4000));
             RespTestBed.BackendConnection line = backend.withCommand();
@@ -209,7 +209,7 @@
     public void aGatheredValueOfAnyLengthEndsOnce() throws Exception {
         try (RespTestBed stage = new RespTestBed()) {
             RespTestBed.Node backend = stage.backend("n1");
-            stage.told(backend.is(EndpointState.UP));
+            stage.setEndpoints(backend.is(EndpointState.UP));
             Socket client = stage.client();
             for (int length = 70_000; length < 170_000; length += 5_000) {
                 RespTestBed.say(client, RespTestBed.query(length, 4000) + RespTestBed.query(length + 1, 4000));
@@ -255,7 +255,7 @@
 
     private RequestDispatcher gateway;
 
-    /** A front whose only app node is at the address; gives the front's port. */
+    /** A server whose only backend is at the address; gives the server's port. */
     private int front(String backend, BackendTransport links) throws Exception {
         CompletableFuture<Integer> listening = new CompletableFuture<>();
         vertx.runOnContext(start -> {
@@ -277,8 +277,8 @@
         client.setSoTimeout(20_000);
         say(
                 client,
-                "*4\r\n$9\r\nSVC.QUERY\r\n$16\r\n00000000000000a1\r\n$16\r\n00000000000000b2\r\n$" + MARKS.length()
-                        + "\r\n" + MARKS + "\r\n");
+                "*4\r\n$9\r\nSVC.QUERY\r\n$16\r\n00000000000000a1\r\n$16\r\n00000000000000b2\r\n$" + PARAMETERS.length()
+                        + "\r\n" + PARAMETERS + "\r\n");
         return client;
     }
 
@@ -290,7 +290,7 @@
         return new String(in.readNBytes(length), StandardCharsets.US_ASCII);
     }
 
-    /** An app node that gives the value's first part, and the rest once the terminal has some of it. */
+    /** A backend that gives the value's first part, and the rest once the client has some of it. */
     private static void give(ServerSocket backend, byte[] value, CountDownLatch goOn) {
         try (Socket line = backend.accept()) {
             InputStream in = line.getInputStream();
@@ -354,8 +354,8 @@
         }
     }
 
-    /** Links whose attempt the test ends. */
-    private static final class HeldLinks extends NoOpBackendTransport {
+    /** Connections whose attempt the test ends. */
+    private static final class HeldConnections extends NoOpBackendTransport {
         final CompletableFuture<AttemptListener> startAttempt = new CompletableFuture<>();
         final CompletableFuture<Void> givenUp = new CompletableFuture<>();
 
--- a/gateway/src/test/java/opalcove/resp/UnreadTimeTest.java
+++ b/gateway/src/test/java/opalcove/resp/UnreadTimeTest.java
@@ -11,8 +11,8 @@
 import org.testng.annotations.Test;
 
 /**
- * The deadline that a backend is told is at most what the client has left, with 0.15 s of slack, however long the request lay
- * unread: each test has a request wait for at least so long, and looks at what its backend is told.
+ * The deadline that a backend is given is at most what the client has left, with 0.15 s of slack, however long the request lay
+ * unread: each test has a request wait for at least so long, and looks at what its backend is given.
  */
 public class UnreadTimeTest {
     private static final int WAIT_MS = 4000;
@@ -31,7 +31,7 @@
     public void open() throws Exception {
         stage = new RespTestBed();
         backend = stage.backend("n1");
-        stage.told(backend.is(EndpointState.UP));
+        stage.setEndpoints(backend.is(EndpointState.UP));
     }
 
     @AfterMethod
@@ -40,7 +40,7 @@
     }
 
     /** Has the time pass with the event loop held up: nothing is read meanwhile. */
-    private void pass(RespTestBed.Deed first) throws Exception {
+    private void pass(RespTestBed.Action first) throws Exception {
         stage.unread(
                 () -> {
                     first.run();
@@ -49,7 +49,7 @@
                 () -> {});
     }
 
-    private void assertToldNoMoreThanIsLeft() throws Exception {
+    private void assertDeadlineWithinRemaining() throws Exception {
         String command = backend.withCommand().command();
         int told = Integer.parseInt(command.replaceAll(".*,d=(\\d+).*", "$1"));
         assertTrue(told <= WAIT_MS - UNREAD_MS + SLACK_MS, command);
@@ -61,28 +61,28 @@
         RespTestBed.say(client, RespTestBed.PING);
         assertEquals(RespTestBed.answer(client), "+PONG");
         pass(() -> RespTestBed.say(client, RespTestBed.query(1, WAIT_MS)));
-        assertToldNoMoreThanIsLeft();
+        assertDeadlineWithinRemaining();
     }
 
     @Test
     public void onAConnectionThatIsNewWhileTheEventLoopIsHeldUp() throws Exception {
         pass(() -> RespTestBed.say(stage.client(), RespTestBed.query(1, WAIT_MS)));
-        assertToldNoMoreThanIsLeft();
+        assertDeadlineWithinRemaining();
     }
 
     @Test
     public void whileTheEventLoopIsHeldUpBetweenTheDecisionAndTheWrite() throws Exception {
-        stage.withholdLinks();
+        stage.holdConnections();
         RespTestBed.say(stage.client(), RespTestBed.query(1, WAIT_MS));
-        Runnable link = stage.linkUp();
-        stage.withholdNoMore();
+        Runnable link = stage.connectionUp();
+        stage.holdNoMore();
         // The request's bytes wait for the end of this turn, which comes late.
         stage.onLoop(() -> {
             link.run();
             sleep();
         });
         assertEquals(stage.figure("lapsed_while_dialled"), 1);
-        assertToldNoMoreThanIsLeft();
+        assertDeadlineWithinRemaining();
     }
 
     private static void sleep() {
@@ -115,6 +115,6 @@
         RespTestBed.say(client, UNKNOWN_CLASS);
         assertEquals(RespTestBed.answer(client), "-ERR unknown class");
         pass(() -> RespTestBed.say(client, RespTestBed.query(1, WAIT_MS)));
-        assertToldNoMoreThanIsLeft();
+        assertDeadlineWithinRemaining();
     }
 }
--- a/gateway/src/test/java/opalcove/resp/WarmUpTest.java
+++ b/gateway/src/test/java/opalcove/resp/WarmUpTest.java
@@ -18,7 +18,7 @@
 
 public class WarmUpTest {
     @Test
-    public void allItsAsksAreAnsweredAndItLeavesNothing() throws Exception {
+    public void allItsRequestsAreAnsweredAndNoFileRemains() throws Exception {
         long before = folders();
         assertEquals(WarmUp.run(Vertx::vertx, TestSettings.settings(), TimeBudget.ofMs(60_000)), WarmUp.REQUESTS);
         assertEquals(folders(), before);
@@ -47,7 +47,7 @@
             assertEquals(
                     WarmUp.run(
                             () -> {
-                                // The loop that the play is to run on is held up till after its end: no ask can be
+                                // The loop that the play is to run on is held up till after its end: no request can be
                                 // answered.
                                 vertx.runOnContext(held -> hold(heldUp));
                                 return vertx;
--- a/gateway/src/test/java/opalcove/server/ConfigRefusalsTest.java
+++ b/gateway/src/test/java/opalcove/server/ConfigRefusalsTest.java
@@ -20,7 +20,7 @@
 
 /** What a start refuses in the configuration and in the environment, by key, reason and exit code, as literal text. */
 public class ConfigRefusalsTest {
-    private static final int PATIENCE_S = 60;
+    private static final int TIMEOUT_S = 60;
     private static final String USAGE =
             "usage: java -jar opalcove-gateway.jar serve | adapter (the other commands are in opalcove.jar)\n";
 
@@ -166,7 +166,7 @@
         }
         Process process = builder.start();
         String errors = new String(process.getErrorStream().readAllBytes(), StandardCharsets.UTF_8);
-        if (!process.waitFor(PATIENCE_S, TimeUnit.SECONDS)) {
+        if (!process.waitFor(TIMEOUT_S, TimeUnit.SECONDS)) {
             process.destroyForcibly();
             throw new AssertionError("the program goes on: " + errors);
         }
--- a/gateway/src/test/java/opalcove/server/DescriptorBudgetTest.java
+++ b/gateway/src/test/java/opalcove/server/DescriptorBudgetTest.java
@@ -8,13 +8,13 @@
 
 /** How descriptors are divided: on paper, for every limit of a platform. */
 public class DescriptorBudgetTest {
-    private static final int MOST = 4096;
+    private static final int MAX = 4096;
 
     @Test
     public void theSharesAddUpToTheLimit() {
         for (boolean withConsole : new boolean[] {true, false}) {
             for (int base = 10; base <= 60; base += 5) {
-                for (int limit = 160; limit <= MOST; limit++) {
+                for (int limit = 160; limit <= MAX; limit++) {
                     DescriptorBudget budget = DescriptorBudget.divide(limit, base, withConsole);
                     assertEquals(budget.sum(), limit, budget.toString());
                     assertTrue(budget.discovery() > 0 && budget.counter() > 0, budget.toString());
@@ -26,15 +26,15 @@
     }
 
     @Test
-    public void aLimitTooSmallForAllLeavesEachUseItsLeast() {
+    public void aLimitTooSmallForAllGivesEachUseItsMinimum() {
         DescriptorBudget budget = DescriptorBudget.divide(20, 40, true);
         assertEquals(budget.backends(), DescriptorBudget.MIN_SHARE);
         assertEquals(budget.clients(), DescriptorBudget.MIN_SHARE);
     }
 
     @Test
-    public void aFrontHoldsNoMoreThanTheShareOfClients() {
-        for (int clients = DescriptorBudget.MIN_SHARE; clients <= MOST; clients++) {
+    public void aServerHoldsNoMoreThanTheShareOfClients() {
+        for (int clients = DescriptorBudget.MIN_SHARE; clients <= MAX; clients++) {
             int held = RespServer.maxDescriptors(RespServer.maxConnectionsWithin(clients));
             assertTrue(held <= clients, held + " of " + clients);
         }
--- a/gateway/src/test/java/opalcove/server/DescriptorLimitTest.java
+++ b/gateway/src/test/java/opalcove/server/DescriptorLimitTest.java
@@ -35,7 +35,7 @@
     /** Idle connections, more than the limit and less than the kernel's backlog. */
     private static final int CROWD = 400;
 
-    private static final long PATIENCE_NS = TimeUnit.SECONDS.toNanos(60);
+    private static final long TIMEOUT_NANOS = TimeUnit.SECONDS.toNanos(60);
     private static final InetAddress LOOPBACK = InetAddress.getLoopbackAddress();
 
     /**
@@ -51,18 +51,21 @@
             discovery.list = list(1, line("first", first, "up"));
             try (GatewayProcess gateway = new GatewayProcess(port, discovery)) {
                 Client client = new Client(port);
-                until("a first request is served", gateway, client::asksAndIsServed);
-                discovery.goAway();
+                until("a first request is served", gateway, client::requestsAndIsServed);
+                discovery.stop();
                 try (Crowd crowd = new Crowd(port)) {
                     until("the crowd has filled its share", gateway, () -> gateway.descriptors() > LIMIT / 3);
                     assertTrue(crowd.thread.isAlive());
                     for (int i = 0; i < 20; i++) {
-                        until("requests are served beside the crowd", gateway, client::asksAndIsServed);
+                        until("requests are served beside the crowd", gateway, client::requestsAndIsServed);
                     }
-                    discovery.comeBack(list(2, line("first", first, "draining"), line("second", second, "up")));
+                    discovery.restart(list(2, line("first", first, "draining"), line("second", second, "up")));
                     until("discovery is reached again", gateway, () -> discovery.lists.get() > 0);
-                    until("the new backend serves", gateway, () -> client.asksAndIsServed() && second.served.get() > 0);
-                    assertTrue(gateway.most <= LIMIT - DescriptorBudget.COUNTER, "descriptors: " + gateway.most);
+                    until(
+                            "the new backend serves",
+                            gateway,
+                            () -> client.requestsAndIsServed() && second.served.get() > 0);
+                    assertTrue(gateway.max <= LIMIT - DescriptorBudget.COUNTER, "descriptors: " + gateway.max);
                     assertFalse(gateway.log().contains("Too many open files"), gateway.log());
                     until(
                             "idle connections were closed, and counted",
@@ -74,7 +77,7 @@
     }
 
     private static void until(String state, GatewayProcess gateway, Callable<Boolean> reached) throws Exception {
-        long end = System.nanoTime() + PATIENCE_NS;
+        long end = System.nanoTime() + TIMEOUT_NANOS;
         while (!reached.call()) {
             gateway.descriptors();
             assertTrue(gateway.process.isAlive(), "the gateway has ended: " + gateway.log());
@@ -105,7 +108,7 @@
         private final Path log = Files.createTempFile("gateway", ".log");
         private final Process process;
         /** The most descriptors that it was seen to hold. */
-        private int most;
+        private int max;
 
         GatewayProcess(SocketChannel port, Discovery discovery) throws IOException {
             Files.writeString(
@@ -135,7 +138,7 @@
             String[] open = Path.of("/proc", Long.toString(process.pid()), "fd")
                     .toFile()
                     .list();
-            most = Math.max(most, open == null ? 0 : open.length);
+            max = Math.max(max, open == null ? 0 : open.length);
             return open == null ? 0 : open.length;
         }
 
@@ -238,12 +241,12 @@
 
         Discovery() throws IOException {}
 
-        void goAway() throws IOException {
+        void stop() throws IOException {
             list = null;
             reset();
         }
 
-        void comeBack(String newer) {
+        void restart(String newer) {
             lists.set(0);
             list = newer;
         }
@@ -280,7 +283,7 @@
         }
 
         /** Whether the connection was kept, or made, and the request served on it. */
-        boolean asksAndIsServed() throws IOException {
+        boolean requestsAndIsServed() throws IOException {
             return "done".equals(answer(RespTestBed.query(++number, 4000)));
         }
 
--- a/gateway/src/test/java/opalcove/server/NotReadyTextTest.java
+++ b/gateway/src/test/java/opalcove/server/NotReadyTextTest.java
@@ -11,7 +11,7 @@
 /** What READY says of each phase of the program: operators' checks read it. */
 public class NotReadyTextTest {
     @Test
-    public void eachPhaseHasItsWord() {
+    public void eachPhaseHasItsText() {
         Vertx vertx = Vertx.vertx();
         try {
             Lifecycle phases = new Lifecycle();
--- a/gateway/src/test/java/opalcove/transport/SocketReadTimesTest.java
+++ b/gateway/src/test/java/opalcove/transport/SocketReadTimesTest.java
@@ -13,9 +13,9 @@
     private final SocketReadTimes times = new SocketReadTimes();
 
     /** One turn: polls, sleeps for so long, though it should have been no longer than the limit, and reads so many sockets. */
-    private void turn(long sleepsAtMostMs, long waitsMs, int handled) throws Exception {
+    private void turn(long maxSleepMs, long waitsMs, int handled) throws Exception {
         times.pollBegins();
-        times.sleepLimited(TimeUnit.MILLISECONDS.toNanos(sleepsAtMostMs));
+        times.sleepLimited(TimeUnit.MILLISECONDS.toNanos(maxSleepMs));
         TimeUnit.MILLISECONDS.sleep(waitsMs);
         times.polled();
         times.socketsRead(handled);
@@ -42,7 +42,7 @@
     }
 
     @Test
-    public void aTurnThatReadsNothingAfterAStandstillLeavesItToTheNext() throws Exception {
+    public void aTurnThatReadsNothingAfterAPauseCarriesItOver() throws Exception {
         turn(0, 0, 1);
         turn(1, LATE_MS, 0);
         turn(0, 0, 1);
