--- a/gateway/src/main/java/opalcove/resp/RespBackendConnection.java
+++ b/gateway/src/main/java/opalcove/resp/RespBackendConnection.java
@@ -3,7 +3,7 @@
 import io.netty.buffer.ByteBuf;
 import io.vertx.core.Vertx;
 import io.vertx.core.net.NetSocket;
-import opalcove.backend.ConnectionPool;
+import opalcove.backend.BackendConnection;
 import opalcove.core.AttemptResult;
 import opalcove.core.Request;
 import opalcove.core.StreamedValue;
@@ -13,8 +13,7 @@
  * One RESP2 connection to a backend: sends attempts, and decodes their replies in order. It is also the streamed value
  * that is arriving on it. Owned by the event loop of its pool.
  */
-final class RespBackendConnection
-        implements ConnectionPool.BackendConnection, RawSocket.Listener, RespListener, StreamedValue {
+final class RespBackendConnection implements BackendConnection, RawSocket.Listener, RespListener, StreamedValue {
     /** How much of a streamed value is read at a time. */
     static final int READ_LIMIT_BYTES = 16 * 1024;
     /** How long a reply may stand still once it has begun. */
