--- a/decision/src/main/java/opalcove/decision/AdmissionController.java
+++ b/decision/src/main/java/opalcove/decision/AdmissionController.java
@@ -72,7 +72,7 @@
         Integer planIndex = planIndexes.get(request.plan());
         if (classIndex == null || planIndex == null) {
             context.actions.log("refused: unknown plan or class " + request.plan() + " " + request.requestClass());
-            context.actions.shed(request.id(), 0);
+            context.actions.shed(request.requestId(), 0);
             return;
         }
         TenantQuota tenant = quotas.tenant(request, planIndex);
@@ -107,7 +107,7 @@
     @Override
     public void attemptEnded(double nowMs, AttemptOutcome outcome) {
         context.nowMs = nowMs;
-        RequestState state = forwarder.find(outcome.id());
+        RequestState state = forwarder.find(outcome.requestId());
         if (state == null
                 || outcome.attempt() >= state.attempts.size()
                 || state.attempts.get(outcome.attempt()).ended) {
--- a/decision/src/main/java/opalcove/decision/AdmissionRequest.java
+++ b/decision/src/main/java/opalcove/decision/AdmissionRequest.java
@@ -9,7 +9,7 @@
  * @param retry whether the client marked it as a retry
  */
 public record AdmissionRequest(
-        String id,
+        String requestId,
         String requestClass,
         String plan,
         String tenant,
--- a/decision/src/main/java/opalcove/decision/AttemptOutcome.java
+++ b/decision/src/main/java/opalcove/decision/AttemptOutcome.java
@@ -3,7 +3,7 @@
 /**
  * How an attempt ended.
  *
- * @param id the request's id
+ * @param requestId the request's id
  * @param attempt the attempt's number, from 0
  * @param elapsedMs the time since it was started
  * @param requestEnded whether the request has its final response
@@ -13,7 +13,7 @@
  * @param load the load report of the backend; null where none came
  */
 public record AttemptOutcome(
-        String id,
+        String requestId,
         String backend,
         int attempt,
         AttemptStatus status,
--- a/decision/src/main/java/opalcove/decision/BackendState.java
+++ b/decision/src/main/java/opalcove/decision/BackendState.java
@@ -47,7 +47,7 @@
     int failedConnects;
     int rejections;
 
-    /** Whether it answers too seldom to be given more than one attempt at a time. */
+    /** Whether it fails repeatedly and is given no more than one attempt at a time. */
     boolean isFailing() {
         return failures > 1;
     }
--- a/decision/src/main/java/opalcove/decision/DecisionModule.java
+++ b/decision/src/main/java/opalcove/decision/DecisionModule.java
@@ -3,7 +3,7 @@
 import java.util.List;
 
 /**
- * The events that an embedding gateway delivers to its decision module, which answers through {@link DecisionActions}.
+ * The events that an embedding gateway delivers to its decision module, which acts through {@link DecisionActions}.
  * Each event carries its time, in milliseconds of one clock that only goes forward. One thread delivers all events.
  */
 public interface DecisionModule {
--- a/decision/src/main/java/opalcove/decision/QuotaController.java
+++ b/decision/src/main/java/opalcove/decision/QuotaController.java
@@ -5,8 +5,8 @@
 import opalcove.decision.DecisionSettings.Plan;
 
 /**
- * Holds tenants to their quotas by the use that the meter reports (refusal chances by tenant), and to this gateway's
- * parts of ceilings and caps on open requests. Owned by the thread that delivers the instance's events.
+ * Holds tenants to their quotas by the use that the meter reports (the chance of admission, by tenant), and to this
+ * gateway's parts of ceilings and caps on open requests. Owned by the thread that delivers the instance's events.
  */
 final class QuotaController {
     /** Memory of a tenant's own arrivals, ms. */
@@ -104,7 +104,7 @@
 
     /**
      * Takes in an arrival and decides whether it passes as within its tenant's quota: while the bucket's copy lasts,
-     * else by chance. The companion of the split, after the design's formula for the refusal chance.
+     * else by a chance of available rate over demand. The companion of the split, which the design adds to the paper.
      *
      * @param isRetry whether the client has tried before, which squares the chance
      */
@@ -192,7 +192,7 @@
                 Math.max(0, used - forwarded) / Math.max(0.1, tenant.meanAdmitChance) - 0.35 * tenant.otherUnits;
         tenant.otherSeconds += periodMs / 1000 - 0.35 * tenant.otherSeconds;
         // Guards against reports that come mostly from heavy tenants: the harmonic mean of reported use, not divided
-        // by our own chance. The mean of demand had calm unseen tenants refused as heavy.
+        // by our own chance. The mean of demand had calm unseen tenants shed as heavy.
         double calm = Math.min(4, 100.0 / Math.max(1, percent));
         double known = planCalm[tenant.planIndex];
         planCalm[tenant.planIndex] = known > 0 ? known + 0.03 * (calm - known) : calm;
--- a/decision/src/main/java/opalcove/decision/RequestForwarder.java
+++ b/decision/src/main/java/opalcove/decision/RequestForwarder.java
@@ -53,7 +53,7 @@
 
     /** Takes on a request; it gets its final response shortly before its budget ends at the latest. */
     void add(RequestState state) {
-        requests.put(state.request.id(), state);
+        requests.put(state.request.requestId(), state);
         double budgetMs = state.request.budgetMs();
         timers.set(RequestTimers.DEADLINE, state, Math.max(0, budgetMs - 2 * context.settings.tickMs()));
     }
@@ -83,7 +83,7 @@
         capacity.attemptStarted(state.request.units());
         state.tenant.inFlight++;
         health.attemptStarted(backend, state);
-        context.actions.startAttempt(state.request.id(), backend.endpoint.id(), 0);
+        context.actions.startAttempt(state.request.requestId(), backend.endpoint.id(), 0);
         timers.set(RequestTimers.SLOW_ATTEMPT, state, slowAfterMs(state));
     }
 
@@ -179,7 +179,7 @@
             retryOrEnd(state, outcome.status());
         }
         if (state.finished && state.inFlight == 0) {
-            requests.remove(outcome.id());
+            requests.remove(outcome.requestId());
         }
     }
 
@@ -245,22 +245,22 @@
             return;
         }
         retryBudget.spend();
-        context.actions.cancelAttempt(state.request.id(), last);
+        context.actions.cancelAttempt(state.request.requestId(), last);
     }
 
     /** The final response when no backend gave one: shed where that promise is allowed, else failed. */
     void endUnserved(RequestState state) {
         if (!state.mayBeShed()) {
-            context.actions.fail(state.request.id());
+            context.actions.fail(state.request.requestId());
         } else {
-            context.actions.shed(state.request.id(), context.limits.retryAfter() ? state.drawRetryAfterMs() : 0);
+            context.actions.shed(state.request.requestId(), context.limits.retryAfter() ? state.drawRetryAfterMs() : 0);
         }
         close(state);
     }
 
     /** Sheds a request, which none of the rules of its class forbids before its first attempt. */
     void shed(RequestState state, double retryAfterMs) {
-        context.actions.shed(state.request.id(), context.limits.retryAfter() ? retryAfterMs : 0);
+        context.actions.shed(state.request.requestId(), context.limits.retryAfter() ? retryAfterMs : 0);
         close(state);
     }
 
@@ -268,7 +268,7 @@
     void close(RequestState state) {
         finish(state);
         if (state.inFlight == 0) {
-            requests.remove(state.request.id());
+            requests.remove(state.request.requestId());
         }
     }
 
@@ -284,7 +284,7 @@
         }
         for (int i = 0; i < state.attempts.size(); i++) {
             if (!state.attempts.get(i).ended) {
-                context.actions.cancelAttempt(state.request.id(), i);
+                context.actions.cancelAttempt(state.request.requestId(), i);
             }
         }
     }
--- a/decision/src/test/java/opalcove/decision/CapacityControllerTest.java
+++ b/decision/src/test/java/opalcove/decision/CapacityControllerTest.java
@@ -45,7 +45,7 @@
         for (int t = 0; t < 40_000; t += 5) {
             gateway.until(t);
             for (AttemptOutcome each : List.copyOf(due)) {
-                int began = Integer.parseInt(each.id().substring(1));
+                int began = Integer.parseInt(each.requestId().substring(1));
                 if (began + each.elapsedMs() <= t) {
                     due.remove(each);
                     gateway.module.attemptEnded(t, each);
--- a/laboratory/src/main/java/opalcove/laboratory/coldstart/ModelGateway.java
+++ b/laboratory/src/main/java/opalcove/laboratory/coldstart/ModelGateway.java
@@ -93,7 +93,7 @@
     }
 
     void request(AdmissionRequest request, double workMs) {
-        incarnation.requests.put(request.id(), new OpenRequest(clock.nowMs(), workMs));
+        incarnation.requests.put(request.requestId(), new OpenRequest(clock.nowMs(), workMs));
         incarnation.policy.requestArrived(clock.nowMs(), request);
     }
 
