--- a/decision/src/main/java/opalcove/decision/BackendHealth.java
+++ b/decision/src/main/java/opalcove/decision/BackendHealth.java
@@ -13,6 +13,22 @@
     private static final double MAX_SLOWNESS = 20;
     private static final double CHECK_INTERVAL_MS = 1000;
 
+    /** Ejection for each rejection in a row, and at most. */
+    private static final double REJECTION_EJECTION_MS = 100;
+
+    private static final double MAX_REJECTION_EJECTION_MS = 2000;
+
+    /** Ejection for each failure in a row, and at most. */
+    private static final double FAILURE_EJECTION_MS = 500;
+
+    private static final double MAX_FAILURE_EJECTION_MS = 4000;
+
+    /** A starting backend that rejects is ejected for this multiple: it has no capacity yet. */
+    private static final double STARTING_EJECTION_FACTOR = 10;
+
+    /** The least share of its capacity that a listed backend is given, so that it is tried again. */
+    private static final double MIN_SHARE = 0.02;
+
     private final DecisionContext context;
     private final SlowStart slowStart;
 
@@ -83,8 +99,9 @@
         backend.respondedAtMs = context.nowMs;
         connected(backend);
         backend.rejections++;
-        double ejectionMs = Math.min(2000, 100 * backend.rejections) / fadeSpeed;
-        backend.ejectedUntilMs = context.nowMs + ejectionMs * (slowStart.isWarmingUp(backend) ? 10 : 1);
+        double ejectionMs = Math.min(MAX_REJECTION_EJECTION_MS, REJECTION_EJECTION_MS * backend.rejections) / fadeSpeed;
+        backend.ejectedUntilMs =
+                context.nowMs + ejectionMs * (slowStart.isWarmingUp(backend) ? STARTING_EJECTION_FACTOR : 1);
     }
 
     private void failed(BackendState backend) {
@@ -94,7 +111,8 @@
         if (backend.failingSinceMs < 0) {
             backend.failingSinceMs = context.nowMs;
         }
-        backend.ejectedUntilMs = context.nowMs + Math.min(4000, 500 * backend.failures) / fadeSpeed;
+        backend.ejectedUntilMs =
+                context.nowMs + Math.min(MAX_FAILURE_EJECTION_MS, FAILURE_EJECTION_MS * backend.failures) / fadeSpeed;
     }
 
     /**
@@ -204,7 +222,7 @@
             return new CapacityShare(id, 0);
         }
         double share = slowStart.capacityShare(backend) / (Math.max(1, backend.slowness) * errorPenalty(backend));
-        return new CapacityShare(id, Math.max(0.02, share));
+        return new CapacityShare(id, Math.max(MIN_SHARE, share));
     }
 
     /** The factor by which a backend's errors make it look slower. */
--- a/decision/src/main/java/opalcove/decision/CapacityController.java
+++ b/decision/src/main/java/opalcove/decision/CapacityController.java
@@ -19,6 +19,22 @@
     /** Part of the backlog that counts as demand (the paper's alpha). */
     private static final double BACKLOG_SHARE = 0.5;
 
+    /** A served response that took more than this part of its objective is a sign of pressure. */
+    private static final double LATE_SHARE = 0.6;
+
+    /** Factors of a bounded capacity for an interval with pressure, and one without. */
+    private static final double PRESSED_FACTOR = 0.93;
+
+    private static final double CALM_FACTOR = 1.04;
+
+    /** A bounded capacity this much above the demand is unbounded once it was calm for so long, ms. */
+    private static final double UNBOUND_AT_DEMAND = 1.3;
+
+    private static final double UNBOUND_AFTER_MS = 2000;
+
+    /** The most that a class may be given, as a multiple of its demand. */
+    private static final double MAX_SHARE_OF_DEMAND = 1.3;
+
     private final DecisionContext context;
     private final BackendRegistry registry;
     private final PressureMonitor pressure;
@@ -179,7 +195,7 @@
         if (stalls.isRecovering(context.nowMs) && !rejected) {
             return;
         }
-        if (rejected || outcome.status() == AttemptStatus.TIMED_OUT || served && objectiveShare > 0.6) {
+        if (rejected || outcome.status() == AttemptStatus.TIMED_OUT || served && objectiveShare > LATE_SHARE) {
             pressure.recordSign(attempt, context.nowMs);
         }
         if (!attempt.countedAsPressure) {
@@ -239,14 +255,14 @@
                 queue.tokens = 1;
             }
         }
-        capacity = bounded ? Math.max(0.93 * capacity, servedRate) : servedRate;
+        capacity = bounded ? Math.max(PRESSED_FACTOR * capacity, servedRate) : servedRate;
         bounded = true;
     }
 
     /** Raises a bounded capacity step by step, and unbounds it once it exceeds the demand for a while. */
     private void relax(double demand) {
-        capacity = Math.max(capacity, Math.min(servedRate, demand)) * 1.04 + 0.01;
-        if (capacity > 1.3 * demand && context.nowMs - pressedAtMs > 2000 / evidenceWeight) {
+        capacity = Math.max(capacity, Math.min(servedRate, demand)) * CALM_FACTOR + 0.01;
+        if (capacity > UNBOUND_AT_DEMAND * demand && context.nowMs - pressedAtMs > UNBOUND_AFTER_MS / evidenceWeight) {
             bounded = false;
             context.actions.log("room unbounded again");
         }
@@ -263,7 +279,7 @@
             weight[i] = queue.weight;
             demand[i] = demand(queue);
             floor[i] = queue.withinQuota ? queue.arrivalRate : 0;
-            max[i] = Math.max(queue.arrivalRate, demand[i]) * 1.3;
+            max[i] = Math.max(queue.arrivalRate, demand[i]) * MAX_SHARE_OF_DEMAND;
         }
         refill(CapacityAllocator.allocate(capacity, weight, demand, floor, max));
     }
