--- a/cli/src/main/java/opalcove/cli/ApplyCommand.java
+++ b/cli/src/main/java/opalcove/cli/ApplyCommand.java
@@ -23,7 +23,7 @@
 
     @Override
     public Integer call() throws Exception {
-        Vertx vertx = Application.eventLoop();
+        Vertx vertx = Application.createEventLoop();
         try {
             String text = new Planner(vertx).apply(planFile);
             System.out.print(json ? "{\"index\":" + text.strip().substring("index ".length()) + "}\n" : text);
--- a/cli/src/main/java/opalcove/cli/PlanCommand.java
+++ b/cli/src/main/java/opalcove/cli/PlanCommand.java
@@ -34,7 +34,7 @@
         if (wanted.control() == null) {
             throw new InvalidConfigurationException(file + ": field control is missing");
         }
-        Vertx vertx = Application.eventLoop();
+        Vertx vertx = Application.createEventLoop();
         try {
             String text = new Planner(vertx).plan(wanted.control(), wanted.backends(), planFile);
             System.out.print(json ? Files.readString(planFile) : text);
--- a/gateway/src/main/java/opalcove/core/RequestDispatcher.java
+++ b/gateway/src/main/java/opalcove/core/RequestDispatcher.java
@@ -211,7 +211,7 @@
         } else {
             parts.counters().connectionsClosedForDescriptors++;
         }
-        parts.metrics().connectionEndedForDescriptors(isNew);
+        parts.metrics().connectionClosedForDescriptors(isNew);
     }
 
     /** A system call has failed, as it may for a moment. */
@@ -231,7 +231,8 @@
 
     /** The counters, and what is open at this moment; one name and figure a line. */
     public String infoLines() {
-        return parts.counters().lines() + parts.invariants().infoLines() + systemCallFailures.lines() + "asks_open="
+        return parts.counters().infoLines() + parts.invariants().infoLines() + systemCallFailures.infoLines()
+                + "asks_open="
                 + parts.requests().count() + "\nlinks_open=" + parts.transport().openConnections() + "\nlinks_resting="
                 + parts.transport().idleConnections() + "\n";
     }
--- a/gateway/src/main/java/opalcove/core/RequestLifecycle.java
+++ b/gateway/src/main/java/opalcove/core/RequestLifecycle.java
@@ -249,7 +249,7 @@
 
     /** An attempt was started and has ended. */
     void attemptEnded(InFlightRequest inFlight, InFlightRequest.Attempt attempt, AttemptResult result) {
-        counters.ended(result.status());
+        counters.attemptEnded(result.status());
         if (inFlight.streaming != null && inFlight.streaming.attempt() == attempt) {
             streamedResponses.ended(inFlight, result);
             return;
--- a/gateway/src/main/java/opalcove/lifecycle/Lifecycle.java
+++ b/gateway/src/main/java/opalcove/lifecycle/Lifecycle.java
@@ -5,25 +5,28 @@
 import java.util.function.Consumer;
 import org.tinylog.Logger;
 
-/** The program's phases, from start to exit. They are entered in order, each once; a phase may be passed over. */
+/**
+ * The program's phases, from start to exit. They are entered in order, each once; a phase may be skipped. Used on the
+ * event loop only.
+ */
 public final class Lifecycle {
-    /** The named states. */
+    /** The phases, in their order. */
     public enum Phase {
-        /** Reads its settings and learns the node list; takes nothing in yet. */
+        /** Reads its settings and the endpoint list; accepts nothing yet. */
         STARTING("starting"),
-        /** Takes asks in and answers them. */
+        /** Accepts requests and answers them. */
         SERVING("serving"),
-        /** Was told to end: still takes what comes, for as long as a front may not know yet. */
+        /** Has received SIGTERM: still accepts what comes, for as long as a load balancer may not know yet. */
         LEAVING("leaving"),
-        /** Takes no new terminals; answers what it has and closes what is idle. */
+        /** Accepts no new clients; answers what it has and closes idle connections. */
         DRAINING("draining"),
         /** Owes nothing more. */
         STOPPED("stopped");
 
         private final String operatorName;
 
-        Phase(String word) {
-            this.operatorName = word;
+        Phase(String operatorName) {
+            this.operatorName = operatorName;
         }
 
         /** The phase's name for operators. */
@@ -32,12 +35,12 @@
         }
     }
 
-    private final List<Consumer<Phase>> watchers = new ArrayList<>();
+    private final List<Consumer<Phase>> listeners = new ArrayList<>();
     private Phase phase = Phase.STARTING;
 
-    /** Calls the watcher at each later change. */
-    public void onChange(Consumer<Phase> watcher) {
-        watchers.add(watcher);
+    /** Calls the listener at each later change. */
+    public void onChange(Consumer<Phase> listener) {
+        listeners.add(listener);
     }
 
     /** Goes on to a later phase; going back or staying changes nothing. */
@@ -47,7 +50,7 @@
         }
         Logger.info("phase {}", next);
         phase = next;
-        List.copyOf(watchers).forEach(watcher -> watcher.accept(next));
+        List.copyOf(listeners).forEach(listener -> listener.accept(next));
     }
 
     /** The phase that the program is in. */
@@ -55,7 +58,7 @@
         return phase;
     }
 
-    /** Whether new asks are taken in. */
+    /** Whether new requests are accepted. */
     public boolean acceptsRequests() {
         return phase != Phase.STARTING && phase != Phase.STOPPED;
     }
--- a/gateway/src/main/java/opalcove/lifecycle/StartupTimes.java
+++ b/gateway/src/main/java/opalcove/lifecycle/StartupTimes.java
@@ -6,29 +6,37 @@
 import java.util.function.LongSupplier;
 
 /**
- * When the program's start reached each of its phases, counted from {@code main}. What the JVM needs before that is not
- * in it: the process itself has no cheap clock for it. Written by the starting thread first and by the event loop later.
+ * When the program's start reached each of its phases, counted from {@code main}. What the JVM needs before that is
+ * not in it: the process itself has no cheap clock for it. Safe for use by several threads: the starting thread writes
+ * first, the event loop later.
  */
 public final class StartupTimes {
     /** The phases of a start, in the order in which they are reached. */
     public enum StartPhase {
         /** The configuration file has been read and checked. */
-        CONFIGURATION_READ,
-        /** The operators' door, membership and agreed versions have been started, as far as there are any. */
-        DOOR_OPEN,
-        /** The rehearsal has been played, or passed over. */
-        REHEARSED,
+        CONFIGURATION_READ("CONFIGURATION_READ"),
+        /** The admin server, membership and replicated configuration have been started, as far as there are any. */
+        ADMIN_OPEN("DOOR_OPEN"),
+        /** The warm-up has been run, or skipped. */
+        WARMED_UP("REHEARSED"),
         /** The event loop runs. */
-        EVENT_LOOP_UP,
-        /** The gateway has its backends: from the known list, from discovery, or none as discovery does not answer. */
-        LIST_KNOWN,
-        /** The front listens. */
-        FRONT_OPEN
+        EVENT_LOOP_UP("EVENT_LOOP_UP"),
+        /** The gateway has its backends: from the stored list, from discovery, or none as discovery does not answer. */
+        ENDPOINTS_KNOWN("LIST_KNOWN"),
+        /** The front end listens. */
+        LISTENING("FRONT_OPEN");
+
+        /** The name in the log line, which tools read. */
+        private final String logName;
+
+        StartPhase(String logName) {
+            this.logName = logName;
+        }
     }
 
-    private final LongSupplier nanos;
-    private final long begunAt;
-    private final Map<StartPhase, Long> reachedAfter = new EnumMap<>(StartPhase.class);
+    private final LongSupplier nanoClock;
+    private final long startedNanos;
+    private final Map<StartPhase, Long> reachedAfterNanos = new EnumMap<>(StartPhase.class);
 
     /** Begins to count now. */
     public StartupTimes() {
@@ -36,35 +44,35 @@
     }
 
     /** Begins to count now, by a clock that gives ns. */
-    StartupTimes(LongSupplier nanos) {
-        this.nanos = nanos;
-        begunAt = nanos.getAsLong();
+    StartupTimes(LongSupplier nanoClock) {
+        this.nanoClock = nanoClock;
+        startedNanos = nanoClock.getAsLong();
     }
 
-    /** Notes that the phase has been reached; only the first time counts. */
+    /** Records that the phase has been reached; only the first time counts. */
     public synchronized void reached(StartPhase phase) {
-        reachedAfter.putIfAbsent(phase, nanos.getAsLong() - begunAt);
+        reachedAfterNanos.putIfAbsent(phase, nanoClock.getAsLong() - startedNanos);
     }
 
     /** The time to the last phase reached and what each took after the one before, ms, as one line for the log. */
-    public synchronized String line() {
+    public synchronized String logLine() {
         StringBuilder phases = new StringBuilder();
-        long before = 0;
-        for (Map.Entry<StartPhase, Long> each : reachedAfter.entrySet()) {
+        long beforeNanos = 0;
+        for (Map.Entry<StartPhase, Long> each : reachedAfterNanos.entrySet()) {
             phases.append(phases.length() == 0 ? "" : ", ")
-                    .append(each.getKey())
+                    .append(each.getKey().logName)
                     .append(' ')
-                    .append(millis(each.getValue() - before));
-            before = each.getValue();
+                    .append(millis(each.getValue() - beforeNanos));
+            beforeNanos = each.getValue();
         }
         return new StringBuilder("started in ")
-                .append(millis(before))
+                .append(millis(beforeNanos))
                 .append(" ms: ")
                 .append(phases)
                 .toString();
     }
 
-    private static long millis(long nanos) {
-        return TimeUnit.NANOSECONDS.toMillis(nanos);
+    private static long millis(long nanoClock) {
+        return TimeUnit.NANOSECONDS.toMillis(nanoClock);
     }
 }
--- a/gateway/src/main/java/opalcove/metrics/ConnectionCloseReason.java
+++ b/gateway/src/main/java/opalcove/metrics/ConnectionCloseReason.java
@@ -1,28 +1,28 @@
 package opalcove.metrics;
 
-/** Why a front has ended a client's connection. */
+/** Why a front end has closed a client's connection. */
 public enum ConnectionCloseReason {
-    /** It carried nothing for as long as a connection may rest. */
+    /** It was idle for as long as a connection may be. */
     IDLE("idle"),
-    /** Clients are sent away, and it owed nothing. */
+    /** The gateway drains, and owed nothing on it. */
     DRAINED("drained"),
-    /** Room was needed for a new one, and it carried nothing. */
-    FOR_ROOM("for_room"),
-    /** Half a command stood still on it. */
+    /** Capacity was needed for a new one, and it was idle. */
+    CAPACITY_NEEDED("for_room"),
+    /** It stopped in the middle of a command. */
     STALLED("stalled"),
     /** What came was no command. */
     PROTOCOL("protocol"),
-    /** A value was cut amid its passing. */
-    CUT("cut");
+    /** A streamed value ended before it was complete. */
+    TRUNCATED("cut");
 
-    private final String figure;
+    private final String metricName;
 
-    ConnectionCloseReason(String figure) {
-        this.figure = figure;
+    ConnectionCloseReason(String metricName) {
+        this.metricName = metricName;
     }
 
-    /** The reason's name in figures. */
-    String figure() {
-        return figure;
+    /** The name in INFO. */
+    String metricName() {
+        return metricName;
     }
 }
--- a/gateway/src/main/java/opalcove/metrics/Counters.java
+++ b/gateway/src/main/java/opalcove/metrics/Counters.java
@@ -2,7 +2,7 @@
 
 import opalcove.decision.AttemptStatus;
 
-/** What the gateway took in, sent and answered. One event loop writes them. */
+/** What the gateway received, sent and answered, for INFO. Written on the event loop only. */
 public final class Counters {
     public long received;
     public long joined;
@@ -21,33 +21,33 @@
     public long implausibleStartTimes;
     public long connectionsClosedForDescriptors;
     public long connectionsRefusedForDescriptors;
-    private final long[] ends = new long[AttemptStatus.values().length];
-    private final long[] refusals = new long[ShedReason.values().length];
+    private final long[] attemptsByStatus = new long[AttemptStatus.values().length];
+    private final long[] refusedByReason = new long[ShedReason.values().length];
     private final long[] closed = new long[ConnectionCloseReason.values().length];
 
     /** Counts the end of an attempt. */
-    public void ended(AttemptStatus result) {
-        ends[result.ordinal()]++;
+    public void attemptEnded(AttemptStatus status) {
+        attemptsByStatus[status.ordinal()]++;
     }
 
-    /** Counts why a request was shed. */
-    public void refused(ShedReason why) {
-        refusals[why.ordinal()]++;
+    /** Counts why a request was refused. */
+    public void refused(ShedReason reason) {
+        refusedByReason[reason.ordinal()]++;
     }
 
     /** Counts why a client connection was closed. */
-    public void closed(ConnectionCloseReason why) {
-        closed[why.ordinal()]++;
+    public void closed(ConnectionCloseReason reason) {
+        closed[reason.ordinal()]++;
     }
 
-    /** One name and figure a line. */
-    public String lines() {
+    /** The counters as INFO shows them: one name and value a line. */
+    public String infoLines() {
         StringBuilder text = new StringBuilder();
         line(text, "taken", received);
         line(text, "joined", joined);
         line(text, "attempts", attempts);
         for (AttemptStatus each : AttemptStatus.values()) {
-            line(text, "attempts_" + figure(each), ends[each.ordinal()]);
+            line(text, "attempts_" + metricName(each), attemptsByStatus[each.ordinal()]);
         }
         line(text, "given_up", cancelled);
         line(text, "lapsed_while_dialled", vetoedLate);
@@ -55,11 +55,11 @@
         line(text, "served", served);
         line(text, "refused", refused);
         for (ShedReason each : ShedReason.values()) {
-            line(text, "refused." + each.figure(), refusals[each.ordinal()]);
+            line(text, "refused." + each.metricName(), refusedByReason[each.ordinal()]);
         }
         line(text, "failed", failed);
         for (ConnectionCloseReason each : ConnectionCloseReason.values()) {
-            line(text, "connections_ended." + each.figure(), closed[each.ordinal()]);
+            line(text, "connections_ended." + each.metricName(), closed[each.ordinal()]);
         }
         line(text, "terminals_left", clientsLeft);
         line(text, "list_calls_failed", endpointPollsFailed);
@@ -72,9 +72,9 @@
         return text.toString();
     }
 
-    /** The name in figures of an attempt's end. */
-    private static String figure(AttemptStatus result) {
-        return switch (result) {
+    /** The name of an attempt's end in INFO. */
+    private static String metricName(AttemptStatus status) {
+        return switch (status) {
             case SERVED -> "served";
             case ERROR -> "error";
             case REJECTED -> "turned_away";
@@ -86,7 +86,7 @@
         };
     }
 
-    private static void line(StringBuilder text, String name, long figure) {
-        text.append(name).append('=').append(figure).append('\n');
+    private static void line(StringBuilder text, String name, long value) {
+        text.append(name).append('=').append(value).append('\n');
     }
 }
--- a/gateway/src/main/java/opalcove/metrics/Errno.java
+++ b/gateway/src/main/java/opalcove/metrics/Errno.java
@@ -5,8 +5,8 @@
 import java.util.Locale;
 
 /**
- * Why a call of the system has failed, as far as the JDK tells it: by the text of the system's message. It separates what this
- * machine lacks from what the other end has done.
+ * Why a system call has failed, as far as the JDK reports it: by the text of the system's message. It separates what
+ * this machine lacks from what the peer has done.
  */
 public enum Errno {
     EMFILE("emfile", "too many open files", true),
@@ -25,27 +25,27 @@
     EHOSTUNREACH("ehostunreach", "no route to host", false),
     OTHER("other", "", false);
 
-    private final String figure;
+    private final String metricName;
     private final String message;
     private final boolean ofThisMachine;
 
-    Errno(String figure, String message, boolean ofThisMachine) {
-        this.figure = figure;
+    Errno(String metricName, String message, boolean ofThisMachine) {
+        this.metricName = metricName;
         this.message = message;
         this.ofThisMachine = ofThisMachine;
     }
 
-    /** The reason that the failure, or what has caused it, tells. */
+    /** The reason of the failure, or of what has caused it. */
     public static Errno of(Throwable failure) {
-        for (Throwable each = failure; each != null; each = each.getCause()) {
-            Errno told = of(String.valueOf(each.getMessage()));
-            if (told != OTHER) {
-                return told;
+        for (Throwable cause = failure; cause != null; cause = cause.getCause()) {
+            Errno found = of(String.valueOf(cause.getMessage()));
+            if (found != OTHER) {
+                return found;
             }
-            if (each instanceof NoRouteToHostException) {
+            if (cause instanceof NoRouteToHostException) {
                 return EHOSTUNREACH;
             }
-            if (each.getClass() == ConnectException.class) {
+            if (cause.getClass() == ConnectException.class) {
                 return ECONNREFUSED;
             }
         }
@@ -55,20 +55,20 @@
     private static Errno of(String message) {
         String text = message.toLowerCase(Locale.ROOT);
         Errno longest = OTHER;
-        for (Errno each : values()) {
-            if (text.contains(each.message) && each.message.length() > longest.message.length()) {
-                longest = each;
+        for (Errno cause : values()) {
+            if (text.contains(cause.message) && cause.message.length() > longest.message.length()) {
+                longest = cause;
             }
         }
         return longest;
     }
 
-    /** The reason's name in figures. */
-    String figure() {
-        return figure;
+    /** The name in figures. */
+    String metricName() {
+        return metricName;
     }
 
-    /** Whether it tells of this machine alone: nothing of it has come to the other end. */
+    /** Whether it concerns this machine alone: nothing of it has reached the peer. */
     public boolean isOfThisMachine() {
         return ofThisMachine;
     }
--- a/gateway/src/main/java/opalcove/metrics/Invariant.java
+++ b/gateway/src/main/java/opalcove/metrics/Invariant.java
@@ -1,14 +1,14 @@
 package opalcove.metrics;
 
-/** The rules that are checked while the gateway runs, one name each in its figures and its log. */
+/** The invariants that are checked while the gateway runs, one name each in its figures and its log. */
 public enum Invariant {
-    /** A request gets its final answer within its time. */
+    /** A request gets its final response within its time. */
     ANSWER_IN_TIME("answer_in_time"),
-    /** A request that was read is not closed without an answer. */
+    /** A request that was read is not closed without a response. */
     CLOSED_UNANSWERED("closed_unanswered"),
     /** Nothing is sent for a client that has left, or whose request is over. */
     CLIENT_WAITS("client_waits"),
-    /** A backend is told no longer deadline than its client has left. */
+    /** A backend gets no longer deadline than its client has left. */
     DEADLINE_PASSED_ON("deadline_passed_on"),
     /** Nothing new is sent to a backend that the list does not offer. */
     LISTED("listed"),
@@ -21,11 +21,11 @@
 
     private final String metricName;
 
-    Invariant(String figure) {
-        this.metricName = figure;
+    Invariant(String metricName) {
+        this.metricName = metricName;
     }
 
-    /** The rule's name in figures. */
+    /** The name in figures and the log. */
     String metricName() {
         return metricName;
     }
--- a/gateway/src/main/java/opalcove/metrics/InvariantMonitor.java
+++ b/gateway/src/main/java/opalcove/metrics/InvariantMonitor.java
@@ -1,88 +1,95 @@
 package opalcove.metrics;
 
+import java.util.Arrays;
 import java.util.Locale;
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicLongArray;
 import org.tinylog.Logger;
 
 /**
- * Counts and logs, by rule, what was stopped because it would have broken the rule, and what has broken it. The first is the
- * ordinary work of the checks; the second is a fault of the program, or of the machine under it, and fails tests and soaks.
- * Logged once a second for each rule at the most, with the number of those that were not. Counts may be read by any thread.
+ * Counts and logs, by invariant, what was prevented because it would have violated it, and what has violated it. The
+ * first is the ordinary work of the checks; the second is a fault of the program, or of the machine under it, and
+ * fails tests and soaks. Logged once a second for each invariant at most, with the number of those that were not.
+ * Written on the event loop only; counts may be read by any thread.
  */
 public final class InvariantMonitor {
-    private static final long LOG_EVERY_NS = TimeUnit.SECONDS.toNanos(1);
+    private static final long LOG_INTERVAL_NANOS = TimeUnit.SECONDS.toNanos(1);
 
     private final AtomicLongArray prevented = new AtomicLongArray(Invariant.values().length);
     private final AtomicLongArray violated = new AtomicLongArray(Invariant.values().length);
-    private final long[] loggedAt = new long[2 * Invariant.values().length];
+    private final long[] lastLoggedNanos = new long[2 * Invariant.values().length];
     private final long[] unlogged = new long[2 * Invariant.values().length];
 
     /** A monitor that has counted nothing yet. */
     public InvariantMonitor() {
-        long before = System.nanoTime() - LOG_EVERY_NS;
-        java.util.Arrays.fill(loggedAt, before);
+        long longAgoNanos = System.nanoTime() - LOG_INTERVAL_NANOS;
+        Arrays.fill(lastLoggedNanos, longAgoNanos);
     }
 
-    /** Something was not done because of the rule. */
-    public void prevented(Invariant rule, String id, String cause) {
-        prevented.incrementAndGet(rule.ordinal());
-        if (mayLog(rule.ordinal())) {
-            Logger.info("stopped by rule {}: {}: {}{}", rule.metricName(), id, cause, since(rule.ordinal()));
+    /** Something was not done because it would have violated the invariant. */
+    public void prevented(Invariant invariant, String id, String cause) {
+        prevented.incrementAndGet(invariant.ordinal());
+        if (mayLog(invariant.ordinal())) {
+            Logger.info(
+                    "stopped by rule {}: {}: {}{}",
+                    invariant.metricName(),
+                    id,
+                    cause,
+                    unloggedSuffix(invariant.ordinal()));
         }
     }
 
-    /** The rule was broken. */
-    public void violated(Invariant rule, String id, String cause) {
-        violated.incrementAndGet(rule.ordinal());
-        int place = Invariant.values().length + rule.ordinal();
-        if (mayLog(place)) {
-            Logger.error("rule broken {}: {}: {}{}", rule.metricName(), id, cause, since(place));
+    /** The invariant was violated. */
+    public void violated(Invariant invariant, String id, String cause) {
+        violated.incrementAndGet(invariant.ordinal());
+        int slot = Invariant.values().length + invariant.ordinal();
+        if (mayLog(slot)) {
+            Logger.error("rule broken {}: {}: {}{}", invariant.metricName(), id, cause, unloggedSuffix(slot));
         }
     }
 
-    private boolean mayLog(int place) {
-        long now = System.nanoTime();
-        if (now - loggedAt[place] < LOG_EVERY_NS) {
-            unlogged[place]++;
+    private boolean mayLog(int slot) {
+        long nowNanos = System.nanoTime();
+        if (nowNanos - lastLoggedNanos[slot] < LOG_INTERVAL_NANOS) {
+            unlogged[slot]++;
             return false;
         }
-        loggedAt[place] = now;
+        lastLoggedNanos[slot] = nowNanos;
         return true;
     }
 
-    private String since(int place) {
-        long others = unlogged[place];
-        unlogged[place] = 0;
+    private String unloggedSuffix(int slot) {
+        long others = unlogged[slot];
+        unlogged[slot] = 0;
         return others == 0 ? "" : " (and " + others + " more before)";
     }
 
-    /** How often the rule was broken. */
-    public long violated(Invariant rule) {
-        return violated.get(rule.ordinal());
+    /** How often the invariant was violated. */
+    public long violated(Invariant invariant) {
+        return violated.get(invariant.ordinal());
     }
 
-    /** One name and figure a line. */
+    /** What INFO shows: one name and value a line. */
     public String infoLines() {
         StringBuilder text = new StringBuilder();
-        for (Invariant rule : Invariant.values()) {
+        for (Invariant invariant : Invariant.values()) {
             text.append(String.format(
-                    Locale.ROOT, "rule_stopped.%s=%d%n", rule.metricName(), prevented.get(rule.ordinal())));
-            text.append(
-                    String.format(Locale.ROOT, "rule_broken.%s=%d%n", rule.metricName(), violated.get(rule.ordinal())));
+                    Locale.ROOT, "rule_stopped.%s=%d%n", invariant.metricName(), prevented.get(invariant.ordinal())));
+            text.append(String.format(
+                    Locale.ROOT, "rule_broken.%s=%d%n", invariant.metricName(), violated.get(invariant.ordinal())));
         }
         return text.toString();
     }
 
     /** The same in the StatsD form, with this prefix. */
     void appendStatsd(StringBuilder text, String prefix) {
-        for (Invariant rule : Invariant.values()) {
-            appendStatsd(text, prefix + "rule_stopped." + rule.metricName(), prevented.get(rule.ordinal()));
-            appendStatsd(text, prefix + "rule_broken." + rule.metricName(), violated.get(rule.ordinal()));
+        for (Invariant invariant : Invariant.values()) {
+            appendStatsd(text, prefix + "rule_stopped." + invariant.metricName(), prevented.get(invariant.ordinal()));
+            appendStatsd(text, prefix + "rule_broken." + invariant.metricName(), violated.get(invariant.ordinal()));
         }
     }
 
-    private static void appendStatsd(StringBuilder text, String name, long figure) {
-        text.append(name).append(':').append(figure).append("|c\n");
+    private static void appendStatsd(StringBuilder text, String name, long value) {
+        text.append(name).append(':').append(value).append("|c\n");
     }
 }
--- a/gateway/src/main/java/opalcove/metrics/SystemCall.java
+++ b/gateway/src/main/java/opalcove/metrics/SystemCall.java
@@ -1,18 +1,18 @@
 package opalcove.metrics;
 
-/** The calls of the system whose failures are counted. */
+/** The system calls whose failures are counted. */
 public enum SystemCall {
     ACCEPT("accept"),
     CONNECT("connect");
 
-    private final String figure;
+    private final String metricName;
 
-    SystemCall(String figure) {
-        this.figure = figure;
+    SystemCall(String metricName) {
+        this.metricName = metricName;
     }
 
-    /** The call's name in figures. */
-    String figure() {
-        return figure;
+    /** The name in figures. */
+    String metricName() {
+        return metricName;
     }
 }
--- a/gateway/src/main/java/opalcove/metrics/SystemCallFailures.java
+++ b/gateway/src/main/java/opalcove/metrics/SystemCallFailures.java
@@ -4,61 +4,65 @@
 import java.util.concurrent.atomic.AtomicLongArray;
 import org.tinylog.Logger;
 
-/** Counts failed calls of the system by call and reason. Logged once a second at the most. Counts may be read by any thread. */
+/**
+ * Counts failed system calls by call and reason, and logs them, once a second at most. Written on the event loop only;
+ * counts may be read by any thread.
+ */
 public final class SystemCallFailures {
-    private static final long LOG_EVERY_NS = TimeUnit.SECONDS.toNanos(1);
+    private static final long LOG_INTERVAL_NANOS = TimeUnit.SECONDS.toNanos(1);
 
     private final AtomicLongArray counts = new AtomicLongArray(SystemCall.values().length * Errno.values().length);
-    private long loggedAt = System.nanoTime() - LOG_EVERY_NS;
+    private long lastLoggedNanos = System.nanoTime() - LOG_INTERVAL_NANOS;
     private long unlogged;
 
     /** Counts and logs the failure of a system call. */
     public void failed(SystemCall call, Throwable failure) {
         Errno errno = Errno.of(failure);
-        counts.incrementAndGet(place(call, errno));
-        long now = System.nanoTime();
-        if (now - loggedAt < LOG_EVERY_NS) {
+        counts.incrementAndGet(index(call, errno));
+        long nowNanos = System.nanoTime();
+        if (nowNanos - lastLoggedNanos < LOG_INTERVAL_NANOS) {
             unlogged++;
             return;
         }
         Logger.warn(
                 "{} failed with {}: {} ({} more since the last such line)",
-                call.figure(),
+                call.metricName(),
                 errno,
                 failure.getMessage(),
                 unlogged);
-        loggedAt = now;
+        lastLoggedNanos = nowNanos;
         unlogged = 0;
     }
 
-    private static int place(SystemCall call, Errno errno) {
+    private static int index(SystemCall call, Errno errno) {
         return call.ordinal() * Errno.values().length + errno.ordinal();
     }
 
-    /** One name and figure a line, of those that have failed. */
-    public String lines() {
+    /** What INFO shows: one name and value a line, of those that have failed. */
+    public String infoLines() {
         StringBuilder text = new StringBuilder();
-        each((name, count) -> text.append(name).append('=').append(count).append('\n'));
+        forEachFailed(
+                (name, count) -> text.append(name).append('=').append(count).append('\n'));
         return text.toString();
     }
 
     /** The same in the StatsD form, with this prefix. */
-    void statsd(StringBuilder text, String prefix) {
-        each((name, count) ->
+    void appendStatsd(StringBuilder text, String prefix) {
+        forEachFailed((name, count) ->
                 text.append(prefix).append(name).append(':').append(count).append("|c\n"));
     }
 
-    /** Takes the name and the count of what has failed. */
-    private interface Taker {
-        void take(String name, long count);
+    /** Receives the name and the count of what has failed. */
+    private interface FigureConsumer {
+        void accept(String name, long count);
     }
 
-    private void each(Taker taker) {
+    private void forEachFailed(FigureConsumer consumer) {
         for (SystemCall call : SystemCall.values()) {
             for (Errno errno : Errno.values()) {
-                long count = counts.get(place(call, errno));
+                long count = counts.get(index(call, errno));
                 if (count > 0) {
-                    taker.take("syscall_failed." + call.figure() + "." + errno.figure(), count);
+                    consumer.accept("syscall_failed." + call.metricName() + "." + errno.metricName(), count);
                 }
             }
         }
--- a/gateway/src/main/java/opalcove/resp/RespServer.java
+++ b/gateway/src/main/java/opalcove/resp/RespServer.java
@@ -171,7 +171,7 @@
             if (longest == null) {
                 return false;
             }
-            if (longest.partIfQuiet(ConnectionCloseReason.FOR_ROOM)) {
+            if (longest.partIfQuiet(ConnectionCloseReason.CAPACITY_NEEDED)) {
                 gateway.clientConnectionClosedForDescriptors(false);
                 return true;
             }
@@ -684,7 +684,7 @@
                                 "-",
                                 slots.size() + " requests behind a value that was cut");
             }
-            part(ConnectionCloseReason.CUT);
+            part(ConnectionCloseReason.TRUNCATED);
             dropSlots();
         }
 
--- a/gateway/src/main/java/opalcove/server/GatewayServer.java
+++ b/gateway/src/main/java/opalcove/server/GatewayServer.java
@@ -48,11 +48,11 @@
         door.agreed = agreed;
         MembershipService membership = join(config, agreed == null ? List.of() : agreed.knownMembers());
         door.membership = membership;
-        times.reached(StartPhase.DOOR_OPEN);
+        times.reached(StartPhase.ADMIN_OPEN);
         Logger.info(
                 "rehearsed {} asks",
-                WarmUp.play(Application::eventLoop, config.settings(), TimeBudget.ofMs(config.rehearsalMs())));
-        times.reached(StartPhase.REHEARSED);
+                WarmUp.play(Application::createEventLoop, config.settings(), TimeBudget.ofMs(config.rehearsalMs())));
+        times.reached(StartPhase.WARMED_UP);
         Application program = new Application();
         Parts parts = new Parts(config, door, hangups, times, membership, agreed);
         program.start(vertx -> open(vertx, program, parts));
@@ -74,8 +74,8 @@
         if (config.console() == null) {
             return;
         }
-        Vertx loop = Application.eventLoop();
-        Application.listening(loop, () -> new AdminServer(loop, door).listen(config.console()))
+        Vertx loop = Application.createEventLoop();
+        Application.listenWithRetries(loop, () -> new AdminServer(loop, door).listen(config.console()))
                 .onFailure(e -> {
                     Logger.error("cannot listen at the console address {}: {}", config.console(), e.getMessage());
                     Runtime.getRuntime().halt(1);
@@ -98,7 +98,7 @@
         DiscoveryClient discovery = new DiscoveryClient(
                 vertx, config.discovery(), config.settings(), new SplittableRandom(config.seed()), versions);
         gateway.endpointSource(discovery);
-        program.atEnd(gateway, front::drain);
+        program.onShutdown(gateway, front::drain);
         leaveWith(program, parts);
         parts.door().serve(vertx, gateway, front, program.phases());
         if (!config.known().isEmpty()) {
@@ -107,10 +107,10 @@
         }
         parts.hangups().listen(() -> reload(config, vertx, discovery, gateway, versions));
         listKnown(vertx, discovery, versions, parts).onComplete(ready -> {
-            times.reached(StartPhase.LIST_KNOWN);
+            times.reached(StartPhase.ENDPOINTS_KNOWN);
             program.open(() -> front.listen(config.listen()).onSuccess(port -> {
-                times.reached(StartPhase.FRONT_OPEN);
-                Logger.info(times.line());
+                times.reached(StartPhase.LISTENING);
+                Logger.info(times.logLine());
             }));
         });
     }
@@ -157,7 +157,7 @@
             return null;
         }
         MembershipService membership = new MembershipService(
-                Application.eventLoop(), config.name(), config.membership(), known, System.out::println);
+                Application.createEventLoop(), config.name(), config.membership(), known, System.out::println);
         membership.start().onFailure(e -> {
             Logger.error(
                     "cannot listen at membership.listen {}: {}",
@@ -178,7 +178,7 @@
                 .orElseThrow(() -> new InvalidConfigurationException(
                         "field agreement: this program has no part for it, opalcove.jar has"))
                 .create(
-                        Application.eventLoop(),
+                        Application.createEventLoop(),
                         config.name(),
                         config.agreement(),
                         config.settings(),
--- a/gateway/src/test/java/opalcove/admin/AdminRepliesTest.java
+++ b/gateway/src/test/java/opalcove/admin/AdminRepliesTest.java
@@ -32,7 +32,7 @@
 
     @BeforeMethod
     public void open() throws Exception {
-        vertx = Application.eventLoop();
+        vertx = Application.createEventLoop();
         port = new AdminServer(vertx, door)
                 .listen(new HostAndPort("127.0.0.1", 0))
                 .toCompletionStage()
--- a/gateway/src/test/java/opalcove/backend/ConnectionPoolCapacityTest.java
+++ b/gateway/src/test/java/opalcove/backend/ConnectionPoolCapacityTest.java
@@ -24,7 +24,7 @@
 public class ConnectionPoolCapacityTest {
     private static final int MOST = 8;
 
-    private final Vertx vertx = Application.eventLoop();
+    private final Vertx vertx = Application.createEventLoop();
     private final List<FakeLine> lines = new ArrayList<>();
 
     @Test
--- a/gateway/src/test/java/opalcove/lifecycle/ListeningTest.java
+++ b/gateway/src/test/java/opalcove/lifecycle/ListeningTest.java
@@ -37,7 +37,7 @@
 
     private CompletableFuture<Integer> listening() {
         CompletableFuture<Integer> port = new CompletableFuture<>();
-        vertx.runOnContext(start -> Application.listening(vertx, this::listen)
+        vertx.runOnContext(start -> Application.listenWithRetries(vertx, this::listen)
                 .onSuccess(port::complete)
                 .onFailure(port::completeExceptionally));
         return port;
--- a/gateway/src/test/java/opalcove/lifecycle/StartupTimesTest.java
+++ b/gateway/src/test/java/opalcove/lifecycle/StartupTimesTest.java
@@ -15,9 +15,9 @@
         clock.addAndGet(TimeUnit.MILLISECONDS.toNanos(30));
         times.reached(StartPhase.CONFIGURATION_READ);
         clock.addAndGet(TimeUnit.MILLISECONDS.toNanos(400));
-        times.reached(StartPhase.FRONT_OPEN);
+        times.reached(StartPhase.LISTENING);
         clock.addAndGet(TimeUnit.MILLISECONDS.toNanos(50));
         times.reached(StartPhase.CONFIGURATION_READ);
-        assertEquals(times.line(), "started in 430 ms: CONFIGURATION_READ 30, FRONT_OPEN 400");
+        assertEquals(times.logLine(), "started in 430 ms: CONFIGURATION_READ 30, FRONT_OPEN 400");
     }
 }
--- a/gateway/src/test/java/opalcove/resp/BackendCommandsTest.java
+++ b/gateway/src/test/java/opalcove/resp/BackendCommandsTest.java
@@ -102,7 +102,7 @@
 
     /** Has the request sent on a new connection, which then ends; all that came. */
     private static String sent(Request request, double waitMs) throws Exception {
-        Vertx vertx = Application.eventLoop();
+        Vertx vertx = Application.createEventLoop();
         try (ServerSocket backend = new ServerSocket(0, 8, InetAddress.getLoopbackAddress())) {
             backend.setSoTimeout(PATIENCE_S * 1000);
             vertx.runOnContext(start -> new RespConnector(vertx, TestSettings.settings())
--- a/gateway/src/test/java/opalcove/resp/DrainingServerTest.java
+++ b/gateway/src/test/java/opalcove/resp/DrainingServerTest.java
@@ -29,7 +29,7 @@
     @Test
     public void connectionsMadeWhileTheLoopWasHeldUpBeforeItsDrainAreServed() throws Exception {
         DecisionSettings settings = TestSettings.settings();
-        Vertx vertx = Application.eventLoop();
+        Vertx vertx = Application.createEventLoop();
         List<Socket> made = new ArrayList<>();
         try {
             Lifecycle phases = new Lifecycle();
--- a/gateway/src/test/java/opalcove/resp/EndCrossingsTest.java
+++ b/gateway/src/test/java/opalcove/resp/EndCrossingsTest.java
@@ -86,10 +86,10 @@
     @Test
     public void theLastAnswersComeBeforeTheKillWhateverTheDeadlines() {
         for (long longest : new long[] {200, 450, 1400, 3000, 7500, 60_000}) {
-            long fromTerm = 500 + Application.answersWithinMs(longest);
+            long fromTerm = 500 + Application.shutdownBudgetMs(longest);
             assertTrue(fromTerm < Math.min(longest, 3000) + 700, longest + ": " + fromTerm);
             assertTrue(
-                    Application.answersWithinMs(longest) >= Math.min(longest, 3000) - 100, longest + ": " + fromTerm);
+                    Application.shutdownBudgetMs(longest) >= Math.min(longest, 3000) - 100, longest + ": " + fromTerm);
         }
     }
 
--- a/gateway/src/test/java/opalcove/resp/RespTestBed.java
+++ b/gateway/src/test/java/opalcove/resp/RespTestBed.java
@@ -51,7 +51,7 @@
     static final int PATIENCE_S = 20;
     static final String PING = "*1\r\n$4\r\nPING\r\n";
 
-    final Vertx vertx = Application.eventLoop();
+    final Vertx vertx = Application.createEventLoop();
     final Lifecycle phases = new Lifecycle();
     final RequestDispatcher gateway;
     final RespServer front;
--- a/gateway/src/test/java/opalcove/server/ReusePortTest.java
+++ b/gateway/src/test/java/opalcove/server/ReusePortTest.java
@@ -12,8 +12,8 @@
 public class ReusePortTest {
     @Test
     public void twoEventLoopsListenAtOnePort() throws Exception {
-        Vertx old = Application.eventLoop();
-        Vertx next = Application.eventLoop();
+        Vertx old = Application.createEventLoop();
+        Vertx next = Application.createEventLoop();
         try {
             NetServerOptions options = new NetServerOptions().setReusePort(true).setReuseAddress(true);
             int port = old.createNetServer(options)
--- a/mqtt/src/main/java/opalcove/mqtt/MqttGateway.java
+++ b/mqtt/src/main/java/opalcove/mqtt/MqttGateway.java
@@ -29,7 +29,7 @@
                     new RequestDispatcher(vertx, clock, config.settings(), System.nanoTime(), links);
             MqttRequestServer front =
                     new MqttRequestServer(vertx, gateway, program.phases(), clock, config.maxClients());
-            program.atEnd(gateway, front::drain);
+            program.onShutdown(gateway, front::drain);
             gateway.endpointsChanged(true, config.backends());
             Future<Integer> desk = config.control() == null
                     ? Future.succeededFuture(0)
