--- a/cli/src/main/java/opalcove/cli/RecoveryCommand.java
+++ b/cli/src/main/java/opalcove/cli/RecoveryCommand.java
@@ -10,6 +10,8 @@
 import java.util.concurrent.Callable;
 import opalcove.config.InvalidConfigurationException;
 import opalcove.recovery.Recovery;
+import opalcove.recovery.RecoveryConfig;
+import opalcove.recovery.RecoveryPlan;
 import opalcove.recovery.Snapshot;
 import opalcove.replication.SnapshotFile;
 import picocli.CommandLine;
@@ -23,7 +25,7 @@
         name = "recovery",
         mixinStandardHelpOptions = true,
         versionProvider = Opalcove.Version.class,
-        description = "Tells what a gateway would do after a power loss.",
+        description = "Shows what a gateway would do after a power loss.",
         subcommands = RecoveryCommand.PlanCommand.class)
 final class RecoveryCommand implements Runnable {
     @Spec
@@ -39,7 +41,7 @@
             mixinStandardHelpOptions = true,
             versionProvider = Opalcove.Version.class,
             description =
-                    "Prints what a gateway that starts now with this snapshot would do, by what the others answer.")
+                    "Prints what a gateway that starts now with this snapshot would do, by the responses of the others.")
     static final class PlanCommand implements Callable<Integer> {
         @Parameters(paramLabel = "SNAPSHOT", description = "a gateway's snapshot_file")
         private Path file;
@@ -48,13 +50,13 @@
                 names = "--agreed",
                 paramLabel = "N",
                 defaultValue = "-1",
-                description = "the version in force as the voters say, 0 for none; without it, no voter answers")
+                description = "the version in force according to the voters, 0 for none; without it, no voter responds")
         private long agreed;
 
         @Option(
                 names = "--member",
                 paramLabel = "NAME=S",
-                description = "a gateway that is there, and for how many seconds it"
+                description = "a gateway that is present, and for how many seconds it"
                         + " has run before this one's start; below 0 where it started after it")
         private Map<String, Double> members = Map.of();
 
@@ -62,7 +64,7 @@
                 names = "--after",
                 paramLabel = "S",
                 defaultValue = "2",
-                description = "so long after the start (default: ${DEFAULT-VALUE})")
+                description = "time since the start (default: ${DEFAULT-VALUE})")
         private double afterS;
 
         @Option(
@@ -87,27 +89,27 @@
             }
             Map<String, Long> fleet = new HashMap<>();
             members.forEach((name, seconds) -> fleet.put(name, started - Math.round(seconds * 1000)));
-            Recovery.Plan plan = new Recovery(started, snapshot, whyNone, Recovery.Figures.of(meterPeriodMs))
+            RecoveryPlan plan = new Recovery(started, snapshot, whyNone, RecoveryConfig.of(meterPeriodMs))
                     .plan(started + Math.round(afterS * 1000), agreed, fleet);
             if (json) {
                 System.out.println(Json.object()
                         .add("phase", plan.phase().name())
-                        .add("ready", plan.ready())
-                        .add("quotas_held", plan.quotasHeld())
-                        .add("nodes_cold", plan.nodesCold())
-                        .add("from_snapshot", plan.fromSnapshot())
+                        .add("ready", plan.isReady())
+                        .add("quotas_held", plan.areQuotasHeld())
+                        .add("nodes_cold", plan.areBackendsWarmingUp())
+                        .add("from_snapshot", plan.usesSnapshot())
                         .add("trusted", list(plan.trusted()))
                         .add("refused", list(plan.refused()))
-                        .add("asked", list(plan.asked())));
+                        .add("asked", list(plan.pending())));
                 return 0;
             }
             System.out.println(plan.phase()
-                    + (plan.ready() ? ": clients are taken" : ": no clients yet")
-                    + (plan.quotasHeld() ? ", bursts are held" : "")
-                    + (plan.nodesCold() ? ", all nodes are cold" : ""));
+                    + (plan.isReady() ? ": clients are taken" : ": no clients yet")
+                    + (plan.areQuotasHeld() ? ", bursts are held" : "")
+                    + (plan.areBackendsWarmingUp() ? ", all nodes are cold" : ""));
             plan.trusted().forEach(each -> System.out.println("trusted  " + each));
             plan.refused().forEach(each -> System.out.println("refused  " + each));
-            plan.asked().forEach(each -> System.out.println("asked    " + each));
+            plan.pending().forEach(each -> System.out.println("asked    " + each));
             return 0;
         }
 
--- a/gateway/src/main/java/opalcove/server/GatewayServer.java
+++ b/gateway/src/main/java/opalcove/server/GatewayServer.java
@@ -51,7 +51,7 @@
         times.reached(StartPhase.ADMIN_OPEN);
         Logger.info(
                 "rehearsed {} asks",
-                WarmUp.play(Application::createEventLoop, config.settings(), TimeBudget.ofMs(config.rehearsalMs())));
+                WarmUp.run(Application::createEventLoop, config.settings(), TimeBudget.ofMs(config.rehearsalMs())));
         times.reached(StartPhase.WARMED_UP);
         Application program = new Application();
         Parts parts = new Parts(config, door, hangups, times, membership, agreed);
@@ -93,7 +93,7 @@
                 vertx, config.settings(), new RespConnector(vertx, config.settings()), budget.backends());
         RequestDispatcher gateway = new RequestDispatcher(vertx, new Clock(), config.settings(), config.seed(), links);
         RespServer front =
-                new RespServer(vertx, gateway, program.phases(), RespServer.maxClientsWithin(budget.clients()));
+                new RespServer(vertx, gateway, program.phases(), RespServer.maxConnectionsWithin(budget.clients()));
         Versions versions = new Versions(gateway);
         DiscoveryClient discovery = new DiscoveryClient(
                 vertx, config.discovery(), config.settings(), new SplittableRandom(config.seed()), versions);
@@ -219,7 +219,8 @@
         }
 
         private void act(ReplicatedConfig.EffectiveConfig next) {
-            boolean colder = next.coldSinceMs() > 0 && (acting == null || acting.coldSinceMs() != next.coldSinceMs());
+            boolean colder = next.startedNotBeforeMs() > 0
+                    && (acting == null || acting.startedNotBeforeMs() != next.startedNotBeforeMs());
             acting = next;
             gateway.applySettings(next.settings());
             if (next.backends() != null) {
@@ -231,11 +232,12 @@
 
         /** After a power loss the list may be of before: no node counts as started earlier than this gateway. */
         private List<Backend> cold(List<Backend> backends) {
-            if (acting == null || acting.coldSinceMs() == 0) {
+            if (acting == null || acting.startedNotBeforeMs() == 0) {
                 return backends;
             }
             return backends.stream()
-                    .map(backend -> new Backend(backend.host().startedSince(acting.coldSinceMs()), backend.address()))
+                    .map(backend ->
+                            new Backend(backend.host().startedSince(acting.startedNotBeforeMs()), backend.address()))
                     .toList();
         }
 
@@ -316,7 +318,7 @@
             front = wiredFront;
             phases.onChange(next -> phase = next);
             if (away) {
-                vertx.runOnContext(told -> front.sendAway(true));
+                vertx.runOnContext(told -> front.setDrainRequested(true));
             }
         }
 
@@ -344,7 +346,7 @@
         public synchronized void sendAway(boolean send) {
             away = send;
             if (vertx != null) {
-                vertx.runOnContext(told -> front.sendAway(send));
+                vertx.runOnContext(told -> front.setDrainRequested(send));
             }
         }
     }
