--- a/cli/src/main/java/opalcove/cli/LoadCommand.java
+++ b/cli/src/main/java/opalcove/cli/LoadCommand.java
@@ -27,7 +27,7 @@
 
     @Override
     public Integer call() throws Exception {
-        HostAndPort at = HostAndPort.read(address, "ADDRESS");
+        HostAndPort at = HostAndPort.parse(address, "ADDRESS");
         LoadPlan plan = options.plan(at.address(), at.port());
         try (Load load = new Load(plan, System.err::println)) {
             LoadReport report = load.run(plan.requests());
--- a/cli/src/main/java/opalcove/cli/MembersCommand.java
+++ b/cli/src/main/java/opalcove/cli/MembersCommand.java
@@ -33,7 +33,7 @@
 
     @Override
     public Integer call() throws Exception {
-        HostAndPort at = HostAndPort.read(console, "ADDRESS");
+        HostAndPort at = HostAndPort.parse(console, "ADDRESS");
         try (Socket socket = new Socket()) {
             socket.connect(new InetSocketAddress(at.address(), at.port()), WAIT_MS);
             socket.setSoTimeout(WAIT_MS);
--- a/cli/src/main/java/opalcove/cli/StateCommand.java
+++ b/cli/src/main/java/opalcove/cli/StateCommand.java
@@ -57,7 +57,7 @@
         ReplicationClient client() {
             return new ReplicationClient(
                     voters.stream()
-                            .map(each -> HostAndPort.read(each, "--voter"))
+                            .map(each -> HostAndPort.parse(each, "--voter"))
                             .toList(),
                     maxS * 1000L);
         }
--- a/config/src/main/java/opalcove/config/ConfigValidator.java
+++ b/config/src/main/java/opalcove/config/ConfigValidator.java
@@ -8,17 +8,24 @@
 import java.util.Set;
 import java.util.function.Supplier;
 
-/** Gathers the problems of a settings file, so that one start tells them all, each by file, key and reason. */
+/**
+ * Gathers the problems of a settings file, so that one start reports them all, each by file, key and reason. Used by
+ * one thread.
+ */
 public final class ConfigValidator {
     private final Path file;
     private final List<String> problems = new ArrayList<>();
 
-    /** Starts a check of a file without problems found so far. */
+    /** Starts without problems found so far. */
     public ConfigValidator(Path file) {
         this.file = file;
     }
 
-    /** The file's fields, whatever further keys it has. Fails at once where it cannot be read. */
+    /**
+     * The file's fields, whatever further keys it has.
+     *
+     * @throws InvalidConfigurationException at once where the file cannot be read
+     */
     public JsonFields fields() {
         try {
             return JsonFields.parse(Files.readString(file));
@@ -29,7 +36,11 @@
         }
     }
 
-    /** The file's fields, of which only these keys are known. Fails at once where it cannot be read. */
+    /**
+     * The file's fields, of which only these keys are known; others are problems.
+     *
+     * @throws InvalidConfigurationException at once where the file cannot be read
+     */
     public JsonFields fields(Set<String> keys) {
         JsonFields fields = fields();
         fields.names().stream()
@@ -48,12 +59,16 @@
         }
     }
 
-    /** Notes a problem; the message is prefixed with the file's name. */
+    /** Adds a problem; the message is prefixed with the file's name. */
     public void addProblem(String problem) {
         problems.add(file + ": " + problem);
     }
 
-    /** Fails with all problems that were found. */
+    /**
+     * Ends the validation.
+     *
+     * @throws InvalidConfigurationException with all problems that were found, if any
+     */
     public void throwIfInvalid() {
         if (!problems.isEmpty()) {
             throw new InvalidConfigurationException(String.join("\n", problems));
--- a/config/src/main/java/opalcove/config/EndpointCodec.java
+++ b/config/src/main/java/opalcove/config/EndpointCodec.java
@@ -7,7 +7,7 @@
 import opalcove.decision.Endpoint;
 import opalcove.decision.EndpointState;
 
-/** Reads and writes lines of the node list in discovery's form. */
+/** Reads and writes endpoint lists in discovery's JSON form. */
 public final class EndpointCodec {
     private EndpointCodec() {}
 
@@ -16,10 +16,10 @@
      *
      * @throws InvalidConfigurationException if an entry cannot be read, with its place
      */
-    public static List<Backend> read(List<JsonFields> lines) {
+    public static List<Backend> read(List<JsonFields> entries) {
         List<Backend> backends = new ArrayList<>();
-        for (JsonFields line : lines) {
-            String status = line.textOr("status", "up");
+        for (JsonFields entry : entries) {
+            String status = entry.textOr("status", "up");
             EndpointState state =
                     switch (status) {
                         case "up" -> EndpointState.UP;
@@ -27,46 +27,46 @@
                         case "removed" -> EndpointState.REMOVED;
                         default ->
                             throw new InvalidConfigurationException(
-                                    line.at("status"), "has an unknown value " + status);
+                                    entry.at("status"), "has an unknown value " + status);
                     };
             backends.add(new Backend(
                     new Endpoint(
-                            line.text("name"),
-                            line.textOr("zone", ""),
-                            line.textOr("type", ""),
-                            line.wholeOr("group", 0),
+                            entry.text("name"),
+                            entry.textOr("zone", ""),
+                            entry.textOr("type", ""),
+                            entry.wholeOr("group", 0),
                             state,
-                            line.numberOr("weight", 1),
-                            line.numberOr("since_ms", 0)),
-                    line.text("address")));
+                            entry.numberOr("weight", 1),
+                            entry.numberOr("since_ms", 0)),
+                    entry.text("address")));
         }
         return backends;
     }
 
-    /** Writes one line. */
+    /** Writes one entry. */
     public static JsonObject write(Backend backend) {
-        Endpoint host = backend.host();
+        Endpoint endpoint = backend.endpoint();
         String status =
-                switch (host.state()) {
+                switch (endpoint.state()) {
                     case UP -> "up";
                     case DRAINING -> "draining";
                     case REMOVED -> "removed";
                 };
         return new JsonObject()
-                .add("name", host.id())
+                .add("name", endpoint.id())
                 .add("address", backend.address())
-                .add("zone", host.zone())
-                .add("type", host.kind())
-                .add("group", host.cell())
+                .add("zone", endpoint.zone())
+                .add("type", endpoint.kind())
+                .add("group", endpoint.cell())
                 .add("status", status)
-                .add("weight", host.size())
-                .add("since_ms", (long) host.startedMs());
+                .add("weight", endpoint.size())
+                .add("since_ms", (long) endpoint.startedMs());
     }
 
-    /** Writes a whole list, or its changed lines, with the index that they have or build on. */
-    public static JsonObject write(long index, boolean whole, List<Backend> backends) {
-        JsonArray lines = new JsonArray();
-        backends.forEach(backend -> lines.add(write(backend)));
-        return new JsonObject().add("index", index).add("snapshot", whole).add("endpoints", lines);
+    /** Writes a complete list, or its changed entries, with the index that they have or build on. */
+    public static JsonObject write(long index, boolean complete, List<Backend> backends) {
+        JsonArray entries = new JsonArray();
+        backends.forEach(backend -> entries.add(write(backend)));
+        return new JsonObject().add("index", index).add("snapshot", complete).add("endpoints", entries);
     }
 }
--- a/config/src/main/java/opalcove/config/JsonFields.java
+++ b/config/src/main/java/opalcove/config/JsonFields.java
@@ -10,7 +10,9 @@
 import java.util.Locale;
 import java.util.Map;
 
-/** The fields of one JSON object, read by name and form; what is wrong is told with the path of its key. */
+/**
+ * The fields of one JSON object, read by name and type; what is wrong is reported with the path of its key. Immutable.
+ */
 public final class JsonFields {
     private final JsonObject object;
     private final String path;
@@ -20,7 +22,11 @@
         this.path = path;
     }
 
-    /** Reads a text that must hold one object. */
+    /**
+     * Reads a text that must hold one object.
+     *
+     * @throws InvalidConfigurationException if it does not
+     */
     public static JsonFields parse(String text) {
         try {
             return of(Json.parse(text), "");
@@ -43,7 +49,7 @@
         return path.isEmpty() ? name : path + "." + name;
     }
 
-    private InvalidConfigurationException wrong(String name, String reason) {
+    private InvalidConfigurationException invalid(String name, String reason) {
         return new InvalidConfigurationException(at(name), reason);
     }
 
@@ -63,9 +69,9 @@
         return path;
     }
 
-    private JsonValue need(String name) {
+    private JsonValue required(String name) {
         if (!has(name)) {
-            throw wrong(name, "is missing");
+            throw invalid(name, "is missing");
         }
         return object.get(name);
     }
@@ -76,9 +82,9 @@
      * @throws InvalidConfigurationException if it is absent or no string
      */
     public String text(String name) {
-        JsonValue value = need(name);
+        JsonValue value = required(name);
         if (!value.isString()) {
-            throw wrong(name, "must be a text");
+            throw invalid(name, "must be a text");
         }
         return value.asString();
     }
@@ -94,9 +100,9 @@
      * @throws InvalidConfigurationException if it is absent or no number
      */
     public double number(String name) {
-        JsonValue value = need(name);
+        JsonValue value = required(name);
         if (!value.isNumber()) {
-            throw wrong(name, "must be a number");
+            throw invalid(name, "must be a number");
         }
         return value.asDouble();
     }
@@ -122,13 +128,13 @@
 
     /** A whole number of up to 63 bits. */
     public long serial(String name) {
-        JsonValue value = need(name);
+        JsonValue value = required(name);
         try {
             return value.asLong();
         } catch (NumberFormatException | UnsupportedOperationException e) {
             double number = number(name);
             if (number != Math.rint(number)) {
-                throw wrong(name, "must be a whole number");
+                throw invalid(name, "must be a whole number");
             }
             return (long) number;
         }
@@ -144,7 +150,7 @@
             return false;
         }
         if (!object.get(name).isBoolean()) {
-            throw wrong(name, "must be true or false");
+            throw invalid(name, "must be true or false");
         }
         return object.get(name).asBoolean();
     }
@@ -158,23 +164,23 @@
         try {
             return Enum.valueOf(form, text(name).toUpperCase(Locale.ROOT));
         } catch (IllegalArgumentException e) {
-            throw wrong(name, "has an unknown value " + text(name));
+            throw invalid(name, "has an unknown value " + text(name));
         }
     }
 
     /**
-     * What one of these words stands for; upper and lower case are the same.
+     * What one of these options stands for; upper and lower case are the same.
      *
      * @throws InvalidConfigurationException if it is absent or none of them
      */
-    <T> T choice(String name, Map<String, T> words) {
+    <T> T choice(String name, Map<String, T> options) {
         String written = text(name).toUpperCase(Locale.ROOT);
-        for (Map.Entry<String, T> word : words.entrySet()) {
-            if (word.getKey().toUpperCase(Locale.ROOT).equals(written)) {
-                return word.getValue();
+        for (Map.Entry<String, T> option : options.entrySet()) {
+            if (option.getKey().toUpperCase(Locale.ROOT).equals(written)) {
+                return option.getValue();
             }
         }
-        throw wrong(name, "has an unknown value " + text(name));
+        throw invalid(name, "has an unknown value " + text(name));
     }
 
     /**
@@ -183,7 +189,7 @@
      * @throws InvalidConfigurationException if it is absent or no object
      */
     public JsonFields object(String name) {
-        return of(need(name), at(name));
+        return of(required(name), at(name));
     }
 
     /** A list of objects. */
@@ -201,7 +207,7 @@
         if (has(name)) {
             for (JsonValue each : array(name)) {
                 if (!each.isString()) {
-                    throw wrong(name, "must hold texts");
+                    throw invalid(name, "must hold texts");
                 }
                 items.add(each.asString());
             }
@@ -218,7 +224,7 @@
         double[] row = new double[items.size()];
         for (int i = 0; i < row.length; i++) {
             if (!items.get(i).isNumber()) {
-                throw wrong(name, "must hold numbers");
+                throw invalid(name, "must hold numbers");
             }
             row[i] = items.get(i).asDouble();
         }
@@ -226,9 +232,9 @@
     }
 
     private JsonArray array(String name) {
-        JsonValue value = need(name);
+        JsonValue value = required(name);
         if (!value.isArray()) {
-            throw wrong(name, "must be a list");
+            throw invalid(name, "must be a list");
         }
         return value.asArray();
     }
--- a/config/src/main/java/opalcove/config/Range.java
+++ b/config/src/main/java/opalcove/config/Range.java
@@ -5,33 +5,33 @@
 /**
  * The values that a numeric setting may have.
  *
- * @param least the least value
- * @param most the greatest value; it is allowed, too
- * @param open whether the least value itself is left out
+ * @param min the least value
+ * @param max the greatest value, which is allowed, too
+ * @param excludesMin whether the least value itself is not allowed
  */
-record Range(double least, double most, boolean open) {
-    /** More than any rate, time in milliseconds or count of units that is meant; beyond it sums lose whole units. */
-    private static final double MOST = 1e15;
+record Range(double min, double max, boolean excludesMin) {
+    /** More than any rate, time in ms or count of units that is meant; beyond it sums lose whole units. */
+    private static final double GREATEST = 1e15;
 
-    static final Range NOT_NEGATIVE = new Range(0, MOST, false);
-    static final Range POSITIVE = new Range(0, MOST, true);
+    static final Range NOT_NEGATIVE = new Range(0, GREATEST, false);
+    static final Range POSITIVE = new Range(0, GREATEST, true);
     static final Range SHARE = new Range(0, 1, false);
 
-    static Range of(double least, double most) {
-        return new Range(least, most, false);
+    static Range of(double min, double max) {
+        return new Range(min, max, false);
     }
 
-    boolean has(double value) {
-        return value >= least && value <= most && !(open && value == least);
+    boolean contains(double value) {
+        return value >= min && value <= max && !(excludesMin && value == min);
     }
 
     /** What a value must be, for messages. */
-    String demand() {
-        if (most < MOST) {
-            return "must be " + (open ? "over " : "from ") + text(least) + (open ? " and at most " : " to ")
-                    + text(most);
+    String requirement() {
+        if (max < GREATEST) {
+            return "must be " + (excludesMin ? "over " : "from ") + text(min) + (excludesMin ? " and at most " : " to ")
+                    + text(max);
         }
-        return "must be a finite number " + (open ? "over " : "not below ") + text(least);
+        return "must be a finite number " + (excludesMin ? "over " : "not below ") + text(min);
     }
 
     private static String text(double value) {
--- a/config/src/main/java/opalcove/config/SettingsReader.java
+++ b/config/src/main/java/opalcove/config/SettingsReader.java
@@ -12,11 +12,11 @@
 import opalcove.decision.LoadReportSource;
 
 /**
- * The one reader of a deployment's settings, for the simulator's adapter and for the gateway with all its fronts.
+ * The one reader of a deployment's settings, for the simulator's adapter and for the gateway with all its front ends.
  * {@code docs/settings.md} lists every key with its unit, its use and what is refused.
  */
 public final class SettingsReader {
-    private static final Map<String, LoadMetric> GAUGES = Map.of(
+    private static final Map<String, LoadMetric> LOAD_METRICS = Map.of(
             "busy_reqs",
             LoadMetric.IN_HAND,
             "pending",
@@ -30,19 +30,21 @@
             "failed_ps",
             LoadMetric.ERRORS_PER_S);
 
-    /** The words for whether a class's requests may run more than once. */
+    /** The options for whether a class's requests may run more than once. */
     private static final Map<String, Idempotency> IDEMPOTENCY =
             Map.of("safe", Idempotency.SAFE, "keyed", Idempotency.KEYED, "unsafe", Idempotency.UNSAFE);
 
-    /** The words for which backends drop repeats of a request with a key. */
+    /** The options for which backends drop repeats of a request with a key. */
     private static final Map<String, DeduplicationScope> GROUP =
             Map.of("all", DeduplicationScope.ALL, "zone", DeduplicationScope.ZONE, "cell", DeduplicationScope.CELL);
 
-    /** The words for who learns of a changed node list by itself; the first holds where the key is absent. */
+    /**
+     * The options for who learns of a changed endpoint list without polling; the first holds where the key is absent.
+     */
     private static final List<String> DISCOVERY = List.of("pushed", "on_request");
 
-    /** The words for where load reports come from; the first holds where the key is absent. */
-    private static final List<String> REPORTS = List.of("off", "inline", "on_probe");
+    /** The options for where load reports come from; the first holds where the key is absent. */
+    private static final List<String> REPORT_SOURCES = List.of("off", "inline", "on_probe");
 
     /** More gateways, attempts or open requests than any deployment has. */
     private static final Range COUNT = Range.of(1, 1_000_000);
@@ -55,17 +57,17 @@
     /** A step of the simulator's clock; longer ones would be longer than requests, ms. */
     private static final Range TICK_MS = Range.of(0.001, 60_000);
 
-    private static final double DIAL_TIMEOUT_MS = 250;
+    private static final double CONNECT_TIMEOUT_MS = 250;
     private static final int MAX_OPEN = 20_000;
 
     private SettingsReader() {}
 
     /**
-     * Reads the settings object; keys it does not know are passed over, as the wire's page asks.
+     * Reads the settings object; unknown keys are ignored, as the wire's page demands.
      *
      * @throws InvalidConfigurationException with every value that cannot be served, each by its key and the reason
      */
-    public static DecisionSettings checked(JsonFields fields) {
+    public static DecisionSettings read(JsonFields fields) {
         List<InvalidConfigurationException.Problem> problems = new ArrayList<>();
         DecisionSettings settings = settings(new RangedJsonFields(fields, problems));
         if (!problems.isEmpty()) {
@@ -84,8 +86,8 @@
         RangedJsonFields feedback = fields.object("feedback");
         int gateways = fields.whole("balancers", COUNT);
         int self = fields.whole("me", INDEX);
-        if (fields.sound("me", "balancers") && self >= gateways) {
-            fields.refuse("me", "must be below balancers, " + gateways);
+        if (fields.areValid("me", "balancers") && self >= gateways) {
+            fields.reject("me", "must be below balancers, " + gateways);
         }
         return new DecisionSettings(
                 self,
@@ -97,10 +99,12 @@
                 classes(fields.objects("profiles")),
                 plans(fields.objects("tiers_of_service")),
                 limits(fields.object("ceilings"), specifics),
-                duties(fields.object("obligations"), fields.oneOf("discovery", DISCOVERY)),
-                prices(fields.object("costs")),
-                reports(feedback.oneOf("how", REPORTS)),
-                feedback.texts("columns").stream().map(SettingsReader::gauge).toList());
+                obligations(fields.object("obligations"), fields.oneOf("discovery", DISCOVERY)),
+                costs(fields.object("costs")),
+                loadReportSource(feedback.oneOf("how", REPORT_SOURCES)),
+                feedback.texts("columns").stream()
+                        .map(SettingsReader::loadMetric)
+                        .toList());
     }
 
     private static List<DecisionSettings.RequestClass> classes(List<RangedJsonFields> profiles) {
@@ -136,8 +140,8 @@
                     tier.numberOr("cap_rate", 0, Range.NOT_NEGATIVE),
                     tier.numberOr("hard_burst", 0, Range.NOT_NEGATIVE),
                     tier.numberOr("tolerance", 0, Range.NOT_NEGATIVE));
-            if (tier.sound("cap_rate", "hard_burst") && plan.ceilingRate() > 0 && plan.ceilingBurst() == 0) {
-                tier.refuse("hard_burst", "must be over 0 where cap_rate is: no request would ever pass");
+            if (tier.areValid("cap_rate", "hard_burst") && plan.ceilingRate() > 0 && plan.ceilingBurst() == 0) {
+                tier.reject("hard_burst", "must be over 0 where cap_rate is: no request would ever pass");
             }
             plans.add(plan);
         }
@@ -154,44 +158,44 @@
                 ceilings.numberOr("max_retry_after_ms", 0, Range.NOT_NEGATIVE),
                 ceilings.numberOr("idle_close_ms", 0, Range.NOT_NEGATIVE),
                 specifics.flag("counter"),
-                ceilings.numberOr("dial_timeout_ms", DIAL_TIMEOUT_MS, WAIT_MS),
+                ceilings.numberOr("dial_timeout_ms", CONNECT_TIMEOUT_MS, WAIT_MS),
                 ceilings.wholeOr("max_open", MAX_OPEN, COUNT),
                 specifics.numberOr("largest", Double.MAX_VALUE, Range.POSITIVE));
     }
 
-    private static DecisionSettings.Obligations duties(RangedJsonFields obligations, String discovery) {
+    private static DecisionSettings.Obligations obligations(RangedJsonFields section, String discovery) {
         return new DecisionSettings.Obligations(
-                obligations.numberOr("answer_slack_ms", 0, Range.NOT_NEGATIVE),
-                obligations.numberOr("cold_from", 0, Range.SHARE),
-                obligations.numberOr("warm_after_ms", 0, Range.NOT_NEGATIVE),
-                obligations.numberOr("overload_factor", 1, Range.POSITIVE),
-                obligations.numberOr("fall_ms", 0, Range.NOT_NEGATIVE),
+                section.numberOr("answer_slack_ms", 0, Range.NOT_NEGATIVE),
+                section.numberOr("cold_from", 0, Range.SHARE),
+                section.numberOr("warm_after_ms", 0, Range.NOT_NEGATIVE),
+                section.numberOr("overload_factor", 1, Range.POSITIVE),
+                section.numberOr("fall_ms", 0, Range.NOT_NEGATIVE),
                 discovery.equals("on_request"),
-                obligations.numberOr("ask_within_ms", 0, Range.NOT_NEGATIVE),
-                obligations.numberOr(
+                section.numberOr("ask_within_ms", 0, Range.NOT_NEGATIVE),
+                section.numberOr(
                         "stop_sending_within_ms",
                         DecisionSettings.Obligations.DEFAULT_DRAIN_GRACE_MS,
                         Range.NOT_NEGATIVE));
     }
 
-    private static DecisionSettings.Costs prices(RangedJsonFields costs) {
+    private static DecisionSettings.Costs costs(RangedJsonFields section) {
         return new DecisionSettings.Costs(
-                costs.numberOr("cross_zone", 0, Range.NOT_NEGATIVE),
-                costs.numberOr("waste", 0, Range.NOT_NEGATIVE),
-                costs.numberOr("probe", 0, Range.NOT_NEGATIVE),
-                costs.numberOr("late_fail", 0, Range.NOT_NEGATIVE));
+                section.numberOr("cross_zone", 0, Range.NOT_NEGATIVE),
+                section.numberOr("waste", 0, Range.NOT_NEGATIVE),
+                section.numberOr("probe", 0, Range.NOT_NEGATIVE),
+                section.numberOr("late_fail", 0, Range.NOT_NEGATIVE));
     }
 
-    private static LoadReportSource reports(String word) {
-        return switch (word) {
+    private static LoadReportSource loadReportSource(String option) {
+        return switch (option) {
             case "inline" -> LoadReportSource.IN_ANSWERS;
             case "on_probe" -> LoadReportSource.ON_PROBES;
             default -> LoadReportSource.NONE;
         };
     }
 
-    /** The value of a load report that a name stands for. */
-    public static LoadMetric gauge(String name) {
-        return GAUGES.getOrDefault(name, LoadMetric.UNKNOWN);
+    /** The value of a load report that a column's name stands for. */
+    public static LoadMetric loadMetric(String name) {
+        return LOAD_METRICS.getOrDefault(name, LoadMetric.UNKNOWN);
     }
 }
--- a/config/src/test/java/opalcove/TestSettings.java
+++ b/config/src/test/java/opalcove/TestSettings.java
@@ -31,10 +31,10 @@
 
     /** Settings under which the node list has to be asked for. */
     public static DecisionSettings settingsOfAListThatIsAskedFor() {
-        return SettingsReader.checked(JsonFields.parse(JSON.replace("\"pushed\"", "\"on_request\"")));
+        return SettingsReader.read(JsonFields.parse(JSON.replace("\"pushed\"", "\"on_request\"")));
     }
 
     public static DecisionSettings settings(int mostOpen) {
-        return SettingsReader.checked(JsonFields.parse(JSON.replace("\"max_open\":4", "\"max_open\":" + mostOpen)));
+        return SettingsReader.read(JsonFields.parse(JSON.replace("\"max_open\":4", "\"max_open\":" + mostOpen)));
     }
 }
--- a/control/src/main/java/opalcove/control/cluster/ClusterState.java
+++ b/control/src/main/java/opalcove/control/cluster/ClusterState.java
@@ -77,7 +77,8 @@
             backends.put(backend.name(), backend);
             backendByAddress.put(backend.address(), backend.name());
         });
-        module.endpointsChanged(nowMs, true, trusted.stream().map(Backend::host).toList());
+        module.endpointsChanged(
+                nowMs, true, trusted.stream().map(Backend::endpoint).toList());
         updateWeights();
         updateSnapshots();
         updateDrains();
@@ -150,7 +151,7 @@
 
     private boolean updateSnapshots() {
         zones.clear();
-        backends.values().forEach(backend -> zones.add(backend.host().zone()));
+        backends.values().forEach(backend -> zones.add(backend.endpoint().zone()));
         snapshots.keySet().removeIf(zone -> !zone.equals(NO_ZONE) && !zones.contains(zone));
         boolean changed = false;
         for (Map.Entry<String, ConfigSnapshot> each : snapshots.entrySet()) {
@@ -185,8 +186,8 @@
     private Resource endpoints(ClusterDefinition cluster, String zone) {
         Map<String, List<ResourceFactory.WeightedEndpoint>> byZone = new TreeMap<>();
         for (Backend backend : backends.values()) {
-            if (cluster.includes(backend.host())) {
-                byZone.computeIfAbsent(backend.host().zone(), any -> new ArrayList<>())
+            if (cluster.includes(backend.endpoint())) {
+                byZone.computeIfAbsent(backend.endpoint().zone(), any -> new ArrayList<>())
                         .add(weights.weighted(backend));
             }
         }
--- a/control/src/main/java/opalcove/control/cluster/DrainTracker.java
+++ b/control/src/main/java/opalcove/control/cluster/DrainTracker.java
@@ -57,10 +57,10 @@
     void update(double nowMs, Map<String, Backend> backends, Map<String, Long> revisions) {
         drains.values()
                 .removeIf(drain -> backends.containsKey(drain.backend())
-                        ? backends.get(drain.backend()).host().state() == EndpointState.UP
+                        ? backends.get(drain.backend()).endpoint().state() == EndpointState.UP
                         : nowMs - drain.sinceMs() > RETENTION_MS);
         backends.values().stream()
-                .filter(backend -> backend.host().state() == EndpointState.DRAINING)
+                .filter(backend -> backend.endpoint().state() == EndpointState.DRAINING)
                 .forEach(backend -> drains.computeIfAbsent(
                         backend.name(), name -> new Drain(name, nowMs, Map.copyOf(revisions), boundedUses())));
     }
--- a/control/src/main/java/opalcove/control/cluster/EndpointListValidator.java
+++ b/control/src/main/java/opalcove/control/cluster/EndpointListValidator.java
@@ -42,7 +42,7 @@
             dropMissing(named, update.overridesShrinkLimit());
         }
         for (Backend backend : update.backends()) {
-            if (backend.host().state() == EndpointState.REMOVED) {
+            if (backend.endpoint().state() == EndpointState.REMOVED) {
                 backends.remove(backend.name());
             } else {
                 backends.put(backend.name(), backend);
--- a/control/src/main/java/opalcove/control/cluster/EndpointWeights.java
+++ b/control/src/main/java/opalcove/control/cluster/EndpointWeights.java
@@ -50,14 +50,14 @@
     /** The backend as proxies are to see it. One that takes nothing new is draining, with the least weight there is. */
     ResourceFactory.WeightedEndpoint weighted(Backend backend) {
         double share = shares.getOrDefault(backend.name(), 0.0);
-        boolean takesNewWork = share > 0 && backend.host().state() == EndpointState.UP;
+        boolean takesNewWork = share > 0 && backend.endpoint().state() == EndpointState.UP;
         int colon = backend.address().lastIndexOf(':');
         return new ResourceFactory.WeightedEndpoint(
                 backend.address().substring(0, colon),
                 Integer.parseInt(backend.address().substring(colon + 1)),
                 takesNewWork
-                        ? Math.max(
-                                1, (int) (FULL_WEIGHT * share * backend.host().size()))
+                        ? Math.max(1, (int)
+                                (FULL_WEIGHT * share * backend.endpoint().size()))
                         : 1,
                 !takesNewWork);
     }
--- a/control/src/main/java/opalcove/control/server/ControlConfig.java
+++ b/control/src/main/java/opalcove/control/server/ControlConfig.java
@@ -62,21 +62,21 @@
         ConfigValidator validator = new ConfigValidator(file);
         JsonFields fields = validator.fields(KEYS);
         String name = validator.valueOr(() -> fields.textOr("name", "control"), "");
-        HostAndPort listen = validator.valueOr(() -> HostAndPort.read(fields.text("listen"), "listen"), null);
+        HostAndPort listen = validator.valueOr(() -> HostAndPort.parse(fields.text("listen"), "listen"), null);
         HostAndPort status = validator.valueOr(() -> status(fields), null);
         Path endpointFile = validator.valueOr(() -> file.toAbsolutePath().resolveSibling(fields.text("nodes")), null);
         double maxShrink = validator.valueOr(() -> maxShrink(fields), 0.0);
         Set<String> admitted = validator.valueOr(() -> Set.copyOf(fields.texts("admit")), Set.of());
         List<ClusterDefinition> clusters = validator.valueOr(() -> clusters(fields), List.of());
         List<Listener> listeners = validator.valueOr(() -> listeners(fields, clusters), List.of());
-        DecisionSettings settings = validator.valueOr(() -> SettingsReader.checked(fields.object("settings")), null);
+        DecisionSettings settings = validator.valueOr(() -> SettingsReader.read(fields.object("settings")), null);
         validator.throwIfInvalid();
         return new ControlConfig(
                 name, listen, status, endpointFile, maxShrink, admitted, clusters, listeners, settings);
     }
 
     private static HostAndPort status(JsonFields fields) {
-        HostAndPort status = HostAndPort.read(fields.text("status"), "status");
+        HostAndPort status = HostAndPort.parse(fields.text("status"), "status");
         if (!status.address().startsWith("127.")) {
             throw new InvalidConfigurationException("field status must be a loopback address, not " + status.address());
         }
--- a/control/src/main/java/opalcove/control/server/EndpointFile.java
+++ b/control/src/main/java/opalcove/control/server/EndpointFile.java
@@ -88,7 +88,7 @@
         JsonFields fields = JsonFields.parse(text);
         List<Backend> backends = EndpointCodec.read(fields.objects("endpoints"));
         for (int i = 0; i < backends.size(); i++) {
-            HostAndPort.read(backends.get(i).address(), "endpoints[" + i + "].address");
+            HostAndPort.parse(backends.get(i).address(), "endpoints[" + i + "].address");
         }
         return new EndpointUpdate(true, fields.flag("override"), backends);
     }
--- a/control/src/test/java/opalcove/control/cluster/ClusterStateTest.java
+++ b/control/src/test/java/opalcove/control/cluster/ClusterStateTest.java
@@ -46,7 +46,7 @@
 
     static DecisionSettings settings() {
         try {
-            return SettingsReader.checked(JsonFields.parse(Files.readString(Path.of("example/config.json")))
+            return SettingsReader.read(JsonFields.parse(Files.readString(Path.of("example/config.json")))
                     .object("settings"));
         } catch (java.io.IOException e) {
             throw new IllegalStateException(e);
--- a/gateway/src/main/java/opalcove/cluster/MembershipConfig.java
+++ b/gateway/src/main/java/opalcove/cluster/MembershipConfig.java
@@ -27,13 +27,13 @@
      * @throws InvalidConfigurationException with the key of what is wrong
      */
     public static MembershipConfig read(JsonFields fields) {
-        HostAndPort listen = HostAndPort.read(fields.text("listen"), "membership.listen");
+        HostAndPort listen = HostAndPort.parse(fields.text("listen"), "membership.listen");
         String advertise = fields.textOr("advertise", "");
         if (!advertise.isEmpty()) {
-            HostAndPort.read(advertise, "membership.advertise");
+            HostAndPort.parse(advertise, "membership.advertise");
         }
         List<String> seeds = fields.texts("seeds");
-        seeds.forEach(seed -> HostAndPort.read(seed, "membership.seeds"));
+        seeds.forEach(seed -> HostAndPort.parse(seed, "membership.seeds"));
         int probePeriodMs = fields.wholeOr("probe_ms", DEFAULT_PROBE_PERIOD_MS);
         if (probePeriodMs < MIN_PROBE_PERIOD_MS || probePeriodMs > MAX_PROBE_PERIOD_MS) {
             throw new InvalidConfigurationException(
--- a/gateway/src/main/java/opalcove/cluster/MembershipService.java
+++ b/gateway/src/main/java/opalcove/cluster/MembershipService.java
@@ -213,7 +213,7 @@
         @Override
         public void send(String address, SwimMessage message) {
             try {
-                HostAndPort to = HostAndPort.read(address, "address");
+                HostAndPort to = HostAndPort.parse(address, "address");
                 sent++;
                 socket.send(Buffer.buffer(MembershipCodec.write(message)), to.port(), to.address())
                         .onFailure(e -> Logger.debug("membership: not sent to {}: {}", address, e.getMessage()));
--- a/gateway/src/main/java/opalcove/core/AttemptGuard.java
+++ b/gateway/src/main/java/opalcove/core/AttemptGuard.java
@@ -99,8 +99,8 @@
                         - Math.min(WINDOW_MARGIN_MS, requestClass.windowMs() / 4)) {
             return new Veto(Invariant.REPEAT, "its repeat window is over");
         }
-        Endpoint firstEndpoint = first.backend.host();
-        Endpoint nextEndpoint = target.host();
+        Endpoint firstEndpoint = first.backend.endpoint();
+        Endpoint nextEndpoint = target.endpoint();
         boolean shared =
                 switch (requestClass.deduplicationScope()) {
                     case ALL -> true;
--- a/gateway/src/main/java/opalcove/core/EndpointList.java
+++ b/gateway/src/main/java/opalcove/core/EndpointList.java
@@ -21,7 +21,7 @@
             backends.clear();
         }
         for (Backend entry : entries) {
-            if (entry.host().state() == EndpointState.REMOVED) {
+            if (entry.endpoint().state() == EndpointState.REMOVED) {
                 backends.remove(entry.name());
             } else {
                 backends.put(entry.name(), entry);
@@ -30,7 +30,7 @@
         List<Backend> withdrawn = new ArrayList<>();
         before.forEach((name, backend) -> {
             Backend current = available(name);
-            if (backend.host().state() == EndpointState.UP
+            if (backend.endpoint().state() == EndpointState.UP
                     && (current == null || !current.address().equals(backend.address()))) {
                 withdrawn.add(backend);
             }
@@ -41,7 +41,7 @@
     /** The backend where the list says that it takes new requests, else null. */
     Backend available(String name) {
         Backend backend = backends.get(name);
-        return backend != null && backend.host().state() == EndpointState.UP ? backend : null;
+        return backend != null && backend.endpoint().state() == EndpointState.UP ? backend : null;
     }
 
     /** All backends that the list names. */
--- a/gateway/src/main/java/opalcove/core/SlowStartTimes.java
+++ b/gateway/src/main/java/opalcove/core/SlowStartTimes.java
@@ -74,7 +74,7 @@
     List<Endpoint> localEndpoints(List<Backend> backends) {
         return backends.stream()
                 .map(backend ->
-                        backend.host().started(starts.get(backend.name()).localMs()))
+                        backend.endpoint().started(starts.get(backend.name()).localMs()))
                 .toList();
     }
 
@@ -87,14 +87,14 @@
             return nowMs;
         }
         double youngest = entries.stream()
-                .mapToDouble(entry -> entry.host().startedMs())
+                .mapToDouble(entry -> entry.endpoint().startedMs())
                 .max()
                 .orElse(LONG_AGO);
         return Math.max(nowMs, youngest);
     }
 
     private Start start(Backend entry, double nowMs, double referenceMs) {
-        double reportedMs = entry.host().startedMs();
+        double reportedMs = entry.endpoint().startedMs();
         Start before = starts.get(entry.name());
         if (before != null && before.reportedMs() == reportedMs) {
             return before;
--- a/gateway/src/main/java/opalcove/resp/BackendReplyDecoder.java
+++ b/gateway/src/main/java/opalcove/resp/BackendReplyDecoder.java
@@ -115,7 +115,7 @@
         } else {
             if (!reply.regionEquals(part, from, to, gaugeName)) {
                 gaugeName = reply.text(part, from, to);
-                gaugeColumn = gauges.indexOf(SettingsReader.gauge(gaugeName));
+                gaugeColumn = gauges.indexOf(SettingsReader.loadMetric(gaugeName));
             }
             if (gaugeColumn >= 0) {
                 load = load == null ? new double[gauges.size()] : load;
--- a/gateway/src/main/java/opalcove/resp/RespConnector.java
+++ b/gateway/src/main/java/opalcove/resp/RespConnector.java
@@ -21,7 +21,7 @@
     /** Opens connections to backends with the time limits of the settings. */
     public RespConnector(Vertx vertx, DecisionSettings settings) {
         this(vertx, settings, address -> {
-            HostAndPort backend = HostAndPort.read(address, "address");
+            HostAndPort backend = HostAndPort.parse(address, "address");
             return SocketAddress.inetSocketAddress(backend.port(), backend.address());
         });
     }
--- a/gateway/src/main/java/opalcove/server/GatewayConfig.java
+++ b/gateway/src/main/java/opalcove/server/GatewayConfig.java
@@ -66,7 +66,7 @@
                 check.valueOr(() -> sockets(fields), SOCKETS),
                 check.valueOr(() -> known(fields), List.of()),
                 check.valueOr(() -> knownIndex(fields), DiscoveryClient.NO_INDEX),
-                check.valueOr(() -> SettingsReader.checked(fields.object("settings")), null),
+                check.valueOr(() -> SettingsReader.read(fields.object("settings")), null),
                 check.valueOr(() -> rehearsalMs(fields), 0),
                 check.valueOr(() -> membership(fields), null),
                 check.valueOr(() -> fields.has("agreement") ? fields.object("agreement") : null, null));
@@ -75,16 +75,16 @@
     }
 
     private static HostAndPort listen(JsonFields fields, Map<String, String> environment) {
-        return HostAndPort.read(environment.getOrDefault("GW_LISTEN", fields.textOr("listen", "")), "listen");
+        return HostAndPort.parse(environment.getOrDefault("GW_LISTEN", fields.textOr("listen", "")), "listen");
     }
 
     private static HostAndPort console(JsonFields fields, Map<String, String> environment) {
         String address = environment.getOrDefault("GW_CONSOLE", fields.textOr("console", ""));
-        return address.isEmpty() ? null : HostAndPort.read(address, "console");
+        return address.isEmpty() ? null : HostAndPort.parse(address, "console");
     }
 
     private static HostAndPort discovery(JsonFields fields, Map<String, String> environment) {
-        HostAndPort discovery = HostAndPort.read(
+        HostAndPort discovery = HostAndPort.parse(
                 fields.has("discovery") ? fields.text("discovery") : environment.getOrDefault("GW_DISCOVERY", ""),
                 "discovery");
         if (discovery.port() == 0) {
--- a/gateway/src/main/java/opalcove/server/GatewayServer.java
+++ b/gateway/src/main/java/opalcove/server/GatewayServer.java
@@ -236,8 +236,8 @@
                 return backends;
             }
             return backends.stream()
-                    .map(backend ->
-                            new Backend(backend.host().startedSince(acting.startedNotBeforeMs()), backend.address()))
+                    .map(backend -> new Backend(
+                            backend.endpoint().startedSince(acting.startedNotBeforeMs()), backend.address()))
                     .toList();
         }
 
--- a/gateway/src/main/java/opalcove/simulator/SimulatorAdapter.java
+++ b/gateway/src/main/java/opalcove/simulator/SimulatorAdapter.java
@@ -164,7 +164,7 @@
             modules.put(
                     gateway,
                     new AdmissionController(
-                            now, SettingsReader.checked(m.object("facts")), m.serial("rng_seed"), new Wire(gateway)));
+                            now, SettingsReader.read(m.object("facts")), m.serial("rng_seed"), new Wire(gateway)));
         } catch (IllegalArgumentException e) {
             throw new InvalidConfigurationException("settings of gateway " + gateway + ": " + e.getMessage());
         }
--- a/gateway/src/test/java/opalcove/config/OutsideTextsTest.java
+++ b/gateway/src/test/java/opalcove/config/OutsideTextsTest.java
@@ -36,7 +36,7 @@
 
     private static DecisionSettings.RequestClass firstClass(String before, String after) {
         assertTrue(TestSettings.JSON.contains(before), before);
-        return SettingsReader.checked(JsonFields.parse(TestSettings.JSON.replaceFirst(before, after)))
+        return SettingsReader.read(JsonFields.parse(TestSettings.JSON.replaceFirst(before, after)))
                 .classes()
                 .get(0);
     }
@@ -104,7 +104,7 @@
                 List.of(LoadReportSource.NONE, LoadReportSource.IN_ANSWERS, LoadReportSource.ON_PROBES, false, true));
         assertEquals(
                 List.of("busy_reqs", "pending", "cpu_share", "svc_ms", "served_ps", "failed_ps", "other").stream()
-                        .map(SettingsReader::gauge)
+                        .map(SettingsReader::loadMetric)
                         .toList(),
                 List.of(
                         LoadMetric.IN_HAND,
@@ -118,7 +118,7 @@
 
     private static DecisionSettings settings(String before, String after) {
         assertTrue(TestSettings.JSON.contains(before), before);
-        return SettingsReader.checked(JsonFields.parse(TestSettings.JSON.replace(before, after)));
+        return SettingsReader.read(JsonFields.parse(TestSettings.JSON.replace(before, after)));
     }
 
     @Test
@@ -163,7 +163,7 @@
                 "malformed JSON");
         for (String address : List.of("a", ":1", "a:x", "a:65536", "a/b:1")) {
             assertEquals(
-                    expectThrows(InvalidConfigurationException.class, () -> HostAndPort.read(address, "listen"))
+                    expectThrows(InvalidConfigurationException.class, () -> HostAndPort.parse(address, "listen"))
                             .getMessage(),
                     "field listen must be an address and a port, not " + address);
         }
--- a/gateway/src/test/java/opalcove/config/SettingsReaderTest.java
+++ b/gateway/src/test/java/opalcove/config/SettingsReaderTest.java
@@ -152,7 +152,7 @@
 
     @Test
     public void furtherKeysAndUnknownColumnsArePassedOver() {
-        DecisionSettings settings = SettingsReader.checked(JsonFields.parse(TestSettings.JSON
+        DecisionSettings settings = SettingsReader.read(JsonFields.parse(TestSettings.JSON
                 .replace("{\"me\":0", "{\"sunshine\":[1],\"me\":0")
                 .replace("svc_ms", "moon_phase")));
         assertEquals(settings.loadMetrics(), List.of(LoadMetric.UNKNOWN));
@@ -216,7 +216,7 @@
             }
             try {
                 new AdmissionController(
-                        0, SettingsReader.checked(JsonFields.parse(settings.toString())), seed, new NoActions());
+                        0, SettingsReader.read(JsonFields.parse(settings.toString())), seed, new NoActions());
                 taken++;
             } catch (InvalidConfigurationException e) {
                 assertFalse(e.problems().isEmpty());
@@ -316,9 +316,9 @@
     }
 
     private static List<InvalidConfigurationException.Problem> problems(String settings) {
-        return new ArrayList<>(expectThrows(
-                        InvalidConfigurationException.class, () -> SettingsReader.checked(JsonFields.parse(settings)))
-                .problems());
+        return new ArrayList<>(
+                expectThrows(InvalidConfigurationException.class, () -> SettingsReader.read(JsonFields.parse(settings)))
+                        .problems());
     }
 
     /** A gateway that the module is never asked to act for. */
--- a/gateway/src/test/java/opalcove/core/ConfigGenerationTest.java
+++ b/gateway/src/test/java/opalcove/core/ConfigGenerationTest.java
@@ -135,7 +135,7 @@
     }
 
     private static DecisionSettings settings(String json) {
-        return SettingsReader.checked(JsonFields.parse(json));
+        return SettingsReader.read(JsonFields.parse(json));
     }
 
     private static Request request(String id, String requestClass) {
--- a/gateway/src/test/java/opalcove/core/HealthCheckTest.java
+++ b/gateway/src/test/java/opalcove/core/HealthCheckTest.java
@@ -118,7 +118,7 @@
     }
 
     private static DecisionSettings settings() {
-        return SettingsReader.checked(JsonFields.parse(
+        return SettingsReader.read(JsonFields.parse(
                 TestSettings.JSON.replace("\"max_attempts\":6", "\"max_attempts\":6,\"may_probe\":true")));
     }
 
--- a/gateway/src/test/java/opalcove/core/HedgedRequestTest.java
+++ b/gateway/src/test/java/opalcove/core/HedgedRequestTest.java
@@ -125,7 +125,7 @@
     }
 
     private static DecisionSettings settings(boolean copies) {
-        return SettingsReader.checked(JsonFields.parse(TestSettings.JSON
+        return SettingsReader.read(JsonFields.parse(TestSettings.JSON
                 .replace("\"max_attempts\":6", "\"max_attempts\":6,\"second_copies\":" + copies)
                 .replace("\"aim_ms\":2000", "\"aim_ms\":400")));
     }
--- a/gateway/src/test/java/opalcove/discovery/DiscoveryBoundsTest.java
+++ b/gateway/src/test/java/opalcove/discovery/DiscoveryBoundsTest.java
@@ -67,7 +67,7 @@
             assertTrue(json.contains(changes[i]), changes[i]);
             json = json.replace(changes[i], changes[i + 1]);
         }
-        return SettingsReader.checked(JsonFields.parse(json));
+        return SettingsReader.read(JsonFields.parse(json));
     }
 
     /** The longest times that a call of this pace takes until it has failed, ms: at once, in line, connecting, silent. */
@@ -236,7 +236,7 @@
                 .actualPort();
         CompletableFuture<Backend> drained = new CompletableFuture<>();
         follow(port, (whole, lines, discoveryNow) -> lines.stream()
-                .filter(line -> line.host().state() == EndpointState.DRAINING)
+                .filter(line -> line.endpoint().state() == EndpointState.DRAINING)
                 .forEach(drained::complete));
         assertEquals(drained.get(20, TimeUnit.SECONDS).name(), "s-1", kind);
     }
--- a/gateway/src/test/java/opalcove/discovery/DiscoveryClientTest.java
+++ b/gateway/src/test/java/opalcove/discovery/DiscoveryClientTest.java
@@ -66,7 +66,7 @@
     }
 
     private static DecisionSettings settings(String discovery) {
-        return SettingsReader.checked(JsonFields.parse(TestSettings.JSON
+        return SettingsReader.read(JsonFields.parse(TestSettings.JSON
                 .replace("\"balancers\":1", "\"balancers\":14")
                 .replace("\"pushed\"", '"' + discovery + '"')));
     }
@@ -220,7 +220,7 @@
                 new DiscoveryClient.Listener() {
                     @Override
                     public void told(boolean whole, List<Backend> lines, double discoveryNow) {
-                        lines.forEach(line -> told.add(line.host().state().name()));
+                        lines.forEach(line -> told.add(line.endpoint().state().name()));
                     }
 
                     @Override
@@ -262,7 +262,7 @@
                 port,
                 new DiscoveryClient.PollSchedule(20, 500, 0, new Backoff(1, 2, new SplittableRandom(1))),
                 (whole, lines, discoveryNow) -> lines.stream()
-                        .filter(line -> line.host().state() == EndpointState.DRAINING)
+                        .filter(line -> line.endpoint().state() == EndpointState.DRAINING)
                         .forEach(drained::complete));
         assertEquals(drained.get(20, TimeUnit.SECONDS).name(), "s-1");
         assertEquals(List.copyOf(watches).subList(0, 3), Collections.nCopies(3, "/v1/endpoints?since=4&timeout_ms=20"));
@@ -302,7 +302,7 @@
                 old,
                 new DiscoveryClient.PollSchedule(10_000, 20_000, 0, new Backoff(1, 2, new SplittableRandom(1))),
                 (whole, lines, discoveryNow) -> lines.forEach(
-                        line -> told.add(line.name() + " " + line.host().state())));
+                        line -> told.add(line.name() + " " + line.endpoint().state())));
         watched.get(20, TimeUnit.SECONDS);
         vertx.runOnContext(move -> watch.moveTo(new HostAndPort("127.0.0.1", elsewhere)));
         assertEquals(second.get(20, TimeUnit.SECONDS), "/v1/endpoints?since=3&timeout_ms=10000");
@@ -418,8 +418,8 @@
                     vertx,
                     new HostAndPort("127.0.0.1", port),
                     new DiscoveryClient.PollSchedule(10_000, 20_000, 0, new Backoff(1, 2, new SplittableRandom(1))),
-                    (whole, lines, discoveryNow) ->
-                            lines.forEach(line -> told.add(line.host().state().name())));
+                    (whole, lines, discoveryNow) -> lines.forEach(
+                            line -> told.add(line.endpoint().state().name())));
             watch.firstWord(fresh).onSuccess(word -> knownAtTheWord.complete(List.copyOf(told)));
             watch.start();
         });
--- a/gateway/src/test/java/opalcove/resp/EndCrossingsTest.java
+++ b/gateway/src/test/java/opalcove/resp/EndCrossingsTest.java
@@ -103,7 +103,7 @@
             RespTestBed.say(client, RespTestBed.query(1, WAIT_MS));
             RespTestBed.BackendPeer line = backend.accept();
             line.command();
-            stage.onLoop(() -> stage.gateway.applySettings(SettingsReader.checked(
+            stage.onLoop(() -> stage.gateway.applySettings(SettingsReader.read(
                     JsonFields.parse(TestSettings.JSON.replaceAll("\"deadline_ms\":\\d+", "\"deadline_ms\":300")))));
             assertEquals((long) stage.onLoop(() -> stage.gateway.maxDeadlineMs()), 7500);
             CompletableFuture<Void> none = new CompletableFuture<>();
--- a/gateway/src/test/java/opalcove/resp/RespTestBed.java
+++ b/gateway/src/test/java/opalcove/resp/RespTestBed.java
@@ -67,7 +67,7 @@
             assertTrue(json.contains(changes[i]), changes[i]);
             json = json.replace(changes[i], changes[i + 1]);
         }
-        DecisionSettings settings = SettingsReader.checked(JsonFields.parse(json));
+        DecisionSettings settings = SettingsReader.read(JsonFields.parse(json));
         CompletableFuture<Integer> listening = new CompletableFuture<>();
         CompletableFuture<Object[]> parts = new CompletableFuture<>();
         vertx.runOnContext(start -> {
--- a/laboratory/src/main/java/opalcove/laboratory/Laboratory.java
+++ b/laboratory/src/main/java/opalcove/laboratory/Laboratory.java
@@ -12,7 +12,7 @@
 
     /** Settings under which no quota and no limit is met by any load. */
     public static DecisionSettings settings() {
-        return SettingsReader.checked(JsonFields.parse(settingsText()));
+        return SettingsReader.read(JsonFields.parse(settingsText()));
     }
 
     static String settingsText() {
--- a/laboratory/src/main/java/opalcove/laboratory/TestCluster.java
+++ b/laboratory/src/main/java/opalcove/laboratory/TestCluster.java
@@ -157,9 +157,9 @@
     /** Asks the voters as an operator's command does, past all faults between members; this one first. */
     public ReplicationClient operator(String first) throws IOException {
         List<HostAndPort> doors = new ArrayList<>();
-        doors.add(HostAndPort.read(versionProxy.door(first), "door"));
+        doors.add(HostAndPort.parse(versionProxy.door(first), "door"));
         for (String each : voters) {
-            doors.add(HostAndPort.read(versionProxy.door(each), "door"));
+            doors.add(HostAndPort.parse(versionProxy.door(each), "door"));
         }
         return new ReplicationClient(doors, OPERATOR_MS);
     }
--- a/mqtt/src/main/java/opalcove/mqtt/MqttConfig.java
+++ b/mqtt/src/main/java/opalcove/mqtt/MqttConfig.java
@@ -30,12 +30,12 @@
         ConfigValidator check = new ConfigValidator(file);
         JsonFields fields = check.fields(KEYS);
         String name = check.valueOr(() -> fields.textOr("name", "opalcove"), "");
-        HostAndPort listen = check.valueOr(() -> HostAndPort.read(fields.text("listen"), "listen"), null);
+        HostAndPort listen = check.valueOr(() -> HostAndPort.parse(fields.text("listen"), "listen"), null);
         HostAndPort control = check.valueOr(() -> control(fields), null);
         int clients = check.valueOr(() -> between(fields, "max_terminals", 200), 0);
         int links = check.valueOr(() -> between(fields, "max_node_links", 200), 0);
         List<Backend> backends = check.valueOr(() -> backends(fields), List.of());
-        DecisionSettings settings = check.valueOr(() -> SettingsReader.checked(fields.object("settings")), null);
+        DecisionSettings settings = check.valueOr(() -> SettingsReader.read(fields.object("settings")), null);
         check.throwIfInvalid();
         return new MqttConfig(name, listen, control, clients, links, backends, settings);
     }
@@ -45,7 +45,7 @@
         if (!fields.has("control")) {
             return null;
         }
-        HostAndPort control = HostAndPort.read(fields.text("control"), "control");
+        HostAndPort control = HostAndPort.parse(fields.text("control"), "control");
         if (!control.address().startsWith("127.")) {
             throw new InvalidConfigurationException(
                     "field control must be a loopback address, not " + control.address());
@@ -71,7 +71,7 @@
                 throw new InvalidConfigurationException("field " + key + ".name is there twice: " + backend.name());
             }
             String address = backend.address();
-            HostAndPort.read(
+            HostAndPort.parse(
                     address.startsWith(MqttConnector.SCHEME)
                             ? address.substring(MqttConnector.SCHEME.length())
                             : address,
--- a/mqtt/src/main/java/opalcove/mqtt/MqttConnector.java
+++ b/mqtt/src/main/java/opalcove/mqtt/MqttConnector.java
@@ -66,7 +66,7 @@
 
     @Override
     public Future<BackendConnection> connect(String address) {
-        HostAndPort backend = HostAndPort.read(address.substring(SCHEME.length()), "address");
+        HostAndPort backend = HostAndPort.parse(address.substring(SCHEME.length()), "address");
         Promise<BackendConnection> ready = Promise.promise();
         client.connect(backend.port(), backend.address())
                 .onSuccess(socket -> {
--- a/mqtt/src/main/java/opalcove/mqtt/ResponseMessage.java
+++ b/mqtt/src/main/java/opalcove/mqtt/ResponseMessage.java
@@ -49,7 +49,7 @@
         int used = -1;
         double cost = 0;
         for (Map.Entry<String, String> each : told.entrySet()) {
-            int column = gauges.indexOf(SettingsReader.gauge(each.getKey()));
+            int column = gauges.indexOf(SettingsReader.loadMetric(each.getKey()));
             try {
                 if (each.getKey().equals("used")) {
                     used = Integer.parseInt(each.getValue());
--- a/plan/src/main/java/opalcove/plan/EndpointPlan.java
+++ b/plan/src/main/java/opalcove/plan/EndpointPlan.java
@@ -30,7 +30,7 @@
             }
         }
         for (Backend backend : left.values()) {
-            Endpoint h = backend.host();
+            Endpoint h = backend.endpoint();
             changes.add(new Backend(
                     new Endpoint(h.id(), h.zone(), h.kind(), h.cell(), EndpointState.REMOVED, h.size(), h.startedMs()),
                     backend.address()));
@@ -46,15 +46,15 @@
                     .filter(n -> n.name().equals(change.name()))
                     .findFirst()
                     .orElse(null);
-            boolean gone = change.host().state() == EndpointState.REMOVED;
+            boolean gone = change.endpoint().state() == EndpointState.REMOVED;
             text.append(before == null ? "+ " : gone ? "- " : "~ ").append(change.name());
             if (before == null) {
                 text.append(" at ")
                         .append(change.address())
                         .append(", ")
-                        .append(stateLabel(change.host().state()));
+                        .append(stateLabel(change.endpoint().state()));
             } else if (gone) {
-                text.append(before.host().state() == EndpointState.UP ? ", which has not been drained" : "");
+                text.append(before.endpoint().state() == EndpointState.UP ? ", which has not been drained" : "");
             } else {
                 text.append(differences(before, change));
             }
@@ -95,7 +95,7 @@
             throw new InvalidConfigurationException("field snapshot must be false: a plan holds changes");
         }
         List<Backend> changes = EndpointCodec.read(fields.objects("endpoints"));
-        return new EndpointPlan(HostAndPort.read(fields.text("control"), "control"), fields.serial("index"), changes);
+        return new EndpointPlan(HostAndPort.parse(fields.text("control"), "control"), fields.serial("index"), changes);
     }
 
     String write() {
--- a/replication/src/main/java/opalcove/replication/ConfigDocument.java
+++ b/replication/src/main/java/opalcove/replication/ConfigDocument.java
@@ -43,7 +43,7 @@
                 throw new InvalidConfigurationException("field nodes names " + each.name() + " twice");
             }
         }
-        return new ConfigDocument(SettingsReader.checked(fields.object("settings")), backends);
+        return new ConfigDocument(SettingsReader.read(fields.object("settings")), backends);
     }
 
     /** The same for one gateway: its index and its zone are those of its own settings. */
@@ -93,7 +93,7 @@
         Set<String> drained = previous.backends == null
                 ? Set.of()
                 : previous.backends.stream()
-                        .filter(backend -> backend.host().state() != EndpointState.UP)
+                        .filter(backend -> backend.endpoint().state() != EndpointState.UP)
                         .map(Backend::name)
                         .collect(Collectors.toSet());
         return new ConfigDocument(
--- a/replication/src/main/java/opalcove/replication/ReplicatedConfigService.java
+++ b/replication/src/main/java/opalcove/replication/ReplicatedConfigService.java
@@ -291,7 +291,7 @@
                         "agreement: {} of {} bytes not sent: too large for a datagram", message.kind(), bytes.length);
                 return;
             }
-            HostAndPort to = HostAndPort.read(address, "address");
+            HostAndPort to = HostAndPort.parse(address, "address");
             socket.send(Buffer.buffer(bytes), to.port(), to.address())
                     .onFailure(e -> Logger.debug("agreement: not sent to {}: {}", to, e.getMessage()));
         }
--- a/replication/src/main/java/opalcove/replication/ReplicationConfig.java
+++ b/replication/src/main/java/opalcove/replication/ReplicationConfig.java
@@ -60,10 +60,10 @@
         String snapshotFile = fields.textOr("snapshot_file", "");
         String advertise = fields.textOr("advertise", "");
         if (!advertise.isEmpty()) {
-            HostAndPort.read(advertise, "agreement.advertise");
+            HostAndPort.parse(advertise, "agreement.advertise");
         }
         return new ReplicationConfig(
-                HostAndPort.read(fields.text("listen"), "agreement.listen"),
+                HostAndPort.parse(fields.text("listen"), "agreement.listen"),
                 advertise,
                 voters,
                 leaseMs,
@@ -75,7 +75,7 @@
     private static Map<String, String> voters(JsonFields fields) {
         Map<String, String> voters = new LinkedHashMap<>();
         for (JsonFields each : fields.objects("voters")) {
-            HostAndPort.read(each.text("address"), each.path() + ".address");
+            HostAndPort.parse(each.text("address"), each.path() + ".address");
             if (voters.put(each.text("name"), each.text("address")) != null) {
                 throw new InvalidConfigurationException("field " + each.path() + ".name names a voter twice");
             }
--- a/replication/src/test/java/opalcove/replication/AgreementOutputTest.java
+++ b/replication/src/test/java/opalcove/replication/AgreementOutputTest.java
@@ -71,7 +71,7 @@
             ReplicatedConfig state = state(vertx, port, folder, events);
             state.start(acting -> {}, List::of).await(1, TimeUnit.MINUTES);
             ReplicationClient client =
-                    new ReplicationClient(List.of(HostAndPort.read("127.0.0.1:" + port, "address")), 60_000);
+                    new ReplicationClient(List.of(HostAndPort.parse("127.0.0.1:" + port, "address")), 60_000);
             VersionLog.Outcome outcome = client.propose(0, "ops", "{\"settings\":" + TestSettings.JSON + "}");
             assertEquals(outcome, new VersionLog.Outcome(true, 1, ""));
             String acting = "{\"event\":\"acting\",\"version\":1,\"mode\":\"FULL\",\"nodes\":-1,\"ended_ms\":0,"
