--- a/gateway/src/test/java/opalcove/backend/ConnectionPoolCapacityTest.java
+++ b/gateway/src/test/java/opalcove/backend/ConnectionPoolCapacityTest.java
@@ -20,35 +20,37 @@
 import opalcove.lifecycle.Application;
 import org.testng.annotations.Test;
 
-/** A pool of links that may open no more: lines at rest to one node give way to another node. */
+/** A pool that may open no more connections: idle ones to one backend give way to another backend. */
 public class ConnectionPoolCapacityTest {
-    private static final int MOST = 8;
+    private static final int MAX_CONNECTIONS = 8;
 
     private final Vertx vertx = Application.createEventLoop();
-    private final List<FakeLine> lines = new ArrayList<>();
+    private final List<FakeConnection> connections = new ArrayList<>();
 
     @Test
     public void linesAtRestGiveWayToANewNode() throws Exception {
         try {
-            ConnectionPool pool = onLoop(() -> new ConnectionPool(vertx, TestSettings.settings(), this::dial, MOST));
+            ConnectionPool pool =
+                    onLoop(() -> new ConnectionPool(vertx, TestSettings.settings(), this::connect, MAX_CONNECTIONS));
             onLoop(() -> {
-                for (int i = 0; i < MOST; i++) {
+                for (int i = 0; i < MAX_CONNECTIONS; i++) {
                     attempt(pool, "first", new ArrayList<>());
                 }
-                lines.forEach(line -> line.user.onReply(AttemptResult.withoutReport(AttemptStatus.REJECTED)));
+                connections.forEach(
+                        connection -> connection.user.onReply(AttemptResult.withoutReport(AttemptStatus.REJECTED)));
                 return null;
             });
             long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(20);
-            while (onLoop(pool::idleConnections) < MOST - 1 && System.nanoTime() < end) {
+            while (onLoop(pool::idleConnections) < MAX_CONNECTIONS - 1 && System.nanoTime() < end) {
                 Thread.sleep(1);
             }
             // One of those that came to rest was closed, so that there is room.
-            assertEquals(onLoop(pool::openConnections), Integer.valueOf(MOST - 1));
-            for (int i = 0; i < MOST; i++) {
+            assertEquals(onLoop(pool::openConnections), Integer.valueOf(MAX_CONNECTIONS - 1));
+            for (int i = 0; i < MAX_CONNECTIONS; i++) {
                 descriptorsFreed();
                 List<AttemptResult> ends = new ArrayList<>();
                 String backend = "new-" + i;
-                assertTrue(onLoop(() -> attempt(pool, backend, ends)), "dialled: " + backend);
+                assertTrue(onLoop(() -> attempt(pool, backend, ends)), "connected: " + backend);
                 assertEquals(ends, List.of());
             }
         } finally {
@@ -56,26 +58,26 @@
         }
     }
 
-    /** Makes an attempt, tells whether a line was dialled for it. */
+    /** Makes an attempt, and says whether a connection was opened for it. */
     private boolean attempt(ConnectionPool pool, String name, List<AttemptResult> ends) {
-        int before = lines.size();
+        int before = connections.size();
         Backend backend = new Backend(new Endpoint(name, "room-a", "app", 0, EndpointState.UP, 1, 0), name);
         Request request = new Request("id", "operator", "slot-status", "start", 1, 4000, null, false, 1, 0, null);
         pool.startAttempt(backend, request, 4000, ends::add);
-        return lines.size() > before;
+        return connections.size() > before;
     }
 
-    /** A timer that is set now and due later than that of the closed line's descriptor. */
+    /** A timer that is set now and due later than that of the closed connection's descriptor. */
     private void descriptorsFreed() throws Exception {
         CompletableFuture<Void> freed = new CompletableFuture<>();
         vertx.runOnContext(closed -> vertx.setTimer(5, due -> freed.complete(null)));
         freed.get(20, TimeUnit.SECONDS);
     }
 
-    private Future<BackendConnection> dial(String address) {
-        FakeLine line = new FakeLine();
-        lines.add(line);
-        return Future.succeededFuture(line);
+    private Future<BackendConnection> connect(String address) {
+        FakeConnection connection = new FakeConnection();
+        connections.add(connection);
+        return Future.succeededFuture(connection);
     }
 
     private <T> T onLoop(Supplier<T> work) throws Exception {
@@ -90,8 +92,8 @@
         return done.get(20, TimeUnit.SECONDS);
     }
 
-    /** A line that takes everything and answers what the test says. */
-    private static final class FakeLine implements BackendConnection {
+    /** A connection that takes everything and answers what the test says. */
+    private static final class FakeConnection implements BackendConnection {
         private Listener user;
 
         @Override
--- a/gateway/src/test/java/opalcove/backend/LocalConnectFailureTest.java
+++ b/gateway/src/test/java/opalcove/backend/LocalConnectFailureTest.java
@@ -25,18 +25,18 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** A connection that this machine has no room for is tried again, and is no fault of the node's. */
+/** A connection that this machine has no capacity for is tried again, and is no fault of the backend's. */
 public class LocalConnectFailureTest {
     private static final int PATIENCE_S = 20;
-    private static final Backend NODE =
+    private static final Backend BACKEND =
             new Backend(new Endpoint("n1", "room-a", "app", 0, EndpointState.UP, 1, 0), "n1");
-    private static final Request ASK =
+    private static final Request REQUEST =
             new Request("id", "operator", "slot-status", "start", 1, 4000, null, false, 1, 0, null);
 
     private final Deque<Throwable> failures = new ArrayDeque<>();
     private final BlockingQueue<String> sent = new LinkedBlockingQueue<>();
     private final BlockingQueue<AttemptStatus> ends = new LinkedBlockingQueue<>();
-    private final List<Throwable> told = new ArrayList<>();
+    private final List<Throwable> reported = new ArrayList<>();
     private Vertx vertx;
 
     @BeforeMethod
@@ -45,7 +45,7 @@
         failures.clear();
         sent.clear();
         ends.clear();
-        told.clear();
+        reported.clear();
     }
 
     @AfterMethod
@@ -53,17 +53,17 @@
         vertx.close();
     }
 
-    private void attempt(int most) {
+    private void attempt(int maxConnections) {
         vertx.runOnContext(run -> {
-            ConnectionPool pool = new ConnectionPool(vertx, TestSettings.settings(), this::dial, most);
-            pool.onLocalConnectFailure(told::add);
-            pool.startAttempt(NODE, ASK, 4000, end -> ends.add(end.status()));
+            ConnectionPool pool = new ConnectionPool(vertx, TestSettings.settings(), this::connect, maxConnections);
+            pool.onLocalConnectFailure(reported::add);
+            pool.startAttempt(BACKEND, REQUEST, 4000, end -> ends.add(end.status()));
         });
     }
 
-    private Future<BackendConnection> dial(String address) {
+    private Future<BackendConnection> connect(String address) {
         Throwable failure = failures.poll();
-        return failure == null ? Future.succeededFuture(new SilentLine()) : Future.failedFuture(failure);
+        return failure == null ? Future.succeededFuture(new SilentConnection()) : Future.failedFuture(failure);
     }
 
     @Test
@@ -73,8 +73,8 @@
         failures.add(new ConnectException("No buffer space available: /127.0.0.1:1"));
         attempt(8);
         assertEquals(sent.poll(PATIENCE_S, TimeUnit.SECONDS), "id");
-        assertTrue(ends.isEmpty(), "nothing is told of the node");
-        assertEquals(told.size(), 3);
+        assertTrue(ends.isEmpty(), "nothing is reported of the backend");
+        assertEquals(reported.size(), 3);
     }
 
     @Test
@@ -100,8 +100,8 @@
         assertEquals(ends.poll(PATIENCE_S, TimeUnit.SECONDS), AttemptStatus.UNREACHABLE);
     }
 
-    /** A line that takes everything and answers nothing. */
-    private final class SilentLine implements BackendConnection {
+    /** A connection that takes everything and answers nothing. */
+    private final class SilentConnection implements BackendConnection {
         @Override
         public void setListener(Listener attached) {
             // Nothing comes of it.
--- a/gateway/src/test/java/opalcove/config/OutsideTextsTest.java
+++ b/gateway/src/test/java/opalcove/config/OutsideTextsTest.java
@@ -125,7 +125,7 @@
     public void fieldsOfTheWrongFormAreToldSo() {
         JsonFields fields =
                 JsonFields.parse("{\"row\":[1,\"2\"],\"texts\":[1],\"text\":\"x\",\"half\":0.5,\"in\":{\"a\":1}}");
-        List<String> told = new ArrayList<>();
+        List<String> reported = new ArrayList<>();
         List<Runnable> reads = List.of(
                 () -> fields.row("row"),
                 () -> fields.texts("texts"),
@@ -139,11 +139,11 @@
                 () -> fields.object("in").text("a"),
                 () -> JsonFields.parse("[]"));
         for (Runnable read : reads) {
-            told.add(
+            reported.add(
                     expectThrows(InvalidConfigurationException.class, read::run).getMessage());
         }
         assertEquals(
-                told,
+                reported,
                 List.of(
                         "field row must hold numbers",
                         "field texts must hold texts",
@@ -214,57 +214,59 @@
         values.put("word", "x");
         values.put("half", "0.5");
         values.put("ten", "1234567890");
-        RequestParameters marks = new RequestParameters(values);
-        assertEquals(unfit(() -> marks.required("plan")), "plan is missing");
-        assertEquals(unfit(() -> marks.required("empty")), "empty is missing");
-        assertEquals(unfit(() -> marks.number("word")), "word is not a number in range");
-        assertEquals(unfit(() -> marks.number("ten")), "ten is not a number in range");
-        assertEquals(unfit(() -> marks.integer("half")), "half is not a whole number");
+        RequestParameters parameters = new RequestParameters(values);
+        assertEquals(rejection(() -> parameters.required("plan")), "plan is missing");
+        assertEquals(rejection(() -> parameters.required("empty")), "empty is missing");
+        assertEquals(rejection(() -> parameters.number("word")), "word is not a number in range");
+        assertEquals(rejection(() -> parameters.number("ten")), "ten is not a number in range");
+        assertEquals(rejection(() -> parameters.integer("half")), "half is not a whole number");
         for (String id : List.of("", "00000000000000a", "00000000000000ag", "00000000000000a12")) {
-            assertEquals(unfit(() -> RequestParameters.hexId(id, "the id")), "the id must be 16 hex digits");
+            assertEquals(rejection(() -> RequestParameters.hexId(id, "the id")), "the id must be 16 hex digits");
         }
     }
 
     @Test
     public void requestsThatCannotBeTakenAreRefusedWithTheseTexts() {
         RequestValidator rules = new RequestValidator(TestSettings.settings());
-        assertEquals(unfit(() -> rules.requestClass("other")), "unknown class");
+        assertEquals(rejection(() -> rules.requestClass("other")), "unknown class");
         assertEquals(
-                unfit(() -> rules.validate(request(OPERATOR, "other", "start", 1, 4000, null, 1, 0))), "unknown class");
+                rejection(() -> rules.validate(request(OPERATOR, "other", "start", 1, 4000, null, 1, 0))),
+                "unknown class");
         assertEquals(
-                unfit(() -> rules.validate(request(OPERATOR, "slot-status", "other", 1, 4000, null, 1, 0))),
+                rejection(() -> rules.validate(request(OPERATOR, "slot-status", "other", 1, 4000, null, 1, 0))),
                 "unknown plan");
         assertEquals(
-                unfit(() -> rules.validate(request("0000000200000000", "slot-status", "start", 1, 4000, null, 1, 0))),
+                rejection(
+                        () -> rules.validate(request("0000000200000000", "slot-status", "start", 1, 4000, null, 1, 0))),
                 "the operator is out of range");
         assertEquals(
-                unfit(() -> rules.validate(request("2", "slot-status", "start", 1, 4000, null, 1, 0))),
+                rejection(() -> rules.validate(request("2", "slot-status", "start", 1, 4000, null, 1, 0))),
                 "the operator must be 16 hex digits");
         for (double units : new double[] {0, -1, 8.5, Double.NaN}) {
             assertEquals(
-                    unfit(() -> rules.validate(request(OPERATOR, "slot-status", "start", units, 4000, null, 1, 0))),
+                    rejection(() -> rules.validate(request(OPERATOR, "slot-status", "start", units, 4000, null, 1, 0))),
                     "the units are out of range");
         }
         for (double waitMs : new double[] {0, -1, 4001, Double.NaN}) {
             assertEquals(
-                    unfit(() -> rules.validate(request(OPERATOR, "slot-status", "start", 1, waitMs, null, 1, 0))),
+                    rejection(() -> rules.validate(request(OPERATOR, "slot-status", "start", 1, waitMs, null, 1, 0))),
                     "the time to wait is out of range");
         }
         for (int[] gateways : new int[][] {{0, 0}, {2, 0}, {1, -1}, {1, 1}}) {
             assertEquals(
-                    unfit(() -> rules.validate(
+                    rejection(() -> rules.validate(
                             request(OPERATOR, "slot-status", "start", 1, 4000, null, gateways[0], gateways[1]))),
                     "the operator's gateways are out of range");
         }
         assertEquals(
-                unfit(() -> rules.validate(request(OPERATOR, "slot-status", "start", 1, 4000, "k", 1, 0))),
+                rejection(() -> rules.validate(request(OPERATOR, "slot-status", "start", 1, 4000, "k", 1, 0))),
                 "a key for a class without, or none");
         assertEquals(
-                unfit(() -> rules.validate(request(OPERATOR, "swap-record", "start", 1, 4000, null, 1, 0))),
+                rejection(() -> rules.validate(request(OPERATOR, "swap-record", "start", 1, 4000, null, 1, 0))),
                 "a key for a class without, or none");
         for (String key : List.of("a,b", "a b", "\u007f", "k".repeat(65))) {
             assertEquals(
-                    unfit(() -> rules.validate(request(OPERATOR, "swap-record", "start", 1, 4000, key, 1, 0))),
+                    rejection(() -> rules.validate(request(OPERATOR, "swap-record", "start", 1, 4000, key, 1, 0))),
                     "the key cannot be passed on");
         }
     }
@@ -273,26 +275,26 @@
     public void requestsTakenTwiceOrOverTheLimitAreAnsweredAtOnce() throws Exception {
         Vertx vertx = Vertx.vertx();
         try {
-            List<Response> answers = new ArrayList<>();
+            List<Response> responses = new ArrayList<>();
             onLoop(vertx, () -> {
                 RequestDispatcher gateway =
-                        new RequestDispatcher(vertx, new Clock(), TestSettings.settings(2), 1, new HeldLinks());
+                        new RequestDispatcher(vertx, new Clock(), TestSettings.settings(2), 1, new HeldTransport());
                 gateway.endpointsChanged(
                         true,
                         List.of(new Backend(new Endpoint("n1", "room-a", "app", 0, EndpointState.UP, 1, 0), "a:1")));
-                gateway.dispatch(request(OPERATOR, "slot-status", "start", 1, 4000, null, 1, 0), answer -> {});
-                gateway.dispatch(request(OPERATOR, "slot-status", "start", 1, 4000, null, 1, 0), answers::add);
-                gateway.dispatch(request(OPERATOR, "other", "start", 1, 4000, null, 1, 0), answers::add);
+                gateway.dispatch(request(OPERATOR, "slot-status", "start", 1, 4000, null, 1, 0), response -> {});
+                gateway.dispatch(request(OPERATOR, "slot-status", "start", 1, 4000, null, 1, 0), responses::add);
+                gateway.dispatch(request(OPERATOR, "other", "start", 1, 4000, null, 1, 0), responses::add);
                 Request second = new Request(
                         "00000000000000a2", OPERATOR, "slot-status", "start", 1, 4000, null, false, 1, 0, null);
-                gateway.dispatch(second, answer -> {});
+                gateway.dispatch(second, response -> {});
                 Request third = new Request(
                         "00000000000000a3", OPERATOR, "slot-status", "start", 1, 4000, null, false, 1, 0, null);
-                gateway.dispatch(third, answers::add);
+                gateway.dispatch(third, responses::add);
                 return null;
             });
             assertEquals(
-                    answers,
+                    responses,
                     List.of(
                             new Response.Failed("this id is under way"),
                             new Response.Failed("unknown class"),
@@ -318,7 +320,7 @@
         void read() throws InvalidRequestException;
     }
 
-    private static String unfit(Read read) {
+    private static String rejection(Read read) {
         return expectThrows(InvalidRequestException.class, read::read).getMessage();
     }
 
@@ -334,7 +336,7 @@
         done.get(20, TimeUnit.SECONDS);
     }
 
-    private static final class HeldLinks extends NoOpBackendTransport {
+    private static final class HeldTransport extends NoOpBackendTransport {
         @Override
         public Attempt startAttempt(Backend backend, Request request, double waitMs, AttemptListener ended) {
             return () -> {};
--- a/gateway/src/test/java/opalcove/core/ClocksApartTest.java
+++ b/gateway/src/test/java/opalcove/core/ClocksApartTest.java
@@ -18,7 +18,7 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** A backend that has restarted is cold from when that was told, whatever the clocks of the machines say. */
+/** A backend that has restarted is in slow start from when that was reported, whatever the clocks of the machines say. */
 public class ClocksApartTest {
     private static final double HOUR_MS = 3_600_000;
     private static final double LONG_AGO_MS = 10 * HOUR_MS;
@@ -46,10 +46,10 @@
     @Test(dataProvider = "offsets")
     public void aRestartThatIsToldMakesItsBackendColdFromThenOn(double offsetMs) throws Exception {
         double discoveryNow = System.currentTimeMillis() + offsetMs;
-        told(backend("a", discoveryNow - LONG_AGO_MS), backend("b", discoveryNow - LONG_AGO_MS));
+        update(backend("a", discoveryNow - LONG_AGO_MS), backend("b", discoveryNow - LONG_AGO_MS));
         assertEquals(share("a"), 1.0);
         assertEquals(share("b"), 1.0);
-        told(backend("a", discoveryNow - LONG_AGO_MS), backend("b", discoveryNow));
+        update(backend("a", discoveryNow - LONG_AGO_MS), backend("b", discoveryNow));
         assertEquals(share("a"), 1.0);
         double cold = TestSettings.settings().obligations().initialShare();
         assertTrue(share("b") > 0 && share("b") < 1.5 * cold, "b has a share of " + share("b"));
@@ -58,8 +58,8 @@
     @Test(dataProvider = "offsets")
     public void aNewBackendIsColdFromWhenItWasTold(double offsetMs) throws Exception {
         double discoveryNow = System.currentTimeMillis() + offsetMs;
-        told(backend("a", discoveryNow - LONG_AGO_MS));
-        told(backend("a", discoveryNow - LONG_AGO_MS), backend("b", discoveryNow));
+        update(backend("a", discoveryNow - LONG_AGO_MS));
+        update(backend("a", discoveryNow - LONG_AGO_MS), backend("b", discoveryNow));
         double cold = TestSettings.settings().obligations().initialShare();
         assertTrue(share("b") > 0 && share("b") < 1.5 * cold, "b has a share of " + share("b"));
     }
@@ -67,17 +67,17 @@
     @Test
     public void aStartTimeThatGoesBackIsARestart() throws Exception {
         double now = System.currentTimeMillis();
-        told(backend("a", now - HOUR_MS));
-        told(backend("a", now - 2 * HOUR_MS));
+        update(backend("a", now - HOUR_MS));
+        update(backend("a", now - 2 * HOUR_MS));
         assertTrue(share("a") < 0.5, "a has a share of " + share("a"));
     }
 
     @Test
     public void theSameListAgainChangesNothing() throws Exception {
         double now = System.currentTimeMillis();
-        told(backend("a", now - LONG_AGO_MS), backend("b", now + HOUR_MS));
+        update(backend("a", now - LONG_AGO_MS), backend("b", now + HOUR_MS));
         double before = share("b");
-        told(backend("a", now - LONG_AGO_MS), backend("b", now + HOUR_MS));
+        update(backend("a", now - LONG_AGO_MS), backend("b", now + HOUR_MS));
         assertEquals(share("a"), 1.0);
         assertTrue(share("b") >= before, "not cold anew");
     }
@@ -85,7 +85,7 @@
     @Test
     public void backendsOfTheFirstListAreComparedWithTheYoungestWhereDiscoverysClockIsAhead() throws Exception {
         double discoveryNow = System.currentTimeMillis() + HOUR_MS;
-        told(
+        update(
                 backend("old", discoveryNow - LONG_AGO_MS),
                 backend("older", discoveryNow - HOUR_MS / 2),
                 backend("new", discoveryNow));
@@ -94,7 +94,7 @@
         assertTrue(share("new") < 0.5, "the youngest has a share of " + share("new"));
     }
 
-    private void told(Backend... backends) throws Exception {
+    private void update(Backend... backends) throws Exception {
         onLoop(() -> {
             gateway.endpointsChanged(true, List.of(backends));
             return null;
--- a/gateway/src/test/java/opalcove/core/ConfigGenerationTest.java
+++ b/gateway/src/test/java/opalcove/core/ConfigGenerationTest.java
@@ -23,7 +23,7 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** New settings at SIGHUP: new classes are taken, fewer attempts bind, asks under way keep their class. */
+/** New settings at SIGHUP: new classes are taken, fewer attempts bind, requests in flight keep their class. */
 public class ConfigGenerationTest {
     private static final String NEW_CLASS =
             """
@@ -42,7 +42,7 @@
         attempts.clear();
         out.clear();
         onLoop(() -> {
-            gateway = new RequestDispatcher(vertx, new Clock(), TestSettings.settings(16), 1, new HeldLinks());
+            gateway = new RequestDispatcher(vertx, new Clock(), TestSettings.settings(16), 1, new HeldTransport());
             gateway.endpointsChanged(true, List.of(backend("n1"), backend("n2"), backend("n3")));
             return null;
         });
@@ -55,17 +55,17 @@
 
     @Test
     public void aClassOfTheNewSettingsIsTakenAndOneThatVanishedIsNot() throws Exception {
-        List<Response> answers = new ArrayList<>();
-        onLoop(() -> gateway.dispatch(request("a1", "battery-update-ii"), answers::add));
-        assertEquals(answers.size(), 1);
-        assertEquals(((Response.Failed) answers.get(0)).reason(), "unknown class");
+        List<Response> responses = new ArrayList<>();
+        onLoop(() -> gateway.dispatch(request("a1", "battery-update-ii"), responses::add));
+        assertEquals(responses.size(), 1);
+        assertEquals(((Response.Failed) responses.get(0)).reason(), "unknown class");
         onLoop(() -> {
             gateway.applySettings(settings(TestSettings.JSON
                     .replace("\"profiles\":[", "\"profiles\":[" + NEW_CLASS)
                     .replace(",\n  {\"name\":\"slot-status\"", "\n  {\"name\":\"slot-status\"")));
-            return gateway.dispatch(request("a2", "battery-update-ii"), answers::add);
+            return gateway.dispatch(request("a2", "battery-update-ii"), responses::add);
         });
-        assertEquals(attempts, List.of("a2"), "the new class's ask is sent on");
+        assertEquals(attempts, List.of("a2"), "the new class's request is forwarded");
         assertEquals(
                 gateway.metrics()
                         .statsdLines()
@@ -77,10 +77,10 @@
 
     @Test
     public void fewerAttemptsBindAnAskUnderWayWhichKeepsItsClass() throws Exception {
-        List<Response> answers = new ArrayList<>();
-        onLoop(() -> gateway.dispatch(request("a1", "slot-status"), answers::add));
+        List<Response> responses = new ArrayList<>();
+        onLoop(() -> gateway.dispatch(request("a1", "slot-status"), responses::add));
         assertEquals(attempts, List.of("a1"));
-        // slot-status vanishes, and one attempt is all that an ask may have now.
+        // slot-status vanishes, and one attempt is all that a request may have now.
         String fewer = TestSettings.JSON
                 .replace("\"max_attempts\":6", "\"max_attempts\":1")
                 .replaceFirst("\\{\"name\":\"slot-status\"[^}]*\\},", "");
@@ -90,10 +90,10 @@
             return null;
         });
         assertEquals(attempts, List.of("a1"), "no second attempt under the new settings");
-        assertEquals(answers.size(), 1, "the ask under way is answered");
+        assertEquals(responses.size(), 1, "the request in flight is answered");
         assertTrue(
-                answers.get(0) instanceof Response.Refused || answers.get(0) instanceof Response.Failed,
-                String.valueOf(answers.get(0)));
+                responses.get(0) instanceof Response.Refused || responses.get(0) instanceof Response.Failed,
+                String.valueOf(responses.get(0)));
         List<Response> later = new ArrayList<>();
         onLoop(() -> gateway.dispatch(request("a3", "slot-status"), later::add));
         assertEquals(((Response.Failed) later.get(0)).reason(), "unknown class");
@@ -103,7 +103,7 @@
     public void aNodeThatIsAvoidedAfterFailedConnectsCountsAsDown() throws Exception {
         onLoop(() -> {
             gateway.endpointsChanged(true, List.of(backend("n1"), backend("n2")));
-            return gateway.dispatch(request("a1", "slot-status"), answer -> {});
+            return gateway.dispatch(request("a1", "slot-status"), response -> {});
         });
         assertTrue(figures().containsAll(List.of("gateway.hosts_listed:2|g", "gateway.hosts_down:0|g")));
         onLoop(() -> {
@@ -158,11 +158,11 @@
         return done.get(10, TimeUnit.SECONDS);
     }
 
-    private final class HeldLinks extends NoOpBackendTransport {
+    private final class HeldTransport extends NoOpBackendTransport {
         @Override
-        public Attempt startAttempt(Backend backend, Request request, double waitMs, AttemptListener ended) {
+        public Attempt startAttempt(Backend backend, Request request, double waitMs, AttemptListener listener) {
             attempts.add(request.id());
-            out.add(ended);
+            out.add(listener);
             return () -> {};
         }
     }
--- a/gateway/src/test/java/opalcove/core/HealthCheckTest.java
+++ b/gateway/src/test/java/opalcove/core/HealthCheckTest.java
@@ -29,7 +29,7 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** Probes where the settings allow them: a node that could not be reached is used again once a link to it comes up. */
+/** Health checks where the settings allow them: an unreachable backend is used again once a connection to it is up. */
 public class HealthCheckTest {
     private static final int PATIENCE_S = 20;
 
@@ -56,7 +56,8 @@
         });
         List<Response> served = new ArrayList<>();
         askUntil(gateway, served, () -> links.attempts > 2);
-        // No request competes with the probe any more: the node is avoided, and only a probe can tell that it is back.
+        // No request competes with the health check any more: the backend is avoided, and only a check can show that it
+        // is back.
         until(() -> links.probes > 0);
         askUntil(gateway, served, () -> !served.isEmpty());
     }
@@ -90,7 +91,7 @@
         ConnectionPool pool =
                 onLoop(() -> new ConnectionPool(vertx, settings(), new RespConnector(vertx, settings()), 8));
         try (ServerSocket server = new ServerSocket(0, 8, InetAddress.getLoopbackAddress())) {
-            assertTrue(probe(pool, server.getLocalPort()), "a node that listens is reached");
+            assertTrue(probe(pool, server.getLocalPort()), "a backend that listens is reached");
             server.setSoTimeout(PATIENCE_S * 1000);
             try (Socket link = server.accept()) {
                 assertEquals(onLoop(pool::idleConnections), Integer.valueOf(1));
@@ -142,7 +143,7 @@
         return done.get(PATIENCE_S, TimeUnit.SECONDS);
     }
 
-    /** A node that cannot be reached until it is probed. */
+    /** A backend that cannot be reached until it is checked. */
     private static final class AwayNode extends NoOpBackendTransport {
         private int attempts;
         private int probes;
--- a/gateway/src/test/java/opalcove/core/HedgedRequestTest.java
+++ b/gateway/src/test/java/opalcove/core/HedgedRequestTest.java
@@ -23,7 +23,7 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** Second copies where the settings allow them: a hanging node's request is served by another one. */
+/** Hedged requests where the settings allow them: a hanging backend's request is served by another one. */
 public class HedgedRequestTest {
     private static final int PATIENCE_S = 60;
 
@@ -45,16 +45,16 @@
     @Test
     public void aRequestAtAHangingNodeIsServedByASecondCopyAndTheFirstIsGivenUp() throws Exception {
         RequestDispatcher gateway = gateway(true);
-        List<Response> answers = serveUntilTwoAreOut(gateway);
+        List<Response> responses = serveUntilTwoAreOut(gateway);
         HeldAttempt hanging = out.get(0);
         HeldAttempt copy = out.get(1);
-        assertTrue(!copy.backend.equals(hanging.backend), "the copy goes to another node");
+        assertTrue(!copy.backend.equals(hanging.backend), "the hedged attempt goes to another backend");
         onLoop(() -> {
             copy.serve();
             return null;
         });
-        assertTrue(answers.get(0) instanceof Response.Served, answers.toString());
-        assertTrue(hanging.givenUp, "nobody waits for the first any more");
+        assertTrue(responses.get(0) instanceof Response.Served, responses.toString());
+        assertTrue(hanging.cancelled, "nobody waits for the first any more");
         assertEquals(figure(gateway, "stopped_by_guards"), "0");
     }
 
@@ -65,8 +65,8 @@
     }
 
     /** What the guard says to a first attempt, a second and a third while all before are out. */
-    private static String vetoes(boolean copies) {
-        DecisionSettings settings = settings(copies);
+    private static String vetoes(boolean hedging) {
+        DecisionSettings settings = settings(hedging);
         EndpointList backends = new EndpointList();
         backends.update(true, List.of(backend("n1"), backend("n2"), backend("n3")));
         AttemptGuard guards = new AttemptGuard(settings, backends);
@@ -86,30 +86,32 @@
         long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(PATIENCE_S);
         for (int number = 0; System.nanoTime() < end; number++) {
             String hanging = "hanging" + number;
-            List<Response> answers = new ArrayList<>();
+            List<Response> responses = new ArrayList<>();
             for (int served = 0; served < 20; served++) {
                 String id = hanging + "-" + served;
-                onLoop(() -> gateway.dispatch(request(id), answer -> {}));
+                onLoop(() -> gateway.dispatch(request(id), response -> {}));
                 onLoop(() -> {
                     List.copyOf(out).forEach(HeldAttempt::serve);
                     return null;
                 });
             }
-            onLoop(() -> gateway.dispatch(request(hanging), answers::add));
-            // A starved machine may be late for the copy: then the request ends without one, and the next one is tried.
-            while (onLoop(() -> out.size() < 2 && answers.isEmpty()) && System.nanoTime() < end) {
+            onLoop(() -> gateway.dispatch(request(hanging), responses::add));
+            // A starved machine may be late for the hedged attempt: then the request ends without one, and the next one
+            // is tried.
+            while (onLoop(() -> out.size() < 2 && responses.isEmpty()) && System.nanoTime() < end) {
                 Thread.sleep(5);
             }
             if (onLoop(() -> out.size() == 2)) {
-                return answers;
+                return responses;
             }
         }
-        throw new AssertionError("no second copy in " + PATIENCE_S + " s");
+        throw new AssertionError("no hedged attempt in " + PATIENCE_S + " s");
     }
 
-    private RequestDispatcher gateway(boolean copies) throws Exception {
+    private RequestDispatcher gateway(boolean hedging) throws Exception {
         return onLoop(() -> {
-            RequestDispatcher gateway = new RequestDispatcher(vertx, new Clock(), settings(copies), 1, new HeldLinks());
+            RequestDispatcher gateway =
+                    new RequestDispatcher(vertx, new Clock(), settings(hedging), 1, new HeldTransport());
             gateway.endpointsChanged(true, List.of(backend("n1"), backend("n2"), backend("n3")));
             return gateway;
         });
@@ -124,9 +126,9 @@
                 .substring(name.length() + 1);
     }
 
-    private static DecisionSettings settings(boolean copies) {
+    private static DecisionSettings settings(boolean hedging) {
         return SettingsReader.read(JsonFields.parse(TestSettings.JSON
-                .replace("\"max_attempts\":6", "\"max_attempts\":6,\"second_copies\":" + copies)
+                .replace("\"max_attempts\":6", "\"max_attempts\":6,\"second_copies\":" + hedging)
                 .replace("\"aim_ms\":2000", "\"aim_ms\":400")));
     }
 
@@ -153,31 +155,31 @@
     /** An attempt that ends when the test serves it, or when it is given up. */
     private final class HeldAttempt implements BackendTransport.Attempt {
         final String backend;
-        private final BackendTransport.AttemptListener ended;
-        boolean givenUp;
+        private final BackendTransport.AttemptListener listener;
+        boolean cancelled;
 
-        HeldAttempt(Backend backend, BackendTransport.AttemptListener ended) {
+        HeldAttempt(Backend backend, BackendTransport.AttemptListener listener) {
             this.backend = backend.name();
-            this.ended = ended;
+            this.listener = listener;
         }
 
         void serve() {
             out.remove(this);
-            ended.onResult(new AttemptResult(AttemptStatus.SERVED, Unpooled.EMPTY_BUFFER, -1, 0, null));
+            listener.onResult(new AttemptResult(AttemptStatus.SERVED, Unpooled.EMPTY_BUFFER, -1, 0, null));
         }
 
         @Override
         public void cancel() {
-            givenUp = true;
+            cancelled = true;
             out.remove(this);
-            ended.onResult(AttemptResult.withoutReport(AttemptStatus.CANCELLED));
+            listener.onResult(AttemptResult.withoutReport(AttemptStatus.CANCELLED));
         }
     }
 
-    private final class HeldLinks extends NoOpBackendTransport {
+    private final class HeldTransport extends NoOpBackendTransport {
         @Override
-        public Attempt startAttempt(Backend backend, Request request, double waitMs, AttemptListener ended) {
-            HeldAttempt attempt = new HeldAttempt(backend, ended);
+        public Attempt startAttempt(Backend backend, Request request, double waitMs, AttemptListener listener) {
+            HeldAttempt attempt = new HeldAttempt(backend, listener);
             out.add(attempt);
             return attempt;
         }
--- a/gateway/src/test/java/opalcove/core/TimerQueueTest.java
+++ b/gateway/src/test/java/opalcove/core/TimerQueueTest.java
@@ -12,7 +12,7 @@
 import org.testng.annotations.Test;
 
 public class TimerQueueTest {
-    private static TimerQueue.Timer alarm(Runnable action) {
+    private static TimerQueue.Timer timer(Runnable action) {
         return new TimerQueue.Timer() {
             @Override
             void onExpiry() {
@@ -21,36 +21,36 @@
         };
     }
 
-    /** Cancelled ones are let go of at once, and the others keep their order, whichever leave. */
+    /** Cancelled timers are released at once, and the others keep their order, whichever leave. */
     @Test
     public void whatIsCancelledLeavesNothingBehind() throws Exception {
         Vertx vertx = Vertx.vertx();
-        List<Integer> rung = new ArrayList<>();
-        CompletableFuture<Integer> left = new CompletableFuture<>();
+        List<Integer> expired = new ArrayList<>();
+        CompletableFuture<Integer> remaining = new CompletableFuture<>();
         vertx.runOnContext(go -> {
             Clock clock = new Clock();
-            TimerQueue alarms = new TimerQueue(vertx, clock);
+            TimerQueue timers = new TimerQueue(vertx, clock);
             double soon = clock.now() + 20;
             List<TimerQueue.Timer> all = new ArrayList<>();
             for (int i = 0; i < 1000; i++) {
                 int number = i * 7919 % 1000;
-                TimerQueue.Timer each = alarm(() -> rung.add(number));
+                TimerQueue.Timer each = timer(() -> expired.add(number));
                 all.add(each);
-                alarms.scheduleAt(soon + number / 50.0, each);
+                timers.scheduleAt(soon + number / 50.0, each);
             }
             for (int i = 0; i < 1000; i++) {
                 if (i % 3 > 0) {
-                    alarms.cancel(all.get(i * 31 % 1000));
+                    timers.cancel(all.get(i * 31 % 1000));
                 }
             }
-            int kept = alarms.size();
-            alarms.scheduleAt(soon + 40, alarm(() -> left.complete(kept)));
+            int kept = timers.size();
+            timers.scheduleAt(soon + 40, timer(() -> remaining.complete(kept)));
         });
-        int kept = left.get(20, TimeUnit.SECONDS);
+        int kept = remaining.get(20, TimeUnit.SECONDS);
         assertEquals(kept, 334);
-        assertEquals(rung.size(), 334);
-        for (int i = 1; i < rung.size(); i++) {
-            assertTrue(rung.get(i) > rung.get(i - 1), rung.get(i - 1) + " before " + rung.get(i));
+        assertEquals(expired.size(), 334);
+        for (int i = 1; i < expired.size(); i++) {
+            assertTrue(expired.get(i) > expired.get(i - 1), expired.get(i - 1) + " before " + expired.get(i));
         }
         vertx.close().toCompletionStage().toCompletableFuture().get(20, TimeUnit.SECONDS);
     }
@@ -59,45 +59,45 @@
     @Test
     public void oneThatFailsHoldsUpNoOther() throws Exception {
         Vertx vertx = Vertx.vertx();
-        List<String> rung = new ArrayList<>();
+        List<String> expired = new ArrayList<>();
         CompletableFuture<Void> last = new CompletableFuture<>();
         vertx.runOnContext(go -> {
-            Vertx.currentContext().exceptionHandler(failed -> rung.add(failed.getMessage()));
+            Vertx.currentContext().exceptionHandler(failed -> expired.add(failed.getMessage()));
             Clock clock = new Clock();
-            TimerQueue alarms = new TimerQueue(vertx, clock);
+            TimerQueue timers = new TimerQueue(vertx, clock);
             double soon = clock.now() + 20;
-            alarms.scheduleAt(soon, alarm(() -> {
+            timers.scheduleAt(soon, timer(() -> {
                 throw new IllegalStateException("fails");
             }));
-            alarms.scheduleAt(soon, alarm(() -> rung.add("due with it")));
-            alarms.scheduleAt(soon + 20, alarm(() -> last.complete(null)));
+            timers.scheduleAt(soon, timer(() -> expired.add("due with it")));
+            timers.scheduleAt(soon + 20, timer(() -> last.complete(null)));
         });
         last.get(20, TimeUnit.SECONDS);
-        assertEquals(rung, List.of("fails", "due with it"));
+        assertEquals(expired, List.of("fails", "due with it"));
         vertx.close().toCompletionStage().toCompletableFuture().get(20, TimeUnit.SECONDS);
     }
 
     @Test
     public void theyGoOffInTheOrderOfTheirTimesUnlessCancelled() throws Exception {
         Vertx vertx = Vertx.vertx();
-        List<String> rung = new ArrayList<>();
+        List<String> expired = new ArrayList<>();
         CompletableFuture<List<String>> all = new CompletableFuture<>();
         vertx.runOnContext(go -> {
-            TimerQueue alarms = new TimerQueue(vertx, new Clock());
-            TimerQueue.Timer never = alarm(() -> rung.add("cancelled before it was due"));
-            TimerQueue.Timer later = alarm(() -> rung.add("cancelled by an alarm"));
-            alarms.schedule(30, alarm(() -> rung.add("second")));
-            alarms.schedule(5, never);
-            alarms.schedule(10, alarm(() -> rung.add("first")));
-            alarms.schedule(40, later);
-            alarms.schedule(20, alarm(() -> alarms.cancel(later)));
-            alarms.schedule(50, alarm(() -> {
-                alarms.schedule(0, alarm(() -> all.complete(rung)));
-                rung.add("last, and not before what it set");
+            TimerQueue timers = new TimerQueue(vertx, new Clock());
+            TimerQueue.Timer never = timer(() -> expired.add("cancelled before it was due"));
+            TimerQueue.Timer later = timer(() -> expired.add("cancelled by a timer"));
+            timers.schedule(30, timer(() -> expired.add("second")));
+            timers.schedule(5, never);
+            timers.schedule(10, timer(() -> expired.add("first")));
+            timers.schedule(40, later);
+            timers.schedule(20, timer(() -> timers.cancel(later)));
+            timers.schedule(50, timer(() -> {
+                timers.schedule(0, timer(() -> all.complete(expired)));
+                expired.add("last, and not before what it set");
             }));
-            alarms.cancel(never);
-            alarms.cancel(never);
-            rung.add("nothing goes off at once");
+            timers.cancel(never);
+            timers.cancel(never);
+            expired.add("nothing goes off at once");
         });
         assertEquals(
                 all.get(20, TimeUnit.SECONDS),
--- a/gateway/src/test/java/opalcove/metrics/OutsideNamesTest.java
+++ b/gateway/src/test/java/opalcove/metrics/OutsideNamesTest.java
@@ -29,7 +29,8 @@
     @BeforeMethod
     public void open() throws Exception {
         vertx = Vertx.vertx();
-        gateway = onLoop(() -> new RequestDispatcher(vertx, new Clock(), TestSettings.settings(), 1, new NoLinks()));
+        gateway =
+                onLoop(() -> new RequestDispatcher(vertx, new Clock(), TestSettings.settings(), 1, new NoTransport()));
     }
 
     @AfterMethod
@@ -262,7 +263,7 @@
         return done.get(20, TimeUnit.SECONDS);
     }
 
-    private static final class NoLinks extends NoOpBackendTransport {
+    private static final class NoTransport extends NoOpBackendTransport {
         @Override
         public Attempt startAttempt(Backend backend, Request request, double waitMs, AttemptListener ended) {
             throw new AssertionError("no attempt is made in this test");
