--- a/decision/src/main/java/opalcove/decision/LoadMetric.java
+++ b/decision/src/main/java/opalcove/decision/LoadMetric.java
@@ -1,10 +1,10 @@
 package opalcove.decision;
 
-/** A value in a load report. */
+/** What a value in a load report measures. */
 public enum LoadMetric {
-    IN_HAND,
-    WAITING,
-    BUSY_SHARE,
+    IN_FLIGHT,
+    QUEUED,
+    CPU_SHARE,
     SERVICE_MS,
     SERVED_PER_S,
     ERRORS_PER_S,
