--- a/gateway/src/main/java/opalcove/resp/ClientConnection.java
+++ b/gateway/src/main/java/opalcove/resp/ClientConnection.java
@@ -185,7 +185,7 @@
                     .invariants()
                     .violated(Invariant.CLOSED_UNANSWERED, "-", behind + " requests behind a value that was cut off");
         }
-        beginHalfClose(ConnectionCloseReason.CUT);
+        beginHalfClose(ConnectionCloseReason.TRUNCATED);
         pipeline.cancelAll();
     }
 
--- a/gateway/src/main/java/opalcove/resp/OpenConnections.java
+++ b/gateway/src/main/java/opalcove/resp/OpenConnections.java
@@ -84,7 +84,7 @@
             if (longestIdle == null) {
                 return false;
             }
-            if (longestIdle.closeIfIdle(ConnectionCloseReason.FOR_ROOM)) {
+            if (longestIdle.closeIfIdle(ConnectionCloseReason.CAPACITY_NEEDED)) {
                 dispatcher.clientConnectionClosedForDescriptors(false);
                 return true;
             }
--- a/gateway/src/main/java/opalcove/server/ConfigurationApplier.java
+++ b/gateway/src/main/java/opalcove/server/ConfigurationApplier.java
@@ -74,7 +74,7 @@
         }
         return backends.stream()
                 .map(backend ->
-                        new Backend(backend.host().startedSince(inForce.startedNotBeforeMs()), backend.address()))
+                        new Backend(backend.endpoint().startedSince(inForce.startedNotBeforeMs()), backend.address()))
                 .toList();
     }
 
--- a/gateway/src/main/java/opalcove/server/GatewayConfig.java
+++ b/gateway/src/main/java/opalcove/server/GatewayConfig.java
@@ -77,7 +77,7 @@
                 validator.valueOr(() -> sockets(fields), DEFAULT_SOCKETS),
                 validator.valueOr(() -> known(fields), List.of()),
                 validator.valueOr(() -> knownIndex(fields), DiscoveryClient.NO_INDEX),
-                validator.valueOr(() -> SettingsReader.checked(fields.object("settings")), null),
+                validator.valueOr(() -> SettingsReader.read(fields.object("settings")), null),
                 validator.valueOr(() -> warmUpMs(fields), 0),
                 validator.valueOr(() -> membership(fields), null),
                 validator.valueOr(() -> fields.has("agreement") ? fields.object("agreement") : null, null));
@@ -86,16 +86,16 @@
     }
 
     private static HostAndPort listen(JsonFields fields, Map<String, String> environment) {
-        return HostAndPort.read(environment.getOrDefault("GW_LISTEN", fields.textOr("listen", "")), "listen");
+        return HostAndPort.parse(environment.getOrDefault("GW_LISTEN", fields.textOr("listen", "")), "listen");
     }
 
     private static HostAndPort console(JsonFields fields, Map<String, String> environment) {
         String address = environment.getOrDefault("GW_CONSOLE", fields.textOr("console", ""));
-        return address.isEmpty() ? null : HostAndPort.read(address, "console");
+        return address.isEmpty() ? null : HostAndPort.parse(address, "console");
     }
 
     private static HostAndPort discovery(JsonFields fields, Map<String, String> environment) {
-        HostAndPort discovery = HostAndPort.read(
+        HostAndPort discovery = HostAndPort.parse(
                 fields.has("discovery") ? fields.text("discovery") : environment.getOrDefault("GW_DISCOVERY", ""),
                 "discovery");
         if (discovery.port() == 0) {
--- a/gateway/src/main/java/opalcove/server/GatewayServer.java
+++ b/gateway/src/main/java/opalcove/server/GatewayServer.java
@@ -47,11 +47,11 @@
         MembershipService membership =
                 startMembership(config, replicatedConfig == null ? List.of() : replicatedConfig.knownMembers());
         status.setMembership(membership);
-        times.reached(StartPhase.DOOR_OPEN);
+        times.reached(StartPhase.ADMIN_OPEN);
         Logger.info(
                 "warmed up with {} requests",
-                WarmUp.run(Application::eventLoop, config.settings(), TimeBudget.ofMs(config.warmUpMs())));
-        times.reached(StartPhase.REHEARSED);
+                WarmUp.run(Application::createEventLoop, config.settings(), TimeBudget.ofMs(config.warmUpMs())));
+        times.reached(StartPhase.WARMED_UP);
         Application application = new Application();
         Parts parts = new Parts(config, status, reloadSignal, times, membership, replicatedConfig);
         application.start(vertx -> open(vertx, application, parts));
@@ -75,8 +75,8 @@
         if (config.console() == null) {
             return;
         }
-        Vertx eventLoop = Application.eventLoop();
-        Application.listening(eventLoop, () -> new AdminServer(eventLoop, status).listen(config.console()))
+        Vertx eventLoop = Application.createEventLoop();
+        Application.listenWithRetries(eventLoop, () -> new AdminServer(eventLoop, status).listen(config.console()))
                 .onFailure(e -> {
                     Logger.error("cannot listen at the console address {}: {}", config.console(), e.getMessage());
                     Runtime.getRuntime().halt(1);
@@ -100,7 +100,7 @@
         DiscoveryClient discovery = new DiscoveryClient(
                 vertx, config.discovery(), config.settings(), new SplittableRandom(config.seed()), applier);
         dispatcher.endpointSource(discovery);
-        application.atEnd(dispatcher, server::drain);
+        application.onShutdown(dispatcher, server::drain);
         leaveCluster(application, parts);
         parts.status().gatewayWired(vertx, dispatcher, server, application.phases());
         if (!config.known().isEmpty()) {
@@ -109,10 +109,10 @@
         }
         parts.reloadSignal().listen(() -> reload(config, vertx, discovery, dispatcher, applier));
         whenEndpointsKnown(vertx, discovery, applier, parts).onComplete(known -> {
-            times.reached(StartPhase.LIST_KNOWN);
+            times.reached(StartPhase.ENDPOINTS_KNOWN);
             application.open(() -> server.listen(config.listen()).onSuccess(port -> {
-                times.reached(StartPhase.FRONT_OPEN);
-                Logger.info(times.line());
+                times.reached(StartPhase.LISTENING);
+                Logger.info(times.logLine());
             }));
         });
     }
@@ -160,7 +160,7 @@
             return null;
         }
         MembershipService membership = new MembershipService(
-                Application.eventLoop(), config.name(), config.membership(), known, System.out::println);
+                Application.createEventLoop(), config.name(), config.membership(), known, System.out::println);
         membership.start().onFailure(e -> {
             Logger.error(
                     "cannot listen at membership.listen {}: {}",
@@ -181,7 +181,7 @@
                 .orElseThrow(() -> new InvalidConfigurationException(
                         "field agreement: this program has no part for it, opalcove.jar has"))
                 .create(
-                        Application.eventLoop(),
+                        Application.createEventLoop(),
                         config.name(),
                         config.agreement(),
                         config.settings(),
--- a/gateway/src/main/java/opalcove/simulator/SimulatorAdapter.java
+++ b/gateway/src/main/java/opalcove/simulator/SimulatorAdapter.java
@@ -121,7 +121,7 @@
                 gateway,
                 new AdmissionController(
                         nowMs,
-                        SettingsReader.checked(event.object("facts")),
+                        SettingsReader.read(event.object("facts")),
                         event.serial("rng_seed"),
                         new ActionWriter(gateway, output)));
     }
--- a/gateway/src/test/java/opalcove/resp/RespTestBed.java
+++ b/gateway/src/test/java/opalcove/resp/RespTestBed.java
@@ -51,7 +51,7 @@
     static final int TIMEOUT_S = 20;
     static final String PING = "*1\r\n$4\r\nPING\r\n";
 
-    final Vertx vertx = Application.eventLoop();
+    final Vertx vertx = Application.createEventLoop();
     final Lifecycle phases = new Lifecycle();
     final RequestDispatcher gateway;
     final RespServer front;
@@ -67,7 +67,7 @@
             assertTrue(json.contains(changes[i]), changes[i]);
             json = json.replace(changes[i], changes[i + 1]);
         }
-        DecisionSettings settings = SettingsReader.checked(JsonFields.parse(json));
+        DecisionSettings settings = SettingsReader.read(JsonFields.parse(json));
         CompletableFuture<Integer> listening = new CompletableFuture<>();
         CompletableFuture<Object[]> parts = new CompletableFuture<>();
         vertx.runOnContext(start -> {
--- a/mqtt/src/main/java/opalcove/mqtt/MqttConfig.java
+++ b/mqtt/src/main/java/opalcove/mqtt/MqttConfig.java
@@ -46,12 +46,12 @@
         ConfigValidator validator = new ConfigValidator(file);
         JsonFields fields = validator.fields(KEYS);
         String name = validator.valueOr(() -> fields.textOr("name", "opalcove"), "");
-        HostAndPort listen = validator.valueOr(() -> HostAndPort.read(fields.text("listen"), "listen"), null);
+        HostAndPort listen = validator.valueOr(() -> HostAndPort.parse(fields.text("listen"), "listen"), null);
         HostAndPort control = validator.valueOr(() -> control(fields), null);
         int maxClients = validator.valueOr(() -> maxConnections(fields, "max_terminals"), 0);
         int maxBackendConnections = validator.valueOr(() -> maxConnections(fields, "max_node_links"), 0);
         List<Backend> backends = validator.valueOr(() -> backends(fields), List.of());
-        DecisionSettings settings = validator.valueOr(() -> SettingsReader.checked(fields.object("settings")), null);
+        DecisionSettings settings = validator.valueOr(() -> SettingsReader.read(fields.object("settings")), null);
         validator.throwIfInvalid();
         return new MqttConfig(name, listen, control, maxClients, maxBackendConnections, backends, settings);
     }
@@ -61,7 +61,7 @@
         if (!fields.has("control")) {
             return null;
         }
-        HostAndPort control = HostAndPort.read(fields.text("control"), "control");
+        HostAndPort control = HostAndPort.parse(fields.text("control"), "control");
         if (!control.address().startsWith("127.")) {
             throw new InvalidConfigurationException(
                     "field control must be a loopback address, not " + control.address());
@@ -87,7 +87,7 @@
                 throw new InvalidConfigurationException("field " + key + ".name is there twice: " + backend.name());
             }
             String address = backend.address();
-            HostAndPort.read(
+            HostAndPort.parse(
                     address.startsWith(MqttConnector.SCHEME)
                             ? address.substring(MqttConnector.SCHEME.length())
                             : address,
--- a/mqtt/src/main/java/opalcove/mqtt/MqttGateway.java
+++ b/mqtt/src/main/java/opalcove/mqtt/MqttGateway.java
@@ -29,7 +29,7 @@
                     new RequestDispatcher(vertx, clock, config.settings(), System.nanoTime(), connections);
             MqttRequestServer server =
                     new MqttRequestServer(vertx, dispatcher, application.phases(), clock, config.maxClients());
-            application.atEnd(dispatcher, server::drain);
+            application.onShutdown(dispatcher, server::drain);
             dispatcher.endpointsChanged(true, config.backends());
             Future<Integer> planService = config.control() == null
                     ? Future.succeededFuture(0)
--- a/mqtt/src/main/java/opalcove/mqtt/ResponseMessage.java
+++ b/mqtt/src/main/java/opalcove/mqtt/ResponseMessage.java
@@ -55,7 +55,7 @@
         int quotaUsedPercent = -1;
         double actualUnits = 0;
         for (Map.Entry<String, String> each : values.entrySet()) {
-            int column = metrics.indexOf(SettingsReader.gauge(each.getKey()));
+            int column = metrics.indexOf(SettingsReader.loadMetric(each.getKey()));
             try {
                 if (each.getKey().equals("used")) {
                     quotaUsedPercent = Integer.parseInt(each.getValue());
--- a/plan/src/main/java/opalcove/plan/EndpointPlan.java
+++ b/plan/src/main/java/opalcove/plan/EndpointPlan.java
@@ -37,7 +37,7 @@
     }
 
     private static Backend removed(Backend backend) {
-        Endpoint endpoint = backend.host();
+        Endpoint endpoint = backend.endpoint();
         return new Backend(
                 new Endpoint(
                         endpoint.id(),
@@ -61,7 +61,7 @@
             throw new InvalidConfigurationException("field snapshot must be false: a plan holds changes");
         }
         List<Backend> changes = EndpointCodec.read(fields.objects("endpoints"));
-        return new EndpointPlan(HostAndPort.read(fields.text("control"), "control"), fields.serial("index"), changes);
+        return new EndpointPlan(HostAndPort.parse(fields.text("control"), "control"), fields.serial("index"), changes);
     }
 
     String write() {
--- a/plan/src/main/java/opalcove/plan/PlanDescription.java
+++ b/plan/src/main/java/opalcove/plan/PlanDescription.java
@@ -23,12 +23,12 @@
     }
 
     private static String line(Backend before, Backend change) {
-        EndpointState state = change.host().state();
+        EndpointState state = change.endpoint().state();
         if (before == null) {
             return "+ " + change.name() + " at " + change.address() + ", " + label(state);
         }
         if (state == EndpointState.REMOVED) {
-            boolean takesWork = before.host().state() == EndpointState.UP;
+            boolean takesWork = before.endpoint().state() == EndpointState.UP;
             return "- " + change.name() + (takesWork ? ", which has not been drained" : "");
         }
         return "~ " + change.name() + differences(before, change);
