--- a/gateway/src/main/java/opalcove/Main.java
+++ b/gateway/src/main/java/opalcove/Main.java
@@ -6,13 +6,13 @@
 import opalcove.simulator.SimulatorAdapter;
 
 /**
- * The platform's program, without what its two commands do not need: {@code serve} is one gateway, {@code adapter} the
- * decisions on the simulator's wire. Exits with 0 when ended well, 1 when it failed and 2 for a wrong call.
+ * The gateway's own program, without what its two commands do not need: {@code serve} runs one gateway, {@code adapter}
+ * the decisions on the simulator's wire. Exits with 0 after a graceful end, 1 after a failure and 2 for invalid arguments.
  */
 public final class Main {
     private Main() {}
 
-    /** Runs {@code serve} or {@code adapter}; any other argument ends the program with code 2. */
+    /** Runs {@code serve} or {@code adapter}; any other argument ends the process with code 2. */
     public static void main(String[] args) throws IOException {
         try {
             switch (args.length == 1 ? args[0] : "") {
@@ -29,9 +29,9 @@
         }
     }
 
-    /** Tells what is wrong, a line each, and ends the program with 1, whatever it has started. */
-    public static void fail(InvalidConfigurationException wrong) {
-        wrong.getMessage().lines().forEach(line -> System.err.println("opalcove: " + line));
+    /** Prints the problems, one a line, and ends the process with 1, whatever it has started. */
+    public static void fail(InvalidConfigurationException problems) {
+        problems.getMessage().lines().forEach(line -> System.err.println("opalcove: " + line));
         System.err.flush();
         Runtime.getRuntime().halt(1);
     }
--- a/gateway/src/main/java/opalcove/admin/AdminCommands.java
+++ b/gateway/src/main/java/opalcove/admin/AdminCommands.java
@@ -5,8 +5,8 @@
 import org.tinylog.Logger;
 
 /**
- * Executes the commands of administrators. A response is one line that begins with {@code +OK} or {@code -ERR}; for {@code
- * STATS} and {@code MEMBERS} lines follow, ended by a line {@code .}. Owned by the admin server's thread.
+ * Executes the commands of administrators. A response is one line that begins with {@code +OK} or {@code -ERR}; for
+ * {@code STATS} and {@code MEMBERS} lines follow, ended by a line {@code .}. Owned by the admin server's thread.
  */
 final class AdminCommands {
     /** How much of an unknown command is repeated in its response and in the log, characters. */
--- a/gateway/src/main/java/opalcove/admin/AdminServer.java
+++ b/gateway/src/main/java/opalcove/admin/AdminServer.java
@@ -17,8 +17,8 @@
 import org.tinylog.Logger;
 
 /**
- * Serves administrators at an address of its own, one command a connection. A command is one line. Runs on an event loop
- * of its own, so that no client work delays it, and reads no more than one line of limited length.
+ * Serves administrators at an address of its own, one command a connection. A command is one line. Runs on an event
+ * loop of its own, so that no client work delays it, and reads no more than one line of limited length.
  */
 public final class AdminServer {
     /** The longest command, with its line end. */
--- a/gateway/src/main/java/opalcove/admin/AdminTarget.java
+++ b/gateway/src/main/java/opalcove/admin/AdminTarget.java
@@ -1,6 +1,9 @@
 package opalcove.admin;
 
-/** The process that administrators inspect and drain. Its methods are called on the admin server's thread and must not block. */
+/**
+ * The process that administrators inspect and drain. Its methods are called on the admin server's thread and must not
+ * block.
+ */
 public interface AdminTarget {
     /** Why this process takes no clients; null where it takes them. */
     String notReady();
--- a/gateway/src/main/java/opalcove/discovery/Backoff.java
+++ b/gateway/src/main/java/opalcove/discovery/Backoff.java
@@ -3,10 +3,10 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Waits between attempts at a service that all gateways call: each twice as long as the one before, up to a bound, and each
- * drawn at random. Guards an overloaded service against gateways that call again together, and as soon as they are
- * rejected: at 14 gateways a fixed tenth of a second kept a list service from answering any of them for a whole day. Not
- * thread-safe.
+ * Waits between attempts at a service that all gateways call: each twice as long as the one before, up to a bound, and
+ * each drawn at random. Guards an overloaded service against gateways that call again together, and as soon as they are
+ * rejected: at 14 gateways a fixed tenth of a second kept a list service from answering any of them for a whole day.
+ * Not thread-safe.
  */
 public final class Backoff {
     /** The longest wait that is drawn, as a multiple of the mean; the shortest is 1 less. */
@@ -38,8 +38,8 @@
     }
 
     /**
-     * The next wait, ms, of this length at most (at least 1 ms). One whose mean is longer is drawn around a shorter mean
-     * rather than cut off, so that callers with the same bound still call at different times.
+     * The next wait, ms, of this length at most (at least 1 ms). One whose mean is longer is drawn around a shorter
+     * mean rather than cut off, so that callers with the same bound still call at different times.
      */
     public long next(double limitMs) {
         double waitMs = Math.min(meanMs, limitMs / MAX_DRAW) * (MAX_DRAW - 1 + random.nextDouble());
--- a/gateway/src/main/java/opalcove/discovery/DiscoveryClient.java
+++ b/gateway/src/main/java/opalcove/discovery/DiscoveryClient.java
@@ -135,9 +135,9 @@
     /**
      * Succeeds once a list is known, or once discovery does not respond. Guards backends that were drained while this
      * process started, of which its agent's knowledge counts as known here from the first moment: while a call is in
-     * flight its response is waited for, and a list that took long to arrive, as the first one of a slow process does, may
-     * have been overtaken by a drain, so what followed it is requested. Where one slow service is polled by all gateways
-     * any list will do: nothing of it counts as known before it has responded.
+     * flight its response is waited for, and a list that took long to arrive, as the first one of a slow process does,
+     * may have been overtaken by a drain, so what followed it is requested. Where one slow service is polled by all
+     * gateways any list will do: nothing of it counts as known before it has responded.
      *
      * @param freshListOnly whether only a fresh list will do
      */
@@ -175,8 +175,8 @@
     }
 
     /**
-     * Guards a draining backend while the process was held up: the response that lay unread ended the watch, and what the
-     * agent learnt after it is given to the next call alone, though its grace has begun.
+     * Guards a draining backend while the process was held up: the response that lay unread ended the watch, and what
+     * the agent learnt after it is given to the next call alone, though its grace has begun.
      */
     private void setCatchingUp(boolean begins) {
         isCatchingUp = begins;
--- a/gateway/src/main/java/opalcove/discovery/PollSchedule.java
+++ b/gateway/src/main/java/opalcove/discovery/PollSchedule.java
@@ -5,14 +5,14 @@
 
 /**
  * When discovery is called, and how long each call is waited for. A list that is pushed is held by an agent on this
- * machine, which answers at once and at no cost: it is called at once, and again soon. One that is polled is held by one
- * service of limited capacity for all gateways: they spread their first calls, back off, and wait for its rejection
+ * machine, which answers at once and at no cost: it is called at once, and again soon. One that is polled is held by
+ * one service of limited capacity for all gateways: they spread their first calls, back off, and wait for its rejection
  * rather than leave calls in its queue.
  *
- * <p>What a pushed list's agent has counts as known at once, also when the agent has been silent and no call that was made
- * meanwhile is ever answered: a call and the wait after it together end within the drain grace, the time in which sends to
- * a draining backend have to stop. A change of a polled list counts as known 6 s after discovery had it and could be
- * reached, whatever calls failed before. docs/design/crossings.md has the sums.
+ * <p>What a pushed list's agent has counts as known at once, also when the agent has been silent and no call that was
+ * made meanwhile is ever answered: a call and the wait after it together end within the drain grace, the time in which
+ * sends to a draining backend have to stop. A change of a polled list counts as known 6 s after discovery had it and
+ * could be reached, whatever calls failed before. docs/design/crossings.md has the sums.
  *
  * @param waitMs how long a watch may wait for a change
  * @param silenceMs how much later its response may arrive before the watch counts as broken
@@ -25,18 +25,20 @@
  */
 public record PollSchedule(
         int waitMs, int silenceMs, long firstAfterMs, Backoff backoff, long maxPeriodMs, long freshMs, long lateMs) {
-    /** How long a connection may take to come up before the first list: a process that has just started is slow itself. */
+    /**
+     * How long a connection may take to come up before the first list: a process that has just started is slow itself.
+     */
     static final int FIRST_CONNECT_MS = 1000;
 
     private static final long DEFAULT_FRESH_MS = 300;
     /**
-     * The first calls of all gateways, and those after a failure that all of them met, are spread over so long for each of
-     * them: a release, or a service that breaks all its connections, does not make them call at one instant.
+     * The first calls of all gateways, and those after a failure that all of them met, are spread over so long for each
+     * of them: a release, or a service that breaks all its connections, does not make them call at one instant.
      */
     private static final double SPREAD_MS = 20;
     /**
-     * A polled list: a service short of capacity rejects a call after 2 s in its queue, which the silence outlasts. A call
-     * and the wait after it leave 1.5 s of the 6 s for the next call's response and for a process that is held up.
+     * A polled list: a service short of capacity rejects a call after 2 s in its queue, which the silence outlasts. A
+     * call and the wait after it leave 1.5 s of the 6 s for the next call's response and for a process that is held up.
      */
     private static final int POLLED_WAIT_MS = 1500;
 
@@ -45,8 +47,8 @@
     private static final double POLLED_BACKOFF_MS = 200;
     private static final double POLLED_MAX_BACKOFF_MS = 3200;
     /**
-     * After a move to another address a change counts as known 4 s after SIGHUP: a call that fails before that is repeated
-     * within so long of the move.
+     * After a move to another address a change counts as known 4 s after SIGHUP: a call that fails before that is
+     * repeated within so long of the move.
      */
     private static final long MOVED_MS = 3200;
 
--- a/gateway/src/main/java/opalcove/resp/BackendReplyDecoder.java
+++ b/gateway/src/main/java/opalcove/resp/BackendReplyDecoder.java
@@ -9,8 +9,8 @@
 import org.tinylog.Logger;
 
 /**
- * Decodes the replies of backends, by the protocol's table of outcomes. One object serves all connections of a connector;
- * owned by their event loop.
+ * Decodes the replies of backends, by the protocol's table of outcomes. One object serves all connections of a
+ * connector; owned by their event loop.
  */
 final class BackendReplyDecoder {
     /** The parts of a reply: the value, the usage figures and the load report. */
@@ -102,7 +102,9 @@
         }
     }
 
-    /** Guards the decision module's accounts against impossible figures: what is out of range counts as not reported. */
+    /**
+     * Guards the decision module's accounts against impossible figures: what is out of range counts as not reported.
+     */
     private void setFigure(RespDecoder reply, int part, int from, int to, double value) {
         boolean isCost = reply.regionEquals(part, from, to, "cost");
         if (!(value >= 0 && value <= MAX_USED_PERCENT) || isCost && value > maxUnits) {
--- a/gateway/src/main/java/opalcove/resp/BufferBudget.java
+++ b/gateway/src/main/java/opalcove/resp/BufferBudget.java
@@ -1,8 +1,8 @@
 package opalcove.resp;
 
 /**
- * The memory that values buffered whole before they are written may take, of all connections of a server together. Owned
- * by the server's event loop.
+ * The memory that values buffered whole before they are written may take, of all connections of a server together.
+ * Owned by the server's event loop.
  */
 final class BufferBudget {
     static final int MAX_BYTES = 6 * 1024 * 1024;
--- a/gateway/src/main/java/opalcove/resp/ClientConnection.java
+++ b/gateway/src/main/java/opalcove/resp/ClientConnection.java
@@ -232,10 +232,10 @@
     }
 
     /**
-     * Ends the connection if it is still idle after a further read of what may lie unread; tells whether it did. Guards a
-     * request that arrived while the event loop was held up (by a lack of processor time, or a long turn): a timer can be
-     * due before the loop has read what arrived meanwhile, and to its client such a request is taken. Paused reads (after
-     * an error, or a full pipeline) do not exempt it: what lies behind them is taken too.
+     * Ends the connection if it is still idle after a further read of what may lie unread; tells whether it did. Guards
+     * a request that arrived while the event loop was held up (by a lack of processor time, or a long turn): a timer
+     * can be due before the loop has read what arrived meanwhile, and to its client such a request is taken. Paused
+     * reads (after an error, or a full pipeline) do not exempt it: what lies behind them is taken too.
      */
     boolean closeIfIdle(ConnectionCloseReason reason) {
         if (!isClosing) {
@@ -253,8 +253,8 @@
 
     /**
      * Closes the output of the connection, on which no response is due. Guards what was read from it and not executed
-     * against being forwarded later: its response would have nowhere to go, and the client, which saw the connection end
-     * first, may have sent it again elsewhere.
+     * against being forwarded later: its response would have nowhere to go, and the client, which saw the connection
+     * end first, may have sent it again elsewhere.
      */
     private void beginHalfClose(ConnectionCloseReason reason) {
         server.dispatcher().clientConnectionClosed(reason);
--- a/gateway/src/main/java/opalcove/resp/ConnectionInput.java
+++ b/gateway/src/main/java/opalcove/resp/ConnectionInput.java
@@ -5,13 +5,13 @@
 import java.util.function.BooleanSupplier;
 
 /**
- * The input of one client connection: decodes what is read, or buffers it while decoding is paused, and knows how long it
- * may have lain unread. All times are by {@link System#nanoTime}. Owned by the connection's event loop.
+ * The input of one client connection: decodes what is read, or buffers it while decoding is paused, and knows how long
+ * it may have lain unread. All times are by {@link System#nanoTime}. Owned by the connection's event loop.
  */
 final class ConnectionInput {
     /**
-     * How old the knowledge that a client is connected may be when an attempt is made for it: a quarter of the 0.1 s after
-     * which an attempt for a disconnected client breaks a rule.
+     * How old the knowledge that a client is connected may be when an attempt is made for it: a quarter of the 0.1 s
+     * after which an attempt for a disconnected client breaks a rule.
      */
     private static final long MAX_AGE_NANOS = TimeUnit.MILLISECONDS.toNanos(25);
     /** What may have lain unread for longer than this counts as old: less is covered by the slack on deadlines. */
@@ -154,8 +154,8 @@
     }
 
     /**
-     * Leaves all that arrives with the kernel until {@link #resumeSuspended}. Guards what arrives against being read by a
-     * gateway that may have to end the connection: its client sends again what was not read.
+     * Leaves all that arrives with the kernel until {@link #resumeSuspended}. Guards what arrives against being read by
+     * a gateway that may have to end the connection: its client sends again what was not read.
      */
     void suspend() {
         if (!isSuspended) {
@@ -202,8 +202,8 @@
     }
 
     /**
-     * Decodes again, what was buffered first. Guards what was buffered of a client that has disconnected meanwhile against
-     * being served: it is dropped with the connection.
+     * Decodes again, what was buffered first. Guards what was buffered of a client that has disconnected meanwhile
+     * against being served: it is dropped with the connection.
      */
     void resume() {
         if (buffered != null && !isConnected()) {
@@ -246,10 +246,10 @@
     }
 
     /**
-     * Whether the client is still connected. Polls the socket where the last poll is too old, at most once a turn of the
-     * event loop, and once more in each {@link #MAX_AGE_NANOS} of a long turn; a connection that is read costs no poll of
-     * its own while the loop reads its sockets that often. Not known, and so assumed to be connected, where more lies
-     * unread than may be buffered.
+     * Whether the client is still connected. Polls the socket where the last poll is too old, at most once a turn of
+     * the event loop, and once more in each {@link #MAX_AGE_NANOS} of a long turn; a connection that is read costs no
+     * poll of its own while the loop reads its sockets that often. Not known, and so assumed to be connected, where
+     * more lies unread than may be buffered.
      */
     boolean isConnected() {
         if (socket.isOpen() && !isSuspended && !isKnown()) {
@@ -271,8 +271,8 @@
     }
 
     /**
-     * Reads until nothing more arrives, for the end shows only then; a single read of a paused socket brings no more than
-     * one buffer, and ends before the end that lies behind it.
+     * Reads until nothing more arrives, for the end shows only then; a single read of a paused socket brings no more
+     * than one buffer, and ends before the end that lies behind it.
      */
     void poll() {
         if (isSuspended) {
--- a/gateway/src/main/java/opalcove/resp/DisconnectDetector.java
+++ b/gateway/src/main/java/opalcove/resp/DisconnectDetector.java
@@ -37,7 +37,8 @@
     /**
      * The input of one connection.
      *
-     * @param hasOpenRequests a paused connection is polled only while this holds: nothing waits for its client otherwise
+     * @param hasOpenRequests a paused connection is polled only while this holds: nothing waits for its client
+     *     otherwise
      */
     ConnectionInput input(RawSocket socket, RespDecoder decoder, BooleanSupplier hasOpenRequests) {
         return new ConnectionInput(this, socket, decoder, hasOpenRequests);
--- a/gateway/src/main/java/opalcove/resp/DrainState.java
+++ b/gateway/src/main/java/opalcove/resp/DrainState.java
@@ -19,7 +19,9 @@
         isRequested = drain;
     }
 
-    /** Whether an administrator has requested a drain: PING then reports it, so that no new connections are sent here. */
+    /**
+     * Whether an administrator has requested a drain: PING then reports it, so that no new connections are sent here.
+     */
     boolean isRequested() {
         return isRequested;
     }
--- a/gateway/src/main/java/opalcove/resp/OpenConnections.java
+++ b/gateway/src/main/java/opalcove/resp/OpenConnections.java
@@ -52,8 +52,8 @@
     }
 
     /**
-     * Closes the connections that have been idle for too long. Guards memory and descriptors against clients that send one
-     * request, or never complete a command, and stay.
+     * Closes the connections that have been idle for too long. Guards memory and descriptors against clients that send
+     * one request, or never complete a command, and stay.
      */
     void closeIdle() {
         long timeoutMs = drain.isActive() ? DRAIN_IDLE_TIMEOUT_MS : IDLE_TIMEOUT_MS;
--- a/gateway/src/main/java/opalcove/resp/RawSocket.java
+++ b/gateway/src/main/java/opalcove/resp/RawSocket.java
@@ -19,12 +19,12 @@
 import opalcove.lifecycle.Application;
 
 /**
- * The bytes of one Vert.x socket without the copies and objects that its streams make: what is read is handed over in the
- * buffer that it was read into, and what is written in one turn of the event loop is flushed in one call at its end. All
- * else of the socket (its opening, its close, errors) stays with Vert.x. Owned by the socket's event loop.
+ * The bytes of one Vert.x socket without the copies and objects that its streams make: what is read is handed over in
+ * the buffer that it was read into, and what is written in one turn of the event loop is flushed in one call at its
+ * end. All else of the socket (its opening, its close, errors) stays with Vert.x. Owned by the socket's event loop.
  *
- * <p>Invariants: bytes are sent in the order of the calls; what waits for the end of the turn when the socket is closed by
- * {@link #closeAndDiscard} is never sent; every buffer that was handed over here is released, sent or not.
+ * <p>Invariants: bytes are sent in the order of the calls; what waits for the end of the turn when the socket is closed
+ * by {@link #closeAndDiscard} is never sent; every buffer that was handed over here is released, sent or not.
  */
 final class RawSocket extends ChannelInboundHandlerAdapter implements Runnable, ChannelFutureListener {
     private static final int MIN_BATCH_BYTES = 512;
@@ -40,8 +40,8 @@
         default void writabilityChanged() {}
 
         /**
-         * Called at the end of a turn, right before what was written in it is flushed: whether it still may be. Where not,
-         * the socket is closed and nothing of that turn is sent.
+         * Called at the end of a turn, right before what was written in it is flushed: whether it still may be. Where
+         * not, the socket is closed and nothing of that turn is sent.
          */
         default boolean mayFlush() {
             return true;
@@ -60,7 +60,10 @@
     private ByteBuf batch;
     private boolean isFlushScheduled;
 
-    /** Made in the handler that gets the socket, on its context. Failed writes are reported only where that is asked for. */
+    /**
+     * Made in the handler that gets the socket, on its context. Failed writes are reported only where that is asked
+     * for.
+     */
     RawSocket(NetSocket socket, boolean reportsWriteFailures, Listener listener) {
         this.reportsWriteFailures = reportsWriteFailures;
         this.listener = listener;
@@ -73,8 +76,8 @@
     }
 
     /**
-     * Since when this connection may have waited to be accepted, by {@link System#nanoTime}; when it was made here, for one
-     * that was not accepted.
+     * Since when this connection may have waited to be accepted, by {@link System#nanoTime}; when it was made here, for
+     * one that was not accepted.
      */
     long waitingSince() {
         return waitingSince;
--- a/gateway/src/main/java/opalcove/resp/ReadBufferAllocator.java
+++ b/gateway/src/main/java/opalcove/resp/ReadBufferAllocator.java
@@ -5,8 +5,8 @@
 import io.netty.channel.AdaptiveRecvByteBufAllocator;
 
 /**
- * Allocates the buffers that a socket is read into: as large as recent reads suggest, or no larger than a limit while one
- * is set. Owned by the socket's event loop.
+ * Allocates the buffers that a socket is read into: as large as recent reads suggest, or no larger than a limit while
+ * one is set. Owned by the socket's event loop.
  */
 final class ReadBufferAllocator extends AdaptiveRecvByteBufAllocator {
     private int maxBytes = Integer.MAX_VALUE;
--- a/gateway/src/main/java/opalcove/resp/RequestDecoder.java
+++ b/gateway/src/main/java/opalcove/resp/RequestDecoder.java
@@ -50,8 +50,8 @@
     }
 
     /**
-     * Decodes the request of a command. Its body, where it has one, is copied to a buffer that the socket allocates; it is
-     * the caller's to release once the request is settled.
+     * Decodes the request of a command. Its body, where it has one, is copied to a buffer that the socket allocates; it
+     * is the caller's to release once the request is settled.
      *
      * @throws InvalidRequestException if the request cannot be served; the message is for its client
      */
--- a/gateway/src/main/java/opalcove/resp/RespDecoder.java
+++ b/gateway/src/main/java/opalcove/resp/RespDecoder.java
@@ -4,12 +4,13 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * Decodes RESP2 values from bytes that may be split anywhere, in the buffers that they were read into: a value is examined
- * in place while its listener is notified, and nothing is allocated for it. A value that is split over several reads is
- * put together in one buffer, each byte copied once. After the first error it decodes nothing more. Used by one thread.
+ * Decodes RESP2 values from bytes that may be split anywhere, in the buffers that they were read into: a value is
+ * examined in place while its listener is notified, and nothing is allocated for it. A value that is split over several
+ * reads is put together in one buffer, each byte copied once. After the first error it decodes nothing more. Used by
+ * one thread.
  *
- * <p>A value is a line ({@code + - :}), a bulk string or an array. The items of an array are available where all of them
- * are lines or strings; of an array that holds arrays, only that it arrived.
+ * <p>A value is a line ({@code + - :}), a bulk string or an array. The items of an array are available where all of
+ * them are lines or strings; of an array that holds arrays, only that it arrived.
  */
 final class RespDecoder {
     /** The longest string that is buffered; a longer one is streamed, where its listener accepts it. */
--- a/gateway/src/main/java/opalcove/resp/RespListener.java
+++ b/gateway/src/main/java/opalcove/resp/RespListener.java
@@ -8,8 +8,9 @@
     void valueDecoded(RespDecoder value);
 
     /**
-     * A string of that many bytes, too long to be buffered, begins as the first item of an array; tells whether its parts
-     * are accepted. Once they have all been given the array is decoded as any other, with an empty string in that place.
+     * A string of that many bytes, too long to be buffered, begins as the first item of an array; tells whether its
+     * parts are accepted. Once they have all been given the array is decoded as any other, with an empty string in that
+     * place.
      */
     default boolean streamStarted(int length) {
         return false;
--- a/gateway/src/main/java/opalcove/resp/RespServer.java
+++ b/gateway/src/main/java/opalcove/resp/RespServer.java
@@ -133,8 +133,8 @@
     }
 
     /**
-     * Begins or ends a drain that an administrator requests. During it PING reports the drain, so that no new connections
-     * are sent here, and every connection is closed once no response is due on it. All responses are given.
+     * Begins or ends a drain that an administrator requests. During it PING reports the drain, so that no new
+     * connections are sent here, and every connection is closed once no response is due on it. All responses are given.
      */
     public void setDrainRequested(boolean requested) {
         drain.request(requested);
--- a/gateway/src/main/java/opalcove/resp/RespWriter.java
+++ b/gateway/src/main/java/opalcove/resp/RespWriter.java
@@ -5,7 +5,9 @@
 
 /** Writes RESP2 into buffers. Stateless. */
 final class RespWriter {
-    /** A value of this size or more is forwarded in the buffer that it was read into; a smaller one is cheaper to copy. */
+    /**
+     * A value of this size or more is forwarded in the buffer that it was read into; a smaller one is cheaper to copy.
+     */
     static final int MIN_FORWARDED_BYTES = 4096;
     /** The largest size of the header of a bulk string or array, or of an integer. */
     static final int MAX_HEADER_BYTES = 24;
--- a/gateway/src/main/java/opalcove/resp/ResponseStream.java
+++ b/gateway/src/main/java/opalcove/resp/ResponseStream.java
@@ -10,12 +10,14 @@
 /**
  * A streamed value that is written to its client while its backend sends it. Owned by the connection's event loop.
  *
- * <p>A value that its backend cuts off while it is written ends the connection, for nothing else tells the client that it
- * is incomplete. Guards the requests behind it, which would be lost with the connection: where some were read, the value
- * is buffered whole before any of it is written; where none was, none is read until the value has been written.
+ * <p>A value that its backend cuts off while it is written ends the connection, for nothing else tells the client that
+ * it is incomplete. Guards the requests behind it, which would be lost with the connection: where some were read, the
+ * value is buffered whole before any of it is written; where none was, none is read until the value has been written.
  */
 final class ResponseStream implements StreamedValue.Sink {
-    /** How long after its request's deadline a value is waited for that has begun to arrive and is not being written. */
+    /**
+     * How long after its request's deadline a value is waited for that has begun to arrive and is not being written.
+     */
     private static final long GRACE_MS = 200;
 
     private final PipelineSlot slot;
@@ -95,7 +97,10 @@
         return begins;
     }
 
-    /** Guards the response against a backend that sends the rest of a value late: unless it is being written it is due in time. */
+    /**
+     * Guards the response against a backend that sends the rest of a value late: unless it is being written it is due
+     * in time.
+     */
     private void setTimeout() {
         if (hasTimeout || slot.request() == null) {
             return;
@@ -136,7 +141,9 @@
         }
     }
 
-    /** Fails this request alone: nothing of the value was written, so the connection and the requests behind it go on. */
+    /**
+     * Fails this request alone: nothing of the value was written, so the connection and the requests behind it go on.
+     */
     private void abandon(String cause) {
         Logger.warn("abandoning a streamed value of {} bytes: {}", value.length(), cause);
         isAbandoned = true;
--- a/gateway/src/main/java/opalcove/resp/WarmUp.java
+++ b/gateway/src/main/java/opalcove/resp/WarmUp.java
@@ -39,10 +39,10 @@
 import org.tinylog.Logger;
 
 /**
- * Runs requests through the program before it opens: a server, a dispatcher and connections of their own, and an emulated
- * backend, over UNIX sockets in a private folder. Guards the first clients against a program whose classes are not loaded
- * and whose code is not compiled: on a part of a core their requests waited for up to a second. Called from the starting
- * thread; all else runs on the event loop that is made for it.
+ * Runs requests through the program before it opens: a server, a dispatcher and connections of their own, and an
+ * emulated backend, over UNIX sockets in a private folder. Guards the first clients against a program whose classes are
+ * not loaded and whose code is not compiled: on a part of a core their requests waited for up to a second. Called from
+ * the starting thread; all else runs on the event loop that is made for it.
  */
 public final class WarmUp {
     static final int REQUESTS = 500;
@@ -66,8 +66,8 @@
     }
 
     /**
-     * Runs the warm-up and closes its Vert.x instance, which is made only if there is a run, all within the budget; what
-     * has not closed in time closes by itself. A failure costs nothing but time.
+     * Runs the warm-up and closes its Vert.x instance, which is made only if there is a run, all within the budget;
+     * what has not closed in time closes by itself. A failure costs nothing but time.
      *
      * @return the number of requests that were answered
      */
@@ -111,8 +111,8 @@
     }
 
     /**
-     * Creates a folder that only this user may enter and that must not exist. Not by Files.createTempDirectory, whose names
-     * are drawn by a SecureRandom: its initialization takes 20 ms of a start on a whole core.
+     * Creates a folder that only this user may enter and that must not exist. Not by Files.createTempDirectory, whose
+     * names are drawn by a SecureRandom: its initialization takes 20 ms of a start on a whole core.
      */
     private static Path createPrivateFolder() throws IOException {
         String name = FOLDER_PREFIX + ProcessHandle.current().pid() + "-" + Long.toHexString(System.nanoTime());
@@ -122,9 +122,9 @@
     }
 
     /**
-     * Whether a UNIX socket at this path can be connected to. Guards the start on platforms that allow to listen there and
-     * not to connect: an event loop, a server and connections were set up for nothing, a quarter of the start's processor
-     * time.
+     * Whether a UNIX socket at this path can be connected to. Guards the start on platforms that allow to listen there
+     * and not to connect: an event loop, a server and connections were set up for nothing, a quarter of the start's
+     * processor time.
      */
     static boolean canConnectAt(Path path) throws IOException {
         UnixDomainSocketAddress address = UnixDomainSocketAddress.of(path);
@@ -141,9 +141,9 @@
     }
 
     /**
-     * Waits for the end, or brings it about when three quarters of the remaining time are over: sends no more requests, and
-     * waits for those in flight. Guards the log and the close against connections that are still being opened to a backend
-     * that closes.
+     * Waits for the end, or brings it about when three quarters of the remaining time are over: sends no more requests,
+     * and waits for those in flight. Guards the log and the close against connections that are still being opened to a
+     * backend that closes.
      */
     private void awaitEnd(TimeBudget budget) throws ExecutionException, InterruptedException, TimeoutException {
         CompletableFuture<Void> end = done.future().toCompletionStage().toCompletableFuture();
--- a/gateway/src/main/java/opalcove/server/ConfigurationApplier.java
+++ b/gateway/src/main/java/opalcove/server/ConfigurationApplier.java
@@ -29,8 +29,8 @@
     }
 
     /**
-     * Applies what is replicated from now on. Completes once the version in force is known, or after the time in which it
-     * should have been: clients are then accepted without.
+     * Applies what is replicated from now on. Completes once the version in force is known, or after the time in which
+     * it should have been: clients are then accepted without.
      */
     Future<Void> follow(Vertx vertx, ReplicatedConfig replicated, Supplier<List<Member>> presentMembers) {
         dispatcher.beforeEachRequest(() -> {
--- a/gateway/src/main/java/opalcove/server/GatewayConfig.java
+++ b/gateway/src/main/java/opalcove/server/GatewayConfig.java
@@ -43,8 +43,8 @@
         MembershipConfig membership,
         JsonFields agreement) {
     /**
-     * How long the warm-up may take with all its waits; it ends sooner on a whole core. A start has 6 s to become ready, of
-     * which the machine may take a part first.
+     * How long the warm-up may take with all its waits; it ends sooner on a whole core. A start has 6 s to become
+     * ready, of which the machine may take a part first.
      */
     private static final int DEFAULT_WARM_UP_MS = 2500;
 
@@ -56,8 +56,8 @@
     private static final int MIN_SOCKETS = 16;
 
     /**
-     * Reads the file that GW_CONFIG names. The other variables take precedence over it, except for discovery: they are as
-     * old as the process, and the file may have been replaced since.
+     * Reads the file that GW_CONFIG names. The other variables take precedence over it, except for discovery: they are
+     * as old as the process, and the file may have been replaced since.
      *
      * @throws InvalidConfigurationException with every problem of the file, each by file, key and reason
      */
--- a/gateway/src/main/java/opalcove/server/GatewayServer.java
+++ b/gateway/src/main/java/opalcove/server/GatewayServer.java
@@ -29,7 +29,8 @@
     private GatewayServer() {}
 
     /**
-     * Starts the gateway by the environment and its configuration; returns at once, and the gateway runs on its own threads.
+     * Starts the gateway by the environment and its configuration; returns at once, and the gateway runs on its own
+     * threads.
      *
      * @throws InvalidConfigurationException if the configuration cannot be used
      */
@@ -135,9 +136,9 @@
     /**
      * Follows discovery, and the replicated configuration where there is one; completes once requests may be accepted.
      *
-     * <p>A list known from before may be out of date: requests must not go to a backend that a local agent may know to be
-     * removed, and only where the agent does not respond must the known list do. Where one service is polled the known
-     * list will do, for waiting for that service would only keep the gateway out of service longer.
+     * <p>A list known from before may be out of date: requests must not go to a backend that a local agent may know to
+     * be removed, and only where the agent does not respond must the known list do. Where one service is polled the
+     * known list will do, for waiting for that service would only keep the gateway out of service longer.
      */
     private static Future<?> whenEndpointsKnown(
             Vertx vertx, DiscoveryClient discovery, ConfigurationApplier applier, Parts parts) {
@@ -189,8 +190,8 @@
     }
 
     /**
-     * Applies a configuration file that was replaced: discovery moves and new settings are in force at once (open requests
-     * keep theirs); a file that cannot be used leaves the old one in force, whole.
+     * Applies a configuration file that was replaced: discovery moves and new settings are in force at once (open
+     * requests keep theirs); a file that cannot be used leaves the old one in force, whole.
      */
     private static void reload(
             GatewayConfig started,
--- a/gateway/src/main/java/opalcove/server/ReloadSignal.java
+++ b/gateway/src/main/java/opalcove/server/ReloadSignal.java
@@ -4,8 +4,8 @@
 import org.tinylog.Logger;
 
 /**
- * Handles SIGHUP, which reports that the configuration file was replaced. A signal that arrives before there is a listener
- * is delivered to it later. Thread-safe; the listener runs on the signal's thread.
+ * Handles SIGHUP, which reports that the configuration file was replaced. A signal that arrives before there is a
+ * listener is delivered to it later. Thread-safe; the listener runs on the signal's thread.
  */
 public final class ReloadSignal {
     private Runnable listener;
--- a/gateway/src/main/java/opalcove/transport/AcceptLimiter.java
+++ b/gateway/src/main/java/opalcove/transport/AcceptLimiter.java
@@ -122,8 +122,8 @@
 
     /**
      * The system fails to accept, for lack of descriptors or memory, for example. Guards clients against Netty's own
-     * reaction, which is to accept nothing for a second, and the processor against retrying again and again. Called after
-     * the end of the read that failed, which therefore has not emptied the backlog.
+     * reaction, which is to accept nothing for a second, and the processor against retrying again and again. Called
+     * after the end of the read that failed, which therefore has not emptied the backlog.
      */
     @Override
     public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
--- a/gateway/src/main/java/opalcove/transport/CoarseWaitTransport.java
+++ b/gateway/src/main/java/opalcove/transport/CoarseWaitTransport.java
@@ -30,11 +30,11 @@
 import org.tinylog.Logger;
 
 /**
- * Vert.x's NIO transport with what the gateway needs of sockets beyond it: limits and failures of accepting, shared ports,
- * and when event loops read. Its waits are coarse: a selector waits in whole milliseconds, and Netty rounds the wait to
- * the nearest one, so with less than half a millisecond to go its loop polls the selector again and again until the timer
- * is due. Here it rounds up, so that the loop sleeps and a timer is up to a millisecond late. Guards the processor: on a
- * part of a core those polls were most of all that the loop did.
+ * Vert.x's NIO transport with what the gateway needs of sockets beyond it: limits and failures of accepting, shared
+ * ports, and when event loops read. Its waits are coarse: a selector waits in whole milliseconds, and Netty rounds the
+ * wait to the nearest one, so with less than half a millisecond to go its loop polls the selector again and again until
+ * the timer is due. Here it rounds up, so that the loop sleeps and a timer is up to a millisecond late. Guards the
+ * processor: on a part of a core those polls were most of all that the loop did.
  */
 public class CoarseWaitTransport extends NioTransport {
     /** Connections that one read of a listening socket may accept. */
@@ -69,8 +69,9 @@
     }
 
     /**
-     * Supplies up to when the event loop of the caller's context has read its sockets, by {@link System#nanoTime}; to be
-     * called on that loop only. Where the Vert.x instance is not on this transport it is assumed to be always up to date.
+     * Supplies up to when the event loop of the caller's context has read its sockets, by {@link System#nanoTime}; to
+     * be called on that loop only. Where the Vert.x instance is not on this transport it is assumed to be always up to
+     * date.
      */
     public static LongSupplier readUpTo(Vertx vertx) {
         SocketReadTimes times = readTimes(vertx);
@@ -88,8 +89,8 @@
     }
 
     /**
-     * Since when an accepted connection may have waited to be accepted, by {@link System#nanoTime}; now, where that is not
-     * known.
+     * Since when an accepted connection may have waited to be accepted, by {@link System#nanoTime}; now, where that is
+     * not known.
      */
     public static long waitingSince(Vertx vertx, AttributeMap connection) {
         Long since = connection.attr(AcceptLimiter.WAITING_SINCE).get();
@@ -115,8 +116,8 @@
     }
 
     /**
-     * Sets SO_REUSEPORT, which Vert.x leaves to its native transports; the JDK has it on Linux. With it a new process of the
-     * gateway listens at the port of the old one while that still serves.
+     * Sets SO_REUSEPORT, which Vert.x leaves to its native transports; the JDK has it on Linux. With it a new process
+     * of the gateway listens at the port of the old one while that still serves.
      */
     @Override
     public void configure(NetServerOptions options, boolean domainSocket, ServerBootstrap bootstrap) {
@@ -146,8 +147,8 @@
     }
 
     /**
-     * Limits how many connections may be open at once, of each socket that listens from now on. Others wait in the kernel's
-     * backlog. Does nothing where the Vert.x instance is not on this transport.
+     * Limits how many connections may be open at once, of each socket that listens from now on. Others wait in the
+     * kernel's backlog. Does nothing where the Vert.x instance is not on this transport.
      */
     public static void limitAccepted(Vertx vertx, int max) {
         if (((VertxInternal) vertx).transport() instanceof CoarseWaitTransport transport) {
@@ -156,10 +157,10 @@
     }
 
     /**
-     * Stops listening at shared ports and leaves the servers as they are: all connections that the kernel holds are accepted
-     * first, and handed over as usual. Guards connections that were established while the loops were held up, which a
-     * server's own shutdown closes unread. Runs the action on the caller's context once all of them were handed over; gives
-     * false, and does nothing, where the Vert.x instance is not on this transport.
+     * Stops listening at shared ports and leaves the servers as they are: all connections that the kernel holds are
+     * accepted first, and handed over as usual. Guards connections that were established while the loops were held up,
+     * which a server's own shutdown closes unread. Runs the action on the caller's context once all of them were handed
+     * over; gives false, and does nothing, where the Vert.x instance is not on this transport.
      */
     public static boolean stopListening(Vertx vertx, Runnable whenStopped) {
         if (!(((VertxInternal) vertx).transport() instanceof CoarseWaitTransport transport)) {
@@ -206,8 +207,8 @@
     }
 
     /**
-     * Gives its loop's handler a context in which the next timer is a little further away, and records when the sockets are
-     * polled and read.
+     * Gives its loop's handler a context in which the next timer is a little further away, and records when the sockets
+     * are polled and read.
      */
     private static final class CoarseWaitHandler extends DelegatingIoHandler {
         private final SocketReadTimes readTimes;
--- a/gateway/src/main/java/opalcove/transport/DescriptorCounter.java
+++ b/gateway/src/main/java/opalcove/transport/DescriptorCounter.java
@@ -7,9 +7,9 @@
 import java.util.concurrent.atomic.AtomicInteger;
 
 /**
- * Counts the descriptors that one kind of socket holds. A selector releases the descriptor of a closed channel only at its
- * next poll, so a close counts here once the channel's event loop has polled again. Guards the process's limit against
- * many sockets that are closed and replaced within one turn of the event loop. Thread-safe.
+ * Counts the descriptors that one kind of socket holds. A selector releases the descriptor of a closed channel only at
+ * its next poll, so a close counts here once the channel's event loop has polled again. Guards the process's limit
+ * against many sockets that are closed and replaced within one turn of the event loop. Thread-safe.
  */
 public final class DescriptorCounter {
     private final AtomicInteger held = new AtomicInteger();
--- a/gateway/src/main/java/opalcove/transport/LibraryLogging.java
+++ b/gateway/src/main/java/opalcove/transport/LibraryLogging.java
@@ -8,9 +8,9 @@
 import org.tinylog.Logger;
 
 /**
- * Routes what Vert.x and Netty log to tinylog, from level info up. Guards the start against their own search for a logging
- * library, which ends at java.util.logging: its classes are needed for nothing else, and its lines have another form than
- * the program's. Stateless.
+ * Routes what Vert.x and Netty log to tinylog, from level info up. Guards the start against their own search for a
+ * logging library, which ends at java.util.logging: its classes are needed for nothing else, and its lines have another
+ * form than the program's. Stateless.
  */
 public final class LibraryLogging {
     private static final String VERTX_FACTORY = "vertx.logger-delegate-factory-class-name";
--- a/gateway/src/main/java/opalcove/transport/SocketReadTimes.java
+++ b/gateway/src/main/java/opalcove/transport/SocketReadTimes.java
@@ -3,17 +3,17 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * When one event loop last polled its sockets, and how long what it reads may have lain unread. All times are by
- * {@link System#nanoTime}. Owned by that loop.
+ * When one event loop last polled its sockets, and how long what it reads may have lain unread. All times are by {@link
+ * System#nanoTime}. Owned by that loop.
  *
  * <p>A turn of the loop has two parts: it polls the sockets and reads those that are ready, one after another, and then
- * runs its tasks and timers. While it reads, what arrived at a socket further down may not have been read yet, so the time
- * of the turn before's poll holds.
+ * runs its tasks and timers. While it reads, what arrived at a socket further down may not have been read yet, so the
+ * time of the turn before's poll holds.
  *
- * <p>What is read in a turn arrived after the turn before had polled. Where the loop slept in between it arrived just now,
- * for it ended the sleep; but not where the sleep, or the turn before it, lasted longer than it should have: then the
- * process was paused for a while, and what is read may have arrived at any time since. A pause shorter than the rest of
- * the sleep is not detected.
+ * <p>What is read in a turn arrived after the turn before had polled. Where the loop slept in between it arrived just
+ * now, for it ended the sleep; but not where the sleep, or the turn before it, lasted longer than it should have: then
+ * the process was paused for a while, and what is read may have arrived at any time since. A pause shorter than the
+ * rest of the sleep is not detected.
  */
 final class SocketReadTimes {
     /** A shorter wait for sockets is not a sleep: something was ready already. */
@@ -65,8 +65,8 @@
     }
 
     /**
-     * All ready sockets have been read, so many. The end of a pause interrupts the sleep, which then ends with no socket
-     * ready, though some are: the next turn reads them, and they may be as old.
+     * All ready sockets have been read, so many. The end of a pause interrupts the sleep, which then ends with no
+     * socket ready, though some are: the next turn reads them, and they may be as old.
      */
     void socketsRead(int handled) {
         readUpTo = polledAt;
@@ -80,8 +80,8 @@
     }
 
     /**
-     * What was accepted by another loop at that time arrived no earlier than the time given here: that loop may not have
-     * detected a pause.
+     * What was accepted by another loop at that time arrived no earlier than the time given here: that loop may not
+     * have detected a pause.
      */
     long arrivedSince(long acceptedAt) {
         if (acceptedAt - polledAt >= LATE_NANOS) {
