--- a/recovery/src/main/java/opalcove/recovery/RecoveryPlan.java
+++ b/recovery/src/main/java/opalcove/recovery/RecoveryPlan.java
@@ -3,7 +3,7 @@
 import java.util.List;
 
 /**
- * What a gateway does now, on its way back after a start.
+ * What a gateway does now, in its recovery after a start.
  *
  * @param phase the phase of the recovery
  * @param isReady whether clients may be accepted
