--- a/cli/src/main/java/opalcove/cli/MeterCommand.java
+++ b/cli/src/main/java/opalcove/cli/MeterCommand.java
@@ -76,7 +76,7 @@
         LoadPlan plan = options.plan("127.0.0.1", 0);
         try (Meter meter = new Meter(plan, new Meter.Nodes(nodes, value, work), lockstep, warm, System.err::println)) {
             Meter.Costs costs = meter.measure(plan.requests(), classes);
-            JsonObject told = costs.json();
+            JsonObject report = costs.json();
             if (!json) {
                 System.out.print(table(costs));
             }
@@ -92,10 +92,10 @@
                                 each.what(), each.meter(), each.strace(), each.meter() - each.strace());
                     }
                 }
-                told.add("verified", checks);
+                report.add("verified", checks);
             }
             if (json) {
-                System.out.println(told);
+                System.out.println(report);
             }
         }
         return 0;
--- a/gateway/src/main/java/opalcove/core/InFlightRequest.java
+++ b/gateway/src/main/java/opalcove/core/InFlightRequest.java
@@ -72,7 +72,7 @@
 
     boolean over;
     /** Its client left before it was over. */
-    boolean clientLeft;
+    boolean clientDisconnected;
     /** It ends with the process: a request that came after it may not wait longer. */
     boolean expedited;
 
@@ -121,8 +121,8 @@
     }
 
     @Override
-    public void clientLeft() {
-        lifecycle.clientLeft(this);
+    public void clientDisconnected() {
+        lifecycle.clientDisconnected(this);
     }
 
     @Override
--- a/gateway/src/main/java/opalcove/core/RequestHandle.java
+++ b/gateway/src/main/java/opalcove/core/RequestHandle.java
@@ -3,7 +3,7 @@
 /** A request that was accepted and has no response yet. All calls are made on the event loop. */
 public interface RequestHandle {
     /** Its client has left and is owed nothing any more. */
-    void clientLeft();
+    void clientDisconnected();
 
     /** The streamed value that answers it cannot be passed on after all, and the front end has responded otherwise. */
     default void abortStreamedValue() {}
--- a/gateway/src/main/java/opalcove/core/RequestLifecycle.java
+++ b/gateway/src/main/java/opalcove/core/RequestLifecycle.java
@@ -30,7 +30,7 @@
     /** A response that is later than its deadline by more than this violates the invariant, ms: the slack on sockets. */
     private static final double RESPONSE_SLACK_MS = 50;
 
-    private static final AttemptGuard.Veto CLIENT_LEFT =
+    private static final AttemptGuard.Veto CLIENT_DISCONNECTED =
             new AttemptGuard.Veto(Invariant.CLIENT_WAITS, "its client has left");
 
     private final Vertx vertx;
@@ -210,17 +210,19 @@
 
     /** Whether a response is still awaited by a client that is there; ends the request of one that has left. */
     private boolean isClientConnected(InFlightRequest inFlight) {
-        if (!inFlight.over && !inFlight.clientLeft && !inFlight.isClientConnected()) {
-            clientLeft(inFlight);
+        if (!inFlight.over && !inFlight.clientDisconnected && !inFlight.isClientConnected()) {
+            clientDisconnected(inFlight);
         }
-        return !inFlight.clientLeft;
+        return !inFlight.clientDisconnected;
     }
 
     /** A connection has come up for the attempt: whether what was decided before still holds. */
     boolean isStillWanted(InFlightRequest inFlight, InFlightRequest.Attempt attempt) {
         return isAllowed(
                 inFlight,
-                isClientConnected(inFlight) ? guard.vetoAfterConnect(inFlight, attempt, clock.now()) : CLIENT_LEFT);
+                isClientConnected(inFlight)
+                        ? guard.vetoAfterConnect(inFlight, attempt, clock.now())
+                        : CLIENT_DISCONNECTED);
     }
 
     /** The attempt's bytes, which pass on this deadline, are about to leave: whether they still may. */
@@ -229,7 +231,7 @@
                 inFlight,
                 isClientConnected(inFlight)
                         ? guard.vetoWrite(inFlight, attempt, deadlineMs, clock.now())
-                        : CLIENT_LEFT);
+                        : CLIENT_DISCONNECTED);
     }
 
     private boolean isAllowed(InFlightRequest inFlight, AttemptGuard.Veto veto) {
@@ -255,7 +257,7 @@
             return;
         }
         // Guards a backend against blame for a connection that only had no time to come up: its client left meanwhile.
-        boolean blameless = inFlight.clientLeft && result.status() == AttemptStatus.UNREACHABLE;
+        boolean blameless = inFlight.clientDisconnected && result.status() == AttemptStatus.UNREACHABLE;
         reportOutcome(
                 inFlight,
                 attempt,
@@ -344,12 +346,12 @@
     }
 
     /** The client has left: its attempts are cancelled and nothing is owed any more. */
-    void clientLeft(InFlightRequest inFlight) {
-        if (inFlight.over || inFlight.clientLeft) {
+    void clientDisconnected(InFlightRequest inFlight) {
+        if (inFlight.over || inFlight.clientDisconnected) {
             return;
         }
-        counters.clientsLeft++;
-        inFlight.clientLeft = true;
+        counters.clientsDisconnected++;
+        inFlight.clientDisconnected = true;
         if (inFlight.streaming != null) {
             inFlight.streaming.attempt().inProgress.cancel();
             return;
--- a/gateway/src/main/java/opalcove/core/TimerQueue.java
+++ b/gateway/src/main/java/opalcove/core/TimerQueue.java
@@ -96,9 +96,9 @@
 
     /** The child of an index that is due first; the index has at least one child. */
     private int earlierChild(int index) {
-        int left = 2 * index + 1;
-        int right = left + 1;
-        return right < size && heap[right].dueMs < heap[left].dueMs ? right : left;
+        int first = 2 * index + 1;
+        int second = first + 1;
+        return second < size && heap[second].dueMs < heap[first].dueMs ? second : first;
     }
 
     private void place(Timer timer, int index) {
--- a/gateway/src/main/java/opalcove/lifecycle/Application.java
+++ b/gateway/src/main/java/opalcove/lifecycle/Application.java
@@ -189,7 +189,7 @@
                     vertx.setTimer(
                             dispatcher.maxDeadlineMs() + LEAVE_NOTICE_MS,
                             due -> dispatcher.whenIdle(
-                                    () -> vertx.setTimer(FLUSH_MS, left -> phases.enter(Phase.STOPPED))));
+                                    () -> vertx.setTimer(FLUSH_MS, flushed -> phases.enter(Phase.STOPPED))));
                 }
                 case STOPPED -> {
                     Logger.info("counters\n{}", dispatcher.infoLines());
--- a/gateway/src/main/java/opalcove/lifecycle/Lifecycle.java
+++ b/gateway/src/main/java/opalcove/lifecycle/Lifecycle.java
@@ -23,15 +23,15 @@
         /** Owes nothing more. */
         STOPPED("stopped");
 
-        private final String operatorName;
+        private final String displayName;
 
-        Phase(String operatorName) {
-            this.operatorName = operatorName;
+        Phase(String displayName) {
+            this.displayName = displayName;
         }
 
         /** The phase's name for operators. */
-        public String operatorName() {
-            return operatorName;
+        public String displayName() {
+            return displayName;
         }
     }
 
--- a/gateway/src/main/java/opalcove/metrics/Counters.java
+++ b/gateway/src/main/java/opalcove/metrics/Counters.java
@@ -10,7 +10,7 @@
     public long served;
     public long refused;
     public long failed;
-    public long clientsLeft;
+    public long clientsDisconnected;
     public long vetoed;
     public long deadlineExpired;
     public long cancelled;
@@ -61,7 +61,7 @@
         for (ConnectionCloseReason each : ConnectionCloseReason.values()) {
             line(text, "connections_ended." + each.metricName(), closed[each.ordinal()]);
         }
-        line(text, "terminals_left", clientsLeft);
+        line(text, "terminals_left", clientsDisconnected);
         line(text, "list_calls_failed", endpointPollsFailed);
         line(text, "lists_refused", endpointListsRejected);
         line(text, "starts_of_other_clocks", implausibleStartTimes);
--- a/gateway/src/main/java/opalcove/resp/ResponsePipeline.java
+++ b/gateway/src/main/java/opalcove/resp/ResponsePipeline.java
@@ -145,7 +145,7 @@
         for (PipelineSlot slot = slots.poll(); slot != null; slot = slots.poll()) {
             slot.discard();
             if (slot.request() != null) {
-                slot.request().clientLeft();
+                slot.request().clientDisconnected();
             }
         }
     }
--- a/gateway/src/main/java/opalcove/server/GatewayStatus.java
+++ b/gateway/src/main/java/opalcove/server/GatewayStatus.java
@@ -46,7 +46,7 @@
     @Override
     public String notReady() {
         if (phase != Lifecycle.Phase.SERVING) {
-            return phase.operatorName();
+            return phase.displayName();
         }
         return isDrainRequested ? "clients are sent away" : null;
     }
--- a/laboratory/src/main/java/opalcove/laboratory/AgreementTrial.java
+++ b/laboratory/src/main/java/opalcove/laboratory/AgreementTrial.java
@@ -114,7 +114,7 @@
         List<ConflictDetector.Case> over(long boundMs);
     }
 
-    private static final long MOST_MS = 60_000;
+    private static final long MAX_MS = 60_000;
     private static final int STEPS = 12;
     private static final long LONGEST_STEP_MS = 2000;
     private static final long STEP_MS = 500;
@@ -140,14 +140,14 @@
         for (int round = 1; round <= plan.rounds(); round++) {
             long at = model.now();
             model.propose("g1", round - 1, "text " + round);
-            for (long waited = 0; !model.allActOn(round) && waited < MOST_MS; waited += 100) {
+            for (long waited = 0; !model.allActOn(round) && waited < MAX_MS; waited += 100) {
                 model.run(100);
             }
             model.adopted(round).values().forEach(when -> each.recordValue(when - at));
             all.recordValue(model.adopted(round).values().stream()
                     .mapToLong(when -> when - at)
                     .max()
-                    .orElse(MOST_MS));
+                    .orElse(MAX_MS));
             model.run(plan.leaseMs() + 37L * round % plan.leaseMs());
         }
         return report("model", plan, each, all);
@@ -164,8 +164,8 @@
                 rig.operator("g1").propose(round - 1, "trial", TestCluster.document(1 + round % 6));
                 String wanted = round + " FULL";
                 if (!rig.await(
-                        r -> names.stream().allMatch(name -> r.actsOn(name).equals(wanted)), MOST_MS)) {
-                    throw new IOException("waited " + MOST_MS + " ms in vain for all to act on version " + round);
+                        r -> names.stream().allMatch(name -> r.actsOn(name).equals(wanted)), MAX_MS)) {
+                    throw new IOException("waited " + MAX_MS + " ms in vain for all to act on version " + round);
                 }
                 long last = 0;
                 for (JsonObject event : rig.versionEvents()) {
@@ -244,7 +244,7 @@
             }
             fleet.heal();
             fleet.net(MembershipModel.Net.SOUND);
-            for (long waited = 0; waited < MOST_MS && !settled(fleet); waited += STEP_MS) {
+            for (long waited = 0; waited < MAX_MS && !settled(fleet); waited += STEP_MS) {
                 fleet.run(STEP_MS);
             }
             if (!settled(fleet)) {
--- a/laboratory/src/main/java/opalcove/laboratory/ClusterScenario.java
+++ b/laboratory/src/main/java/opalcove/laboratory/ClusterScenario.java
@@ -15,7 +15,7 @@
  * ways, wait for what they tell of one another, and say what they must not have told. Seeded, each wait bounded.
  */
 public record ClusterScenario(
-        long seed, int probeMs, List<String> seeds, List<String> voters, int leaseMs, long mostMs, List<Step> steps) {
+        long seed, int probeMs, List<String> seeds, List<String> voters, int leaseMs, long maxMs, List<Step> steps) {
     /** What a step does. */
     public enum Action {
         START,
@@ -53,7 +53,7 @@
     private static final Set<String> KEYS =
             Set.of("seed", "probe_ms", "members", "seeds", "voters", "lease_ms", "most_s", "steps");
     private static final Set<String> STATES = Set.of("ALIVE", "SUSPECT", "DEAD", "LEFT");
-    private static final int MOST_MEMBERS = 64;
+    private static final int MAX_MEMBERS = 64;
     /** What whole milliseconds of two processes' clocks differ by. */
     private static final long ROUNDING_MS = 5;
 
@@ -62,8 +62,8 @@
         ConfigValidator check = new ConfigValidator(file);
         JsonFields fields = check.fields(KEYS);
         List<String> members = check.valueOr(() -> fields.texts("members"), List.of());
-        if (members.isEmpty() || members.size() > MOST_MEMBERS) {
-            check.addProblem("field members must name 1 to " + MOST_MEMBERS + " members");
+        if (members.isEmpty() || members.size() > MAX_MEMBERS) {
+            check.addProblem("field members must name 1 to " + MAX_MEMBERS + " members");
         }
         List<String> seeds = check.valueOr(() -> fields.texts("seeds"), List.of());
         known(check, "seeds", seeds, members);
@@ -75,8 +75,8 @@
             check.addProblem("field lease_ms must be from 200 to 60000, and voters an odd number of members");
         }
         int probeMs = check.valueOr(() -> fields.wholeOr("probe_ms", 500), 500);
-        int mostS = check.valueOr(() -> fields.wholeOr("most_s", 60), 60);
-        if (probeMs < 20 || mostS < 1 || mostS > 3600) {
+        int maxS = check.valueOr(() -> fields.wholeOr("most_s", 60), 60);
+        if (probeMs < 20 || maxS < 1 || maxS > 3600) {
             check.addProblem("field probe_ms must be at least 20, and most_s from 1 to 3600");
         }
         List<Step> steps = new ArrayList<>();
@@ -96,7 +96,7 @@
         }
         long seed = check.valueOr(() -> fields.has("seed") ? fields.serial("seed") : 1L, 1L);
         check.throwIfInvalid();
-        return new ClusterScenario(seed, probeMs, seeds, voters, leaseMs, mostS * 1000L, steps);
+        return new ClusterScenario(seed, probeMs, seeds, voters, leaseMs, maxS * 1000L, steps);
     }
 
     private static void known(ConfigValidator check, String key, List<String> names, List<String> members) {
@@ -166,7 +166,7 @@
                 return rig.await(
                         r -> pairs(
                                 step, (observer, name) -> r.view(observer, name).equals(step.state())),
-                        mostMs);
+                        maxMs);
             }
             case NEVER -> {
                 return rig.history().stream()
@@ -181,7 +181,7 @@
             }
             case ACTS -> {
                 return rig.await(
-                        r -> step.who().stream().allMatch(name -> r.actsOn(name).equals(step.state())), mostMs);
+                        r -> step.who().stream().allMatch(name -> r.actsOn(name).equals(step.state())), maxMs);
             }
             case AGREED -> {
                 return rig.contradictions(leaseMs + ROUNDING_MS).isEmpty();
--- a/laboratory/src/main/java/opalcove/laboratory/FaultProxy.java
+++ b/laboratory/src/main/java/opalcove/laboratory/FaultProxy.java
@@ -25,7 +25,7 @@
  * listens is learnt from what it sends. One thread; loopback only.
  */
 final class FaultProxy implements AutoCloseable {
-    private static final int MOST_BYTES = 65_535;
+    private static final int MAX_BYTES = 65_535;
 
     private record Held(long dueNanos, long order, DatagramChannel by, byte[] bytes, String to) {}
 
@@ -93,7 +93,7 @@
     }
 
     private void run() {
-        ByteBuffer buffer = ByteBuffer.allocate(MOST_BYTES);
+        ByteBuffer buffer = ByteBuffer.allocate(MAX_BYTES);
         try {
             while (selector.isOpen()) {
                 selector.select(waitMs());
--- a/laboratory/src/main/java/opalcove/laboratory/MembershipModel.java
+++ b/laboratory/src/main/java/opalcove/laboratory/MembershipModel.java
@@ -16,7 +16,7 @@
  */
 public final class MembershipModel extends VirtualNet {
     /** What the network does to each message: the shares lost and repeated, and the bounds of its way, ms. */
-    public record Net(double loss, double repeated, long leastMs, long mostMs) {
+    public record Net(double loss, double repeated, long minMs, long maxMs) {
         /** A sound network of one site. */
         public static final Net SOUND = new Net(0, 0, 0, 2);
     }
--- a/laboratory/src/main/java/opalcove/laboratory/MembershipTrial.java
+++ b/laboratory/src/main/java/opalcove/laboratory/MembershipTrial.java
@@ -70,9 +70,9 @@
         }
     }
 
-    private static final long MOST_MS = 120_000;
+    private static final long MAX_MS = 120_000;
     /** A larger fleet is modelled from where its members know one another: the join of so many is no figure of the trial. */
-    private static final int MOST_JOINING = 200;
+    private static final int MAX_JOINING = 200;
     /** Probe periods that a member stands still for in the soak, and from one such pause to the next. */
     private static final int PAUSE_PERIODS = 3;
 
@@ -107,7 +107,7 @@
         MembershipModel model =
                 new MembershipModel(plan.seed(), SwimConfig.of(plan.probeMs()), trial.names.subList(0, 2));
         model.net(trial.net());
-        if (plan.members() > MOST_JOINING) {
+        if (plan.members() > MAX_JOINING) {
             model.startKnown(trial.names);
         } else {
             trial.names.forEach(model::start);
@@ -208,8 +208,8 @@
 
     private static void wait(TestCluster rig, Predicate<TestCluster> wanted, String what)
             throws IOException, InterruptedException {
-        if (!rig.await(wanted, MOST_MS)) {
-            throw new IOException("waited " + MOST_MS + " ms in vain for " + what);
+        if (!rig.await(wanted, MAX_MS)) {
+            throw new IOException("waited " + MAX_MS + " ms in vain for " + what);
         }
     }
 
--- a/laboratory/src/main/java/opalcove/laboratory/MessageFaults.java
+++ b/laboratory/src/main/java/opalcove/laboratory/MessageFaults.java
@@ -48,7 +48,7 @@
         }
         long[] delays = new long[random.nextDouble() < way.repeated() ? 2 : 1];
         for (int i = 0; i < delays.length; i++) {
-            delays[i] = way.leastMs() + random.nextLong(way.mostMs() - way.leastMs() + 1);
+            delays[i] = way.minMs() + random.nextLong(way.maxMs() - way.minMs() + 1);
         }
         return delays;
     }
--- a/laboratory/src/main/java/opalcove/laboratory/MqttWire.java
+++ b/laboratory/src/main/java/opalcove/laboratory/MqttWire.java
@@ -80,7 +80,7 @@
         properties.add(
                 new BinaryProperty(MqttProperties.CORRELATION_DATA, correlation.getBytes(StandardCharsets.US_ASCII)));
         properties.add(new UserProperty("operator", requests.tenant(n)));
-        properties.add(new UserProperty("plan", requests.operatorsPlan(n)));
+        properties.add(new UserProperty("plan", requests.proposedPlan(n)));
         properties.add(new UserProperty("units", "1"));
         properties.add(new UserProperty("entry-points", "1"));
         properties.add(new UserProperty("first-entry", "0"));
--- a/laboratory/src/main/java/opalcove/laboratory/RequestGenerator.java
+++ b/laboratory/src/main/java/opalcove/laboratory/RequestGenerator.java
@@ -26,7 +26,7 @@
         return hex(number * 0x9E3779B97F4A7C15L);
     }
 
-    String operatorsPlan(long number) {
+    String proposedPlan(long number) {
         return number % plan.tenants() % 2 == 0 ? "start" : "flotte";
     }
 
--- a/laboratory/src/main/java/opalcove/laboratory/RespWire.java
+++ b/laboratory/src/main/java/opalcove/laboratory/RespWire.java
@@ -41,7 +41,7 @@
         startedAt[out++ & MAX_OUT - 1] = started;
         boolean record = requests.record(n);
         String parameters = (record ? "c=swap-record,k=" + requests.key(n) : "c=slot-status") + ",t="
-                + requests.operatorsPlan(n) + ",d=" + requests.waitMs() + ",units=1,spread=1,first=0";
+                + requests.proposedPlan(n) + ",d=" + requests.waitMs() + ",units=1,spread=1,first=0";
         ByteBuf bytes = channel.alloc().directBuffer(160 + (record ? body.length : 0));
         ByteBufUtil.writeAscii(
                 bytes, record ? "*5\r\n$10\r\nSVC.SUBMIT\r\n$16\r\n" : "*4\r\n$9\r\nSVC.QUERY\r\n$16\r\n");
--- a/laboratory/src/main/java/opalcove/laboratory/TestCluster.java
+++ b/laboratory/src/main/java/opalcove/laboratory/TestCluster.java
@@ -347,8 +347,8 @@
     }
 
     /** Waits until the history is as wanted, for so long at most; tells whether it came to be. */
-    public synchronized boolean await(Predicate<TestCluster> wanted, long mostMs) throws InterruptedException {
-        long end = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(mostMs);
+    public synchronized boolean await(Predicate<TestCluster> wanted, long maxMs) throws InterruptedException {
+        long end = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(maxMs);
         while (!wanted.test(this)) {
             long left = TimeUnit.NANOSECONDS.toMillis(end - System.nanoTime());
             if (left <= 0) {
--- a/laboratory/src/main/java/opalcove/laboratory/coldstart/SlowStartModel.java
+++ b/laboratory/src/main/java/opalcove/laboratory/coldstart/SlowStartModel.java
@@ -305,7 +305,13 @@
                 List.of(new DecisionSettings.Plan(PLAN, 0, 0, 0, 1, 0, 0, 0, 0, 0)),
                 new Limits(6, false, true, false, true, LATENCY_OBJECTIVE_MS, 30_000, false),
                 new Obligations(
-                        8, rule.coldShare(), rule.warmAfterMs(), rule.overloadFactor(), rule.windowMs(), false, 10_000),
+                        8,
+                        rule.slowStartShare(),
+                        rule.warmAfterMs(),
+                        rule.overloadFactor(),
+                        rule.windowMs(),
+                        false,
+                        10_000),
                 new Costs(0.01, 0.03, 0, 0.08),
                 LoadReportSource.NONE,
                 List.of());
--- a/laboratory/src/main/java/opalcove/laboratory/coldstart/SlowStartRule.java
+++ b/laboratory/src/main/java/opalcove/laboratory/coldstart/SlowStartRule.java
@@ -7,20 +7,20 @@
  *
  * @param overloadFactor multiple of the present capacity that is still borne
  * @param windowMs length of the sliding window, ms
- * @param coldShare part of the full capacity at the start, 0 to 1
+ * @param slowStartShare part of the full capacity at the start, 0 to 1
  * @param warmAfterMs time from the start to the full capacity, ms
  */
-public record SlowStartRule(double overloadFactor, double windowMs, double coldShare, double warmAfterMs) {
+public record SlowStartRule(double overloadFactor, double windowMs, double slowStartShare, double warmAfterMs) {
     /** Checks the figures. */
     public SlowStartRule {
-        if (!(overloadFactor > 0 && windowMs > 0 && coldShare > 0 && coldShare <= 1 && warmAfterMs > 0)) {
+        if (!(overloadFactor > 0 && windowMs > 0 && slowStartShare > 0 && slowStartShare <= 1 && warmAfterMs > 0)) {
             throw new IllegalArgumentException("a cold start needs figures over 0, and a cold share of at most 1");
         }
     }
 
     /** The part of its full capacity that a backend of this age has, 0 to 1. */
     double capacityShare(double ageMs) {
-        return ageMs >= warmAfterMs ? 1 : coldShare + slope() * ageMs;
+        return ageMs >= warmAfterMs ? 1 : slowStartShare + slope() * ageMs;
     }
 
     /** N for a backend of this age that serves so many requests of mean work a millisecond when warm. */
@@ -35,7 +35,7 @@
 
     /** The requests of mean work that the overload factor allows over the whole ramp. */
     double rampBudget(double warmRatePerMs) {
-        return overloadFactor * warmRatePerMs * warmAfterMs * (coldShare + 1) / 2;
+        return overloadFactor * warmRatePerMs * warmAfterMs * (slowStartShare + 1) / 2;
     }
 
     /** The time, ms, that a core of a backend of this age takes for work that takes a warm one workMs. */
@@ -50,6 +50,6 @@
     }
 
     private double slope() {
-        return (1 - coldShare) / warmAfterMs;
+        return (1 - slowStartShare) / warmAfterMs;
     }
 }
--- a/mqtt/src/main/java/opalcove/mqtt/MqttRequestServer.java
+++ b/mqtt/src/main/java/opalcove/mqtt/MqttRequestServer.java
@@ -101,7 +101,7 @@
 
     void onClosed(MqttClientSession session) {
         sessions.remove(session.clientId(), session);
-        requests.onClientLeft(session);
+        requests.onClientDisconnected(session);
         checkDrained();
     }
 }
--- a/mqtt/src/main/java/opalcove/mqtt/OpenRequests.java
+++ b/mqtt/src/main/java/opalcove/mqtt/OpenRequests.java
@@ -70,11 +70,11 @@
     }
 
     /** Requests of QoS 0 cannot come again and are given up; the others go on, for the client may come back. */
-    void onClientLeft(MqttClientSession session) {
+    void onClientDisconnected(MqttClientSession session) {
         for (OpenRequest each : List.copyOf(open.values())) {
             if (each.session == session && each.qos == MqttQoS.AT_MOST_ONCE) {
                 open.remove(each.requestId);
-                each.handle.clientLeft();
+                each.handle.clientDisconnected();
             }
         }
     }
--- a/replication/src/main/java/opalcove/replication/AtomicFile.java
+++ b/replication/src/main/java/opalcove/replication/AtomicFile.java
@@ -57,7 +57,7 @@
         if (Files.exists(file) && isIntact(file)) {
             Path previous = withSuffix(file, PREVIOUS_SUFFIX);
             operations.delete(previous);
-            operations.link(previous, file);
+            operations.addSecondName(previous, file);
         }
     }
 
--- a/replication/src/main/java/opalcove/replication/FileOperations.java
+++ b/replication/src/main/java/opalcove/replication/FileOperations.java
@@ -37,7 +37,7 @@
     }
 
     /** Gives a file a second name, which must not exist. */
-    default void link(Path name, Path file) throws IOException {
+    default void addSecondName(Path name, Path file) throws IOException {
         Files.createLink(name, file);
     }
 
