--- a/gateway/src/main/java/opalcove/backend/PooledCall.java
+++ b/gateway/src/main/java/opalcove/backend/PooledCall.java
@@ -53,9 +53,8 @@
 
     /** The connection that was opened for it is up. */
     void connected(PooledConnection fresh) {
-        // Guards what has changed while the connection came up: its backend was drained or has moved, its client left
-        // or
-        // got its response, its repeat window is over.
+        // Guards against what may have changed while the connection came up: the backend was drained or has moved, the
+        // client has disconnected or has its response, the window for a retry is over.
         if (cancelled || !listener.isStillWanted()) {
             fresh.makeIdle();
             finish(AttemptResult.withoutReport(AttemptStatus.NOT_SENT));
