--- a/gateway/src/main/java/opalcove/server/GatewayServer.java
+++ b/gateway/src/main/java/opalcove/server/GatewayServer.java
@@ -219,7 +219,7 @@
             });
         } catch (InvalidConfigurationException | IllegalArgumentException e) {
             dispatcher.metrics().reconfigured(false);
-            Logger.error("the new configuration is invalid, the old one stays in force: {}", e.getMessage());
+            Logger.error("the new configuration is refused, the old stays in force: {}", e.getMessage());
         }
     }
 }
--- a/laboratory/src/main/java/opalcove/laboratory/soak/GatewayProcess.java
+++ b/laboratory/src/main/java/opalcove/laboratory/soak/GatewayProcess.java
@@ -223,7 +223,7 @@
     /** A process that this soak has stopped gives answers late, and says so; the oracle judges by how much. */
     private boolean isLateBecauseOfStall(String line) {
         boolean late = line.contains("answer_in_time")
-                || line.contains("had no answer at its deadline")
+                || line.contains(" at its deadline")
                 || line.startsWith("ended_by_deadline_guard");
         return late
                 && plan.faults().stream()
