--- a/decision/src/main/java/opalcove/decision/DecisionSettings.java
+++ b/decision/src/main/java/opalcove/decision/DecisionSettings.java
@@ -102,7 +102,7 @@
     /**
      * What the deployment allows. The last three bind the gateway, not the module.
      *
-     * @param secondCopies whether a request may have two attempts in flight
+     * @param mayHedge whether a request may have two attempts in flight
      * @param retryAfter whether clients are given a Retry-After
      * @param idleCloseMs idle connections to backends close after this
      * @param counter whether there is a shared counter
@@ -112,7 +112,7 @@
      */
     public record Limits(
             int maxAttempts,
-            boolean secondCopies,
+            boolean mayHedge,
             boolean mayCancel,
             boolean mayProbe,
             boolean retryAfter,
@@ -125,7 +125,7 @@
         /** Limits for a module on its own. */
         public Limits(
                 int maxAttempts,
-                boolean secondCopies,
+                boolean mayHedge,
                 boolean mayCancel,
                 boolean mayProbe,
                 boolean retryAfter,
@@ -134,7 +134,7 @@
                 boolean counter) {
             this(
                     maxAttempts,
-                    secondCopies,
+                    mayHedge,
                     mayCancel,
                     mayProbe,
                     retryAfter,
--- a/decision/src/main/java/opalcove/decision/Endpoint.java
+++ b/decision/src/main/java/opalcove/decision/Endpoint.java
@@ -11,12 +11,12 @@
 public record Endpoint(
         String id, String zone, String kind, int cell, EndpointState state, double size, double startedMs) {
     /** The same backend, started at that time. */
-    public Endpoint started(double timeMs) {
+    public Endpoint withStartedMs(double timeMs) {
         return new Endpoint(id, zone, kind, cell, state, size, timeMs);
     }
 
     /** The same backend, started at that time at the earliest. */
-    public Endpoint startedSince(double earliestMs) {
+    public Endpoint withMinStartedMs(double earliestMs) {
         return new Endpoint(id, zone, kind, cell, state, size, Math.max(startedMs, earliestMs));
     }
 }
--- a/decision/src/main/java/opalcove/decision/RequestForwarder.java
+++ b/decision/src/main/java/opalcove/decision/RequestForwarder.java
@@ -222,7 +222,7 @@
         if (state.plan.maxInFlight() > 0 || state.requestClass.idempotency() == Idempotency.UNSAFE) {
             return;
         }
-        if (context.limits.secondCopies()) {
+        if (context.limits.mayHedge()) {
             hedge(state);
         } else {
             cancelSilent(state);
--- a/decision/src/main/java/opalcove/decision/RequestState.java
+++ b/decision/src/main/java/opalcove/decision/RequestState.java
@@ -94,7 +94,7 @@
         if (finished || streaming || attempts.size() >= context.limits.maxAttempts()) {
             return false;
         }
-        if (inFlight > 0 && !context.limits.secondCopies()) {
+        if (inFlight > 0 && !context.limits.mayHedge()) {
             return false;
         }
         AttemptState first = firstThatMayHaveRun();
--- a/gateway/src/main/java/opalcove/core/AttemptGuard.java
+++ b/gateway/src/main/java/opalcove/core/AttemptGuard.java
@@ -41,7 +41,7 @@
     /** Applies the limits of new settings. */
     void applyLimits(DecisionSettings settings) {
         maxAttempts = settings.limits().maxAttempts();
-        maxOutstanding = settings.limits().secondCopies() ? 2 : 1;
+        maxOutstanding = settings.limits().mayHedge() ? 2 : 1;
     }
 
     /** Why this attempt may not be started, or null where it may. */
--- a/gateway/src/main/java/opalcove/core/SlowStartTimes.java
+++ b/gateway/src/main/java/opalcove/core/SlowStartTimes.java
@@ -73,8 +73,8 @@
     /** The endpoints of backends that were taken in before, with their starts by this machine's clock. */
     List<Endpoint> localEndpoints(List<Backend> backends) {
         return backends.stream()
-                .map(backend ->
-                        backend.endpoint().started(starts.get(backend.name()).localMs()))
+                .map(backend -> backend.endpoint()
+                        .withStartedMs(starts.get(backend.name()).localMs()))
                 .toList();
     }
 
--- a/gateway/src/main/java/opalcove/server/ConfigurationApplier.java
+++ b/gateway/src/main/java/opalcove/server/ConfigurationApplier.java
@@ -73,8 +73,8 @@
             return backends;
         }
         return backends.stream()
-                .map(backend ->
-                        new Backend(backend.endpoint().startedSince(inForce.startedNotBeforeMs()), backend.address()))
+                .map(backend -> new Backend(
+                        backend.endpoint().withMinStartedMs(inForce.startedNotBeforeMs()), backend.address()))
                 .toList();
     }
 
