--- a/decision/src/main/java/opalcove/decision/AdmissionController.java
+++ b/decision/src/main/java/opalcove/decision/AdmissionController.java
@@ -55,7 +55,7 @@
     public void endpointsChanged(double nowMs, boolean complete, List<Endpoint> endpoints) {
         context.nowMs = nowMs;
         registry.update(complete, endpoints);
-        capacity.countBackends();
+        capacity.recountBackends();
         forwarder.releaseQueued();
     }
 
@@ -86,8 +86,8 @@
         double units = state.request.units();
         boolean withinQuota =
                 quotas.recordArrival(tenant, units, state.remainingObjectiveMs < state.requestClass.objectiveMs());
-        boolean isPastObjective = state.remainingObjectiveMs < context.sizes.meanMs(state.classIndex);
-        boolean isScarce = tenant.admitChance < 1 || capacity.isBounded();
+        boolean isPastObjective = state.remainingObjectiveMs < context.responseTimes.meanMs(state.classIndex);
+        boolean isScarce = tenant.admitProbability < 1 || capacity.isBounded();
         if (isPastObjective && isScarce || !withinQuota && !quotas.mayExceedQuota(tenant)) {
             forwarder.shed(state, state.drawRetryAfterMs());
             return;
@@ -175,7 +175,7 @@
             forwarder.endUnserved(state);
         }
         if (kind == RequestTimers.SLOW_ATTEMPT) {
-            forwarder.attemptSlow(state);
+            forwarder.slowAttemptDetected(state);
         }
     }
 
@@ -186,10 +186,10 @@
         capacity.update();
         registry.pollIfDue();
         slowStart.updatePace();
-        health.update(registry.listedCount());
+        health.updateDecaySpeed(registry.upCount());
         registry.forgetRemoved();
         for (BackendState backend : registry.all()) {
-            health.fade(backend);
+            health.decay(backend);
             slowStart.refill(backend);
             health.checkIfDue(backend);
         }
--- a/decision/src/main/java/opalcove/decision/BackendHealth.java
+++ b/decision/src/main/java/opalcove/decision/BackendHealth.java
@@ -9,7 +9,7 @@
  * instance's events.
  */
 final class BackendHealth {
-    private static final double FADE_RATE = 0.04;
+    private static final double DECAY_RATE = 0.04;
     private static final double MAX_SLOWNESS = 20;
     private static final double CHECK_INTERVAL_MS = 1000;
 
@@ -24,7 +24,7 @@
     private static final double MAX_FAILURE_EJECTION_MS = 4000;
 
     /** A starting backend that rejects is ejected for this multiple: it has no capacity yet. */
-    private static final double STARTING_EJECTION_FACTOR = 10;
+    private static final double WARM_UP_EJECTION_FACTOR = 10;
 
     /** The least share of its capacity that a listed backend is given, so that it is tried again. */
     private static final double MIN_SHARE = 0.02;
@@ -33,13 +33,13 @@
     private final SlowStart slowStart;
 
     /** Guards against backends failing together (a zone cut, a kind restarting): part of failures by group. */
-    private final Map<String, double[]> groupFaults = new HashMap<>();
+    private final Map<String, double[]> groupFailureRates = new HashMap<>();
 
-    private double attempts;
+    private double attemptsInInterval;
     private double meanAttempts;
 
     /** How fast marks fade: slower where a gateway comes back to a backend seldom, or none would be used. */
-    private double fadeSpeed = 1;
+    private double decaySpeed = 1;
 
     BackendHealth(DecisionContext context, SlowStart slowStart) {
         this.context = context;
@@ -51,10 +51,10 @@
         if (backend.inFlight == 0) {
             backend.busySinceMs = context.nowMs;
         }
-        attempts++;
+        attemptsInInterval++;
         backend.inFlight++;
         backend.outstandingMs += state.expectedMs();
-        slowStart.charge(backend, context.sizes.meanMs(state.classIndex));
+        slowStart.charge(backend, context.responseTimes.meanMs(state.classIndex));
     }
 
     /** Takes in how an attempt ended. */
@@ -63,13 +63,13 @@
         backend.inFlight--;
         backend.outstandingMs = backend.inFlight == 0 ? 0 : Math.max(0, backend.outstandingMs - attempt.expectedMs);
         switch (outcome.status()) {
-            case SERVED, ERROR -> responded(attempt, outcome, state);
-            case REJECTED -> rejected(backend);
+            case SERVED, ERROR -> recordResponse(attempt, outcome, state);
+            case REJECTED -> recordRejection(backend);
             case UNREACHABLE -> {
                 backend.failedConnects++;
-                failed(backend);
+                recordFailure(backend);
             }
-            case BROKEN -> failed(backend);
+            case BROKEN -> recordFailure(backend);
             // Guards against backends that never respond: a cancelled attempt took at least its time out.
             case CANCELLED, TIMED_OUT ->
                 updateSlowness(
@@ -79,32 +79,33 @@
         }
     }
 
-    private void responded(AttemptState attempt, AttemptOutcome outcome, RequestState state) {
+    private void recordResponse(AttemptState attempt, AttemptOutcome outcome, RequestState state) {
         BackendState backend = attempt.backend;
         boolean isError = outcome.status() == AttemptStatus.ERROR;
         slowStart.recordCompleted(backend, attempt.expectedMs);
         backend.respondedAtMs = context.nowMs;
         recordFault(backend, 0);
-        connected(backend);
+        recordReachable(backend);
         backend.rejections = 0;
         backend.errorRate += 0.2 * ((isError ? 1 : 0) - backend.errorRate);
         if (isError) {
             return; // a quick error must not make a backend look fast
         }
         updateSlowness(backend, outcome.elapsedMs() / state.expectedMs());
-        context.sizes.recordResponse(state.classIndex, state.request.units(), outcome.elapsedMs());
+        context.responseTimes.recordResponse(state.classIndex, state.request.units(), outcome.elapsedMs());
     }
 
-    private void rejected(BackendState backend) {
+    private void recordRejection(BackendState backend) {
         backend.respondedAtMs = context.nowMs;
-        connected(backend);
+        recordReachable(backend);
         backend.rejections++;
-        double ejectionMs = Math.min(MAX_REJECTION_EJECTION_MS, REJECTION_EJECTION_MS * backend.rejections) / fadeSpeed;
+        double ejectionMs =
+                Math.min(MAX_REJECTION_EJECTION_MS, REJECTION_EJECTION_MS * backend.rejections) / decaySpeed;
         backend.ejectedUntilMs =
-                context.nowMs + ejectionMs * (slowStart.isWarmingUp(backend) ? STARTING_EJECTION_FACTOR : 1);
+                context.nowMs + ejectionMs * (slowStart.isWarmingUp(backend) ? WARM_UP_EJECTION_FACTOR : 1);
     }
 
-    private void failed(BackendState backend) {
+    private void recordFailure(BackendState backend) {
         recordFault(backend, 1);
         backend.connectedAtMs = DecisionContext.NEVER_MS;
         backend.failures++;
@@ -112,7 +113,7 @@
             backend.failingSinceMs = context.nowMs;
         }
         backend.ejectedUntilMs =
-                context.nowMs + Math.min(MAX_FAILURE_EJECTION_MS, FAILURE_EJECTION_MS * backend.failures) / fadeSpeed;
+                context.nowMs + Math.min(MAX_FAILURE_EJECTION_MS, FAILURE_EJECTION_MS * backend.failures) / decaySpeed;
     }
 
     /**
@@ -120,7 +121,7 @@
      * says so, so its slow start begins. Guards also against connections that break now and then: two such in a row had
      * warm backends paced as starting ones.
      */
-    private void connected(BackendState backend) {
+    private void recordReachable(BackendState backend) {
         boolean wasDown = backend.failingSinceMs >= 0 && context.nowMs - backend.failingSinceMs > 1000;
         if (backend.failedConnects > 2 && wasDown && !slowStart.isWarmingUp(backend)) {
             slowStart.begin(backend, context.nowMs);
@@ -135,9 +136,9 @@
     void checkEnded(BackendState backend, ProbeStatus result) {
         backend.ejectedUntilMs = 0;
         if (result == ProbeStatus.DONE) {
-            connected(backend);
+            recordReachable(backend);
         } else {
-            failed(backend);
+            recordFailure(backend);
         }
     }
 
@@ -151,60 +152,60 @@
             return;
         }
         backend.respondedAtMs = context.nowMs;
-        attempts += served + failed;
-        double part = 1 - Math.pow(0.8, served + failed);
-        backend.errorRate += part * ((double) failed / (served + failed) - backend.errorRate);
+        attemptsInInterval += served + failed;
+        double weight = 1 - Math.pow(0.8, served + failed);
+        backend.errorRate += weight * ((double) failed / (served + failed) - backend.errorRate);
         if (served <= 0 || meanMs < 0) {
             return;
         }
-        updateSlowness(backend, meanMs / context.sizes.meanMs(0));
-        context.sizes.recordMean(0, meanMs);
+        updateSlowness(backend, meanMs / context.responseTimes.meanMs(0));
+        context.responseTimes.recordMean(0, meanMs);
     }
 
     private void updateSlowness(BackendState backend, double ratio) {
-        double step = (ratio > backend.slowness ? 0.15 : 0.1) / Math.sqrt(fadeSpeed);
+        double step = (ratio > backend.slowness ? 0.15 : 0.1) / Math.sqrt(decaySpeed);
         backend.slowness += step * (Math.min(MAX_SLOWNESS, ratio) - backend.slowness);
     }
 
-    private void recordFault(BackendState backend, double part) {
-        recordFault(backend.zoneGroup, part);
-        recordFault(backend.kindGroup, part);
+    private void recordFault(BackendState backend, double failure) {
+        recordFault(backend.zoneGroup, failure);
+        recordFault(backend.kindGroup, failure);
     }
 
-    private void recordFault(String group, double part) {
-        double[] known = groupFaults.computeIfAbsent(group, none -> new double[1]);
-        known[0] = 0.7 * known[0] + 0.3 * part;
+    private void recordFault(String group, double failure) {
+        double[] failureRate = groupFailureRates.computeIfAbsent(group, name -> new double[1]);
+        failureRate[0] = 0.7 * failureRate[0] + 0.3 * failure;
     }
 
     /** How much a backend's zone and kind fail, 0 to 2. */
-    double groupFaults(BackendState backend) {
-        return faultsOf(backend.zoneGroup) + faultsOf(backend.kindGroup);
+    double groupFailureRate(BackendState backend) {
+        return failureRateOf(backend.zoneGroup) + failureRateOf(backend.kindGroup);
     }
 
-    private double faultsOf(String group) {
-        double[] known = groupFaults.get(group);
-        return known == null ? 0 : known[0];
+    private double failureRateOf(String group) {
+        double[] failureRate = groupFailureRates.get(group);
+        return failureRate == null ? 0 : failureRate[0];
     }
 
     /** Once an interval: adapts how fast marks fade to the attempts for each listed backend; fades group faults. */
-    void update(int listedBackends) {
-        meanAttempts += 0.1 * (attempts - meanAttempts);
-        attempts = 0;
-        fadeSpeed = Math.max(0.2, Math.min(1, 20 * meanAttempts / Math.max(1, listedBackends)));
-        for (double[] part : groupFaults.values()) {
-            part[0] *= 0.97;
+    void updateDecaySpeed(int upBackends) {
+        meanAttempts += 0.1 * (attemptsInInterval - meanAttempts);
+        attemptsInInterval = 0;
+        decaySpeed = Math.max(0.2, Math.min(1, 20 * meanAttempts / Math.max(1, upBackends)));
+        for (double[] failureRate : groupFailureRates.values()) {
+            failureRate[0] *= 0.97;
         }
     }
 
     /** Once an interval: fades a backend's marks so that it is tried again. */
-    void fade(BackendState backend) {
-        backend.slowness += FADE_RATE * fadeSpeed * (1 - backend.slowness);
-        backend.errorRate *= 1 - FADE_RATE * fadeSpeed;
+    void decay(BackendState backend) {
+        backend.slowness += DECAY_RATE * decaySpeed * (1 - backend.slowness);
+        backend.errorRate *= 1 - DECAY_RATE * decaySpeed;
     }
 
     /** Once an interval: starts a health check of a backend that keeps failing, where checks are allowed. */
     void checkIfDue(BackendState backend) {
-        if (backend.listed
+        if (backend.up
                 && backend.isFailing()
                 && context.limits.mayProbe()
                 && context.nowMs >= backend.ejectedUntilMs) {
@@ -218,7 +219,7 @@
      */
     CapacityShare capacityShare(BackendState backend) {
         String id = backend.endpoint.id();
-        if (!backend.listed || context.nowMs < backend.ejectedUntilMs) {
+        if (!backend.up || context.nowMs < backend.ejectedUntilMs) {
             return new CapacityShare(id, 0);
         }
         double share = slowStart.capacityShare(backend) / (Math.max(1, backend.slowness) * errorPenalty(backend));
--- a/decision/src/main/java/opalcove/decision/BackendRegistry.java
+++ b/decision/src/main/java/opalcove/decision/BackendRegistry.java
@@ -16,11 +16,11 @@
     private final DecisionContext context;
     private final SlowStart slowStart;
     private final Map<String, BackendState> backends = new LinkedHashMap<>();
-    private boolean firstList = true;
+    private boolean awaitingFirstList = true;
     private double pollAtMs = DecisionContext.UNSCHEDULED_MS;
-    private int listed;
+    private int upCount;
     private int responding;
-    private int pressed;
+    private int underPressure;
 
     BackendRegistry(DecisionContext context, SlowStart slowStart) {
         this.context = context;
@@ -38,26 +38,26 @@
     }
 
     /** Backends that are listed as up. */
-    int listedCount() {
-        return listed;
+    int upCount() {
+        return upCount;
     }
 
     /** Whether a third or more of the backends that responded recently showed pressure. */
-    boolean isPressed() {
-        return pressed * 3 >= responding;
+    boolean isUnderPressure() {
+        return underPressure * 3 >= responding;
     }
 
     /** Takes in the endpoint list: the complete one, or its changed entries. */
     void update(boolean complete, List<Endpoint> endpoints) {
         pollAtMs = DecisionContext.UNSCHEDULED_MS;
         for (BackendState backend : complete ? backends.values() : List.<BackendState>of()) {
-            backend.listed = false;
+            backend.up = false;
             backend.removedAtMs = Math.min(backend.removedAtMs, context.nowMs);
         }
         for (Endpoint endpoint : endpoints) {
             update(endpoint);
         }
-        firstList = false;
+        awaitingFirstList = false;
     }
 
     private void update(Endpoint endpoint) {
@@ -71,14 +71,14 @@
         }
         boolean restarted = !isNew && endpoint.startedMs() > 0 && endpoint.startedMs() != backend.endpoint.startedMs();
         boolean startedLately = endpoint.startedMs() > Math.max(0, nowMs - context.obligations.warmAfterMs());
-        if (restarted || isNew && (startedLately || !firstList)) {
+        if (restarted || isNew && (startedLately || !awaitingFirstList)) {
             slowStart.begin(
                     backend, endpoint.startedMs() > 0 ? Math.max(endpoint.startedMs(), backend.startedAtMs) : nowMs);
         }
         backend.endpoint = endpoint;
         backend.zoneGroup = "zone " + endpoint.zone();
         backend.kindGroup = "kind " + endpoint.kind();
-        backend.listed = endpoint.state() == EndpointState.UP;
+        backend.up = endpoint.state() == EndpointState.UP;
         backend.removedAtMs = endpoint.state() == EndpointState.REMOVED
                 ? Math.min(backend.removedAtMs, nowMs)
                 : DecisionContext.UNSCHEDULED_MS;
@@ -109,20 +109,20 @@
     }
 
     /** Counts the backends that are listed, responded recently, and showed pressure recently. */
-    void count(double evidenceWeight) {
-        listed = 0;
+    void recount(double evidenceWeight) {
+        upCount = 0;
         responding = 0;
-        pressed = 0;
+        underPressure = 0;
         slowStart.resetWarmCount();
         double recentMs = RECENT_MS / evidenceWeight;
         for (BackendState backend : backends.values()) {
-            if (!backend.listed) {
+            if (!backend.up) {
                 continue;
             }
-            listed++;
+            upCount++;
             slowStart.countIfWarm(backend);
             responding += context.nowMs - backend.respondedAtMs < recentMs ? 1 : 0;
-            pressed += context.nowMs - backend.pressureAtMs < recentMs ? 1 : 0;
+            underPressure += context.nowMs - backend.pressureAtMs < recentMs ? 1 : 0;
         }
     }
 }
--- a/decision/src/main/java/opalcove/decision/BackendSelector.java
+++ b/decision/src/main/java/opalcove/decision/BackendSelector.java
@@ -21,7 +21,7 @@
         BackendState best = null;
         double minCost = Double.MAX_VALUE;
         for (BackendState backend : registry.all()) {
-            if (!backend.listed || !state.mayUse(backend) || state.inFlight > 0 && state.hasTried(backend)) {
+            if (!backend.up || !state.mayUse(backend) || state.inFlight > 0 && state.hasTried(backend)) {
                 continue;
             }
             double cost = cost(backend, state);
@@ -50,7 +50,7 @@
         if (!backend.endpoint.zone().equals(context.settings.zone())) {
             cost *= 1 + 10 * context.settings.costs().crossZone();
         }
-        cost *= 1 + (isConnected(backend) ? 4 : 20) * health.groupFaults(backend);
+        cost *= 1 + (isConnected(backend) ? 4 : 20) * health.groupFailureRate(backend);
         // Its budget bounds a starting backend; warm ones may look idle here while others load them.
         if (slowStart.isWarmingUp(backend)) {
             cost /= 2 * Math.sqrt(slowStart.rampShare(backend));
@@ -65,7 +65,7 @@
         double otherGateways = Math.min(2, context.settings.gateways() / 2.0);
         double waitMs = backend.slowness * (backend.outstandingMs * otherGateways + state.expectedMs());
         return waitMs * BackendHealth.errorPenalty(backend)
-                + Math.max(0, silentMs - context.sizes.meanMs(state.classIndex));
+                + Math.max(0, silentMs - context.responseTimes.meanMs(state.classIndex));
     }
 
     /** The longest wait to expect for the attempts in flight of a request, ms. */
--- a/decision/src/main/java/opalcove/decision/BackendState.java
+++ b/decision/src/main/java/opalcove/decision/BackendState.java
@@ -13,7 +13,7 @@
     String kindGroup;
 
     /** Whether the endpoint list has it as up. */
-    boolean listed;
+    boolean up;
 
     double removedAtMs = DecisionContext.UNSCHEDULED_MS;
 
--- a/decision/src/main/java/opalcove/decision/CapacityAllocator.java
+++ b/decision/src/main/java/opalcove/decision/CapacityAllocator.java
@@ -20,12 +20,12 @@
     static double[] allocate(double capacity, double[] weight, double[] demand, double[] floor, double[] max) {
         int classes = weight.length;
         double[] allotted = new double[classes];
-        double rest = capacity;
+        double remaining = capacity;
         for (int i = 0; i < classes; i++) {
-            allotted[i] = Math.min(floor[i], Math.max(0, rest));
-            rest -= allotted[i];
+            allotted[i] = Math.min(floor[i], Math.max(0, remaining));
+            remaining -= allotted[i];
         }
-        distribute(rest, allotted, roots(weight, demand), max);
+        distribute(remaining, allotted, roots(weight, demand), max);
         return allotted;
     }
 
@@ -34,13 +34,13 @@
      */
     private static double[] roots(double[] weight, double[] demand) {
         double[] root = new double[weight.length];
-        double steepest = 0;
+        double maxRatio = 0;
         for (int i = weight.length - 1; i >= 0; i--) {
             if (demand[i] <= 0) {
                 continue;
             }
-            steepest = Math.max(steepest, weight[i] / demand[i]);
-            root[i] = Math.sqrt(steepest * demand[i] * demand[i]);
+            maxRatio = Math.max(maxRatio, weight[i] / demand[i]);
+            root[i] = Math.sqrt(maxRatio * demand[i] * demand[i]);
         }
         return root;
     }
@@ -48,8 +48,8 @@
     /** Adds the rest to the allotments in proportion to the roots; each round passes on what the clamped ones left. */
     private static void distribute(double capacity, double[] allotted, double[] root, double[] max) {
         int classes = allotted.length;
-        double rest = capacity;
-        for (int round = 0; round < classes && rest > 1e-9; round++) {
+        double remaining = capacity;
+        for (int round = 0; round < classes && remaining > 1e-9; round++) {
             double sum = 0;
             for (int i = 0; i < classes; i++) {
                 sum += allotted[i] < max[i] ? root[i] : 0;
@@ -62,9 +62,9 @@
                 if (allotted[i] >= max[i]) {
                     continue;
                 }
-                double part = Math.min(max[i] - allotted[i], distributed * root[i] / sum);
-                allotted[i] += part;
-                rest -= part;
+                double added = Math.min(max[i] - allotted[i], distributed * root[i] / sum);
+                allotted[i] += added;
+                remaining -= added;
             }
         }
     }
--- a/decision/src/main/java/opalcove/decision/CapacityController.java
+++ b/decision/src/main/java/opalcove/decision/CapacityController.java
@@ -14,21 +14,21 @@
     private static final double INTERVAL_SECONDS = DecisionContext.INTERVAL_MS / 1000;
 
     /** Weight of the newest interval in a decayed rate. */
-    private static final double DECAY = 0.25;
+    private static final double NEWEST_INTERVAL_WEIGHT = 0.25;
 
     /** Part of the backlog that counts as demand (the paper's alpha). */
     private static final double BACKLOG_SHARE = 0.5;
 
     /** A served response that took more than this part of its objective is a sign of pressure. */
-    private static final double LATE_SHARE = 0.6;
+    private static final double LATE_OBJECTIVE_SHARE = 0.6;
 
     /** Factors of a bounded capacity for an interval with pressure, and one without. */
-    private static final double PRESSED_FACTOR = 0.93;
+    private static final double LOWER_FACTOR = 0.93;
 
-    private static final double CALM_FACTOR = 1.04;
+    private static final double RAISE_FACTOR = 1.04;
 
     /** A bounded capacity this much above the demand is unbounded once it was calm for so long, ms. */
-    private static final double UNBOUND_AT_DEMAND = 1.3;
+    private static final double UNBOUND_DEMAND_FACTOR = 1.3;
 
     private static final double UNBOUND_AFTER_MS = 2000;
 
@@ -44,20 +44,20 @@
     private final double shortestObjectiveMs;
     private double servedUnits;
     private double servedRate;
-    private double outcomes;
+    private double outcomesInInterval;
     private double meanOutcomes;
 
     /** Guards against thin evidence: what an interval weighs, less where few responses come. */
     private double evidenceWeight = 1;
 
-    private double pressedAtMs;
+    private double lastPressureAtMs;
     private double meanUnits = 1;
     private double sampledAttempts = 1;
 
     /** The most attempts that were in flight without a sign of pressure, decayed. */
-    private double provenInFlight;
+    private double maxInFlightWithoutPressure;
 
-    private double peakInFlight;
+    private double maxInFlightInInterval;
     private int inFlight;
     private boolean bounded;
 
@@ -73,7 +73,7 @@
         this.registry = registry;
         this.pressure = pressure;
         this.stalls = stalls;
-        pressedAtMs = context.nowMs;
+        lastPressureAtMs = context.nowMs;
         shortestObjectiveMs = shortestObjectiveMs(context.settings.classes());
         queues = queues(context.settings);
         queuesByWeight = byWeight(queues);
@@ -162,18 +162,18 @@
      * not, a surge may exceed what was in flight without a sign by a third: backends are not overrun.
      */
     private boolean isInFlightLimitReached(RequestState state) {
-        int backends = registry.listedCount();
-        double part = (double) backends / context.settings.gateways();
-        double depth = bounded
-                ? Math.max(capacity / meanUnits * 0.2 * shortestObjectiveMs / 1000, 2.5 * part)
-                : Math.max(1.3 * provenInFlight, 3 * part);
-        return backends > 0 && inFlight + 1 > Math.max(bounded ? 2 : 3, depth) + state.tokenShare;
+        int backends = registry.upCount();
+        double backendsPerGateway = (double) backends / context.settings.gateways();
+        double maxInFlight = bounded
+                ? Math.max(capacity / meanUnits * 0.2 * shortestObjectiveMs / 1000, 2.5 * backendsPerGateway)
+                : Math.max(1.3 * maxInFlightWithoutPressure, 3 * backendsPerGateway);
+        return backends > 0 && inFlight + 1 > Math.max(bounded ? 2 : 3, maxInFlight) + state.tokenShare;
     }
 
     /** Counts an attempt that begins. */
     void attemptStarted(double units) {
         inFlight++;
-        peakInFlight = Math.max(peakInFlight, inFlight);
+        maxInFlightInInterval = Math.max(maxInFlightInInterval, inFlight);
         meanUnits += Math.max(0.02, 1 / ++sampledAttempts) * (units - meanUnits);
     }
 
@@ -185,17 +185,19 @@
     /** Takes in the outcome of an attempt: served units, and the signs of backends under pressure. */
     void recordOutcome(AttemptOutcome outcome, RequestState state) {
         AttemptState attempt = state.attempts.get(outcome.attempt());
-        double usualMs = context.sizes.meanMs(state.classIndex);
+        double usualMs = context.responseTimes.meanMs(state.classIndex);
         double objectiveShare =
                 (context.nowMs - attempt.startedAtMs - state.expectedMs() + usualMs) / state.requestClass.objectiveMs();
         boolean served = outcome.status() == AttemptStatus.SERVED;
         boolean rejected = outcome.status() == AttemptStatus.REJECTED;
         servedUnits += served ? state.request.units() : 0;
-        outcomes++;
+        outcomesInInterval++;
         if (stalls.isRecovering(context.nowMs) && !rejected) {
             return;
         }
-        if (rejected || outcome.status() == AttemptStatus.TIMED_OUT || served && objectiveShare > LATE_SHARE) {
+        if (rejected
+                || outcome.status() == AttemptStatus.TIMED_OUT
+                || served && objectiveShare > LATE_OBJECTIVE_SHARE) {
             pressure.recordSign(attempt, context.nowMs);
         }
         if (!attempt.countedAsPressure) {
@@ -205,21 +207,23 @@
 
     /** Once an interval: measures the capacity, bounds or unbounds it, and splits a bounded one among the classes. */
     void update() {
-        meanOutcomes += 0.1 * (outcomes - meanOutcomes);
-        outcomes = 0;
+        meanOutcomes += 0.1 * (outcomesInInterval - meanOutcomes);
+        outcomesInInterval = 0;
         evidenceWeight = Math.max(0.2, Math.min(1, meanOutcomes / 1.5));
-        servedRate += DECAY * evidenceWeight * (servedUnits / INTERVAL_SECONDS - servedRate);
+        servedRate += NEWEST_INTERVAL_WEIGHT * evidenceWeight * (servedUnits / INTERVAL_SECONDS - servedRate);
         servedUnits = 0;
-        countBackends();
-        boolean pressed = pressure.hasSign() && pressure.isSlow() && registry.isPressed();
+        recountBackends();
+        boolean pressed = pressure.hasSign() && pressure.areResponsesSlow() && registry.isUnderPressure();
         double demand = updateDemand();
         if (pressed) {
-            bound();
+            boundOrLower();
         } else if (bounded) {
-            relax(demand);
+            raiseOrUnbound(demand);
         }
-        provenInFlight = pressure.isCalm() ? Math.max(0.99 * provenInFlight, peakInFlight) : 0.97 * provenInFlight;
-        peakInFlight = inFlight;
+        maxInFlightWithoutPressure = pressure.isLow()
+                ? Math.max(0.99 * maxInFlightWithoutPressure, maxInFlightInInterval)
+                : 0.97 * maxInFlightWithoutPressure;
+        maxInFlightInInterval = inFlight;
         pressure.decay(evidenceWeight);
         if (bounded) {
             distribute();
@@ -227,15 +231,17 @@
     }
 
     /** Counts the backends anew, after a change of the endpoint list or once an interval. */
-    void countBackends() {
-        registry.count(evidenceWeight);
+    void recountBackends() {
+        registry.recount(evidenceWeight);
     }
 
     /** Takes in the arrivals of this interval; returns the demand of all classes, units a second. */
     private double updateDemand() {
         double demand = 0;
         for (ClassQueue queue : queuesByWeight) {
-            queue.arrivalRate += DECAY * evidenceWeight * (queue.arrivedUnits / INTERVAL_SECONDS - queue.arrivalRate);
+            queue.arrivalRate += NEWEST_INTERVAL_WEIGHT
+                    * evidenceWeight
+                    * (queue.arrivedUnits / INTERVAL_SECONDS - queue.arrivalRate);
             queue.arrivedUnits = 0;
             demand += demand(queue);
         }
@@ -247,22 +253,23 @@
         return queue.arrivalRate + BACKLOG_SHARE * queue.queuedUnits / INTERVAL_SECONDS;
     }
 
-    private void bound() {
-        pressedAtMs = context.nowMs;
+    private void boundOrLower() {
+        lastPressureAtMs = context.nowMs;
         if (!bounded) {
             context.actions.log("room bounded at " + Math.round(servedRate) + " units/s");
             for (ClassQueue queue : queuesByWeight) {
                 queue.tokens = 1;
             }
         }
-        capacity = bounded ? Math.max(PRESSED_FACTOR * capacity, servedRate) : servedRate;
+        capacity = bounded ? Math.max(LOWER_FACTOR * capacity, servedRate) : servedRate;
         bounded = true;
     }
 
     /** Raises a bounded capacity step by step, and unbounds it once it exceeds the demand for a while. */
-    private void relax(double demand) {
-        capacity = Math.max(capacity, Math.min(servedRate, demand)) * CALM_FACTOR + 0.01;
-        if (capacity > UNBOUND_AT_DEMAND * demand && context.nowMs - pressedAtMs > UNBOUND_AFTER_MS / evidenceWeight) {
+    private void raiseOrUnbound(double demand) {
+        capacity = Math.max(capacity, Math.min(servedRate, demand)) * RAISE_FACTOR + 0.01;
+        if (capacity > UNBOUND_DEMAND_FACTOR * demand
+                && context.nowMs - lastPressureAtMs > UNBOUND_AFTER_MS / evidenceWeight) {
             bounded = false;
             context.actions.log("room unbounded again");
         }
--- a/decision/src/main/java/opalcove/decision/ClientRetryDetector.java
+++ b/decision/src/main/java/opalcove/decision/ClientRetryDetector.java
@@ -6,14 +6,14 @@
  * the instance's events.
  */
 final class ClientRetryDetector {
-    private static final int CANDIDATES = 4;
+    private static final int MAX_CANDIDATES = 4;
     private static final double MAX_VOTES = 50;
 
     /** Budgets closer to each other than this share of the deadline are the same. */
-    private static final double SAME_BUDGET = 0.002;
+    private static final double SAME_BUDGET_TOLERANCE = 0.002;
 
-    private final double[] budgets = new double[CANDIDATES];
-    private final double[] votes = new double[CANDIDATES];
+    private final double[] budgets = new double[MAX_CANDIDATES];
+    private final double[] votes = new double[MAX_CANDIDATES];
 
     /**
      * Takes in the budget of a request, as a share of its class's deadline.
@@ -23,26 +23,26 @@
     boolean recordBudget(double share) {
         int match = -1;
         int leading = 0;
-        int fewest = 0;
-        for (int i = 0; i < CANDIDATES; i++) {
-            if (Math.abs(budgets[i] - share) < SAME_BUDGET) {
+        int fewestVotes = 0;
+        for (int i = 0; i < MAX_CANDIDATES; i++) {
+            if (Math.abs(budgets[i] - share) < SAME_BUDGET_TOLERANCE) {
                 match = i;
             }
             if (votes[i] > votes[leading]) {
                 leading = i;
             }
-            if (votes[i] < votes[fewest]) {
-                fewest = i;
+            if (votes[i] < votes[fewestVotes]) {
+                fewestVotes = i;
             }
         }
-        if (match < 0 && votes[fewest] < 1) {
-            match = fewest;
+        if (match < 0 && votes[fewestVotes] < 1) {
+            match = fewestVotes;
             budgets[match] = share;
         }
-        int othersChange = match < 0 ? -1 : 0;
-        for (int i = 0; i < CANDIDATES; i++) {
-            votes[i] = Math.max(0, Math.min(MAX_VOTES, votes[i] + (i == match ? 1 : othersChange)));
+        int otherVotesChange = match < 0 ? -1 : 0;
+        for (int i = 0; i < MAX_CANDIDATES; i++) {
+            votes[i] = Math.max(0, Math.min(MAX_VOTES, votes[i] + (i == match ? 1 : otherVotesChange)));
         }
-        return votes[leading] < 2 || Math.abs(budgets[leading] - share) < SAME_BUDGET;
+        return votes[leading] < 2 || Math.abs(budgets[leading] - share) < SAME_BUDGET_TOLERANCE;
     }
 }
--- a/decision/src/main/java/opalcove/decision/DecisionContext.java
+++ b/decision/src/main/java/opalcove/decision/DecisionContext.java
@@ -25,7 +25,7 @@
     final DecisionSettings.Limits limits;
     final DecisionActions actions;
     final SplittableRandom random;
-    final SizeEstimator sizes;
+    final ResponseTimeEstimator responseTimes;
 
     /** The time of the event being handled, ms of the embedding gateway's clock. */
     double nowMs;
@@ -37,6 +37,6 @@
         obligations = settings.obligations();
         limits = settings.limits();
         random = new SplittableRandom(seed);
-        sizes = new SizeEstimator(settings);
+        responseTimes = new ResponseTimeEstimator(settings);
     }
 }
--- a/decision/src/main/java/opalcove/decision/DecisionSettings.java
+++ b/decision/src/main/java/opalcove/decision/DecisionSettings.java
@@ -47,9 +47,9 @@
         }
     }
 
-    private static void require(boolean holds, String otherwise) {
-        if (!holds) {
-            throw new IllegalArgumentException(otherwise);
+    private static void require(boolean condition, String message) {
+        if (!condition) {
+            throw new IllegalArgumentException(message);
         }
     }
 
--- a/decision/src/main/java/opalcove/decision/PressureMonitor.java
+++ b/decision/src/main/java/opalcove/decision/PressureMonitor.java
@@ -22,7 +22,7 @@
      * Whether responses took much of their objectives lately, a sign counting as a whole objective. A part of signs
      * took backends that leave one class unanswered, and serve the rest quickly, for pressed ones.
      */
-    boolean isSlow() {
+    boolean areResponsesSlow() {
         return objectiveShares > 0.27 * responses;
     }
 
@@ -37,7 +37,7 @@
     }
 
     /** Whether there was hardly any sign lately. */
-    boolean isCalm() {
+    boolean isLow() {
         return signs < 0.5;
     }
 
--- a/decision/src/main/java/opalcove/decision/QuotaController.java
+++ b/decision/src/main/java/opalcove/decision/QuotaController.java
@@ -10,13 +10,13 @@
  */
 final class QuotaController {
     /** Memory of a tenant's own arrivals, ms. */
-    private static final double MEMORY_MS = 1500;
+    private static final double ARRIVAL_MEMORY_MS = 1500;
 
     /** Time over which what is left in a bucket's copy is spent, ms: reported use is about this old. */
-    private static final double SPEND_MS = 2000;
+    private static final double BURST_SPEND_MS = 2000;
 
     /** Reported use fades towards its plan's mean over this time, ms. */
-    private static final double FADE_MS = 10_000;
+    private static final double REPORT_DECAY_MS = 10_000;
 
     private final DecisionContext context;
     private final CapacityController capacity;
@@ -26,7 +26,7 @@
     private final LinkedHashMap<String, TenantQuota> tenants = new LinkedHashMap<>(64, 0.75f, true);
 
     /** The inverse of reported use by plan, a moving mean; 0 until a use of that plan is reported. */
-    private final double[] planCalm;
+    private final double[] inverseUseByPlan;
 
     private final double periodMs;
     private double servingSinceMs = Double.MAX_VALUE;
@@ -35,7 +35,7 @@
         this.context = context;
         this.capacity = capacity;
         this.pressure = pressure;
-        planCalm = new double[context.settings.plans().size()];
+        inverseUseByPlan = new double[context.settings.plans().size()];
         periodMs = Math.max(1, context.settings.meterPeriodMs());
     }
 
@@ -48,7 +48,7 @@
             tenants.put(request.tenant(), tenant);
         }
         if (tenant.otherSeconds <= 0) {
-            fade(tenant, 1);
+            moveTowardsPlanMean(tenant, 1);
         }
         return tenant;
     }
@@ -56,11 +56,11 @@
     /** Forgets tenants whose buckets have had time to fill since they were last heard of. */
     void forgetIdle() {
         for (Iterator<TenantQuota> iterator = tenants.values().iterator(); iterator.hasNext(); iterator.remove()) {
-            TenantQuota eldest = iterator.next();
-            Plan plan = eldest.plan;
+            TenantQuota longestIdle = iterator.next();
+            Plan plan = longestIdle.plan;
             double fillMs = plan.ceilingRate() > 0 ? 1000 * plan.ceilingBurst() / plan.ceilingRate() : 0;
-            double idleMs = context.nowMs - eldest.updatedAtMs;
-            if (eldest.inFlight > 0 || idleMs < Math.max(DecisionContext.FORGET_AFTER_MS, fillMs)) {
+            double idleMs = context.nowMs - longestIdle.updatedAtMs;
+            if (longestIdle.inFlight > 0 || idleMs < Math.max(DecisionContext.FORGET_AFTER_MS, fillMs)) {
                 return;
             }
         }
@@ -71,21 +71,21 @@
     }
 
     /** Brings a tenant's decayed figures and buckets to the present. */
-    private void advance(TenantQuota tenant) {
+    private void advanceToNow(TenantQuota tenant) {
         double seconds = (context.nowMs - tenant.updatedAtMs) / 1000;
         tenant.updatedAtMs = context.nowMs;
-        double drain = otherGatewaysRate(tenant) * tenant.meanAdmitChance;
-        tenant.arrivedUnits *= Math.exp(-seconds * 1000 / MEMORY_MS);
-        fade(tenant, 1 - Math.exp(-seconds * 1000 / FADE_MS));
-        double level = tenant.level + seconds * (tenant.plan.rate() - drain);
+        double othersRate = otherGatewaysRate(tenant) * tenant.meanAdmitProbability;
+        tenant.arrivedUnits *= Math.exp(-seconds * 1000 / ARRIVAL_MEMORY_MS);
+        moveTowardsPlanMean(tenant, 1 - Math.exp(-seconds * 1000 / REPORT_DECAY_MS));
+        double level = tenant.level + seconds * (tenant.plan.rate() - othersRate);
         tenant.level = Math.max(0, Math.min(tenant.plan.burst(), level));
         tenant.fillCeiling(seconds);
     }
 
     /** Moves what is known of a tenant's other gateways towards its plan's usual use by this part. */
-    private void fade(TenantQuota tenant, double part) {
-        double calm = planCalm[tenant.planIndex] > 0 ? planCalm[tenant.planIndex] : 1;
-        double meanRate = tenant.plan.rate() / calm * (tenant.gateways - 1) / tenant.gateways;
+    private void moveTowardsPlanMean(TenantQuota tenant, double part) {
+        double inverseUse = inverseUseByPlan[tenant.planIndex] > 0 ? inverseUseByPlan[tenant.planIndex] : 1;
+        double meanRate = tenant.plan.rate() / inverseUse * (tenant.gateways - 1) / tenant.gateways;
         tenant.otherUnits += part * (capacity.meanUnits() - tenant.otherUnits);
         tenant.otherSeconds += part * (capacity.meanUnits() / Math.max(meanRate, 0.01) - tenant.otherSeconds);
     }
@@ -99,7 +99,7 @@
             return tenant.gateways < 2 ? 0 : tenant.otherUnits / tenant.otherSeconds;
         }
         return (tenant.otherUnits + tenant.arrivedUnits)
-                / (tenant.otherSeconds + MEMORY_MS / 1000 / (tenant.gateways - 1));
+                / (tenant.otherSeconds + ARRIVAL_MEMORY_MS / 1000 / (tenant.gateways - 1));
     }
 
     /**
@@ -112,21 +112,22 @@
         if (tenant.plan.rate() <= 0) {
             return true;
         }
-        advance(tenant);
+        advanceToNow(tenant);
         tenant.arrivedUnits += units;
-        double available = tenant.plan.rate() + tenant.level * 1000 / SPEND_MS;
+        double available = tenant.plan.rate() + tenant.level * 1000 / BURST_SPEND_MS;
         // Before the first report, the rate of the other gateways holds their part of the own arrivals.
-        double ownRate = tenant.arrivedUnits * 1000 / MEMORY_MS / (tenant.reportedAtMs > 0 ? 1 : tenant.gateways);
-        tenant.admitChance = Math.min(1, available / Math.max(ownRate + otherGatewaysRate(tenant), 1e-9));
+        double ownRate =
+                tenant.arrivedUnits * 1000 / ARRIVAL_MEMORY_MS / (tenant.reportedAtMs > 0 ? 1 : tenant.gateways);
+        tenant.admitProbability = Math.min(1, available / Math.max(ownRate + otherGatewaysRate(tenant), 1e-9));
         // The other gateways admit alike.
-        tenant.meanAdmitChance += (1 - Math.exp((tenant.arrivedAtMs - context.nowMs) / SPEND_MS))
-                * (tenant.admitChance - tenant.meanAdmitChance);
+        tenant.meanAdmitProbability += (1 - Math.exp((tenant.arrivedAtMs - context.nowMs) / BURST_SPEND_MS))
+                * (tenant.admitProbability - tenant.meanAdmitProbability);
         tenant.arrivedAtMs = context.nowMs;
-        if (tenant.admitChance >= 1 && tenant.level >= units) {
+        if (tenant.admitProbability >= 1 && tenant.level >= units) {
             return true;
         }
-        double chance = isRetry ? tenant.admitChance * tenant.admitChance : tenant.admitChance;
-        return context.random.nextDouble() < chance;
+        double probability = isRetry ? tenant.admitProbability * tenant.admitProbability : tenant.admitProbability;
+        return context.random.nextDouble() < probability;
     }
 
     /**
@@ -135,14 +136,14 @@
     boolean mayExceedQuota(TenantQuota tenant) {
         return tenant.plan.overQuotaWeight() > tenant.plan.overQuotaCost()
                 && !capacity.isBounded()
-                && !pressure.isSlow();
+                && !pressure.areResponsesSlow();
     }
 
     /** Charges a request's first attempt to its tenant's quota and ceiling. */
     void charge(RequestState state) {
         TenantQuota tenant = state.tenant;
         double units = state.request.units();
-        advance(tenant);
+        advanceToNow(tenant);
         tenant.addForwarded(period(context.nowMs), units);
         tenant.level = Math.max(0, tenant.level - units);
         tenant.ceilingLevel -= units;
@@ -154,7 +155,7 @@
             return true;
         }
         TenantQuota tenant = state.tenant;
-        advance(tenant);
+        advanceToNow(tenant);
         boolean underCeiling = state.plan.ceilingRate() <= 0 || tenant.ceilingLevel >= state.request.units();
         return underCeiling && (state.plan.maxInFlight() <= 0 || tenant.inFlight < state.plan.maxInFlight());
     }
@@ -166,35 +167,35 @@
      * @param trueUnits the request's true units; 0 where none are reported
      */
     void recordUsage(TenantQuota tenant, double units, int usedPercent, double trueUnits) {
-        recordMeter(tenant, usedPercent);
+        recordReportedUse(tenant, usedPercent);
         if (trueUnits > 0 && context.settings.unitsAreEstimates()) {
             tenant.level += units - trueUnits;
         }
     }
 
     /** Takes in reported use, once a meter period: the others' part is what this gateway did not forward. */
-    private void recordMeter(TenantQuota tenant, int percent) {
-        if (percent < 0 || periodMs <= 1 || tenant.plan.rate() <= 0) {
+    private void recordReportedUse(TenantQuota tenant, int usedPercent) {
+        if (usedPercent < 0 || periodMs <= 1 || tenant.plan.rate() <= 0) {
             return;
         }
-        if (percent == tenant.reportedPercent && context.nowMs - tenant.reportedAtMs < periodMs * 0.9) {
+        if (usedPercent == tenant.reportedPercent && context.nowMs - tenant.reportedAtMs < periodMs * 0.9) {
             return;
         }
-        advance(tenant);
-        tenant.reportedPercent = percent;
+        advanceToNow(tenant);
+        tenant.reportedPercent = usedPercent;
         tenant.reportedAtMs = context.nowMs;
         double forwarded = 0;
         for (int back = 1; back <= 3; back++) {
             forwarded += tenant.forwardedIn(period(context.nowMs - (back - 0.3) * periodMs)) / 3;
         }
-        double used = tenant.plan.rate() * percent / 100 * periodMs / 1000;
+        double used = tenant.plan.rate() * usedPercent / 100 * periodMs / 1000;
         tenant.otherUnits +=
-                Math.max(0, used - forwarded) / Math.max(0.1, tenant.meanAdmitChance) - 0.35 * tenant.otherUnits;
+                Math.max(0, used - forwarded) / Math.max(0.1, tenant.meanAdmitProbability) - 0.35 * tenant.otherUnits;
         tenant.otherSeconds += periodMs / 1000 - 0.35 * tenant.otherSeconds;
         // Guards against reports that come mostly from heavy tenants: the harmonic mean of reported use, not divided
         // by our own chance. The mean of demand had calm unseen tenants shed as heavy.
-        double calm = Math.min(4, 100.0 / Math.max(1, percent));
-        double known = planCalm[tenant.planIndex];
-        planCalm[tenant.planIndex] = known > 0 ? known + 0.03 * (calm - known) : calm;
+        double inverseUse = Math.min(4, 100.0 / Math.max(1, usedPercent));
+        double previous = inverseUseByPlan[tenant.planIndex];
+        inverseUseByPlan[tenant.planIndex] = previous > 0 ? previous + 0.03 * (inverseUse - previous) : inverseUse;
     }
 }
--- a/decision/src/main/java/opalcove/decision/RequestForwarder.java
+++ b/decision/src/main/java/opalcove/decision/RequestForwarder.java
@@ -89,7 +89,7 @@
 
     /** From this age on an attempt counts as slow, ms. */
     private double slowAfterMs(RequestState state) {
-        double usualMs = context.sizes.meanMs(state.classIndex);
+        double usualMs = context.responseTimes.meanMs(state.classIndex);
         return Math.min(state.requestClass.objectiveMs() * 0.5, usualMs * 4)
                 + Math.max(0, state.expectedMs() - usualMs);
     }
@@ -139,12 +139,12 @@
     private void release(ClassQueue queue) {
         for (Iterator<RequestState> iterator = queue.requests.iterator(); iterator.hasNext(); ) {
             RequestState state = iterator.next();
-            boolean tooLong = state.isQueuedTooLong();
+            boolean queuedTooLong = state.isQueuedTooLong();
             boolean released = !state.finished
-                    && !tooLong
+                    && !queuedTooLong
                     && quotas.fits(state)
                     && (!state.attempts.isEmpty() || capacity.tryTake(state, true));
-            if (!state.finished && !tooLong && !released) {
+            if (!state.finished && !queuedTooLong && !released) {
                 continue;
             }
             iterator.remove();
@@ -153,7 +153,7 @@
             if (released) {
                 forward(state);
             }
-            if (tooLong && !state.finished && state.inFlight == 0) {
+            if (queuedTooLong && !state.finished && state.inFlight == 0) {
                 endUnserved(state);
             }
         }
@@ -187,8 +187,8 @@
      * No attempt is in flight and there is no response: another attempt if allowed and worth it, else the final
      * response.
      */
-    private void retryOrEnd(RequestState state, AttemptStatus last) {
-        boolean addsLoad = !last.neverRan && last != AttemptStatus.CANCELLED;
+    private void retryOrEnd(RequestState state, AttemptStatus lastStatus) {
+        boolean addsLoad = !lastStatus.neverRan && lastStatus != AttemptStatus.CANCELLED;
         if (state.remainingBudgetMs() <= 2 * context.settings.tickMs()
                 || !state.mayStartAttempt()
                 || addsLoad && (!retryBudget.hasToken() || capacity.isBounded())) {
@@ -198,7 +198,7 @@
         if (addsLoad) {
             retryBudget.spend();
         }
-        if (last == AttemptStatus.REJECTED && state.attempts.size() > 1) {
+        if (lastStatus == AttemptStatus.REJECTED && state.attempts.size() > 1) {
             queue(state);
         } else {
             forward(state);
@@ -206,7 +206,7 @@
     }
 
     /** An attempt is slow: a sign of pressure, then a hedged request or a retry where all of them allow it. */
-    void attemptSlow(RequestState state) {
+    void slowAttemptDetected(RequestState state) {
         if (stalls.isRecovering(context.nowMs)) {
             return;
         }
@@ -225,7 +225,7 @@
         if (context.limits.mayHedge()) {
             hedge(state);
         } else {
-            cancelSilent(state);
+            cancelAtSilentBackend(state);
         }
     }
 
@@ -238,14 +238,14 @@
     }
 
     /** Cancels the last attempt at a silent backend, so that its outcome brings a retry. */
-    private void cancelSilent(RequestState state) {
-        int last = state.attempts.size() - 1;
-        boolean silent = context.nowMs - state.attempts.get(last).backend.respondedAtMs > SILENT_MS;
-        if (!context.limits.mayCancel() || last + 1 >= context.limits.maxAttempts() || !silent) {
+    private void cancelAtSilentBackend(RequestState state) {
+        int lastAttempt = state.attempts.size() - 1;
+        boolean silent = context.nowMs - state.attempts.get(lastAttempt).backend.respondedAtMs > SILENT_MS;
+        if (!context.limits.mayCancel() || lastAttempt + 1 >= context.limits.maxAttempts() || !silent) {
             return;
         }
         retryBudget.spend();
-        context.actions.cancelAttempt(state.request.requestId(), last);
+        context.actions.cancelAttempt(state.request.requestId(), lastAttempt);
     }
 
     /** The final response when no backend gave one: shed where that promise is allowed, else failed. */
--- a/decision/src/main/java/opalcove/decision/RequestState.java
+++ b/decision/src/main/java/opalcove/decision/RequestState.java
@@ -47,9 +47,9 @@
         tokenShare = context.random.nextDouble();
         plan = context.settings.plans().get(planIndex);
         requestClass = context.settings.classes().get(classIndex);
-        double waitedMs = Math.max(0, requestClass.deadlineMs() - request.budgetMs());
-        boolean retry = request.retry() || !retries.recordBudget(request.budgetMs() / requestClass.deadlineMs());
-        remainingObjectiveMs = requestClass.objectiveMs() - (retry ? waitedMs : 0);
+        double elapsedMs = Math.max(0, requestClass.deadlineMs() - request.budgetMs());
+        boolean isRetry = request.retry() || !retries.recordBudget(request.budgetMs() / requestClass.deadlineMs());
+        remainingObjectiveMs = requestClass.objectiveMs() - (isRetry ? elapsedMs : 0);
     }
 
     /** What is left of the client's time budget, ms. */
@@ -59,28 +59,28 @@
 
     /** The response time to expect for its class and units, ms. */
     double expectedMs() {
-        return context.sizes.expectedMs(classIndex, request.units());
+        return context.responseTimes.expectedMs(classIndex, request.units());
     }
 
     /** How long it may be queued, ms: what is left of its objective once a usual response has had its time. */
-    double maxQueuedMs() {
+    double maxQueueTimeMs() {
         double remainingMs = Math.min(remainingObjectiveMs, request.budgetMs());
-        return Math.max(0, remainingMs - context.sizes.meanMs(classIndex) - expectedMs()) * 0.6;
+        return Math.max(0, remainingMs - context.responseTimes.meanMs(classIndex) - expectedMs()) * 0.6;
     }
 
     /** Whether it has been queued for as long as it may be. */
     boolean isQueuedTooLong() {
-        return context.nowMs - arrivedAtMs >= maxQueuedMs();
+        return context.nowMs - arrivedAtMs >= maxQueueTimeMs();
     }
 
     /** A Retry-After for a shed request, ms: drawn so that a retry may still be answered in time. */
     double drawRetryAfterMs() {
-        double lastRetryMs = arrivedAtMs + remainingObjectiveMs - 2 * context.sizes.meanMs(classIndex);
+        double lastRetryMs = arrivedAtMs + remainingObjectiveMs - 2 * context.responseTimes.meanMs(classIndex);
         return context.random.nextDouble() * Math.max(0, lastRetryMs - context.nowMs);
     }
 
     /** The first attempt that may have run, or null. */
-    AttemptState firstThatMayHaveRun() {
+    AttemptState firstAttemptThatMayHaveRun() {
         for (int i = 0; i < attempts.size(); i++) {
             if (attempts.get(i).mayHaveRun) {
                 return attempts.get(i);
@@ -97,36 +97,36 @@
         if (inFlight > 0 && !context.limits.mayHedge()) {
             return false;
         }
-        AttemptState first = firstThatMayHaveRun();
-        if (first == null || requestClass.idempotency() == Idempotency.SAFE) {
+        AttemptState firstAttempt = firstAttemptThatMayHaveRun();
+        if (firstAttempt == null || requestClass.idempotency() == Idempotency.SAFE) {
             return true;
         }
-        double windowEndMs = first.startedAtMs + requestClass.windowMs();
+        double windowEndMs = firstAttempt.startedAtMs + requestClass.windowMs();
         return requestClass.idempotency() == Idempotency.KEYED
                 && context.nowMs + context.settings.tickMs() < windowEndMs;
     }
 
     /** Whether the rules allow the next attempt at this backend. */
     boolean mayUse(BackendState backend) {
-        AttemptState first = firstThatMayHaveRun();
-        if (first == null
+        AttemptState firstAttempt = firstAttemptThatMayHaveRun();
+        if (firstAttempt == null
                 || requestClass.idempotency() == Idempotency.SAFE
                 || requestClass.deduplicationScope() == DeduplicationScope.ALL) {
             return true;
         }
-        Endpoint used = first.backend.endpoint;
+        Endpoint firstEndpoint = firstAttempt.backend.endpoint;
         return requestClass.deduplicationScope() == DeduplicationScope.ZONE
-                ? used.zone().equals(backend.endpoint.zone())
-                : used.cell() == backend.endpoint.cell();
+                ? firstEndpoint.zone().equals(backend.endpoint.zone())
+                : firstEndpoint.cell() == backend.endpoint.cell();
     }
 
     /** Whether the rules allow to shed the request, which promises that a retry is harmless. */
     boolean mayBeShed() {
-        Idempotency effect = requestClass.idempotency();
-        if (firstThatMayHaveRun() == null || effect == Idempotency.SAFE) {
+        Idempotency idempotency = requestClass.idempotency();
+        if (firstAttemptThatMayHaveRun() == null || idempotency == Idempotency.SAFE) {
             return true;
         }
-        return effect == Idempotency.KEYED && requestClass.deduplicationScope() == DeduplicationScope.ALL;
+        return idempotency == Idempotency.KEYED && requestClass.deduplicationScope() == DeduplicationScope.ALL;
     }
 
     /** Whether an attempt went to this backend before. */
--- a/decision/src/main/java/opalcove/decision/RequestTimers.java
+++ b/decision/src/main/java/opalcove/decision/RequestTimers.java
@@ -20,8 +20,8 @@
     private static final int SERIAL_STEP = 4;
 
     private final DecisionContext context;
-    private final Map<Long, RequestState> states = new HashMap<>();
-    private long serial;
+    private final Map<Long, RequestState> requests = new HashMap<>();
+    private long lastSerial;
 
     RequestTimers(DecisionContext context) {
         this.context = context;
@@ -34,22 +34,22 @@
 
     /** Sets a timer of a request. */
     void set(int kind, RequestState state, double afterMs) {
-        serial += SERIAL_STEP;
-        Long token = serial | kind;
-        states.put(token, state);
+        lastSerial += SERIAL_STEP;
+        Long token = lastSerial | kind;
+        requests.put(token, state);
         state.timerTokens.add(token);
         context.actions.setTimer(token, afterMs);
     }
 
     /** Removes a timer that expired; returns its request, or null where it is no longer needed. */
     RequestState expire(long token) {
-        return states.remove(token);
+        return requests.remove(token);
     }
 
     /** Cancels all timers of a request. */
     void cancelAll(RequestState state) {
         for (Long token : state.timerTokens) {
-            if (states.remove(token) != null) {
+            if (requests.remove(token) != null) {
                 context.actions.cancelTimer(token);
             }
         }
--- a/decision/src/main/java/opalcove/decision/SizeEstimator.java
+++ b/decision/src/main/java/opalcove/decision/ResponseTimeEstimator.java
@@ -7,7 +7,7 @@
  * Estimates response times: a moving mean for each request class, and how a request's units shift it. Owned by the
  * thread that delivers the instance's events.
  */
-final class SizeEstimator {
+final class ResponseTimeEstimator {
     /** Weight of the newest response in each moving mean. */
     private static final double LEARNING_RATE = 0.02;
 
@@ -15,7 +15,7 @@
     private final UnitsEffect[] effects;
     private final boolean unitsAreEstimates;
 
-    SizeEstimator(DecisionSettings settings) {
+    ResponseTimeEstimator(DecisionSettings settings) {
         meanMs = new double[settings.classes().size()];
         effects = Stream.generate(UnitsEffect::new).limit(meanMs.length).toArray(UnitsEffect[]::new);
         unitsAreEstimates = settings.unitsAreEstimates();
--- a/decision/src/main/java/opalcove/decision/SlowStart.java
+++ b/decision/src/main/java/opalcove/decision/SlowStart.java
@@ -15,25 +15,25 @@
 
     private double paceSamples;
     private double meanSize = 1;
-    private int warm;
+    private int warmCount;
 
     /** Work that warm backends completed in this interval, ms. */
-    private double completedMs;
+    private double completedWorkMs;
 
     /** Work of one whole request of the slowest class, ms. */
-    private double requestMs;
+    private double largestRequestMs;
 
     SlowStart(DecisionContext context) {
         this.context = context;
         rampMargin = Math.min(1.2, 0.5 * context.obligations.overloadFactor());
-        requestMs = context.sizes.largestMeanMs();
+        largestRequestMs = context.responseTimes.largestMeanMs();
     }
 
     /** Begins a backend's slow start, as of the time at which it started. */
     void begin(BackendState backend, double startedAtMs) {
         backend.startedAtMs = startedAtMs;
         // Guards against gateways in step, and against each saving up a whole request before any sends.
-        backend.slowStartBudgetMs = context.random.nextDouble() * requestMs;
+        backend.slowStartBudgetMs = context.random.nextDouble() * largestRequestMs;
         backend.slowness = 1;
         backend.failures = 0;
         backend.ejectedUntilMs = 0;
@@ -46,14 +46,16 @@
 
     /** Whether a backend that is warming up has used up its budget. */
     boolean isExhausted(BackendState backend) {
-        return backend.slowStartBudgetMs < requestMs;
+        return backend.slowStartBudgetMs < largestRequestMs;
     }
 
     /** The part of its capacity that a backend that is warming up has reached, by the ramp. */
     double rampShare(BackendState backend) {
-        double from = context.obligations.initialShare();
-        return from
-                + (1 - from) * (context.nowMs - backend.startedAtMs) / Math.max(1, context.obligations.warmAfterMs());
+        double initialShare = context.obligations.initialShare();
+        return initialShare
+                + (1 - initialShare)
+                        * (context.nowMs - backend.startedAtMs)
+                        / Math.max(1, context.obligations.warmAfterMs());
     }
 
     /** The part of its usual capacity that a backend may be given; 1 once it is warm. */
@@ -70,29 +72,31 @@
 
     /** Counts work that a backend completed towards the pace of warm ones. */
     void recordCompleted(BackendState backend, double workMs) {
-        completedMs += isWarmingUp(backend) ? 0 : workMs;
+        completedWorkMs += isWarmingUp(backend) ? 0 : workMs;
     }
 
     /** Starts a new count of warm backends. */
     void resetWarmCount() {
-        warm = 0;
+        warmCount = 0;
     }
 
     /** Counts a listed backend that is warm and well, for the mean size. */
     void countIfWarm(BackendState backend) {
         if (!isWarmingUp(backend) && !backend.isFailing()) {
-            meanSize += (backend.endpoint.size() - meanSize) / ++warm;
+            meanSize += (backend.endpoint.size() - meanSize) / ++warmCount;
         }
     }
 
     /** Once an interval: takes in the pace of warm backends by size. */
     void updatePace() {
-        double measured = warm > 0 ? completedMs / DecisionContext.INTERVAL_MS / Math.max(1e-9, warm * meanSize) : pace;
+        double measured = warmCount > 0
+                ? completedWorkMs / DecisionContext.INTERVAL_MS / Math.max(1e-9, warmCount * meanSize)
+                : pace;
         if (paceSamples > 0 || measured > 0) {
             pace += Math.max(0.05, 1 / ++paceSamples) * (measured - pace);
         }
-        completedMs = 0;
-        requestMs = context.sizes.largestMeanMs();
+        completedWorkMs = 0;
+        largestRequestMs = context.responseTimes.largestMeanMs();
     }
 
     /** Once an interval: fills the budget of a backend that is warming up. */
@@ -104,7 +108,7 @@
         double size =
                 Math.min(rampMargin * backend.endpoint.size(), 0.7 * context.obligations.overloadFactor() * meanSize);
         double rate = rampShare(backend) * pace * size;
-        double maxMs = Math.max(requestMs, rate * 1000);
+        double maxMs = Math.max(largestRequestMs, rate * 1000);
         backend.slowStartBudgetMs = Math.min(maxMs, backend.slowStartBudgetMs + rate * DecisionContext.INTERVAL_MS);
     }
 }
--- a/decision/src/main/java/opalcove/decision/StallDetector.java
+++ b/decision/src/main/java/opalcove/decision/StallDetector.java
@@ -19,12 +19,12 @@
      * @return whether it came late
      */
     boolean recordTick(double nowMs) {
-        boolean late = nowMs - nextTickMs > MAX_LATENESS_MS;
-        if (late) {
+        boolean isLate = nowMs - nextTickMs > MAX_LATENESS_MS;
+        if (isLate) {
             recoveringUntilMs = nowMs + 2 * DecisionContext.INTERVAL_MS;
         }
         nextTickMs = nowMs + DecisionContext.INTERVAL_MS;
-        return late;
+        return isLate;
     }
 
     /** Whether the gateway was held up so lately that ages of attempts say nothing. */
--- a/decision/src/main/java/opalcove/decision/TenantQuota.java
+++ b/decision/src/main/java/opalcove/decision/TenantQuota.java
@@ -7,7 +7,7 @@
  */
 final class TenantQuota {
     /** Meter periods for which the forwarded units are kept. */
-    private static final int PERIODS = 8;
+    private static final int STORED_PERIODS = 8;
 
     final Plan plan;
     final int planIndex;
@@ -15,8 +15,8 @@
     /** Gateways through which the tenant's requests may come, this one included. */
     final int gateways;
 
-    private final double[] forwardedUnits = new double[PERIODS];
-    private final long[] periodNumbers = new long[PERIODS];
+    private final double[] forwardedUnits = new double[STORED_PERIODS];
+    private final long[] periodNumbers = new long[STORED_PERIODS];
 
     /** Units in this gateway's copy of the tenant's bucket. */
     double level;
@@ -38,9 +38,9 @@
     double arrivedAtMs = DecisionContext.NEVER_MS;
 
     /** The chance at which a request beyond the bucket passes, and its moving mean. */
-    double admitChance = 1;
+    double admitProbability = 1;
 
-    double meanAdmitChance = 1;
+    double meanAdmitProbability = 1;
 
     /** The use that was reported last, in percent of the rate; -1 before the first. */
     int reportedPercent = -1;
@@ -76,7 +76,7 @@
     }
 
     private int slot(long period) {
-        int slot = (int) Math.floorMod(period, (long) PERIODS);
+        int slot = (int) Math.floorMod(period, (long) STORED_PERIODS);
         if (periodNumbers[slot] != period) {
             forwardedUnits[slot] = 0;
         }
