--- a/decision/src/main/java/opalcove/decision/AdmissionController.java
+++ b/decision/src/main/java/opalcove/decision/AdmissionController.java
@@ -5,8 +5,9 @@
 import java.util.Map;
 
 /**
- * The decision module of one gateway: it admits or sheds each request and wires the parts that decide the rest. It
- * knows the settings and its own events alone. Owned by the thread that delivers the events.
+ * The decision module of one gateway. It admits or sheds each request and creates the objects that make the other
+ * decisions. It depends on nothing but its settings and the events that it receives. Owned by the thread that delivers
+ * the events.
  */
 public final class AdmissionController implements DecisionModule {
     private final DecisionContext context;
@@ -24,9 +25,9 @@
     private final RequestForwarder forwarder;
 
     /**
-     * Starts a gateway's module.
+     * Creates the module of a gateway and sets its first interval timer.
      *
-     * @throws IllegalArgumentException if the settings contradict themselves
+     * @throws IllegalArgumentException if the settings are invalid
      */
     public AdmissionController(double nowMs, DecisionSettings settings, long seed, DecisionActions actions) {
         settings.check();
@@ -197,16 +198,19 @@
         context.actions.setTimer(RequestTimers.INTERVAL, DecisionContext.INTERVAL_MS);
     }
 
-    /** The capacity shares of all backends that are remembered, for a front that does not submit each request. */
+    /**
+     * Returns the capacity shares of all known backends, listed or not. It serves proxies that balance load themselves
+     * and do not submit each request to the module.
+     */
     public List<CapacityShare> capacityShares(double nowMs) {
         context.nowMs = nowMs;
         return registry.all().stream().map(health::capacityShare).toList();
     }
 
     /**
-     * A load report from such a front, on work that ended at a backend.
+     * Records the load report of such a proxy on requests that a backend completed.
      *
-     * @param meanMs the mean response time; below 0 where it is unknown
+     * @param meanMs the mean response time, ms; negative if it is unknown
      */
     public void loadReported(double nowMs, String backendId, long served, long failed, double meanMs) {
         context.nowMs = nowMs;
--- a/decision/src/main/java/opalcove/decision/AdmissionRequest.java
+++ b/decision/src/main/java/opalcove/decision/AdmissionRequest.java
@@ -1,11 +1,11 @@
 package opalcove.decision;
 
 /**
- * A client's request.
+ * A request of a client.
  *
- * @param units the units that it draws from its tenant's quota
- * @param budgetMs the time until the client gives up
- * @param gateways the number of gateways through which its tenant's requests may come
+ * @param units the units that it consumes of its tenant's quota
+ * @param budgetMs the time until the client stops waiting for a response, ms
+ * @param gateways the number of gateways that may receive requests of its tenant
  * @param retry whether the client marked it as a retry
  */
 public record AdmissionRequest(
--- a/decision/src/main/java/opalcove/decision/AttemptState.java
+++ b/decision/src/main/java/opalcove/decision/AttemptState.java
@@ -5,15 +5,15 @@
     final BackendState backend;
     final double startedAtMs;
 
-    /** The response time expected when the attempt began, ms. */
+    /** The response time that was expected when the attempt started, ms. */
     final double expectedMs;
 
     boolean ended;
 
-    /** Whether it has been counted as a sign of pressure. */
+    /** Whether this attempt has been counted as a sign of pressure. */
     boolean countedAsPressure;
 
-    /** Whether the backend may have executed it: true until an outcome proves that it never ran. */
+    /** Whether the backend may have executed the attempt: true until an outcome proves that it never ran. */
     boolean mayHaveRun = true;
 
     AttemptState(BackendState backend, double startedAtMs, double expectedMs) {
--- a/decision/src/main/java/opalcove/decision/AttemptStatus.java
+++ b/decision/src/main/java/opalcove/decision/AttemptStatus.java
@@ -1,6 +1,6 @@
 package opalcove.decision;
 
-/** How an attempt ended. */
+/** The status with which an attempt ended. */
 public enum AttemptStatus {
     SERVED(false),
     ERROR(false),
@@ -11,7 +11,7 @@
     CANCELLED(false),
     NOT_SENT(true);
 
-    /** True where this end proves that the attempt never ran. */
+    /** Whether this status proves that the backend never executed the attempt. */
     public final boolean neverRan;
 
     AttemptStatus(boolean neverRan) {
--- a/decision/src/main/java/opalcove/decision/BackendHealth.java
+++ b/decision/src/main/java/opalcove/decision/BackendHealth.java
@@ -4,41 +4,49 @@
 import java.util.Map;
 
 /**
- * The health of backends as the outcomes of attempts, health checks and load reports show it: slowness, error rates,
- * ejection, and faults that a zone or a kind of backends has in common. Owned by the thread that delivers the
+ * Tracks the health of backends from the outcomes of attempts, health checks and load reports: slowness, error rates,
+ * ejection, and the failure rates of complete zones and kinds of backends. Owned by the thread that delivers the
  * instance's events.
  */
 final class BackendHealth {
+    /** Part of a backend's slowness and error rate that decays in an interval at full decay speed. */
     private static final double DECAY_RATE = 0.04;
+
     private static final double MAX_SLOWNESS = 20;
     private static final double CHECK_INTERVAL_MS = 1000;
 
-    /** Ejection for each rejection in a row, and at most. */
+    /** Ejection time for each consecutive rejection, and its maximum. */
     private static final double REJECTION_EJECTION_MS = 100;
 
     private static final double MAX_REJECTION_EJECTION_MS = 2000;
 
-    /** Ejection for each failure in a row, and at most. */
+    /** Ejection time for each consecutive failure, and its maximum. */
     private static final double FAILURE_EJECTION_MS = 500;
 
     private static final double MAX_FAILURE_EJECTION_MS = 4000;
 
-    /** A starting backend that rejects is ejected for this multiple: it has no capacity yet. */
+    /** Factor of the ejection time of a warming-up backend that rejects an attempt: it has no capacity yet. */
     private static final double WARM_UP_EJECTION_FACTOR = 10;
 
-    /** The least share of its capacity that a listed backend is given, so that it is tried again. */
+    /** The minimum capacity share of an up backend that is not ejected, so that it receives traffic again. */
     private static final double MIN_SHARE = 0.02;
 
     private final DecisionContext context;
     private final SlowStart slowStart;
 
-    /** Guards against backends failing together (a zone cut, a kind restarting): part of failures by group. */
+    /**
+     * Moving mean of the failures of each group, 0 to 1. Backends may fail together (a zone is cut off, one kind of
+     * backends restarts), so the failures of some count against all others of their zone and kind.
+     */
     private final Map<String, double[]> groupFailureRates = new HashMap<>();
 
     private double attemptsInInterval;
     private double meanAttempts;
 
-    /** How fast marks fade: slower where a gateway comes back to a backend seldom, or none would be used. */
+    /**
+     * Factor of the decay rate, 0.2 to 1. It is lower where this gateway seldom sends an attempt to the same backend;
+     * otherwise slowness and error rates would decay before a selection uses them.
+     */
     private double decaySpeed = 1;
 
     BackendHealth(DecisionContext context, SlowStart slowStart) {
@@ -46,7 +54,7 @@
         this.slowStart = slowStart;
     }
 
-    /** Counts an attempt that begins. */
+    /** Records the start of an attempt. */
     void attemptStarted(BackendState backend, RequestState state) {
         if (backend.inFlight == 0) {
             backend.busySinceMs = context.nowMs;
@@ -57,7 +65,7 @@
         slowStart.charge(backend, context.responseTimes.meanMs(state.classIndex));
     }
 
-    /** Takes in how an attempt ended. */
+    /** Records the outcome of an attempt. */
     void attemptEnded(AttemptState attempt, AttemptOutcome outcome, RequestState state) {
         BackendState backend = attempt.backend;
         backend.inFlight--;
@@ -70,7 +78,8 @@
                 recordFailure(backend);
             }
             case BROKEN -> recordFailure(backend);
-            // Guards against backends that never respond: a cancelled attempt took at least its time out.
+            // A cancelled or timed-out attempt would have taken at least the time that it was in flight. Without this,
+            // a backend that never responds would not become slow.
             case CANCELLED, TIMED_OUT ->
                 updateSlowness(
                         backend,
@@ -89,7 +98,7 @@
         backend.rejections = 0;
         backend.errorRate += 0.2 * ((isError ? 1 : 0) - backend.errorRate);
         if (isError) {
-            return; // a quick error must not make a backend look fast
+            return; // a fast error must not make the backend look fast
         }
         updateSlowness(backend, outcome.elapsedMs() / state.expectedMs());
         context.responseTimes.recordResponse(state.classIndex, state.request.units(), outcome.elapsedMs());
@@ -117,9 +126,9 @@
     }
 
     /**
-     * Takes in that a backend is reachable. After failed connects it may have started anew before the endpoint list
-     * says so, so its slow start begins. Guards also against connections that break now and then: two such in a row had
-     * warm backends paced as starting ones.
+     * Records that a backend is reachable. A backend may have restarted before the endpoint list shows it, so its slow
+     * start begins if it failed for more than a second and more than two connects failed. Broken connections do not
+     * count: when they did, two occasional ones in a row put warm backends into slow start.
      */
     private void recordReachable(BackendState backend) {
         boolean wasDown = backend.failingSinceMs >= 0 && context.nowMs - backend.failingSinceMs > 1000;
@@ -132,7 +141,7 @@
         backend.failingSinceMs = -1;
     }
 
-    /** Takes in the end of a health check. */
+    /** Records the result of a health check. */
     void checkEnded(BackendState backend, ProbeStatus result) {
         backend.ejectedUntilMs = 0;
         if (result == ProbeStatus.DONE) {
@@ -143,9 +152,9 @@
     }
 
     /**
-     * Takes in a load report on work that ended at a backend.
+     * Records a load report on requests that a backend completed.
      *
-     * @param meanMs the mean response time; below 0 where it is unknown
+     * @param meanMs the mean response time, ms; negative if it is unknown
      */
     void loadReported(BackendState backend, long served, long failed, double meanMs) {
         if (served + failed <= 0) {
@@ -177,7 +186,7 @@
         failureRate[0] = 0.7 * failureRate[0] + 0.3 * failure;
     }
 
-    /** How much a backend's zone and kind fail, 0 to 2. */
+    /** The sum of the failure rates of a backend's zone and kind, 0 to 2. */
     double groupFailureRate(BackendState backend) {
         return failureRateOf(backend.zoneGroup) + failureRateOf(backend.kindGroup);
     }
@@ -187,7 +196,10 @@
         return failureRate == null ? 0 : failureRate[0];
     }
 
-    /** Once an interval: adapts how fast marks fade to the attempts for each listed backend; fades group faults. */
+    /**
+     * Adapts the decay speed to the number of attempts per up backend, and decays the failure rates of the groups.
+     * Called once an interval.
+     */
     void updateDecaySpeed(int upBackends) {
         meanAttempts += 0.1 * (attemptsInInterval - meanAttempts);
         attemptsInInterval = 0;
@@ -197,13 +209,17 @@
         }
     }
 
-    /** Once an interval: fades a backend's marks so that it is tried again. */
+    /**
+     * Decays a backend's slowness and error rate, so that it receives attempts again. Called once an interval.
+     */
     void decay(BackendState backend) {
         backend.slowness += DECAY_RATE * decaySpeed * (1 - backend.slowness);
         backend.errorRate *= 1 - DECAY_RATE * decaySpeed;
     }
 
-    /** Once an interval: starts a health check of a backend that keeps failing, where checks are allowed. */
+    /**
+     * Starts a health check of a backend that fails repeatedly, if health checks are allowed. Called once an interval.
+     */
     void checkIfDue(BackendState backend) {
         if (backend.up
                 && backend.isFailing()
@@ -215,7 +231,8 @@
     }
 
     /**
-     * The share of its capacity that new work may take: a starting backend's follows its ramp, others' their health.
+     * Returns the share of a backend's capacity that new work may use. The share of a warming-up backend follows its
+     * ramp; slowness and errors reduce it.
      */
     CapacityShare capacityShare(BackendState backend) {
         String id = backend.endpoint.id();
@@ -226,7 +243,7 @@
         return new CapacityShare(id, Math.max(MIN_SHARE, share));
     }
 
-    /** The factor by which a backend's errors make it look slower. */
+    /** The factor by which a backend's error rate raises its expected wait. */
     static double errorPenalty(BackendState backend) {
         return 1 + 20 * backend.errorRate * backend.errorRate;
     }
--- a/decision/src/main/java/opalcove/decision/BackendRegistry.java
+++ b/decision/src/main/java/opalcove/decision/BackendRegistry.java
@@ -6,11 +6,11 @@
 import java.util.Map;
 
 /**
- * The backends of the endpoint list, in the order in which they were first listed, and when the list is polled again.
- * Owned by the thread that delivers the instance's events.
+ * The backends of the endpoint list, in the order in which they were first listed, and the schedule of polls of the
+ * list. Owned by the thread that delivers the instance's events.
  */
 final class BackendRegistry {
-    /** A response or a sign of pressure counts as recent for this long, ms; longer where few responses come. */
+    /** The time for which a response or a sign of pressure counts as recent, ms; longer if few responses arrive. */
     private static final double RECENT_MS = 2000;
 
     private final DecisionContext context;
@@ -27,27 +27,27 @@
         this.slowStart = slowStart;
     }
 
-    /** All backends that are remembered, listed or not. */
+    /** All known backends, including those that are no longer listed. */
     Collection<BackendState> all() {
         return backends.values();
     }
 
-    /** The backend with this id, or null. */
+    /** Returns the backend with this id, or null if it is unknown. */
     BackendState find(String backendId) {
         return backends.get(backendId);
     }
 
-    /** Backends that are listed as up. */
+    /** The number of backends that the endpoint list shows as up. */
     int upCount() {
         return upCount;
     }
 
-    /** Whether a third or more of the backends that responded recently showed pressure. */
+    /** Whether the backends that showed pressure recently are a third or more of those that responded recently. */
     boolean isUnderPressure() {
         return underPressure * 3 >= responding;
     }
 
-    /** Takes in the endpoint list: the complete one, or its changed entries. */
+    /** Applies the complete endpoint list, or its changed entries. */
     void update(boolean complete, List<Endpoint> endpoints) {
         pollAtMs = DecisionContext.UNSCHEDULED_MS;
         for (BackendState backend : complete ? backends.values() : List.<BackendState>of()) {
@@ -84,14 +84,14 @@
                 : DecisionContext.UNSCHEDULED_MS;
     }
 
-    /** Polls the endpoint list again after a failed poll or a subscription that broke off. */
+    /** Schedules the next poll of the endpoint list after a poll or a subscription failed. */
     void schedulePoll() {
         if (context.obligations.listOnRequest()) {
             pollAtMs = context.nowMs + DecisionContext.INTERVAL_MS;
         }
     }
 
-    /** Polls the endpoint list where that is due. */
+    /** Polls the endpoint list if a poll is due. */
     void pollIfDue() {
         if (context.nowMs >= pollAtMs) {
             pollAtMs = context.nowMs + 4 * DecisionContext.INTERVAL_MS;
@@ -100,7 +100,8 @@
     }
 
     /**
-     * Forgets backends that were removed long ago. Guards memory and each selection against backends replaced for days.
+     * Forgets backends that were removed long ago. Without this, backends that are replaced over days would take up
+     * memory and slow down each selection.
      */
     void forgetRemoved() {
         backends.values()
@@ -108,7 +109,7 @@
                         backend.inFlight == 0 && context.nowMs - backend.removedAtMs > DecisionContext.FORGET_AFTER_MS);
     }
 
-    /** Counts the backends that are listed, responded recently, and showed pressure recently. */
+    /** Recounts the backends that are up, and among them those that responded or showed pressure recently. */
     void recount(double evidenceWeight) {
         upCount = 0;
         responding = 0;
--- a/decision/src/main/java/opalcove/decision/BackendSelector.java
+++ b/decision/src/main/java/opalcove/decision/BackendSelector.java
@@ -1,7 +1,7 @@
 package opalcove.decision;
 
 /**
- * Selects the backend of each attempt by the expected wait. Owned by the thread that delivers the instance's events.
+ * Selects the backend of each attempt by its expected wait. Owned by the thread that delivers the instance's events.
  */
 final class BackendSelector {
     private final DecisionContext context;
@@ -16,7 +16,10 @@
         this.slowStart = slowStart;
     }
 
-    /** The backend with the least expected wait among those that may have this request, or null where none may. */
+    /**
+     * Returns the backend with the lowest cost, which is its weighted expected wait, among those that may receive an
+     * attempt of this request, or null if there is none.
+     */
     BackendState select(RequestState state) {
         BackendState best = null;
         double minCost = Double.MAX_VALUE;
@@ -51,14 +54,15 @@
             cost *= 1 + 10 * context.settings.costs().crossZone();
         }
         cost *= 1 + (isConnected(backend) ? 4 : 20) * health.groupFailureRate(backend);
-        // Its budget bounds a starting backend; warm ones may look idle here while others load them.
+        // The slow-start budget limits the load of a warming-up backend, whereas a warm backend may look idle to this
+        // gateway while other gateways load it.
         if (slowStart.isWarmingUp(backend)) {
             cost /= 2 * Math.sqrt(slowStart.rampShare(backend));
         }
         return cost;
     }
 
-    /** The wait to expect for a response from this backend, ms. */
+    /** The expected wait for a response from this backend, ms. */
     double expectedWaitMs(BackendState backend, RequestState state) {
         double silentMs =
                 backend.inFlight == 0 ? 0 : (context.nowMs - Math.max(backend.respondedAtMs, backend.busySinceMs)) / 2;
@@ -68,7 +72,7 @@
                 + Math.max(0, silentMs - context.responseTimes.meanMs(state.classIndex));
     }
 
-    /** The longest wait to expect for the attempts in flight of a request, ms. */
+    /** The longest expected wait for a response among the attempts of a request that are in flight, ms. */
     double longestWaitMs(RequestState state) {
         double longestMs = 0;
         for (AttemptState attempt : state.attempts) {
@@ -81,10 +85,10 @@
     }
 
     /**
-     * Whether this gateway may still have an open connection to the backend. Guards against connects that fail while
-     * open connections are served (lost packets, full tables, backends too busy to accept): where connects fail,
-     * backends that responded lately go first. Could hurt by sending much to few backends; their responses then get
-     * slow, and others are tried again.
+     * Whether this gateway may still have an open connection to the backend. Connects may fail while open connections
+     * work (lost packets, full tables, backends that are too busy to accept); backends that were reachable recently
+     * are then preferred. This may send much traffic to few backends, but their responses then become slow, and other
+     * backends are selected again.
      */
     private boolean isConnected(BackendState backend) {
         return context.nowMs - backend.connectedAtMs < context.limits.idleCloseMs();
--- a/decision/src/main/java/opalcove/decision/BackendState.java
+++ b/decision/src/main/java/opalcove/decision/BackendState.java
@@ -1,32 +1,32 @@
 package opalcove.decision;
 
 /**
- * A backend as this gateway sees it: its entry in the endpoint list, its health and its slow start. Owned by the thread
- * that delivers the instance's events.
+ * The state of a backend as this gateway observes it: its entry in the endpoint list, its health and its slow start.
+ * Owned by the thread that delivers the instance's events.
  */
 final class BackendState {
     Endpoint endpoint;
 
-    /** The groups whose faults count against it: its zone and its kind. */
+    /** The groups whose failure rates count against this backend: its zone and its kind. */
     String zoneGroup;
 
     String kindGroup;
 
-    /** Whether the endpoint list has it as up. */
+    /** Whether the endpoint list shows this backend as up. */
     boolean up;
 
     double removedAtMs = DecisionContext.UNSCHEDULED_MS;
 
-    /** Response time as a multiple of the expected one, a moving mean. */
+    /** Moving mean of the response time as a multiple of the expected one. */
     double slowness = 1;
 
-    /** Part of the responses that were errors, a moving mean. */
+    /** Moving mean of the fraction of responses that were errors. */
     double errorRate;
 
-    /** Work that it may still be sent during its slow start, ms. */
+    /** Work that may still be sent to this backend during its slow start, ms of expected response time. */
     double slowStartBudgetMs;
 
-    /** Expected response times of all attempts in flight, ms. */
+    /** Sum of the expected response times of all attempts in flight, ms. */
     double outstandingMs;
 
     double respondedAtMs;
@@ -36,18 +36,18 @@
     double pressureAtMs = DecisionContext.NEVER_MS;
     double connectedAtMs = DecisionContext.NEVER_MS;
 
-    /** When the present row of failures began, ms; -1 where it does not fail. */
+    /** The time of the first of the current consecutive failures, ms; -1 if there are none. */
     double failingSinceMs = -1;
 
     int inFlight;
 
-    /** Failures, failed connects and rejections since it last responded. */
+    /** Failures and failed connects since the backend was last reachable, and rejections since its last response. */
     int failures;
 
     int failedConnects;
     int rejections;
 
-    /** Whether it fails repeatedly and is given no more than one attempt at a time. */
+    /** Whether the backend fails repeatedly; it then receives no more than one attempt at a time. */
     boolean isFailing() {
         return failures > 1;
     }
--- a/decision/src/main/java/opalcove/decision/CapacityAllocator.java
+++ b/decision/src/main/java/opalcove/decision/CapacityAllocator.java
@@ -1,21 +1,22 @@
 package opalcove.decision;
 
-/** The mathematics of the split of capacity among weighted classes; it keeps no state. */
+/** Splits capacity among weighted classes. It has no state. */
 final class CapacityAllocator {
     private CapacityAllocator() {}
 
     /**
-     * Splits capacity among classes: floors first (from the top where they exceed the capacity), the rest in proportion
-     * to sqrt(weight x demand), clamped at each class's maximum, the excess distributed again. After "Harmonic
-     * Proportional Bandwidth Allocation and Scheduling for Service Differentiation on Streaming Servers" (Zhou and Xu);
-     * as there, a class's weight is raised where its weight to demand ratio falls below that of a lower class.
+     * Splits capacity among classes. Each class receives its floor first, in the order of weight if the floors exceed
+     * the capacity. The remaining capacity is split in proportion to sqrt(weight x demand), clamped at the maximum of
+     * each class, and what exceeds a maximum is distributed again. The method follows "Harmonic Proportional Bandwidth
+     * Allocation and Scheduling for Service Differentiation on Streaming Servers" (Zhou and Xu). As in that paper, the
+     * weight of a class is raised if its ratio of weight to demand is below that of a class of lower weight.
      *
      * @param capacity units a second to split
-     * @param weight weight of each class; all arrays are ordered from the highest weight to the lowest
-     * @param demand units a second that each class asks for
-     * @param floor units a second that each class is granted first
-     * @param max most units a second that each class may be given
-     * @return units a second for each class
+     * @param weight the weight of each class; all arrays are ordered from the highest weight to the lowest
+     * @param demand units a second that each class requests
+     * @param floor units a second that each class receives first
+     * @param max the maximum of each class, units a second
+     * @return the share of each class, units a second
      */
     static double[] allocate(double capacity, double[] weight, double[] demand, double[] floor, double[] max) {
         int classes = weight.length;
@@ -30,7 +31,8 @@
     }
 
     /**
-     * sqrt(weight x demand) of each class, with weights raised so that weight to demand never falls towards the top.
+     * Returns sqrt(weight x demand) of each class. Weights are raised so that the ratio of weight to demand of a class
+     * is never below that of a class of lower weight.
      */
     private static double[] roots(double[] weight, double[] demand) {
         double[] root = new double[weight.length];
@@ -45,7 +47,10 @@
         return root;
     }
 
-    /** Adds the rest to the allotments in proportion to the roots; each round passes on what the clamped ones left. */
+    /**
+     * Adds the remaining capacity to the allotments in proportion to the roots. Each round distributes what the classes
+     * that reached their maximum in the round before could not use.
+     */
     private static void distribute(double capacity, double[] allotted, double[] root, double[] max) {
         int classes = allotted.length;
         double remaining = capacity;
--- a/decision/src/main/java/opalcove/decision/CapacityController.java
+++ b/decision/src/main/java/opalcove/decision/CapacityController.java
@@ -6,33 +6,33 @@
 import opalcove.decision.DecisionSettings.RequestClass;
 
 /**
- * Measures this gateway's capacity and splits it among the classes while it is bounded, after the paper named at {@link
- * CapacityAllocator}: it is unbounded while no sign of pressure shows. Owned by the thread that delivers the instance's
- * events.
+ * Measures the capacity that the backends have for this gateway. Capacity is unbounded while there is no sign of
+ * pressure; once it is bounded, it is split among the classes with the method of the paper that {@link
+ * CapacityAllocator} names. Owned by the thread that delivers the instance's events.
  */
 final class CapacityController {
     private static final double INTERVAL_SECONDS = DecisionContext.INTERVAL_MS / 1000;
 
-    /** Weight of the newest interval in a decayed rate. */
+    /** Weight of the newest interval in a moving mean of a rate. */
     private static final double NEWEST_INTERVAL_WEIGHT = 0.25;
 
-    /** Part of the backlog that counts as demand (the paper's alpha). */
+    /** Fraction of the backlog that counts as demand (alpha in the paper). */
     private static final double BACKLOG_SHARE = 0.5;
 
-    /** A served response that took more than this part of its objective is a sign of pressure. */
+    /** A response that took more than this fraction of its latency objective is a sign of pressure. */
     private static final double LATE_OBJECTIVE_SHARE = 0.6;
 
-    /** Factors of a bounded capacity for an interval with pressure, and one without. */
+    /** Factors of a bounded capacity after an interval with pressure, and after one without. */
     private static final double LOWER_FACTOR = 0.93;
 
     private static final double RAISE_FACTOR = 1.04;
 
-    /** A bounded capacity this much above the demand is unbounded once it was calm for so long, ms. */
+    /** A bounded capacity above this multiple of the demand is unbounded after this time without pressure, ms. */
     private static final double UNBOUND_DEMAND_FACTOR = 1.3;
 
     private static final double UNBOUND_AFTER_MS = 2000;
 
-    /** The most that a class may be given, as a multiple of its demand. */
+    /** The maximum share of a class, as a multiple of its demand. */
     private static final double MAX_SHARE_OF_DEMAND = 1.3;
 
     private final DecisionContext context;
@@ -47,24 +47,24 @@
     private double outcomesInInterval;
     private double meanOutcomes;
 
-    /** Guards against thin evidence: what an interval weighs, less where few responses come. */
+    /** Weight of an interval, 0.2 to 1; lower if few responses arrive, so that a few of them do not decide alone. */
     private double evidenceWeight = 1;
 
     private double lastPressureAtMs;
     private double meanUnits = 1;
     private double sampledAttempts = 1;
 
-    /** The most attempts that were in flight without a sign of pressure, decayed. */
+    /** The maximum number of attempts that were in flight without signs of pressure; it decays. */
     private double maxInFlightWithoutPressure;
 
     private double maxInFlightInInterval;
     private int inFlight;
     private boolean bounded;
 
-    /** Units a second that the backends serve, while capacity is bounded. */
+    /** The capacity while it is bounded, units a second. */
     private double capacity;
 
-    /** Units that no class's share has used, for queued requests of any class. */
+    /** Units of capacity that the classes did not use of their shares; queued requests of any class may use them. */
     private double spareUnits;
 
     CapacityController(
@@ -87,7 +87,7 @@
         return shortestMs;
     }
 
-    /** For each plan and, within it, each request class: the queue beyond the quota, and the one within it. */
+    /** Creates the queues by plan and, within a plan, by request class: one beyond the quota, and one within it. */
     private static ClassQueue[][] queues(DecisionSettings settings) {
         int classes = settings.classes().size();
         ClassQueue[][] queues = new ClassQueue[settings.plans().size() * classes][];
@@ -110,7 +110,7 @@
         return all.toArray(new ClassQueue[0]);
     }
 
-    /** The queue of a plan's and a request class's requests. */
+    /** The queue of the requests of this plan and request class. */
     ClassQueue queue(int planIndex, int classIndex, boolean withinQuota) {
         return queues[planIndex * context.settings.classes().size() + classIndex][withinQuota ? 1 : 0];
     }
@@ -120,20 +120,21 @@
         return queuesByWeight;
     }
 
-    /** Whether signs of pressure bound the capacity. */
+    /** Whether the capacity is bounded because of signs of pressure. */
     boolean isBounded() {
         return bounded;
     }
 
-    /** The mean units of the attempts so far; recent ones weigh more. */
+    /** The mean units of an attempt; recent attempts weigh more. */
     double meanUnits() {
         return meanUnits;
     }
 
     /**
-     * Takes a request's units from the tokens of its class or, where it was queued, from what other classes left.
+     * Takes the units of a request from the tokens of its class or, if the request was queued, from the spare units of
+     * other classes.
      *
-     * @return whether the request may be forwarded now; if not, nothing was taken
+     * @return whether the request may be forwarded now; if not, no units were taken
      */
     boolean tryTake(RequestState state, boolean wasQueued) {
         ClassQueue queue = state.queue;
@@ -157,9 +158,11 @@
     }
 
     /**
-     * Guards against stale queues at the backends (any cause): while capacity is bounded no more is in flight than it
-     * serves within half the shortest objective, but enough to keep a gateway's part of the backends busy. While it is
-     * not, a surge may exceed what was in flight without a sign by a third: backends are not overrun.
+     * Whether another attempt would exceed the limit of attempts in flight. While capacity is bounded, the limit
+     * prevents stale queues at the backends, whatever causes them: no more attempts are in flight than the capacity
+     * serves within a fifth of the shortest latency objective, but enough to keep this gateway's part of the backends
+     * busy. While capacity is unbounded, the limit prevents a surge from overrunning the backends: it is 1.3 times the
+     * number of attempts that were in flight without signs of pressure.
      */
     private boolean isInFlightLimitReached(RequestState state) {
         int backends = registry.upCount();
@@ -170,19 +173,19 @@
         return backends > 0 && inFlight + 1 > Math.max(bounded ? 2 : 3, maxInFlight) + state.tokenShare;
     }
 
-    /** Counts an attempt that begins. */
+    /** Records the start of an attempt. */
     void attemptStarted(double units) {
         inFlight++;
         maxInFlightInInterval = Math.max(maxInFlightInInterval, inFlight);
         meanUnits += Math.max(0.02, 1 / ++sampledAttempts) * (units - meanUnits);
     }
 
-    /** Counts an attempt out, however it ended. */
+    /** Records the end of an attempt, whatever its outcome. */
     void attemptEnded() {
         inFlight--;
     }
 
-    /** Takes in the outcome of an attempt: served units, and the signs of backends under pressure. */
+    /** Records the served units and the signs of pressure in the outcome of an attempt. */
     void recordOutcome(AttemptOutcome outcome, RequestState state) {
         AttemptState attempt = state.attempts.get(outcome.attempt());
         double usualMs = context.responseTimes.meanMs(state.classIndex);
@@ -205,7 +208,10 @@
         }
     }
 
-    /** Once an interval: measures the capacity, bounds or unbounds it, and splits a bounded one among the classes. */
+    /**
+     * Measures the capacity, bounds or unbounds it, and splits it among the classes while it is bounded. Called once an
+     * interval.
+     */
     void update() {
         meanOutcomes += 0.1 * (outcomesInInterval - meanOutcomes);
         outcomesInInterval = 0;
@@ -230,12 +236,12 @@
         }
     }
 
-    /** Counts the backends anew, after a change of the endpoint list or once an interval. */
+    /** Recounts the backends after a change of the endpoint list, and once an interval. */
     void recountBackends() {
         registry.recount(evidenceWeight);
     }
 
-    /** Takes in the arrivals of this interval; returns the demand of all classes, units a second. */
+    /** Updates the arrival rates of the classes and returns the demand of all classes, units a second. */
     private double updateDemand() {
         double demand = 0;
         for (ClassQueue queue : queuesByWeight) {
@@ -248,11 +254,12 @@
         return demand;
     }
 
-    /** The paper's demand: arrivals and a part of the backlog, units a second. */
+    /** The demand as the paper defines it: arrivals and a fraction of the backlog, units a second. */
     private static double demand(ClassQueue queue) {
         return queue.arrivalRate + BACKLOG_SHARE * queue.queuedUnits / INTERVAL_SECONDS;
     }
 
+    /** Bounds the capacity at the served rate, or lowers a bounded capacity by a step but not below that rate. */
     private void boundOrLower() {
         lastPressureAtMs = context.nowMs;
         if (!bounded) {
@@ -265,7 +272,7 @@
         bounded = true;
     }
 
-    /** Raises a bounded capacity step by step, and unbounds it once it exceeds the demand for a while. */
+    /** Raises a bounded capacity by a step, and unbounds it once it exceeds the demand and pressure is long past. */
     private void raiseOrUnbound(double demand) {
         capacity = Math.max(capacity, Math.min(servedRate, demand)) * RAISE_FACTOR + 0.01;
         if (capacity > UNBOUND_DEMAND_FACTOR * demand
@@ -291,7 +298,7 @@
         refill(CapacityAllocator.allocate(capacity, weight, demand, floor, max));
     }
 
-    /** Fills each class's tokens at its share, one interval deep; what overflows is spare. */
+    /** Refills the tokens of each class at its share, up to those of one interval; the overflow becomes spare units. */
     private void refill(double[] share) {
         double overflow = capacity * INTERVAL_SECONDS;
         for (int i = 0; i < share.length; i++) {
--- a/decision/src/main/java/opalcove/decision/ClassQueue.java
+++ b/decision/src/main/java/opalcove/decision/ClassQueue.java
@@ -3,8 +3,9 @@
 import java.util.ArrayDeque;
 
 /**
- * The queue and the token bucket of one class of the split: a plan and a request class, within the quota or (for soft
- * plans) beyond it. Owned by the thread that delivers the instance's events.
+ * The queue and the token bucket of one of the classes among which capacity is split: the requests of a plan and a
+ * request class that are within the quota or, for soft plans, beyond it. Owned by the thread that delivers the
+ * instance's events.
  */
 final class ClassQueue {
     final double weight;
@@ -14,9 +15,10 @@
     /** Units that arrived in this interval. */
     double arrivedUnits;
 
-    /** Units a second that arrive, decayed over the intervals. */
+    /** Moving mean of the units that arrive, units a second. */
     double arrivalRate;
 
+    /** Units of all requests in the queue. */
     double queuedUnits;
 
     /** Units that may still be forwarded while capacity is bounded. */
--- a/decision/src/main/java/opalcove/decision/ClientRetryDetector.java
+++ b/decision/src/main/java/opalcove/decision/ClientRetryDetector.java
@@ -1,24 +1,24 @@
 package opalcove.decision;
 
 /**
- * Recognizes the first tries of clients by their time budget, for clients need not mark their retries. It keeps votes
- * for the few budgets, as shares of the class's deadline, that are seen most often. Owned by the thread that delivers
- * the instance's events.
+ * Distinguishes the initial requests of clients from their retries by the time budget, because clients need not mark
+ * retries. It counts votes for the few most frequent budgets, as shares of the deadline of the class. Owned by the
+ * thread that delivers the instance's events.
  */
 final class ClientRetryDetector {
     private static final int MAX_CANDIDATES = 4;
     private static final double MAX_VOTES = 50;
 
-    /** Budgets closer to each other than this share of the deadline are the same. */
+    /** Budgets that differ by less than this share of the deadline count as the same. */
     private static final double SAME_BUDGET_TOLERANCE = 0.002;
 
     private final double[] budgets = new double[MAX_CANDIDATES];
     private final double[] votes = new double[MAX_CANDIDATES];
 
     /**
-     * Takes in the budget of a request, as a share of its class's deadline.
+     * Records the budget of a request, as a share of the deadline of its class.
      *
-     * @return whether the request is a first try: its budget is the one most often seen, not the longest
+     * @return whether this is an initial request: its budget is the most frequent one, which need not be the longest
      */
     boolean recordBudget(double share) {
         int match = -1;
--- a/decision/src/main/java/opalcove/decision/DecisionActions.java
+++ b/decision/src/main/java/opalcove/decision/DecisionActions.java
@@ -1,34 +1,37 @@
 package opalcove.decision;
 
-/** What a decision module has its embedding gateway do. All actions take effect at once, in their order. */
+/**
+ * The actions that a decision module requests from the gateway that embeds it. They take effect immediately and in the
+ * order of the calls.
+ */
 public interface DecisionActions {
     /**
-     * Starts an attempt; attempts of a request are numbered from 0.
+     * Starts an attempt. The attempts of a request are numbered from 0 in the order of these calls.
      *
-     * @param timeoutMs 0 waits until the client's deadline
+     * @param timeoutMs the time limit of the attempt, ms; 0 for the client's deadline
      */
     void startAttempt(String requestId, String backend, double timeoutMs);
 
     /**
-     * Final response: shed, a retry is harmless.
+     * Sends the final response that the request was shed, which promises that a retry is harmless.
      *
-     * @param retryAfterMs how long the client should wait before it retries; 0 where there is no advice
+     * @param retryAfterMs the time that the client should wait before it retries, ms; 0 for no advice
      */
     void shed(String requestId, double retryAfterMs);
 
-    /** Final response: failed, nothing is promised. */
+    /** Sends the final response that the request failed, which promises nothing about a retry. */
     void fail(String requestId);
 
-    /** Stops waiting for an attempt. */
+    /** Cancels an attempt: its response is no longer awaited. */
     void cancelAttempt(String requestId, int attempt);
 
-    /** Asks for {@link DecisionModule#timerExpired} with this token. */
+    /** Requests a call of {@link DecisionModule#timerExpired} with this token after this time, ms. */
     void setTimer(long token, double afterMs);
 
-    /** The timer with this token is no longer needed; where timers cannot be cancelled, it may still expire. */
+    /** Cancels the timer with this token. If the gateway cannot cancel timers, it may still expire. */
     default void cancelTimer(long token) {}
 
-    /** Starts a health check, which ends in {@link DecisionModule#healthCheckEnded}. */
+    /** Starts a health check. {@link DecisionModule#healthCheckEnded} delivers its result. */
     void checkHealth(String backend);
 
     /** Subscribes to changes of the endpoint list. */
--- a/decision/src/main/java/opalcove/decision/DecisionContext.java
+++ b/decision/src/main/java/opalcove/decision/DecisionContext.java
@@ -3,21 +3,24 @@
 import java.util.SplittableRandom;
 
 /**
- * What the parts of one module instance share: settings, random numbers, response time estimates, the time of the
- * event being handled and the actions of the embedding gateway. Owned by the thread that delivers the instance's
+ * The state that the parts of a module instance share: settings, random numbers, response time estimates, the time of
+ * the event that is handled, and the actions of the embedding gateway. Owned by the thread that delivers the instance's
  * events.
  */
 final class DecisionContext {
-    /** A time before every other, for what has never happened, ms. */
+    /** A time before all others, for an event that has never happened, ms. */
     static final double NEVER_MS = -1e18;
 
-    /** A time after every other, for what is not scheduled, ms. */
+    /** A time after all others, for an event that is not scheduled, ms. */
     static final double UNSCHEDULED_MS = Double.MAX_VALUE;
 
-    /** Length of a control interval and depth of its token buckets, ms: some responses of each class fall into it. */
+    /**
+     * Length of a control interval, ms, for which the token buckets hold tokens. Some responses of each class fall into
+     * it.
+     */
     static final double INTERVAL_MS = 250;
 
-    /** Tenants and removed backends that were not heard of for this long are forgotten, ms. */
+    /** Idle tenants and removed backends are forgotten after this time, ms. */
     static final double FORGET_AFTER_MS = 60_000;
 
     final DecisionSettings settings;
@@ -27,7 +30,7 @@
     final SplittableRandom random;
     final ResponseTimeEstimator responseTimes;
 
-    /** The time of the event being handled, ms of the embedding gateway's clock. */
+    /** The time of the event that is handled, ms of the embedding gateway's clock. */
     double nowMs;
 
     DecisionContext(double nowMs, DecisionSettings settings, long seed, DecisionActions actions) {
--- a/decision/src/main/java/opalcove/decision/DecisionSettings.java
+++ b/decision/src/main/java/opalcove/decision/DecisionSettings.java
@@ -8,9 +8,9 @@
  * @param self the number of this gateway among all, from 0
  * @param gateways the number of gateways that share the backends
  * @param zone the zone of this gateway
- * @param tickMs the shortest interval between events of the embedding gateway
- * @param meterPeriodMs the period over which use is metered; 0 where there is no meter
- * @param unitsAreEstimates whether a request's true units are known from its outcome only
+ * @param tickMs the shortest interval between events of the embedding gateway, ms
+ * @param meterPeriodMs the period over which use is metered, ms; 0 if there is no meter
+ * @param unitsAreEstimates whether the actual units of a request are known only from its outcome
  */
 public record DecisionSettings(
         int self,
@@ -27,23 +27,25 @@
         LoadReportSource loadReportSource,
         List<LoadMetric> loadMetrics) {
     /**
-     * Checks that the settings do not contradict themselves.
+     * Validates the settings.
      *
-     * @throws IllegalArgumentException if they do, with the reason
+     * @throws IllegalArgumentException if a setting is invalid; the message gives the reason
      */
     public void check() {
-        require(!classes.isEmpty(), "no request class");
-        require(!plans.isEmpty(), "no plan");
-        require(gateways > 0, "no gateway");
+        require(!classes.isEmpty(), "no request class is defined, at least one is expected");
+        require(!plans.isEmpty(), "no plan is defined, at least one is expected");
+        require(gateways > 0, "the number of gateways must be at least 1");
         for (RequestClass requestClass : classes) {
-            require(Math.min(requestClass.objectiveMs(), requestClass.deadlineMs()) > 0, "no time");
+            require(
+                    Math.min(requestClass.objectiveMs(), requestClass.deadlineMs()) > 0,
+                    "the latency objective and the deadline of each request class must be greater than 0 ms");
         }
         for (Plan plan : plans) {
             double minQuota = Math.min(plan.rate(), plan.burst());
             double minLimit = Math.min(plan.ceilingRate(), plan.maxInFlight());
             require(
                     Math.min(minQuota, minLimit) >= 0 && plan.ceilingBurst() >= 0,
-                    "plan " + plan.name() + " has a figure below 0");
+                    "plan " + plan.name() + ": rates, bursts and the cap on requests in flight must not be negative");
         }
     }
 
@@ -57,10 +59,11 @@
      * A request class.
      *
      * @param weight the priority weight of one request
-     * @param lateShare the part of the weight that a response after its objective still earns
-     * @param objectiveMs the latency objective
-     * @param deadlineMs the client's deadline, over all its tries
-     * @param windowMs for keyed requests: how long after the first attempt that may have run repeats are dropped
+     * @param lateShare the share of the weight that a response after the latency objective still earns
+     * @param objectiveMs the latency objective, ms
+     * @param deadlineMs the deadline of the client, including its retries, ms
+     * @param windowMs for keyed requests, the time after the first attempt that may have run during which backends drop
+     *     repeats, ms
      * @param stream whether responses are streamed
      */
     public record RequestClass(
@@ -75,17 +78,17 @@
             boolean stream) {}
 
     /**
-     * A plan, whose quotas hold for each tenant over all gateways.
+     * A plan. Its quotas apply to each tenant over all gateways.
      *
-     * @param rate the quota in units a second; 0 where there is none
+     * @param rate the quota in units a second; 0 if there is none
      * @param burst the units that the quota's bucket holds
-     * @param maxInFlight the cap on requests in flight; 0 where there is none
-     * @param price the factor of a request's weight
+     * @param maxInFlight the cap on requests in flight; 0 if there is none
+     * @param price the factor of the weight of a request
      * @param overQuotaWeight the share of its weight that a request beyond the quota earns
      * @param overQuotaCost the share of its weight that a request beyond the quota costs
-     * @param ceilingRate the hard ceiling in units a second; 0 where there is none
+     * @param ceilingRate the hard ceiling in units a second; 0 if there is none
      * @param ceilingBurst the units that the ceiling's bucket holds
-     * @param ceilingSlack the units by which that bucket may go below 0
+     * @param ceilingSlack the units by which the ceiling's bucket may go below 0
      */
     public record Plan(
             String name,
@@ -100,15 +103,15 @@
             double ceilingSlack) {}
 
     /**
-     * What the deployment allows. The last three bind the gateway, not the module.
+     * The limits of the deployment. The last three apply to the gateway, not to the module.
      *
      * @param mayHedge whether a request may have two attempts in flight
-     * @param retryAfter whether clients are given a Retry-After
-     * @param idleCloseMs idle connections to backends close after this
+     * @param retryAfter whether responses to shed requests contain a Retry-After
+     * @param idleCloseMs the time after which idle connections to backends close, ms
      * @param counter whether there is a shared counter
-     * @param connectTimeoutMs how long a connection may take to come up
-     * @param maxOpen the most requests that may be open at once
-     * @param maxUnits the most units that a request counts
+     * @param connectTimeoutMs the time limit for opening a connection, ms
+     * @param maxOpen the maximum number of requests that are open at the same time
+     * @param maxUnits the maximum units of a request
      */
     public record Limits(
             int maxAttempts,
@@ -122,7 +125,7 @@
             double connectTimeoutMs,
             int maxOpen,
             double maxUnits) {
-        /** Limits for a module on its own. */
+        /** Creates limits for a module without a gateway; the limits of the gateway have default values. */
         public Limits(
                 int maxAttempts,
                 boolean mayHedge,
@@ -148,16 +151,18 @@
     }
 
     /**
-     * Obligations of slow starts, of final responses and of the endpoint list.
+     * The requirements for slow starts, final responses and the endpoint list.
      *
-     * @param responseSlackMs how long after the client's deadline a final response is still in time
-     * @param initialShare the part of its capacity that a backend has when it starts
-     * @param warmAfterMs the time after which it has all of it
+     * @param responseSlackMs the time after the client's deadline within which a final response is still in time, ms
+     * @param initialShare the share of its capacity that a backend has when it starts
+     * @param warmAfterMs the time from its start after which a backend has its full capacity, ms
      * @param overloadFactor the multiple of its present capacity that overloads a starting backend
-     * @param overloadMs how long it takes that
+     * @param overloadMs the time after which a starting backend that receives more than this multiple fails, ms. It is
+     *     read but not used: the ramp stays below the multiple at all times, so no duration of overload is allowed
      * @param listOnRequest whether the endpoint list is polled or subscribed to, instead of pushed
-     * @param pollWithinMs how old the list may get without a poll
-     * @param drainGraceMs attempts at a draining or removed backend have to stop this long after the notification
+     * @param pollWithinMs the maximum age of the endpoint list before it is polled, ms
+     * @param drainGraceMs the time after the notification of a drain or removal within which attempts at the backend
+     *     have to stop, ms
      */
     public record Obligations(
             double responseSlackMs,
@@ -168,10 +173,10 @@
             boolean listOnRequest,
             double pollWithinMs,
             double drainGraceMs) {
-        /** The drain grace where the settings name none, ms. */
+        /** The drain grace if the settings do not specify one, ms. */
         public static final double DEFAULT_DRAIN_GRACE_MS = 1000;
 
-        /** Obligations whose settings name no drain grace. */
+        /** Creates obligations with the default drain grace. */
         public Obligations(
                 double responseSlackMs,
                 double initialShare,
@@ -192,6 +197,13 @@
         }
     }
 
-    /** Costs, as shares of the requested weight: crossing zones, wasted work, a health check, failing late. */
+    /**
+     * Costs as shares of the weight of the request.
+     *
+     * @param crossZone the cost of an attempt in another zone
+     * @param waste the cost of wasted work
+     * @param probe the cost of a health check
+     * @param lateFail the cost of a late failure
+     */
     public record Costs(double crossZone, double waste, double probe, double lateFail) {}
 }
--- a/decision/src/main/java/opalcove/decision/DeduplicationScope.java
+++ b/decision/src/main/java/opalcove/decision/DeduplicationScope.java
@@ -1,6 +1,6 @@
 package opalcove.decision;
 
-/** Which backends drop repeats of a keyed request that one of them has seen. */
+/** The set of backends that drop repeats of a keyed request that one of them has received. */
 public enum DeduplicationScope {
     ALL,
     ZONE,
--- a/decision/src/main/java/opalcove/decision/LoadMetric.java
+++ b/decision/src/main/java/opalcove/decision/LoadMetric.java
@@ -1,6 +1,6 @@
 package opalcove.decision;
 
-/** What a value in a load report measures. */
+/** The quantity that a value in a load report measures. */
 public enum LoadMetric {
     IN_FLIGHT,
     QUEUED,
--- a/decision/src/main/java/opalcove/decision/LoadReportSource.java
+++ b/decision/src/main/java/opalcove/decision/LoadReportSource.java
@@ -1,6 +1,6 @@
 package opalcove.decision;
 
-/** Where load reports come from. */
+/** The source of load reports. */
 public enum LoadReportSource {
     NONE,
     IN_RESPONSES,
--- a/decision/src/main/java/opalcove/decision/PressureMonitor.java
+++ b/decision/src/main/java/opalcove/decision/PressureMonitor.java
@@ -1,17 +1,17 @@
 package opalcove.decision;
 
 /**
- * Decayed counts of responses and of signs that the backends are under pressure. Owned by the thread that delivers the
+ * Decaying counts of responses and of signs that the backends are under pressure. Owned by the thread that delivers the
  * instance's events.
  */
 final class PressureMonitor {
     private double responses;
     private double signs;
 
-    /** Sum of the response times as shares of their objectives; a sign counts as a whole objective. */
+    /** Sum of the response times as shares of their latency objectives; a sign counts as a full objective. */
     private double objectiveShares;
 
-    /** Discards all counts. */
+    /** Resets all counts to 0. */
     void reset() {
         responses = 0;
         signs = 0;
@@ -19,33 +19,35 @@
     }
 
     /**
-     * Whether responses took much of their objectives lately, a sign counting as a whole objective. A part of signs
-     * took backends that leave one class unanswered, and serve the rest quickly, for pressed ones.
+     * Whether recent responses took a large part of their latency objectives; a sign counts as a full objective. The
+     * fraction of signs alone is not used: it mistook backends that give one class no responses, and serve the others
+     * quickly, for backends under pressure.
      */
     boolean areResponsesSlow() {
         return objectiveShares > 0.27 * responses;
     }
 
-    /** Whether there was a whole sign lately. */
+    /** Whether the decayed count of signs is at least 1. */
     boolean hasSign() {
         return signs >= 1;
     }
 
-    /** Whether there was more than one sign lately. */
+    /** Whether the decayed count of signs is above 1. */
     boolean hasSeveralSigns() {
         return signs > 1;
     }
 
-    /** Whether there was hardly any sign lately. */
+    /** Whether there were almost no signs recently: their decayed count is below 0.5. */
     boolean isLow() {
         return signs < 0.5;
     }
 
     /**
-     * Counts an attempt as a sign of pressure, once. Guards against silence read as calm: an attempt still in flight at
-     * its slow time is a sign then, however it ends: a cancelled one never said so, so the slower the backends, the
-     * fewer the signs. Also for broken connections, lost responses, stalled backends. Could hurt where a tenth of a
-     * class's work is that long.
+     * Counts an attempt as a sign of pressure, at most once. An attempt that is still in flight when it counts as slow
+     * is a sign at that time, however it ends. Otherwise missing responses would count as low pressure: a cancelled
+     * attempt gives no sign, so the slower the backends, the fewer the signs. This also covers broken connections, lost
+     * responses and stalled backends. It may report pressure wrongly if a tenth of the requests of a class normally
+     * take that long.
      */
     void recordSign(AttemptState attempt, double nowMs) {
         if (attempt.countedAsPressure) {
@@ -58,13 +60,13 @@
         attempt.backend.pressureAtMs = nowMs;
     }
 
-    /** Counts a response that is no sign of pressure. */
+    /** Counts a response that is not a sign of pressure. */
     void recordResponse(double objectiveShare) {
         responses++;
         objectiveShares += objectiveShare;
     }
 
-    /** Once an interval: decays all counts; less where the interval says little. */
+    /** Decays all counts, less after an interval with few responses. Called once an interval. */
     void decay(double evidenceWeight) {
         responses *= 1 - 0.3 * evidenceWeight;
         signs *= 1 - 0.3 * evidenceWeight;
--- a/decision/src/main/java/opalcove/decision/ProbeStatus.java
+++ b/decision/src/main/java/opalcove/decision/ProbeStatus.java
@@ -1,6 +1,6 @@
 package opalcove.decision;
 
-/** How a health check ended. */
+/** The result of a health check. */
 public enum ProbeStatus {
     DONE,
     NOT_DONE,
--- a/decision/src/main/java/opalcove/decision/QuotaController.java
+++ b/decision/src/main/java/opalcove/decision/QuotaController.java
@@ -5,27 +5,28 @@
 import opalcove.decision.DecisionSettings.Plan;
 
 /**
- * Holds tenants to their quotas by the use that the meter reports (the chance of admission, by tenant), and to this
- * gateway's parts of ceilings and caps on open requests. Owned by the thread that delivers the instance's events.
+ * Enforces the quotas of tenants, with a probability of admission for each tenant that follows the use that the meter
+ * reports, and this gateway's parts of ceilings and caps on open requests. Owned by the thread that delivers the
+ * instance's events.
  */
 final class QuotaController {
-    /** Memory of a tenant's own arrivals, ms. */
+    /** Time constant over which a tenant's arrivals at this gateway decay, ms. */
     private static final double ARRIVAL_MEMORY_MS = 1500;
 
-    /** Time over which what is left in a bucket's copy is spent, ms: reported use is about this old. */
+    /** Time over which the remaining units of a bucket's copy are spent, ms: reported use is about this old. */
     private static final double BURST_SPEND_MS = 2000;
 
-    /** Reported use fades towards its plan's mean over this time, ms. */
+    /** Time constant over which reported use decays towards the mean of its plan, ms. */
     private static final double REPORT_DECAY_MS = 10_000;
 
     private final DecisionContext context;
     private final CapacityController capacity;
     private final PressureMonitor pressure;
 
-    /** In the order of their last access, so that the longest idle one comes first. */
+    /** Tenants in the order of their last access, so that the one that is idle for the longest time is first. */
     private final LinkedHashMap<String, TenantQuota> tenants = new LinkedHashMap<>(64, 0.75f, true);
 
-    /** The inverse of reported use by plan, a moving mean; 0 until a use of that plan is reported. */
+    /** Moving mean of the inverse of reported use, by plan; 0 until use of that plan is reported. */
     private final double[] inverseUseByPlan;
 
     private final double periodMs;
@@ -39,7 +40,7 @@
         periodMs = Math.max(1, context.settings.meterPeriodMs());
     }
 
-    /** The quota of a request's tenant, created at its first request. */
+    /** Returns the quota of a request's tenant, and creates it at the tenant's first request. */
     TenantQuota tenant(AdmissionRequest request, int planIndex) {
         servingSinceMs = Math.min(servingSinceMs, context.nowMs);
         TenantQuota tenant = tenants.get(request.tenant());
@@ -53,7 +54,7 @@
         return tenant;
     }
 
-    /** Forgets tenants whose buckets have had time to fill since they were last heard of. */
+    /** Forgets idle tenants whose buckets have had time to fill since their last request. */
     void forgetIdle() {
         for (Iterator<TenantQuota> iterator = tenants.values().iterator(); iterator.hasNext(); iterator.remove()) {
             TenantQuota longestIdle = iterator.next();
@@ -70,7 +71,7 @@
         return (long) Math.floor(timeMs / periodMs);
     }
 
-    /** Brings a tenant's decayed figures and buckets to the present. */
+    /** Updates a tenant's decaying values and buckets to the present time. */
     private void advanceToNow(TenantQuota tenant) {
         double seconds = (context.nowMs - tenant.updatedAtMs) / 1000;
         tenant.updatedAtMs = context.nowMs;
@@ -82,7 +83,7 @@
         tenant.fillCeiling(seconds);
     }
 
-    /** Moves what is known of a tenant's other gateways towards its plan's usual use by this part. */
+    /** Moves the estimate of the units at a tenant's other gateways towards the mean use of its plan by this part. */
     private void moveTowardsPlanMean(TenantQuota tenant, double part) {
         double inverseUse = inverseUseByPlan[tenant.planIndex] > 0 ? inverseUseByPlan[tenant.planIndex] : 1;
         double meanRate = tenant.plan.rate() / inverseUse * (tenant.gateways - 1) / tenant.gateways;
@@ -91,8 +92,9 @@
     }
 
     /**
-     * What arrives at the tenant's other gateways, units a second. Guards against thin evidence: it starts with one
-     * usual request at the plan's mean, which gives way to reported use and, before that, to own arrivals.
+     * The estimated rate of arrivals at the tenant's other gateways, units a second. Because there is little data at
+     * first, the estimate starts with one usual request at the mean rate of the plan. Arrivals at this gateway outweigh
+     * it until use is reported, and reported use from then on.
      */
     private double otherGatewaysRate(TenantQuota tenant) {
         if (tenant.gateways < 2 || tenant.reportedAtMs > 0) {
@@ -103,10 +105,11 @@
     }
 
     /**
-     * Takes in an arrival and decides whether it passes as within its tenant's quota: while the bucket's copy lasts,
-     * else by a chance of available rate over demand. The companion of the split, which the design adds to the paper.
+     * Records an arrival and returns whether it counts as within its tenant's quota. It does while the copy of the
+     * bucket has units; beyond that, it does with the probability of available rate over demand. This step complements
+     * the split of capacity and is not part of the paper that {@link CapacityAllocator} names.
      *
-     * @param isRetry whether the client has tried before, which squares the chance
+     * @param isRetry whether the request is a client's retry, which squares the probability
      */
     boolean recordArrival(TenantQuota tenant, double units, boolean isRetry) {
         if (tenant.plan.rate() <= 0) {
@@ -115,11 +118,11 @@
         advanceToNow(tenant);
         tenant.arrivedUnits += units;
         double available = tenant.plan.rate() + tenant.level * 1000 / BURST_SPEND_MS;
-        // Before the first report, the rate of the other gateways holds their part of the own arrivals.
+        // Before the first report, the rate of the other gateways includes their part of the arrivals at this one.
         double ownRate =
                 tenant.arrivedUnits * 1000 / ARRIVAL_MEMORY_MS / (tenant.reportedAtMs > 0 ? 1 : tenant.gateways);
         tenant.admitProbability = Math.min(1, available / Math.max(ownRate + otherGatewaysRate(tenant), 1e-9));
-        // The other gateways admit alike.
+        // The other gateways are assumed to admit with the same probability.
         tenant.meanAdmitProbability += (1 - Math.exp((tenant.arrivedAtMs - context.nowMs) / BURST_SPEND_MS))
                 * (tenant.admitProbability - tenant.meanAdmitProbability);
         tenant.arrivedAtMs = context.nowMs;
@@ -131,7 +134,8 @@
     }
 
     /**
-     * Whether a soft plan's requests pass beyond the quota: while that earns more than it costs and capacity is left.
+     * Whether requests of a soft plan may exceed the quota: while that earns more than it costs and there is spare
+     * capacity.
      */
     boolean mayExceedQuota(TenantQuota tenant) {
         return tenant.plan.overQuotaWeight() > tenant.plan.overQuotaCost()
@@ -139,7 +143,7 @@
                 && !pressure.areResponsesSlow();
     }
 
-    /** Charges a request's first attempt to its tenant's quota and ceiling. */
+    /** Charges the first attempt of a request to its tenant's quota and ceiling. */
     void charge(RequestState state) {
         TenantQuota tenant = state.tenant;
         double units = state.request.units();
@@ -149,7 +153,7 @@
         tenant.ceilingLevel -= units;
     }
 
-    /** Whether a first attempt fits under the cap on open requests and in this gateway's part of the ceiling. */
+    /** Whether a first attempt is within the cap on open requests and this gateway's part of the ceiling. */
     boolean fits(RequestState state) {
         if (!state.attempts.isEmpty()) {
             return true;
@@ -161,10 +165,10 @@
     }
 
     /**
-     * Takes in figures that came with a response.
+     * Records the usage that a response reports.
      *
-     * @param usedPercent the tenant's use of its rate over all gateways; below 0 where none is reported
-     * @param trueUnits the request's true units; 0 where none are reported
+     * @param usedPercent the tenant's use of its rate over all gateways, percent; negative if it is not reported
+     * @param trueUnits the actual units of the request; 0 if they are not reported
      */
     void recordUsage(TenantQuota tenant, double units, int usedPercent, double trueUnits) {
         recordReportedUse(tenant, usedPercent);
@@ -173,7 +177,7 @@
         }
     }
 
-    /** Takes in reported use, once a meter period: the others' part is what this gateway did not forward. */
+    /** Records reported use once a meter period: the other gateways' part is what this gateway did not forward. */
     private void recordReportedUse(TenantQuota tenant, int usedPercent) {
         if (usedPercent < 0 || periodMs <= 1 || tenant.plan.rate() <= 0) {
             return;
@@ -192,8 +196,9 @@
         tenant.otherUnits +=
                 Math.max(0, used - forwarded) / Math.max(0.1, tenant.meanAdmitProbability) - 0.35 * tenant.otherUnits;
         tenant.otherSeconds += periodMs / 1000 - 0.35 * tenant.otherSeconds;
-        // Guards against reports that come mostly from heavy tenants: the harmonic mean of reported use, not divided
-        // by our own chance. The mean of demand had calm unseen tenants shed as heavy.
+        // Heavy tenants cause most reports, so the mean of a plan is the harmonic mean of reported use, not divided by
+        // this gateway's probability of admission. With the mean of demand, requests of tenants with little use that
+        // had not been reported yet were shed like those of heavy tenants.
         double inverseUse = Math.min(4, 100.0 / Math.max(1, usedPercent));
         double previous = inverseUseByPlan[tenant.planIndex];
         inverseUseByPlan[tenant.planIndex] = previous > 0 ? previous + 0.03 * (inverseUse - previous) : inverseUse;
--- a/decision/src/main/java/opalcove/decision/RequestForwarder.java
+++ b/decision/src/main/java/opalcove/decision/RequestForwarder.java
@@ -5,14 +5,15 @@
 import java.util.Map;
 
 /**
- * Takes each admitted request to its final response: queue, first attempt, retries, hedged requests, and shedding or
- * failure where no backend served it. Owned by the thread that delivers the instance's events.
+ * Handles each admitted request until its final response: it queues the request, starts the first attempt, retries and
+ * hedged requests, and sheds or fails the request if no backend served it. Owned by the thread that delivers the
+ * instance's events.
  */
 final class RequestForwarder {
-    /** How often queued requests are looked at when nothing else happens, ms. */
+    /** The interval at which queued requests are checked if there are no other events, ms. */
     private static final double QUEUE_INTERVAL_MS = 20;
 
-    /** A backend that has not responded for longer than this is silent, ms. */
+    /** A backend is silent if it has not responded for longer than this, ms. */
     private static final double SILENT_MS = 250;
 
     private final DecisionContext context;
@@ -46,19 +47,22 @@
         this.timers = timers;
     }
 
-    /** The request with this id, or null once it is over and none of its attempts is in flight. */
+    /** Returns the request with this id, or null once it has ended and none of its attempts is in flight. */
     RequestState find(String requestId) {
         return requests.get(requestId);
     }
 
-    /** Takes on a request; it gets its final response shortly before its budget ends at the latest. */
+    /** Adds a request. It receives its final response shortly before its budget ends at the latest. */
     void add(RequestState state) {
         requests.put(state.request.requestId(), state);
         double budgetMs = state.request.budgetMs();
         timers.set(RequestTimers.DEADLINE, state, Math.max(0, budgetMs - 2 * context.settings.tickMs()));
     }
 
-    /** Starts an attempt, or queues while no backend may have it; the first attempt is charged to quota and ceiling. */
+    /**
+     * Starts an attempt, or queues the request if no backend is available. The first attempt is charged to the quota
+     * and the ceiling.
+     */
     void forward(RequestState state) {
         if (state.finished) {
             return;
@@ -87,14 +91,14 @@
         timers.set(RequestTimers.SLOW_ATTEMPT, state, slowAfterMs(state));
     }
 
-    /** From this age on an attempt counts as slow, ms. */
+    /** The age from which an attempt counts as slow, ms. */
     private double slowAfterMs(RequestState state) {
         double usualMs = context.responseTimes.meanMs(state.classIndex);
         return Math.min(state.requestClass.objectiveMs() * 0.5, usualMs * 4)
                 + Math.max(0, state.expectedMs() - usualMs);
     }
 
-    /** Queues what may still be forwarded; anything else gets its final response at once. */
+    /** Queues a request that may still be forwarded. Any other request without attempts in flight ends immediately. */
     void queue(RequestState state) {
         if (state.finished || state.queued) {
             return;
@@ -117,12 +121,12 @@
         queueTimerSet = true;
     }
 
-    /** Takes in that the timer of the queues expired. */
+    /** Records that the timer of the queues expired. */
     void queueTimerExpired() {
         queueTimerSet = false;
     }
 
-    /** Releases queued requests, highest weight first; past their bound they are shed. */
+    /** Releases queued requests, those of the highest weight first, and ends those that were queued for too long. */
     void releaseQueued() {
         boolean stillQueued = false;
         for (ClassQueue queue : capacity.queuesByWeight()) {
@@ -159,7 +163,7 @@
         }
     }
 
-    /** Takes in how an attempt ended; retries the request or ends it where no attempt is left in flight. */
+    /** Records the outcome of an attempt, and retries or ends the request if no other attempt is in flight. */
     void attemptEnded(RequestState state, AttemptOutcome outcome) {
         AttemptState attempt = state.attempts.get(outcome.attempt());
         attempt.ended = true;
@@ -184,8 +188,8 @@
     }
 
     /**
-     * No attempt is in flight and there is no response: another attempt if allowed and worth it, else the final
-     * response.
+     * Starts another attempt of a request that has no response and no attempt in flight, if the rules, the retry budget
+     * and the capacity allow it; otherwise ends the request.
      */
     private void retryOrEnd(RequestState state, AttemptStatus lastStatus) {
         boolean addsLoad = !lastStatus.neverRan && lastStatus != AttemptStatus.CANCELLED;
@@ -205,7 +209,10 @@
         }
     }
 
-    /** An attempt is slow: a sign of pressure, then a hedged request or a retry where all of them allow it. */
+    /**
+     * Handles a slow attempt: records a sign of pressure, and then hedges or retries the request if the plan, the
+     * class, the limits and the retry budget allow it.
+     */
     void slowAttemptDetected(RequestState state) {
         if (stalls.isRecovering(context.nowMs)) {
             return;
@@ -215,7 +222,7 @@
                 pressure.recordSign(attempt, context.nowMs);
             }
         }
-        // Guards against hedged requests that add load where all backends are slow: none while there is another sign.
+        // Hedged requests would add load where all backends are slow, so there are none while there is another sign.
         if (state.inFlight != 1 || capacity.isBounded() || !retryBudget.hasToken() || pressure.hasSeveralSigns()) {
             return;
         }
@@ -237,7 +244,7 @@
         }
     }
 
-    /** Cancels the last attempt at a silent backend, so that its outcome brings a retry. */
+    /** Cancels the last attempt if its backend is silent, so that the outcome leads to a retry. */
     private void cancelAtSilentBackend(RequestState state) {
         int lastAttempt = state.attempts.size() - 1;
         boolean silent = context.nowMs - state.attempts.get(lastAttempt).backend.respondedAtMs > SILENT_MS;
@@ -248,7 +255,7 @@
         context.actions.cancelAttempt(state.request.requestId(), lastAttempt);
     }
 
-    /** The final response when no backend gave one: shed where that promise is allowed, else failed. */
+    /** Ends a request that no backend served: sheds it if it may be shed, and fails it otherwise. */
     void endUnserved(RequestState state) {
         if (!state.mayBeShed()) {
             context.actions.fail(state.request.requestId());
@@ -258,13 +265,13 @@
         close(state);
     }
 
-    /** Sheds a request, which none of the rules of its class forbids before its first attempt. */
+    /** Sheds a request before its first attempt, which the rules of all classes allow. */
     void shed(RequestState state, double retryAfterMs) {
         context.actions.shed(state.request.requestId(), context.limits.retryAfter() ? retryAfterMs : 0);
         close(state);
     }
 
-    /** Ends a request that has its final response, or whose client has gone. */
+    /** Closes a request that has its final response, or whose client disconnected. */
     void close(RequestState state) {
         finish(state);
         if (state.inFlight == 0) {
@@ -272,7 +279,7 @@
         }
     }
 
-    /** Cancels a request's timers and, where that is allowed, its attempts in flight. */
+    /** Cancels the timers of a request and, if cancelling is allowed, its attempts in flight. */
     private void finish(RequestState state) {
         if (state.finished) {
             return;
--- a/decision/src/main/java/opalcove/decision/RequestState.java
+++ b/decision/src/main/java/opalcove/decision/RequestState.java
@@ -6,8 +6,8 @@
 import opalcove.decision.DecisionSettings.RequestClass;
 
 /**
- * One request and its attempts. It alone says whether another attempt, a shed response or a failure keeps the rules of
- * the request's class. Owned by the thread that delivers the instance's events.
+ * A request and its attempts. Only this class decides whether another attempt, a shed response or a failure complies
+ * with the rules of the request's class. Owned by the thread that delivers the instance's events.
  */
 final class RequestState {
     private final DecisionContext context;
@@ -20,10 +20,13 @@
     final List<AttemptState> attempts = new ArrayList<>(2);
     final List<Long> timerTokens = new ArrayList<>(2);
 
-    /** The share of its units that has to be in its class's token bucket, drawn by chance. */
+    /** The random share of its units that the token bucket of its class has to hold. */
     final double tokenShare;
 
-    /** What was left of the latency objective on arrival, ms: a client's retry shows its age by its smaller budget. */
+    /**
+     * The remaining part of the latency objective on arrival, ms. The smaller budget of a client's retry shows the time
+     * that has passed since the initial request.
+     */
     final double remainingObjectiveMs;
 
     ClassQueue queue;
@@ -52,34 +55,37 @@
         remainingObjectiveMs = requestClass.objectiveMs() - (isRetry ? elapsedMs : 0);
     }
 
-    /** What is left of the client's time budget, ms. */
+    /** The remaining part of the client's time budget, ms. */
     double remainingBudgetMs() {
         return arrivedAtMs + request.budgetMs() - context.nowMs;
     }
 
-    /** The response time to expect for its class and units, ms. */
+    /** The expected response time for its class and units, ms. */
     double expectedMs() {
         return context.responseTimes.expectedMs(classIndex, request.units());
     }
 
-    /** How long it may be queued, ms: what is left of its objective once a usual response has had its time. */
+    /**
+     * The maximum time in the queue, ms: a part of the latency objective that remains after the mean response time of
+     * the class and the expected response time of the request.
+     */
     double maxQueueTimeMs() {
         double remainingMs = Math.min(remainingObjectiveMs, request.budgetMs());
         return Math.max(0, remainingMs - context.responseTimes.meanMs(classIndex) - expectedMs()) * 0.6;
     }
 
-    /** Whether it has been queued for as long as it may be. */
+    /** Whether the request has been queued for the maximum time. */
     boolean isQueuedTooLong() {
         return context.nowMs - arrivedAtMs >= maxQueueTimeMs();
     }
 
-    /** A Retry-After for a shed request, ms: drawn so that a retry may still be answered in time. */
+    /** Draws a random Retry-After for a shed request, ms, after which a retry may still receive a response in time. */
     double drawRetryAfterMs() {
         double lastRetryMs = arrivedAtMs + remainingObjectiveMs - 2 * context.responseTimes.meanMs(classIndex);
         return context.random.nextDouble() * Math.max(0, lastRetryMs - context.nowMs);
     }
 
-    /** The first attempt that may have run, or null. */
+    /** Returns the first attempt that may have run, or null if there is none. */
     AttemptState firstAttemptThatMayHaveRun() {
         for (int i = 0; i < attempts.size(); i++) {
             if (attempts.get(i).mayHaveRun) {
@@ -89,7 +95,7 @@
         return null;
     }
 
-    /** Whether the rules allow another attempt now. */
+    /** Whether the rules of the class allow another attempt now. */
     boolean mayStartAttempt() {
         if (finished || streaming || attempts.size() >= context.limits.maxAttempts()) {
             return false;
@@ -106,7 +112,7 @@
                 && context.nowMs + context.settings.tickMs() < windowEndMs;
     }
 
-    /** Whether the rules allow the next attempt at this backend. */
+    /** Whether the rules of the class allow the next attempt at this backend. */
     boolean mayUse(BackendState backend) {
         AttemptState firstAttempt = firstAttemptThatMayHaveRun();
         if (firstAttempt == null
@@ -120,7 +126,7 @@
                 : firstEndpoint.cell() == backend.endpoint.cell();
     }
 
-    /** Whether the rules allow to shed the request, which promises that a retry is harmless. */
+    /** Whether the rules of the class allow shedding the request, which promises that a retry is harmless. */
     boolean mayBeShed() {
         Idempotency idempotency = requestClass.idempotency();
         if (firstAttemptThatMayHaveRun() == null || idempotency == Idempotency.SAFE) {
@@ -129,7 +135,7 @@
         return idempotency == Idempotency.KEYED && requestClass.deduplicationScope() == DeduplicationScope.ALL;
     }
 
-    /** Whether an attempt went to this backend before. */
+    /** Whether an earlier attempt was sent to this backend. */
     boolean hasTried(BackendState backend) {
         for (int i = 0; i < attempts.size(); i++) {
             if (attempts.get(i).backend == backend) {
--- a/decision/src/main/java/opalcove/decision/RequestTimers.java
+++ b/decision/src/main/java/opalcove/decision/RequestTimers.java
@@ -4,12 +4,13 @@
 import java.util.Map;
 
 /**
- * The timers of requests, by the tokens that the embedding gateway returns. Owned by the thread that delivers events.
+ * The timers of requests by their tokens, which the embedding gateway returns when a timer expires. Owned by the thread
+ * that delivers the instance's events.
  */
 final class RequestTimers {
     /**
-     * The two low bits of a token are the timer's kind: the interval, a request's deadline, a slow attempt, the
-     * queues.
+     * The kinds of timers: the interval, the deadline of a request, a slow attempt, the queues. The kind is in the two
+     * lowest bits of a token.
      */
     static final int INTERVAL = 0;
 
@@ -27,7 +28,7 @@
         this.context = context;
     }
 
-    /** The kind of the timer that a token stands for. */
+    /** The kind of the timer with this token. */
     static int kind(long token) {
         return (int) (token & KIND_MASK);
     }
@@ -41,7 +42,7 @@
         context.actions.setTimer(token, afterMs);
     }
 
-    /** Removes a timer that expired; returns its request, or null where it is no longer needed. */
+    /** Removes a timer that expired and returns its request, or null if the timer is no longer needed. */
     RequestState expire(long token) {
         return requests.remove(token);
     }
--- a/decision/src/main/java/opalcove/decision/ResponseTimeEstimator.java
+++ b/decision/src/main/java/opalcove/decision/ResponseTimeEstimator.java
@@ -4,8 +4,8 @@
 import java.util.stream.Stream;
 
 /**
- * Estimates response times: a moving mean for each request class, and how a request's units shift it. Owned by the
- * thread that delivers the instance's events.
+ * Estimates response times from a moving mean of each request class and the effect of the units of a request. Owned by
+ * the thread that delivers the instance's events.
  */
 final class ResponseTimeEstimator {
     /** Weight of the newest response in each moving mean. */
@@ -34,7 +34,7 @@
         return Arrays.stream(meanMs).max().orElse(1);
     }
 
-    /** The response time to expect for a request of this class and size, ms. */
+    /** The expected response time of a request of this class and these units, ms. */
     double expectedMs(int classIndex, double units) {
         UnitsEffect effect = effects[classIndex];
         double usualMs = meanMs[classIndex];
@@ -42,7 +42,7 @@
         return Math.max(0.3 * usualMs, Math.min(5 * usualMs, usualMs + aboveMs));
     }
 
-    /** Takes in the response time of a request of this class and size. */
+    /** Records the response time, ms, of a request of this class and these units. */
     void recordResponse(int classIndex, double units, double elapsedMs) {
         double aboveMs = Math.min(elapsedMs, 5 * meanMs[classIndex]) - meanMs[classIndex];
         if (!unitsAreEstimates) {
@@ -51,12 +51,12 @@
         meanMs[classIndex] += LEARNING_RATE * aboveMs;
     }
 
-    /** Takes in a mean response time whose requests' sizes are unknown. */
+    /** Records a mean response time, ms, of requests whose units are unknown. */
     void recordMean(int classIndex, double elapsedMs) {
         meanMs[classIndex] += LEARNING_RATE * (Math.min(elapsedMs, 5 * meanMs[classIndex]) - meanMs[classIndex]);
     }
 
-    /** How the response time changes with a request's units, for one class: a regression on the latest responses. */
+    /** The effect of a request's units on its response time in one class, by regression over recent responses. */
     private static final class UnitsEffect {
         private double meanUnits;
         private double variance = 0.01;
--- a/decision/src/main/java/opalcove/decision/RetryBudget.java
+++ b/decision/src/main/java/opalcove/decision/RetryBudget.java
@@ -1,8 +1,8 @@
 package opalcove.decision;
 
 /**
- * Bounds the retries and hedged requests that add load: each first attempt earns a tenth of one. Owned by the thread
- * that delivers the instance's events.
+ * Limits the retries and hedged requests that add load. Each first attempt earns a tenth of a token, and each of them
+ * costs one token. Owned by the thread that delivers the instance's events.
  */
 final class RetryBudget {
     private static final double MAX_TOKENS = 10;
@@ -10,17 +10,17 @@
 
     private double tokens;
 
-    /** Earns a part of an attempt, for a request that was forwarded. */
+    /** Earns a fraction of a token for a request that is forwarded. */
     void earn() {
         tokens = Math.min(MAX_TOKENS, tokens + EARNED_PER_REQUEST);
     }
 
-    /** Whether there is enough for another attempt. */
+    /** Whether there is a token for another attempt. */
     boolean hasToken() {
         return tokens >= 1;
     }
 
-    /** Pays for another attempt. */
+    /** Spends a token on another attempt. */
     void spend() {
         tokens -= 1;
     }
--- a/decision/src/main/java/opalcove/decision/SlowStart.java
+++ b/decision/src/main/java/opalcove/decision/SlowStart.java
@@ -1,26 +1,29 @@
 package opalcove.decision;
 
 /**
- * The slow start of backends that have just begun to serve: each has a budget of work that follows its ramp, in
- * proportion to the pace of warm backends. Owned by the thread that delivers the instance's events.
+ * The slow start of newly started backends. Each has a budget of work that follows its ramp, in proportion to the pace
+ * of warm backends. Owned by the thread that delivers the instance's events.
  */
 final class SlowStart {
     private final DecisionContext context;
 
-    /** What a starting backend may be given, as a multiple of its ramp: real ramps are seldom the slowest. */
+    /**
+     * The load that a warming-up backend may receive, as a multiple of its ramp. It may exceed 1, because real ramps
+     * are seldom the slowest possible.
+     */
     private final double rampMargin;
 
-    /** Work that warm backends complete, ms of response time by ms and unit of size; a moving mean. */
+    /** Moving mean of the work that warm backends complete, ms of response time per ms and unit of size. */
     private double pace;
 
     private double paceSamples;
     private double meanSize = 1;
     private int warmCount;
 
-    /** Work that warm backends completed in this interval, ms. */
+    /** Work that warm backends completed in this interval, ms of response time. */
     private double completedWorkMs;
 
-    /** Work of one whole request of the slowest class, ms. */
+    /** Work of one complete request of the slowest class, ms of response time. */
     private double largestRequestMs;
 
     SlowStart(DecisionContext context) {
@@ -29,27 +32,28 @@
         largestRequestMs = context.responseTimes.largestMeanMs();
     }
 
-    /** Begins a backend's slow start, as of the time at which it started. */
+    /** Begins the slow start of a backend that started at this time, ms. */
     void begin(BackendState backend, double startedAtMs) {
         backend.startedAtMs = startedAtMs;
-        // Guards against gateways in step, and against each saving up a whole request before any sends.
+        // The initial budget is random. Otherwise all gateways would send to the backend at the same time, and none would
+        // send before each of them had accumulated the budget of a complete request.
         backend.slowStartBudgetMs = context.random.nextDouble() * largestRequestMs;
         backend.slowness = 1;
         backend.failures = 0;
         backend.ejectedUntilMs = 0;
     }
 
-    /** Whether the backend started so lately that it may not have warmed up. */
+    /** Whether the backend started so recently that it may not be warm yet. */
     boolean isWarmingUp(BackendState backend) {
         return context.nowMs - backend.startedAtMs < context.obligations.warmAfterMs();
     }
 
-    /** Whether a backend that is warming up has used up its budget. */
+    /** Whether a warming-up backend has too little budget for another request. */
     boolean isExhausted(BackendState backend) {
         return backend.slowStartBudgetMs < largestRequestMs;
     }
 
-    /** The part of its capacity that a backend that is warming up has reached, by the ramp. */
+    /** The share of its capacity that a warming-up backend has reached on its ramp. */
     double rampShare(BackendState backend) {
         double initialShare = context.obligations.initialShare();
         return initialShare
@@ -58,36 +62,36 @@
                         / Math.max(1, context.obligations.warmAfterMs());
     }
 
-    /** The part of its usual capacity that a backend may be given; 1 once it is warm. */
+    /** The share of its usual capacity that a backend may be given; 1 once it is warm. */
     double capacityShare(BackendState backend) {
         return isWarmingUp(backend) ? rampShare(backend) * Math.min(0.9, rampMargin) : 1;
     }
 
-    /** Draws the work of an attempt from the budget of a backend that is warming up. */
+    /** Deducts the work of an attempt, ms of response time, from the budget of a warming-up backend. */
     void charge(BackendState backend, double workMs) {
         if (isWarmingUp(backend)) {
             backend.slowStartBudgetMs -= workMs;
         }
     }
 
-    /** Counts work that a backend completed towards the pace of warm ones. */
+    /** Adds the work that a backend completed, ms of response time, to that of warm backends if it is warm. */
     void recordCompleted(BackendState backend, double workMs) {
         completedWorkMs += isWarmingUp(backend) ? 0 : workMs;
     }
 
-    /** Starts a new count of warm backends. */
+    /** Resets the count of warm backends. */
     void resetWarmCount() {
         warmCount = 0;
     }
 
-    /** Counts a listed backend that is warm and well, for the mean size. */
+    /** Counts a backend if it is warm and not failing, and includes it in the mean size. */
     void countIfWarm(BackendState backend) {
         if (!isWarmingUp(backend) && !backend.isFailing()) {
             meanSize += (backend.endpoint.size() - meanSize) / ++warmCount;
         }
     }
 
-    /** Once an interval: takes in the pace of warm backends by size. */
+    /** Updates the pace of warm backends per unit of size. Called once an interval. */
     void updatePace() {
         double measured = warmCount > 0
                 ? completedWorkMs / DecisionContext.INTERVAL_MS / Math.max(1e-9, warmCount * meanSize)
@@ -99,12 +103,12 @@
         largestRequestMs = context.responseTimes.largestMeanMs();
     }
 
-    /** Once an interval: fills the budget of a backend that is warming up. */
+    /** Refills the budget of a warming-up backend. Called once an interval. */
     void refill(BackendState backend) {
         if (!isWarmingUp(backend)) {
             return;
         }
-        // Guards against sizes that tell the load of the moment: a bound whatever they say.
+        // Bounds the size by the mean of warm backends, because a listed size may follow the momentary load.
         double size =
                 Math.min(rampMargin * backend.endpoint.size(), 0.7 * context.obligations.overloadFactor() * meanSize);
         double rate = rampShare(backend) * pace * size;
--- a/decision/src/main/java/opalcove/decision/StallDetector.java
+++ b/decision/src/main/java/opalcove/decision/StallDetector.java
@@ -1,22 +1,22 @@
 package opalcove.decision;
 
 /**
- * Detects that the gateway itself was held up, by interval timers that come late. Guards against the gateway's own want
- * of processor time read as slow backends: responses that lay unread looked late, and capacity was bounded at next to
- * nothing for half a minute. While it recovers, the ages of attempts say nothing. Owned by the thread that delivers the
- * instance's events.
+ * Detects stalls of the gateway itself from interval timers that expire late. Without it, a gateway that lacks
+ * processor time mistakes its own stall for slow backends: responses that were not read in time looked late, and
+ * capacity was bounded to almost nothing for half a minute. While the gateway recovers, the ages of attempts are
+ * ignored. Owned by the thread that delivers the instance's events.
  */
 final class StallDetector {
-    /** An interval timer later than this shows that the gateway was held up, ms. */
+    /** An interval timer that is later than this shows that the gateway stalled, ms. */
     private static final double MAX_LATENESS_MS = 25;
 
     private double nextTickMs = DecisionContext.UNSCHEDULED_MS;
     private double recoveringUntilMs = DecisionContext.NEVER_MS;
 
     /**
-     * Takes in an interval timer.
+     * Records the expiry of an interval timer.
      *
-     * @return whether it came late
+     * @return whether it was late
      */
     boolean recordTick(double nowMs) {
         boolean isLate = nowMs - nextTickMs > MAX_LATENESS_MS;
@@ -27,7 +27,7 @@
         return isLate;
     }
 
-    /** Whether the gateway was held up so lately that ages of attempts say nothing. */
+    /** Whether the gateway stalled so recently that the ages of attempts are not meaningful. */
     boolean isRecovering(double nowMs) {
         return nowMs < recoveringUntilMs;
     }
--- a/decision/src/main/java/opalcove/decision/TenantQuota.java
+++ b/decision/src/main/java/opalcove/decision/TenantQuota.java
@@ -3,16 +3,16 @@
 import opalcove.decision.DecisionSettings.Plan;
 
 /**
- * What this gateway knows of one tenant's quota and ceiling. Owned by the thread that delivers the instance's events.
+ * The state of a tenant's quota and ceiling at this gateway. Owned by the thread that delivers the instance's events.
  */
 final class TenantQuota {
-    /** Meter periods for which the forwarded units are kept. */
+    /** The number of meter periods for which the forwarded units are stored. */
     private static final int STORED_PERIODS = 8;
 
     final Plan plan;
     final int planIndex;
 
-    /** Gateways through which the tenant's requests may come, this one included. */
+    /** The number of gateways that may receive requests of the tenant, including this one. */
     final int gateways;
 
     private final double[] forwardedUnits = new double[STORED_PERIODS];
@@ -26,10 +26,10 @@
 
     double updatedAtMs;
 
-    /** Units that arrived here, decayed. */
+    /** Units that arrived at this gateway, decayed. */
     double arrivedUnits;
 
-    /** Units seen at the tenant's other gateways, decayed, and the time that they were seen in, seconds. */
+    /** Units at the tenant's other gateways, decayed, and the decayed time in which they arrived, seconds. */
     double otherUnits;
 
     double otherSeconds;
@@ -37,12 +37,12 @@
     double reportedAtMs = DecisionContext.NEVER_MS;
     double arrivedAtMs = DecisionContext.NEVER_MS;
 
-    /** The chance at which a request beyond the bucket passes, and its moving mean. */
+    /** The probability of admission of a request that the bucket does not cover, and its moving mean. */
     double admitProbability = 1;
 
     double meanAdmitProbability = 1;
 
-    /** The use that was reported last, in percent of the rate; -1 before the first. */
+    /** The last reported use, percent of the rate; -1 before the first report. */
     int reportedPercent = -1;
 
     int inFlight;
@@ -57,20 +57,20 @@
     }
 
     /**
-     * Fills this gateway's part of the ceiling's bucket. Guards against a gateway that starts again: the ceiling's
-     * bucket is as it stood, so its part starts empty.
+     * Fills this gateway's part of the ceiling's bucket. The part starts empty, because a restart of the gateway leaves
+     * the ceiling's bucket as it was; a full part would let a gateway that restarts exceed the ceiling.
      */
     void fillCeiling(double seconds) {
         double max = plan.ceilingBurst() / (gateways + 1);
         ceilingLevel = Math.min(max, ceilingLevel + seconds * plan.ceilingRate() / gateways);
     }
 
-    /** Counts units that were forwarded during a meter period. */
+    /** Adds units that were forwarded during a meter period. */
     void addForwarded(long period, double units) {
         forwardedUnits[slot(period)] += units;
     }
 
-    /** The units that were forwarded during a meter period; 0 where it is no longer kept. */
+    /** The units that were forwarded during a meter period; 0 if the period is no longer stored. */
     double forwardedIn(long period) {
         return forwardedUnits[slot(period)];
     }
