--- a/decision/src/main/java/opalcove/decision/SlowStart.java
+++ b/decision/src/main/java/opalcove/decision/SlowStart.java
@@ -35,8 +35,8 @@
     /** Begins the slow start of a backend that started at this time, ms. */
     void begin(BackendState backend, double startedAtMs) {
         backend.startedAtMs = startedAtMs;
-        // The initial budget is random. Otherwise all gateways would send to the backend at the same time, and none would
-        // send before each of them had accumulated the budget of a complete request.
+        // The initial budget is random. Otherwise all gateways would send to the backend at the same time, and none
+        // would send before each of them had accumulated the budget of a complete request.
         backend.slowStartBudgetMs = context.random.nextDouble() * largestRequestMs;
         backend.slowness = 1;
         backend.failures = 0;
--- a/decision/src/test/java/opalcove/decision/AdmissionControllerTest.java
+++ b/decision/src/test/java/opalcove/decision/AdmissionControllerTest.java
@@ -21,71 +21,73 @@
     private final RecordingGateway gateway = new RecordingGateway();
 
     @Test
-    void aRetryPastItsObjectiveIsShedWhileItsQuotaIsScarce() {
+    void shedsRetryPastItsObjectiveWhenQuotaIsScarce() {
         gateway.start(gateway.limits, 2);
-        gateway.list(true, up("h1"), up("h2"));
+        gateway.updateEndpoints(true, up("h1"), up("h2"));
         for (int i = 0; i < 6; i++) {
             gateway.submit("r" + i, "look", "plain", 4000);
         }
-        int before = gateway.sends.size();
+        int before = gateway.attempts.size();
         gateway.submit("again", "look", "plain", 2500);
-        assertEquals(before, gateway.sends.size());
+        assertEquals(before, gateway.attempts.size());
         assertTrue(gateway.shed.contains("again"));
     }
 
     @Test
-    void theRetryAfterOfAShedRequestIsWithinItsObjective() {
+    void givesShedRequestsRetryAfterWithinTheirObjective() {
         gateway.start(gateway.limits, 2);
-        gateway.list(true, up("h1"), up("h2"));
+        gateway.updateEndpoints(true, up("h1"), up("h2"));
         for (int i = 0; i < 30; i++) {
             gateway.submit("r" + i, "look", "plain", 4000);
         }
-        assertTrue(gateway.retryAfters.size() >= 10, "refused " + gateway.retryAfters.size());
+        assertTrue(gateway.retryAfters.size() >= 10, "shed requests: " + gateway.retryAfters.size());
         assertTrue(
-                gateway.retryAfters.stream().allMatch(a -> a >= 0 && a <= 1000),
-                "within the aim: " + gateway.retryAfters);
-        assertTrue(gateway.retryAfters.stream().distinct().count() > 5, "spread, so that clients do not come in step");
+                gateway.retryAfters.stream().allMatch(retryAfterMs -> retryAfterMs >= 0 && retryAfterMs <= 1000),
+                "within the latency objective: " + gateway.retryAfters);
+        assertTrue(gateway.retryAfters.stream().distinct().count() > 5, "spread, so that clients do not retry at the same time");
     }
 
     @Test
-    void aFirstTryIsKnownByTheBudgetMostOftenSeen() {
+    void recognizesInitialRequestByTheFrequentBudget() {
         gateway.start(gateway.limits, 2);
-        gateway.list(true, up("h1"), up("h2"));
+        gateway.updateEndpoints(true, up("h1"), up("h2"));
         for (int i = 0; i < 12; i++) {
-            double budget = i % 4 == 3 ? 3500 : 2000; // every fourth is a last try with all the time that is left
+            double budgetMs = i % 4 == 3 ? 3500 : 2000; // every fourth is a last retry with all of the remaining time
             gateway.module.requestArrived(
-                    0, new AdmissionRequest("w" + i, "look", "plain", "w" + i, 1, budget, 2, false));
+                    0, new AdmissionRequest("w" + i, "look", "plain", "w" + i, 1, budgetMs, 2, false));
             gateway.endAttempt("w" + i, "h1", 0, AttemptStatus.SERVED);
         }
         for (int i = 0; i < 3; i++) {
             gateway.submit("r" + i, "look", "open", 2000);
         }
-        gateway.until(100);
-        assertFalse(gateway.shed.contains("r2"), "a first try beyond the cap is queued, not shed as a late retry");
+        gateway.advanceTo(100);
+        assertFalse(gateway.shed.contains("r2"), "an initial request beyond the cap is queued, not shed as a late retry");
     }
 
     @Test
-    void clientRetriesDoNotUndoShedding() {
+    void admitsClientRetriesLessOftenThanInitialRequestsWhenQuotaIsExceeded() {
         gateway.start(gateway.limits, 2);
-        gateway.list(true, up("h1"), up("h2"));
-        int[] passed = new int[2];
+        gateway.updateEndpoints(true, up("h1"), up("h2"));
+        int[] admitted = new int[2];
         for (int i = 0; i < 600; i++) {
-            gateway.until(100 * i);
-            boolean later = i % 2 == 1;
-            int before = gateway.sends.size();
-            gateway.submit("r" + i, "look", "plain", later ? 3700 + i * 37 % 270 : 4000);
-            if (gateway.sends.size() > before) {
-                passed[later ? 1 : 0]++;
+            gateway.advanceTo(100 * i);
+            boolean isRetry = i % 2 == 1;
+            int before = gateway.attempts.size();
+            gateway.submit("r" + i, "look", "plain", isRetry ? 3700 + i * 37 % 270 : 4000);
+            if (gateway.attempts.size() > before) {
+                admitted[isRetry ? 1 : 0]++;
                 gateway.module.attemptEnded(
-                        gateway.now,
+                        gateway.nowMs,
                         new AttemptOutcome("r" + i, "h1", 0, AttemptStatus.SERVED, 50, true, 100, 0, null));
             }
         }
-        assertTrue(passed[1] * 2 < passed[0], "first tries passed " + passed[0] + ", later ones " + passed[1]);
+        assertTrue(
+                admitted[1] * 2 < admitted[0],
+                "admitted initial requests: " + admitted[0] + ", admitted retries: " + admitted[1]);
     }
 
     @Test
-    void settingsThatContradictThemselvesAreRejected() {
+    void rejectsInvalidSettings() {
         DecisionSettings.Plan bad = new DecisionSettings.Plan("bad", -1, 4, 0, 1, 0, 1, 0, 0, 0);
         assertThrows(
                 IllegalArgumentException.class,
@@ -99,9 +101,9 @@
     }
 
     @Test
-    void anUnknownPlanOrClassIsShedAndLogged() {
+    void shedsAndLogsRequestOfUnknownPlanOrClass() {
         gateway.start(gateway.limits, 2);
-        gateway.list(true, up("h1"));
+        gateway.updateEndpoints(true, up("h1"));
         gateway.submit("a", "look", "nosuch", 4000);
         gateway.submit("b", "nosuch", "plain", 4000);
         assertEquals(List.of("a", "b"), gateway.shed);
@@ -109,18 +111,18 @@
     }
 
     @Test
-    void strayEventsAreIgnored() {
+    void ignoresEventsOfUnknownRequestsTimersAndBackends() {
         gateway.start(gateway.limits, 2);
-        gateway.list(true, up("h1"));
+        gateway.updateEndpoints(true, up("h1"));
         gateway.endAttempt("nosuch", "h1", 0, AttemptStatus.SERVED);
-        gateway.module.requestCancelled(gateway.now, "nosuch");
-        gateway.module.timerExpired(gateway.now, 4242);
-        gateway.module.responseStarted(gateway.now, "nosuch", 0);
-        gateway.module.healthCheckEnded(gateway.now, "nosuch", ProbeStatus.DONE, 1, null);
-        assertTrue(gateway.sends.isEmpty() && gateway.shed.isEmpty() && gateway.failed.isEmpty());
+        gateway.module.requestCancelled(gateway.nowMs, "nosuch");
+        gateway.module.timerExpired(gateway.nowMs, 4242);
+        gateway.module.responseStarted(gateway.nowMs, "nosuch", 0);
+        gateway.module.healthCheckEnded(gateway.nowMs, "nosuch", ProbeStatus.DONE, 1, null);
+        assertTrue(gateway.attempts.isEmpty() && gateway.shed.isEmpty() && gateway.failed.isEmpty());
     }
 
-    /** The module's interface: events, actions and settings decide nothing and are not listed. */
+    /** The files of the module's interface: events, actions and settings decide nothing and are not listed. */
     private static final Set<String> INTERFACE_FILES = Set.of(
             "AdmissionRequest.java",
             "AttemptOutcome.java",
@@ -138,9 +140,9 @@
             "ProbeStatus.java",
             "package-info.java");
 
-    /** The formatter keeps lines within 120 columns. */
+    /** The lines of the listed files must also be within 120 columns, as the formatter writes them. */
     @Test
-    void theDeployFileNamesEachFileThatDecides() throws Exception {
+    void listsEveryDecidingFileInDeployFile() throws Exception {
         List<String> named = Files.readAllLines(Path.of("deploy/balancer.toml")).stream()
                 .filter(line -> line.startsWith("policy = "))
                 .flatMap(line -> Pattern.compile("\"([^\"]+)\"").matcher(line).results())
--- a/decision/src/test/java/opalcove/decision/BackendHealthTest.java
+++ b/decision/src/test/java/opalcove/decision/BackendHealthTest.java
@@ -16,79 +16,79 @@
     private final RecordingGateway gateway = new RecordingGateway();
 
     @Test
-    void nothingNewGoesToABackendThatIsDrainingOrRemoved() {
+    void startsNoAttemptAtDrainingOrRemovedBackend() {
         gateway.start(gateway.limits, 2);
-        gateway.list(true, up("h1"), up("h2"), up("h3"));
-        gateway.list(false, endpoint("h1", "east", EndpointState.DRAINING, 0));
-        gateway.list(true, endpoint("h1", "east", EndpointState.DRAINING, 0), up("h3"));
+        gateway.updateEndpoints(true, up("h1"), up("h2"), up("h3"));
+        gateway.updateEndpoints(false, endpoint("h1", "east", EndpointState.DRAINING, 0));
+        gateway.updateEndpoints(true, endpoint("h1", "east", EndpointState.DRAINING, 0), up("h3"));
         for (int i = 0; i < 50; i++) {
             gateway.module.requestArrived(
-                    gateway.now, new AdmissionRequest("r" + i, "look", "open", "c" + i, 1, 4000, 2, false));
-            String[] s = gateway.sends.get(i).split("@");
-            gateway.endAttempt(s[0], s[1], 0, AttemptStatus.SERVED);
+                    gateway.nowMs, new AdmissionRequest("r" + i, "look", "open", "c" + i, 1, 4000, 2, false));
+            String[] attempt = gateway.attempts.get(i).split("@");
+            gateway.endAttempt(attempt[0], attempt[1], 0, AttemptStatus.SERVED);
         }
-        assertEquals(50, gateway.sends.size());
-        assertTrue(gateway.sends.stream().allMatch(s -> s.endsWith("@h3")));
+        assertEquals(50, gateway.attempts.size());
+        assertTrue(gateway.attempts.stream().allMatch(attempt -> attempt.endsWith("@h3")));
     }
 
     @Test
-    void aRequestWaitsWhileEveryBackendIsDrainingOrRemoved() {
+    void queuesRequestWhenEveryBackendIsDrainingOrRemoved() {
         gateway.start(gateway.limits, 2);
-        gateway.list(
+        gateway.updateEndpoints(
                 true,
                 endpoint("h1", "east", EndpointState.DRAINING, 0),
                 endpoint("h2", "east", EndpointState.REMOVED, 0));
         gateway.submit("early", "look", "open", 4000);
-        gateway.until(100);
-        assertTrue(gateway.sends.isEmpty());
+        gateway.advanceTo(100);
+        assertTrue(gateway.attempts.isEmpty());
     }
 
     @Test
-    void connectionsThatBreakNowAndThenStartNoSlowStart() {
+    void beginsNoSlowStartWhenConnectionsBreakOccasionally() {
         gateway.start(new DecisionSettings.Limits(4, false, true, false, true, 2000, 15_000, false), 1);
-        gateway.list(true, up("h1"));
+        gateway.updateEndpoints(true, up("h1"));
         for (int i = 0; i < 3; i++) {
-            gateway.until(2000 * i);
+            gateway.advanceTo(2000 * i);
             gateway.module.requestArrived(
-                    gateway.now, new AdmissionRequest("b" + i, "buy", "open", "c", 1, 1500, 1, false));
+                    gateway.nowMs, new AdmissionRequest("b" + i, "buy", "open", "c", 1, 1500, 1, false));
             gateway.endAttempt("b" + i, "h1", 0, i < 2 ? AttemptStatus.BROKEN : AttemptStatus.SERVED);
         }
-        gateway.sends.clear();
+        gateway.attempts.clear();
         for (int i = 0; i < 10; i++) {
             gateway.module.requestArrived(
-                    gateway.now, new AdmissionRequest("r" + i, "buy", "open", "d" + i, 1, 8000, 1, false));
+                    gateway.nowMs, new AdmissionRequest("r" + i, "buy", "open", "d" + i, 1, 8000, 1, false));
         }
-        assertTrue(gateway.sends.size() > 1, "a starting backend is sent one at a time: " + gateway.sends);
+        assertTrue(gateway.attempts.size() > 1, "a starting backend receives one attempt at a time: " + gateway.attempts);
     }
 
     @Test
-    void removedBackendsAreForgotten() {
+    void forgetsRemovedBackends() {
         gateway.start(gateway.limits, 2);
-        gateway.list(true, up("h1"), up("h2"));
-        gateway.list(false, endpoint("h2", "east", EndpointState.REMOVED, 0));
-        gateway.until(59_000);
-        assertEquals(2, gateway.module.capacityShares(gateway.now).size());
-        gateway.until(61_000);
-        assertEquals(1, gateway.module.capacityShares(gateway.now).size());
+        gateway.updateEndpoints(true, up("h1"), up("h2"));
+        gateway.updateEndpoints(false, endpoint("h2", "east", EndpointState.REMOVED, 0));
+        gateway.advanceTo(59_000);
+        assertEquals(2, gateway.module.capacityShares(gateway.nowMs).size());
+        gateway.advanceTo(61_000);
+        assertEquals(1, gateway.module.capacityShares(gateway.nowMs).size());
     }
 
     @Test
-    void aBackendWithQuickErrorsDoesNotDrawTheTraffic() {
+    void avoidsBackendThatRespondsWithFastErrors() {
         gateway.start(gateway.limits, 2);
-        gateway.list(true, up("h1"), up("h2"), up("h3"));
-        int done = 0;
-        for (int t = 0; t < 4000; t += 20) {
-            gateway.until(t);
-            gateway.module.requestArrived(t, new AdmissionRequest("r" + t, "look", "open", "c" + t, 1, 4000, 2, false));
-            while (done < gateway.sends.size()) {
-                String[] s = gateway.sends.get(done++).split("@");
-                boolean bad = s[1].equals("h1");
-                boolean first = gateway.sends.subList(0, done - 1).stream().noneMatch(x -> x.startsWith(s[0] + "@"));
+        gateway.updateEndpoints(true, up("h1"), up("h2"), up("h3"));
+        int ended = 0;
+        for (int timeMs = 0; timeMs < 4000; timeMs += 20) {
+            gateway.advanceTo(timeMs);
+            gateway.module.requestArrived(timeMs, new AdmissionRequest("r" + timeMs, "look", "open", "c" + timeMs, 1, 4000, 2, false));
+            while (ended < gateway.attempts.size()) {
+                String[] attempt = gateway.attempts.get(ended++).split("@");
+                boolean bad = attempt[1].equals("h1");
+                boolean first = gateway.attempts.subList(0, ended - 1).stream().noneMatch(earlier -> earlier.startsWith(attempt[0] + "@"));
                 gateway.module.attemptEnded(
-                        t,
+                        timeMs,
                         new AttemptOutcome(
-                                s[0],
-                                s[1],
+                                attempt[0],
+                                attempt[1],
                                 first ? 0 : 1,
                                 bad ? AttemptStatus.ERROR : AttemptStatus.SERVED,
                                 bad ? 2 : 100,
@@ -98,37 +98,38 @@
                                 null));
             }
         }
-        long drawn = gateway.sends.stream().filter(s -> s.endsWith("@h1")).count();
-        assertTrue(drawn < 40, "sends to the bad backend: " + drawn + " of " + gateway.sends.size());
+        long atBadBackend = gateway.attempts.stream().filter(attempt -> attempt.endsWith("@h1")).count();
+        assertTrue(
+                atBadBackend < 40, "attempts at the bad backend: " + atBadBackend + " of " + gateway.attempts.size());
     }
 
     @Test
-    void backendsOfAZoneThatFailsTogetherAreAvoidedUntried() {
+    void avoidsUntriedBackendsWhenTheirZoneFails() {
         gateway.start(gateway.limits, 2);
         List<Endpoint> endpoints = new ArrayList<>();
         for (int i = 0; i < 8; i++) {
             endpoints.add(new Endpoint("w" + i, "west", "", 0, EndpointState.UP, 1, 0));
             endpoints.add(new Endpoint("e" + i, "east", "", 0, EndpointState.UP, 1, 0));
         }
-        gateway.list(true, endpoints.toArray(new Endpoint[0]));
+        gateway.updateEndpoints(true, endpoints.toArray(new Endpoint[0]));
         Set<String> tried = new TreeSet<>();
         for (int i = 0; i < 60; i++) {
-            gateway.until(10 * i);
-            int before = gateway.sends.size();
+            gateway.advanceTo(10 * i);
+            int before = gateway.attempts.size();
             gateway.module.requestArrived(
-                    gateway.now, new AdmissionRequest("r" + i, "look", "open", "c" + i, 1, 4000, 2, false));
-            for (int k = before; k < gateway.sends.size(); k++) {
-                String backend = gateway.sends.get(k).split("@")[1];
+                    gateway.nowMs, new AdmissionRequest("r" + i, "look", "open", "c" + i, 1, 4000, 2, false));
+            for (int index = before; index < gateway.attempts.size(); index++) {
+                String backend = gateway.attempts.get(index).split("@")[1];
                 boolean west = backend.startsWith("w");
                 if (west) {
                     tried.add(backend);
                 }
                 gateway.module.attemptEnded(
-                        gateway.now,
+                        gateway.nowMs,
                         new AttemptOutcome(
                                 "r" + i,
                                 backend,
-                                k - before,
+                                index - before,
                                 west ? AttemptStatus.UNREACHABLE : AttemptStatus.SERVED,
                                 170,
                                 !west,
@@ -137,56 +138,56 @@
                                 null));
             }
         }
-        assertTrue(tried.size() <= 5, "of eight lost backends tried " + tried);
+        assertTrue(tried.size() <= 5, "of eight unreachable backends, attempts were started at " + tried);
     }
 
-    /** An attempt in flight: its request, its backend and the time at which it ends. */
+    /** An attempt in flight. */
     private record Pending(String requestId, String backend, int endsAtMs) {}
 
     @Test
-    void whereConnectsFailBackendsThatRespondedLatelyArePreferred() {
+    void prefersBackendsThatRespondedRecentlyWhenConnectsFail() {
         gateway.start(gateway.limits, 2);
-        gateway.list(true, IntStream.range(0, 16).mapToObj(i -> up("h" + i)).toArray(Endpoint[]::new));
+        gateway.updateEndpoints(true, IntStream.range(0, 16).mapToObj(i -> up("h" + i)).toArray(Endpoint[]::new));
         Set<String> connected = new TreeSet<>();
         List<Pending> pending = new ArrayList<>();
         int failed = 0;
-        for (int t = 0; t < 6000; t += 10) {
-            gateway.until(t);
-            while (!pending.isEmpty() && pending.get(0).endsAtMs <= t) {
+        for (int timeMs = 0; timeMs < 6000; timeMs += 10) {
+            gateway.advanceTo(timeMs);
+            while (!pending.isEmpty() && pending.get(0).endsAtMs <= timeMs) {
                 Pending attempt = pending.remove(0);
-                boolean connects = t < 500 || connected.contains(attempt.backend);
+                boolean connects = timeMs < 500 || connected.contains(attempt.backend);
                 failed += connects ? 0 : 1;
                 if (connects) {
                     connected.add(attempt.backend);
                 }
-                int from = gateway.sends.size();
+                int from = gateway.attempts.size();
                 endLastAttempt(attempt, connects);
                 pending.addAll(pendingSince(from));
             }
-            if (t % 20 == 0) {
-                int from = gateway.sends.size();
+            if (timeMs % 20 == 0) {
+                int from = gateway.attempts.size();
                 gateway.module.requestArrived(
-                        t, new AdmissionRequest("r" + t, "look", "open", "c" + t, 1, 4000, 2, false));
+                        timeMs, new AdmissionRequest("r" + timeMs, "look", "open", "c" + timeMs, 1, 4000, 2, false));
                 pending.addAll(pendingSince(from));
             }
         }
-        assertTrue(connected.size() >= 3 && failed <= 12, "connects failed " + failed + ", connected " + connected);
+        assertTrue(connected.size() >= 3 && failed <= 12, "failed connects: " + failed + ", connected backends: " + connected);
     }
 
-    /** The attempts that were started since; each ends after 100 ms. */
+    /** Returns the attempts from this index on. Each ends after 100 ms. */
     private List<Pending> pendingSince(int from) {
-        return gateway.sends.subList(from, gateway.sends.size()).stream()
-                .map(send -> send.split("@"))
-                .map(send -> new Pending(send[0], send[1], (int) (gateway.now + 100)))
+        return gateway.attempts.subList(from, gateway.attempts.size()).stream()
+                .map(attempt -> attempt.split("@"))
+                .map(attempt -> new Pending(attempt[0], attempt[1], (int) (gateway.nowMs + 100)))
                 .toList();
     }
 
     private void endLastAttempt(Pending pending, boolean connects) {
-        long attempts = gateway.sends.stream()
-                .filter(send -> send.startsWith(pending.requestId + "@"))
+        long attempts = gateway.attempts.stream()
+                .filter(attempt -> attempt.startsWith(pending.requestId + "@"))
                 .count();
         gateway.module.attemptEnded(
-                gateway.now,
+                gateway.nowMs,
                 new AttemptOutcome(
                         pending.requestId,
                         pending.backend,
@@ -200,38 +201,40 @@
     }
 
     @Test
-    void aBackendWhoseAttemptsAreCancelledIsAvoided() {
+    void avoidsBackendWhenItsAttemptsAreCancelled() {
         gateway.start(gateway.limits, 2);
-        gateway.list(true, up("h1"), up("h2"), up("h3"));
-        int silent = 0;
-        int sent = 0;
+        gateway.updateEndpoints(true, up("h1"), up("h2"), up("h3"));
+        int atSilentBackend = 0;
+        int total = 0;
         for (int i = 0; i < 60; i++) {
-            gateway.until(gateway.now + 10);
-            int before = gateway.sends.size();
+            gateway.advanceTo(gateway.nowMs + 10);
+            int before = gateway.attempts.size();
             gateway.module.requestArrived(
-                    gateway.now, new AdmissionRequest("r" + i, "buy", "open", "c" + i, 1, 8000, 2, false));
-            gateway.until(gateway.now + (gateway.sends.size() > before ? 0 : 400));
-            if (gateway.sends.size() == before) {
+                    gateway.nowMs, new AdmissionRequest("r" + i, "buy", "open", "c" + i, 1, 8000, 2, false));
+            gateway.advanceTo(gateway.nowMs + (gateway.attempts.size() > before ? 0 : 400));
+            if (gateway.attempts.size() == before) {
                 continue; // queued while the capacity is bounded
             }
-            String backend = gateway.sends.get(before).split("@")[1];
-            boolean unanswered = backend.equals("h2");
-            silent += unanswered && i >= 20 ? 1 : 0;
-            sent += i >= 20 ? 1 : 0;
-            gateway.until(gateway.now + (unanswered ? 1500 : 400));
+            String backend = gateway.attempts.get(before).split("@")[1];
+            boolean isSilent = backend.equals("h2");
+            atSilentBackend += isSilent && i >= 20 ? 1 : 0;
+            total += i >= 20 ? 1 : 0;
+            gateway.advanceTo(gateway.nowMs + (isSilent ? 1500 : 400));
             gateway.module.attemptEnded(
-                    gateway.now,
+                    gateway.nowMs,
                     new AttemptOutcome(
                             "r" + i,
                             backend,
                             0,
-                            unanswered ? AttemptStatus.CANCELLED : AttemptStatus.SERVED,
-                            unanswered ? 1500 : 400,
+                            isSilent ? AttemptStatus.CANCELLED : AttemptStatus.SERVED,
+                            isSilent ? 1500 : 400,
                             true,
                             -1,
                             0,
                             null));
         }
-        assertTrue(sent >= 10 && silent <= sent / 4, "of " + sent + " the silent backend had " + silent);
+        assertTrue(
+                total >= 10 && atSilentBackend <= total / 4,
+                "attempts at the silent backend: " + atSilentBackend + " of " + total);
     }
 }
--- a/decision/src/test/java/opalcove/decision/CapacityControllerTest.java
+++ b/decision/src/test/java/opalcove/decision/CapacityControllerTest.java
@@ -12,129 +12,134 @@
 class CapacityControllerTest {
     private final RecordingGateway gateway = new RecordingGateway();
 
-    /** Asks every 50 ms, each answered 900 ms later; the gateway comes to its timers only so often. */
-    private void responsesThatTakeLong(int timersEveryMs) {
+    /**
+     * Submits a request every 50 ms and serves each 900 ms later. Timers expire only at multiples of this interval, ms.
+     */
+    private void serveResponsesLate(int timerIntervalMs) {
         gateway.start(gateway.limits, 2);
-        gateway.list(true, up("h1"), up("h2"));
-        for (int t = 0; t < 3000; t += 50) {
-            if (t % timersEveryMs == 0) {
-                gateway.now = t;
-                gateway.until(t);
+        gateway.updateEndpoints(true, up("h1"), up("h2"));
+        for (int timeMs = 0; timeMs < 3000; timeMs += 50) {
+            if (timeMs % timerIntervalMs == 0) {
+                gateway.nowMs = timeMs;
+                gateway.advanceTo(timeMs);
             }
-            gateway.module.requestArrived(t, new AdmissionRequest("r" + t, "look", "open", "c" + t, 1, 4000, 2, false));
-            if (t >= 900) {
+            gateway.module.requestArrived(timeMs, new AdmissionRequest("r" + timeMs, "look", "open", "c" + timeMs, 1, 4000, 2, false));
+            if (timeMs >= 900) {
                 gateway.module.attemptEnded(
-                        t, new AttemptOutcome("r" + (t - 900), "h1", 0, AttemptStatus.SERVED, 900, true, -1, 0, null));
+                        timeMs, new AttemptOutcome("r" + (timeMs - 900), "h1", 0, AttemptStatus.SERVED, 900, true, -1, 0, null));
             }
         }
     }
 
     @Test
-    void lateResponsesBoundTheCapacityAndCalmUnboundsIt() {
-        responsesThatTakeLong(50);
-        assertTrue(gateway.logs.stream().anyMatch(l -> l.startsWith("room bounded")), gateway.logs.toString());
-        gateway.until(20_000);
-        assertTrue(gateway.logs.stream().anyMatch(l -> l.startsWith("room unbounded")), gateway.logs.toString());
+    void boundsCapacityAfterLateResponsesAndUnboundsItWhenPressureEnds() {
+        serveResponsesLate(50);
+        assertTrue(gateway.logs.stream().anyMatch(line -> line.startsWith("room bounded")), gateway.logs.toString());
+        gateway.advanceTo(20_000);
+        assertTrue(gateway.logs.stream().anyMatch(line -> line.startsWith("room unbounded")), gateway.logs.toString());
     }
 
-    /** For 40 s, each fourth request counts eight units and takes 700 ms, the others count one and take 60 ms. */
-    private void largeRequestsTakeLong() {
+    /**
+     * Submits requests for 40 s. Every fourth has eight units and takes 700 ms, the others have one unit and take 60
+     * ms.
+     */
+    private void serveLargeRequestsSlowly() {
         gateway.start(gateway.limits, 2);
-        gateway.list(true, up("h1"), up("h2"));
-        List<AttemptOutcome> due = new ArrayList<>();
-        for (int t = 0; t < 40_000; t += 5) {
-            gateway.until(t);
-            for (AttemptOutcome each : List.copyOf(due)) {
-                int began = Integer.parseInt(each.requestId().substring(1));
-                if (began + each.elapsedMs() <= t) {
-                    due.remove(each);
-                    gateway.module.attemptEnded(t, each);
+        gateway.updateEndpoints(true, up("h1"), up("h2"));
+        List<AttemptOutcome> pending = new ArrayList<>();
+        for (int timeMs = 0; timeMs < 40_000; timeMs += 5) {
+            gateway.advanceTo(timeMs);
+            for (AttemptOutcome each : List.copyOf(pending)) {
+                int startedMs = Integer.parseInt(each.requestId().substring(1));
+                if (startedMs + each.elapsedMs() <= timeMs) {
+                    pending.remove(each);
+                    gateway.module.attemptEnded(timeMs, each);
                 }
             }
-            if (t % 50 != 0) continue;
-            boolean large = t % 200 == 0;
-            String id = "r" + t;
+            if (timeMs % 50 != 0) continue;
+            boolean large = timeMs % 200 == 0;
+            String id = "r" + timeMs;
             gateway.module.requestArrived(
-                    t, new AdmissionRequest(id, "look", "open", "c" + t, large ? 8 : 1, 4000, 2, false));
-            due.add(new AttemptOutcome(id, "h1", 0, AttemptStatus.SERVED, large ? 700 : 60, true, -1, 0, null));
+                    timeMs, new AdmissionRequest(id, "look", "open", "c" + timeMs, large ? 8 : 1, 4000, 2, false));
+            pending.add(new AttemptOutcome(id, "h1", 0, AttemptStatus.SERVED, large ? 700 : 60, true, -1, 0, null));
         }
     }
 
     @Test
-    void aLargeRequestIsShedSoonerForItNeedsLonger() {
-        largeRequestsTakeLong();
-        gateway.list(true);
+    void shedsLargeRequestSoonerThanSmallOne() {
+        serveLargeRequestsSlowly();
+        gateway.updateEndpoints(true);
         gateway.module.requestArrived(40_000, new AdmissionRequest("large", "look", "open", "d", 8, 4000, 2, false));
         gateway.module.requestArrived(40_000, new AdmissionRequest("small", "look", "open", "e", 1, 4000, 2, false));
-        gateway.until(40_200);
+        gateway.advanceTo(40_200);
         assertTrue(gateway.shed.contains("large"));
         assertFalse(gateway.shed.contains("small"));
     }
 
     @Test
-    void responsesThatLayUnreadWhileTheGatewayWasHeldUpBoundNothing() {
-        responsesThatTakeLong(400);
-        assertFalse(gateway.logs.stream().anyMatch(l -> l.startsWith("room bounded")), gateway.logs.toString());
+    void doesNotBoundCapacityWhenResponsesAreLateBecauseGatewayStalled() {
+        serveResponsesLate(400);
+        assertFalse(gateway.logs.stream().anyMatch(line -> line.startsWith("room bounded")), gateway.logs.toString());
     }
 
     @Test
-    void attemptsThatStayInFlightBoundTheCapacityThoughNoneIsAnswered() {
+    void boundsCapacityWhenNoAttemptReceivesResponse() {
         gateway.start(new DecisionSettings.Limits(4, false, true, false, true, 2000, 15_000, false), 2);
         List<Endpoint> endpoints = new ArrayList<>();
         for (int i = 0; i < 12; i++) {
             endpoints.add(up("h" + i));
         }
-        gateway.list(true, endpoints.toArray(new Endpoint[0]));
-        for (int t = 0; t < 3000; t += 50) {
-            gateway.until(t);
-            gateway.module.requestArrived(t, new AdmissionRequest("r" + t, "look", "open", "c" + t, 1, 1500, 2, false));
+        gateway.updateEndpoints(true, endpoints.toArray(new Endpoint[0]));
+        for (int timeMs = 0; timeMs < 3000; timeMs += 50) {
+            gateway.advanceTo(timeMs);
+            gateway.module.requestArrived(timeMs, new AdmissionRequest("r" + timeMs, "look", "open", "c" + timeMs, 1, 1500, 2, false));
         }
-        assertTrue(gateway.logs.stream().anyMatch(l -> l.startsWith("room bounded")), "silence is no calm");
+        assertTrue(gateway.logs.stream().anyMatch(line -> line.startsWith("room bounded")), "missing responses count as pressure");
     }
 
     @Test
-    void unansweredAttemptsWhereTheRestIsServedQuicklyAreNoPressure() {
+    void doesNotBoundCapacityWhenFewAttemptsReceiveNoResponseAndOthersAreFast() {
         gateway.start(new DecisionSettings.Limits(4, false, false, false, true, 2000, 15_000, false), 2);
         List<Endpoint> endpoints = new ArrayList<>();
         for (int i = 0; i < 12; i++) {
             endpoints.add(up("h" + i));
         }
-        gateway.list(true, endpoints.toArray(new Endpoint[0]));
-        for (int t = 0; t < 6000; t += 50) {
-            gateway.until(t);
-            int before = gateway.sends.size();
-            gateway.module.requestArrived(t, new AdmissionRequest("r" + t, "look", "open", "c" + t, 1, 1500, 2, false));
-            gateway.until(t + 40);
-            if (t / 50 % 7 != 0 && gateway.sends.size() > before) {
-                String[] s = gateway.sends.get(before).split("@");
-                gateway.endAttempt(s[0], s[1], 0, AttemptStatus.SERVED);
+        gateway.updateEndpoints(true, endpoints.toArray(new Endpoint[0]));
+        for (int timeMs = 0; timeMs < 6000; timeMs += 50) {
+            gateway.advanceTo(timeMs);
+            int before = gateway.attempts.size();
+            gateway.module.requestArrived(timeMs, new AdmissionRequest("r" + timeMs, "look", "open", "c" + timeMs, 1, 1500, 2, false));
+            gateway.advanceTo(timeMs + 40);
+            if (timeMs / 50 % 7 != 0 && gateway.attempts.size() > before) {
+                String[] attempt = gateway.attempts.get(before).split("@");
+                gateway.endAttempt(attempt[0], attempt[1], 0, AttemptStatus.SERVED);
             }
         }
-        assertFalse(gateway.logs.stream().anyMatch(l -> l.startsWith("room bounded")), gateway.logs.toString());
+        assertFalse(gateway.logs.stream().anyMatch(line -> line.startsWith("room bounded")), gateway.logs.toString());
     }
 
     @Test
-    void aSurgeIsQueuedBeforeItOverrunsTheBackends() {
+    void queuesSurgeBeforeItOverrunsBackends() {
         gateway.start(gateway.limits, 1);
-        gateway.list(true, up("h1"), up("h2"));
+        gateway.updateEndpoints(true, up("h1"), up("h2"));
         for (int i = 0; i < 50; i++) {
             gateway.module.requestArrived(0, new AdmissionRequest("r" + i, "look", "open", "c" + i, 1, 4000, 1, false));
         }
-        assertEquals(6, gateway.sends.size());
+        assertEquals(6, gateway.attempts.size());
     }
 
     @Test
-    void oneLateResponseASecondBoundsTheCapacityInTime() {
+    void boundsCapacityWhenOnlyOneLateResponseArrivesPerSecond() {
         gateway.start(gateway.limits, 200);
-        gateway.list(true, up("h1"), up("h2"));
-        for (int t = 0; t <= 8000; t += 1000) {
-            gateway.until(t);
+        gateway.updateEndpoints(true, up("h1"), up("h2"));
+        for (int timeMs = 0; timeMs <= 8000; timeMs += 1000) {
+            gateway.advanceTo(timeMs);
             gateway.module.requestArrived(
-                    t, new AdmissionRequest("r" + t, "look", "open", "c" + t, 1, 4000, 200, false));
-            gateway.until(t + 900);
+                    timeMs, new AdmissionRequest("r" + timeMs, "look", "open", "c" + timeMs, 1, 4000, 200, false));
+            gateway.advanceTo(timeMs + 900);
             gateway.module.attemptEnded(
-                    t + 900, new AttemptOutcome("r" + t, "h1", 0, AttemptStatus.SERVED, 900, true, -1, 0, null));
+                    timeMs + 900, new AttemptOutcome("r" + timeMs, "h1", 0, AttemptStatus.SERVED, 900, true, -1, 0, null));
         }
-        assertTrue(gateway.logs.stream().anyMatch(l -> l.startsWith("room bounded")), gateway.logs.toString());
+        assertTrue(gateway.logs.stream().anyMatch(line -> line.startsWith("room bounded")), gateway.logs.toString());
     }
 }
--- a/decision/src/test/java/opalcove/decision/ExampleTest.java
+++ b/decision/src/test/java/opalcove/decision/ExampleTest.java
@@ -6,56 +6,56 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** The worked example of README.md. */
+/** Shows how a gateway embeds the decision module: it delivers events and performs the actions that follow. */
 class ExampleTest {
-    /** A gateway that prints what it would do. */
-    static final class PrintingGateway implements DecisionActions {
-        final List<String> done = new ArrayList<>();
+    /** A gateway that describes the actions instead of performing them. */
+    static final class DescribingGateway implements DecisionActions {
+        final List<String> actions = new ArrayList<>();
 
         @Override
-        public void startAttempt(String id, String host, double timeoutMs) {
-            done.add("send " + id + " to " + host);
+        public void startAttempt(String id, String backend, double timeoutMs) {
+            actions.add("start attempt of " + id + " at " + backend);
         }
 
         @Override
         public void shed(String id, double retryAfterMs) {
-            done.add("refuse " + id);
+            actions.add("shed " + id);
         }
 
         @Override
         public void fail(String id) {
-            done.add("fail " + id);
+            actions.add("fail " + id);
         }
 
         @Override
         public void cancelAttempt(String id, int attempt) {
-            done.add("cancel " + id);
+            actions.add("cancel attempt " + attempt + " of " + id);
         }
 
         @Override
         public void setTimer(long token, double afterMs) {
-            // a real gateway calls module.timerExpired(now, token) after afterMs
+            // a real gateway calls module.timerExpired(nowMs, token) after afterMs
         }
 
         @Override
-        public void checkHealth(String host) {
-            done.add("probe " + host);
+        public void checkHealth(String backend) {
+            actions.add("check health of " + backend);
         }
 
         @Override
         public void subscribeToEndpoints() {
-            done.add("follow the host list");
+            actions.add("subscribe to endpoints");
         }
 
         @Override
         public void log(String line) {
-            done.add("log " + line);
+            actions.add("log " + line);
         }
     }
 
     @Test
-    void aGatewayEmbedsTheModule() {
-        PrintingGateway gateway = new PrintingGateway();
+    void gatewayEmbedsDecisionModule() {
+        DescribingGateway gateway = new DescribingGateway();
         DecisionSettings settings = new DecisionSettings(
                 0,
                 2,
@@ -77,6 +77,7 @@
         module.attemptEnded(40, new AttemptOutcome("r1", "h1", 0, AttemptStatus.SERVED, 37, true, 20, 0, null));
         module.requestArrived(50, new AdmissionRequest("r2", "read", "gold", "bob", 1, 2000, 2, false));
         assertEquals(
-                List.of("send r1 to h1", "log refused: unknown plan or class gold read", "refuse r2"), gateway.done);
+                List.of("start attempt of r1 at h1", "log refused: unknown plan or class gold read", "shed r2"),
+                gateway.actions);
     }
 }
--- a/decision/src/test/java/opalcove/decision/RecordingGateway.java
+++ b/decision/src/test/java/opalcove/decision/RecordingGateway.java
@@ -3,7 +3,7 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** A gateway that records what the module does. */
+/** A gateway that records the actions of its decision module. */
 final class RecordingGateway implements DecisionActions {
     static final DecisionSettings.RequestClass SAFE = new DecisionSettings.RequestClass(
             "look", 2, 0, 1000, 4000, Idempotency.SAFE, DeduplicationScope.ALL, 0, false);
@@ -20,19 +20,21 @@
 
     static final DecisionSettings.Plan OPEN = new DecisionSettings.Plan("open", 100, 100, 2, 1, 0, 1, 0, 0, 0);
 
-    final List<String> sends = new ArrayList<>();
+    /** The attempts that were started, each as request@backend. */
+    final List<String> attempts = new ArrayList<>();
     final List<String> shed = new ArrayList<>();
     final List<Double> retryAfters = new ArrayList<>();
     final List<String> failed = new ArrayList<>();
     final List<String> cancelled = new ArrayList<>();
     final List<String> logs = new ArrayList<>();
+    /** The pending timers: the time of expiry, ms, and the token. */
     final List<double[]> timers = new ArrayList<>();
     final DecisionSettings.Limits limits = new DecisionSettings.Limits(4, true, true, false, true, 2000, 15_000, false);
     AdmissionController module;
-    double now;
+    double nowMs;
 
-    /** One of so many gateways, with a seed of its own. */
-    static RecordingGateway of(int gateways, long seed) {
+    /** Returns one of this number of gateways, started with this seed. */
+    static RecordingGateway startedWith(int gateways, long seed) {
         RecordingGateway gateway = new RecordingGateway();
         gateway.start(gateway.limits, gateways, seed);
         return gateway;
@@ -44,45 +46,45 @@
 
     private void start(DecisionSettings.Limits limits, int gateways, long seed) {
         module = new AdmissionController(
-                now,
+                nowMs,
                 settings(limits, gateways, List.of(SAFE, KEYED, UNSAFE), List.of(PLAIN, CAPPED, OPEN)),
                 seed,
                 this);
     }
 
-    void list(boolean whole, Endpoint... lines) {
-        module.endpointsChanged(now, whole, List.of(lines));
+    void updateEndpoints(boolean complete, Endpoint... endpoints) {
+        module.endpointsChanged(nowMs, complete, List.of(endpoints));
     }
 
-    void submit(String id, String requestClass, String plan, double budget) {
-        module.requestArrived(now, new AdmissionRequest(id, requestClass, plan, "c", 1, budget, 2, false));
+    void submit(String id, String requestClass, String plan, double budgetMs) {
+        module.requestArrived(nowMs, new AdmissionRequest(id, requestClass, plan, "c", 1, budgetMs, 2, false));
     }
 
-    void endAttempt(String id, String backend, int attempt, AttemptStatus result) {
+    void endAttempt(String id, String backend, int attempt, AttemptStatus status) {
         module.attemptEnded(
-                now, new AttemptOutcome(id, backend, attempt, result, 50, result == AttemptStatus.SERVED, -1, 0, null));
+                nowMs, new AttemptOutcome(id, backend, attempt, status, 50, status == AttemptStatus.SERVED, -1, 0, null));
     }
 
-    /** Lets time pass, with every timer in its turn. */
-    void until(double time) {
+    /** Advances the time and delivers the timers that expire until then, in the order of their times. */
+    void advanceTo(double timeMs) {
         while (true) {
             double[] next = null;
             for (double[] each : timers) {
-                next = each[0] <= time && (next == null || each[0] < next[0]) ? each : next;
+                next = each[0] <= timeMs && (next == null || each[0] < next[0]) ? each : next;
             }
             if (next == null) {
                 break;
             }
             timers.remove(next);
-            now = Math.max(now, next[0]);
-            module.timerExpired(now, (long) next[1]);
+            nowMs = Math.max(nowMs, next[0]);
+            module.timerExpired(nowMs, (long) next[1]);
         }
-        now = time;
+        nowMs = timeMs;
     }
 
     @Override
     public void startAttempt(String id, String backend, double timeoutMs) {
-        sends.add(id + "@" + backend);
+        attempts.add(id + "@" + backend);
     }
 
     @Override
@@ -103,7 +105,7 @@
 
     @Override
     public void setTimer(long token, double afterMs) {
-        timers.add(new double[] {now + afterMs, token});
+        timers.add(new double[] {nowMs + afterMs, token});
     }
 
     @Override
@@ -113,7 +115,7 @@
 
     @Override
     public void subscribeToEndpoints() {
-        throw new AssertionError("the list is pushed");
+        throw new AssertionError("the endpoint list is pushed, not polled");
     }
 
     @Override
@@ -121,13 +123,13 @@
         logs.add(line);
     }
 
-    /** Serves thirty requests at once, so that there is a retry budget. */
-    void warmUp() {
+    /** Serves thirty requests immediately, so that the retry budget has tokens. */
+    void fillRetryBudget() {
         for (int i = 0; i < 30; i++) {
-            module.requestArrived(now, new AdmissionRequest("w" + i, "look", "open", "w" + i, 1, 4000, 2, false));
+            module.requestArrived(nowMs, new AdmissionRequest("w" + i, "look", "open", "w" + i, 1, 4000, 2, false));
             endAttempt("w" + i, "", 0, AttemptStatus.SERVED);
         }
-        sends.clear();
+        attempts.clear();
     }
 
     static DecisionSettings settings(
@@ -151,8 +153,8 @@
                 List.of());
     }
 
-    static Endpoint endpoint(String id, String zone, EndpointState state, double started) {
-        return new Endpoint(id, zone, "any", 0, state, 1, started);
+    static Endpoint endpoint(String id, String zone, EndpointState state, double startedMs) {
+        return new Endpoint(id, zone, "any", 0, state, 1, startedMs);
     }
 
     static Endpoint up(String id) {
--- a/decision/src/test/java/opalcove/decision/RequestForwarderTest.java
+++ b/decision/src/test/java/opalcove/decision/RequestForwarderTest.java
@@ -14,153 +14,153 @@
     private final RecordingGateway gateway = new RecordingGateway();
 
     @Test
-    void everyRequestIsAnsweredBeforeItsBudgetEndsThoughNoBackendIsKnown() {
+    void endsEveryRequestBeforeItsBudgetEndsWhenNoBackendIsKnown() {
         gateway.start(gateway.limits, 2);
-        gateway.list(true);
+        gateway.updateEndpoints(true);
         gateway.submit("a", "look", "plain", 4000);
         gateway.submit("b", "buy", "plain", 4000);
-        gateway.until(4000);
+        gateway.advanceTo(4000);
         assertEquals(2, gateway.shed.size());
-        gateway.until(9000);
+        gateway.advanceTo(9000);
         assertEquals(2, gateway.shed.size() + gateway.failed.size());
     }
 
     @Test
-    void aRequestLostAtABackendIsAnsweredBeforeItsBudgetEnds() {
+    void endsRequestBeforeItsBudgetEndsWhenBackendNeverResponds() {
         gateway.start(gateway.limits, 2);
-        gateway.list(true, up("h1"), up("h2"));
+        gateway.updateEndpoints(true, up("h1"), up("h2"));
         gateway.submit("a", "look", "plain", 4000);
         gateway.submit("b", "buy", "plain", 4000);
-        gateway.until(3999);
+        gateway.advanceTo(3999);
         assertEquals(List.of("a"), gateway.shed);
         assertEquals(List.of("b"), gateway.failed);
     }
 
     @Test
-    void anUnsafeRequestThatMayHaveRunIsNeitherRetriedNorShed() {
+    void failsUnsafeRequestWithoutRetryWhenItMayHaveRun() {
         gateway.start(gateway.limits, 2);
-        gateway.list(true, up("h1"), up("h2"));
-        gateway.warmUp();
+        gateway.updateEndpoints(true, up("h1"), up("h2"));
+        gateway.fillRetryBudget();
         gateway.submit("a", "buy", "plain", 4000);
-        gateway.until(100);
+        gateway.advanceTo(100);
         gateway.endAttempt("a", "h1", 0, AttemptStatus.ERROR);
-        assertEquals(1, gateway.sends.size());
+        assertEquals(1, gateway.attempts.size());
         assertEquals(List.of("a"), gateway.failed);
         assertTrue(gateway.shed.isEmpty());
     }
 
     @Test
-    void anUnsafeRequestThatNeverRanIsRetried() {
+    void retriesUnsafeRequestThatNeverRan() {
         gateway.start(gateway.limits, 2);
-        gateway.list(true, up("h1"), up("h2"));
+        gateway.updateEndpoints(true, up("h1"), up("h2"));
         gateway.submit("a", "buy", "plain", 4000);
         gateway.endAttempt("a", "h1", 0, AttemptStatus.REJECTED);
-        assertEquals(2, gateway.sends.size());
+        assertEquals(2, gateway.attempts.size());
     }
 
     @Test
-    void aKeyedRequestThatMayHaveRunStaysInItsZoneAndIsNotShed() {
+    void retriesKeyedRequestOnlyInItsZoneAndDoesNotShedItWhenItMayHaveRun() {
         gateway.start(gateway.limits, 2);
-        gateway.list(true, up("h1"), endpoint("w1", "west", EndpointState.UP, 0));
+        gateway.updateEndpoints(true, up("h1"), endpoint("w1", "west", EndpointState.UP, 0));
         for (int i = 0; i < 40; i++) {
-            int from = gateway.sends.size();
+            int before = gateway.attempts.size();
             gateway.module.requestArrived(
-                    gateway.now, new AdmissionRequest("k" + i, "mark", "plain", "c" + i, 1, 4000, 2, false));
+                    gateway.nowMs, new AdmissionRequest("k" + i, "mark", "plain", "c" + i, 1, 4000, 2, false));
             gateway.endAttempt("k" + i, "", 0, AttemptStatus.ERROR);
-            if (gateway.sends.size() > from + 1) {
+            if (gateway.attempts.size() > before + 1) {
                 gateway.endAttempt("k" + i, "", 1, AttemptStatus.SERVED);
             }
         }
-        assertTrue(gateway.sends.size() > 40, "some are sent again");
+        assertTrue(gateway.attempts.size() > 40, "some requests are retried");
         for (int i = 0; i < 40; i++) {
             String id = "k" + i;
-            List<String> to = gateway.sends.stream()
-                    .filter(s -> s.startsWith(id + "@"))
+            List<String> distinctAttempts = gateway.attempts.stream()
+                    .filter(attempt -> attempt.startsWith(id + "@"))
                     .distinct()
                     .toList();
-            assertEquals(1, to.size(), to.toString());
+            assertEquals(1, distinctAttempts.size(), distinctAttempts.toString());
             assertFalse(gateway.shed.contains(id));
         }
     }
 
     @Test
-    void aKeyedRequestIsNotRetriedPastItsWindow() {
+    void doesNotRetryKeyedRequestAfterItsWindow() {
         gateway.start(new DecisionSettings.Limits(4, false, false, false, true, 2000, 15_000, false), 2);
-        gateway.list(true, up("h1"), up("h2"));
-        gateway.warmUp();
+        gateway.updateEndpoints(true, up("h1"), up("h2"));
+        gateway.fillRetryBudget();
         gateway.submit("k0", "mark", "open", 8000);
-        gateway.until(3001);
+        gateway.advanceTo(3001);
         gateway.endAttempt("k0", "h1", 0, AttemptStatus.ERROR);
-        assertEquals(1, gateway.sends.stream().filter(s -> s.startsWith("k0@")).count());
+        assertEquals(1, gateway.attempts.stream().filter(attempt -> attempt.startsWith("k0@")).count());
         assertEquals(List.of("k0"), gateway.failed);
     }
 
     @Test
-    void neverTwoAttemptsAtOnceWhereTheSiteForbidsIt() {
+    void startsNoSecondAttemptWhenHedgingIsForbidden() {
         gateway.start(new DecisionSettings.Limits(4, false, false, false, true, 2000, 15_000, false), 2);
-        gateway.list(true, up("h1"), up("h2"));
-        gateway.warmUp();
+        gateway.updateEndpoints(true, up("h1"), up("h2"));
+        gateway.fillRetryBudget();
         gateway.submit("a", "look", "plain", 4000);
-        gateway.until(3900);
-        assertEquals(1, gateway.sends.size());
+        gateway.advanceTo(3900);
+        assertEquals(1, gateway.attempts.size());
     }
 
     @Test
-    void aSlowAttemptIsHedgedWhereTheSiteAllowsIt() {
+    void hedgesSlowAttemptWhenHedgingIsAllowed() {
         gateway.start(gateway.limits, 2);
-        gateway.list(true, up("h1"), up("h2"));
-        gateway.warmUp();
+        gateway.updateEndpoints(true, up("h1"), up("h2"));
+        gateway.fillRetryBudget();
         gateway.submit("a", "look", "plain", 4000);
-        gateway.until(3900);
-        assertEquals(2, gateway.sends.size());
+        gateway.advanceTo(3900);
+        assertEquals(2, gateway.attempts.size());
     }
 
     @Test
-    void nothingIsHedgedWhereAllBackendsAreSlow() {
+    void hedgesOnlyFirstRequestWhenAllBackendsAreSlow() {
         gateway.start(gateway.limits, 2);
-        gateway.list(true, up("h1"), up("h2"), up("h3"), up("h4"), up("h5"), up("h6"));
-        gateway.warmUp();
+        gateway.updateEndpoints(true, up("h1"), up("h2"), up("h3"), up("h4"), up("h5"), up("h6"));
+        gateway.fillRetryBudget();
         for (int i = 0; i < 4; i++) {
             gateway.module.requestArrived(
-                    gateway.now, new AdmissionRequest("r" + i, "look", "plain", "c" + i, 1, 4000, 2, false));
+                    gateway.nowMs, new AdmissionRequest("r" + i, "look", "plain", "c" + i, 1, 4000, 2, false));
         }
-        assertEquals(4, gateway.sends.size());
-        gateway.until(3900);
-        assertEquals(5, gateway.sends.size(), "the first gets one");
+        assertEquals(4, gateway.attempts.size());
+        gateway.advanceTo(3900);
+        assertEquals(5, gateway.attempts.size(), "only the first request is hedged");
     }
 
     @Test
-    void aRequestThatCannotBeServedIsAnsweredAtOnce() {
+    void endsRequestEarlyWhenItCannotBeServed() {
         gateway.start(new DecisionSettings.Limits(4, false, false, false, true, 2000, 15_000, false), 2);
-        gateway.list(true, up("h1"));
+        gateway.updateEndpoints(true, up("h1"));
         gateway.submit("short", "look", "open", 200);
         gateway.endAttempt("short", "h1", 0, AttemptStatus.REJECTED);
-        assertEquals(List.of("short"), gateway.shed, "no backend, no time to wait for one");
+        assertEquals(List.of("short"), gateway.shed, "no backend is available, and there is no time to wait for one");
         gateway.submit("next", "look", "open", 200);
-        assertEquals(List.of("short", "next"), gateway.shed, "no backend, no time to wait for one");
+        assertEquals(List.of("short", "next"), gateway.shed, "no backend is available, and there is no time to wait for one");
         gateway.submit("keyed", "mark", "open", 8000);
-        gateway.until(1500);
+        gateway.advanceTo(1500);
         gateway.submit("wait", "look", "open", 4000);
-        gateway.until(2200);
+        gateway.advanceTo(2200);
         gateway.endAttempt("keyed", "h1", 0, AttemptStatus.UNREACHABLE);
-        gateway.until(2300);
-        assertTrue(gateway.shed.contains("keyed"), "rejected past its wait: " + gateway.shed);
-        gateway.until(2900);
+        gateway.advanceTo(2300);
+        assertTrue(gateway.shed.contains("keyed"), "rejected after its maximum time in the queue: " + gateway.shed);
+        gateway.advanceTo(2900);
         assertEquals(
                 4,
                 gateway.shed.size()
                         + gateway.failed.size()
-                        + gateway.sends.stream()
-                                .filter(x -> x.startsWith("wait@"))
+                        + gateway.attempts.stream()
+                                .filter(attempt -> attempt.startsWith("wait@"))
                                 .count(),
-                "none waits for its deadline");
+                "every request ends before its deadline");
     }
 
-    /** Guards against a release of the queue that loses or repeats requests which go back to it while it is read. */
+    /** Releasing a queue must not lose or repeat requests that return to it while it is read. */
     @Test
-    void requestsThatGoBackToTheirQueueAreForwardedOnceAndInTheirOrder() {
+    void forwardsRequestsOnceAndInOrderWhenTheyReturnToTheirQueue() {
         gateway.start(gateway.limits, 2);
-        gateway.list(
+        gateway.updateEndpoints(
                 true,
                 endpoint("h1", "east", EndpointState.DRAINING, 0),
                 endpoint("h2", "east", EndpointState.DRAINING, 0),
@@ -170,20 +170,20 @@
             submitted.add("r" + i);
             gateway.submit("r" + i, "look", "open", 4000);
         }
-        gateway.until(100);
-        assertEquals(List.of(), gateway.sends);
+        gateway.advanceTo(100);
+        assertEquals(List.of(), gateway.attempts);
         assertEquals(List.of(), gateway.shed);
-        gateway.list(true, up("h1"), up("h2"), up("h3"));
+        gateway.updateEndpoints(true, up("h1"), up("h2"), up("h3"));
         for (int served = 0; served < submitted.size(); ) {
-            gateway.until(gateway.now + 20);
-            for (; served < gateway.sends.size(); served++) {
-                String[] attempt = gateway.sends.get(served).split("@");
+            gateway.advanceTo(gateway.nowMs + 20);
+            for (; served < gateway.attempts.size(); served++) {
+                String[] attempt = gateway.attempts.get(served).split("@");
                 gateway.endAttempt(attempt[0], attempt[1], 0, AttemptStatus.SERVED);
             }
-            assertTrue(gateway.now < 4000, "sent " + gateway.sends + ", shed " + gateway.shed);
+            assertTrue(gateway.nowMs < 4000, "attempts " + gateway.attempts + ", shed " + gateway.shed);
         }
         assertEquals(
                 submitted,
-                gateway.sends.stream().map(each -> each.split("@")[0]).toList());
+                gateway.attempts.stream().map(each -> each.split("@")[0]).toList());
     }
 }
--- a/decision/src/test/java/opalcove/decision/SeededTraffic.java
+++ b/decision/src/test/java/opalcove/decision/SeededTraffic.java
@@ -14,16 +14,17 @@
 import java.util.TreeMap;
 
 /**
- * Drives the decision module with a seeded sequence of events and digests every action that it takes, in order. The
- * sequence depends on the module's actions alone: timers, outcomes and lists follow from what it asked for.
+ * Sends a seeded sequence of events to the decision module and computes a digest of all its actions, in order. The
+ * sequence depends only on the seed and the actions of the module: timers, outcomes and endpoint lists follow from the
+ * actions.
  */
 final class SeededTraffic implements DecisionActions {
-    /** What a run varies beside its seed. */
+    /** The parameters of a run other than its seed. */
     record Scenario(
             String name,
             int gateways,
             double meterPeriodMs,
-            boolean unitsAreGuesses,
+            boolean unitsAreEstimates,
             boolean mayHedge,
             boolean mayCancel,
             boolean mayProbe,
@@ -47,24 +48,24 @@
             new DecisionSettings.Plan("open", 0, 0, 3, 0.7, 0, 1, 0, 0, 0),
             new DecisionSettings.Plan("free", 0, 0, 0, 0.5, 0, 0, 0, 0, 0));
 
-    private record Due(double at, long serial, Runnable event) {}
+    private record Due(double timeMs, long serial, Runnable event) {}
 
     private final Scenario scenario;
     private final SplittableRandom random;
     private final AdmissionController module;
     private final PriorityQueue<Due> due =
-            new PriorityQueue<>((a, b) -> a.at != b.at ? Double.compare(a.at, b.at) : Long.compare(a.serial, b.serial));
+            new PriorityQueue<>((a, b) -> a.timeMs != b.timeMs ? Double.compare(a.timeMs, b.timeMs) : Long.compare(a.serial, b.serial));
     private final Map<String, Integer> counts = new TreeMap<>();
     private final Map<String, Integer> attempts = new TreeMap<>();
     private final Map<String, AdmissionRequest> requests = new TreeMap<>();
     private final Set<String> finished = new HashSet<>();
-    private final Set<String> ended = new HashSet<>();
-    private final Set<Long> forgotten = new HashSet<>();
+    private final Set<String> endedAttempts = new HashSet<>();
+    private final Set<Long> cancelledTimers = new HashSet<>();
     private final List<Endpoint> endpoints = new ArrayList<>();
     private final MessageDigest digest;
-    private double now = 1000;
+    private double nowMs = 1000;
     private long serial;
-    private boolean pressed;
+    private boolean underPressure;
 
     private SeededTraffic(Scenario scenario, long seed) {
         this.scenario = scenario;
@@ -74,13 +75,13 @@
         } catch (NoSuchAlgorithmException e) {
             throw new IllegalStateException(e);
         }
-        module = new AdmissionController(now, settings(), seed * 31, this);
+        module = new AdmissionController(nowMs, settings(), seed * 31, this);
     }
 
-    /** Runs a scenario; returns the number of actions by kind and a digest of all of them. */
+    /** Runs a scenario and returns the number of actions by kind and a digest of all actions. */
     static String run(Scenario scenario, long seed) {
         SeededTraffic traffic = new SeededTraffic(scenario, seed);
-        traffic.play();
+        traffic.run();
         String hash = HexFormat.of().formatHex(traffic.digest.digest()).substring(0, 24);
         return scenario.name + " " + seed + " " + traffic.counts + " " + hash;
     }
@@ -105,7 +106,7 @@
                 "east",
                 2,
                 scenario.meterPeriodMs,
-                scenario.unitsAreGuesses,
+                scenario.unitsAreEstimates,
                 CLASSES,
                 PLANS,
                 new DecisionSettings.Limits(
@@ -117,51 +118,51 @@
                 List.of());
     }
 
-    private void play() {
+    private void run() {
         for (int i = 0; i < 8; i++) {
             endpoints.add(
                     new Endpoint("h" + i, ZONES[i % 2], KINDS[i % 3], i / 3, EndpointState.UP, 1 + i % 3 * 0.5, 0));
         }
-        module.endpointsChanged(now, true, List.copyOf(endpoints));
+        module.endpointsChanged(nowMs, true, List.copyOf(endpoints));
         for (int i = 0; i < REQUESTS; i++) {
-            pressed = i > REQUESTS / 3 && i < REQUESTS / 2;
-            advance(now + random.nextDouble(pressed ? 12 : 30));
+            underPressure = i > REQUESTS / 3 && i < REQUESTS / 2;
+            advanceTo(nowMs + random.nextDouble(underPressure ? 12 : 30));
             submit("r" + i);
             if (i % 40 == 39) {
-                changeList();
+                changeEndpoints();
             }
             if (i % 97 == 96) {
-                heldUp();
+                stall();
             }
             if (i % 25 == 24) {
                 recordCapacityShares();
             }
             if (i % 60 == 59) {
                 module.loadReported(
-                        now, "h" + random.nextInt(9), random.nextInt(20), random.nextInt(3), random.nextInt(400) - 20);
+                        nowMs, "h" + random.nextInt(9), random.nextInt(20), random.nextInt(3), random.nextInt(400) - 20);
             }
         }
-        advance(now + 12_000);
+        advanceTo(nowMs + 12_000);
         recordCapacityShares();
     }
 
-    /** Lets time pass; each event that falls due is delivered at its own time. */
-    private void advance(double until) {
-        while (!due.isEmpty() && due.peek().at <= until) {
+    /** Advances the time and delivers each event that is due until then, at its own time. */
+    private void advanceTo(double timeMs) {
+        while (!due.isEmpty() && due.peek().timeMs <= timeMs) {
             Due next = due.poll();
-            now = Math.max(now, next.at);
+            nowMs = Math.max(nowMs, next.timeMs);
             next.event.run();
         }
-        now = until;
+        nowMs = timeMs;
     }
 
-    /** The gateway itself stands still: what falls due meanwhile is delivered late. */
-    private void heldUp() {
-        now += 40 + random.nextDouble(200);
+    /** Stalls the gateway: events that are due during the stall are delivered late. */
+    private void stall() {
+        nowMs += 40 + random.nextDouble(200);
     }
 
-    private void at(double afterMs, Runnable event) {
-        due.add(new Due(now + afterMs, serial++, event));
+    private void schedule(double afterMs, Runnable event) {
+        due.add(new Due(nowMs + afterMs, serial++, event));
     }
 
     private void submit(String id) {
@@ -169,43 +170,43 @@
         String plan = random.nextInt(50) == 0
                 ? "nosuch"
                 : PLANS.get(random.nextInt(PLANS.size())).name();
-        boolean later = random.nextInt(6) == 0;
-        double budget = requestClass.deadlineMs() * (later ? 0.2 + random.nextDouble(0.7) : 0.9);
+        boolean isRetry = random.nextInt(6) == 0;
+        double budgetMs = requestClass.deadlineMs() * (isRetry ? 0.2 + random.nextDouble(0.7) : 0.9);
         AdmissionRequest request = new AdmissionRequest(
                 id,
                 requestClass.name(),
                 plan,
                 plan + random.nextInt(6),
                 1 + random.nextInt(5),
-                budget,
+                budgetMs,
                 1 + random.nextInt(scenario.gateways),
-                later && random.nextBoolean());
+                isRetry && random.nextBoolean());
         requests.put(id, request);
-        module.requestArrived(now, request);
+        module.requestArrived(nowMs, request);
         if (random.nextInt(20) == 0) {
-            at(random.nextDouble(600), () -> {
+            schedule(random.nextDouble(600), () -> {
                 finished.add(id);
-                module.requestCancelled(now, id);
+                module.requestCancelled(nowMs, id);
             });
         }
     }
 
-    private void changeList() {
+    private void changeEndpoints() {
         int index = random.nextInt(endpoints.size());
         Endpoint endpoint = endpoints.get(index);
         switch (random.nextInt(5)) {
             case 0 -> endpoints.set(index, with(endpoint, EndpointState.DRAINING, endpoint.startedMs()));
-            case 1 -> endpoints.set(index, with(endpoint, EndpointState.UP, now));
+            case 1 -> endpoints.set(index, with(endpoint, EndpointState.UP, nowMs));
             case 2 -> endpoints.set(index, with(endpoint, EndpointState.REMOVED, endpoint.startedMs()));
-            case 3 -> endpoints.add(new Endpoint("n" + serial, "west", "large", 7, EndpointState.UP, 2, now - 100));
+            case 3 -> endpoints.add(new Endpoint("n" + serial, "west", "large", 7, EndpointState.UP, 2, nowMs - 100));
             default -> endpoints.set(index, with(endpoint, EndpointState.UP, endpoint.startedMs()));
         }
         boolean complete = random.nextInt(3) == 0;
         if (scenario.listOnRequest && random.nextInt(3) == 0) {
-            module.endpointListFailed(now);
+            module.endpointListFailed(nowMs);
         } else {
             module.endpointsChanged(
-                    now,
+                    nowMs,
                     complete,
                     complete ? List.copyOf(endpoints) : List.of(endpoints.get(Math.min(index, endpoints.size() - 1))));
         }
@@ -216,72 +217,73 @@
                 endpoint.id(), endpoint.zone(), endpoint.kind(), endpoint.cell(), state, endpoint.size(), startedMs);
     }
 
-    /** An attempt's end, drawn by the backend it went to and by whether the backends are pressed. */
+    /** Draws the outcome of an attempt, which depends on its backend and on whether the backends are under pressure. */
     private void scheduleOutcome(String id, int attempt, String backend) {
-        double elapsedMs = 20 + random.nextDouble(backend.endsWith("3") ? 400 : 150) + (pressed ? 500 : 0);
+        double elapsedMs = 20 + random.nextDouble(backend.endsWith("3") ? 400 : 150) + (underPressure ? 500 : 0);
         int draw = random.nextInt(100);
-        AttemptStatus result;
+        AttemptStatus status;
         if (backend.endsWith("5") && draw < 40) {
-            result = AttemptStatus.UNREACHABLE;
+            status = AttemptStatus.UNREACHABLE;
         } else if (draw < 80) {
-            result = AttemptStatus.SERVED;
+            status = AttemptStatus.SERVED;
         } else if (draw < 84) {
-            result = AttemptStatus.ERROR;
+            status = AttemptStatus.ERROR;
         } else if (draw < 89) {
-            result = AttemptStatus.REJECTED;
+            status = AttemptStatus.REJECTED;
         } else if (draw < 92) {
-            result = AttemptStatus.UNREACHABLE;
+            status = AttemptStatus.UNREACHABLE;
         } else if (draw < 95) {
-            result = AttemptStatus.BROKEN;
+            status = AttemptStatus.BROKEN;
         } else if (draw < 96) {
-            result = AttemptStatus.NOT_SENT;
+            status = AttemptStatus.NOT_SENT;
         } else {
-            result = AttemptStatus.TIMED_OUT;
+            status = AttemptStatus.TIMED_OUT;
             elapsedMs += 1200;
         }
         AdmissionRequest request = requests.get(id);
-        if (request.requestClass().equals("hear") && result == AttemptStatus.SERVED) {
-            at(elapsedMs / 2, () -> module.responseStarted(now, id, attempt));
+        if (request.requestClass().equals("hear") && status == AttemptStatus.SERVED) {
+            schedule(elapsedMs / 2, () -> module.responseStarted(nowMs, id, attempt));
         }
-        double tookMs = elapsedMs;
-        at(elapsedMs, () -> end(id, attempt, backend, result, tookMs));
+        double totalMs = elapsedMs;
+        schedule(elapsedMs, () -> end(id, attempt, backend, status, totalMs));
     }
 
-    private void end(String id, int attempt, String backend, AttemptStatus result, double elapsedMs) {
-        if (!ended.add(id + "/" + attempt)) {
+    private void end(String id, int attempt, String backend, AttemptStatus status, double elapsedMs) {
+        if (!endedAttempts.add(id + "/" + attempt)) {
             return;
         }
-        if (result == AttemptStatus.SERVED) {
+        if (status == AttemptStatus.SERVED) {
             finished.add(id);
         }
-        boolean answered = result == AttemptStatus.SERVED || result == AttemptStatus.ERROR;
-        int usedPercent = answered && scenario.meterPeriodMs > 0 && random.nextInt(3) > 0 ? random.nextInt(300) : -1;
-        double trueUnits = answered && scenario.unitsAreGuesses ? 1 + random.nextInt(8) : 0;
+        boolean hasResponse = status == AttemptStatus.SERVED || status == AttemptStatus.ERROR;
+        int usedPercent = hasResponse && scenario.meterPeriodMs > 0 && random.nextInt(3) > 0 ? random.nextInt(300) : -1;
+        double trueUnits = hasResponse && scenario.unitsAreEstimates ? 1 + random.nextInt(8) : 0;
         module.attemptEnded(
-                now,
+                nowMs,
                 new AttemptOutcome(
-                        id, backend, attempt, result, elapsedMs, finished.contains(id), usedPercent, trueUnits, null));
-        if (answered && random.nextInt(30) == 0) {
-            module.usageReported(now, requests.get(id), random.nextInt(200), 1 + random.nextInt(4));
+                        id, backend, attempt, status, elapsedMs, finished.contains(id), usedPercent, trueUnits, null));
+        if (hasResponse && random.nextInt(30) == 0) {
+            module.usageReported(nowMs, requests.get(id), random.nextInt(200), 1 + random.nextInt(4));
         }
     }
 
     private void recordCapacityShares() {
-        for (CapacityShare share : module.capacityShares(now)) {
+        for (CapacityShare share : module.capacityShares(nowMs)) {
             record("room", share.backend(), share.share());
         }
     }
 
+    /** Adds an action to the digest. The kinds are part of the recorded digests, so their names must not change. */
     private void record(String kind, Object... parts) {
         counts.merge(kind, 1, Integer::sum);
-        StringBuilder line = new StringBuilder(kind).append('@').append(rounded(now));
+        StringBuilder line = new StringBuilder(kind).append('@').append(rounded(nowMs));
         for (Object part : parts) {
             line.append(' ').append(part instanceof Double number ? rounded(number) : part);
         }
         digest.update(line.append('\n').toString().getBytes(StandardCharsets.UTF_8));
     }
 
-    /** In millionths, for Math.exp and Math.pow may differ in the last place from one platform to the next. */
+    /** Rounds to millionths, because Math.exp and Math.pow may differ in the last place between platforms. */
     private static long rounded(double number) {
         return Math.round(number * 1e6);
     }
@@ -309,15 +311,15 @@
     public void cancelAttempt(String id, int attempt) {
         record("cancel", id, attempt);
         double afterMs = 1 + random.nextDouble(5);
-        at(afterMs, () -> end(id, attempt, "", AttemptStatus.CANCELLED, afterMs));
+        schedule(afterMs, () -> end(id, attempt, "", AttemptStatus.CANCELLED, afterMs));
     }
 
     @Override
     public void setTimer(long token, double afterMs) {
         record("wake", token, afterMs);
-        at(afterMs, () -> {
-            if (!forgotten.remove(token)) {
-                module.timerExpired(now, token);
+        schedule(afterMs, () -> {
+            if (!cancelledTimers.remove(token)) {
+                module.timerExpired(nowMs, token);
             }
         });
     }
@@ -325,24 +327,24 @@
     @Override
     public void cancelTimer(long token) {
         record("forget", token);
-        forgotten.add(token);
+        cancelledTimers.add(token);
     }
 
     @Override
     public void checkHealth(String backend) {
         record("probe", backend);
-        ProbeStatus result = ProbeStatus.values()[random.nextInt(3)];
-        at(30, () -> module.healthCheckEnded(now, backend, result, 30, null));
+        ProbeStatus status = ProbeStatus.values()[random.nextInt(3)];
+        schedule(30, () -> module.healthCheckEnded(nowMs, backend, status, 30, null));
     }
 
     @Override
     public void subscribeToEndpoints() {
         record("follow");
-        at(20, () -> {
+        schedule(20, () -> {
             if (random.nextInt(3) == 0) {
-                module.endpointListFailed(now);
+                module.endpointListFailed(nowMs);
             } else {
-                module.endpointsChanged(now, true, List.copyOf(endpoints));
+                module.endpointsChanged(nowMs, true, List.copyOf(endpoints));
             }
         });
     }
--- a/decision/src/test/java/opalcove/decision/SlowStartTest.java
+++ b/decision/src/test/java/opalcove/decision/SlowStartTest.java
@@ -15,117 +15,121 @@
     private final RecordingGateway gateway = new RecordingGateway();
 
     @Test
-    void aStartingBackendGetsLessThanItsInitialShareOfTheOthersPace() {
+    void limitsAttemptsAtStartingBackendToItsInitialShareOfTheWarmPace() {
         gateway.start(gateway.limits, 1);
-        gateway.list(true, up("h1"), up("h2"));
-        int sent = serve(0, 4000);
-        gateway.list(false, endpoint("h3", "east", EndpointState.UP, gateway.now));
-        int from = gateway.sends.size();
+        gateway.updateEndpoints(true, up("h1"), up("h2"));
+        int warmAttempts = serve(0, 4000);
+        gateway.updateEndpoints(false, endpoint("h3", "east", EndpointState.UP, gateway.nowMs));
+        int from = gateway.attempts.size();
         serve(4000, 5000);
-        long starting = gateway.sends.subList(from, gateway.sends.size()).stream()
-                .filter(s -> s.endsWith("@h3"))
+        long starting = gateway.attempts.subList(from, gateway.attempts.size()).stream()
+                .filter(attempt -> attempt.endsWith("@h3"))
                 .count();
-        assertTrue(sent > 300);
-        assertTrue(starting <= 0.3 * (gateway.sends.size() - from) / 2, "sends to the starting backend " + starting);
+        assertTrue(warmAttempts > 300);
+        assertTrue(starting <= 0.3 * (gateway.attempts.size() - from) / 2, "attempts at the starting backend: " + starting);
     }
 
     private int served;
 
-    /** A request every 10 ms, each answered 50 ms later, also those that an earlier call has left. */
-    private int serve(int from, int to) {
-        int start = gateway.sends.size();
-        for (int t = from; t < to; t += 10) {
-            gateway.until(t);
-            gateway.module.requestArrived(t, new AdmissionRequest("s" + t, "look", "open", "c" + t, 1, 4000, 1, false));
-            while (served < gateway.sends.size() - 5) {
-                String[] s = gateway.sends.get(served++).split("@");
-                gateway.endAttempt(s[0], s[1], 0, AttemptStatus.SERVED);
+    /**
+     * Submits a request every 10 ms and serves each attempt 50 ms after its start, including those of an earlier call.
+     * Returns the number of attempts that were started.
+     */
+    private int serve(int fromMs, int toMs) {
+        int before = gateway.attempts.size();
+        for (int timeMs = fromMs; timeMs < toMs; timeMs += 10) {
+            gateway.advanceTo(timeMs);
+            gateway.module.requestArrived(timeMs, new AdmissionRequest("s" + timeMs, "look", "open", "c" + timeMs, 1, 4000, 1, false));
+            while (served < gateway.attempts.size() - 5) {
+                String[] attempt = gateway.attempts.get(served++).split("@");
+                gateway.endAttempt(attempt[0], attempt[1], 0, AttemptStatus.SERVED);
             }
         }
-        return gateway.sends.size() - start;
+        return gateway.attempts.size() - before;
     }
 
     @Test
-    void onlyStartingBackendsAndAllFullDoNotDrawAStormOfSends() {
+    void startsFewAttemptsWhenTheOnlyBackendIsStartingAndRejectsThem() {
         gateway.start(gateway.limits, 2);
-        gateway.list(true, up("h1"));
-        gateway.list(true, endpoint("n1", "east", EndpointState.UP, 1));
-        for (int t = 0; t < 3000; t += 20) {
-            gateway.until(t);
-            gateway.module.requestArrived(t, new AdmissionRequest("r" + t, "look", "open", "c" + t, 1, 4000, 2, false));
-            while (gateway.sends.size() > gateway.cancelled.size()) {
-                String[] s = gateway.sends.get(gateway.cancelled.size()).split("@");
-                gateway.cancelled.add(s[0]);
-                gateway.endAttempt(s[0], s[1], 0, AttemptStatus.REJECTED);
+        gateway.updateEndpoints(true, up("h1"));
+        gateway.updateEndpoints(true, endpoint("n1", "east", EndpointState.UP, 1));
+        for (int timeMs = 0; timeMs < 3000; timeMs += 20) {
+            gateway.advanceTo(timeMs);
+            gateway.module.requestArrived(timeMs, new AdmissionRequest("r" + timeMs, "look", "open", "c" + timeMs, 1, 4000, 2, false));
+            while (gateway.attempts.size() > gateway.cancelled.size()) {
+                String[] attempt = gateway.attempts.get(gateway.cancelled.size()).split("@");
+                gateway.cancelled.add(attempt[0]);
+                gateway.endAttempt(attempt[0], attempt[1], 0, AttemptStatus.REJECTED);
             }
         }
-        assertTrue(gateway.sends.size() <= 4, "sends " + gateway.sends.size());
+        assertTrue(gateway.attempts.size() <= 4, "attempts: " + gateway.attempts.size());
     }
 
     @Test
-    void gatewaysDoNotStartInStepOnAStartingBackend() {
-        int sent = 0;
-        for (int g = 0; g < 100; g++) {
-            RecordingGateway each = RecordingGateway.of(100, g);
-            each.list(true, new Endpoint("h1", "east", "", 0, EndpointState.UP, 1, 0.5));
-            each.submit("r", "look", "open", 4000);
-            sent += each.sends.size();
+    void gatewaysStartNoSimultaneousAttemptsWhenBackendStarts() {
+        int started = 0;
+        for (int index = 0; index < 100; index++) {
+            RecordingGateway fleetGateway = RecordingGateway.startedWith(100, index);
+            fleetGateway.updateEndpoints(true, new Endpoint("h1", "east", "", 0, EndpointState.UP, 1, 0.5));
+            fleetGateway.submit("r", "look", "open", 4000);
+            started += fleetGateway.attempts.size();
         }
-        assertEquals(0, sent, "a hundred gateways' first sends at once push a starting backend over");
+        assertEquals(0, started, "simultaneous first attempts of a hundred gateways overload a starting backend");
     }
 
     /**
-     * Fourteen gateways, each of which meets a backend seldom: together they use a starting one from the first second
-     * on.
+     * Each of fourteen gateways seldom selects the same backend. Together, they must use a starting backend from the
+     * first second on.
      */
     @Test
-    void manyGatewaysUseAStartingBackendAtItsShareFromTheStart() {
-        int[][] sent = startingBackendAt(3000);
-        // In each second something, and no more than its share of what a warm backend gets.
+    void manyGatewaysUseStartingBackendWithinItsShareFromTheFirstSecond() {
+        int[][] attempts = countAttemptsAfterBackendStartsAt(3000);
+        // In each second, the starting backend receives attempts, but no more than its share of those at warm ones.
         for (int second = 0; second < 6; second++) {
-            assertTrue(sent[0][second] > 0, "nothing in second " + second + ": " + Arrays.toString(sent[0]));
+            assertTrue(attempts[0][second] > 0, "no attempt in second " + second + ": " + Arrays.toString(attempts[0]));
             assertTrue(
-                    sent[0][second] <= sent[1][second] / 10,
-                    Arrays.toString(sent[0]) + " beside " + Arrays.toString(sent[1]));
+                    attempts[0][second] <= attempts[1][second] / 10,
+                    "starting: " + Arrays.toString(attempts[0]) + ", warm: " + Arrays.toString(attempts[1]));
         }
     }
 
-    /** Gateways that have just come back themselves learn what warm endpoints are given from the first answers on. */
+    /** Gateways that have just started learn the pace of warm backends from the first responses on. */
     @Test
-    void gatewaysThatHaveJustStartedUseAStartingBackendToo() {
-        int[][] sent = startingBackendAt(500);
-        int starting = Arrays.stream(sent[0]).limit(4).sum();
-        assertTrue(starting >= 20, "in four seconds " + starting + ", warm backends " + Arrays.toString(sent[1]));
-        assertTrue(starting <= Arrays.stream(sent[1]).limit(4).sum() / 10, Arrays.toString(sent[0]));
+    void gatewaysUseStartingBackendWhenTheyHaveJustStarted() {
+        int[][] attempts = countAttemptsAfterBackendStartsAt(500);
+        int starting = Arrays.stream(attempts[0]).limit(4).sum();
+        assertTrue(starting >= 20, "attempts in four seconds: " + starting + ", at warm backends: " + Arrays.toString(attempts[1]));
+        assertTrue(starting <= Arrays.stream(attempts[1]).limit(4).sum() / 10, Arrays.toString(attempts[0]));
     }
 
     /**
-     * What 14 gateways send to a backend that starts at that time, and to ten warm ones, in each second from then on.
+     * Counts the attempts of 14 gateways at a backend that starts at this time, and at ten warm backends, in each of
+     * the six seconds from then on.
      */
-    private int[][] startingBackendAt(int start) {
+    private int[][] countAttemptsAfterBackendStartsAt(int startMs) {
         int[] starting = new int[6];
         int[] warm = new int[6];
-        for (int g = 0; g < 14; g++) {
-            RecordingGateway each = RecordingGateway.of(14, g);
-            each.list(true, IntStream.range(0, 10).mapToObj(i -> up("h" + i)).toArray(Endpoint[]::new));
-            List<String> due = new ArrayList<>();
-            for (int t = 0; t < start + 6000; t += 50) {
-                each.until(t);
-                if (t == start) {
-                    each.list(false, endpoint("new", "east", EndpointState.UP, t));
+        for (int index = 0; index < 14; index++) {
+            RecordingGateway fleetGateway = RecordingGateway.startedWith(14, index);
+            fleetGateway.updateEndpoints(true, IntStream.range(0, 10).mapToObj(i -> up("h" + i)).toArray(Endpoint[]::new));
+            List<String> inFlight = new ArrayList<>();
+            for (int timeMs = 0; timeMs < startMs + 6000; timeMs += 50) {
+                fleetGateway.advanceTo(timeMs);
+                if (timeMs == startMs) {
+                    fleetGateway.updateEndpoints(false, endpoint("new", "east", EndpointState.UP, timeMs));
                 }
-                int from = each.sends.size();
-                each.module.requestArrived(
-                        t, new AdmissionRequest("s" + t, "look", "open", "c" + t, 1, 4000, 14, false));
-                due.addAll(each.sends.subList(from, each.sends.size()));
-                if (due.size() > 2) {
-                    String[] s = due.remove(0).split("@");
-                    each.module.attemptEnded(
-                            t, new AttemptOutcome(s[0], s[1], 0, AttemptStatus.SERVED, 200, true, -1, 0, null));
+                int from = fleetGateway.attempts.size();
+                fleetGateway.module.requestArrived(
+                        timeMs, new AdmissionRequest("s" + timeMs, "look", "open", "c" + timeMs, 1, 4000, 14, false));
+                inFlight.addAll(fleetGateway.attempts.subList(from, fleetGateway.attempts.size()));
+                if (inFlight.size() > 2) {
+                    String[] attempt = inFlight.remove(0).split("@");
+                    fleetGateway.module.attemptEnded(
+                            timeMs, new AttemptOutcome(attempt[0], attempt[1], 0, AttemptStatus.SERVED, 200, true, -1, 0, null));
                 }
-                int second = (t - start) / 1000;
-                for (String s : t < start ? List.<String>of() : each.sends.subList(from, each.sends.size())) {
-                    (s.endsWith("@new") ? starting : warm)[second]++;
+                int second = (timeMs - startMs) / 1000;
+                for (String attemptAtBackend : timeMs < startMs ? List.<String>of() : fleetGateway.attempts.subList(from, fleetGateway.attempts.size())) {
+                    (attemptAtBackend.endsWith("@new") ? starting : warm)[second]++;
                 }
             }
         }
