--- a/decision/src/main/java/opalcove/decision/BackendHealth.java
+++ b/decision/src/main/java/opalcove/decision/BackendHealth.java
@@ -198,7 +198,7 @@
 
     /**
      * Adapts the decay speed to the number of attempts per up backend, and decays the failure rates of the groups.
-     * Called once an interval.
+     * Called once per interval.
      */
     void updateDecaySpeed(int upBackends) {
         meanAttempts += 0.1 * (attemptsInInterval - meanAttempts);
@@ -210,7 +210,7 @@
     }
 
     /**
-     * Decays a backend's slowness and error rate, so that it receives attempts again. Called once an interval.
+     * Decays a backend's slowness and error rate, so that it receives attempts again. Called once per interval.
      */
     void decay(BackendState backend) {
         backend.slowness += DECAY_RATE * decaySpeed * (1 - backend.slowness);
@@ -218,7 +218,7 @@
     }
 
     /**
-     * Starts a health check of a backend that fails repeatedly, if health checks are allowed. Called once an interval.
+     * Starts a health check of a backend that fails repeatedly, if health checks are allowed. Called once per interval.
      */
     void checkIfDue(BackendState backend) {
         if (backend.up
--- a/decision/src/main/java/opalcove/decision/CapacityAllocator.java
+++ b/decision/src/main/java/opalcove/decision/CapacityAllocator.java
@@ -11,12 +11,12 @@
      * Allocation and Scheduling for Service Differentiation on Streaming Servers" (Zhou and Xu). As in that paper, the
      * weight of a class is raised if its ratio of weight to demand is below that of a class of lower weight.
      *
-     * @param capacity units a second to split
+     * @param capacity units per second to split
      * @param weight the weight of each class; all arrays are ordered from the highest weight to the lowest
-     * @param demand units a second that each class requests
-     * @param floor units a second that each class receives first
-     * @param max the maximum of each class, units a second
-     * @return the share of each class, units a second
+     * @param demand units per second that each class requests
+     * @param floor units per second that each class receives first
+     * @param max the maximum of each class, units per second
+     * @return the share of each class, units per second
      */
     static double[] allocate(double capacity, double[] weight, double[] demand, double[] floor, double[] max) {
         int classes = weight.length;
--- a/decision/src/main/java/opalcove/decision/CapacityController.java
+++ b/decision/src/main/java/opalcove/decision/CapacityController.java
@@ -61,7 +61,7 @@
     private int inFlight;
     private boolean bounded;
 
-    /** The capacity while it is bounded, units a second. */
+    /** The capacity while it is bounded, units per second. */
     private double capacity;
 
     /** Units of capacity that the classes did not use of their shares; queued requests of any class may use them. */
@@ -236,12 +236,12 @@
         }
     }
 
-    /** Recounts the backends after a change of the endpoint list, and once an interval. */
+    /** Recounts the backends after a change of the endpoint list, and once per interval. */
     void recountBackends() {
         registry.recount(evidenceWeight);
     }
 
-    /** Updates the arrival rates of the classes and returns the demand of all classes, units a second. */
+    /** Updates the arrival rates of the classes and returns the demand of all classes, units per second. */
     private double updateDemand() {
         double demand = 0;
         for (ClassQueue queue : queuesByWeight) {
@@ -254,7 +254,7 @@
         return demand;
     }
 
-    /** The demand as the paper defines it: arrivals and a fraction of the backlog, units a second. */
+    /** The demand as the paper defines it: arrivals and a fraction of the backlog, units per second. */
     private static double demand(ClassQueue queue) {
         return queue.arrivalRate + BACKLOG_SHARE * queue.queuedUnits / INTERVAL_SECONDS;
     }
--- a/decision/src/main/java/opalcove/decision/ClassQueue.java
+++ b/decision/src/main/java/opalcove/decision/ClassQueue.java
@@ -15,7 +15,7 @@
     /** Units that arrived in this interval. */
     double arrivedUnits;
 
-    /** Moving mean of the units that arrive, units a second. */
+    /** Moving mean of the units that arrive, units per second. */
     double arrivalRate;
 
     /** Units of all requests in the queue. */
--- a/decision/src/main/java/opalcove/decision/DecisionSettings.java
+++ b/decision/src/main/java/opalcove/decision/DecisionSettings.java
@@ -80,13 +80,13 @@
     /**
      * A plan. Its quotas apply to each tenant over all gateways.
      *
-     * @param rate the quota in units a second; 0 if there is none
+     * @param rate the quota in units per second; 0 if there is none
      * @param burst the units that the quota's bucket holds
      * @param maxInFlight the cap on requests in flight; 0 if there is none
      * @param price the factor of the weight of a request
      * @param overQuotaWeight the share of its weight that a request beyond the quota earns
      * @param overQuotaCost the share of its weight that a request beyond the quota costs
-     * @param ceilingRate the hard ceiling in units a second; 0 if there is none
+     * @param ceilingRate the hard ceiling in units per second; 0 if there is none
      * @param ceilingBurst the units that the ceiling's bucket holds
      * @param ceilingSlack the units by which the ceiling's bucket may go below 0
      */
--- a/decision/src/main/java/opalcove/decision/PressureMonitor.java
+++ b/decision/src/main/java/opalcove/decision/PressureMonitor.java
@@ -66,7 +66,7 @@
         objectiveShares += objectiveShare;
     }
 
-    /** Decays all counts, less after an interval with few responses. Called once an interval. */
+    /** Decays all counts, less after an interval with few responses. Called once per interval. */
     void decay(double evidenceWeight) {
         responses *= 1 - 0.3 * evidenceWeight;
         signs *= 1 - 0.3 * evidenceWeight;
--- a/decision/src/main/java/opalcove/decision/QuotaController.java
+++ b/decision/src/main/java/opalcove/decision/QuotaController.java
@@ -92,7 +92,7 @@
     }
 
     /**
-     * The estimated rate of arrivals at the tenant's other gateways, units a second. Because there is little data at
+     * The estimated rate of arrivals at the tenant's other gateways, units per second. Because there is little data at
      * first, the estimate starts with one usual request at the mean rate of the plan. Arrivals at this gateway outweigh
      * it until use is reported, and reported use from then on.
      */
@@ -177,7 +177,7 @@
         }
     }
 
-    /** Records reported use once a meter period: the other gateways' part is what this gateway did not forward. */
+    /** Records reported use once per meter period: the other gateways' part is what this gateway did not forward. */
     private void recordReportedUse(TenantQuota tenant, int usedPercent) {
         if (usedPercent < 0 || periodMs <= 1 || tenant.plan.rate() <= 0) {
             return;
--- a/decision/src/main/java/opalcove/decision/SlowStart.java
+++ b/decision/src/main/java/opalcove/decision/SlowStart.java
@@ -91,7 +91,7 @@
         }
     }
 
-    /** Updates the pace of warm backends per unit of size. Called once an interval. */
+    /** Updates the pace of warm backends per unit of size. Called once per interval. */
     void updatePace() {
         double measured = warmCount > 0
                 ? completedWorkMs / DecisionContext.INTERVAL_MS / Math.max(1e-9, warmCount * meanSize)
@@ -103,7 +103,7 @@
         largestRequestMs = context.responseTimes.largestMeanMs();
     }
 
-    /** Refills the budget of a warming-up backend. Called once an interval. */
+    /** Refills the budget of a warming-up backend. Called once per interval. */
     void refill(BackendState backend) {
         if (!isWarmingUp(backend)) {
             return;
