--- a/decision/src/test/java/opalcove/decision/AdmissionControllerTest.java
+++ b/decision/src/test/java/opalcove/decision/AdmissionControllerTest.java
@@ -44,7 +44,9 @@
         assertTrue(
                 gateway.retryAfters.stream().allMatch(retryAfterMs -> retryAfterMs >= 0 && retryAfterMs <= 1000),
                 "within the latency objective: " + gateway.retryAfters);
-        assertTrue(gateway.retryAfters.stream().distinct().count() > 5, "spread, so that clients do not retry at the same time");
+        assertTrue(
+                gateway.retryAfters.stream().distinct().count() > 5,
+                "spread, so that clients do not retry at the same time");
     }
 
     @Test
@@ -61,7 +63,8 @@
             gateway.submit("r" + i, "look", "open", 2000);
         }
         gateway.advanceTo(100);
-        assertFalse(gateway.shed.contains("r2"), "an initial request beyond the cap is queued, not shed as a late retry");
+        assertFalse(
+                gateway.shed.contains("r2"), "an initial request beyond the cap is queued, not shed as a late retry");
     }
 
     @Test
--- a/decision/src/test/java/opalcove/decision/BackendHealthTest.java
+++ b/decision/src/test/java/opalcove/decision/BackendHealthTest.java
@@ -58,7 +58,8 @@
             gateway.module.requestArrived(
                     gateway.nowMs, new AdmissionRequest("r" + i, "buy", "open", "d" + i, 1, 8000, 1, false));
         }
-        assertTrue(gateway.attempts.size() > 1, "a starting backend receives one attempt at a time: " + gateway.attempts);
+        assertTrue(
+                gateway.attempts.size() > 1, "a starting backend receives one attempt at a time: " + gateway.attempts);
     }
 
     @Test
@@ -79,11 +80,13 @@
         int ended = 0;
         for (int timeMs = 0; timeMs < 4000; timeMs += 20) {
             gateway.advanceTo(timeMs);
-            gateway.module.requestArrived(timeMs, new AdmissionRequest("r" + timeMs, "look", "open", "c" + timeMs, 1, 4000, 2, false));
+            gateway.module.requestArrived(
+                    timeMs, new AdmissionRequest("r" + timeMs, "look", "open", "c" + timeMs, 1, 4000, 2, false));
             while (ended < gateway.attempts.size()) {
                 String[] attempt = gateway.attempts.get(ended++).split("@");
                 boolean bad = attempt[1].equals("h1");
-                boolean first = gateway.attempts.subList(0, ended - 1).stream().noneMatch(earlier -> earlier.startsWith(attempt[0] + "@"));
+                boolean first = gateway.attempts.subList(0, ended - 1).stream()
+                        .noneMatch(earlier -> earlier.startsWith(attempt[0] + "@"));
                 gateway.module.attemptEnded(
                         timeMs,
                         new AttemptOutcome(
@@ -171,7 +174,9 @@
                 pending.addAll(pendingSince(from));
             }
         }
-        assertTrue(connected.size() >= 3 && failed <= 12, "failed connects: " + failed + ", connected backends: " + connected);
+        assertTrue(
+                connected.size() >= 3 && failed <= 12,
+                "failed connects: " + failed + ", connected backends: " + connected);
     }
 
     /** Returns the attempts from this index on. Each ends after 100 ms. */
--- a/decision/src/test/java/opalcove/decision/CapacityAllocatorTest.java
+++ b/decision/src/test/java/opalcove/decision/CapacityAllocatorTest.java
@@ -31,7 +31,9 @@
     void raisesWeightOfHighClassWhenItsDemandIsLarge() {
         double[] share = CapacityAllocator.allocate(
                 10, new double[] {2, 1}, new double[] {8, 1}, new double[] {0, 0}, new double[] {99, 99});
-        assertTrue(share[0] / 8 >= share[1] / 1 - 1e-9, "the share of the class of high weight is at least as large in proportion to its demand");
+        assertTrue(
+                share[0] / 8 >= share[1] / 1 - 1e-9,
+                "the share of the class of high weight is at least as large in proportion to its demand");
     }
 
     @Test
--- a/decision/src/test/java/opalcove/decision/CapacityControllerTest.java
+++ b/decision/src/test/java/opalcove/decision/CapacityControllerTest.java
@@ -23,10 +23,12 @@
                 gateway.nowMs = timeMs;
                 gateway.advanceTo(timeMs);
             }
-            gateway.module.requestArrived(timeMs, new AdmissionRequest("r" + timeMs, "look", "open", "c" + timeMs, 1, 4000, 2, false));
+            gateway.module.requestArrived(
+                    timeMs, new AdmissionRequest("r" + timeMs, "look", "open", "c" + timeMs, 1, 4000, 2, false));
             if (timeMs >= 900) {
                 gateway.module.attemptEnded(
-                        timeMs, new AttemptOutcome("r" + (timeMs - 900), "h1", 0, AttemptStatus.SERVED, 900, true, -1, 0, null));
+                        timeMs,
+                        new AttemptOutcome("r" + (timeMs - 900), "h1", 0, AttemptStatus.SERVED, 900, true, -1, 0, null));
             }
         }
     }
@@ -92,9 +94,12 @@
         gateway.updateEndpoints(true, endpoints.toArray(new Endpoint[0]));
         for (int timeMs = 0; timeMs < 3000; timeMs += 50) {
             gateway.advanceTo(timeMs);
-            gateway.module.requestArrived(timeMs, new AdmissionRequest("r" + timeMs, "look", "open", "c" + timeMs, 1, 1500, 2, false));
+            gateway.module.requestArrived(
+                    timeMs, new AdmissionRequest("r" + timeMs, "look", "open", "c" + timeMs, 1, 1500, 2, false));
         }
-        assertTrue(gateway.logs.stream().anyMatch(line -> line.startsWith("room bounded")), "missing responses count as pressure");
+        assertTrue(
+                gateway.logs.stream().anyMatch(line -> line.startsWith("room bounded")),
+                "missing responses count as pressure");
     }
 
     @Test
@@ -108,7 +113,8 @@
         for (int timeMs = 0; timeMs < 6000; timeMs += 50) {
             gateway.advanceTo(timeMs);
             int before = gateway.attempts.size();
-            gateway.module.requestArrived(timeMs, new AdmissionRequest("r" + timeMs, "look", "open", "c" + timeMs, 1, 1500, 2, false));
+            gateway.module.requestArrived(
+                    timeMs, new AdmissionRequest("r" + timeMs, "look", "open", "c" + timeMs, 1, 1500, 2, false));
             gateway.advanceTo(timeMs + 40);
             if (timeMs / 50 % 7 != 0 && gateway.attempts.size() > before) {
                 String[] attempt = gateway.attempts.get(before).split("@");
@@ -138,7 +144,8 @@
                     timeMs, new AdmissionRequest("r" + timeMs, "look", "open", "c" + timeMs, 1, 4000, 200, false));
             gateway.advanceTo(timeMs + 900);
             gateway.module.attemptEnded(
-                    timeMs + 900, new AttemptOutcome("r" + timeMs, "h1", 0, AttemptStatus.SERVED, 900, true, -1, 0, null));
+                    timeMs + 900,
+                    new AttemptOutcome("r" + timeMs, "h1", 0, AttemptStatus.SERVED, 900, true, -1, 0, null));
         }
         assertTrue(gateway.logs.stream().anyMatch(line -> line.startsWith("room bounded")), gateway.logs.toString());
     }
--- a/decision/src/test/java/opalcove/decision/QuotaControllerTest.java
+++ b/decision/src/test/java/opalcove/decision/QuotaControllerTest.java
@@ -107,12 +107,15 @@
                 String[] attempt = gateway.attempts.get(gateway.cancelled.size()).split("@");
                 gateway.cancelled.add(attempt[0]);
                 gateway.module.attemptEnded(
-                        timeMs, new AttemptOutcome(attempt[0], attempt[1], 0, AttemptStatus.SERVED, 50, true, 100, 0, null));
+                        timeMs,
+                        new AttemptOutcome(attempt[0], attempt[1], 0, AttemptStatus.SERVED, 50, true, 100, 0, null));
             }
             before = timeMs == 20_000 ? gateway.attempts.size() : before;
         }
         int forwarded = gateway.attempts.size() - before;
-        assertTrue(forwarded >= 10 && forwarded <= 30, "10 a second submitted, 2 a second allowed, forwarded in 10 s: " + forwarded);
+        assertTrue(
+                forwarded >= 10 && forwarded <= 30,
+                "10 a second submitted, 2 a second allowed, forwarded in 10 s: " + forwarded);
     }
 
     @Test
@@ -124,7 +127,8 @@
                     0, new AdmissionRequest("r" + i, "look", "plain", "c" + i, 1, 4000, 200, false));
             gateway.endAttempt("r" + i, "", 0, AttemptStatus.SERVED);
         }
-        assertTrue(gateway.attempts.size() >= 30, "forwarded first requests of 100 tenants: " + gateway.attempts.size());
+        assertTrue(
+                gateway.attempts.size() >= 30, "forwarded first requests of 100 tenants: " + gateway.attempts.size());
     }
 
     @Test
@@ -138,7 +142,8 @@
             String id = "r" + timeMs;
             String tenant = heavy ? "heavy" + timeMs / 200 % 20 : "calm" + timeMs;
             int before = gateway.attempts.size();
-            gateway.module.requestArrived(timeMs, new AdmissionRequest(id, "look", "plain", tenant, 1, 4000, 200, false));
+            gateway.module.requestArrived(
+                    timeMs, new AdmissionRequest(id, "look", "plain", tenant, 1, 4000, 200, false));
             if (gateway.attempts.size() > before) {
                 forwarded += !heavy && timeMs > 30_000 ? 1 : 0;
                 gateway.module.attemptEnded(
@@ -180,7 +185,8 @@
                 used[second]++;
                 int reported = second < 2 ? -1 : used[second - 2] * 50; // a plain tenant's rate is 2 a second
                 each.module.attemptEnded(
-                        timeMs, new AttemptOutcome("r" + timeMs, "h1", 0, AttemptStatus.SERVED, 50, true, reported, 0, null));
+                        timeMs,
+                        new AttemptOutcome("r" + timeMs, "h1", 0, AttemptStatus.SERVED, 50, true, reported, 0, null));
             }
         }
         int forwarded = 0;
--- a/decision/src/test/java/opalcove/decision/RecordingGateway.java
+++ b/decision/src/test/java/opalcove/decision/RecordingGateway.java
@@ -62,7 +62,8 @@
 
     void endAttempt(String id, String backend, int attempt, AttemptStatus status) {
         module.attemptEnded(
-                nowMs, new AttemptOutcome(id, backend, attempt, status, 50, status == AttemptStatus.SERVED, -1, 0, null));
+                nowMs,
+                new AttemptOutcome(id, backend, attempt, status, 50, status == AttemptStatus.SERVED, -1, 0, null));
     }
 
     /** Advances the time and delivers the timers that expire until then, in the order of their times. */
--- a/decision/src/test/java/opalcove/decision/RequestForwarderTest.java
+++ b/decision/src/test/java/opalcove/decision/RequestForwarderTest.java
@@ -137,7 +137,9 @@
         gateway.endAttempt("short", "h1", 0, AttemptStatus.REJECTED);
         assertEquals(List.of("short"), gateway.shed, "no backend is available, and there is no time to wait for one");
         gateway.submit("next", "look", "open", 200);
-        assertEquals(List.of("short", "next"), gateway.shed, "no backend is available, and there is no time to wait for one");
+        assertEquals(
+                List.of("short", "next"), gateway.shed,
+                "no backend is available, and there is no time to wait for one");
         gateway.submit("keyed", "mark", "open", 8000);
         gateway.advanceTo(1500);
         gateway.submit("wait", "look", "open", 4000);
--- a/decision/src/test/java/opalcove/decision/SeededTraffic.java
+++ b/decision/src/test/java/opalcove/decision/SeededTraffic.java
@@ -54,7 +54,8 @@
     private final SplittableRandom random;
     private final AdmissionController module;
     private final PriorityQueue<Due> due =
-            new PriorityQueue<>((a, b) -> a.timeMs != b.timeMs ? Double.compare(a.timeMs, b.timeMs) : Long.compare(a.serial, b.serial));
+            new PriorityQueue<>((a, b) ->
+                    a.timeMs != b.timeMs ? Double.compare(a.timeMs, b.timeMs) : Long.compare(a.serial, b.serial));
     private final Map<String, Integer> counts = new TreeMap<>();
     private final Map<String, Integer> attempts = new TreeMap<>();
     private final Map<String, AdmissionRequest> requests = new TreeMap<>();
@@ -139,7 +140,11 @@
             }
             if (i % 60 == 59) {
                 module.loadReported(
-                        nowMs, "h" + random.nextInt(9), random.nextInt(20), random.nextInt(3), random.nextInt(400) - 20);
+                        nowMs,
+                        "h" + random.nextInt(9),
+                        random.nextInt(20),
+                        random.nextInt(3),
+                        random.nextInt(400) - 20);
             }
         }
         advanceTo(nowMs + 12_000);
--- a/decision/src/test/java/opalcove/decision/SlowStartTest.java
+++ b/decision/src/test/java/opalcove/decision/SlowStartTest.java
@@ -26,7 +26,9 @@
                 .filter(attempt -> attempt.endsWith("@h3"))
                 .count();
         assertTrue(warmAttempts > 300);
-        assertTrue(starting <= 0.3 * (gateway.attempts.size() - from) / 2, "attempts at the starting backend: " + starting);
+        assertTrue(
+                starting <= 0.3 * (gateway.attempts.size() - from) / 2,
+                "attempts at the starting backend: " + starting);
     }
 
     private int served;
@@ -39,7 +41,8 @@
         int before = gateway.attempts.size();
         for (int timeMs = fromMs; timeMs < toMs; timeMs += 10) {
             gateway.advanceTo(timeMs);
-            gateway.module.requestArrived(timeMs, new AdmissionRequest("s" + timeMs, "look", "open", "c" + timeMs, 1, 4000, 1, false));
+            gateway.module.requestArrived(
+                    timeMs, new AdmissionRequest("s" + timeMs, "look", "open", "c" + timeMs, 1, 4000, 1, false));
             while (served < gateway.attempts.size() - 5) {
                 String[] attempt = gateway.attempts.get(served++).split("@");
                 gateway.endAttempt(attempt[0], attempt[1], 0, AttemptStatus.SERVED);
@@ -55,7 +58,8 @@
         gateway.updateEndpoints(true, endpoint("n1", "east", EndpointState.UP, 1));
         for (int timeMs = 0; timeMs < 3000; timeMs += 20) {
             gateway.advanceTo(timeMs);
-            gateway.module.requestArrived(timeMs, new AdmissionRequest("r" + timeMs, "look", "open", "c" + timeMs, 1, 4000, 2, false));
+            gateway.module.requestArrived(
+                    timeMs, new AdmissionRequest("r" + timeMs, "look", "open", "c" + timeMs, 1, 4000, 2, false));
             while (gateway.attempts.size() > gateway.cancelled.size()) {
                 String[] attempt = gateway.attempts.get(gateway.cancelled.size()).split("@");
                 gateway.cancelled.add(attempt[0]);
@@ -98,7 +102,9 @@
     void gatewaysUseStartingBackendWhenTheyHaveJustStarted() {
         int[][] attempts = countAttemptsAfterBackendStartsAt(500);
         int starting = Arrays.stream(attempts[0]).limit(4).sum();
-        assertTrue(starting >= 20, "attempts in four seconds: " + starting + ", at warm backends: " + Arrays.toString(attempts[1]));
+        assertTrue(
+                starting >= 20,
+                "attempts in four seconds: " + starting + ", at warm backends: " + Arrays.toString(attempts[1]));
         assertTrue(starting <= Arrays.stream(attempts[1]).limit(4).sum() / 10, Arrays.toString(attempts[0]));
     }
 
@@ -111,7 +117,8 @@
         int[] warm = new int[6];
         for (int index = 0; index < 14; index++) {
             RecordingGateway fleetGateway = RecordingGateway.startedWith(14, index);
-            fleetGateway.updateEndpoints(true, IntStream.range(0, 10).mapToObj(i -> up("h" + i)).toArray(Endpoint[]::new));
+            fleetGateway.updateEndpoints(
+                    true, IntStream.range(0, 10).mapToObj(i -> up("h" + i)).toArray(Endpoint[]::new));
             List<String> inFlight = new ArrayList<>();
             for (int timeMs = 0; timeMs < startMs + 6000; timeMs += 50) {
                 fleetGateway.advanceTo(timeMs);
@@ -125,10 +132,13 @@
                 if (inFlight.size() > 2) {
                     String[] attempt = inFlight.remove(0).split("@");
                     fleetGateway.module.attemptEnded(
-                            timeMs, new AttemptOutcome(attempt[0], attempt[1], 0, AttemptStatus.SERVED, 200, true, -1, 0, null));
+                            timeMs,
+                            new AttemptOutcome(attempt[0], attempt[1], 0, AttemptStatus.SERVED, 200, true, -1, 0, null));
                 }
                 int second = (timeMs - startMs) / 1000;
-                for (String attemptAtBackend : timeMs < startMs ? List.<String>of() : fleetGateway.attempts.subList(from, fleetGateway.attempts.size())) {
+                for (String attemptAtBackend : timeMs < startMs
+                        ? List.<String>of()
+                        : fleetGateway.attempts.subList(from, fleetGateway.attempts.size())) {
                     (attemptAtBackend.endsWith("@new") ? starting : warm)[second]++;
                 }
             }
