--- a/decision/src/main/java/opalcove/decision/BackendHealth.java
+++ b/decision/src/main/java/opalcove/decision/BackendHealth.java
@@ -221,10 +221,7 @@
      * Starts a health check of a backend that fails repeatedly, if health checks are allowed. Called once per interval.
      */
     void checkIfDue(BackendState backend) {
-        if (backend.up
-                && backend.isFailing()
-                && context.limits.mayProbe()
-                && context.nowMs >= backend.ejectedUntilMs) {
+        if (backend.up && backend.isFailing() && context.limits.mayProbe() && context.nowMs >= backend.ejectedUntilMs) {
             backend.ejectedUntilMs = context.nowMs + CHECK_INTERVAL_MS;
             context.actions.checkHealth(backend.endpoint.id());
         }
--- a/decision/src/main/java/opalcove/decision/CapacityAllocator.java
+++ b/decision/src/main/java/opalcove/decision/CapacityAllocator.java
@@ -62,7 +62,7 @@
             if (sum <= 0) {
                 break;
             }
-            double distributed = rest;
+            double distributed = remaining;
             for (int i = 0; i < classes; i++) {
                 if (allotted[i] >= max[i]) {
                     continue;
--- a/decision/src/test/java/opalcove/decision/BackendHealthTest.java
+++ b/decision/src/test/java/opalcove/decision/BackendHealthTest.java
@@ -101,7 +101,9 @@
                                 null));
             }
         }
-        long atBadBackend = gateway.attempts.stream().filter(attempt -> attempt.endsWith("@h1")).count();
+        long atBadBackend = gateway.attempts.stream()
+                .filter(attempt -> attempt.endsWith("@h1"))
+                .count();
         assertTrue(
                 atBadBackend < 40, "attempts at the bad backend: " + atBadBackend + " of " + gateway.attempts.size());
     }
@@ -150,7 +152,8 @@
     @Test
     void prefersBackendsThatRespondedRecentlyWhenConnectsFail() {
         gateway.start(gateway.limits, 2);
-        gateway.updateEndpoints(true, IntStream.range(0, 16).mapToObj(i -> up("h" + i)).toArray(Endpoint[]::new));
+        gateway.updateEndpoints(
+                true, IntStream.range(0, 16).mapToObj(i -> up("h" + i)).toArray(Endpoint[]::new));
         Set<String> connected = new TreeSet<>();
         List<Pending> pending = new ArrayList<>();
         int failed = 0;
--- a/decision/src/test/java/opalcove/decision/CapacityControllerTest.java
+++ b/decision/src/test/java/opalcove/decision/CapacityControllerTest.java
@@ -28,7 +28,8 @@
             if (timeMs >= 900) {
                 gateway.module.attemptEnded(
                         timeMs,
-                        new AttemptOutcome("r" + (timeMs - 900), "h1", 0, AttemptStatus.SERVED, 900, true, -1, 0, null));
+                        new AttemptOutcome(
+                                "r" + (timeMs - 900), "h1", 0, AttemptStatus.SERVED, 900, true, -1, 0, null));
             }
         }
     }
--- a/decision/src/test/java/opalcove/decision/QuotaControllerTest.java
+++ b/decision/src/test/java/opalcove/decision/QuotaControllerTest.java
@@ -66,7 +66,8 @@
         gateway.advanceTo(10_300);
         assertEquals(0, submitAndServe(gateway, 1), "the part of the ceiling has 0.6 units");
         gateway.advanceTo(10_650);
-        assertEquals("10300.0-0@", gateway.attempts.get(gateway.attempts.size() - 1).substring(0, 10));
+        assertEquals(
+                "10300.0-0@", gateway.attempts.get(gateway.attempts.size() - 1).substring(0, 10));
         assertFalse(gateway.shed.contains("10300.0-0"));
     }
 
@@ -104,7 +105,8 @@
             gateway.advanceTo(timeMs);
             gateway.submit("r" + timeMs, "look", "plain", 900);
             while (gateway.cancelled.size() < gateway.attempts.size()) {
-                String[] attempt = gateway.attempts.get(gateway.cancelled.size()).split("@");
+                String[] attempt =
+                        gateway.attempts.get(gateway.cancelled.size()).split("@");
                 gateway.cancelled.add(attempt[0]);
                 gateway.module.attemptEnded(
                         timeMs,
--- a/decision/src/test/java/opalcove/decision/RecordingGateway.java
+++ b/decision/src/test/java/opalcove/decision/RecordingGateway.java
@@ -22,6 +22,7 @@
 
     /** The attempts that were started, each as request@backend. */
     final List<String> attempts = new ArrayList<>();
+
     final List<String> shed = new ArrayList<>();
     final List<Double> retryAfters = new ArrayList<>();
     final List<String> failed = new ArrayList<>();
@@ -29,6 +30,7 @@
     final List<String> logs = new ArrayList<>();
     /** The pending timers: the time of expiry, ms, and the token. */
     final List<double[]> timers = new ArrayList<>();
+
     final DecisionSettings.Limits limits = new DecisionSettings.Limits(4, true, true, false, true, 2000, 15_000, false);
     AdmissionController module;
     double nowMs;
--- a/decision/src/test/java/opalcove/decision/RequestForwarderTest.java
+++ b/decision/src/test/java/opalcove/decision/RequestForwarderTest.java
@@ -91,7 +91,11 @@
         gateway.submit("k0", "mark", "open", 8000);
         gateway.advanceTo(3001);
         gateway.endAttempt("k0", "h1", 0, AttemptStatus.ERROR);
-        assertEquals(1, gateway.attempts.stream().filter(attempt -> attempt.startsWith("k0@")).count());
+        assertEquals(
+                1,
+                gateway.attempts.stream()
+                        .filter(attempt -> attempt.startsWith("k0@"))
+                        .count());
         assertEquals(List.of("k0"), gateway.failed);
     }
 
@@ -138,7 +142,8 @@
         assertEquals(List.of("short"), gateway.shed, "no backend is available, and there is no time to wait for one");
         gateway.submit("next", "look", "open", 200);
         assertEquals(
-                List.of("short", "next"), gateway.shed,
+                List.of("short", "next"),
+                gateway.shed,
                 "no backend is available, and there is no time to wait for one");
         gateway.submit("keyed", "mark", "open", 8000);
         gateway.advanceTo(1500);
--- a/decision/src/test/java/opalcove/decision/SeededTraffic.java
+++ b/decision/src/test/java/opalcove/decision/SeededTraffic.java
@@ -53,9 +53,8 @@
     private final Scenario scenario;
     private final SplittableRandom random;
     private final AdmissionController module;
-    private final PriorityQueue<Due> due =
-            new PriorityQueue<>((a, b) ->
-                    a.timeMs != b.timeMs ? Double.compare(a.timeMs, b.timeMs) : Long.compare(a.serial, b.serial));
+    private final PriorityQueue<Due> due = new PriorityQueue<>(
+            (a, b) -> a.timeMs != b.timeMs ? Double.compare(a.timeMs, b.timeMs) : Long.compare(a.serial, b.serial));
     private final Map<String, Integer> counts = new TreeMap<>();
     private final Map<String, Integer> attempts = new TreeMap<>();
     private final Map<String, AdmissionRequest> requests = new TreeMap<>();
--- a/decision/src/test/java/opalcove/decision/SlowStartTest.java
+++ b/decision/src/test/java/opalcove/decision/SlowStartTest.java
@@ -61,7 +61,8 @@
             gateway.module.requestArrived(
                     timeMs, new AdmissionRequest("r" + timeMs, "look", "open", "c" + timeMs, 1, 4000, 2, false));
             while (gateway.attempts.size() > gateway.cancelled.size()) {
-                String[] attempt = gateway.attempts.get(gateway.cancelled.size()).split("@");
+                String[] attempt =
+                        gateway.attempts.get(gateway.cancelled.size()).split("@");
                 gateway.cancelled.add(attempt[0]);
                 gateway.endAttempt(attempt[0], attempt[1], 0, AttemptStatus.REJECTED);
             }
@@ -133,7 +134,8 @@
                     String[] attempt = inFlight.remove(0).split("@");
                     fleetGateway.module.attemptEnded(
                             timeMs,
-                            new AttemptOutcome(attempt[0], attempt[1], 0, AttemptStatus.SERVED, 200, true, -1, 0, null));
+                            new AttemptOutcome(
+                                    attempt[0], attempt[1], 0, AttemptStatus.SERVED, 200, true, -1, 0, null));
                 }
                 int second = (timeMs - startMs) / 1000;
                 for (String attemptAtBackend : timeMs < startMs
