--- a/decision/src/main/java/opalcove/decision/BackendHealth.java
+++ b/decision/src/main/java/opalcove/decision/BackendHealth.java
@@ -4,73 +4,82 @@
 import java.util.Map;
 
 /**
- * The health of backends as the outcomes of attempts, health checks and load reports show it: slowness, error rates,
- * ejection, and faults that a zone or a kind of backends has in common. Owned by the thread that delivers the
+ * Tracks the health of backends from the outcomes of attempts, health checks and load reports: slowness, error rates,
+ * ejection, and the failure rates of complete zones and kinds of backends. Owned by the thread that delivers the
  * instance's events.
  */
 final class BackendHealth {
-    private static final double FADE_RATE = 0.04;
+    /** Part of a backend's slowness and error rate that decays in an interval at full decay speed. */
+    private static final double DECAY_RATE = 0.04;
+
     private static final double MAX_SLOWNESS = 20;
     private static final double CHECK_INTERVAL_MS = 1000;
 
-    /** Ejection for each rejection in a row, and at most. */
+    /** Ejection time for each consecutive rejection, and its maximum. */
     private static final double REJECTION_EJECTION_MS = 100;
 
     private static final double MAX_REJECTION_EJECTION_MS = 2000;
 
-    /** Ejection for each failure in a row, and at most. */
+    /** Ejection time for each consecutive failure, and its maximum. */
     private static final double FAILURE_EJECTION_MS = 500;
 
     private static final double MAX_FAILURE_EJECTION_MS = 4000;
 
-    /** A starting backend that rejects is ejected for this multiple: it has no capacity yet. */
-    private static final double STARTING_EJECTION_FACTOR = 10;
+    /** Factor of the ejection time of a warming-up backend that rejects an attempt: it has no capacity yet. */
+    private static final double WARM_UP_EJECTION_FACTOR = 10;
 
-    /** The least share of its capacity that a listed backend is given, so that it is tried again. */
+    /** The minimum capacity share of an up backend that is not ejected, so that it receives traffic again. */
     private static final double MIN_SHARE = 0.02;
 
     private final DecisionContext context;
     private final SlowStart slowStart;
 
-    /** Guards against backends failing together (a zone cut, a kind restarting): part of failures by group. */
-    private final Map<String, double[]> groupFaults = new HashMap<>();
+    /**
+     * Moving mean of the failures of each group, 0 to 1. Backends may fail together (a zone is cut off, one kind of
+     * backends restarts), so the failures of some count against all others of their zone and kind.
+     */
+    private final Map<String, double[]> groupFailureRates = new HashMap<>();
 
-    private double attempts;
+    private double attemptsInInterval;
     private double meanAttempts;
 
-    /** How fast marks fade: slower where a gateway comes back to a backend seldom, or none would be used. */
-    private double fadeSpeed = 1;
+    /**
+     * Factor of the decay rate, 0.2 to 1. It is lower where this gateway seldom sends an attempt to the same backend;
+     * otherwise slowness and error rates would decay before a selection uses them.
+     */
+    private double decaySpeed = 1;
 
     BackendHealth(DecisionContext context, SlowStart slowStart) {
         this.context = context;
         this.slowStart = slowStart;
     }
 
-    /** Counts an attempt that begins. */
+    /** Records the start of an attempt. */
     void attemptStarted(BackendState backend, RequestState state) {
         if (backend.inFlight == 0) {
             backend.busySinceMs = context.nowMs;
         }
-        attempts++;
+        attemptsInInterval++;
         backend.inFlight++;
         backend.outstandingMs += state.expectedMs();
-        slowStart.charge(backend, context.sizes.meanMs(state.classIndex));
+        slowStart.charge(backend, context.responseTimes.meanMs(state.classIndex));
     }
 
-    /** Takes in how an attempt ended. */
+    /** Records the outcome of an attempt. */
     void attemptEnded(AttemptState attempt, AttemptOutcome outcome, RequestState state) {
         BackendState backend = attempt.backend;
         backend.inFlight--;
         backend.outstandingMs = backend.inFlight == 0 ? 0 : Math.max(0, backend.outstandingMs - attempt.expectedMs);
         switch (outcome.status()) {
-            case SERVED, ERROR -> responded(attempt, outcome, state);
-            case REJECTED -> rejected(backend);
+            case SERVED, ERROR -> recordResponse(attempt, outcome, state);
+            case REJECTED -> recordRejection(backend);
             case UNREACHABLE -> {
                 backend.failedConnects++;
-                failed(backend);
+                recordFailure(backend);
             }
-            case BROKEN -> failed(backend);
-            // Guards against backends that never respond: a cancelled attempt took at least its time out.
+            case BROKEN -> recordFailure(backend);
+            // A cancelled or timed-out attempt would have taken at least the time that it was in flight. Without this,
+            // a backend that never responds would not become slow.
             case CANCELLED, TIMED_OUT ->
                 updateSlowness(
                         backend,
@@ -79,32 +88,33 @@
         }
     }
 
-    private void responded(AttemptState attempt, AttemptOutcome outcome, RequestState state) {
+    private void recordResponse(AttemptState attempt, AttemptOutcome outcome, RequestState state) {
         BackendState backend = attempt.backend;
         boolean isError = outcome.status() == AttemptStatus.ERROR;
         slowStart.recordCompleted(backend, attempt.expectedMs);
         backend.respondedAtMs = context.nowMs;
         recordFault(backend, 0);
-        connected(backend);
+        recordReachable(backend);
         backend.rejections = 0;
         backend.errorRate += 0.2 * ((isError ? 1 : 0) - backend.errorRate);
         if (isError) {
-            return; // a quick error must not make a backend look fast
+            return; // a fast error must not make the backend look fast
         }
         updateSlowness(backend, outcome.elapsedMs() / state.expectedMs());
-        context.sizes.recordResponse(state.classIndex, state.request.units(), outcome.elapsedMs());
+        context.responseTimes.recordResponse(state.classIndex, state.request.units(), outcome.elapsedMs());
     }
 
-    private void rejected(BackendState backend) {
+    private void recordRejection(BackendState backend) {
         backend.respondedAtMs = context.nowMs;
-        connected(backend);
+        recordReachable(backend);
         backend.rejections++;
-        double ejectionMs = Math.min(MAX_REJECTION_EJECTION_MS, REJECTION_EJECTION_MS * backend.rejections) / fadeSpeed;
+        double ejectionMs =
+                Math.min(MAX_REJECTION_EJECTION_MS, REJECTION_EJECTION_MS * backend.rejections) / decaySpeed;
         backend.ejectedUntilMs =
-                context.nowMs + ejectionMs * (slowStart.isWarmingUp(backend) ? STARTING_EJECTION_FACTOR : 1);
+                context.nowMs + ejectionMs * (slowStart.isWarmingUp(backend) ? WARM_UP_EJECTION_FACTOR : 1);
     }
 
-    private void failed(BackendState backend) {
+    private void recordFailure(BackendState backend) {
         recordFault(backend, 1);
         backend.connectedAtMs = DecisionContext.NEVER_MS;
         backend.failures++;
@@ -112,15 +122,15 @@
             backend.failingSinceMs = context.nowMs;
         }
         backend.ejectedUntilMs =
-                context.nowMs + Math.min(MAX_FAILURE_EJECTION_MS, FAILURE_EJECTION_MS * backend.failures) / fadeSpeed;
+                context.nowMs + Math.min(MAX_FAILURE_EJECTION_MS, FAILURE_EJECTION_MS * backend.failures) / decaySpeed;
     }
 
     /**
-     * Takes in that a backend is reachable. After failed connects it may have started anew before the endpoint list
-     * says so, so its slow start begins. Guards also against connections that break now and then: two such in a row had
-     * warm backends paced as starting ones.
+     * Records that a backend is reachable. A backend may have restarted before the endpoint list shows it, so its slow
+     * start begins if it failed for more than a second and more than two connects failed. Broken connections do not
+     * count: when they did, two occasional ones in a row put warm backends into slow start.
      */
-    private void connected(BackendState backend) {
+    private void recordReachable(BackendState backend) {
         boolean wasDown = backend.failingSinceMs >= 0 && context.nowMs - backend.failingSinceMs > 1000;
         if (backend.failedConnects > 2 && wasDown && !slowStart.isWarmingUp(backend)) {
             slowStart.begin(backend, context.nowMs);
@@ -131,101 +141,106 @@
         backend.failingSinceMs = -1;
     }
 
-    /** Takes in the end of a health check. */
+    /** Records the result of a health check. */
     void checkEnded(BackendState backend, ProbeStatus result) {
         backend.ejectedUntilMs = 0;
         if (result == ProbeStatus.DONE) {
-            connected(backend);
+            recordReachable(backend);
         } else {
-            failed(backend);
+            recordFailure(backend);
         }
     }
 
     /**
-     * Takes in a load report on work that ended at a backend.
+     * Records a load report on requests that a backend completed.
      *
-     * @param meanMs the mean response time; below 0 where it is unknown
+     * @param meanMs the mean response time, ms; negative if it is unknown
      */
     void loadReported(BackendState backend, long served, long failed, double meanMs) {
         if (served + failed <= 0) {
             return;
         }
         backend.respondedAtMs = context.nowMs;
-        attempts += served + failed;
-        double part = 1 - Math.pow(0.8, served + failed);
-        backend.errorRate += part * ((double) failed / (served + failed) - backend.errorRate);
+        attemptsInInterval += served + failed;
+        double weight = 1 - Math.pow(0.8, served + failed);
+        backend.errorRate += weight * ((double) failed / (served + failed) - backend.errorRate);
         if (served <= 0 || meanMs < 0) {
             return;
         }
-        updateSlowness(backend, meanMs / context.sizes.meanMs(0));
-        context.sizes.recordMean(0, meanMs);
+        updateSlowness(backend, meanMs / context.responseTimes.meanMs(0));
+        context.responseTimes.recordMean(0, meanMs);
     }
 
     private void updateSlowness(BackendState backend, double ratio) {
-        double step = (ratio > backend.slowness ? 0.15 : 0.1) / Math.sqrt(fadeSpeed);
+        double step = (ratio > backend.slowness ? 0.15 : 0.1) / Math.sqrt(decaySpeed);
         backend.slowness += step * (Math.min(MAX_SLOWNESS, ratio) - backend.slowness);
     }
 
-    private void recordFault(BackendState backend, double part) {
-        recordFault(backend.zoneGroup, part);
-        recordFault(backend.kindGroup, part);
+    private void recordFault(BackendState backend, double failure) {
+        recordFault(backend.zoneGroup, failure);
+        recordFault(backend.kindGroup, failure);
     }
 
-    private void recordFault(String group, double part) {
-        double[] known = groupFaults.computeIfAbsent(group, none -> new double[1]);
-        known[0] = 0.7 * known[0] + 0.3 * part;
+    private void recordFault(String group, double failure) {
+        double[] failureRate = groupFailureRates.computeIfAbsent(group, name -> new double[1]);
+        failureRate[0] = 0.7 * failureRate[0] + 0.3 * failure;
     }
 
-    /** How much a backend's zone and kind fail, 0 to 2. */
-    double groupFaults(BackendState backend) {
-        return faultsOf(backend.zoneGroup) + faultsOf(backend.kindGroup);
+    /** The sum of the failure rates of a backend's zone and kind, 0 to 2. */
+    double groupFailureRate(BackendState backend) {
+        return failureRateOf(backend.zoneGroup) + failureRateOf(backend.kindGroup);
     }
 
-    private double faultsOf(String group) {
-        double[] known = groupFaults.get(group);
-        return known == null ? 0 : known[0];
+    private double failureRateOf(String group) {
+        double[] failureRate = groupFailureRates.get(group);
+        return failureRate == null ? 0 : failureRate[0];
     }
 
-    /** Once an interval: adapts how fast marks fade to the attempts for each listed backend; fades group faults. */
-    void update(int listedBackends) {
-        meanAttempts += 0.1 * (attempts - meanAttempts);
-        attempts = 0;
-        fadeSpeed = Math.max(0.2, Math.min(1, 20 * meanAttempts / Math.max(1, listedBackends)));
-        for (double[] part : groupFaults.values()) {
-            part[0] *= 0.97;
+    /**
+     * Adapts the decay speed to the number of attempts per up backend, and decays the failure rates of the groups.
+     * Called once per interval.
+     */
+    void updateDecaySpeed(int upBackends) {
+        meanAttempts += 0.1 * (attemptsInInterval - meanAttempts);
+        attemptsInInterval = 0;
+        decaySpeed = Math.max(0.2, Math.min(1, 20 * meanAttempts / Math.max(1, upBackends)));
+        for (double[] failureRate : groupFailureRates.values()) {
+            failureRate[0] *= 0.97;
         }
     }
 
-    /** Once an interval: fades a backend's marks so that it is tried again. */
-    void fade(BackendState backend) {
-        backend.slowness += FADE_RATE * fadeSpeed * (1 - backend.slowness);
-        backend.errorRate *= 1 - FADE_RATE * fadeSpeed;
+    /**
+     * Decays a backend's slowness and error rate, so that it receives attempts again. Called once per interval.
+     */
+    void decay(BackendState backend) {
+        backend.slowness += DECAY_RATE * decaySpeed * (1 - backend.slowness);
+        backend.errorRate *= 1 - DECAY_RATE * decaySpeed;
     }
 
-    /** Once an interval: starts a health check of a backend that keeps failing, where checks are allowed. */
+    /**
+     * Starts a health check of a backend that fails repeatedly, if health checks are allowed. Called once per interval.
+     */
     void checkIfDue(BackendState backend) {
-        if (backend.listed
-                && backend.isFailing()
-                && context.limits.mayProbe()
-                && context.nowMs >= backend.ejectedUntilMs) {
+        if (backend.up && backend.isFailing() && context.limits.mayProbe() && context.nowMs >= backend.ejectedUntilMs) {
             backend.ejectedUntilMs = context.nowMs + CHECK_INTERVAL_MS;
             context.actions.checkHealth(backend.endpoint.id());
         }
     }
 
     /**
-     * The share of its capacity that new work may take: a starting backend's follows its ramp, others' their health.
+     * Returns the share of a backend's capacity that new work may use. The share of a warming-up backend follows its
+     * ramp; slowness and errors reduce it.
      */
     CapacityShare capacityShare(BackendState backend) {
         String id = backend.endpoint.id();
-        if (!backend.listed || context.nowMs < backend.ejectedUntilMs) {
+        if (!backend.up || context.nowMs < backend.ejectedUntilMs) {
             return new CapacityShare(id, 0);
         }
         double share = slowStart.capacityShare(backend) / (Math.max(1, backend.slowness) * errorPenalty(backend));
         return new CapacityShare(id, Math.max(MIN_SHARE, share));
     }
 
-    /** The factor by which a backend's errors make it look slower. */
+    /** The factor by which a backend's error rate raises its expected wait. */
     static double errorPenalty(BackendState backend) {
         return 1 + 20 * backend.errorRate * backend.errorRate;
     }
--- a/decision/src/main/java/opalcove/decision/RequestState.java
+++ b/decision/src/main/java/opalcove/decision/RequestState.java
@@ -6,8 +6,8 @@
 import opalcove.decision.DecisionSettings.RequestClass;
 
 /**
- * One request and its attempts. It alone says whether another attempt, a shed response or a failure keeps the rules of
- * the request's class. Owned by the thread that delivers the instance's events.
+ * A request and its attempts. Only this class decides whether another attempt, a shed response or a failure complies
+ * with the rules of the request's class. Owned by the thread that delivers the instance's events.
  */
 final class RequestState {
     private final DecisionContext context;
@@ -20,10 +20,13 @@
     final List<AttemptState> attempts = new ArrayList<>(2);
     final List<Long> timerTokens = new ArrayList<>(2);
 
-    /** The share of its units that has to be in its class's token bucket, drawn by chance. */
+    /** The random share of its units that the token bucket of its class has to hold. */
     final double tokenShare;
 
-    /** What was left of the latency objective on arrival, ms: a client's retry shows its age by its smaller budget. */
+    /**
+     * The remaining part of the latency objective on arrival, ms. The smaller budget of a client's retry shows the time
+     * that has passed since the initial request.
+     */
     final double remainingObjectiveMs;
 
     ClassQueue queue;
@@ -47,40 +50,43 @@
         tokenShare = context.random.nextDouble();
         plan = context.settings.plans().get(planIndex);
         requestClass = context.settings.classes().get(classIndex);
-        double waitedMs = Math.max(0, requestClass.deadlineMs() - request.budgetMs());
-        boolean retry = request.retry() || !retries.recordBudget(request.budgetMs() / requestClass.deadlineMs());
-        remainingObjectiveMs = requestClass.objectiveMs() - (retry ? waitedMs : 0);
+        double elapsedMs = Math.max(0, requestClass.deadlineMs() - request.budgetMs());
+        boolean isRetry = request.retry() || !retries.recordBudget(request.budgetMs() / requestClass.deadlineMs());
+        remainingObjectiveMs = requestClass.objectiveMs() - (isRetry ? elapsedMs : 0);
     }
 
-    /** What is left of the client's time budget, ms. */
+    /** The remaining part of the client's time budget, ms. */
     double remainingBudgetMs() {
         return arrivedAtMs + request.budgetMs() - context.nowMs;
     }
 
-    /** The response time to expect for its class and units, ms. */
+    /** The expected response time for its class and units, ms. */
     double expectedMs() {
-        return context.sizes.expectedMs(classIndex, request.units());
+        return context.responseTimes.expectedMs(classIndex, request.units());
     }
 
-    /** How long it may be queued, ms: what is left of its objective once a usual response has had its time. */
-    double maxQueuedMs() {
+    /**
+     * The maximum time in the queue, ms: a part of the latency objective that remains after the mean response time of
+     * the class and the expected response time of the request.
+     */
+    double maxQueueTimeMs() {
         double remainingMs = Math.min(remainingObjectiveMs, request.budgetMs());
-        return Math.max(0, remainingMs - context.sizes.meanMs(classIndex) - expectedMs()) * 0.6;
+        return Math.max(0, remainingMs - context.responseTimes.meanMs(classIndex) - expectedMs()) * 0.6;
     }
 
-    /** Whether it has been queued for as long as it may be. */
+    /** Whether the request has been queued for the maximum time. */
     boolean isQueuedTooLong() {
-        return context.nowMs - arrivedAtMs >= maxQueuedMs();
+        return context.nowMs - arrivedAtMs >= maxQueueTimeMs();
     }
 
-    /** A Retry-After for a shed request, ms: drawn so that a retry may still be answered in time. */
+    /** Draws a random Retry-After for a shed request, ms, after which a retry may still receive a response in time. */
     double drawRetryAfterMs() {
-        double lastRetryMs = arrivedAtMs + remainingObjectiveMs - 2 * context.sizes.meanMs(classIndex);
+        double lastRetryMs = arrivedAtMs + remainingObjectiveMs - 2 * context.responseTimes.meanMs(classIndex);
         return context.random.nextDouble() * Math.max(0, lastRetryMs - context.nowMs);
     }
 
-    /** The first attempt that may have run, or null. */
-    AttemptState firstThatMayHaveRun() {
+    /** Returns the first attempt that may have run, or null if there is none. */
+    AttemptState firstAttemptThatMayHaveRun() {
         for (int i = 0; i < attempts.size(); i++) {
             if (attempts.get(i).mayHaveRun) {
                 return attempts.get(i);
@@ -89,47 +95,47 @@
         return null;
     }
 
-    /** Whether the rules allow another attempt now. */
+    /** Whether the rules of the class allow another attempt now. */
     boolean mayStartAttempt() {
         if (finished || streaming || attempts.size() >= context.limits.maxAttempts()) {
             return false;
         }
-        if (inFlight > 0 && !context.limits.secondCopies()) {
+        if (inFlight > 0 && !context.limits.mayHedge()) {
             return false;
         }
-        AttemptState first = firstThatMayHaveRun();
-        if (first == null || requestClass.idempotency() == Idempotency.SAFE) {
+        AttemptState firstAttempt = firstAttemptThatMayHaveRun();
+        if (firstAttempt == null || requestClass.idempotency() == Idempotency.SAFE) {
             return true;
         }
-        double windowEndMs = first.startedAtMs + requestClass.windowMs();
+        double windowEndMs = firstAttempt.startedAtMs + requestClass.windowMs();
         return requestClass.idempotency() == Idempotency.KEYED
                 && context.nowMs + context.settings.tickMs() < windowEndMs;
     }
 
-    /** Whether the rules allow the next attempt at this backend. */
+    /** Whether the rules of the class allow the next attempt at this backend. */
     boolean mayUse(BackendState backend) {
-        AttemptState first = firstThatMayHaveRun();
-        if (first == null
+        AttemptState firstAttempt = firstAttemptThatMayHaveRun();
+        if (firstAttempt == null
                 || requestClass.idempotency() == Idempotency.SAFE
                 || requestClass.deduplicationScope() == DeduplicationScope.ALL) {
             return true;
         }
-        Endpoint used = first.backend.endpoint;
+        Endpoint firstEndpoint = firstAttempt.backend.endpoint;
         return requestClass.deduplicationScope() == DeduplicationScope.ZONE
-                ? used.zone().equals(backend.endpoint.zone())
-                : used.cell() == backend.endpoint.cell();
+                ? firstEndpoint.zone().equals(backend.endpoint.zone())
+                : firstEndpoint.cell() == backend.endpoint.cell();
     }
 
-    /** Whether the rules allow to shed the request, which promises that a retry is harmless. */
+    /** Whether the rules of the class allow shedding the request, which promises that a retry is harmless. */
     boolean mayBeShed() {
-        Idempotency effect = requestClass.idempotency();
-        if (firstThatMayHaveRun() == null || effect == Idempotency.SAFE) {
+        Idempotency idempotency = requestClass.idempotency();
+        if (firstAttemptThatMayHaveRun() == null || idempotency == Idempotency.SAFE) {
             return true;
         }
-        return effect == Idempotency.KEYED && requestClass.deduplicationScope() == DeduplicationScope.ALL;
+        return idempotency == Idempotency.KEYED && requestClass.deduplicationScope() == DeduplicationScope.ALL;
     }
 
-    /** Whether an attempt went to this backend before. */
+    /** Whether an earlier attempt was sent to this backend. */
     boolean hasTried(BackendState backend) {
         for (int i = 0; i < attempts.size(); i++) {
             if (attempts.get(i).backend == backend) {
--- a/decision/src/main/java/opalcove/decision/SlowStart.java
+++ b/decision/src/main/java/opalcove/decision/SlowStart.java
@@ -1,110 +1,118 @@
 package opalcove.decision;
 
 /**
- * The slow start of backends that have just begun to serve: each has a budget of work that follows its ramp, in
- * proportion to the pace of warm backends. Owned by the thread that delivers the instance's events.
+ * The slow start of newly started backends. Each has a budget of work that follows its ramp, in proportion to the pace
+ * of warm backends. Owned by the thread that delivers the instance's events.
  */
 final class SlowStart {
     private final DecisionContext context;
 
-    /** What a starting backend may be given, as a multiple of its ramp: real ramps are seldom the slowest. */
+    /**
+     * The load that a warming-up backend may receive, as a multiple of its ramp. It may exceed 1, because real ramps
+     * are seldom the slowest possible.
+     */
     private final double rampMargin;
 
-    /** Work that warm backends complete, ms of response time by ms and unit of size; a moving mean. */
+    /** Moving mean of the work that warm backends complete, ms of response time per ms and unit of size. */
     private double pace;
 
     private double paceSamples;
     private double meanSize = 1;
-    private int warm;
+    private int warmCount;
 
-    /** Work that warm backends completed in this interval, ms. */
-    private double completedMs;
+    /** Work that warm backends completed in this interval, ms of response time. */
+    private double completedWorkMs;
 
-    /** Work of one whole request of the slowest class, ms. */
-    private double requestMs;
+    /** Work of one complete request of the slowest class, ms of response time. */
+    private double largestRequestMs;
 
     SlowStart(DecisionContext context) {
         this.context = context;
         rampMargin = Math.min(1.2, 0.5 * context.obligations.overloadFactor());
-        requestMs = context.sizes.largestMeanMs();
+        largestRequestMs = context.responseTimes.largestMeanMs();
     }
 
-    /** Begins a backend's slow start, as of the time at which it started. */
+    /** Begins the slow start of a backend that started at this time, ms. */
     void begin(BackendState backend, double startedAtMs) {
         backend.startedAtMs = startedAtMs;
-        // Guards against gateways in step, and against each saving up a whole request before any sends.
-        backend.slowStartBudgetMs = context.random.nextDouble() * requestMs;
+        // The initial budget is random. Otherwise all gateways would send to the backend at the same time, and none
+        // would send before each of them had accumulated the budget of a complete request.
+        backend.slowStartBudgetMs = context.random.nextDouble() * largestRequestMs;
         backend.slowness = 1;
         backend.failures = 0;
         backend.ejectedUntilMs = 0;
     }
 
-    /** Whether the backend started so lately that it may not have warmed up. */
+    /** Whether the backend started so recently that it may not be warm yet. */
     boolean isWarmingUp(BackendState backend) {
         return context.nowMs - backend.startedAtMs < context.obligations.warmAfterMs();
     }
 
-    /** Whether a backend that is warming up has used up its budget. */
+    /** Whether a warming-up backend has too little budget for another request. */
     boolean isExhausted(BackendState backend) {
-        return backend.slowStartBudgetMs < requestMs;
+        return backend.slowStartBudgetMs < largestRequestMs;
     }
 
-    /** The part of its capacity that a backend that is warming up has reached, by the ramp. */
+    /** The share of its capacity that a warming-up backend has reached on its ramp. */
     double rampShare(BackendState backend) {
-        double from = context.obligations.initialShare();
-        return from
-                + (1 - from) * (context.nowMs - backend.startedAtMs) / Math.max(1, context.obligations.warmAfterMs());
+        double initialShare = context.obligations.initialShare();
+        return initialShare
+                + (1 - initialShare)
+                        * (context.nowMs - backend.startedAtMs)
+                        / Math.max(1, context.obligations.warmAfterMs());
     }
 
-    /** The part of its usual capacity that a backend may be given; 1 once it is warm. */
+    /** The share of its usual capacity that a backend may be given; 1 once it is warm. */
     double capacityShare(BackendState backend) {
         return isWarmingUp(backend) ? rampShare(backend) * Math.min(0.9, rampMargin) : 1;
     }
 
-    /** Draws the work of an attempt from the budget of a backend that is warming up. */
+    /** Deducts the work of an attempt, ms of response time, from the budget of a warming-up backend. */
     void charge(BackendState backend, double workMs) {
         if (isWarmingUp(backend)) {
             backend.slowStartBudgetMs -= workMs;
         }
     }
 
-    /** Counts work that a backend completed towards the pace of warm ones. */
+    /** Adds the work that a backend completed, ms of response time, to that of warm backends if it is warm. */
     void recordCompleted(BackendState backend, double workMs) {
-        completedMs += isWarmingUp(backend) ? 0 : workMs;
+        completedWorkMs += isWarmingUp(backend) ? 0 : workMs;
     }
 
-    /** Starts a new count of warm backends. */
+    /** Resets the count of warm backends. */
     void resetWarmCount() {
-        warm = 0;
+        warmCount = 0;
     }
 
-    /** Counts a listed backend that is warm and well, for the mean size. */
+    /** Counts a backend if it is warm and not failing, and includes it in the mean size. */
     void countIfWarm(BackendState backend) {
         if (!isWarmingUp(backend) && !backend.isFailing()) {
-            meanSize += (backend.endpoint.size() - meanSize) / ++warm;
+            meanSize += (backend.endpoint.size() - meanSize) / ++warmCount;
         }
     }
 
-    /** Once an interval: takes in the pace of warm backends by size. */
+    /** Updates the pace of warm backends per unit of size. Called once per interval. */
     void updatePace() {
-        double measured = warm > 0 ? completedMs / DecisionContext.INTERVAL_MS / Math.max(1e-9, warm * meanSize) : pace;
+        double measured = warmCount > 0
+                ? completedWorkMs / DecisionContext.INTERVAL_MS / Math.max(1e-9, warmCount * meanSize)
+                : pace;
         if (paceSamples > 0 || measured > 0) {
             pace += Math.max(0.05, 1 / ++paceSamples) * (measured - pace);
         }
-        completedMs = 0;
-        requestMs = context.sizes.largestMeanMs();
+        completedWorkMs = 0;
+        largestRequestMs = context.responseTimes.largestMeanMs();
     }
 
-    /** Once an interval: fills the budget of a backend that is warming up. */
+    /** Refills the budget of a warming-up backend. Called once per interval. */
     void refill(BackendState backend) {
         if (!isWarmingUp(backend)) {
             return;
         }
-        // Guards against sizes that tell the load of the moment: a bound whatever they say.
+        // Bounds the size by the mean of warm backends, because a listed size may follow the momentary load.
         double size =
                 Math.min(rampMargin * backend.endpoint.size(), 0.7 * context.obligations.overloadFactor() * meanSize);
         double rate = rampShare(backend) * pace * size;
-        double maxMs = Math.max(requestMs, rate * 1000);
+        double maxMs = Math.max(largestRequestMs, rate * 1000);
         backend.slowStartBudgetMs = Math.min(maxMs, backend.slowStartBudgetMs + rate * DecisionContext.INTERVAL_MS);
     }
 }
