--- a/gateway/src/main/java/opalcove/core/AttemptGuard.java
+++ b/gateway/src/main/java/opalcove/core/AttemptGuard.java
@@ -8,29 +8,35 @@
 import opalcove.metrics.Invariant;
 
 /**
- * The invariants, checked once more outside the decision module: a wrong decision must not become a second effect, a
- * second concurrent attempt or work for a draining backend. All that is sent passes here three times: when it is
- * decided on, when its connection is up, and when its bytes leave. Used on the event loop only.
+ * Checks the invariants a second time, outside the decision module, so that a wrong decision cannot cause a second
+ * effect, a second concurrent attempt or work for a draining backend. Each attempt is checked three times: when it is
+ * chosen, when its connection is established, and when its bytes are written. Used on the event loop only.
  */
 final class AttemptGuard {
     /**
-     * How much longer the deadline passed to a backend may be than what its client has left, ms: a third of the
-     * allowed slack, for a process that is held up between this check and the write.
+     * The deadline that is forwarded to a backend may exceed the client's remaining time by this much, ms. It is a
+     * third of the allowed slack and covers a process that is delayed between this check and the write.
      */
     private static final double DEADLINE_SLACK_MS = 50;
     /**
-     * A repeat that would reach its backend less than this before the end of its window is not sent, ms: the process
-     * may be held up between this check and the write.
+     * A repeat is not sent in this last part of its window, ms, because the process may be delayed between this check
+     * and the write.
      */
     private static final double WINDOW_MARGIN_MS = 150;
 
-    /** Why something may not be done, and the invariant that it would violate. */
+    /** The reason why an action is not allowed, and the invariant that the action would violate. */
     record Veto(Invariant invariant, String cause) {}
 
     private final EndpointList endpoints;
-    /** Attempts that a request may have, by the newest settings: a lower number also binds requests in flight. */
+    /**
+     * The maximum number of attempts of a request, from the newest settings. A lower number also applies to requests in
+     * flight.
+     */
     private int maxAttempts;
-    /** Attempts of one request that may be in flight at once, by the newest settings: two where they allow hedging. */
+    /**
+     * The maximum number of concurrent attempts of one request, from the newest settings: 2 if they allow hedging, else
+     * 1.
+     */
     private int maxOutstanding;
 
     AttemptGuard(DecisionSettings settings, EndpointList endpoints) {
@@ -38,48 +44,53 @@
         applyLimits(settings);
     }
 
-    /** Applies the limits of new settings. */
+    /** Applies the limits of new settings, also to requests in flight. */
     void applyLimits(DecisionSettings settings) {
         maxAttempts = settings.limits().maxAttempts();
         maxOutstanding = settings.limits().secondCopies() ? 2 : 1;
     }
 
-    /** Why this attempt may not be started, or null where it may. */
+    /** Returns the reason why this attempt may not be started, or null if it may. */
     Veto vetoAttempt(InFlightRequest inFlight, String backend, double nowMs) {
         Backend target = endpoints.available(backend);
         if (target == null) {
-            return new Veto(Invariant.LISTED, "the endpoint list does not offer " + backend);
+            return new Veto(Invariant.LISTED, "the endpoint list does not offer backend " + backend);
         }
         if (inFlight.attemptsOut() >= maxOutstanding) {
-            return new Veto(Invariant.ATTEMPTS, maxOutstanding + " of its attempts still out");
+            return new Veto(Invariant.ATTEMPTS, "limit of " + maxOutstanding + " concurrent attempts reached");
         }
         if (inFlight.attempts.size() >= maxAttempts) {
-            return new Veto(Invariant.ATTEMPTS, "it has had all its attempts");
+            return new Veto(Invariant.ATTEMPTS, "maximum number of attempts reached");
         }
         return vetoRepeat(inFlight, inFlight.firstThatMayHaveRun(), target, nowMs);
     }
 
-    /** Why an attempt that was decided on may not be written any more, or null where it may. */
+    /**
+     * Returns the reason why an attempt that was chosen earlier may no longer be written to its new connection, or null
+     * if it may.
+     */
     Veto vetoAfterConnect(InFlightRequest inFlight, InFlightRequest.Attempt attempt, double nowMs) {
         if (inFlight.over) {
-            return new Veto(Invariant.CLIENT_WAITS, "it is over");
+            return new Veto(Invariant.CLIENT_WAITS, "the request has ended");
         }
         Backend target = endpoints.available(attempt.backend.name());
         if (target == null || !target.address().equals(attempt.backend.address())) {
             return new Veto(
-                    Invariant.LISTED, "the endpoint list does not offer " + attempt.backend.name() + " there any more");
+                    Invariant.LISTED,
+                    "the endpoint list no longer offers backend " + attempt.backend.name() + " at this address");
         }
         InFlightRequest.Attempt first = inFlight.firstThatMayHaveRun();
         return vetoRepeat(inFlight, first == attempt ? null : first, target, nowMs);
     }
 
-    /** Why an attempt whose bytes pass on this deadline may not be sent now, or null where it may. */
+    /** Returns the reason why an attempt that forwards this deadline may not be written now, or null if it may. */
     Veto vetoWrite(InFlightRequest inFlight, InFlightRequest.Attempt attempt, double deadlineMs, double nowMs) {
         double remainingMs = inFlight.remainingMs(nowMs);
         if (deadlineMs > Math.max(0, remainingMs) + DEADLINE_SLACK_MS) {
             return new Veto(
                     Invariant.DEADLINE_PASSED_ON,
-                    "held up, it passes on " + (long) deadlineMs + " ms with " + (long) remainingMs + " left");
+                    "delayed write: the forwarded deadline is " + (long) deadlineMs + " ms with " + (long) remainingMs
+                            + " ms left");
         }
         return vetoAfterConnect(inFlight, attempt, nowMs);
     }
@@ -91,13 +102,13 @@
             return null;
         }
         if (requestClass.idempotency() == Idempotency.UNSAFE) {
-            return new Veto(Invariant.REPEAT, "it may have run and must not be repeated");
+            return new Veto(Invariant.REPEAT, "an earlier attempt may have run and must not be repeated");
         }
         if (nowMs
                 >= first.startedAtMs
                         + requestClass.windowMs()
                         - Math.min(WINDOW_MARGIN_MS, requestClass.windowMs() / 4)) {
-            return new Veto(Invariant.REPEAT, "its repeat window is over");
+            return new Veto(Invariant.REPEAT, "the repeat window of its class has expired");
         }
         Endpoint firstEndpoint = first.backend.endpoint();
         Endpoint nextEndpoint = target.endpoint();
@@ -109,10 +120,10 @@
                 };
         return shared
                 ? null
-                : new Veto(Invariant.REPEAT, "a backend outside its deduplication scope must not see it again");
+                : new Veto(Invariant.REPEAT, "a backend outside its deduplication scope must not receive it again");
     }
 
-    /** Whether a refusal's promise, that trying again is harmless, may be given. */
+    /** Whether the request may be refused. A refusal promises that trying again is harmless. */
     boolean mayRefuse(InFlightRequest inFlight) {
         DecisionSettings.RequestClass requestClass = inFlight.requestClass;
         return inFlight.firstThatMayHaveRun() == null
--- a/gateway/src/main/java/opalcove/core/AttemptResult.java
+++ b/gateway/src/main/java/opalcove/core/AttemptResult.java
@@ -6,14 +6,15 @@
 /**
  * How an attempt at a backend ended.
  *
- * @param value null unless it was served; lent for the time of the call that brings it
- * @param quotaUsedPercent the tenant's use of its quota as the backend reports it; below 0 where it does not
- * @param actualUnits the units that the request has cost; 0 where not reported
- * @param loadReport null where none came
+ * @param value the backend's value, or null unless the attempt was served; valid only during the call that delivers it
+ * @param quotaUsedPercent the tenant's used part of its quota as reported by the backend, percent; below 0 if not
+ *     reported
+ * @param actualUnits the units that the request has cost; 0 if not reported
+ * @param loadReport the backend's load report, or null if there was none
  */
 public record AttemptResult(
         AttemptStatus status, ByteBuf value, int quotaUsedPercent, double actualUnits, double[] loadReport) {
-    /** An end of which the backend reported nothing. */
+    /** Returns a result without any data from the backend. */
     public static AttemptResult withoutReport(AttemptStatus result) {
         return new AttemptResult(result, null, -1, 0, null);
     }
--- a/gateway/src/main/java/opalcove/core/BackendDirectory.java
+++ b/gateway/src/main/java/opalcove/core/BackendDirectory.java
@@ -12,7 +12,7 @@
 import org.tinylog.Logger;
 
 /**
- * Takes in the endpoint list and its changes, and passes them on to the transport, the decision modules and the figures.
+ * Applies the endpoint list and its changes, and forwards them to the transport, the decision modules and the metrics.
  * Used on the event loop only.
  */
 final class BackendDirectory {
@@ -36,9 +36,9 @@
     }
 
     /**
-     * Takes in the complete list or its changed entries.
+     * Applies the complete list or its changed entries.
      *
-     * @param sourceNowMs the time of the source's own clock as it gave the list, or 0 where it is not known
+     * @param sourceNowMs the time of the source's own clock when it sent the list, Unix ms, or 0 if it is not known
      */
     void endpointsChanged(boolean complete, List<Backend> entries, double sourceNowMs) {
         endpoints.update(complete, entries).forEach(transport::retire);
@@ -47,7 +47,7 @@
         if (starts.implausibleStarts() > implausible) {
             counters.implausibleStartTimes += starts.implausibleStarts() - implausible;
             Logger.warn(
-                    "{} backends have start times that this machine's clock rules out: they count as started now",
+                    "the start times of {} backends are impossible by this machine's clock; they count as started now",
                     starts.implausibleStarts() - implausible);
         }
         for (ConfigGeneration each : generations.inUse()) {
@@ -56,28 +56,28 @@
         countAvoided();
     }
 
-    /** Hands a new generation's module the list as it is. */
+    /** Sends the current complete list to the module of a new generation. */
     void introduceTo(ConfigGeneration generation) {
         List<Endpoint> local = starts.localEndpoints(endpoints.all());
         turns.run(() -> generation.module.endpointsChanged(clock.now(), true, local));
     }
 
-    /** The endpoint source was reached, with or without changes. */
+    /** Records that the endpoint source was reached, with or without changes. */
     void sourceContacted() {
         starts.sourceContacted(clock.now());
     }
 
-    /** All backends that the list names. */
+    /** Returns all backends in the list. */
     List<Backend> all() {
         return endpoints.all();
     }
 
-    /** What the newest module would give each backend now. */
+    /** Returns the capacity share that the newest module would assign to each backend now. */
     List<CapacityShare> capacityShares() {
         return generations.newest().module.capacityShares(clock.now());
     }
 
-    /** Updates the figures of backends that are listed and get no new requests now, for whichever reason. */
+    /** Updates the metrics of listed backends and of those that get no new requests now, for any reason. */
     void countAvoided() {
         turns.run(this::updateAvoided);
     }
--- a/gateway/src/main/java/opalcove/core/BackendTransport.java
+++ b/gateway/src/main/java/opalcove/core/BackendTransport.java
@@ -3,65 +3,73 @@
 import java.util.function.Consumer;
 import opalcove.config.Backend;
 
-/** The connections to backends over some wire. All calls are made on the event loop. */
+/** Connections to backends over one wire protocol. All methods are called on the event loop. */
 public interface BackendTransport {
     /** An attempt in flight. */
     interface Attempt {
-        /** Stops waiting. The result follows once the backend can see that the attempt was cancelled. */
+        /** Cancels the attempt. Its result is reported once the cancellation is visible to the backend. */
         void cancel();
     }
 
-    /** Receives what becomes of an attempt. */
+    /** Receives the events of an attempt. */
     interface AttemptListener {
         /**
-         * A value too long to be gathered has begun to come, before the result; true where it is taken. Where it is
-         * not, the connection ends as one that cannot be read.
+         * Called before the result when the first bytes of a value arrive that is too long to be buffered. Returns
+         * whether the listener accepts the value; if it does not, the connection is closed as if its input could not be
+         * read.
          */
         default boolean acceptsStreamedValue(StreamedValue value) {
             return false;
         }
 
         /**
-         * Called when a connection is up, right before anything is written to it: whether the attempt is still to be
-         * made. Where it is not, it ends as not sent.
+         * Called when a connection has been established, right before anything is written to it. Returns whether the
+         * attempt is still to be made; if not, it ends as not sent.
          */
         default boolean isStillWanted() {
             return true;
         }
 
         /**
-         * Called right before the attempt's bytes leave, which pass on this deadline to the backend: whether they
-         * still may. Where not, the connection is closed and the attempt ends as not sent.
+         * Called right before the attempt's bytes are written, which forward this deadline to the backend. Returns
+         * whether they may still be written; if not, the connection is closed and the attempt ends as not sent.
+         *
+         * @param deadlineMs the forwarded deadline: the time that the backend has left, ms
          */
         default boolean maySend(double deadlineMs) {
             return true;
         }
 
         /**
-         * Called once, perhaps before the call that starts the attempt has returned. A value is lent: it is valid
-         * during this call, and who keeps it copies it.
+         * Called once with the result, possibly before the call that starts the attempt has returned. The result's
+         * value is valid only during this call; a listener that needs it later copies it.
          */
         void onResult(AttemptResult result);
     }
 
-    /** Starts an attempt; this gateway waits no longer than timeoutMs. */
+    /** Starts an attempt; this gateway waits for its result no longer than {@code timeoutMs}. */
     Attempt startAttempt(Backend backend, Request request, double timeoutMs, AttemptListener listener);
 
     /**
-     * Checks whether a backend can be reached, by opening a connection on which nothing is sent, and reports it once,
-     * perhaps before this call returns.
+     * Checks whether a backend can be reached, by opening a connection on which nothing is sent. The result is reported
+     * once, possibly before this call returns.
      */
     void checkReachable(Backend backend, Consumer<Boolean> reached);
 
-    /** Calls the action each time that no connection could be made for lack of something on this machine. */
+    /**
+     * Registers an action that runs each time a connection could not be opened for lack of a resource of this machine.
+     */
     default void onLocalConnectFailure(Consumer<Throwable> action) {}
 
-    /** The backend takes no new requests, or has moved: connections to it are closed once they carry nothing. */
+    /**
+     * Closes the connections to a backend, each once it carries nothing, because the backend takes no new requests or
+     * has a new address.
+     */
     void retire(Backend backend);
 
-    /** How many connections are open or being opened. */
+    /** Returns how many connections are open or being opened. */
     int openConnections();
 
-    /** How many connections carry nothing and may be used at once. */
+    /** Returns how many connections carry no attempt and may be used at once. */
     int idleConnections();
 }
--- a/gateway/src/main/java/opalcove/core/ConfigGeneration.java
+++ b/gateway/src/main/java/opalcove/core/ConfigGeneration.java
@@ -6,17 +6,17 @@
 import opalcove.decision.DecisionSettings;
 
 /**
- * One set of settings, the validator of requests by them and a decision module that decides by them. Each request stays
- * with the generation that it was accepted under, and so keeps its class; new requests go to the newest.
+ * One set of settings, with the request validator and the decision module that use it. Each request stays with the
+ * generation under which it was accepted, and so keeps its class; new requests go to the newest generation.
  */
 final class ConfigGeneration {
     final DecisionSettings settings;
     final RequestValidator validator;
     final AdmissionController module;
-    /** Requests accepted under it that are not closed yet. */
+    /** How many requests accepted under this generation are still open. */
     int openRequests;
 
-    /** A generation whose module acts by what {@code actions} makes for it. */
+    /** Creates a generation whose module uses the actions that {@code actions} creates for it. */
     ConfigGeneration(
             DecisionSettings settings, double nowMs, long seed, Function<ConfigGeneration, DecisionActions> actions) {
         this.settings = settings;
--- a/gateway/src/main/java/opalcove/core/CoreParts.java
+++ b/gateway/src/main/java/opalcove/core/CoreParts.java
@@ -6,7 +6,7 @@
 import opalcove.metrics.InvariantMonitor;
 import opalcove.metrics.Metrics;
 
-/** What the parts of the core share; all of it is used on one event loop only. */
+/** The objects that the classes of the core share. All of them are used on one event loop only. */
 record CoreParts(
         Vertx vertx,
         Clock clock,
--- a/gateway/src/main/java/opalcove/core/DeferredAttempt.java
+++ b/gateway/src/main/java/opalcove/core/DeferredAttempt.java
@@ -4,9 +4,10 @@
 import opalcove.decision.AttemptStatus;
 
 /**
- * An attempt that was decided on while the event loop had been held up. Guards a backend whose drain has not been read
- * yet, and may have been sent long ago: the attempt starts once all input of that time has been read and the endpoint
- * source was asked for its changes since, if the attempt still holds then. Used on the event loop only.
+ * An attempt that the module chose while the event loop was delayed. The drain of its backend may then have been
+ * announced long before without having been read yet, and an attempt that started at once would send new work to the
+ * draining backend. The attempt therefore starts only after all input of that time has been read and the endpoint
+ * source has been polled for the changes since, and only if it is still allowed then. Used on the event loop only.
  */
 final class DeferredAttempt implements BackendTransport.Attempt {
     private final RequestLifecycle lifecycle;
@@ -21,7 +22,7 @@
             Step.Forward step) {
         this.lifecycle = lifecycle;
         this.attempt = attempt;
-        // By the time that a timer set now expires, the loop has read once more.
+        // The event loop reads its sockets once more before a timer that is set now expires.
         vertx.setTimer(1, read -> lifecycle.whenEndpointsCurrent(() -> startIfStillWanted(inFlight, step)));
     }
 
--- a/gateway/src/main/java/opalcove/core/EndpointList.java
+++ b/gateway/src/main/java/opalcove/core/EndpointList.java
@@ -12,8 +12,8 @@
     private final Map<String, Backend> backends = new LinkedHashMap<>();
 
     /**
-     * Takes in the complete list or its changed entries; gives the backends that took new requests before and now do
-     * not, or do so at another address.
+     * Applies the complete list or its changed entries. Returns the backends that took new requests before and now do
+     * not, or now have a different address.
      */
     List<Backend> update(boolean complete, List<Backend> entries) {
         Map<String, Backend> before = new LinkedHashMap<>(backends);
@@ -38,13 +38,13 @@
         return withdrawn;
     }
 
-    /** The backend where the list says that it takes new requests, else null. */
+    /** Returns the backend if the list says that it takes new requests, else null. */
     Backend available(String name) {
         Backend backend = backends.get(name);
         return backend != null && backend.endpoint().state() == EndpointState.UP ? backend : null;
     }
 
-    /** All backends that the list names. */
+    /** Returns all backends in the list. */
     List<Backend> all() {
         return List.copyOf(backends.values());
     }
--- a/gateway/src/main/java/opalcove/core/EndpointSource.java
+++ b/gateway/src/main/java/opalcove/core/EndpointSource.java
@@ -1,11 +1,11 @@
 package opalcove.core;
 
 /**
- * Where the endpoint list comes from, as far as sending an attempt depends on it. All calls are made on the event
- * loop.
+ * The source of the endpoint list, reduced to what the start of an attempt depends on. All methods are called on the
+ * event loop.
  */
 public interface EndpointSource {
-    /** A source that delivers each change before anything else is done. */
+    /** A source that delivers each change immediately, so that the list is always current. */
     EndpointSource ALWAYS_CURRENT = new EndpointSource() {
         @Override
         public boolean isCurrent() {
@@ -18,9 +18,11 @@
         }
     };
 
-    /** False while changes of the time in which this process was held up are being fetched. */
+    /** Returns false while changes are being fetched that occurred while this process was delayed. */
     boolean isCurrent();
 
-    /** Runs the action once the list is current, which may be now; also where the source fails to answer. */
+    /**
+     * Runs the action once the list is current, possibly within this call. Also runs it if the source fails to respond.
+     */
     void whenCurrent(Runnable action);
 }
--- a/gateway/src/main/java/opalcove/core/InFlightRequest.java
+++ b/gateway/src/main/java/opalcove/core/InFlightRequest.java
@@ -7,20 +7,18 @@
 import opalcove.decision.AttemptStatus;
 import opalcove.decision.DecisionSettings;
 
-/**
- * One accepted request: its attempts, whether it is over, and the handler of its response. Owned by the event loop.
- */
+/** One accepted request, with its attempts, its state and the handler of its response. Owned by the event loop. */
 final class InFlightRequest implements RequestHandle {
     /**
-     * How much earlier than the client's deadline the module's budget ends, ms. Guards against a final response that is
-     * late because the machine was: a pause of the process or a slow wake-up.
+     * The module's time budget ends this much before the client's deadline, ms. Without the margin, a pause of the
+     * process or a slow wake-up of the machine would make the final response late.
      */
     private static final double MODULE_MARGIN_MS = 25;
 
-    /** A value that is being streamed, and the attempt that brings it. */
+    /** A value that is being streamed, and the attempt that delivers it. */
     record Streaming(Attempt attempt, StreamedValue value) {}
 
-    /** One attempt, in the module's numbering. */
+    /** One attempt. Its number is the one that the module uses for it. */
     final class Attempt implements BackendTransport.AttemptListener {
         final Backend backend;
         final int number;
@@ -34,7 +32,7 @@
             number = attempts.size();
         }
 
-        /** Whether the backend may have executed it. */
+        /** Whether the backend may have executed the attempt. */
         boolean mayHaveRun() {
             return status == null || !status.neverRan;
         }
@@ -61,19 +59,22 @@
     }
 
     final Request request;
-    /** The settings and module that it was accepted under, which decide on it to its end. */
+    /** The settings and module under which the request was accepted and is decided on until it ends. */
     final ConfigGeneration generation;
 
     final DecisionSettings.RequestClass requestClass;
     final double acceptedAtMs;
     final List<Attempt> attempts = new ArrayList<>(2);
-    /** Set once a value is being streamed: the request is bound to that attempt, and its deadline has been met. */
+    /**
+     * Set once a value is being streamed: the response then comes from that attempt, and the request's deadline no
+     * longer applies.
+     */
     Streaming streaming;
 
     boolean over;
-    /** Its client left before it was over. */
+    /** Whether the client disconnected before the request ended. */
     boolean clientDisconnected;
-    /** It ends with the process: a request that came after it may not wait longer. */
+    /** Whether the request ends before the process does, because the response of a later request is waiting for it. */
     boolean expedited;
 
     private final RequestLifecycle lifecycle;
@@ -102,7 +103,7 @@
         };
     }
 
-    /** What the decision module needs to know of it. */
+    /** Returns the request in the form that the decision module takes. */
     AdmissionRequest admissionRequest() {
         return new AdmissionRequest(
                 request.id(),
@@ -115,7 +116,7 @@
                 request.retry());
     }
 
-    /** Expires at its deadline, or earlier where it is expedited. */
+    /** Returns the timer that expires at the request's deadline, or earlier if the request is expedited. */
     TimerQueue.Timer deadline() {
         return deadline;
     }
@@ -142,17 +143,20 @@
         lifecycle.expedite(this);
     }
 
-    /** How much of its time is left then, ms; below 0 once it is over. */
+    /** Returns the time left until the request's deadline at {@code nowMs}, ms; below 0 after the deadline. */
     double remainingMs(double nowMs) {
         return acceptedAtMs + request.timeoutMs() - nowMs;
     }
 
-    /** Whether its client is still connected, as far as can be known now. */
+    /** Whether the client is still connected, as far as is known now. */
     boolean isClientConnected() {
         return handler.isConnected();
     }
 
-    /** Binds the request to a value that has begun to come; false where the handler does not take it. */
+    /**
+     * Binds the request to a value whose first bytes have arrived. Returns false if the handler does not accept the
+     * value.
+     */
     boolean stream(Attempt attempt, StreamedValue value) {
         if (over || streaming != null || attempt.status != null || !handler.acceptsStreamedValue(value)) {
             return false;
@@ -161,7 +165,7 @@
         return true;
     }
 
-    /** Ends the request with a response, or with none for a client that left. */
+    /** Ends the request with a response, or with none (null) if its client has disconnected. */
     void finish(Response response) {
         over = true;
         if (response != null) {
@@ -170,7 +174,7 @@
         releaseIfDone();
     }
 
-    /** Releases the request once it is over and no attempt is out that could still be written. */
+    /** Releases the request once it has ended and no attempt is in flight that could still be written. */
     void releaseIfDone() {
         if (over && !released && attemptsOut() == 0) {
             released = true;
@@ -179,7 +183,7 @@
         }
     }
 
-    /** How many attempts have not ended. */
+    /** Returns how many attempts have not ended. */
     int attemptsOut() {
         int out = 0;
         for (int i = 0; i < attempts.size(); i++) {
@@ -190,7 +194,7 @@
         return out;
     }
 
-    /** The first attempt that may have run, or null. */
+    /** Returns the first attempt that a backend may have executed, or null. */
     Attempt firstThatMayHaveRun() {
         for (int i = 0; i < attempts.size(); i++) {
             if (attempts.get(i).mayHaveRun()) {
--- a/gateway/src/main/java/opalcove/core/InFlightRequests.java
+++ b/gateway/src/main/java/opalcove/core/InFlightRequests.java
@@ -4,7 +4,7 @@
 import java.util.Map;
 import opalcove.metrics.Metrics;
 
-/** The requests that are open, by their ids. Used on the event loop only. */
+/** The open requests by their ids. Used on the event loop only. */
 final class InFlightRequests {
     private final Map<String, InFlightRequest> byId = new HashMap<>();
     private final Metrics metrics;
@@ -24,7 +24,10 @@
         return byId.containsKey(id);
     }
 
-    /** The open request of that id under that generation, or null: an id may be used again under another. */
+    /**
+     * Returns the open request with that id under that generation, or null. The generation is compared because the id
+     * may be used again under another one.
+     */
     InFlightRequest find(String id, ConfigGeneration generation) {
         InFlightRequest inFlight = byId.get(id);
         return inFlight != null && inFlight.generation == generation ? inFlight : null;
@@ -42,13 +45,13 @@
         }
         metrics.inFlight(byId.size());
         if (byId.isEmpty() && whenIdle != null) {
-            // Not within the turn that writes the last response.
+            // Deferred until after the current task, which still writes the last response.
             turns.append(whenIdle);
             whenIdle = null;
         }
     }
 
-    /** Runs the action once no request is open, which may be now. */
+    /** Runs the action once no request is open, possibly within this call. */
     void whenIdle(Runnable action) {
         if (byId.isEmpty()) {
             action.run();
--- a/gateway/src/main/java/opalcove/core/InvalidRequestException.java
+++ b/gateway/src/main/java/opalcove/core/InvalidRequestException.java
@@ -1,24 +1,24 @@
 package opalcove.core;
 
-/** A request that cannot be read; the message says why. */
+/** Thrown for a request that is malformed or not valid; the message says why. */
 public final class InvalidRequestException extends Exception {
     private static final long serialVersionUID = 1L;
 
-    /** The class that the request names, or null where it was not read. */
+    /** The request class named in the request, or null if it was not read. */
     private final String requestClass;
 
-    /** An error without a request class. */
+    /** Creates an exception without a request class. */
     public InvalidRequestException(String reason) {
         this(reason, null);
     }
 
-    /** An error of a request that names this class. */
+    /** Creates an exception for a request of this class. */
     public InvalidRequestException(String reason, String requestClass) {
         super(reason);
         this.requestClass = requestClass;
     }
 
-    /** The class that the request names, or null. */
+    /** Returns the request class named in the request, or null. */
     public String requestClass() {
         return requestClass;
     }
--- a/gateway/src/main/java/opalcove/core/LoopHeartbeat.java
+++ b/gateway/src/main/java/opalcove/core/LoopHeartbeat.java
@@ -3,18 +3,21 @@
 import opalcove.config.Clock;
 
 /**
- * A timer that expires at a fixed interval and so shows when the event loop was held up: then it is late. Used on the
- * event loop only.
+ * A timer that expires at a fixed interval; when it is late, the event loop was delayed. Used on the event loop only.
  */
 final class LoopHeartbeat extends TimerQueue.Timer {
-    /** The longest interval, ms: the number of avoided backends in figures may be twice as old. */
+    /**
+     * The longest interval, ms. Each beat updates the number of avoided backends in the metrics, which may be twice
+     * this old.
+     */
     private static final double MAX_INTERVAL_MS = 250;
-    /** The shortest interval, ms, however short the drain grace is. */
+    /** The shortest interval, ms, for any drain grace. */
     private static final double MIN_INTERVAL_MS = 25;
 
     /**
-     * The part of the drain grace between two beats; a beat that is later than that counts as a loop held up. So a drain
-     * that lies unread behind a request for half of its grace is read first.
+     * The interval between two beats as a fraction of the drain grace. A beat that is late by more than one interval
+     * shows that the event loop was delayed. A drain that waits unread behind a request for half of its grace is
+     * therefore read before that request is forwarded.
      */
     private static final double GRACE_PART = 0.25;
 
@@ -37,7 +40,7 @@
         timers.schedule(intervalMs(), this);
     }
 
-    /** Whether the loop has missed a beat, so that input of that time may not have been read yet. */
+    /** Whether the event loop has missed a beat, so that input of that time may not have been read yet. */
     boolean isLoopHeldUp(double nowMs) {
         return nowMs - lastBeatMs > 2 * intervalMs();
     }
--- a/gateway/src/main/java/opalcove/core/ModuleActions.java
+++ b/gateway/src/main/java/opalcove/core/ModuleActions.java
@@ -13,8 +13,8 @@
 import org.tinylog.Logger;
 
 /**
- * Turns the actions of one generation's decision module into steps of the requests that it decides on, and runs its
- * timers. Used on the event loop only.
+ * Turns the actions of one generation's decision module into steps of its requests, and runs the module's timers. Used
+ * on the event loop only.
  */
 final class ModuleActions implements DecisionActions {
     private final ConfigGeneration generation;
@@ -62,9 +62,9 @@
     public void shed(String id, double retryAfterMs) {
         InFlightRequest inFlight = requests.find(id, generation);
         if (inFlight != null && !guard.mayRefuse(inFlight)) {
-            // Guards against promising that a repeat is harmless when an attempt may have had its effect.
+            // A refusal would promise that a repeat is harmless although an attempt may already have had its effect.
             counters.vetoed++;
-            invariants.prevented(Invariant.REFUSAL, id, "it may have run");
+            invariants.prevented(Invariant.REFUSAL, id, "an attempt may have run");
             fail(id);
             return;
         }
@@ -84,7 +84,8 @@
             return;
         }
         InFlightRequest.Attempt unwanted = inFlight.attempts.get(attempt);
-        // Guards the value that is being streamed; a hedged attempt beside it may be cancelled.
+        // The attempt whose value is being streamed is not cancelled, as that would truncate the value; its hedged
+        // attempt may be cancelled.
         boolean streaming = inFlight.streaming != null && inFlight.streaming.attempt() == unwanted;
         if (!streaming && unwanted.status == null) {
             counters.cancelled++;
@@ -115,7 +116,10 @@
         }
     }
 
-    /** Checks whether a backend that the module avoids can be reached: without that it would avoid it for ever. */
+    /**
+     * Checks whether a backend that the module avoids can be reached. Without this check the module would avoid it
+     * forever.
+     */
     private void checkHealth(Backend backend) {
         counters.healthChecks++;
         double beganMs = clock.now();
@@ -130,7 +134,7 @@
 
     @Override
     public void subscribeToEndpoints() {
-        // The endpoint list is always followed here.
+        // The gateway always follows the endpoint list.
     }
 
     @Override
@@ -149,7 +153,7 @@
         @Override
         void onExpiry() {
             moduleTimers.remove(token);
-            // A retired generation has no request left to decide on, and so no need of its ticks.
+            // A retired generation has no request left to decide on, so its module needs no timers.
             if (!generations.isRetired(generation)) {
                 turns.run(() -> generation.module.timerExpired(clock.now(), token));
             }
--- a/gateway/src/main/java/opalcove/core/Request.java
+++ b/gateway/src/main/java/opalcove/core/Request.java
@@ -3,14 +3,14 @@
 import io.netty.buffer.ByteBuf;
 
 /**
- * A client's request to the app of its tenant, independent of any wire.
+ * A client's request to the backends of its tenant, independent of the wire protocol.
  *
- * @param timeoutMs how long the client waits, counted from when the request was received
- * @param idempotencyKey the key of a class whose repeats are recognised by it, else null
- * @param retry whether the client has sent it before
- * @param gatewayCount the tenant's requests come in through this many gateways in a row
- * @param firstGateway the number of the first of them
- * @param body null in a class that is safe to repeat
+ * @param timeoutMs how long the client waits, counted from when the request was received, ms
+ * @param idempotencyKey the key by which backends recognise repeats, or null if the request class has none
+ * @param retry whether the client has sent the request before
+ * @param gatewayCount the number of consecutive gateways that receive the tenant's requests
+ * @param firstGateway the number of the first of these gateways
+ * @param body the payload, or null in a class that is safe to repeat
  */
 public record Request(
         String id,
@@ -24,7 +24,7 @@
         int gatewayCount,
         int firstGateway,
         ByteBuf body) {
-    /** The same request of a client that waits so long; itself where nothing changes. */
+    /** Returns this request with another timeout, or this object itself if the timeout is the same. */
     Request withTimeoutMs(double ms) {
         return ms == timeoutMs
                 ? this
@@ -42,7 +42,7 @@
                         body);
     }
 
-    /** The units as a text, without a point where they are whole. */
+    /** Returns the units as text, without a decimal point if they are an integer. */
     public String unitsText() {
         return units == Math.rint(units) ? Long.toString((long) units) : Double.toString(units);
     }
--- a/gateway/src/main/java/opalcove/core/RequestDispatcher.java
+++ b/gateway/src/main/java/opalcove/core/RequestDispatcher.java
@@ -14,9 +14,10 @@
 import opalcove.metrics.SystemCallFailures;
 
 /**
- * The core: accepts requests from any front end, has the decision module choose, makes the attempts over any transport
- * and hands back exactly one final response. It knows no wire. All of it runs on one event loop, that of the constructor's
- * caller; {@link #metrics} alone may be read by other threads.
+ * The entry to the core. It accepts requests from any front end, lets the decision module choose, makes the attempts
+ * over any transport and returns exactly one final response for each request. It is independent of the wire protocol.
+ * All of it runs on one event loop, that of the constructor's caller; only {@link #metrics} may be read by other
+ * threads.
  */
 public final class RequestDispatcher {
     private final CoreParts parts;
@@ -28,9 +29,9 @@
     private Runnable beforeEachRequest;
 
     /**
-     * Hosts a decision module with these settings on the event loop of the caller.
+     * Creates a dispatcher with a decision module for these settings, on the event loop of the caller.
      *
-     * @param seed of the module's random numbers
+     * @param seed the seed of the module's random numbers
      */
     public RequestDispatcher(
             Vertx vertx, Clock clock, DecisionSettings settings, long seed, BackendTransport transport) {
@@ -80,16 +81,17 @@
 
     // Requests.
 
-    /** Serves a request that was just received. */
+    /** Dispatches a request that was just received. */
     public RequestHandle dispatch(Request request, ResponseHandler handler) {
         return dispatch(request, handler, 0);
     }
 
     /**
-     * Serves a request that may have lain unread here for so long, ms: its client has been waiting since. That time is
-     * taken off the time that is left, so no backend gets a longer deadline.
+     * Dispatches a request whose bytes may have waited unread in this process for {@code unreadMs}. Its client has been
+     * waiting since, so that time is subtracted from the request's timeout, and no backend gets a longer deadline than
+     * the client has left.
      *
-     * @return null where the response was given at once
+     * @return null if the response was given within this call
      */
     public RequestHandle dispatch(Request request, ResponseHandler handler, double unreadMs) {
         parts.counters().received++;
@@ -99,12 +101,18 @@
         return lifecycle.dispatch(request, handler, unreadMs);
     }
 
-    /** Has this run before each request is accepted: a process that stood still may have settings that hold no more. */
+    /**
+     * Sets an action that runs before each request is accepted. After a pause of the process, its settings may no
+     * longer be valid, and the action can detect that.
+     */
     public void beforeEachRequest(Runnable check) {
         beforeEachRequest = check;
     }
 
-    /** What a request must be like; a front end reads it by these rules before it has it served. */
+    /**
+     * Returns the rules that a request must satisfy. A front end decodes a request by them before it dispatches the
+     * request.
+     */
     public RequestValidator requestValidator() {
         return parts.generations().newest().validator;
     }
@@ -112,9 +120,9 @@
     // Settings.
 
     /**
-     * Applies new settings, which the caller has validated: requests from now on are read and decided by them, requests
-     * in flight keep theirs, and every request is held to the new number of attempts. Settings equal to the newest change
-     * nothing.
+     * Applies new settings, which the caller has validated. Later requests are decoded and decided by them, and
+     * requests in flight keep their settings, but the new maximum number of attempts applies to every request. Settings
+     * equal to the newest ones change nothing.
      */
     public void applySettings(DecisionSettings next) {
         if (next.equals(settings())) {
@@ -126,39 +134,39 @@
         directory.introduceTo(generation);
     }
 
-    /** The newest settings. */
+    /** Returns the newest settings. */
     public DecisionSettings settings() {
         return parts.generations().newest().settings;
     }
 
-    /** The longest that a request may wait, under the newest settings and those of open requests, ms. */
+    /** Returns the longest deadline of a request under the newest settings and those of open requests, ms. */
     public long maxDeadlineMs() {
         return parts.generations().maxDeadlineMs();
     }
 
     // Backends.
 
-    /** Takes in the endpoint list, complete or its changed entries, from a source that was reached just now. */
+    /** Applies the endpoint list, complete or only its changed entries, from a source that was reached just now. */
     public void endpointsChanged(boolean complete, List<Backend> entries) {
         endpointsChanged(complete, entries, 0);
         endpointSourceContacted();
     }
 
     /**
-     * The same by discovery; {@link #endpointSourceContacted} follows.
+     * Applies the endpoint list from discovery; the caller then calls {@link #endpointSourceContacted}.
      *
-     * @param sourceNowMs the time of discovery's own clock as it gave the list, or 0 where it is not known
+     * @param sourceNowMs the time of discovery's own clock when it sent the list, Unix ms, or 0 if it is not known
      */
     public void endpointsChanged(boolean complete, List<Backend> entries, double sourceNowMs) {
         directory.endpointsChanged(complete, entries, sourceNowMs);
     }
 
-    /** The source of the endpoint list was reached, with or without changes. */
+    /** Records that the source of the endpoint list was reached, with or without changes. */
     public void endpointSourceContacted() {
         directory.sourceContacted();
     }
 
-    /** Discovery was polled and gave no list that can be used: none at all, or one that was rejected. */
+    /** Counts a poll of discovery that returned no usable list: either none at all, or one that was rejected. */
     public void endpointUpdateFailed(boolean rejected) {
         if (rejected) {
             parts.counters().endpointListsRejected++;
@@ -167,17 +175,17 @@
         }
     }
 
-    /** Has attempts wait while this source of the endpoint list is not current. */
+    /** Sets the source of the endpoint list; attempts wait while it is not current. */
     public void endpointSource(EndpointSource source) {
         lifecycle.endpointSource(source);
     }
 
-    /** The endpoint list as last received. */
+    /** Returns the endpoint list as last received. */
     public List<Backend> backends() {
         return directory.all();
     }
 
-    /** What the newest module would give each backend now. */
+    /** Returns the capacity share that the newest module would assign to each backend now. */
     List<CapacityShare> capacityShares() {
         return directory.capacityShares();
     }
@@ -185,26 +193,29 @@
     // Shutdown.
 
     /**
-     * The process will end so many ms from now: a request accepted from here on gets its response before that, and one for
-     * which there is no time left is refused at once.
+     * Announces that the process ends in {@code remainingMs}. A request accepted from now on gets its response before
+     * that; one for which too little time is left is refused immediately.
      */
     public void beginShutdown(double remainingMs) {
         lifecycle.processEndsIn(remainingMs);
     }
 
-    /** Runs the action once no request is open, which may be now. */
+    /** Runs the action once no request is open, possibly within this call. */
     public void whenIdle(Runnable action) {
         parts.requests().whenIdle(action);
     }
 
-    // Events that are counted.
+    // Counted events.
 
-    /** A front end has closed a client's connection. */
+    /** Counts a client connection that a front end has closed. */
     public void clientConnectionClosed(ConnectionCloseReason reason) {
         parts.counters().closed(reason);
     }
 
-    /** A front end has closed a client's connection for want of descriptors: an idle one, or a new one that was not read. */
+    /**
+     * Counts a client connection that a front end has closed because descriptors ran short: an idle one, or a new one
+     * that was not read.
+     */
     public void clientConnectionClosedForDescriptors(boolean isNew) {
         if (isNew) {
             parts.counters().connectionsRefusedForDescriptors++;
@@ -214,22 +225,25 @@
         parts.metrics().connectionClosedForDescriptors(isNew);
     }
 
-    /** A system call has failed, as it may for a moment. */
+    /** Counts a failed system call; such failures may be temporary. */
     public void systemCallFailed(SystemCall call, Throwable failure) {
         systemCallFailures.failed(call, failure);
     }
 
-    /** A front end has joined a redelivery to the request in flight, or to its response. */
+    /** Counts a redelivered request that a front end has joined to the request in flight or to its response. */
     public void redeliveryJoined() {
         parts.counters().joined++;
     }
 
-    /** The invariants as they are checked here: who closes a connection reports what it violates. */
+    /**
+     * Returns the monitor of the invariants. A front end that closes a connection reports to it the invariant that this
+     * violates.
+     */
     public InvariantMonitor invariants() {
         return parts.invariants();
     }
 
-    /** The counters, and what is open at this moment; one name and figure a line. */
+    /** Returns the counters and the numbers of open requests and connections, one name and value a line. */
     public String infoLines() {
         return parts.counters().infoLines() + parts.invariants().infoLines() + systemCallFailures.infoLines()
                 + "asks_open="
@@ -237,7 +251,7 @@
                 + parts.transport().idleConnections() + "\n";
     }
 
-    /** The figures for operators, which other threads may read. */
+    /** Returns the metrics, which other threads may read. */
     public Metrics metrics() {
         return parts.metrics();
     }
--- a/gateway/src/main/java/opalcove/core/RequestHandle.java
+++ b/gateway/src/main/java/opalcove/core/RequestHandle.java
@@ -1,18 +1,22 @@
 package opalcove.core;
 
-/** A request that was accepted and has no response yet. All calls are made on the event loop. */
+/** A request that was accepted and has no response yet. All methods are called on the event loop. */
 public interface RequestHandle {
-    /** Its client has left and is owed nothing any more. */
+    /** Called when the client has disconnected; the request then needs no response. */
     void clientDisconnected();
 
-    /** The streamed value that answers it cannot be passed on after all, and the front end has responded otherwise. */
+    /**
+     * Cancels the streamed value of this request because the front end cannot forward it and has sent another response.
+     */
     default void abortStreamedValue() {}
 
-    /** How much of its time is left, ms; below 0 once it is over. */
+    /** Returns the time left until the request's deadline, ms; below 0 after the deadline. */
     default double remainingMs() {
         return 0;
     }
 
-    /** Another request's response waits for its own: it, too, ends before the process does. */
+    /**
+     * Makes this request end before the process does, because the response of a later request waits for its response.
+     */
     void expedite();
 }
--- a/gateway/src/main/java/opalcove/core/RequestLifecycle.java
+++ b/gateway/src/main/java/opalcove/core/RequestLifecycle.java
@@ -16,22 +16,25 @@
 import org.tinylog.Logger;
 
 /**
- * The life of a request, from top to bottom: it is validated and accepted; the decision module chooses
- * ({@link ModuleActions}); a final response ends it, or a backend gets an attempt, after whose end the module chooses
- * again. Used on the event loop only.
+ * Handles a request from its arrival to its end; the methods stand in the order of its steps. It is validated and
+ * accepted, and the decision module chooses the next step ({@link ModuleActions}): either a final response, which ends
+ * the request, or an attempt at a backend, after which the module chooses again. Used on the event loop only.
  */
 final class RequestLifecycle {
-    /** The last moment for a final response should the module give none, ms before the client's deadline. */
+    /** If the module has given no final response this long before the client's deadline, the request is failed, ms. */
     private static final double DEADLINE_MARGIN_MS = 5;
-    /** Less time than this before the process ends is too little to serve a request in, ms. */
+    /** A request is refused if the process ends in less than this time, ms, which is too short to serve it. */
     private static final double MIN_SERVE_TIME_MS = 100;
-    /** A request that may have lain unread for no longer counts as just received, ms. */
+    /** A request that may have been unread for no longer than this counts as just received, ms. */
     private static final double UNREAD_IGNORED_MS = 10;
-    /** A response that is later than its deadline by more than this violates the invariant, ms: the slack on sockets. */
+    /**
+     * A response that exceeds its deadline by more than this violates the invariant, ms: the slack that is allowed on
+     * sockets.
+     */
     private static final double RESPONSE_SLACK_MS = 50;
 
     private static final AttemptGuard.Veto CLIENT_DISCONNECTED =
-            new AttemptGuard.Veto(Invariant.CLIENT_WAITS, "its client has left");
+            new AttemptGuard.Veto(Invariant.CLIENT_WAITS, "its client has disconnected");
 
     private final Vertx vertx;
     private final Clock clock;
@@ -49,7 +52,7 @@
     private final LoopHeartbeat heartbeat;
     private final StreamedResponses streamedResponses;
     private EndpointSource endpointSource = EndpointSource.ALWAYS_CURRENT;
-    /** When the process will be ended at the earliest. */
+    /** The earliest time at which the process ends, by the clock, ms. */
     private double processEndsAtMs = Double.MAX_VALUE;
 
     RequestLifecycle(CoreParts parts, LoopHeartbeat heartbeat) {
@@ -70,13 +73,14 @@
         streamedResponses = new StreamedResponses(parts, responseCounts);
     }
 
-    // Intake.
+    // Arrival of a request.
 
     /**
-     * Validates a request and accepts it, or responds at once.
+     * Validates a request and accepts it, or responds immediately.
      *
-     * @param unreadMs how long it may have lain unread here: its client has been waiting since
-     * @return null where the response was given at once
+     * @param unreadMs how long the request may have waited unread in this process, ms; its client has been waiting
+     *     since
+     * @return null if the response was given within this call
      */
     RequestHandle dispatch(Request request, ResponseHandler handler, double unreadMs) {
         ConfigGeneration newest = generations.newest();
@@ -85,32 +89,33 @@
             requestClass = newest.validator.requestClass(
                     newest.validator.validate(request).requestClass());
         } catch (InvalidRequestException e) {
-            // Peers count such a failure in the class that the request names, known or not.
+            // Peers also count such a failure in the class that the request names, known or not.
             return respondAtOnce(handler, request.requestClass(), new Response.Failed(e.getMessage()));
         }
         if (requests.contains(request.id())) {
-            // Guards an open request against another client that names its id: it is not joined, answered or ended.
+            // Another client that sends the id of an open request must not join that request, receive its response or
+            // end it.
             return respondAtOnce(handler, requestClass.name(), new Response.Failed("this id is under way"));
         }
         return admit(request, requestClass, handler, unreadMs);
     }
 
-    /** Accepts a valid request and has the module decide on it, or sheds it at once. */
+    /** Accepts a valid request and requests a decision from the module, or sheds the request immediately. */
     private RequestHandle admit(
             Request request, DecisionSettings.RequestClass requestClass, ResponseHandler handler, double unreadMs) {
         DecisionSettings.Limits limits = generations.newest().settings.limits();
         if (requests.count() >= limits.maxOpen()) {
-            // Guards memory and descriptors against more open requests than this machine can hold.
+            // More open requests than this machine can hold would exhaust its memory and descriptors.
             return shed(handler, requestClass, ShedReason.TOO_MANY_OPEN, (long) limits.maxRetryAfterMs());
         }
         double untilEndMs = processEndsAtMs - clock.now();
         if (untilEndMs < MIN_SERVE_TIME_MS) {
-            // Guards a request that comes late in the shutdown against being accepted and never answered.
+            // A request that arrives late in the shutdown would otherwise be accepted and never get a response.
             return shed(handler, requestClass, ShedReason.ENDING, 0);
         }
         double timeoutMs = unreadMs > UNREAD_IGNORED_MS ? request.timeoutMs() - unreadMs : request.timeoutMs();
         if (timeoutMs <= 0) {
-            // Its deadline was over before it was read: nothing may be sent for it any more.
+            // The deadline passed before the request was read, so nothing may be sent to a backend for it.
             return shed(handler, requestClass, ShedReason.UNREAD_IN_TIME, 0);
         }
         InFlightRequest accepted =
@@ -125,7 +130,10 @@
         return respondAtOnce(handler, requestClass.name(), new Response.Refused(retryAfterMs));
     }
 
-    /** The class is null where the request names none: its end is counted, but in no class. */
+    /**
+     * Responds within this call. The class is null if the request names none; the response is then counted, but in no
+     * class.
+     */
     private RequestHandle respondAtOnce(ResponseHandler handler, String requestClass, Response response) {
         responseCounts.count(requestClass, response);
         handler.onResponse(response);
@@ -148,7 +156,7 @@
         turns.run(() -> inFlight.generation.module.requestArrived(clock.now(), inFlight.admissionRequest()));
     }
 
-    /** Does what the module chose; what it chooses for a request that is over has no effect. */
+    /** Executes the step that the module chose. A step for a request that has ended has no effect. */
     void follow(InFlightRequest inFlight, Step step) {
         if (inFlight.over || inFlight.streaming != null) {
             return;
@@ -161,7 +169,7 @@
                 invariants.violated(
                         Invariant.ANSWER_IN_TIME,
                         inFlight.request.id(),
-                        "answered " + (long) lateMs + " ms after its time");
+                        "responded " + (long) lateMs + " ms after its deadline");
             }
             inFlight.finish(last.response());
         } else {
@@ -171,7 +179,10 @@
 
     // Attempts.
 
-    /** One attempt: started if the guard allows it and its client is still connected, else ended as not sent. */
+    /**
+     * Makes one attempt: it is started if the guard allows it and the client is still connected, else it ends as not
+     * sent.
+     */
     private void attempt(InFlightRequest inFlight, Step.Forward step) {
         double nowMs = clock.now();
         AttemptGuard.Veto veto = guard.vetoAttempt(inFlight, step.backend(), nowMs);
@@ -208,7 +219,7 @@
         endpointSource.whenCurrent(action);
     }
 
-    /** Whether a response is still awaited by a client that is there; ends the request of one that has left. */
+    /** Whether the client is still connected; ends the request of a client that has disconnected. */
     private boolean isClientConnected(InFlightRequest inFlight) {
         if (!inFlight.over && !inFlight.clientDisconnected && !inFlight.isClientConnected()) {
             clientDisconnected(inFlight);
@@ -216,7 +227,9 @@
         return !inFlight.clientDisconnected;
     }
 
-    /** A connection has come up for the attempt: whether what was decided before still holds. */
+    /**
+     * Called when a connection for the attempt has been established. Returns whether the earlier decision still holds.
+     */
     boolean isStillWanted(InFlightRequest inFlight, InFlightRequest.Attempt attempt) {
         return isAllowed(
                 inFlight,
@@ -225,7 +238,10 @@
                         : CLIENT_DISCONNECTED);
     }
 
-    /** The attempt's bytes, which pass on this deadline, are about to leave: whether they still may. */
+    /**
+     * Called right before the attempt's bytes are written, which forward this deadline. Returns whether they may still
+     * be written.
+     */
     boolean maySend(InFlightRequest inFlight, InFlightRequest.Attempt attempt, double deadlineMs) {
         return isAllowed(
                 inFlight,
@@ -244,19 +260,23 @@
 
     // Outcomes.
 
-    /** A value too long to be gathered has begun to come. */
+    /**
+     * Called when the first bytes of a value arrive that is too long to be buffered. Returns whether the value is
+     * accepted.
+     */
     boolean valueBegan(InFlightRequest inFlight, InFlightRequest.Attempt attempt, StreamedValue value) {
         return streamedResponses.began(inFlight, attempt, value);
     }
 
-    /** An attempt was started and has ended. */
+    /** Called when an attempt that was started has ended. */
     void attemptEnded(InFlightRequest inFlight, InFlightRequest.Attempt attempt, AttemptResult result) {
         counters.attemptEnded(result.status());
         if (inFlight.streaming != null && inFlight.streaming.attempt() == attempt) {
             streamedResponses.ended(inFlight, result);
             return;
         }
-        // Guards a backend against blame for a connection that only had no time to come up: its client left meanwhile.
+        // The client disconnected while the connection was being opened, and that cancelled it. Reporting this as
+        // unreachable would count it as a fault of the backend.
         boolean blameless = inFlight.clientDisconnected && result.status() == AttemptStatus.UNREACHABLE;
         reportOutcome(
                 inFlight,
@@ -265,12 +285,15 @@
                 blameless ? AttemptResult.withoutReport(AttemptStatus.NOT_SENT) : result);
     }
 
-    /** Notifies the module of an attempt's end. A served value is final; else the module's next step follows. */
+    /**
+     * Notifies the module of the end of an attempt. A served value is the final response; otherwise the module chooses
+     * the next step.
+     */
     private void reportOutcome(
             InFlightRequest inFlight, InFlightRequest.Attempt attempt, String backend, AttemptResult result) {
         attempt.status = result.status();
         boolean served = result.status() == AttemptStatus.SERVED;
-        // Guards a lent value against being read when it is no longer valid: this turn may run later.
+        // The value is valid only during this call, and the task below may run later, so the value is copied.
         ByteBuf value = served && turns.isRunning() ? Unpooled.copiedBuffer(result.value()) : result.value();
         double nowMs = clock.now();
         turns.run(() -> {
@@ -296,14 +319,14 @@
     }
 
     /**
-     * Cancels what is still out of a served request: its hedged attempt, where there is one. The module cannot, for the
-     * request is closed by the time that it is notified of the response.
+     * Cancels the attempts of a served request that are still in flight, such as a hedged attempt. The module cannot
+     * cancel them, because the request is closed by the time that the module is notified of the response.
      */
     private void cancelHedges(InFlightRequest inFlight) {
         if (!inFlight.generation.settings.limits().mayCancel()) {
             return;
         }
-        // By index: an iterator would be an object for each request.
+        // Iterates by index, because an iterator would be allocated for each request.
         for (int i = 0; i < inFlight.attempts.size(); i++) {
             InFlightRequest.Attempt hedge = inFlight.attempts.get(i);
             if (hedge.status == null) {
@@ -313,11 +336,12 @@
         }
     }
 
-    // The end without a served value.
+    // End without a served value.
 
     /**
-     * Guards the promise of one response in time against a module that holds a request too long. Also ends the waiting
-     * for an attempt that outlasts its request, where the settings let none be cancelled: its backend may never answer.
+     * Responds to a request that the module has kept too long, so that each request gets one response before its
+     * deadline. For a request that has ended, stops waiting for its remaining attempts: if the settings do not allow
+     * cancelling them, they are still in flight and their backends may never reply.
      */
     void deadlineExpired(InFlightRequest inFlight) {
         if (inFlight.over) {
@@ -345,7 +369,7 @@
         endAttempts(inFlight, () -> follow(inFlight, new Step.Respond(new Response.Failed("deadline"))));
     }
 
-    /** The client has left: its attempts are cancelled and nothing is owed any more. */
+    /** Called when the client has disconnected: cancels the attempts and ends the request without a response. */
     void clientDisconnected(InFlightRequest inFlight) {
         if (inFlight.over || inFlight.clientDisconnected) {
             return;
@@ -364,7 +388,10 @@
         });
     }
 
-    /** Has the module cancel the request's attempts, which needs its records, and only then closes the request. */
+    /**
+     * Lets the module cancel the request's attempts and then runs the action that closes the request. The order
+     * matters, as the module needs its records of the open request.
+     */
     private void endAttempts(InFlightRequest inFlight, Runnable closing) {
         turns.run(() -> {
             inFlight.generation.module.requestCancelled(clock.now(), inFlight.request.id());
@@ -376,7 +403,9 @@
         return inFlight.remainingMs(clock.now());
     }
 
-    /** Has the request end before the process does: the response of a later one waits for its own. */
+    /**
+     * Makes the request end before the process does, because the response of a later request waits for its response.
+     */
     void expedite(InFlightRequest inFlight) {
         if (!inFlight.over
                 && inFlight.streaming == null
@@ -395,7 +424,7 @@
         endpointSource = source;
     }
 
-    /** The process will be ended so many ms from now. */
+    /** Announces that the process ends in {@code remainingMs}. */
     void processEndsIn(double ms) {
         processEndsAtMs = clock.now() + ms;
     }
--- a/gateway/src/main/java/opalcove/core/RequestParameters.java
+++ b/gateway/src/main/java/opalcove/core/RequestParameters.java
@@ -2,19 +2,19 @@
 
 import java.util.Map;
 
-/** The names and values that came with a request, whatever the wire. */
+/** The named parameters of a request, independent of the wire protocol. */
 public final class RequestParameters {
     private final Map<String, String> values;
 
-    /** Reads from these names and values. */
+    /** Wraps these names and values. */
     public RequestParameters(Map<String, String> values) {
         this.values = values;
     }
 
     /**
-     * The value of a name.
+     * Returns the value of a parameter.
      *
-     * @throws InvalidRequestException if it is absent
+     * @throws InvalidRequestException if it is absent or empty
      */
     public String required(String name) throws InvalidRequestException {
         String value = values.get(name);
@@ -29,12 +29,12 @@
         return "1".equals(values.get(name));
     }
 
-    /** A number in plain decimal digits, perhaps with a point. */
+    /** Returns a parameter that is a number in plain decimal digits, optionally with a decimal point. */
     public double number(String name) throws InvalidRequestException {
         return decimal(required(name), name);
     }
 
-    /** A whole number in plain digits. */
+    /** Returns a parameter that is an integer in plain decimal digits. */
     public int integer(String name) throws InvalidRequestException {
         double value = number(name);
         if (value != Math.rint(value)) {
@@ -43,7 +43,10 @@
         return (int) value;
     }
 
-    /** Guards against what a language's own reader of numbers takes beyond plain ones: NaN, 1e99, 0x1p3, 2d, signs. */
+    /**
+     * Parses plain decimal numbers only. Java's own parser also accepts NaN, 1e99, 0x1p3, 2d and signs, which must be
+     * rejected here.
+     */
     private static double decimal(String text, String name) throws InvalidRequestException {
         int point = text.indexOf('.');
         boolean fits = text.length() <= 20
@@ -59,7 +62,11 @@
         return Double.parseDouble(text);
     }
 
-    /** An identifier of 16 hex digits. */
+    /**
+     * Returns the text if it is an identifier of 16 hex digits.
+     *
+     * @throws InvalidRequestException if it is not; the message names {@code field}
+     */
     public static String hexId(String text, String what) throws InvalidRequestException {
         boolean fits = text.length() == 16;
         for (int i = 0; fits && i < 16; i++) {
--- a/gateway/src/main/java/opalcove/core/RequestValidator.java
+++ b/gateway/src/main/java/opalcove/core/RequestValidator.java
@@ -9,11 +9,12 @@
 import opalcove.decision.Idempotency;
 
 /**
- * What a request must be like under this deployment's settings, whatever its wire. Guards the module's records of a
- * usual tenant against figures that none of its clients would send under its name. Immutable.
+ * The rules that a request must satisfy under this deployment's settings, independent of the wire protocol. They keep
+ * out values that no client of a regular tenant would send, so that nobody can corrupt the module's records of a tenant
+ * by sending such values under its name. Immutable.
  */
 public final class RequestValidator {
-    /** Tenants are numbers below this. */
+    /** Tenant ids are numbers below this. */
     private static final long TENANT_LIMIT = 1L << 33;
 
     private static final int MAX_KEY_LENGTH = 64;
@@ -23,7 +24,7 @@
     private final int gateways;
     private final double maxUnits;
 
-    /** Checks requests by these settings. */
+    /** Creates a validator for these settings. */
     public RequestValidator(DecisionSettings settings) {
         settings.classes().forEach(requestClass -> classes.put(requestClass.name(), requestClass));
         settings.plans().forEach(plan -> plans.add(plan.name()));
@@ -31,18 +32,18 @@
         maxUnits = settings.limits().maxUnits();
     }
 
-    /** The names of the classes, for a front end that reads them from bytes. */
+    /** Returns the names of the request classes, for a front end that decodes them from bytes. */
     public List<String> classNames() {
         return List.copyOf(classes.keySet());
     }
 
-    /** The names of the plans. */
+    /** Returns the names of the plan classes. */
     public List<String> planNames() {
         return List.copyOf(plans);
     }
 
     /**
-     * The class of that name.
+     * Returns the request class of that name.
      *
      * @throws InvalidRequestException if there is none
      */
@@ -55,9 +56,9 @@
     }
 
     /**
-     * Gives the request back where it may be accepted.
+     * Returns the request if it may be accepted.
      *
-     * @throws InvalidRequestException if not; the message is sent to the client
+     * @throws InvalidRequestException if it may not; the message is sent to the client
      */
     public Request validate(Request request) throws InvalidRequestException {
         DecisionSettings.RequestClass known = requestClass(request.requestClass());
--- a/gateway/src/main/java/opalcove/core/Response.java
+++ b/gateway/src/main/java/opalcove/core/Response.java
@@ -4,12 +4,12 @@
 
 /** The one final response to a request. */
 public sealed interface Response {
-    /** Served: the value as a backend gave it for this request. */
+    /** The request was served; the value is the one that a backend returned for it. */
     record Served(ByteBuf value) implements Response {}
 
-    /** Refused: trying again is harmless, best after retryAfterMs (0: no advice). */
+    /** The request was refused. Trying again is harmless, preferably after {@code retryAfterMs}; 0 means no advice. */
     record Refused(long retryAfterMs) implements Response {}
 
-    /** Failed: nothing is promised about its effect. */
+    /** The request failed; it may or may not have had its effect. */
     record Failed(String reason) implements Response {}
 }
--- a/gateway/src/main/java/opalcove/core/ResponseCounts.java
+++ b/gateway/src/main/java/opalcove/core/ResponseCounts.java
@@ -3,7 +3,7 @@
 import opalcove.metrics.Counters;
 import opalcove.metrics.Metrics;
 
-/** Counts final responses by their kind, and by class where the request names one. Used on the event loop only. */
+/** Counts final responses by their kind, and by request class if the request names one. Used on the event loop only. */
 final class ResponseCounts {
     private final Counters counters;
     private final Metrics metrics;
@@ -13,7 +13,7 @@
         this.metrics = metrics;
     }
 
-    /** Counts a response; the class is null where the request names none. */
+    /** Counts a response; the class is null if the request names none. */
     void count(String requestClass, Response response) {
         Metrics.RequestOutcome outcome;
         if (response instanceof Response.Served) {
--- a/gateway/src/main/java/opalcove/core/ResponseHandler.java
+++ b/gateway/src/main/java/opalcove/core/ResponseHandler.java
@@ -1,28 +1,33 @@
 package opalcove.core;
 
-/** The front end's side of one request. All calls are made on the event loop. */
+/** Receives the response to one request, for the front end. All methods are called on the event loop. */
 public interface ResponseHandler {
     /**
-     * Hands over the one final response. Its value is lent: it is valid during this call, and who keeps it copies it.
+     * Called once with the final response. Its value is valid only during this call; a handler that needs it later
+     * copies it.
      */
     void onResponse(Response response);
 
     /**
-     * The final response has begun: a long value, which the handler takes from now on; false where it cannot. No call of
-     * {@link #onResponse} follows; the request is over with the value's end.
+     * Called instead of {@link #onResponse} when the final response is a long value whose first bytes have arrived.
+     * Returns whether the handler accepts the value; if it does, the request ends with the value.
      */
     default boolean acceptsStreamedValue(StreamedValue value) {
         return false;
     }
 
     /**
-     * Whether the client is still connected, having looked now where that is not known anyway. Called right before an
-     * attempt is started: nothing is sent for a client that has left. It may lead to further requests being accepted.
+     * Whether the client is still connected. If that is not known without reading, the handler reads the connection
+     * now. Called right before an attempt is started, so that nothing is sent for a client that has disconnected.
+     * Reading may cause further requests to be accepted.
      */
     default boolean isConnected() {
         return true;
     }
 
-    /** The request is over and nothing of it will be written any more: what it holds may be released. */
+    /**
+     * Called when the request has ended and nothing of it will be written any more, so that its resources may be
+     * released.
+     */
     default void onReleased() {}
 }
--- a/gateway/src/main/java/opalcove/core/SlowStartTimes.java
+++ b/gateway/src/main/java/opalcove/core/SlowStartTimes.java
@@ -9,53 +9,57 @@
 import opalcove.decision.Endpoint;
 
 /**
- * When backends have started, by this machine's clock. The list gives start times of another machine's clock, which may
- * differ from this one by any time, forward or back, and may be stepped; so a start is turned into an age once, when it is
- * received, and the age is bounded by what was observed:
+ * The start times of backends by this machine's clock. The list gives start times by the clock of another machine,
+ * which may differ from this one by any amount in either direction and may be stepped. Each start time is therefore
+ * converted into an age once, when it is received, and the age is limited by what was observed:
  *
  * <ul>
- *   <li>A backend that restarts, or joins the list, while the source is followed has started since the source was last
- *       reached, but for the delay of its report. An age beyond that, or below 0, shows that the clocks differ: then it
- *       counts as started when the report came.
- *   <li>Before the first list nothing was observed. Where the source's own time came with it, ages are by that time; else no
- *       backend can have started later than the source's now, so where the youngest start lies ahead of this machine's
- *       clock, ages are counted back from the youngest.
+ *   <li>A backend that restarts or joins the list while the source is being followed has started since the source was
+ *       last reached, apart from the delay of the report. A greater age, or one below 0, shows that the clocks differ;
+ *       the backend then counts as started when the report was received.
+ *   <li>Before the first list nothing was observed. If the list came with the source's own time, ages are relative to
+ *       that. Otherwise no backend can have started later than the source's present time; if the latest start is ahead
+ *       of this machine's clock, ages are relative to the latest start.
  * </ul>
  *
- * <p>Free of I/O; the times are its caller's. Used on the event loop only.
+ * <p>Performs no I/O; the caller supplies the times. Used on the event loop only.
  */
 final class SlowStartTimes {
     /** A start may be reported this much later than it happened, ms. */
     private static final double MAX_REPORT_DELAY_MS = 6000;
-    /** The reported start time that stands for long ago. */
+    /** The reported start time that means that the backend started long ago. */
     private static final double LONG_AGO = 0;
 
-    /** A start as the list reported it, and by this machine's clock, ms. */
+    /** A start time as the list reported it, and by this machine's clock, Unix ms. */
     private record Start(double reportedMs, double localMs) {}
 
     private final Map<String, Start> starts = new HashMap<>();
     /**
-     * When the endpoint source was last reached; negative before that, when the backends known are those of an earlier
-     * process, ms.
+     * When the endpoint source was last reached, ms. Negative until then; the backends known until then are those that
+     * an earlier process knew.
      */
     private double lastContactMs = -1;
 
     private int implausibleStarts;
 
-    /** The endpoint source was reached, with or without changes; called after {@link #update}. */
+    /** Records that the endpoint source was reached, with or without changes; called after {@link #update}. */
     void sourceContacted(double nowMs) {
         lastContactMs = nowMs;
     }
 
-    /** How many reported starts were impossible by this machine's clock, so that the clocks must differ. */
+    /**
+     * Returns how many reported start times were impossible by this machine's clock, which shows that the clocks
+     * differ.
+     */
     int implausibleStarts() {
         return implausibleStarts;
     }
 
     /**
-     * Takes in the complete list, or its changed entries; gives them with their starts by this machine's clock.
+     * Applies the complete list or its changed entries, and returns them with their start times by this machine's
+     * clock.
      *
-     * @param discoveryNow the source's own time as it gave the list, or 0 where it is not known
+     * @param sourceNowMs the time of the source's own clock when it sent the list, Unix ms, or 0 if it is not known
      */
     List<Endpoint> update(boolean complete, List<Backend> entries, double nowMs, double sourceNowMs) {
         double referenceMs = reference(entries, nowMs, sourceNowMs);
@@ -70,7 +74,7 @@
         return localEndpoints(entries);
     }
 
-    /** The endpoints of backends that were taken in before, with their starts by this machine's clock. */
+    /** Returns the endpoints of backends that were applied before, with their start times by this machine's clock. */
     List<Endpoint> localEndpoints(List<Backend> backends) {
         return backends.stream()
                 .map(backend ->
@@ -78,7 +82,7 @@
                 .toList();
     }
 
-    /** The time that the reported starts are compared with, ms. */
+    /** Returns the time from which the ages of the reported starts are computed, ms. */
     private double reference(List<Backend> entries, double nowMs, double sourceNowMs) {
         if (sourceNowMs > 0) {
             return sourceNowMs;
--- a/gateway/src/main/java/opalcove/core/Step.java
+++ b/gateway/src/main/java/opalcove/core/Step.java
@@ -1,10 +1,12 @@
 package opalcove.core;
 
-/** What the decision module wants done next for a request. */
+/** The next step that the decision module chose for a request. */
 sealed interface Step {
-    /** An attempt at a backend; a timeout of 0 waits to the deadline, ms. */
+    /**
+     * Makes an attempt at a backend; it times out after {@code timeoutMs}, or at the request's deadline if that is 0.
+     */
     record Forward(String backend, double timeoutMs) implements Step {}
 
-    /** The final response. */
+    /** Ends the request with this final response. */
     record Respond(Response response) implements Step {}
 }
--- a/gateway/src/main/java/opalcove/core/StreamedResponses.java
+++ b/gateway/src/main/java/opalcove/core/StreamedResponses.java
@@ -5,8 +5,8 @@
 import opalcove.decision.AttemptStatus;
 
 /**
- * Responses whose value is too long to be gathered and is streamed to the client while it comes. Used on the event loop
- * only.
+ * Handles responses whose value is too long to be buffered and is streamed to the client as it arrives. Used on the
+ * event loop only.
  */
 final class StreamedResponses {
     private final Clock clock;
@@ -24,8 +24,10 @@
     }
 
     /**
-     * A streamed value has begun. It is the final response, for what was forwarded cannot be taken back: to the module
-     * the attempt is served now, whatever time the client takes to read, and its figures follow at the end.
+     * Called when the first bytes of a streamed value have arrived. The value is the final response, because forwarded
+     * bytes cannot be withdrawn. The module is notified now that the attempt was served, so that its latency does not
+     * include the time that the client takes to read; the usage figures are reported at the end. Returns whether the
+     * handler accepts the value.
      */
     boolean began(InFlightRequest inFlight, InFlightRequest.Attempt attempt, StreamedValue value) {
         if (!inFlight.stream(attempt, value)) {
@@ -48,7 +50,7 @@
         return true;
     }
 
-    /** The attempt whose value was streamed has ended, the value complete or truncated. */
+    /** Called when the attempt whose value was streamed has ended, with the value complete or truncated. */
     void ended(InFlightRequest inFlight, AttemptResult result) {
         inFlight.streaming.attempt().status = result.status();
         turns.run(() -> {
--- a/gateway/src/main/java/opalcove/core/StreamedValue.java
+++ b/gateway/src/main/java/opalcove/core/StreamedValue.java
@@ -3,31 +3,32 @@
 import io.netty.buffer.ByteBuf;
 
 /**
- * A value too long to be gathered, forwarded while a backend sends it. Its parts come in order, on the event loop; the
- * sink says when to read on, so that no more of it is held here than one read brings.
+ * A value that is too long to be buffered and is forwarded while a backend sends it. Its parts are delivered in order,
+ * on the event loop. The sink controls when reading continues, so that this process holds no more of the value than one
+ * read returns.
  */
 public interface StreamedValue {
-    /** The length of the complete value, bytes. */
+    /** Returns the length of the complete value, bytes. */
     int length();
 
-    /** Sets the receiver of the parts; called once, before any part. */
+    /** Sets the receiver of the parts; called once, before the first part. */
     void deliverTo(Sink sink);
 
-    /** Starts or stops reading; a part that was read already is still delivered. */
+    /** Starts or stops reading. A part that was already read is still delivered. */
     void setReading(boolean enabled);
 
-    /** Whether all of it has come. */
+    /** Whether all parts have been delivered. */
     boolean isComplete();
 
     /** Receives a streamed value. */
     interface Sink {
-        /** The next part; it is the sink's to release. */
+        /** Receives the next part. The sink has to release the buffer. */
         void onPart(ByteBuf bytes);
 
-        /** All parts have come. */
+        /** Called when all parts have been delivered. */
         void onComplete();
 
-        /** No more will come, and what came is not all. */
+        /** Called when the value ends before all parts have been delivered. */
         void onTruncated();
     }
 }
--- a/gateway/src/main/java/opalcove/core/TimerQueue.java
+++ b/gateway/src/main/java/opalcove/core/TimerQueue.java
@@ -5,18 +5,18 @@
 import opalcove.config.Clock;
 
 /**
- * Many timers on one timer of Vert.x. Nearly all are cancelled before they expire, and then leave the queue at once:
- * it holds what is scheduled and no more. The event loop is woken only for the earliest. A binary heap in which each
- * timer knows its index, so that scheduling and cancelling take O(log n) of the timers scheduled. Used on the event
- * loop only.
+ * Runs many timers on one Vert.x timer, so that the event loop is woken only for the earliest. Nearly all timers are
+ * cancelled before they expire, and a cancelled timer is removed at once: the queue holds only scheduled timers. It is
+ * a binary heap in which each timer knows its index; scheduling and cancelling take O(log n) for n scheduled timers.
+ * Used on the event loop only.
  */
 final class TimerQueue {
-    /** An action to be run at its time, scheduled once. */
+    /** An action to be run at a given time; scheduled at most once. */
     abstract static class Timer {
         private double dueMs;
         private int index = -1;
 
-        /** Runs once its time has come. */
+        /** Called when the timer expires. */
         abstract void onExpiry();
     }
 
@@ -47,7 +47,7 @@
         arm();
     }
 
-    /** It will not expire; one that has expired or is not scheduled stays as it is. */
+    /** Cancels the timer; has no effect if it has expired or is not scheduled. */
     void cancel(Timer timer) {
         if (timer.index < 0) {
             return;
@@ -67,7 +67,7 @@
         }
     }
 
-    /** How many are scheduled. */
+    /** Returns the number of scheduled timers. */
     int size() {
         return size;
     }
@@ -94,7 +94,7 @@
         place(timer, index);
     }
 
-    /** The child of an index that is due first; the index has at least one child. */
+    /** Returns the index of the child that is due first; the node at {@code index} must have at least one child. */
     private int earlierChild(int index) {
         int first = 2 * index + 1;
         int second = first + 1;
@@ -127,7 +127,8 @@
                 next.onExpiry();
             }
         } finally {
-            // Guards all other requests' deadlines against a fault in one timer: unarmed, none would expire again.
+            // Rearms also after a timer has thrown; otherwise no timer would expire again, and all other requests would
+            // miss their deadlines.
             arm();
         }
     }
--- a/gateway/src/main/java/opalcove/core/TurnQueue.java
+++ b/gateway/src/main/java/opalcove/core/TurnQueue.java
@@ -4,14 +4,14 @@
 import org.tinylog.Logger;
 
 /**
- * Runs events of the decision module, and the steps that it chose, one after another. Guards the module against being
+ * Runs events of the decision module, and the steps that it chose, one after another, so that the module is never
  * called from within one of its own calls. Used on the event loop only.
  */
 final class TurnQueue {
     private final ArrayDeque<Runnable> turns = new ArrayDeque<>();
     private boolean running;
 
-    /** Runs the event and all turns that follow from it; where a turn is running, the event becomes the last turn. */
+    /** Runs the task and all tasks that it appends. If a task is already running, appends this one instead. */
     void run(Runnable event) {
         turns.add(event);
         if (running) {
@@ -23,8 +23,8 @@
                 try {
                     turn.run();
                 } catch (RuntimeException e) {
-                    // Guards the other requests against a fault that one of them met; that one ends at its deadline.
-                    Logger.error(e, "a turn of the decision module failed");
+                    // A fault in one request must not stop the others; the faulty request ends at its deadline.
+                    Logger.error(e, "a task of the decision module failed");
                 }
             }
         } finally {
@@ -32,12 +32,12 @@
         }
     }
 
-    /** Appends a step, which runs after the turn that is running now. */
+    /** Appends a task, which runs after the one that is running now. */
     void append(Runnable step) {
         turns.add(step);
     }
 
-    /** Whether a turn is running. */
+    /** Whether a task is running. */
     boolean isRunning() {
         return running;
     }
--- a/gateway/src/test/java/opalcove/core/ClocksApartTest.java
+++ b/gateway/src/test/java/opalcove/core/ClocksApartTest.java
@@ -18,7 +18,10 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** A backend that has restarted is in slow start from when that was reported, whatever the clocks of the machines say. */
+/**
+ * Checks that a restarted or new backend is in slow start from when its start was reported, whatever the offset between
+ * the clocks of this machine and of discovery.
+ */
 public class ClocksApartTest {
     private static final double HOUR_MS = 3_600_000;
     private static final double LONG_AGO_MS = 10 * HOUR_MS;
@@ -42,7 +45,7 @@
         return new Object[][] {{0.0}, {-HOUR_MS}, {HOUR_MS}, {-30_000.0}, {30_000.0}};
     }
 
-    /** The offset is that of discovery's clock from this machine's. */
+    /** The offset is that of discovery's clock from this machine's, ms. */
     @Test(dataProvider = "offsets")
     public void aRestartThatIsToldMakesItsBackendColdFromThenOn(double offsetMs) throws Exception {
         double discoveryNow = System.currentTimeMillis() + offsetMs;
@@ -79,7 +82,7 @@
         double before = share("b");
         update(backend("a", now - LONG_AGO_MS), backend("b", now + HOUR_MS));
         assertEquals(share("a"), 1.0);
-        assertTrue(share("b") >= before, "not cold anew");
+        assertTrue(share("b") >= before, "slow start does not begin again");
     }
 
     @Test
@@ -90,8 +93,8 @@
                 backend("older", discoveryNow - HOUR_MS / 2),
                 backend("new", discoveryNow));
         assertEquals(share("old"), 1.0);
-        assertEquals(share("older"), 1.0, "half an hour older than the youngest");
-        assertTrue(share("new") < 0.5, "the youngest has a share of " + share("new"));
+        assertEquals(share("older"), 1.0, "the backend started half an hour before the latest start");
+        assertTrue(share("new") < 0.5, "the backend with the latest start has a share of " + share("new"));
     }
 
     private void update(Backend... backends) throws Exception {
@@ -125,7 +128,7 @@
         return done.get(20, TimeUnit.SECONDS);
     }
 
-    /** No attempt is made in this test. */
+    /** Fails the test if an attempt is made. */
     private static final class NoLinks extends NoOpBackendTransport {
         @Override
         public Attempt startAttempt(Backend backend, Request request, double waitMs, AttemptListener ended) {
--- a/gateway/src/test/java/opalcove/core/ConfigGenerationTest.java
+++ b/gateway/src/test/java/opalcove/core/ConfigGenerationTest.java
@@ -23,7 +23,10 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** New settings at SIGHUP: new classes are taken, fewer attempts bind, requests in flight keep their class. */
+/**
+ * Checks new settings at SIGHUP: classes that they add are accepted, a lower limit on attempts also applies to requests
+ * in flight, and requests in flight keep their class.
+ */
 public class ConfigGenerationTest {
     private static final String NEW_CLASS =
             """
@@ -33,7 +36,7 @@
     private Vertx vertx;
     private RequestDispatcher gateway;
     private final List<String> attempts = new ArrayList<>();
-    /** Attempts are held here until the test ends them. */
+    /** Attempts in flight, until the test ends them. */
     private final List<BackendTransport.AttemptListener> out = new ArrayList<>();
 
     @BeforeMethod
@@ -65,7 +68,7 @@
                     .replace(",\n  {\"name\":\"slot-status\"", "\n  {\"name\":\"slot-status\"")));
             return gateway.dispatch(request("a2", "battery-update-ii"), responses::add);
         });
-        assertEquals(attempts, List.of("a2"), "the new class's request is forwarded");
+        assertEquals(attempts, List.of("a2"), "the request of the new class is forwarded");
         assertEquals(
                 gateway.metrics()
                         .statsdLines()
@@ -80,7 +83,7 @@
         List<Response> responses = new ArrayList<>();
         onLoop(() -> gateway.dispatch(request("a1", "slot-status"), responses::add));
         assertEquals(attempts, List.of("a1"));
-        // slot-status vanishes, and one attempt is all that a request may have now.
+        // The new settings remove slot-status and allow only one attempt.
         String fewer = TestSettings.JSON
                 .replace("\"max_attempts\":6", "\"max_attempts\":1")
                 .replaceFirst("\\{\"name\":\"slot-status\"[^}]*\\},", "");
@@ -90,7 +93,7 @@
             return null;
         });
         assertEquals(attempts, List.of("a1"), "no second attempt under the new settings");
-        assertEquals(responses.size(), 1, "the request in flight is answered");
+        assertEquals(responses.size(), 1, "the request in flight has a response");
         assertTrue(
                 responses.get(0) instanceof Response.Refused || responses.get(0) instanceof Response.Failed,
                 String.valueOf(responses.get(0)));
--- a/gateway/src/test/java/opalcove/core/HealthCheckTest.java
+++ b/gateway/src/test/java/opalcove/core/HealthCheckTest.java
@@ -29,7 +29,10 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** Health checks where the settings allow them: an unreachable backend is used again once a connection to it is up. */
+/**
+ * Checks that health checks, where the settings allow them, let an unreachable backend be used again once a connection
+ * to it is established.
+ */
 public class HealthCheckTest {
     private static final int PATIENCE_S = 20;
 
@@ -56,8 +59,8 @@
         });
         List<Response> served = new ArrayList<>();
         askUntil(gateway, served, () -> links.attempts > 2);
-        // No request competes with the health check any more: the backend is avoided, and only a check can show that it
-        // is back.
+        // No request competes with the health check any more: the backend is avoided, and only a health check can show
+        // that it is reachable again.
         until(() -> links.probes > 0);
         askUntil(gateway, served, () -> !served.isEmpty());
     }
@@ -83,7 +86,7 @@
         while (!onLoop(condition) && System.nanoTime() < end) {
             Thread.sleep(20);
         }
-        assertTrue(onLoop(condition), "in " + PATIENCE_S + " s");
+        assertTrue(onLoop(condition), "the condition does not hold after " + PATIENCE_S + " s");
     }
 
     @Test
@@ -91,7 +94,7 @@
         ConnectionPool pool =
                 onLoop(() -> new ConnectionPool(vertx, settings(), new RespConnector(vertx, settings()), 8));
         try (ServerSocket server = new ServerSocket(0, 8, InetAddress.getLoopbackAddress())) {
-            assertTrue(probe(pool, server.getLocalPort()), "a backend that listens is reached");
+            assertTrue(probe(pool, server.getLocalPort()), "a backend that listens is reachable");
             server.setSoTimeout(PATIENCE_S * 1000);
             try (Socket link = server.accept()) {
                 assertEquals(onLoop(pool::idleConnections), Integer.valueOf(1));
@@ -108,7 +111,7 @@
         try (ServerSocket closed = new ServerSocket(0, 8, InetAddress.getLoopbackAddress())) {
             port = closed.getLocalPort();
         }
-        assertTrue(!probe(pool, port), "nobody listens there");
+        assertTrue(!probe(pool, port), "a port without a listener is not reachable");
         assertEquals(onLoop(pool::openConnections), Integer.valueOf(0));
     }
 
@@ -143,7 +146,7 @@
         return done.get(PATIENCE_S, TimeUnit.SECONDS);
     }
 
-    /** A backend that cannot be reached until it is checked. */
+    /** A transport whose backend cannot be reached until a health check was made. */
     private static final class AwayNode extends NoOpBackendTransport {
         private int attempts;
         private int probes;
--- a/gateway/src/test/java/opalcove/core/HedgedRequestTest.java
+++ b/gateway/src/test/java/opalcove/core/HedgedRequestTest.java
@@ -23,12 +23,12 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** Hedged requests where the settings allow them: a hanging backend's request is served by another one. */
+/** Checks that, where the settings allow hedged requests, another backend serves the request of a hanging backend. */
 public class HedgedRequestTest {
     private static final int PATIENCE_S = 60;
 
     private Vertx vertx;
-    /** Attempts under way, the earliest first. */
+    /** Attempts in flight, the earliest first. */
     private final List<HeldAttempt> out = new ArrayList<>();
 
     @BeforeMethod
@@ -54,17 +54,18 @@
             return null;
         });
         assertTrue(responses.get(0) instanceof Response.Served, responses.toString());
-        assertTrue(hanging.cancelled, "nobody waits for the first any more");
+        assertTrue(hanging.cancelled, "the first attempt is cancelled");
         assertEquals(figure(gateway, "stopped_by_guards"), "0");
     }
 
     @Test
     public void theGuardLetsOneCopyOutWhereCopiesAreAllowedAndNoneElsewhere() {
-        assertEquals(vetoes(true), "null, null, 2 of its attempts still out");
-        assertEquals(vetoes(false), "null, 1 of its attempts still out, 1 of its attempts still out");
+        assertEquals(vetoes(true), "null, null, limit of 2 concurrent attempts reached");
+        assertEquals(
+                vetoes(false), "null, limit of 1 concurrent attempts reached, limit of 1 concurrent attempts reached");
     }
 
-    /** What the guard says to a first attempt, a second and a third while all before are out. */
+    /** Returns the guard's vetoes for a first, a second and a third attempt, while all earlier ones are in flight. */
     private static String vetoes(boolean hedging) {
         DecisionSettings settings = settings(hedging);
         EndpointList backends = new EndpointList();
@@ -81,7 +82,10 @@
         return String.join(", ", vetoes);
     }
 
-    /** Has requests hang, after some that were served at once, until one of them has two attempts out. */
+    /**
+     * Sends requests that hang, each after some that are served immediately, until one of them has two attempts in
+     * flight.
+     */
     private List<Response> serveUntilTwoAreOut(RequestDispatcher gateway) throws Exception {
         long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(PATIENCE_S);
         for (int number = 0; System.nanoTime() < end; number++) {
@@ -96,7 +100,7 @@
                 });
             }
             onLoop(() -> gateway.dispatch(request(hanging), responses::add));
-            // A starved machine may be late for the hedged attempt: then the request ends without one, and the next one
+            // On a busy machine the hedged attempt may be late. The request then ends without one, and the next request
             // is tried.
             while (onLoop(() -> out.size() < 2 && responses.isEmpty()) && System.nanoTime() < end) {
                 Thread.sleep(5);
@@ -105,7 +109,7 @@
                 return responses;
             }
         }
-        throw new AssertionError("no hedged attempt in " + PATIENCE_S + " s");
+        throw new AssertionError("no hedged attempt was started within " + PATIENCE_S + " s");
     }
 
     private RequestDispatcher gateway(boolean hedging) throws Exception {
@@ -152,7 +156,7 @@
         return done.get(PATIENCE_S, TimeUnit.SECONDS);
     }
 
-    /** An attempt that ends when the test serves it, or when it is given up. */
+    /** An attempt that ends when the test serves it, or when it is cancelled. */
     private final class HeldAttempt implements BackendTransport.Attempt {
         final String backend;
         private final BackendTransport.AttemptListener listener;
--- a/gateway/src/test/java/opalcove/core/NoOpBackendTransport.java
+++ b/gateway/src/test/java/opalcove/core/NoOpBackendTransport.java
@@ -3,7 +3,7 @@
 import java.util.function.Consumer;
 import opalcove.config.Backend;
 
-/** Links of a test, of which only what an attempt does matters. */
+/** A transport for tests that only start attempts; its other methods do nothing. */
 public abstract class NoOpBackendTransport implements BackendTransport {
     @Override
     public void checkReachable(Backend backend, Consumer<Boolean> reached) {}
--- a/gateway/src/test/java/opalcove/core/TimerQueueTest.java
+++ b/gateway/src/test/java/opalcove/core/TimerQueueTest.java
@@ -21,7 +21,7 @@
         };
     }
 
-    /** Cancelled timers are released at once, and the others keep their order, whichever leave. */
+    /** Cancelled timers are removed at once, and the others keep their order, whichever are cancelled. */
     @Test
     public void whatIsCancelledLeavesNothingBehind() throws Exception {
         Vertx vertx = Vertx.vertx();
@@ -55,7 +55,7 @@
         vertx.close().toCompletionStage().toCompletableFuture().get(20, TimeUnit.SECONDS);
     }
 
-    /** One fails: those that are due with it and those that come later go off all the same. */
+    /** After one timer fails, those due at the same time and those due later still expire. */
     @Test
     public void oneThatFailsHoldsUpNoOther() throws Exception {
         Vertx vertx = Vertx.vertx();
@@ -93,15 +93,15 @@
             timers.schedule(20, timer(() -> timers.cancel(later)));
             timers.schedule(50, timer(() -> {
                 timers.schedule(0, timer(() -> all.complete(expired)));
-                expired.add("last, and not before what it set");
+                expired.add("last, before the timer that it scheduled");
             }));
             timers.cancel(never);
             timers.cancel(never);
-            expired.add("nothing goes off at once");
+            expired.add("no timer expires immediately");
         });
         assertEquals(
                 all.get(20, TimeUnit.SECONDS),
-                List.of("nothing goes off at once", "first", "second", "last, and not before what it set"));
+                List.of("no timer expires immediately", "first", "second", "last, before the timer that it scheduled"));
         vertx.close().toCompletionStage().toCompletableFuture().get(20, TimeUnit.SECONDS);
     }
 }
