--- a/gateway/src/main/java/opalcove/core/AttemptGuard.java
+++ b/gateway/src/main/java/opalcove/core/AttemptGuard.java
@@ -22,7 +22,7 @@
      * A repeat is not sent in this last part of its window, ms, because the process may be delayed between this check
      * and the write.
      */
-    private static final double WINDOW_MARGIN_MS = 150;
+    private static final double REPEAT_WINDOW_MARGIN_MS = 150;
 
     /** The reason why an action is not allowed, and the invariant that the action would violate. */
     record Veto(Invariant invariant, String cause) {}
@@ -37,7 +37,7 @@
      * The maximum number of concurrent attempts of one request, from the newest settings: 2 if they allow hedging, else
      * 1.
      */
-    private int maxOutstanding;
+    private int maxConcurrentAttempts;
 
     AttemptGuard(DecisionSettings settings, EndpointList endpoints) {
         this.endpoints = endpoints;
@@ -47,7 +47,7 @@
     /** Applies the limits of new settings, also to requests in flight. */
     void applyLimits(DecisionSettings settings) {
         maxAttempts = settings.limits().maxAttempts();
-        maxOutstanding = settings.limits().secondCopies() ? 2 : 1;
+        maxConcurrentAttempts = settings.limits().secondCopies() ? 2 : 1;
     }
 
     /** Returns the reason why this attempt may not be started, or null if it may. */
@@ -56,13 +56,13 @@
         if (target == null) {
             return new Veto(Invariant.LISTED, "the endpoint list does not offer backend " + backend);
         }
-        if (inFlight.attemptsOut() >= maxOutstanding) {
-            return new Veto(Invariant.ATTEMPTS, "limit of " + maxOutstanding + " concurrent attempts reached");
+        if (inFlight.attemptsInFlight() >= maxConcurrentAttempts) {
+            return new Veto(Invariant.ATTEMPTS, "limit of " + maxConcurrentAttempts + " concurrent attempts reached");
         }
         if (inFlight.attempts.size() >= maxAttempts) {
             return new Veto(Invariant.ATTEMPTS, "maximum number of attempts reached");
         }
-        return vetoRepeat(inFlight, inFlight.firstThatMayHaveRun(), target, nowMs);
+        return vetoRepeat(inFlight, inFlight.firstAttemptThatMayHaveRun(), target, nowMs);
     }
 
     /**
@@ -70,7 +70,7 @@
      * if it may.
      */
     Veto vetoAfterConnect(InFlightRequest inFlight, InFlightRequest.Attempt attempt, double nowMs) {
-        if (inFlight.over) {
+        if (inFlight.finished) {
             return new Veto(Invariant.CLIENT_WAITS, "the request has ended");
         }
         Backend target = endpoints.available(attempt.backend.name());
@@ -79,7 +79,7 @@
                     Invariant.LISTED,
                     "the endpoint list no longer offers backend " + attempt.backend.name() + " at this address");
         }
-        InFlightRequest.Attempt first = inFlight.firstThatMayHaveRun();
+        InFlightRequest.Attempt first = inFlight.firstAttemptThatMayHaveRun();
         return vetoRepeat(inFlight, first == attempt ? null : first, target, nowMs);
     }
 
@@ -107,18 +107,18 @@
         if (nowMs
                 >= first.startedAtMs
                         + requestClass.windowMs()
-                        - Math.min(WINDOW_MARGIN_MS, requestClass.windowMs() / 4)) {
+                        - Math.min(REPEAT_WINDOW_MARGIN_MS, requestClass.windowMs() / 4)) {
             return new Veto(Invariant.REPEAT, "the repeat window of its class has expired");
         }
         Endpoint firstEndpoint = first.backend.endpoint();
         Endpoint nextEndpoint = target.endpoint();
-        boolean shared =
+        boolean inScope =
                 switch (requestClass.deduplicationScope()) {
                     case ALL -> true;
                     case ZONE -> firstEndpoint.zone().equals(nextEndpoint.zone());
                     case CELL -> firstEndpoint.cell() == nextEndpoint.cell();
                 };
-        return shared
+        return inScope
                 ? null
                 : new Veto(Invariant.REPEAT, "a backend outside its deduplication scope must not receive it again");
     }
@@ -126,7 +126,7 @@
     /** Whether the request may be refused. A refusal promises that trying again is harmless. */
     boolean mayRefuse(InFlightRequest inFlight) {
         DecisionSettings.RequestClass requestClass = inFlight.requestClass;
-        return inFlight.firstThatMayHaveRun() == null
+        return inFlight.firstAttemptThatMayHaveRun() == null
                 || requestClass.idempotency() == Idempotency.SAFE
                 || requestClass.idempotency() == Idempotency.KEYED
                         && requestClass.deduplicationScope() == DeduplicationScope.ALL;
--- a/gateway/src/main/java/opalcove/core/AttemptResult.java
+++ b/gateway/src/main/java/opalcove/core/AttemptResult.java
@@ -15,7 +15,7 @@
 public record AttemptResult(
         AttemptStatus status, ByteBuf value, int quotaUsedPercent, double actualUnits, double[] loadReport) {
     /** Returns a result without any data from the backend. */
-    public static AttemptResult withoutReport(AttemptStatus result) {
-        return new AttemptResult(result, null, -1, 0, null);
+    public static AttemptResult withoutReport(AttemptStatus status) {
+        return new AttemptResult(status, null, -1, 0, null);
     }
 }
--- a/gateway/src/main/java/opalcove/core/BackendDirectory.java
+++ b/gateway/src/main/java/opalcove/core/BackendDirectory.java
@@ -18,21 +18,21 @@
 final class BackendDirectory {
     private final Clock clock;
     private final EndpointList endpoints;
-    private final SlowStartTimes starts = new SlowStartTimes();
+    private final SlowStartTimes startTimes = new SlowStartTimes();
     private final BackendTransport transport;
     private final ConfigGenerations generations;
-    private final TurnQueue turns;
+    private final SerialTaskQueue tasks;
     private final Counters counters;
     private final Metrics metrics;
 
-    BackendDirectory(CoreParts parts) {
-        clock = parts.clock();
-        endpoints = parts.endpoints();
-        transport = parts.transport();
-        generations = parts.generations();
-        turns = parts.turns();
-        counters = parts.counters();
-        metrics = parts.metrics();
+    BackendDirectory(CoreContext context) {
+        clock = context.clock();
+        endpoints = context.endpoints();
+        transport = context.transport();
+        generations = context.generations();
+        tasks = context.tasks();
+        counters = context.counters();
+        metrics = context.metrics();
     }
 
     /**
@@ -42,29 +42,29 @@
      */
     void endpointsChanged(boolean complete, List<Backend> entries, double sourceNowMs) {
         endpoints.update(complete, entries).forEach(transport::retire);
-        int implausible = starts.implausibleStarts();
-        List<Endpoint> local = starts.update(complete, entries, clock.now(), sourceNowMs);
-        if (starts.implausibleStarts() > implausible) {
-            counters.implausibleStartTimes += starts.implausibleStarts() - implausible;
+        int implausibleBefore = startTimes.implausibleStarts();
+        List<Endpoint> localEndpoints = startTimes.update(complete, entries, clock.now(), sourceNowMs);
+        if (startTimes.implausibleStarts() > implausibleBefore) {
+            counters.implausibleStartTimes += startTimes.implausibleStarts() - implausibleBefore;
             Logger.warn(
                     "the start times of {} backends are impossible by this machine's clock; they count as started now",
-                    starts.implausibleStarts() - implausible);
+                    startTimes.implausibleStarts() - implausibleBefore);
         }
         for (ConfigGeneration each : generations.inUse()) {
-            turns.run(() -> each.module.endpointsChanged(clock.now(), complete, local));
+            tasks.run(() -> each.module.endpointsChanged(clock.now(), complete, localEndpoints));
         }
-        countAvoided();
+        updateAvoidedBackends();
     }
 
     /** Sends the current complete list to the module of a new generation. */
-    void introduceTo(ConfigGeneration generation) {
-        List<Endpoint> local = starts.localEndpoints(endpoints.all());
-        turns.run(() -> generation.module.endpointsChanged(clock.now(), true, local));
+    void sendCompleteListTo(ConfigGeneration generation) {
+        List<Endpoint> localEndpoints = startTimes.localEndpoints(endpoints.all());
+        tasks.run(() -> generation.module.endpointsChanged(clock.now(), true, localEndpoints));
     }
 
     /** Records that the endpoint source was reached, with or without changes. */
     void sourceContacted() {
-        starts.sourceContacted(clock.now());
+        startTimes.sourceContacted(clock.now());
     }
 
     /** Returns all backends in the list. */
@@ -78,11 +78,11 @@
     }
 
     /** Updates the metrics of listed backends and of those that get no new requests now, for any reason. */
-    void countAvoided() {
-        turns.run(this::updateAvoided);
+    void updateAvoidedBackends() {
+        tasks.run(this::computeAvoidedBackends);
     }
 
-    private void updateAvoided() {
+    private void computeAvoidedBackends() {
         Set<String> used = new HashSet<>();
         for (CapacityShare each : capacityShares()) {
             if (each.share() > 0) {
--- a/gateway/src/main/java/opalcove/core/CoreParts.java
+++ b/gateway/src/main/java/opalcove/core/CoreContext.java
@@ -7,11 +7,11 @@
 import opalcove.metrics.Metrics;
 
 /** The objects that the classes of the core share. All of them are used on one event loop only. */
-record CoreParts(
+record CoreContext(
         Vertx vertx,
         Clock clock,
         TimerQueue timers,
-        TurnQueue turns,
+        SerialTaskQueue tasks,
         BackendTransport transport,
         EndpointList endpoints,
         AttemptGuard guard,
--- a/gateway/src/main/java/opalcove/core/DeferredAttempt.java
+++ b/gateway/src/main/java/opalcove/core/DeferredAttempt.java
@@ -32,7 +32,7 @@
         }
         if (lifecycle.isStillWanted(inFlight, attempt)) {
             ended = true;
-            lifecycle.start(inFlight, attempt, step);
+            lifecycle.startAttempt(inFlight, attempt, step);
         } else {
             cancel();
         }
--- a/gateway/src/main/java/opalcove/core/InFlightRequest.java
+++ b/gateway/src/main/java/opalcove/core/InFlightRequest.java
@@ -23,7 +23,7 @@
         final Backend backend;
         final int number;
         final double startedAtMs;
-        BackendTransport.Attempt inProgress;
+        BackendTransport.Attempt transportAttempt;
         AttemptStatus status;
 
         Attempt(Backend backend, double startedAtMs) {
@@ -39,7 +39,7 @@
 
         @Override
         public boolean acceptsStreamedValue(StreamedValue value) {
-            return lifecycle.valueBegan(InFlightRequest.this, this, value);
+            return lifecycle.streamedValueStarted(InFlightRequest.this, this, value);
         }
 
         @Override
@@ -71,7 +71,7 @@
      */
     Streaming streaming;
 
-    boolean over;
+    boolean finished;
     /** Whether the client disconnected before the request ended. */
     boolean clientDisconnected;
     /** Whether the request ends before the process does, because the response of a later request is waiting for it. */
@@ -79,7 +79,7 @@
 
     private final RequestLifecycle lifecycle;
     private final ResponseHandler handler;
-    private final TimerQueue.Timer deadline;
+    private final TimerQueue.Timer deadlineTimer;
     private boolean released;
 
     InFlightRequest(
@@ -95,7 +95,7 @@
         this.requestClass = requestClass;
         this.handler = handler;
         this.acceptedAtMs = acceptedAtMs;
-        deadline = new TimerQueue.Timer() {
+        deadlineTimer = new TimerQueue.Timer() {
             @Override
             void onExpiry() {
                 lifecycle.deadlineExpired(InFlightRequest.this);
@@ -117,8 +117,8 @@
     }
 
     /** Returns the timer that expires at the request's deadline, or earlier if the request is expedited. */
-    TimerQueue.Timer deadline() {
-        return deadline;
+    TimerQueue.Timer deadlineTimer() {
+        return deadlineTimer;
     }
 
     @Override
@@ -133,8 +133,8 @@
 
     @Override
     public void abortStreamedValue() {
-        if (!over && streaming != null) {
-            streaming.attempt().inProgress.cancel();
+        if (!finished && streaming != null) {
+            streaming.attempt().transportAttempt.cancel();
         }
     }
 
@@ -157,8 +157,8 @@
      * Binds the request to a value whose first bytes have arrived. Returns false if the handler does not accept the
      * value.
      */
-    boolean stream(Attempt attempt, StreamedValue value) {
-        if (over || streaming != null || attempt.status != null || !handler.acceptsStreamedValue(value)) {
+    boolean acceptStreamedValue(Attempt attempt, StreamedValue value) {
+        if (finished || streaming != null || attempt.status != null || !handler.acceptsStreamedValue(value)) {
             return false;
         }
         streaming = new Streaming(attempt, value);
@@ -167,7 +167,7 @@
 
     /** Ends the request with a response, or with none (null) if its client has disconnected. */
     void finish(Response response) {
-        over = true;
+        finished = true;
         if (response != null) {
             handler.onResponse(response);
         }
@@ -176,7 +176,7 @@
 
     /** Releases the request once it has ended and no attempt is in flight that could still be written. */
     void releaseIfDone() {
-        if (over && !released && attemptsOut() == 0) {
+        if (finished && !released && attemptsInFlight() == 0) {
             released = true;
             lifecycle.cancelDeadline(this);
             handler.onReleased();
@@ -184,18 +184,18 @@
     }
 
     /** Returns how many attempts have not ended. */
-    int attemptsOut() {
-        int out = 0;
+    int attemptsInFlight() {
+        int count = 0;
         for (int i = 0; i < attempts.size(); i++) {
             if (attempts.get(i).status == null) {
-                out++;
+                count++;
             }
         }
-        return out;
+        return count;
     }
 
     /** Returns the first attempt that a backend may have executed, or null. */
-    Attempt firstThatMayHaveRun() {
+    Attempt firstAttemptThatMayHaveRun() {
         for (int i = 0; i < attempts.size(); i++) {
             if (attempts.get(i).mayHaveRun()) {
                 return attempts.get(i);
--- a/gateway/src/main/java/opalcove/core/InFlightRequests.java
+++ b/gateway/src/main/java/opalcove/core/InFlightRequests.java
@@ -8,12 +8,12 @@
 final class InFlightRequests {
     private final Map<String, InFlightRequest> byId = new HashMap<>();
     private final Metrics metrics;
-    private final TurnQueue turns;
+    private final SerialTaskQueue tasks;
     private Runnable whenIdle;
 
-    InFlightRequests(Metrics metrics, TurnQueue turns) {
+    InFlightRequests(Metrics metrics, SerialTaskQueue tasks) {
         this.metrics = metrics;
-        this.turns = turns;
+        this.tasks = tasks;
     }
 
     int count() {
@@ -46,7 +46,7 @@
         metrics.inFlight(byId.size());
         if (byId.isEmpty() && whenIdle != null) {
             // Deferred until after the current task, which still writes the last response.
-            turns.append(whenIdle);
+            tasks.append(whenIdle);
             whenIdle = null;
         }
     }
--- a/gateway/src/main/java/opalcove/core/LoopHeartbeat.java
+++ b/gateway/src/main/java/opalcove/core/LoopHeartbeat.java
@@ -19,7 +19,7 @@
      * shows that the event loop was delayed. A drain that waits unread behind a request for half of its grace is
      * therefore read before that request is forwarded.
      */
-    private static final double GRACE_PART = 0.25;
+    private static final double DRAIN_GRACE_FRACTION = 0.25;
 
     private final Clock clock;
     private final TimerQueue timers;
@@ -41,13 +41,13 @@
     }
 
     /** Whether the event loop has missed a beat, so that input of that time may not have been read yet. */
-    boolean isLoopHeldUp(double nowMs) {
+    boolean isLoopDelayed(double nowMs) {
         return nowMs - lastBeatMs > 2 * intervalMs();
     }
 
     private double intervalMs() {
-        double part = GRACE_PART * generations.newest().settings.obligations().drainGraceMs();
-        return Math.max(MIN_INTERVAL_MS, Math.min(MAX_INTERVAL_MS, part));
+        double wantedMs = DRAIN_GRACE_FRACTION * generations.newest().settings.obligations().drainGraceMs();
+        return Math.max(MIN_INTERVAL_MS, Math.min(MAX_INTERVAL_MS, wantedMs));
     }
 
     @Override
--- a/gateway/src/main/java/opalcove/core/ModuleActions.java
+++ b/gateway/src/main/java/opalcove/core/ModuleActions.java
@@ -24,38 +24,38 @@
     private final BackendTransport transport;
     private final EndpointList endpoints;
     private final AttemptGuard guard;
-    private final TurnQueue turns;
+    private final SerialTaskQueue tasks;
     private final TimerQueue timers;
     private final Clock clock;
     private final Counters counters;
     private final InvariantMonitor invariants;
     private final LongObjectMap<ModuleTimer> moduleTimers = new LongObjectHashMap<>();
 
-    ModuleActions(ConfigGeneration generation, CoreParts parts, RequestLifecycle lifecycle) {
+    ModuleActions(ConfigGeneration generation, CoreContext context, RequestLifecycle lifecycle) {
         this.generation = generation;
         this.lifecycle = lifecycle;
-        generations = parts.generations();
-        requests = parts.requests();
-        transport = parts.transport();
-        endpoints = parts.endpoints();
-        guard = parts.guard();
-        turns = parts.turns();
-        timers = parts.timers();
-        clock = parts.clock();
-        counters = parts.counters();
-        invariants = parts.invariants();
+        generations = context.generations();
+        requests = context.requests();
+        transport = context.transport();
+        endpoints = context.endpoints();
+        guard = context.guard();
+        tasks = context.tasks();
+        timers = context.timers();
+        clock = context.clock();
+        counters = context.counters();
+        invariants = context.invariants();
     }
 
-    private void decide(String id, Step step) {
+    private void appendStep(String id, Step step) {
         InFlightRequest inFlight = requests.find(id, generation);
         if (inFlight != null) {
-            turns.append(() -> lifecycle.follow(inFlight, step));
+            tasks.append(() -> lifecycle.execute(inFlight, step));
         }
     }
 
     @Override
     public void startAttempt(String id, String backend, double timeoutMs) {
-        decide(id, new Step.Forward(backend, timeoutMs));
+        appendStep(id, new Step.Forward(backend, timeoutMs));
     }
 
     @Override
@@ -69,12 +69,12 @@
             return;
         }
         counters.refused(ShedReason.DECIDED);
-        decide(id, new Step.Respond(new Response.Refused((long) Math.ceil(Math.max(0, retryAfterMs)))));
+        appendStep(id, new Step.Respond(new Response.Refused((long) Math.ceil(Math.max(0, retryAfterMs)))));
     }
 
     @Override
     public void fail(String id) {
-        decide(id, new Step.Respond(new Response.Failed("failed")));
+        appendStep(id, new Step.Respond(new Response.Failed("failed")));
     }
 
     @Override
@@ -89,7 +89,7 @@
         boolean streaming = inFlight.streaming != null && inFlight.streaming.attempt() == unwanted;
         if (!streaming && unwanted.status == null) {
             counters.cancelled++;
-            turns.append(unwanted.inProgress::cancel);
+            tasks.append(unwanted.transportAttempt::cancel);
         }
     }
 
@@ -112,7 +112,7 @@
     public void checkHealth(String name) {
         Backend backend = endpoints.available(name);
         if (backend != null) {
-            turns.append(() -> checkHealth(backend));
+            tasks.append(() -> checkHealth(backend));
         }
     }
 
@@ -122,13 +122,13 @@
      */
     private void checkHealth(Backend backend) {
         counters.healthChecks++;
-        double beganMs = clock.now();
+        double startedAtMs = clock.now();
         transport.checkReachable(
                 backend,
-                reached -> turns.run(() -> {
+                reached -> tasks.run(() -> {
                     ProbeStatus status = reached ? ProbeStatus.DONE : ProbeStatus.NOT_DONE;
                     double nowMs = clock.now();
-                    generation.module.healthCheckEnded(nowMs, backend.name(), status, nowMs - beganMs, null);
+                    generation.module.healthCheckEnded(nowMs, backend.name(), status, nowMs - startedAtMs, null);
                 }));
     }
 
@@ -155,7 +155,7 @@
             moduleTimers.remove(token);
             // A retired generation has no request left to decide on, so its module needs no timers.
             if (!generations.isRetired(generation)) {
-                turns.run(() -> generation.module.timerExpired(clock.now(), token));
+                tasks.run(() -> generation.module.timerExpired(clock.now(), token));
             }
         }
     }
--- a/gateway/src/main/java/opalcove/core/RequestDispatcher.java
+++ b/gateway/src/main/java/opalcove/core/RequestDispatcher.java
@@ -20,7 +20,7 @@
  * threads.
  */
 public final class RequestDispatcher {
-    private final CoreParts parts;
+    private final CoreContext context;
     private final long seed;
     private final SystemCallFailures systemCallFailures = new SystemCallFailures();
     private final BackendDirectory directory;
@@ -36,36 +36,36 @@
     public RequestDispatcher(
             Vertx vertx, Clock clock, DecisionSettings settings, long seed, BackendTransport transport) {
         this.seed = seed;
-        parts = parts(vertx, clock, settings, transport, systemCallFailures);
-        directory = new BackendDirectory(parts);
+        context = createContext(vertx, clock, settings, transport, systemCallFailures);
+        directory = new BackendDirectory(context);
         LoopHeartbeat heartbeat =
-                new LoopHeartbeat(clock, parts.timers(), parts.generations(), directory::countAvoided);
-        lifecycle = new RequestLifecycle(parts, heartbeat);
+                new LoopHeartbeat(clock, context.timers(), context.generations(), directory::updateAvoidedBackends);
+        lifecycle = new RequestLifecycle(context, heartbeat);
         transport.onLocalConnectFailure(failure -> systemCallFailed(SystemCall.CONNECT, failure));
-        parts.generations().add(generation(settings, seed));
+        context.generations().add(generation(settings, seed));
         heartbeat.schedule();
     }
 
-    private static CoreParts parts(
+    private static CoreContext createContext(
             Vertx vertx,
             Clock clock,
             DecisionSettings settings,
             BackendTransport transport,
             SystemCallFailures systemCallFailures) {
-        TurnQueue turns = new TurnQueue();
+        SerialTaskQueue tasks = new SerialTaskQueue();
         EndpointList endpoints = new EndpointList();
         InvariantMonitor invariants = new InvariantMonitor();
         Metrics metrics = new Metrics(invariants, systemCallFailures);
-        return new CoreParts(
+        return new CoreContext(
                 vertx,
                 clock,
                 new TimerQueue(vertx, clock),
-                turns,
+                tasks,
                 transport,
                 endpoints,
                 new AttemptGuard(settings, endpoints),
                 new ConfigGenerations(),
-                new InFlightRequests(metrics, turns),
+                new InFlightRequests(metrics, tasks),
                 new Counters(),
                 invariants,
                 metrics);
@@ -74,9 +74,9 @@
     private ConfigGeneration generation(DecisionSettings settings, long moduleSeed) {
         return new ConfigGeneration(
                 settings,
-                parts.clock().now(),
+                context.clock().now(),
                 moduleSeed,
-                generation -> new ModuleActions(generation, parts, lifecycle));
+                generation -> new ModuleActions(generation, context, lifecycle));
     }
 
     // Requests.
@@ -94,7 +94,7 @@
      * @return null if the response was given within this call
      */
     public RequestHandle dispatch(Request request, ResponseHandler handler, double unreadMs) {
-        parts.counters().received++;
+        context.counters().received++;
         if (beforeEachRequest != null) {
             beforeEachRequest.run();
         }
@@ -114,7 +114,7 @@
      * request.
      */
     public RequestValidator requestValidator() {
-        return parts.generations().newest().validator;
+        return context.generations().newest().validator;
     }
 
     // Settings.
@@ -128,20 +128,20 @@
         if (next.equals(settings())) {
             return;
         }
-        parts.guard().applyLimits(next);
+        context.guard().applyLimits(next);
         ConfigGeneration generation = generation(next, seed + ++reconfigurations);
-        parts.generations().add(generation);
-        directory.introduceTo(generation);
+        context.generations().add(generation);
+        directory.sendCompleteListTo(generation);
     }
 
     /** Returns the newest settings. */
     public DecisionSettings settings() {
-        return parts.generations().newest().settings;
+        return context.generations().newest().settings;
     }
 
     /** Returns the longest deadline of a request under the newest settings and those of open requests, ms. */
     public long maxDeadlineMs() {
-        return parts.generations().maxDeadlineMs();
+        return context.generations().maxDeadlineMs();
     }
 
     // Backends.
@@ -169,9 +169,9 @@
     /** Counts a poll of discovery that returned no usable list: either none at all, or one that was rejected. */
     public void endpointUpdateFailed(boolean rejected) {
         if (rejected) {
-            parts.counters().endpointListsRejected++;
+            context.counters().endpointListsRejected++;
         } else {
-            parts.counters().endpointPollsFailed++;
+            context.counters().endpointPollsFailed++;
         }
     }
 
@@ -202,14 +202,14 @@
 
     /** Runs the action once no request is open, possibly within this call. */
     public void whenIdle(Runnable action) {
-        parts.requests().whenIdle(action);
+        context.requests().whenIdle(action);
     }
 
     // Counted events.
 
     /** Counts a client connection that a front end has closed. */
     public void clientConnectionClosed(ConnectionCloseReason reason) {
-        parts.counters().closed(reason);
+        context.counters().closed(reason);
     }
 
     /**
@@ -218,11 +218,11 @@
      */
     public void clientConnectionClosedForDescriptors(boolean isNew) {
         if (isNew) {
-            parts.counters().connectionsRefusedForDescriptors++;
+            context.counters().connectionsRefusedForDescriptors++;
         } else {
-            parts.counters().connectionsClosedForDescriptors++;
+            context.counters().connectionsClosedForDescriptors++;
         }
-        parts.metrics().connectionClosedForDescriptors(isNew);
+        context.metrics().connectionClosedForDescriptors(isNew);
     }
 
     /** Counts a failed system call; such failures may be temporary. */
@@ -232,7 +232,7 @@
 
     /** Counts a redelivered request that a front end has joined to the request in flight or to its response. */
     public void redeliveryJoined() {
-        parts.counters().joined++;
+        context.counters().joined++;
     }
 
     /**
@@ -240,19 +240,19 @@
      * violates.
      */
     public InvariantMonitor invariants() {
-        return parts.invariants();
+        return context.invariants();
     }
 
     /** Returns the counters and the numbers of open requests and connections, one name and value a line. */
     public String infoLines() {
-        return parts.counters().infoLines() + parts.invariants().infoLines() + systemCallFailures.infoLines()
+        return context.counters().infoLines() + context.invariants().infoLines() + systemCallFailures.infoLines()
                 + "asks_open="
-                + parts.requests().count() + "\nlinks_open=" + parts.transport().openConnections() + "\nlinks_resting="
-                + parts.transport().idleConnections() + "\n";
+                + context.requests().count() + "\nlinks_open=" + context.transport().openConnections() + "\nlinks_resting="
+                + context.transport().idleConnections() + "\n";
     }
 
     /** Returns the metrics, which other threads may read. */
     public Metrics metrics() {
-        return parts.metrics();
+        return context.metrics();
     }
 }
--- a/gateway/src/main/java/opalcove/core/RequestLifecycle.java
+++ b/gateway/src/main/java/opalcove/core/RequestLifecycle.java
@@ -26,7 +26,7 @@
     /** A request is refused if the process ends in less than this time, ms, which is too short to serve it. */
     private static final double MIN_SERVE_TIME_MS = 100;
     /** A request that may have been unread for no longer than this counts as just received, ms. */
-    private static final double UNREAD_IGNORED_MS = 10;
+    private static final double MAX_IGNORED_UNREAD_MS = 10;
     /**
      * A response that exceeds its deadline by more than this violates the invariant, ms: the slack that is allowed on
      * sockets.
@@ -39,7 +39,7 @@
     private final Vertx vertx;
     private final Clock clock;
     private final TimerQueue timers;
-    private final TurnQueue turns;
+    private final SerialTaskQueue tasks;
     private final BackendTransport transport;
     private final EndpointList endpoints;
     private final AttemptGuard guard;
@@ -55,22 +55,22 @@
     /** The earliest time at which the process ends, by the clock, ms. */
     private double processEndsAtMs = Double.MAX_VALUE;
 
-    RequestLifecycle(CoreParts parts, LoopHeartbeat heartbeat) {
+    RequestLifecycle(CoreContext context, LoopHeartbeat heartbeat) {
         this.heartbeat = heartbeat;
-        vertx = parts.vertx();
-        clock = parts.clock();
-        timers = parts.timers();
-        turns = parts.turns();
-        transport = parts.transport();
-        endpoints = parts.endpoints();
-        guard = parts.guard();
-        generations = parts.generations();
-        requests = parts.requests();
-        counters = parts.counters();
-        invariants = parts.invariants();
-        metrics = parts.metrics();
+        vertx = context.vertx();
+        clock = context.clock();
+        timers = context.timers();
+        tasks = context.tasks();
+        transport = context.transport();
+        endpoints = context.endpoints();
+        guard = context.guard();
+        generations = context.generations();
+        requests = context.requests();
+        counters = context.counters();
+        invariants = context.invariants();
+        metrics = context.metrics();
         responseCounts = new ResponseCounts(counters, metrics);
-        streamedResponses = new StreamedResponses(parts, responseCounts);
+        streamedResponses = new StreamedResponses(context, responseCounts);
     }
 
     // Arrival of a request.
@@ -90,12 +90,12 @@
                     newest.validator.validate(request).requestClass());
         } catch (InvalidRequestException e) {
             // Peers also count such a failure in the class that the request names, known or not.
-            return respondAtOnce(handler, request.requestClass(), new Response.Failed(e.getMessage()));
+            return respondImmediately(handler, request.requestClass(), new Response.Failed(e.getMessage()));
         }
         if (requests.contains(request.id())) {
             // Another client that sends the id of an open request must not join that request, receive its response or
             // end it.
-            return respondAtOnce(handler, requestClass.name(), new Response.Failed("this id is under way"));
+            return respondImmediately(handler, requestClass.name(), new Response.Failed("this id is under way"));
         }
         return admit(request, requestClass, handler, unreadMs);
     }
@@ -113,28 +113,28 @@
             // A request that arrives late in the shutdown would otherwise be accepted and never get a response.
             return shed(handler, requestClass, ShedReason.ENDING, 0);
         }
-        double timeoutMs = unreadMs > UNREAD_IGNORED_MS ? request.timeoutMs() - unreadMs : request.timeoutMs();
+        double timeoutMs = unreadMs > MAX_IGNORED_UNREAD_MS ? request.timeoutMs() - unreadMs : request.timeoutMs();
         if (timeoutMs <= 0) {
             // The deadline passed before the request was read, so nothing may be sent to a backend for it.
             return shed(handler, requestClass, ShedReason.UNREAD_IN_TIME, 0);
         }
         InFlightRequest accepted =
                 accept(request.withTimeoutMs(Math.min(timeoutMs, untilEndMs)), requestClass, handler);
-        consultModule(accepted);
-        return accepted.over ? null : accepted;
+        requestDecision(accepted);
+        return accepted.finished ? null : accepted;
     }
 
     private RequestHandle shed(
             ResponseHandler handler, DecisionSettings.RequestClass requestClass, ShedReason reason, long retryAfterMs) {
         counters.refused(reason);
-        return respondAtOnce(handler, requestClass.name(), new Response.Refused(retryAfterMs));
+        return respondImmediately(handler, requestClass.name(), new Response.Refused(retryAfterMs));
     }
 
     /**
      * Responds within this call. The class is null if the request names none; the response is then counted, but in no
      * class.
      */
-    private RequestHandle respondAtOnce(ResponseHandler handler, String requestClass, Response response) {
+    private RequestHandle respondImmediately(ResponseHandler handler, String requestClass, Response response) {
         responseCounts.count(requestClass, response);
         handler.onResponse(response);
         handler.onReleased();
@@ -146,24 +146,24 @@
         InFlightRequest accepted =
                 new InFlightRequest(this, generations.newest(), request, requestClass, handler, clock.now());
         requests.open(accepted);
-        timers.schedule(request.timeoutMs() - DEADLINE_MARGIN_MS, accepted.deadline());
+        timers.schedule(request.timeoutMs() - DEADLINE_MARGIN_MS, accepted.deadlineTimer());
         return accepted;
     }
 
     // Decisions of the module.
 
-    private void consultModule(InFlightRequest inFlight) {
-        turns.run(() -> inFlight.generation.module.requestArrived(clock.now(), inFlight.admissionRequest()));
+    private void requestDecision(InFlightRequest inFlight) {
+        tasks.run(() -> inFlight.generation.module.requestArrived(clock.now(), inFlight.admissionRequest()));
     }
 
     /** Executes the step that the module chose. A step for a request that has ended has no effect. */
-    void follow(InFlightRequest inFlight, Step step) {
-        if (inFlight.over || inFlight.streaming != null) {
+    void execute(InFlightRequest inFlight, Step step) {
+        if (inFlight.finished || inFlight.streaming != null) {
             return;
         }
-        if (step instanceof Step.Respond last) {
+        if (step instanceof Step.Respond respond) {
             requests.close(inFlight);
-            responseCounts.count(inFlight.requestClass.name(), last.response());
+            responseCounts.count(inFlight.requestClass.name(), respond.response());
             double lateMs = clock.now() - inFlight.acceptedAtMs - inFlight.request.timeoutMs();
             if (lateMs > RESPONSE_SLACK_MS) {
                 invariants.violated(
@@ -171,9 +171,9 @@
                         inFlight.request.id(),
                         "responded " + (long) lateMs + " ms after its deadline");
             }
-            inFlight.finish(last.response());
+            inFlight.finish(respond.response());
         } else {
-            attempt(inFlight, (Step.Forward) step);
+            forward(inFlight, (Step.Forward) step);
         }
     }
 
@@ -183,7 +183,7 @@
      * Makes one attempt: it is started if the guard allows it and the client is still connected, else it ends as not
      * sent.
      */
-    private void attempt(InFlightRequest inFlight, Step.Forward step) {
+    private void forward(InFlightRequest inFlight, Step.Forward step) {
         double nowMs = clock.now();
         AttemptGuard.Veto veto = guard.vetoAttempt(inFlight, step.backend(), nowMs);
         boolean connected = isClientConnected(inFlight);
@@ -196,18 +196,18 @@
         }
         if (veto != null || !connected) {
             reportOutcome(inFlight, attempt, step.backend(), AttemptResult.withoutReport(AttemptStatus.NOT_SENT));
-        } else if (heartbeat.isLoopHeldUp(nowMs) || !endpointSource.isCurrent()) {
-            attempt.inProgress = new DeferredAttempt(vertx, this, inFlight, attempt, step);
+        } else if (heartbeat.isLoopDelayed(nowMs) || !endpointSource.isCurrent()) {
+            attempt.transportAttempt = new DeferredAttempt(vertx, this, inFlight, attempt, step);
         } else {
-            start(inFlight, attempt, step);
+            startAttempt(inFlight, attempt, step);
         }
     }
 
-    void start(InFlightRequest inFlight, InFlightRequest.Attempt attempt, Step.Forward step) {
+    void startAttempt(InFlightRequest inFlight, InFlightRequest.Attempt attempt, Step.Forward step) {
         counters.attempts++;
         metrics.backendCall();
         double remainingMs = remainingMs(inFlight);
-        attempt.inProgress = transport.startAttempt(
+        attempt.transportAttempt = transport.startAttempt(
                 attempt.backend,
                 inFlight.request,
                 step.timeoutMs() > 0 ? Math.min(remainingMs, step.timeoutMs()) : remainingMs,
@@ -221,7 +221,7 @@
 
     /** Whether the client is still connected; ends the request of a client that has disconnected. */
     private boolean isClientConnected(InFlightRequest inFlight) {
-        if (!inFlight.over && !inFlight.clientDisconnected && !inFlight.isClientConnected()) {
+        if (!inFlight.finished && !inFlight.clientDisconnected && !inFlight.isClientConnected()) {
             clientDisconnected(inFlight);
         }
         return !inFlight.clientDisconnected;
@@ -264,25 +264,25 @@
      * Called when the first bytes of a value arrive that is too long to be buffered. Returns whether the value is
      * accepted.
      */
-    boolean valueBegan(InFlightRequest inFlight, InFlightRequest.Attempt attempt, StreamedValue value) {
-        return streamedResponses.began(inFlight, attempt, value);
+    boolean streamedValueStarted(InFlightRequest inFlight, InFlightRequest.Attempt attempt, StreamedValue value) {
+        return streamedResponses.valueStarted(inFlight, attempt, value);
     }
 
     /** Called when an attempt that was started has ended. */
     void attemptEnded(InFlightRequest inFlight, InFlightRequest.Attempt attempt, AttemptResult result) {
         counters.attemptEnded(result.status());
         if (inFlight.streaming != null && inFlight.streaming.attempt() == attempt) {
-            streamedResponses.ended(inFlight, result);
+            streamedResponses.valueEnded(inFlight, result);
             return;
         }
         // The client disconnected while the connection was being opened, and that cancelled it. Reporting this as
         // unreachable would count it as a fault of the backend.
-        boolean blameless = inFlight.clientDisconnected && result.status() == AttemptStatus.UNREACHABLE;
+        boolean notBackendFault = inFlight.clientDisconnected && result.status() == AttemptStatus.UNREACHABLE;
         reportOutcome(
                 inFlight,
                 attempt,
                 attempt.backend.name(),
-                blameless ? AttemptResult.withoutReport(AttemptStatus.NOT_SENT) : result);
+                notBackendFault ? AttemptResult.withoutReport(AttemptStatus.NOT_SENT) : result);
     }
 
     /**
@@ -294,12 +294,12 @@
         attempt.status = result.status();
         boolean served = result.status() == AttemptStatus.SERVED;
         // The value is valid only during this call, and the task below may run later, so the value is copied.
-        ByteBuf value = served && turns.isRunning() ? Unpooled.copiedBuffer(result.value()) : result.value();
+        ByteBuf value = served && tasks.isRunning() ? Unpooled.copiedBuffer(result.value()) : result.value();
         double nowMs = clock.now();
-        turns.run(() -> {
-            boolean first = served && !inFlight.over && inFlight.streaming == null;
-            if (first) {
-                follow(inFlight, new Step.Respond(new Response.Served(value)));
+        tasks.run(() -> {
+            boolean isFinalResponse = served && !inFlight.finished && inFlight.streaming == null;
+            if (isFinalResponse) {
+                execute(inFlight, new Step.Respond(new Response.Served(value)));
                 cancelHedges(inFlight);
             }
             inFlight.generation.module.attemptEnded(
@@ -310,9 +310,9 @@
                             attempt.number,
                             result.status(),
                             nowMs - attempt.startedAtMs,
-                            inFlight.over,
+                            inFlight.finished,
                             result.quotaUsedPercent(),
-                            first ? result.actualUnits() : 0,
+                            isFinalResponse ? result.actualUnits() : 0,
                             result.loadReport()));
             inFlight.releaseIfDone();
         });
@@ -331,7 +331,7 @@
             InFlightRequest.Attempt hedge = inFlight.attempts.get(i);
             if (hedge.status == null) {
                 counters.cancelled++;
-                turns.append(hedge.inProgress::cancel);
+                tasks.append(hedge.transportAttempt::cancel);
             }
         }
     }
@@ -344,19 +344,19 @@
      * cancelling them, they are still in flight and their backends may never reply.
      */
     void deadlineExpired(InFlightRequest inFlight) {
-        if (inFlight.over) {
+        if (inFlight.finished) {
             List.copyOf(inFlight.attempts).stream()
                     .filter(attempt -> attempt.status == null)
-                    .forEach(late -> {
+                    .forEach(unfinished -> {
                         counters.cancelled++;
-                        late.inProgress.cancel();
+                        unfinished.transportAttempt.cancel();
                     });
             return;
         }
         if (inFlight.expedited) {
-            endAttempts(
+            cancelAttempts(
                     inFlight,
-                    () -> follow(
+                    () -> execute(
                             inFlight,
                             new Step.Respond(
                                     guard.mayRefuse(inFlight)
@@ -366,22 +366,22 @@
         }
         counters.deadlineExpired++;
         Logger.error("{} had no response at its deadline", inFlight.request.id());
-        endAttempts(inFlight, () -> follow(inFlight, new Step.Respond(new Response.Failed("deadline"))));
+        cancelAttempts(inFlight, () -> execute(inFlight, new Step.Respond(new Response.Failed("deadline"))));
     }
 
     /** Called when the client has disconnected: cancels the attempts and ends the request without a response. */
     void clientDisconnected(InFlightRequest inFlight) {
-        if (inFlight.over || inFlight.clientDisconnected) {
+        if (inFlight.finished || inFlight.clientDisconnected) {
             return;
         }
         counters.clientsDisconnected++;
         inFlight.clientDisconnected = true;
         if (inFlight.streaming != null) {
-            inFlight.streaming.attempt().inProgress.cancel();
+            inFlight.streaming.attempt().transportAttempt.cancel();
             return;
         }
-        endAttempts(inFlight, () -> {
-            if (!inFlight.over) {
+        cancelAttempts(inFlight, () -> {
+            if (!inFlight.finished) {
                 requests.close(inFlight);
                 inFlight.finish(null);
             }
@@ -392,10 +392,10 @@
      * Lets the module cancel the request's attempts and then runs the action that closes the request. The order
      * matters, as the module needs its records of the open request.
      */
-    private void endAttempts(InFlightRequest inFlight, Runnable closing) {
-        turns.run(() -> {
+    private void cancelAttempts(InFlightRequest inFlight, Runnable closeRequest) {
+        tasks.run(() -> {
             inFlight.generation.module.requestCancelled(clock.now(), inFlight.request.id());
-            turns.append(closing);
+            tasks.append(closeRequest);
         });
     }
 
@@ -407,17 +407,17 @@
      * Makes the request end before the process does, because the response of a later request waits for its response.
      */
     void expedite(InFlightRequest inFlight) {
-        if (!inFlight.over
+        if (!inFlight.finished
                 && inFlight.streaming == null
                 && inFlight.acceptedAtMs + inFlight.request.timeoutMs() > processEndsAtMs) {
             inFlight.expedited = true;
             cancelDeadline(inFlight);
-            timers.scheduleAt(processEndsAtMs - DEADLINE_MARGIN_MS, inFlight.deadline());
+            timers.scheduleAt(processEndsAtMs - DEADLINE_MARGIN_MS, inFlight.deadlineTimer());
         }
     }
 
     void cancelDeadline(InFlightRequest inFlight) {
-        timers.cancel(inFlight.deadline());
+        timers.cancel(inFlight.deadlineTimer());
     }
 
     void endpointSource(EndpointSource source) {
@@ -425,7 +425,7 @@
     }
 
     /** Announces that the process ends in {@code remainingMs}. */
-    void processEndsIn(double ms) {
-        processEndsAtMs = clock.now() + ms;
+    void processEndsIn(double remainingMs) {
+        processEndsAtMs = clock.now() + remainingMs;
     }
 }
--- a/gateway/src/main/java/opalcove/core/RequestParameters.java
+++ b/gateway/src/main/java/opalcove/core/RequestParameters.java
@@ -49,14 +49,14 @@
      */
     private static double decimal(String text, String name) throws InvalidRequestException {
         int point = text.indexOf('.');
-        boolean fits = text.length() <= 20
+        boolean valid = text.length() <= 20
                 && point != 0
                 && point != text.length() - 1
                 && (point < 0 ? text.length() : point) <= 9;
-        for (int i = 0; fits && i < text.length(); i++) {
-            fits = i == point || text.charAt(i) >= '0' && text.charAt(i) <= '9';
+        for (int i = 0; valid && i < text.length(); i++) {
+            valid = i == point || text.charAt(i) >= '0' && text.charAt(i) <= '9';
         }
-        if (!fits) {
+        if (!valid) {
             throw new InvalidRequestException(name + " is not a number in range");
         }
         return Double.parseDouble(text);
@@ -67,13 +67,13 @@
      *
      * @throws InvalidRequestException if it is not; the message names {@code field}
      */
-    public static String hexId(String text, String what) throws InvalidRequestException {
-        boolean fits = text.length() == 16;
-        for (int i = 0; fits && i < 16; i++) {
-            fits = text.charAt(i) < 128 && Character.digit(text.charAt(i), 16) >= 0;
+    public static String hexId(String text, String field) throws InvalidRequestException {
+        boolean valid = text.length() == 16;
+        for (int i = 0; valid && i < 16; i++) {
+            valid = text.charAt(i) < 128 && Character.digit(text.charAt(i), 16) >= 0;
         }
-        if (!fits) {
-            throw new InvalidRequestException(what + " must be 16 hex digits");
+        if (!valid) {
+            throw new InvalidRequestException(field + " must be 16 hex digits");
         }
         return text;
     }
--- a/gateway/src/main/java/opalcove/core/TurnQueue.java
+++ b/gateway/src/main/java/opalcove/core/SerialTaskQueue.java
@@ -7,21 +7,21 @@
  * Runs events of the decision module, and the steps that it chose, one after another, so that the module is never
  * called from within one of its own calls. Used on the event loop only.
  */
-final class TurnQueue {
-    private final ArrayDeque<Runnable> turns = new ArrayDeque<>();
+final class SerialTaskQueue {
+    private final ArrayDeque<Runnable> tasks = new ArrayDeque<>();
     private boolean running;
 
     /** Runs the task and all tasks that it appends. If a task is already running, appends this one instead. */
-    void run(Runnable event) {
-        turns.add(event);
+    void run(Runnable task) {
+        tasks.add(task);
         if (running) {
             return;
         }
         running = true;
         try {
-            for (Runnable turn = turns.poll(); turn != null; turn = turns.poll()) {
+            for (Runnable next = tasks.poll(); next != null; next = tasks.poll()) {
                 try {
-                    turn.run();
+                    next.run();
                 } catch (RuntimeException e) {
                     // A fault in one request must not stop the others; the faulty request ends at its deadline.
                     Logger.error(e, "a task of the decision module failed");
@@ -33,8 +33,8 @@
     }
 
     /** Appends a task, which runs after the one that is running now. */
-    void append(Runnable step) {
-        turns.add(step);
+    void append(Runnable task) {
+        tasks.add(task);
     }
 
     /** Whether a task is running. */
--- a/gateway/src/main/java/opalcove/core/SlowStartTimes.java
+++ b/gateway/src/main/java/opalcove/core/SlowStartTimes.java
@@ -28,7 +28,7 @@
     /** A start may be reported this much later than it happened, ms. */
     private static final double MAX_REPORT_DELAY_MS = 6000;
     /** The reported start time that means that the backend started long ago. */
-    private static final double LONG_AGO = 0;
+    private static final double LONG_AGO_MS = 0;
 
     /** A start time as the list reported it, and by this machine's clock, Unix ms. */
     private record Start(double reportedMs, double localMs) {}
@@ -62,9 +62,9 @@
      * @param sourceNowMs the time of the source's own clock when it sent the list, Unix ms, or 0 if it is not known
      */
     List<Endpoint> update(boolean complete, List<Backend> entries, double nowMs, double sourceNowMs) {
-        double referenceMs = reference(entries, nowMs, sourceNowMs);
+        double referenceMs = referenceTimeMs(entries, nowMs, sourceNowMs);
         for (Backend entry : entries) {
-            starts.put(entry.name(), start(entry, nowMs, referenceMs));
+            starts.put(entry.name(), resolveStart(entry, nowMs, referenceMs));
         }
         if (complete) {
             Set<String> listed = new HashSet<>();
@@ -83,28 +83,28 @@
     }
 
     /** Returns the time from which the ages of the reported starts are computed, ms. */
-    private double reference(List<Backend> entries, double nowMs, double sourceNowMs) {
+    private double referenceTimeMs(List<Backend> entries, double nowMs, double sourceNowMs) {
         if (sourceNowMs > 0) {
             return sourceNowMs;
         }
         if (lastContactMs >= 0) {
             return nowMs;
         }
-        double youngest = entries.stream()
+        double latestStartMs = entries.stream()
                 .mapToDouble(entry -> entry.endpoint().startedMs())
                 .max()
-                .orElse(LONG_AGO);
-        return Math.max(nowMs, youngest);
+                .orElse(LONG_AGO_MS);
+        return Math.max(nowMs, latestStartMs);
     }
 
-    private Start start(Backend entry, double nowMs, double referenceMs) {
+    private Start resolveStart(Backend entry, double nowMs, double referenceMs) {
         double reportedMs = entry.endpoint().startedMs();
-        Start before = starts.get(entry.name());
-        if (before != null && before.reportedMs() == reportedMs) {
-            return before;
+        Start known = starts.get(entry.name());
+        if (known != null && known.reportedMs() == reportedMs) {
+            return known;
         }
-        if (reportedMs == LONG_AGO) {
-            return new Start(reportedMs, LONG_AGO);
+        if (reportedMs == LONG_AGO_MS) {
+            return new Start(reportedMs, LONG_AGO_MS);
         }
         double ageMs = referenceMs - reportedMs;
         if (lastContactMs >= 0 && (ageMs < 0 || ageMs > nowMs - lastContactMs + MAX_REPORT_DELAY_MS)) {
--- a/gateway/src/main/java/opalcove/core/StreamedResponses.java
+++ b/gateway/src/main/java/opalcove/core/StreamedResponses.java
@@ -11,15 +11,15 @@
 final class StreamedResponses {
     private final Clock clock;
     private final TimerQueue timers;
-    private final TurnQueue turns;
+    private final SerialTaskQueue tasks;
     private final InFlightRequests requests;
     private final ResponseCounts responseCounts;
 
-    StreamedResponses(CoreParts parts, ResponseCounts responseCounts) {
-        clock = parts.clock();
-        timers = parts.timers();
-        turns = parts.turns();
-        requests = parts.requests();
+    StreamedResponses(CoreContext context, ResponseCounts responseCounts) {
+        clock = context.clock();
+        timers = context.timers();
+        tasks = context.tasks();
+        requests = context.requests();
         this.responseCounts = responseCounts;
     }
 
@@ -29,13 +29,13 @@
      * include the time that the client takes to read; the usage figures are reported at the end. Returns whether the
      * handler accepts the value.
      */
-    boolean began(InFlightRequest inFlight, InFlightRequest.Attempt attempt, StreamedValue value) {
-        if (!inFlight.stream(attempt, value)) {
+    boolean valueStarted(InFlightRequest inFlight, InFlightRequest.Attempt attempt, StreamedValue value) {
+        if (!inFlight.acceptStreamedValue(attempt, value)) {
             return false;
         }
-        timers.cancel(inFlight.deadline());
+        timers.cancel(inFlight.deadlineTimer());
         double nowMs = clock.now();
-        turns.run(() -> inFlight.generation.module.attemptEnded(
+        tasks.run(() -> inFlight.generation.module.attemptEnded(
                 nowMs,
                 new AttemptOutcome(
                         inFlight.request.id(),
@@ -51,10 +51,10 @@
     }
 
     /** Called when the attempt whose value was streamed has ended, with the value complete or truncated. */
-    void ended(InFlightRequest inFlight, AttemptResult result) {
+    void valueEnded(InFlightRequest inFlight, AttemptResult result) {
         inFlight.streaming.attempt().status = result.status();
-        turns.run(() -> {
-            if (!inFlight.over) {
+        tasks.run(() -> {
+            if (!inFlight.finished) {
                 requests.close(inFlight);
                 responseCounts.count(
                         inFlight.requestClass.name(),
--- a/gateway/src/main/java/opalcove/core/TimerQueue.java
+++ b/gateway/src/main/java/opalcove/core/TimerQueue.java
@@ -43,7 +43,7 @@
         if (size == heap.length) {
             heap = Arrays.copyOf(heap, 2 * size);
         }
-        rise(timer, size++);
+        siftUp(timer, size++);
         arm();
     }
 
@@ -57,9 +57,9 @@
         Timer last = heap[--size];
         heap[size] = null;
         if (last != timer) {
-            sink(last, index);
+            siftDown(last, index);
             if (heap[index] == last) {
-                rise(last, index);
+                siftUp(last, index);
             }
         }
         if (heap.length > 64 && size < heap.length / 4) {
@@ -72,7 +72,7 @@
         return size;
     }
 
-    private void rise(Timer timer, int from) {
+    private void siftUp(Timer timer, int from) {
         int index = from;
         while (index > 0 && heap[(index - 1) / 2].dueMs > timer.dueMs) {
             place(heap[(index - 1) / 2], index);
@@ -81,7 +81,7 @@
         place(timer, index);
     }
 
-    private void sink(Timer timer, int from) {
+    private void siftDown(Timer timer, int from) {
         int index = from;
         while (2 * index + 1 < size) {
             int child = earlierChild(index);
--- a/gateway/src/test/java/opalcove/core/ClocksApartTest.java
+++ b/gateway/src/test/java/opalcove/core/ClockSkewTest.java
@@ -22,7 +22,7 @@
  * Checks that a restarted or new backend is in slow start from when its start was reported, whatever the offset between
  * the clocks of this machine and of discovery.
  */
-public class ClocksApartTest {
+public class ClockSkewTest {
     private static final double HOUR_MS = 3_600_000;
     private static final double LONG_AGO_MS = 10 * HOUR_MS;
 
@@ -32,7 +32,8 @@
     @BeforeMethod
     public void open() throws Exception {
         vertx = Vertx.vertx();
-        gateway = onLoop(() -> new RequestDispatcher(vertx, new Clock(), TestSettings.settings(), 1, new NoLinks()));
+        gateway = onLoop(
+                () -> new RequestDispatcher(vertx, new Clock(), TestSettings.settings(), 1, new FailingTransport()));
     }
 
     @AfterMethod
@@ -47,51 +48,51 @@
 
     /** The offset is that of discovery's clock from this machine's, ms. */
     @Test(dataProvider = "offsets")
-    public void aRestartThatIsToldMakesItsBackendColdFromThenOn(double offsetMs) throws Exception {
-        double discoveryNow = System.currentTimeMillis() + offsetMs;
-        update(backend("a", discoveryNow - LONG_AGO_MS), backend("b", discoveryNow - LONG_AGO_MS));
+    public void startsSlowStartWhenRestartIsReported(double offsetMs) throws Exception {
+        double discoveryNowMs = System.currentTimeMillis() + offsetMs;
+        update(backend("a", discoveryNowMs - LONG_AGO_MS), backend("b", discoveryNowMs - LONG_AGO_MS));
         assertEquals(share("a"), 1.0);
         assertEquals(share("b"), 1.0);
-        update(backend("a", discoveryNow - LONG_AGO_MS), backend("b", discoveryNow));
+        update(backend("a", discoveryNowMs - LONG_AGO_MS), backend("b", discoveryNowMs));
         assertEquals(share("a"), 1.0);
-        double cold = TestSettings.settings().obligations().initialShare();
-        assertTrue(share("b") > 0 && share("b") < 1.5 * cold, "b has a share of " + share("b"));
+        double initialShare = TestSettings.settings().obligations().initialShare();
+        assertTrue(share("b") > 0 && share("b") < 1.5 * initialShare, "b has a share of " + share("b"));
     }
 
     @Test(dataProvider = "offsets")
-    public void aNewBackendIsColdFromWhenItWasTold(double offsetMs) throws Exception {
-        double discoveryNow = System.currentTimeMillis() + offsetMs;
-        update(backend("a", discoveryNow - LONG_AGO_MS));
-        update(backend("a", discoveryNow - LONG_AGO_MS), backend("b", discoveryNow));
-        double cold = TestSettings.settings().obligations().initialShare();
-        assertTrue(share("b") > 0 && share("b") < 1.5 * cold, "b has a share of " + share("b"));
+    public void startsSlowStartWhenNewBackendIsReported(double offsetMs) throws Exception {
+        double discoveryNowMs = System.currentTimeMillis() + offsetMs;
+        update(backend("a", discoveryNowMs - LONG_AGO_MS));
+        update(backend("a", discoveryNowMs - LONG_AGO_MS), backend("b", discoveryNowMs));
+        double initialShare = TestSettings.settings().obligations().initialShare();
+        assertTrue(share("b") > 0 && share("b") < 1.5 * initialShare, "b has a share of " + share("b"));
     }
 
     @Test
-    public void aStartTimeThatGoesBackIsARestart() throws Exception {
-        double now = System.currentTimeMillis();
-        update(backend("a", now - HOUR_MS));
-        update(backend("a", now - 2 * HOUR_MS));
+    public void treatsEarlierStartTimeAsRestart() throws Exception {
+        double nowMs = System.currentTimeMillis();
+        update(backend("a", nowMs - HOUR_MS));
+        update(backend("a", nowMs - 2 * HOUR_MS));
         assertTrue(share("a") < 0.5, "a has a share of " + share("a"));
     }
 
     @Test
-    public void theSameListAgainChangesNothing() throws Exception {
-        double now = System.currentTimeMillis();
-        update(backend("a", now - LONG_AGO_MS), backend("b", now + HOUR_MS));
-        double before = share("b");
-        update(backend("a", now - LONG_AGO_MS), backend("b", now + HOUR_MS));
+    public void keepsSlowStartProgressWhenSameListIsReceivedAgain() throws Exception {
+        double nowMs = System.currentTimeMillis();
+        update(backend("a", nowMs - LONG_AGO_MS), backend("b", nowMs + HOUR_MS));
+        double shareBefore = share("b");
+        update(backend("a", nowMs - LONG_AGO_MS), backend("b", nowMs + HOUR_MS));
         assertEquals(share("a"), 1.0);
-        assertTrue(share("b") >= before, "slow start does not begin again");
+        assertTrue(share("b") >= shareBefore, "slow start does not begin again");
     }
 
     @Test
-    public void backendsOfTheFirstListAreComparedWithTheYoungestWhereDiscoverysClockIsAhead() throws Exception {
-        double discoveryNow = System.currentTimeMillis() + HOUR_MS;
+    public void comparesFirstListWithLatestStartWhenDiscoveryClockIsAhead() throws Exception {
+        double discoveryNowMs = System.currentTimeMillis() + HOUR_MS;
         update(
-                backend("old", discoveryNow - LONG_AGO_MS),
-                backend("older", discoveryNow - HOUR_MS / 2),
-                backend("new", discoveryNow));
+                backend("old", discoveryNowMs - LONG_AGO_MS),
+                backend("older", discoveryNowMs - HOUR_MS / 2),
+                backend("new", discoveryNowMs));
         assertEquals(share("old"), 1.0);
         assertEquals(share("older"), 1.0, "the backend started half an hour before the latest start");
         assertTrue(share("new") < 0.5, "the backend with the latest start has a share of " + share("new"));
@@ -129,9 +130,9 @@
     }
 
     /** Fails the test if an attempt is made. */
-    private static final class NoLinks extends NoOpBackendTransport {
+    private static final class FailingTransport extends NoOpBackendTransport {
         @Override
-        public Attempt startAttempt(Backend backend, Request request, double waitMs, AttemptListener ended) {
+        public Attempt startAttempt(Backend backend, Request request, double timeoutMs, AttemptListener listener) {
             throw new AssertionError("no attempt is made here");
         }
     }
--- a/gateway/src/test/java/opalcove/core/ConfigGenerationTest.java
+++ b/gateway/src/test/java/opalcove/core/ConfigGenerationTest.java
@@ -35,17 +35,17 @@
 
     private Vertx vertx;
     private RequestDispatcher gateway;
-    private final List<String> attempts = new ArrayList<>();
+    private final List<String> attemptedIds = new ArrayList<>();
     /** Attempts in flight, until the test ends them. */
-    private final List<BackendTransport.AttemptListener> out = new ArrayList<>();
+    private final List<BackendTransport.AttemptListener> pendingAttempts = new ArrayList<>();
 
     @BeforeMethod
     public void open() throws Exception {
         vertx = Vertx.vertx();
-        attempts.clear();
-        out.clear();
+        attemptedIds.clear();
+        pendingAttempts.clear();
         onLoop(() -> {
-            gateway = new RequestDispatcher(vertx, new Clock(), TestSettings.settings(16), 1, new HeldTransport());
+            gateway = new RequestDispatcher(vertx, new Clock(), TestSettings.settings(16), 1, new ManualTransport());
             gateway.endpointsChanged(true, List.of(backend("n1"), backend("n2"), backend("n3")));
             return null;
         });
@@ -57,7 +57,7 @@
     }
 
     @Test
-    public void aClassOfTheNewSettingsIsTakenAndOneThatVanishedIsNot() throws Exception {
+    public void acceptsClassOnlyAfterNewSettingsAddIt() throws Exception {
         List<Response> responses = new ArrayList<>();
         onLoop(() -> gateway.dispatch(request("a1", "battery-update-ii"), responses::add));
         assertEquals(responses.size(), 1);
@@ -68,7 +68,7 @@
                     .replace(",\n  {\"name\":\"slot-status\"", "\n  {\"name\":\"slot-status\"")));
             return gateway.dispatch(request("a2", "battery-update-ii"), responses::add);
         });
-        assertEquals(attempts, List.of("a2"), "the request of the new class is forwarded");
+        assertEquals(attemptedIds, List.of("a2"), "the request of the new class is forwarded");
         assertEquals(
                 gateway.metrics()
                         .statsdLines()
@@ -79,61 +79,61 @@
     }
 
     @Test
-    public void fewerAttemptsBindAnAskUnderWayWhichKeepsItsClass() throws Exception {
+    public void appliesLowerAttemptLimitToRequestInFlightAndKeepsItsClass() throws Exception {
         List<Response> responses = new ArrayList<>();
         onLoop(() -> gateway.dispatch(request("a1", "slot-status"), responses::add));
-        assertEquals(attempts, List.of("a1"));
+        assertEquals(attemptedIds, List.of("a1"));
         // The new settings remove slot-status and allow only one attempt.
-        String fewer = TestSettings.JSON
+        String singleAttempt = TestSettings.JSON
                 .replace("\"max_attempts\":6", "\"max_attempts\":1")
                 .replaceFirst("\\{\"name\":\"slot-status\"[^}]*\\},", "");
         onLoop(() -> {
-            gateway.applySettings(settings(fewer));
-            out.remove(0).onResult(AttemptResult.withoutReport(AttemptStatus.REJECTED));
+            gateway.applySettings(settings(singleAttempt));
+            pendingAttempts.remove(0).onResult(AttemptResult.withoutReport(AttemptStatus.REJECTED));
             return null;
         });
-        assertEquals(attempts, List.of("a1"), "no second attempt under the new settings");
+        assertEquals(attemptedIds, List.of("a1"), "no second attempt under the new settings");
         assertEquals(responses.size(), 1, "the request in flight has a response");
         assertTrue(
                 responses.get(0) instanceof Response.Refused || responses.get(0) instanceof Response.Failed,
                 String.valueOf(responses.get(0)));
-        List<Response> later = new ArrayList<>();
-        onLoop(() -> gateway.dispatch(request("a3", "slot-status"), later::add));
-        assertEquals(((Response.Failed) later.get(0)).reason(), "unknown class");
+        List<Response> laterResponses = new ArrayList<>();
+        onLoop(() -> gateway.dispatch(request("a3", "slot-status"), laterResponses::add));
+        assertEquals(((Response.Failed) laterResponses.get(0)).reason(), "unknown class");
     }
 
     @Test
-    public void aNodeThatIsAvoidedAfterFailedConnectsCountsAsDown() throws Exception {
+    public void countsBackendAsDownAfterFailedConnect() throws Exception {
         onLoop(() -> {
             gateway.endpointsChanged(true, List.of(backend("n1"), backend("n2")));
             return gateway.dispatch(request("a1", "slot-status"), response -> {});
         });
-        assertTrue(figures().containsAll(List.of("gateway.hosts_listed:2|g", "gateway.hosts_down:0|g")));
+        assertTrue(statsdLines().containsAll(List.of("gateway.hosts_listed:2|g", "gateway.hosts_down:0|g")));
         onLoop(() -> {
-            out.remove(0).onResult(AttemptResult.withoutReport(AttemptStatus.UNREACHABLE));
+            pendingAttempts.remove(0).onResult(AttemptResult.withoutReport(AttemptStatus.UNREACHABLE));
             gateway.endpointsChanged(false, List.of());
             return null;
         });
         assertTrue(
-                figures().containsAll(List.of("gateway.hosts_listed:2|g", "gateway.hosts_down:1|g")),
-                figures().toString());
+                statsdLines().containsAll(List.of("gateway.hosts_listed:2|g", "gateway.hosts_down:1|g")),
+                statsdLines().toString());
     }
 
-    private List<String> figures() {
+    private List<String> statsdLines() {
         return gateway.metrics().statsdLines().lines().toList();
     }
 
     @Test
-    public void settingsWithNoAttemptOrNoTimeAreTurnedDownWithTheirKey() {
+    public void namesKeyWhenSettingsAllowNoAttemptOrNoTime() {
         for (String bad : List.of(
                 TestSettings.JSON.replace("\"max_attempts\":6", "\"max_attempts\":0"),
                 TestSettings.JSON.replace("\"deadline_ms\":4000", "\"deadline_ms\":0"))) {
-            InvalidConfigurationException refused =
+            InvalidConfigurationException rejection =
                     org.testng.Assert.expectThrows(InvalidConfigurationException.class, () -> settings(bad));
             assertTrue(
-                    refused.getMessage().contains("max_attempts")
-                            || refused.getMessage().contains("deadline_ms"),
-                    refused.getMessage());
+                    rejection.getMessage().contains("max_attempts")
+                            || rejection.getMessage().contains("deadline_ms"),
+                    rejection.getMessage());
         }
     }
 
@@ -161,11 +161,11 @@
         return done.get(10, TimeUnit.SECONDS);
     }
 
-    private final class HeldTransport extends NoOpBackendTransport {
+    private final class ManualTransport extends NoOpBackendTransport {
         @Override
-        public Attempt startAttempt(Backend backend, Request request, double waitMs, AttemptListener listener) {
-            attempts.add(request.id());
-            out.add(listener);
+        public Attempt startAttempt(Backend backend, Request request, double timeoutMs, AttemptListener listener) {
+            attemptedIds.add(request.id());
+            pendingAttempts.add(listener);
             return () -> {};
         }
     }
--- a/gateway/src/test/java/opalcove/core/HealthCheckTest.java
+++ b/gateway/src/test/java/opalcove/core/HealthCheckTest.java
@@ -34,10 +34,10 @@
  * to it is established.
  */
 public class HealthCheckTest {
-    private static final int PATIENCE_S = 20;
+    private static final int TIMEOUT_S = 20;
 
     private Vertx vertx;
-    private int requests;
+    private int requestCount;
 
     @BeforeMethod
     public void open() {
@@ -50,75 +50,75 @@
     }
 
     @Test
-    public void aNodeThatCouldNotBeReachedIsProbedAndUsedAgainOnceItAnswers() throws Exception {
-        AwayNode links = new AwayNode();
+    public void usesUnreachableBackendAgainAfterSuccessfulHealthCheck() throws Exception {
+        UnreachableUntilCheckedTransport transport = new UnreachableUntilCheckedTransport();
         RequestDispatcher gateway = onLoop(() -> {
-            RequestDispatcher made = new RequestDispatcher(vertx, new Clock(), settings(), 1, links);
-            made.endpointsChanged(true, List.of(backend("127.0.0.1:1")));
-            return made;
+            RequestDispatcher created = new RequestDispatcher(vertx, new Clock(), settings(), 1, transport);
+            created.endpointsChanged(true, List.of(backend("127.0.0.1:1")));
+            return created;
         });
         List<Response> served = new ArrayList<>();
-        askUntil(gateway, served, () -> links.attempts > 2);
+        sendRequestsUntil(gateway, served, () -> transport.attempts > 2);
         // No request competes with the health check any more: the backend is avoided, and only a health check can show
         // that it is reachable again.
-        until(() -> links.probes > 0);
-        askUntil(gateway, served, () -> !served.isEmpty());
+        waitUntil(() -> transport.healthChecks > 0);
+        sendRequestsUntil(gateway, served, () -> !served.isEmpty());
     }
 
     /** Sends requests until the condition holds. */
-    private void askUntil(RequestDispatcher gateway, List<Response> served, Supplier<Boolean> condition)
+    private void sendRequestsUntil(RequestDispatcher gateway, List<Response> served, Supplier<Boolean> condition)
             throws Exception {
-        until(() -> {
+        waitUntil(() -> {
             if (condition.get()) {
                 return true;
             }
-            gateway.dispatch(request("a" + requests++), answer -> {
-                if (answer instanceof Response.Served) {
-                    served.add(answer);
+            gateway.dispatch(request("a" + requestCount++), response -> {
+                if (response instanceof Response.Served) {
+                    served.add(response);
                 }
             });
             return false;
         });
     }
 
-    private void until(Supplier<Boolean> condition) throws Exception {
-        long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(PATIENCE_S);
-        while (!onLoop(condition) && System.nanoTime() < end) {
+    private void waitUntil(Supplier<Boolean> condition) throws Exception {
+        long deadlineNanos = System.nanoTime() + TimeUnit.SECONDS.toNanos(TIMEOUT_S);
+        while (!onLoop(condition) && System.nanoTime() < deadlineNanos) {
             Thread.sleep(20);
         }
-        assertTrue(onLoop(condition), "the condition does not hold after " + PATIENCE_S + " s");
+        assertTrue(onLoop(condition), "the condition does not hold after " + TIMEOUT_S + " s");
     }
 
     @Test
-    public void aProbeOpensALinkOnWhichNothingIsSentAndWhichTheNextAttemptTakes() throws Exception {
+    public void keepsHealthCheckConnectionIdleAndSendsNothingOnIt() throws Exception {
         ConnectionPool pool =
                 onLoop(() -> new ConnectionPool(vertx, settings(), new RespConnector(vertx, settings()), 8));
         try (ServerSocket server = new ServerSocket(0, 8, InetAddress.getLoopbackAddress())) {
-            assertTrue(probe(pool, server.getLocalPort()), "a backend that listens is reachable");
-            server.setSoTimeout(PATIENCE_S * 1000);
-            try (Socket link = server.accept()) {
+            assertTrue(checkReachable(pool, server.getLocalPort()), "a backend that listens is reachable");
+            server.setSoTimeout(TIMEOUT_S * 1000);
+            try (Socket connection = server.accept()) {
                 assertEquals(onLoop(pool::idleConnections), Integer.valueOf(1));
-                assertEquals(link.getInputStream().available(), 0);
+                assertEquals(connection.getInputStream().available(), 0);
             }
         }
     }
 
     @Test
-    public void aProbeOfANodeThatRefusesConnectionsTellsSo() throws Exception {
+    public void reportsUnreachableWhenBackendRefusesConnection() throws Exception {
         ConnectionPool pool =
                 onLoop(() -> new ConnectionPool(vertx, settings(), new RespConnector(vertx, settings()), 8));
         int port;
         try (ServerSocket closed = new ServerSocket(0, 8, InetAddress.getLoopbackAddress())) {
             port = closed.getLocalPort();
         }
-        assertTrue(!probe(pool, port), "a port without a listener is not reachable");
+        assertTrue(!checkReachable(pool, port), "a port without a listener is not reachable");
         assertEquals(onLoop(pool::openConnections), Integer.valueOf(0));
     }
 
-    private boolean probe(ConnectionPool pool, int port) throws Exception {
+    private boolean checkReachable(ConnectionPool pool, int port) throws Exception {
         CompletableFuture<Boolean> reached = new CompletableFuture<>();
         vertx.runOnContext(run -> pool.checkReachable(backend("127.0.0.1:" + port), reached::complete));
-        return reached.get(PATIENCE_S, TimeUnit.SECONDS);
+        return reached.get(TIMEOUT_S, TimeUnit.SECONDS);
     }
 
     private static DecisionSettings settings() {
@@ -143,19 +143,19 @@
                 done.completeExceptionally(e);
             }
         });
-        return done.get(PATIENCE_S, TimeUnit.SECONDS);
+        return done.get(TIMEOUT_S, TimeUnit.SECONDS);
     }
 
     /** A transport whose backend cannot be reached until a health check was made. */
-    private static final class AwayNode extends NoOpBackendTransport {
+    private static final class UnreachableUntilCheckedTransport extends NoOpBackendTransport {
         private int attempts;
-        private int probes;
+        private int healthChecks;
 
         @Override
-        public Attempt startAttempt(Backend backend, Request request, double waitMs, AttemptListener ended) {
+        public Attempt startAttempt(Backend backend, Request request, double timeoutMs, AttemptListener listener) {
             attempts++;
-            ended.onResult(
-                    probes == 0
+            listener.onResult(
+                    healthChecks == 0
                             ? AttemptResult.withoutReport(AttemptStatus.UNREACHABLE)
                             : new AttemptResult(AttemptStatus.SERVED, Unpooled.EMPTY_BUFFER, -1, 0, null));
             return () -> {};
@@ -163,7 +163,7 @@
 
         @Override
         public void checkReachable(Backend backend, Consumer<Boolean> reached) {
-            probes++;
+            healthChecks++;
             reached.accept(true);
         }
     }
--- a/gateway/src/test/java/opalcove/core/HedgedRequestTest.java
+++ b/gateway/src/test/java/opalcove/core/HedgedRequestTest.java
@@ -25,16 +25,16 @@
 
 /** Checks that, where the settings allow hedged requests, another backend serves the request of a hanging backend. */
 public class HedgedRequestTest {
-    private static final int PATIENCE_S = 60;
+    private static final int TIMEOUT_S = 60;
 
     private Vertx vertx;
     /** Attempts in flight, the earliest first. */
-    private final List<HeldAttempt> out = new ArrayList<>();
+    private final List<ManualAttempt> pendingAttempts = new ArrayList<>();
 
     @BeforeMethod
     public void open() {
         vertx = Vertx.vertx();
-        out.clear();
+        pendingAttempts.clear();
     }
 
     @AfterMethod
@@ -43,23 +43,23 @@
     }
 
     @Test
-    public void aRequestAtAHangingNodeIsServedByASecondCopyAndTheFirstIsGivenUp() throws Exception {
+    public void cancelsHangingAttemptWhenHedgedAttemptIsServed() throws Exception {
         RequestDispatcher gateway = gateway(true);
-        List<Response> responses = serveUntilTwoAreOut(gateway);
-        HeldAttempt hanging = out.get(0);
-        HeldAttempt copy = out.get(1);
-        assertTrue(!copy.backend.equals(hanging.backend), "the hedged attempt goes to another backend");
+        List<Response> responses = serveUntilHedgedAttemptStarts(gateway);
+        ManualAttempt hanging = pendingAttempts.get(0);
+        ManualAttempt hedged = pendingAttempts.get(1);
+        assertTrue(!hedged.backend.equals(hanging.backend), "the hedged attempt goes to another backend");
         onLoop(() -> {
-            copy.serve();
+            hedged.serve();
             return null;
         });
         assertTrue(responses.get(0) instanceof Response.Served, responses.toString());
         assertTrue(hanging.cancelled, "the first attempt is cancelled");
-        assertEquals(figure(gateway, "stopped_by_guards"), "0");
+        assertEquals(counter(gateway, "stopped_by_guards"), "0");
     }
 
     @Test
-    public void theGuardLetsOneCopyOutWhereCopiesAreAllowedAndNoneElsewhere() {
+    public void allowsOneHedgedAttemptOnlyWhenHedgingIsEnabled() {
         assertEquals(vetoes(true), "null, null, limit of 2 concurrent attempts reached");
         assertEquals(
                 vetoes(false), "null, limit of 1 concurrent attempts reached, limit of 1 concurrent attempts reached");
@@ -68,16 +68,16 @@
     /** Returns the guard's vetoes for a first, a second and a third attempt, while all earlier ones are in flight. */
     private static String vetoes(boolean hedging) {
         DecisionSettings settings = settings(hedging);
-        EndpointList backends = new EndpointList();
-        backends.update(true, List.of(backend("n1"), backend("n2"), backend("n3")));
-        AttemptGuard guards = new AttemptGuard(settings, backends);
+        EndpointList endpoints = new EndpointList();
+        endpoints.update(true, List.of(backend("n1"), backend("n2"), backend("n3")));
+        AttemptGuard guard = new AttemptGuard(settings, endpoints);
         InFlightRequest inFlight = new InFlightRequest(
                 null, null, request("a1"), settings.classes().get(0), null, 0);
         List<String> vetoes = new ArrayList<>();
         for (String name : List.of("n1", "n2", "n3")) {
-            AttemptGuard.Veto veto = guards.vetoAttempt(inFlight, name, 0);
+            AttemptGuard.Veto veto = guard.vetoAttempt(inFlight, name, 0);
             vetoes.add(veto == null ? "null" : veto.cause());
-            inFlight.attempts.add(inFlight.new Attempt(backends.available(name), 0));
+            inFlight.attempts.add(inFlight.new Attempt(endpoints.available(name), 0));
         }
         return String.join(", ", vetoes);
     }
@@ -86,42 +86,43 @@
      * Sends requests that hang, each after some that are served immediately, until one of them has two attempts in
      * flight.
      */
-    private List<Response> serveUntilTwoAreOut(RequestDispatcher gateway) throws Exception {
-        long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(PATIENCE_S);
-        for (int number = 0; System.nanoTime() < end; number++) {
+    private List<Response> serveUntilHedgedAttemptStarts(RequestDispatcher gateway) throws Exception {
+        long deadlineNanos = System.nanoTime() + TimeUnit.SECONDS.toNanos(TIMEOUT_S);
+        for (int number = 0; System.nanoTime() < deadlineNanos; number++) {
             String hanging = "hanging" + number;
             List<Response> responses = new ArrayList<>();
             for (int served = 0; served < 20; served++) {
                 String id = hanging + "-" + served;
                 onLoop(() -> gateway.dispatch(request(id), response -> {}));
                 onLoop(() -> {
-                    List.copyOf(out).forEach(HeldAttempt::serve);
+                    List.copyOf(pendingAttempts).forEach(ManualAttempt::serve);
                     return null;
                 });
             }
             onLoop(() -> gateway.dispatch(request(hanging), responses::add));
             // On a busy machine the hedged attempt may be late. The request then ends without one, and the next request
             // is tried.
-            while (onLoop(() -> out.size() < 2 && responses.isEmpty()) && System.nanoTime() < end) {
+            while (onLoop(() -> pendingAttempts.size() < 2 && responses.isEmpty())
+                    && System.nanoTime() < deadlineNanos) {
                 Thread.sleep(5);
             }
-            if (onLoop(() -> out.size() == 2)) {
+            if (onLoop(() -> pendingAttempts.size() == 2)) {
                 return responses;
             }
         }
-        throw new AssertionError("no hedged attempt was started within " + PATIENCE_S + " s");
+        throw new AssertionError("no hedged attempt was started within " + TIMEOUT_S + " s");
     }
 
     private RequestDispatcher gateway(boolean hedging) throws Exception {
         return onLoop(() -> {
             RequestDispatcher gateway =
-                    new RequestDispatcher(vertx, new Clock(), settings(hedging), 1, new HeldTransport());
+                    new RequestDispatcher(vertx, new Clock(), settings(hedging), 1, new ManualTransport());
             gateway.endpointsChanged(true, List.of(backend("n1"), backend("n2"), backend("n3")));
             return gateway;
         });
     }
 
-    private String figure(RequestDispatcher gateway, String name) throws Exception {
+    private String counter(RequestDispatcher gateway, String name) throws Exception {
         return onLoop(gateway::infoLines)
                 .lines()
                 .filter(line -> line.startsWith(name + "="))
@@ -153,38 +154,38 @@
                 done.completeExceptionally(e);
             }
         });
-        return done.get(PATIENCE_S, TimeUnit.SECONDS);
+        return done.get(TIMEOUT_S, TimeUnit.SECONDS);
     }
 
     /** An attempt that ends when the test serves it, or when it is cancelled. */
-    private final class HeldAttempt implements BackendTransport.Attempt {
+    private final class ManualAttempt implements BackendTransport.Attempt {
         final String backend;
         private final BackendTransport.AttemptListener listener;
         boolean cancelled;
 
-        HeldAttempt(Backend backend, BackendTransport.AttemptListener listener) {
+        ManualAttempt(Backend backend, BackendTransport.AttemptListener listener) {
             this.backend = backend.name();
             this.listener = listener;
         }
 
         void serve() {
-            out.remove(this);
+            pendingAttempts.remove(this);
             listener.onResult(new AttemptResult(AttemptStatus.SERVED, Unpooled.EMPTY_BUFFER, -1, 0, null));
         }
 
         @Override
         public void cancel() {
             cancelled = true;
-            out.remove(this);
+            pendingAttempts.remove(this);
             listener.onResult(AttemptResult.withoutReport(AttemptStatus.CANCELLED));
         }
     }
 
-    private final class HeldTransport extends NoOpBackendTransport {
+    private final class ManualTransport extends NoOpBackendTransport {
         @Override
-        public Attempt startAttempt(Backend backend, Request request, double waitMs, AttemptListener listener) {
-            HeldAttempt attempt = new HeldAttempt(backend, listener);
-            out.add(attempt);
+        public Attempt startAttempt(Backend backend, Request request, double timeoutMs, AttemptListener listener) {
+            ManualAttempt attempt = new ManualAttempt(backend, listener);
+            pendingAttempts.add(attempt);
             return attempt;
         }
     }
--- a/gateway/src/test/java/opalcove/core/TimerQueueTest.java
+++ b/gateway/src/test/java/opalcove/core/TimerQueueTest.java
@@ -23,31 +23,31 @@
 
     /** Cancelled timers are removed at once, and the others keep their order, whichever are cancelled. */
     @Test
-    public void whatIsCancelledLeavesNothingBehind() throws Exception {
+    public void removesCancelledTimersAndKeepsOrderOfOthers() throws Exception {
         Vertx vertx = Vertx.vertx();
         List<Integer> expired = new ArrayList<>();
         CompletableFuture<Integer> remaining = new CompletableFuture<>();
-        vertx.runOnContext(go -> {
+        vertx.runOnContext(unused -> {
             Clock clock = new Clock();
             TimerQueue timers = new TimerQueue(vertx, clock);
-            double soon = clock.now() + 20;
+            double firstDueMs = clock.now() + 20;
             List<TimerQueue.Timer> all = new ArrayList<>();
             for (int i = 0; i < 1000; i++) {
                 int number = i * 7919 % 1000;
                 TimerQueue.Timer each = timer(() -> expired.add(number));
                 all.add(each);
-                timers.scheduleAt(soon + number / 50.0, each);
+                timers.scheduleAt(firstDueMs + number / 50.0, each);
             }
             for (int i = 0; i < 1000; i++) {
                 if (i % 3 > 0) {
                     timers.cancel(all.get(i * 31 % 1000));
                 }
             }
-            int kept = timers.size();
-            timers.scheduleAt(soon + 40, timer(() -> remaining.complete(kept)));
+            int remainingCount = timers.size();
+            timers.scheduleAt(firstDueMs + 40, timer(() -> remaining.complete(remainingCount)));
         });
-        int kept = remaining.get(20, TimeUnit.SECONDS);
-        assertEquals(kept, 334);
+        int remainingCount = remaining.get(20, TimeUnit.SECONDS);
+        assertEquals(remainingCount, 334);
         assertEquals(expired.size(), 334);
         for (int i = 1; i < expired.size(); i++) {
             assertTrue(expired.get(i) > expired.get(i - 1), expired.get(i - 1) + " before " + expired.get(i));
@@ -57,20 +57,20 @@
 
     /** After one timer fails, those due at the same time and those due later still expire. */
     @Test
-    public void oneThatFailsHoldsUpNoOther() throws Exception {
+    public void expiresOtherTimersAfterOneFails() throws Exception {
         Vertx vertx = Vertx.vertx();
         List<String> expired = new ArrayList<>();
         CompletableFuture<Void> last = new CompletableFuture<>();
-        vertx.runOnContext(go -> {
-            Vertx.currentContext().exceptionHandler(failed -> expired.add(failed.getMessage()));
+        vertx.runOnContext(unused -> {
+            Vertx.currentContext().exceptionHandler(failure -> expired.add(failure.getMessage()));
             Clock clock = new Clock();
             TimerQueue timers = new TimerQueue(vertx, clock);
-            double soon = clock.now() + 20;
-            timers.scheduleAt(soon, timer(() -> {
+            double firstDueMs = clock.now() + 20;
+            timers.scheduleAt(firstDueMs, timer(() -> {
                 throw new IllegalStateException("fails");
             }));
-            timers.scheduleAt(soon, timer(() -> expired.add("due with it")));
-            timers.scheduleAt(soon + 20, timer(() -> last.complete(null)));
+            timers.scheduleAt(firstDueMs, timer(() -> expired.add("due with it")));
+            timers.scheduleAt(firstDueMs + 20, timer(() -> last.complete(null)));
         });
         last.get(20, TimeUnit.SECONDS);
         assertEquals(expired, List.of("fails", "due with it"));
@@ -78,11 +78,11 @@
     }
 
     @Test
-    public void theyGoOffInTheOrderOfTheirTimesUnlessCancelled() throws Exception {
+    public void expiresTimersInOrderUnlessCancelled() throws Exception {
         Vertx vertx = Vertx.vertx();
         List<String> expired = new ArrayList<>();
         CompletableFuture<List<String>> all = new CompletableFuture<>();
-        vertx.runOnContext(go -> {
+        vertx.runOnContext(unused -> {
             TimerQueue timers = new TimerQueue(vertx, new Clock());
             TimerQueue.Timer never = timer(() -> expired.add("cancelled before it was due"));
             TimerQueue.Timer later = timer(() -> expired.add("cancelled by a timer"));
