--- a/gateway/src/main/java/opalcove/backend/BackendConnection.java
+++ b/gateway/src/main/java/opalcove/backend/BackendConnection.java
@@ -4,45 +4,62 @@
 import opalcove.core.Request;
 import opalcove.core.StreamedValue;
 
-/** One connection to a backend, over some wire. It carries one attempt at a time. Used on the event loop only. */
+/**
+ * One connection to a backend over some wire protocol. It carries one attempt at a time. Used on the event loop only.
+ */
 public interface BackendConnection {
-    /** Sets the receiver of what comes of this connection; called once, before anything is sent. */
+    /** Sets the receiver of the connection's events; called once, before anything is sent. */
     void setListener(Listener listener);
 
     /**
-     * Whether the connection is still there, having read what has come of it. What its backend has done (closed it, sent
-     * more than it was asked for) may not have been read in this turn yet.
+     * Whether the connection is still usable, after reading the input that has arrived. What the backend did, such as
+     * closing the connection or sending more than was requested, may not have been read in this turn of the event loop
+     * yet.
      */
     default boolean isAlive() {
         return true;
     }
 
-    /** Sends an attempt with this deadline, by the end of this turn of the event loop. */
+    /**
+     * Sends an attempt with this deadline, by the end of this turn of the event loop.
+     *
+     * @param deadlineMs the time that the backend has left, ms
+     */
     void send(Request request, double deadlineMs);
 
-    /** Ends the connection; an attempt whose bytes still wait for the end of this turn is not sent any more. */
+    /** Closes the connection. An attempt whose bytes still wait for the end of this turn is not sent any more. */
     void close();
 
-    /** Receives what comes of a connection. */
+    /** Receives the events of a connection. */
     interface Listener {
-        /** A value too long to be gathered has begun to come in reply to the attempt; true where it is taken. */
+        /**
+         * Called when the first bytes of a value that is too long to be buffered arrive in reply to the attempt.
+         * Returns whether the listener accepts the value.
+         */
         boolean acceptsStreamedValue(StreamedValue value);
 
-        /** The backend's reply to an attempt. What cannot be read ends the connection: that attempt may have run. */
+        /**
+         * Called with the backend's reply to an attempt. A reply that cannot be decoded closes the connection instead;
+         * that attempt may have run.
+         */
         void onReply(AttemptResult result);
 
         /**
-         * Called right before an attempt that was sent leaves, at the end of its turn, by connections that wait for that:
-         * whether it still may. Where not, the connection ends with nothing of the attempt sent.
+         * Called right before the bytes of an attempt are written, at the end of the turn that sent it, by connections
+         * that wait for the end of the turn. Returns whether they may still be written; if not, the connection is
+         * closed and nothing of the attempt is sent.
          */
         default boolean maySend() {
             return true;
         }
 
-        /** The attempt's last byte was not written and never will be: its backend cannot have run it. */
+        /**
+         * Called when the attempt's last byte was not written and never will be, so that the backend cannot have run
+         * the attempt.
+         */
         void onWriteFailed();
 
-        /** The connection has ended; called once, and last. */
+        /** Called once, as the last event, when the connection has closed. */
         void onClosed();
     }
 }
--- a/gateway/src/main/java/opalcove/backend/ConnectionPool.java
+++ b/gateway/src/main/java/opalcove/backend/ConnectionPool.java
@@ -18,28 +18,28 @@
 import org.tinylog.Logger;
 
 /**
- * Connections to the backends over any wire. A connection carries one attempt at a time, so that no reply waits behind
- * another and an attempt is cancelled, as its backend can see, by closing its connection. Connections are used again, the
- * latest first. Used on the event loop only.
+ * Pools the connections to the backends over any wire protocol. A connection carries one attempt at a time, so that no
+ * reply waits behind another and an attempt can be cancelled, visibly to its backend, by closing its connection.
+ * Connections are reused, the most recently used first. Used on the event loop only.
  */
 public final class ConnectionPool implements BackendTransport {
     /**
-     * The part of the backends' idle timeout after which a connection is closed here. Guards against writing to a connection
-     * that its backend has just closed, which would end as a reset that may have run; a backend may be earlier than
-     * configured.
+     * An idle connection is closed here after this fraction of the backends' idle timeout. Writing to a connection that
+     * its backend has just closed would end as a reset, after which the attempt may have run. The fraction is low
+     * because a backend may close connections earlier than configured.
      */
     private static final double IDLE_TIMEOUT_PART = 0.5;
-    /** The part of the backends' idle timeout for which an idle connection may be used unchecked. */
+    /** An idle connection may be reused without a check within this fraction of the backends' idle timeout. */
     private static final double UNCHECKED_PART = 1.0 / 30;
 
     private static final double DEFAULT_IDLE_TIMEOUT_MS = 10_000;
     private static final long SWEEP_INTERVAL_MS = 1000;
-    /** Idle connections give way once all but this part of the allowed connections are open. */
+    /** Idle connections are closed once all but one in this many of the allowed connections are open. */
     private static final int SPARE_PART = 8;
 
     /**
-     * How long an attempt waits before it tries again for a connection that this machine had no capacity for, ms: twice as
-     * long each time, up to a bound, and in all no longer than a connection may take to come up.
+     * How long an attempt waits before it retries to get a connection after this machine had no capacity for a new one,
+     * ms. The wait doubles each time up to a maximum, and its total is limited by the connect timeout.
      */
     private static final long MIN_CAPACITY_WAIT_MS = 1;
 
@@ -49,23 +49,23 @@
     private final EventExecutor loop;
     private final Connector connector;
     private final int maxConnections;
-    /** Connections become idle, rather than closed, while no more than this are open. */
+    /** Connections are kept idle rather than closed while no more than this many are open. */
     private final int maxOpenToKeepIdle;
 
     private final double idleTimeoutMs;
     private final double maxCapacityWaitMs;
     private final ReusePolicy reusePolicy;
     private final SettlingQueue settling;
-    /** By backend; a pool leaves with its backend. */
+    /** By backend name. A pool is removed when its backend is retired. */
     private final Map<String, HostPool> hostPools = new HashMap<>();
-    /** What the connections hold, those that were closed just now included. */
+    /** Counts the descriptors that the connections hold, including those that were closed just now. */
     private final DescriptorCounter descriptors = new DescriptorCounter();
 
     private Consumer<Throwable> localFailureAction = failure -> {};
     private int openCount;
 
     /**
-     * A pool of connections to backends.
+     * Creates a pool without connections.
      *
      * @param maxConnections how many connections may be open at once
      */
@@ -137,8 +137,9 @@
     // Connections for attempts.
 
     /**
-     * Puts the call on an idle connection or a new one; where this machine has no capacity for a new one now, after a wait.
-     * Guards backends against blame for what this machine lacks, and the request against failing for it.
+     * Sends the call on an idle connection or a new one. If this machine has no capacity for a new connection now,
+     * retries after a wait, so that neither is the backend blamed nor does the request fail for a shortage of this
+     * machine.
      */
     private void assign(Backend backend, PooledCall call, long waitMs) {
         HostPool hostPool = hostPool(backend);
@@ -171,8 +172,9 @@
     }
 
     /**
-     * An idle connection, or null. Guards the attempt against a connection that its backend has closed meanwhile, and
-     * against a second reply to the attempt before, which would be taken for its own: neither may have been read yet.
+     * Returns an idle connection, or null. A connection that needs a check is skipped if its backend has closed it, or
+     * if a second reply to its previous attempt has arrived, which would be taken for the reply to this one. Neither
+     * may have been read yet.
      */
     private PooledConnection takeIdle(HostPool hostPool) {
         long nowNanos = System.nanoTime();
@@ -199,14 +201,14 @@
         });
     }
 
-    /** Opens a connection, which counts as open from now on until {@link #connectionClosed}. */
+    /** Opens a connection, which counts as open from now until {@link #connectionClosed}. */
     private Future<BackendConnection> open(Backend backend) {
         openCount++;
         descriptors.opened();
         try {
             return connector.connect(backend.address());
         } catch (InvalidConfigurationException e) {
-            // Guards the request against an endpoint list that gives no usable address: that backend cannot be reached.
+            // An endpoint list with an unusable address must not fail the request; that backend counts as unreachable.
             Logger.warn("cannot connect to a backend: {}", e.getMessage());
             return Future.failedFuture(e);
         }
@@ -218,12 +220,15 @@
 
     // Capacity.
 
-    /** Guards the descriptors that clients need. */
+    /** Whether a connection may be opened without taking the descriptors that client connections need. */
     private boolean hasCapacity() {
         return descriptors.held() < maxConnections;
     }
 
-    /** Guards the way to a backend without a connection against idle ones to others that have taken all the capacity. */
+    /**
+     * Closes the connection that has been idle longest if nearly all allowed connections are open. Otherwise idle
+     * connections to other backends could use up the capacity, and a backend without a connection could not be reached.
+     */
     private void evictIdle() {
         if (openCount < maxOpenToKeepIdle) {
             return;
@@ -251,23 +256,26 @@
 
     // Events of the connections.
 
-    /** A connection has closed, or did not come up. */
+    /** Called when a connection has closed or could not be opened. */
     void connectionClosed() {
         openCount--;
         descriptors.closed(loop);
     }
 
-    /** Whether a connection that carries nothing may stay open. */
+    /** Whether a connection that carries no attempt may stay open. */
     boolean mayKeepIdle() {
         return reusePolicy.isReuseAllowed() && openCount <= maxOpenToKeepIdle;
     }
 
-    /** A connection has carried a reply, and becomes idle once nothing can follow it. */
+    /** Called when a connection has delivered a reply; it becomes idle once no more input can follow that reply. */
     void settle(PooledConnection connection) {
         settling.add(connection);
     }
 
-    /** A used connection has broken under an attempt: attempts get connections of their own for a while. */
+    /**
+     * Called when a reused connection has broken during an attempt. Each attempt then gets a new connection for a
+     * while.
+     */
     void suspendReuse() {
         reusePolicy.suspend();
         hostPools.values().forEach(HostPool::closeIdle);
--- a/gateway/src/main/java/opalcove/backend/HostPool.java
+++ b/gateway/src/main/java/opalcove/backend/HostPool.java
@@ -5,15 +5,15 @@
 import java.util.List;
 
 /**
- * The idle connections to one backend, the latest first. It is retired once the list has the backend take no new requests,
- * or has it elsewhere. Used on the event loop only.
+ * The idle connections to one backend, the most recently used first. The pool is retired when the endpoint list says
+ * that the backend takes no new requests or has another address. Used on the event loop only.
  */
 final class HostPool {
     final Deque<PooledConnection> idle = new ArrayDeque<>();
-    /** Whether connections may still become idle here. */
+    /** Whether connections may still be added. */
     boolean open = true;
 
-    /** Closes all idle connections; each leaves the pool as it closes. */
+    /** Closes all idle connections; each is removed from the pool when it closes. */
     void closeIdle() {
         List.copyOf(idle).forEach(PooledConnection::close);
     }
--- a/gateway/src/main/java/opalcove/backend/PooledCall.java
+++ b/gateway/src/main/java/opalcove/backend/PooledCall.java
@@ -13,13 +13,13 @@
     private final double timeoutMs;
     private final long startedNanos = System.nanoTime();
     private PooledConnection connection;
-    /** The deadline that its bytes pass on, ms. */
+    /** The deadline that the attempt forwards to the backend, ms. */
     private double deadlineMs;
 
     private boolean writeFailed;
     private boolean connecting;
     private boolean cancelled;
-    /** Its bytes have not left and will not. */
+    /** Whether the attempt was stopped before its bytes were written. */
     private boolean withdrawn;
 
     private boolean ended;
@@ -38,12 +38,12 @@
         return (System.nanoTime() - startedNanos) / 1e6;
     }
 
-    /** A connection is being opened for it, or no longer is. */
+    /** Sets whether a connection is being opened for the attempt. */
     void setConnecting(boolean now) {
         connecting = now;
     }
 
-    /** Whether it still waits for a connection; ends it as not sent where its request needs it no more. */
+    /** Whether the attempt still waits for a connection. Ends it as not sent if its request no longer needs it. */
     boolean isStillWanted() {
         if (!ended && !cancelled && !listener.isStillWanted()) {
             finish(AttemptResult.withoutReport(AttemptStatus.NOT_SENT));
@@ -53,8 +53,8 @@
 
     /** The connection that was opened for it is up. */
     void connected(PooledConnection fresh) {
-        // Guards against what may have changed while the connection came up: the backend was drained or has moved, the
-        // client has disconnected or has its response, the window for a retry is over.
+        // While the connection was being opened, the backend may have been drained or moved, the client may have
+        // disconnected or received its response, or the window for a retry may have passed.
         if (cancelled || !listener.isStillWanted()) {
             fresh.makeIdle();
             finish(AttemptResult.withoutReport(AttemptStatus.NOT_SENT));
@@ -73,30 +73,34 @@
         return !cancelled && listener.acceptsStreamedValue(value);
     }
 
-    /** Whether its bytes may leave now. */
+    /** Whether the attempt's bytes may be written now. */
     boolean maySend() {
         return listener.maySend(deadlineMs);
     }
 
-    /** Has its connection closed before its bytes leave. */
+    /** Closes the connection before the attempt's bytes are written. */
     void withdraw() {
         withdrawn = true;
         connection.close();
     }
 
-    /** Its last byte was not written and never will be. */
+    /** Called when the attempt's last byte was not written and never will be. */
     void writeFailed() {
         writeFailed = true;
     }
 
-    /** Whether this gateway itself has given it up, so that the close of its connection says nothing of the backend. */
+    /**
+     * Whether this gateway has cancelled or withdrawn the attempt, so that the close of its connection says nothing
+     * about the backend.
+     */
     boolean isAbandoned() {
         return cancelled || withdrawn;
     }
 
     /**
-     * The connection ended under the attempt: before its last byte was written the backend cannot have run it. Only a
-     * write that failed proves that; one whose outcome is not known yet may be on its way.
+     * Called when the connection has closed during the attempt. If the last byte was not written, the backend cannot
+     * have run the attempt. Only a failed write proves that; bytes of a write whose outcome is not known yet may still
+     * reach the backend.
      */
     void connectionClosed() {
         AttemptStatus status;
@@ -123,7 +127,8 @@
         if (connection == null) {
             finish(AttemptResult.withoutReport(connecting ? AttemptStatus.UNREACHABLE : AttemptStatus.NOT_SENT));
         } else if (connection.carries(this)) {
-            // The result waits for the close: a next attempt must not be out while this one is on an open connection.
+            // The result is reported only when the connection has closed. Otherwise the next attempt could be in flight
+            // while this one is still on an open connection.
             connection.close();
         }
     }
--- a/gateway/src/main/java/opalcove/backend/PooledConnection.java
+++ b/gateway/src/main/java/opalcove/backend/PooledConnection.java
@@ -12,7 +12,7 @@
     private long idleSinceNanos;
     private boolean used;
     private boolean closed;
-    /** When its last reply came, for the settling queue. */
+    /** When the last reply arrived, for the settling queue. */
     long repliedAtNanos;
 
     PooledConnection(ConnectionPool pool, HostPool hostPool, BackendConnection connection) {
@@ -28,7 +28,7 @@
         connection.send(next.request(), deadlineMs);
     }
 
-    /** Whether it carries this call and no later one. */
+    /** Whether the connection carries this call, and not a later one. */
     boolean carries(PooledCall other) {
         return call == other;
     }
@@ -45,12 +45,12 @@
         return (nowNanos - idleSinceNanos) / 1e6;
     }
 
-    /** Whether it has been idle for longer than the other one. */
+    /** Whether this connection has been idle for longer than the other one. */
     boolean isIdleLongerThan(PooledConnection other) {
         return idleSinceNanos - other.idleSinceNanos < 0;
     }
 
-    /** Lets it be used again, or closes it where it may not be. */
+    /** Makes the connection available for reuse, or closes it if it may not be reused. */
     void makeIdle() {
         if (closed) {
             return;
@@ -59,8 +59,9 @@
             idleSinceNanos = System.nanoTime();
             hostPool.idle.addFirst(this);
         } else {
-            // Guards also a new backend at the same address, and a drained one, against connections of the one that
-            // left, and the way to other backends where nearly all connections are open.
+            // A new backend at the same address must not get a connection to its predecessor, and a drained backend
+            // must get no further attempts. When nearly all connections are open, an idle one would block the way to
+            // other backends.
             connection.close();
         }
     }
@@ -74,7 +75,7 @@
     public void onReply(AttemptResult result) {
         PooledCall done = call;
         if (done == null) {
-            // Guards the next attempt against a reply that belongs to none.
+            // A reply that belongs to no attempt would otherwise be taken for the reply to the next attempt.
             pool.reusePolicy().strayReply();
             connection.close();
             return;
@@ -85,7 +86,10 @@
         done.finish(result);
     }
 
-    /** Guards an attempt whose client left in the very turn that sent it, or that was held up before its bytes left. */
+    /**
+     * Stops an attempt whose client disconnected in the same turn that sent it, or that was delayed before its bytes
+     * were written.
+     */
     @Override
     public boolean maySend() {
         if (call == null || call.maySend()) {
--- a/gateway/src/main/java/opalcove/backend/ReusePolicy.java
+++ b/gateway/src/main/java/opalcove/backend/ReusePolicy.java
@@ -1,14 +1,14 @@
 package opalcove.backend;
 
-/** Whether used connections may be used again, and which of them are checked before. Used on the event loop only. */
+/** Decides whether connections may be reused, and which of them are checked before. Used on the event loop only. */
 final class ReusePolicy {
     /**
-     * How long each attempt gets a connection of its own after a used one has broken under one, ms. Guards against
-     * backends, and machines between, that drop idle connections: such a break may have run and says nothing of the
-     * backend's health.
+     * How long each attempt gets a new connection after a reused one has broken during an attempt, ms. Backends, and
+     * machines between, may drop idle connections; an attempt on such a connection may have run, and its failure says
+     * nothing about the backend's health.
      */
     private static final double REUSE_SUSPENSION_MS = 10_000;
-    /** How long each connection is checked before it is used again after a stray reply has come on one, ms. */
+    /** How long every connection is checked before it is reused after an unexpected reply has arrived on one, ms. */
     private static final double STRAY_REPLY_CAUTION_MS = 10_000;
 
     private final double checkAfterIdleMs;
@@ -18,22 +18,23 @@
     private long strayReplyNanos;
 
     /**
-     * A policy without bad experiences so far.
+     * Creates a policy that allows reuse.
      *
-     * @param checkAfterIdleMs a connection that was idle for longer is checked before it is used again: its backend may
-     *     have closed it for that. One that is used again sooner costs no such check, a read of its own
+     * @param checkAfterIdleMs a connection that was idle for longer than this, ms, is checked before it is reused,
+     *     because its backend may have closed it for that. Reuse after a shorter time saves the check, which costs a
+     *     read
      */
     ReusePolicy(double checkAfterIdleMs) {
         this.checkAfterIdleMs = checkAfterIdleMs;
     }
 
-    /** A used connection has broken under an attempt. */
+    /** Called when a reused connection has broken during an attempt. */
     void suspend() {
         suspended = true;
         suspendedSinceNanos = System.nanoTime();
     }
 
-    /** A reply has come that belongs to no attempt. */
+    /** Called when a reply has arrived that belongs to no attempt. */
     void strayReply() {
         cautious = true;
         strayReplyNanos = System.nanoTime();
@@ -44,7 +45,7 @@
         return !suspended;
     }
 
-    /** Whether the idle connection has to be checked before it is used. */
+    /** Whether the idle connection has to be checked before it is reused. */
     boolean needsCheck(PooledConnection idle, long nowNanos) {
         cautious &= (nowNanos - strayReplyNanos) / 1e6 < STRAY_REPLY_CAUTION_MS;
         return cautious || idle.idleMs(nowNanos) > checkAfterIdleMs;
--- a/gateway/src/main/java/opalcove/backend/SettlingQueue.java
+++ b/gateway/src/main/java/opalcove/backend/SettlingQueue.java
@@ -6,18 +6,19 @@
 import java.util.Deque;
 
 /**
- * Connections that carried a reply lately, the earliest first, which become idle once nothing can follow that reply. Guards
- * the next attempt against bytes that do (a second reply, noise): a connection is used again only once all that came within
- * 10 ms of its reply has been read; what comes while it is idle closes it.
+ * The connections that recently delivered a reply, the earliest first. Each becomes idle once no more input can follow
+ * its reply: a connection is reused only after all input that arrived within 10 ms of its reply has been read.
+ * Otherwise a second reply or other stray bytes would be taken for the reply to the next attempt. Input that arrives
+ * while a connection is idle closes it.
  *
- * <p>That much is known without a timer while replies come: all that had come before the end of one turn of the event loop
- * that brought a reply is read in the next turn, before that one's end. Where no more replies come, two timers show the
- * same. Used on the event loop only.
+ * <p>While replies keep arriving, this needs no timer: all input that had arrived before the end of a turn of the event
+ * loop that delivered a reply is read in the next turn, before that turn's end. When no more replies arrive, two timers
+ * show the same. Used on the event loop only.
  */
 final class SettlingQueue {
-    /** How long a connection that carried a reply is listened to before it is used again, ns. */
+    /** How long a connection is observed after a reply before it is reused, ns. */
     private static final long SETTLE_NANOS = 10_000_000;
-    /** How often it is checked whether connections settle while no replies come, ms. */
+    /** How often connections are checked for having settled while no replies arrive, ms. */
     private static final long WATCH_INTERVAL_MS = 50;
 
     private final Vertx vertx;
@@ -38,7 +39,7 @@
         settling.add(connection);
         if (!turnEndScheduled) {
             turnEndScheduled = true;
-            // Runs after all that this turn had to read.
+            // Runs after this turn has read all its input.
             vertx.runOnContext(turnEnd);
         }
         if (!watching) {
@@ -52,7 +53,7 @@
         lastTurnEndNanos = System.nanoTime();
     }
 
-    /** Has connections settle also while no replies come. */
+    /** Lets connections settle also while no replies arrive. */
     private void watch() {
         watching = !settling.isEmpty();
         if (!watching) {
@@ -64,7 +65,7 @@
                 watch();
             } else {
                 long nowNanos = System.nanoTime();
-                // By the time that a timer set now expires, the loop has read once more.
+                // The event loop reads its sockets once more before a timer that is set now expires.
                 vertx.setTimer(1, again -> {
                     inputRead(nowNanos);
                     watch();
@@ -73,7 +74,7 @@
         });
     }
 
-    /** All input that had come by then has been read. */
+    /** Called when all input that had arrived by this time has been read. */
     private void inputRead(long timeNanos) {
         readUpToNanos = Math.max(readUpToNanos, timeNanos);
         while (!settling.isEmpty() && settling.peekFirst().repliedAtNanos + SETTLE_NANOS <= readUpToNanos) {
--- a/gateway/src/main/java/opalcove/backend/package-info.java
+++ b/gateway/src/main/java/opalcove/backend/package-info.java
@@ -1,5 +1,6 @@
 /**
- * Connections to backends: the pool ({@link opalcove.backend.ConnectionPool}), what it knows of one connection and of one
- * attempt, and when a used connection may be used again. The wire is a {@link opalcove.backend.Connector}'s.
+ * Connections to backends: the pool ({@link opalcove.backend.ConnectionPool}), the state of each connection and each
+ * attempt, and the rules for reusing a connection. The wire protocol is implemented by a {@link
+ * opalcove.backend.Connector}.
  */
 package opalcove.backend;
--- a/gateway/src/test/java/opalcove/backend/ConnectionPoolCapacityTest.java
+++ b/gateway/src/test/java/opalcove/backend/ConnectionPoolCapacityTest.java
@@ -20,7 +20,9 @@
 import opalcove.lifecycle.Application;
 import org.testng.annotations.Test;
 
-/** A pool that may open no more connections: idle ones to one backend give way to another backend. */
+/**
+ * Checks that a pool that may open no more connections closes idle connections to one backend to connect to another.
+ */
 public class ConnectionPoolCapacityTest {
     private static final int MAX_CONNECTIONS = 8;
 
@@ -44,13 +46,13 @@
             while (onLoop(pool::idleConnections) < MAX_CONNECTIONS - 1 && System.nanoTime() < end) {
                 Thread.sleep(1);
             }
-            // One of those that came to rest was closed, so that there is room.
+            // One of the connections that became idle was closed, so that there is capacity for a new one.
             assertEquals(onLoop(pool::openConnections), Integer.valueOf(MAX_CONNECTIONS - 1));
             for (int i = 0; i < MAX_CONNECTIONS; i++) {
                 descriptorsFreed();
                 List<AttemptResult> ends = new ArrayList<>();
                 String backend = "new-" + i;
-                assertTrue(onLoop(() -> attempt(pool, backend, ends)), "connected: " + backend);
+                assertTrue(onLoop(() -> attempt(pool, backend, ends)), "a connection is opened to " + backend);
                 assertEquals(ends, List.of());
             }
         } finally {
@@ -58,7 +60,7 @@
         }
     }
 
-    /** Makes an attempt, and says whether a connection was opened for it. */
+    /** Starts an attempt and returns whether a connection was opened for it. */
     private boolean attempt(ConnectionPool pool, String name, List<AttemptResult> ends) {
         int before = connections.size();
         Backend backend = new Backend(new Endpoint(name, "room-a", "app", 0, EndpointState.UP, 1, 0), name);
@@ -67,7 +69,9 @@
         return connections.size() > before;
     }
 
-    /** A timer that is set now and due later than that of the closed connection's descriptor. */
+    /**
+     * Waits until the descriptor of the closed connection is freed: this timer is due later than the one that frees it.
+     */
     private void descriptorsFreed() throws Exception {
         CompletableFuture<Void> freed = new CompletableFuture<>();
         vertx.runOnContext(closed -> vertx.setTimer(5, due -> freed.complete(null)));
@@ -92,7 +96,7 @@
         return done.get(20, TimeUnit.SECONDS);
     }
 
-    /** A connection that takes everything and answers what the test says. */
+    /** A connection that accepts all attempts and replies what the test passes to its listener. */
     private static final class FakeConnection implements BackendConnection {
         private Listener user;
 
--- a/gateway/src/test/java/opalcove/backend/LocalConnectFailureTest.java
+++ b/gateway/src/test/java/opalcove/backend/LocalConnectFailureTest.java
@@ -25,7 +25,10 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** A connection that this machine has no capacity for is tried again, and is no fault of the backend's. */
+/**
+ * Checks that a connection for which this machine has no capacity is tried again and does not count as a fault of the
+ * backend.
+ */
 public class LocalConnectFailureTest {
     private static final int PATIENCE_S = 20;
     private static final Backend BACKEND =
@@ -73,7 +76,7 @@
         failures.add(new ConnectException("No buffer space available: /127.0.0.1:1"));
         attempt(8);
         assertEquals(sent.poll(PATIENCE_S, TimeUnit.SECONDS), "id");
-        assertTrue(ends.isEmpty(), "nothing is reported of the backend");
+        assertTrue(ends.isEmpty(), "no result is reported for the backend");
         assertEquals(reported.size(), 3);
     }
 
@@ -100,11 +103,11 @@
         assertEquals(ends.poll(PATIENCE_S, TimeUnit.SECONDS), AttemptStatus.UNREACHABLE);
     }
 
-    /** A connection that takes everything and answers nothing. */
+    /** A connection that accepts all attempts and never replies. */
     private final class SilentConnection implements BackendConnection {
         @Override
         public void setListener(Listener attached) {
-            // Nothing comes of it.
+            // It never has an event.
         }
 
         @Override
@@ -114,7 +117,7 @@
 
         @Override
         public void close() {
-            // It has no connection.
+            // It holds no socket.
         }
     }
 }
