--- a/gateway/src/main/java/opalcove/backend/ConnectionPool.java
+++ b/gateway/src/main/java/opalcove/backend/ConnectionPool.java
@@ -28,22 +28,22 @@
      * its backend has just closed would end as a reset, after which the attempt may have run. The fraction is low
      * because a backend may close connections earlier than configured.
      */
-    private static final double IDLE_TIMEOUT_PART = 0.5;
+    private static final double IDLE_TIMEOUT_FRACTION = 0.5;
     /** An idle connection may be reused without a check within this fraction of the backends' idle timeout. */
-    private static final double UNCHECKED_PART = 1.0 / 30;
+    private static final double UNCHECKED_REUSE_FRACTION = 1.0 / 30;
 
     private static final double DEFAULT_IDLE_TIMEOUT_MS = 10_000;
     private static final long SWEEP_INTERVAL_MS = 1000;
     /** Idle connections are closed once all but one in this many of the allowed connections are open. */
-    private static final int SPARE_PART = 8;
+    private static final int SPARE_CONNECTIONS_DIVISOR = 8;
 
     /**
      * How long an attempt waits before it retries to get a connection after this machine had no capacity for a new one,
      * ms. The wait doubles each time up to a maximum, and its total is limited by the connect timeout.
      */
-    private static final long MIN_CAPACITY_WAIT_MS = 1;
+    private static final long MIN_CAPACITY_RETRY_DELAY_MS = 1;
 
-    private static final long MAX_CAPACITY_WAIT_MS = 16;
+    private static final long MAX_CAPACITY_RETRY_DELAY_MS = 16;
 
     private final Vertx vertx;
     private final EventExecutor loop;
@@ -74,20 +74,20 @@
         loop = DescriptorCounter.loopOf(vertx);
         this.connector = connector;
         this.maxConnections = maxConnections;
-        maxOpenToKeepIdle = Math.max(1, maxConnections - Math.max(1, maxConnections / SPARE_PART));
+        maxOpenToKeepIdle = Math.max(1, maxConnections - Math.max(1, maxConnections / SPARE_CONNECTIONS_DIVISOR));
         maxCapacityWaitMs = settings.limits().connectTimeoutMs();
         double configuredMs = settings.limits().idleCloseMs();
-        double backendsIdleTimeoutMs = configuredMs > 0 ? configuredMs : DEFAULT_IDLE_TIMEOUT_MS;
-        idleTimeoutMs = backendsIdleTimeoutMs * IDLE_TIMEOUT_PART;
-        reusePolicy = new ReusePolicy(backendsIdleTimeoutMs * UNCHECKED_PART);
+        double backendIdleTimeoutMs = configuredMs > 0 ? configuredMs : DEFAULT_IDLE_TIMEOUT_MS;
+        idleTimeoutMs = backendIdleTimeoutMs * IDLE_TIMEOUT_FRACTION;
+        reusePolicy = new ReusePolicy(backendIdleTimeoutMs * UNCHECKED_REUSE_FRACTION);
         settling = new SettlingQueue(vertx);
-        vertx.setPeriodic(SWEEP_INTERVAL_MS, swept -> closeTimedOut());
+        vertx.setPeriodic(SWEEP_INTERVAL_MS, swept -> closeIdleTimedOut());
     }
 
     @Override
     public Attempt startAttempt(Backend backend, Request request, double timeoutMs, AttemptListener listener) {
         PooledCall call = new PooledCall(request, timeoutMs, listener);
-        assign(backend, call, MIN_CAPACITY_WAIT_MS);
+        assign(backend, call, MIN_CAPACITY_RETRY_DELAY_MS);
         return call;
     }
 
@@ -117,7 +117,7 @@
     public void retire(Backend backend) {
         HostPool hostPool = hostPools.remove(backend.name());
         if (hostPool != null) {
-            hostPool.open = false;
+            hostPool.acceptsConnections = false;
             hostPool.closeIdle();
         }
     }
@@ -141,7 +141,7 @@
      * retries after a wait, so that neither is the backend blamed nor does the request fail for a shortage of this
      * machine.
      */
-    private void assign(Backend backend, PooledCall call, long waitMs) {
+    private void assign(Backend backend, PooledCall call, long retryDelayMs) {
         HostPool hostPool = hostPool(backend);
         PooledConnection idle = takeIdle(hostPool);
         if (idle != null) {
@@ -152,21 +152,21 @@
         evictIdle();
         if (hasCapacity) {
             call.setConnecting(true);
-            connect(backend, hostPool, call, waitMs);
+            connect(backend, hostPool, call, retryDelayMs);
         } else {
-            retryAssignment(backend, call, waitMs);
+            retryAssignment(backend, call, retryDelayMs);
         }
     }
 
-    private void retryAssignment(Backend backend, PooledCall call, long waitMs) {
+    private void retryAssignment(Backend backend, PooledCall call, long retryDelayMs) {
         call.setConnecting(false);
-        if (call.ageMs() + waitMs > maxCapacityWaitMs) {
+        if (call.ageMs() + retryDelayMs > maxCapacityWaitMs) {
             call.finish(AttemptResult.withoutReport(AttemptStatus.NOT_SENT));
             return;
         }
-        vertx.setTimer(waitMs, due -> {
+        vertx.setTimer(retryDelayMs, due -> {
             if (call.isStillWanted()) {
-                assign(backend, call, Math.min(2 * waitMs, MAX_CAPACITY_WAIT_MS));
+                assign(backend, call, Math.min(2 * retryDelayMs, MAX_CAPACITY_RETRY_DELAY_MS));
             }
         });
     }
@@ -185,7 +185,7 @@
         return idle;
     }
 
-    private void connect(Backend backend, HostPool hostPool, PooledCall call, long waitMs) {
+    private void connect(Backend backend, HostPool hostPool, PooledCall call, long retryDelayMs) {
         open(backend).onComplete(opened -> {
             if (opened.succeeded()) {
                 call.connected(new PooledConnection(this, hostPool, opened.result()));
@@ -194,7 +194,7 @@
             connectionClosed();
             if (Errno.of(opened.cause()).isOfThisMachine()) {
                 localFailureAction.accept(opened.cause());
-                retryAssignment(backend, call, waitMs);
+                retryAssignment(backend, call, retryDelayMs);
             } else {
                 call.finish(AttemptResult.withoutReport(AttemptStatus.UNREACHABLE));
             }
@@ -233,19 +233,19 @@
         if (openCount < maxOpenToKeepIdle) {
             return;
         }
-        PooledConnection longest = null;
+        PooledConnection longestIdle = null;
         for (HostPool hostPool : hostPools.values()) {
             PooledConnection last = hostPool.idle.peekLast();
-            if (last != null && (longest == null || last.isIdleLongerThan(longest))) {
-                longest = last;
+            if (last != null && (longestIdle == null || last.isIdleLongerThan(longestIdle))) {
+                longestIdle = last;
             }
         }
-        if (longest != null) {
-            longest.close();
+        if (longestIdle != null) {
+            longestIdle.close();
         }
     }
 
-    private void closeTimedOut() {
+    private void closeIdleTimedOut() {
         long nowNanos = System.nanoTime();
         for (HostPool hostPool : hostPools.values()) {
             while (!hostPool.idle.isEmpty() && hostPool.idle.peekLast().idleMs(nowNanos) > idleTimeoutMs) {
--- a/gateway/src/main/java/opalcove/backend/HostPool.java
+++ b/gateway/src/main/java/opalcove/backend/HostPool.java
@@ -11,7 +11,7 @@
 final class HostPool {
     final Deque<PooledConnection> idle = new ArrayDeque<>();
     /** Whether connections may still be added. */
-    boolean open = true;
+    boolean acceptsConnections = true;
 
     /** Closes all idle connections; each is removed from the pool when it closes. */
     void closeIdle() {
--- a/gateway/src/main/java/opalcove/backend/PooledCall.java
+++ b/gateway/src/main/java/opalcove/backend/PooledCall.java
@@ -39,8 +39,8 @@
     }
 
     /** Sets whether a connection is being opened for the attempt. */
-    void setConnecting(boolean now) {
-        connecting = now;
+    void setConnecting(boolean value) {
+        connecting = value;
     }
 
     /** Whether the attempt still waits for a connection. Ends it as not sent if its request no longer needs it. */
@@ -52,19 +52,19 @@
     }
 
     /** The connection that was opened for it is up. */
-    void connected(PooledConnection fresh) {
+    void connected(PooledConnection newConnection) {
         // While the connection was being opened, the backend may have been drained or moved, the client may have
         // disconnected or received its response, or the window for a retry may have passed.
         if (cancelled || !listener.isStillWanted()) {
-            fresh.makeIdle();
+            newConnection.makeIdle();
             finish(AttemptResult.withoutReport(AttemptStatus.NOT_SENT));
         } else {
-            sendOn(fresh);
+            sendOn(newConnection);
         }
     }
 
-    void sendOn(PooledConnection free) {
-        connection = free;
+    void sendOn(PooledConnection available) {
+        connection = available;
         deadlineMs = Math.max(1, timeoutMs - ageMs());
         connection.send(this, deadlineMs);
     }
--- a/gateway/src/main/java/opalcove/backend/PooledConnection.java
+++ b/gateway/src/main/java/opalcove/backend/PooledConnection.java
@@ -10,7 +10,7 @@
     private final BackendConnection connection;
     private PooledCall call;
     private long idleSinceNanos;
-    private boolean used;
+    private boolean hasDeliveredReply;
     private boolean closed;
     /** When the last reply arrived, for the settling queue. */
     long repliedAtNanos;
@@ -55,7 +55,7 @@
         if (closed) {
             return;
         }
-        if (hostPool.open && pool.mayKeepIdle()) {
+        if (hostPool.acceptsConnections && pool.mayKeepIdle()) {
             idleSinceNanos = System.nanoTime();
             hostPool.idle.addFirst(this);
         } else {
@@ -73,17 +73,17 @@
 
     @Override
     public void onReply(AttemptResult result) {
-        PooledCall done = call;
-        if (done == null) {
+        PooledCall completed = call;
+        if (completed == null) {
             // A reply that belongs to no attempt would otherwise be taken for the reply to the next attempt.
-            pool.reusePolicy().strayReply();
+            pool.reusePolicy().strayReplyReceived();
             connection.close();
             return;
         }
         call = null;
-        used = true;
+        hasDeliveredReply = true;
         pool.settle(this);
-        done.finish(result);
+        completed.finish(result);
     }
 
     /**
@@ -114,7 +114,7 @@
         pool.connectionClosed();
         hostPool.idle.remove(this);
         if (call != null) {
-            if (used && !call.isAbandoned()) {
+            if (hasDeliveredReply && !call.isAbandoned()) {
                 pool.suspendReuse();
             }
             call.connectionClosed();
--- a/gateway/src/main/java/opalcove/backend/ReusePolicy.java
+++ b/gateway/src/main/java/opalcove/backend/ReusePolicy.java
@@ -9,13 +9,13 @@
      */
     private static final double REUSE_SUSPENSION_MS = 10_000;
     /** How long every connection is checked before it is reused after an unexpected reply has arrived on one, ms. */
-    private static final double STRAY_REPLY_CAUTION_MS = 10_000;
+    private static final double STRAY_REPLY_CHECK_MS = 10_000;
 
     private final double checkAfterIdleMs;
     private boolean suspended;
     private long suspendedSinceNanos;
-    private boolean cautious;
-    private long strayReplyNanos;
+    private boolean checksEveryReuse;
+    private long strayReplyAtNanos;
 
     /**
      * Creates a policy that allows reuse.
@@ -35,9 +35,9 @@
     }
 
     /** Called when a reply has arrived that belongs to no attempt. */
-    void strayReply() {
-        cautious = true;
-        strayReplyNanos = System.nanoTime();
+    void strayReplyReceived() {
+        checksEveryReuse = true;
+        strayReplyAtNanos = System.nanoTime();
     }
 
     boolean isReuseAllowed() {
@@ -47,7 +47,7 @@
 
     /** Whether the idle connection has to be checked before it is reused. */
     boolean needsCheck(PooledConnection idle, long nowNanos) {
-        cautious &= (nowNanos - strayReplyNanos) / 1e6 < STRAY_REPLY_CAUTION_MS;
-        return cautious || idle.idleMs(nowNanos) > checkAfterIdleMs;
+        checksEveryReuse &= (nowNanos - strayReplyAtNanos) / 1e6 < STRAY_REPLY_CHECK_MS;
+        return checksEveryReuse || idle.idleMs(nowNanos) > checkAfterIdleMs;
     }
 }
--- a/gateway/src/main/java/opalcove/backend/SettlingQueue.java
+++ b/gateway/src/main/java/opalcove/backend/SettlingQueue.java
@@ -19,7 +19,7 @@
     /** How long a connection is observed after a reply before it is reused, ns. */
     private static final long SETTLE_NANOS = 10_000_000;
     /** How often connections are checked for having settled while no replies arrive, ms. */
-    private static final long WATCH_INTERVAL_MS = 50;
+    private static final long CHECK_INTERVAL_MS = 50;
 
     private final Vertx vertx;
     private final Deque<PooledConnection> settling = new ArrayDeque<>();
@@ -27,7 +27,7 @@
     private long lastTurnEndNanos = System.nanoTime();
     private long readUpToNanos = lastTurnEndNanos;
     private boolean turnEndScheduled;
-    private boolean watching;
+    private boolean checkScheduled;
 
     SettlingQueue(Vertx vertx) {
         this.vertx = vertx;
@@ -42,40 +42,40 @@
             // Runs after this turn has read all its input.
             vertx.runOnContext(turnEnd);
         }
-        if (!watching) {
-            watch();
+        if (!checkScheduled) {
+            scheduleCheck();
         }
     }
 
     private void turnEnded() {
         turnEndScheduled = false;
-        inputRead(lastTurnEndNanos);
+        inputReadUpTo(lastTurnEndNanos);
         lastTurnEndNanos = System.nanoTime();
     }
 
     /** Lets connections settle also while no replies arrive. */
-    private void watch() {
-        watching = !settling.isEmpty();
-        if (!watching) {
+    private void scheduleCheck() {
+        checkScheduled = !settling.isEmpty();
+        if (!checkScheduled) {
             return;
         }
         long readBeforeNanos = readUpToNanos;
-        vertx.setTimer(WATCH_INTERVAL_MS, due -> {
+        vertx.setTimer(CHECK_INTERVAL_MS, due -> {
             if (readUpToNanos > readBeforeNanos) {
-                watch();
+                scheduleCheck();
             } else {
                 long nowNanos = System.nanoTime();
                 // The event loop reads its sockets once more before a timer that is set now expires.
                 vertx.setTimer(1, again -> {
-                    inputRead(nowNanos);
-                    watch();
+                    inputReadUpTo(nowNanos);
+                    scheduleCheck();
                 });
             }
         });
     }
 
     /** Called when all input that had arrived by this time has been read. */
-    private void inputRead(long timeNanos) {
+    private void inputReadUpTo(long timeNanos) {
         readUpToNanos = Math.max(readUpToNanos, timeNanos);
         while (!settling.isEmpty() && settling.peekFirst().repliedAtNanos + SETTLE_NANOS <= readUpToNanos) {
             settling.pollFirst().makeIdle();
--- a/gateway/src/test/java/opalcove/backend/ConnectionPoolCapacityTest.java
+++ b/gateway/src/test/java/opalcove/backend/ConnectionPoolCapacityTest.java
@@ -30,7 +30,7 @@
     private final List<FakeConnection> connections = new ArrayList<>();
 
     @Test
-    public void linesAtRestGiveWayToANewNode() throws Exception {
+    public void closesIdleConnectionWhenNewBackendNeedsCapacity() throws Exception {
         try {
             ConnectionPool pool =
                     onLoop(() -> new ConnectionPool(vertx, TestSettings.settings(), this::connect, MAX_CONNECTIONS));
@@ -39,21 +39,21 @@
                     attempt(pool, "first", new ArrayList<>());
                 }
                 connections.forEach(
-                        connection -> connection.user.onReply(AttemptResult.withoutReport(AttemptStatus.REJECTED)));
+                        connection -> connection.listener.onReply(AttemptResult.withoutReport(AttemptStatus.REJECTED)));
                 return null;
             });
-            long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(20);
-            while (onLoop(pool::idleConnections) < MAX_CONNECTIONS - 1 && System.nanoTime() < end) {
+            long deadlineNanos = System.nanoTime() + TimeUnit.SECONDS.toNanos(20);
+            while (onLoop(pool::idleConnections) < MAX_CONNECTIONS - 1 && System.nanoTime() < deadlineNanos) {
                 Thread.sleep(1);
             }
             // One of the connections that became idle was closed, so that there is capacity for a new one.
             assertEquals(onLoop(pool::openConnections), Integer.valueOf(MAX_CONNECTIONS - 1));
             for (int i = 0; i < MAX_CONNECTIONS; i++) {
                 descriptorsFreed();
-                List<AttemptResult> ends = new ArrayList<>();
+                List<AttemptResult> results = new ArrayList<>();
                 String backend = "new-" + i;
-                assertTrue(onLoop(() -> attempt(pool, backend, ends)), "a connection is opened to " + backend);
-                assertEquals(ends, List.of());
+                assertTrue(onLoop(() -> attempt(pool, backend, results)), "a connection is opened to " + backend);
+                assertEquals(results, List.of());
             }
         } finally {
             vertx.close();
@@ -61,11 +61,11 @@
     }
 
     /** Starts an attempt and returns whether a connection was opened for it. */
-    private boolean attempt(ConnectionPool pool, String name, List<AttemptResult> ends) {
+    private boolean attempt(ConnectionPool pool, String name, List<AttemptResult> results) {
         int before = connections.size();
         Backend backend = new Backend(new Endpoint(name, "room-a", "app", 0, EndpointState.UP, 1, 0), name);
         Request request = new Request("id", "operator", "slot-status", "start", 1, 4000, null, false, 1, 0, null);
-        pool.startAttempt(backend, request, 4000, ends::add);
+        pool.startAttempt(backend, request, 4000, results::add);
         return connections.size() > before;
     }
 
@@ -98,19 +98,19 @@
 
     /** A connection that accepts all attempts and replies what the test passes to its listener. */
     private static final class FakeConnection implements BackendConnection {
-        private Listener user;
+        private Listener listener;
 
         @Override
-        public void setListener(Listener attached) {
-            user = attached;
+        public void setListener(Listener newListener) {
+            listener = newListener;
         }
 
         @Override
-        public void send(Request request, double waitMs) {}
+        public void send(Request request, double deadlineMs) {}
 
         @Override
         public void close() {
-            user.onClosed();
+            listener.onClosed();
         }
     }
 }
--- a/gateway/src/test/java/opalcove/backend/LocalConnectFailureTest.java
+++ b/gateway/src/test/java/opalcove/backend/LocalConnectFailureTest.java
@@ -30,25 +30,25 @@
  * backend.
  */
 public class LocalConnectFailureTest {
-    private static final int PATIENCE_S = 20;
+    private static final int TIMEOUT_S = 20;
     private static final Backend BACKEND =
             new Backend(new Endpoint("n1", "room-a", "app", 0, EndpointState.UP, 1, 0), "n1");
     private static final Request REQUEST =
             new Request("id", "operator", "slot-status", "start", 1, 4000, null, false, 1, 0, null);
 
-    private final Deque<Throwable> failures = new ArrayDeque<>();
-    private final BlockingQueue<String> sent = new LinkedBlockingQueue<>();
-    private final BlockingQueue<AttemptStatus> ends = new LinkedBlockingQueue<>();
-    private final List<Throwable> reported = new ArrayList<>();
+    private final Deque<Throwable> connectFailures = new ArrayDeque<>();
+    private final BlockingQueue<String> sentIds = new LinkedBlockingQueue<>();
+    private final BlockingQueue<AttemptStatus> statuses = new LinkedBlockingQueue<>();
+    private final List<Throwable> reportedFailures = new ArrayList<>();
     private Vertx vertx;
 
     @BeforeMethod
     public void open() {
         vertx = Vertx.vertx();
-        failures.clear();
-        sent.clear();
-        ends.clear();
-        reported.clear();
+        connectFailures.clear();
+        sentIds.clear();
+        statuses.clear();
+        reportedFailures.clear();
     }
 
     @AfterMethod
@@ -59,60 +59,60 @@
     private void attempt(int maxConnections) {
         vertx.runOnContext(run -> {
             ConnectionPool pool = new ConnectionPool(vertx, TestSettings.settings(), this::connect, maxConnections);
-            pool.onLocalConnectFailure(reported::add);
-            pool.startAttempt(BACKEND, REQUEST, 4000, end -> ends.add(end.status()));
+            pool.onLocalConnectFailure(reportedFailures::add);
+            pool.startAttempt(BACKEND, REQUEST, 4000, result -> statuses.add(result.status()));
         });
     }
 
     private Future<BackendConnection> connect(String address) {
-        Throwable failure = failures.poll();
+        Throwable failure = connectFailures.poll();
         return failure == null ? Future.succeededFuture(new SilentConnection()) : Future.failedFuture(failure);
     }
 
     @Test
-    public void itIsTriedAgainTillThereIsRoom() throws Exception {
-        failures.add(new BindException("Cannot assign requested address: /127.0.0.1:1"));
-        failures.add(new IOException("Too many open files"));
-        failures.add(new ConnectException("No buffer space available: /127.0.0.1:1"));
+    public void retriesConnectUntilMachineHasCapacity() throws Exception {
+        connectFailures.add(new BindException("Cannot assign requested address: /127.0.0.1:1"));
+        connectFailures.add(new IOException("Too many open files"));
+        connectFailures.add(new ConnectException("No buffer space available: /127.0.0.1:1"));
         attempt(8);
-        assertEquals(sent.poll(PATIENCE_S, TimeUnit.SECONDS), "id");
-        assertTrue(ends.isEmpty(), "no result is reported for the backend");
-        assertEquals(reported.size(), 3);
+        assertEquals(sentIds.poll(TIMEOUT_S, TimeUnit.SECONDS), "id");
+        assertTrue(statuses.isEmpty(), "no result is reported for the backend");
+        assertEquals(reportedFailures.size(), 3);
     }
 
     @Test
-    public void withoutRoomForLongItEndsAsNotSent() throws Exception {
+    public void endsAttemptAsNotSentWhenMachineHasNoCapacityForLong() throws Exception {
         for (int i = 0; i < 1000; i++) {
-            failures.add(new ConnectException("Network is unreachable"));
+            connectFailures.add(new ConnectException("Network is unreachable"));
         }
         attempt(8);
-        assertEquals(ends.poll(PATIENCE_S, TimeUnit.SECONDS), AttemptStatus.NOT_SENT);
-        assertTrue(sent.isEmpty());
+        assertEquals(statuses.poll(TIMEOUT_S, TimeUnit.SECONDS), AttemptStatus.NOT_SENT);
+        assertTrue(sentIds.isEmpty());
     }
 
     @Test
-    public void aFullPoolIsNoFaultOfTheNodes() throws Exception {
+    public void endsAttemptAsNotSentWhenPoolIsFull() throws Exception {
         attempt(0);
-        assertEquals(ends.poll(PATIENCE_S, TimeUnit.SECONDS), AttemptStatus.NOT_SENT);
+        assertEquals(statuses.poll(TIMEOUT_S, TimeUnit.SECONDS), AttemptStatus.NOT_SENT);
     }
 
     @Test
-    public void aNodeThatRefusesIsNotReached() throws Exception {
-        failures.add(new ConnectException("Connection refused: /127.0.0.1:1"));
+    public void endsAttemptAsUnreachableWhenBackendRefusesConnection() throws Exception {
+        connectFailures.add(new ConnectException("Connection refused: /127.0.0.1:1"));
         attempt(8);
-        assertEquals(ends.poll(PATIENCE_S, TimeUnit.SECONDS), AttemptStatus.UNREACHABLE);
+        assertEquals(statuses.poll(TIMEOUT_S, TimeUnit.SECONDS), AttemptStatus.UNREACHABLE);
     }
 
     /** A connection that accepts all attempts and never replies. */
     private final class SilentConnection implements BackendConnection {
         @Override
-        public void setListener(Listener attached) {
+        public void setListener(Listener listener) {
             // It never has an event.
         }
 
         @Override
-        public void send(Request request, double waitMs) {
-            sent.add(request.id());
+        public void send(Request request, double deadlineMs) {
+            sentIds.add(request.id());
         }
 
         @Override
