--- a/gateway/src/main/java/opalcove/Main.java
+++ b/gateway/src/main/java/opalcove/Main.java
@@ -6,8 +6,9 @@
 import opalcove.simulator.SimulatorAdapter;
 
 /**
- * The gateway's own program, without what its two commands do not need: {@code serve} runs one gateway, {@code adapter}
- * the decisions on the simulator's wire. Exits with 0 after a graceful end, 1 after a failure and 2 for invalid arguments.
+ * The gateway's own program, without the classes that only other commands need: {@code serve} runs one gateway, {@code
+ * adapter} runs the decision module for the simulator. Exits with 0 after a graceful end, 1 after a failure and 2 for
+ * invalid arguments.
  */
 public final class Main {
     private Main() {}
@@ -29,7 +30,7 @@
         }
     }
 
-    /** Prints the problems, one a line, and ends the process with 1, whatever it has started. */
+    /** Prints the problems, one a line, and ends the process with code 1, even if other threads are running. */
     public static void fail(InvalidConfigurationException problems) {
         problems.getMessage().lines().forEach(line -> System.err.println("opalcove: " + line));
         System.err.flush();
--- a/gateway/src/main/java/opalcove/simulator/ActionWriter.java
+++ b/gateway/src/main/java/opalcove/simulator/ActionWriter.java
@@ -8,8 +8,8 @@
 import opalcove.decision.DecisionActions;
 
 /**
- * Writes one instance's actions to the simulator's wire, each at once and on a line of its own. Owned by the thread
- * that runs the adapter; a failed write is an {@link UncheckedIOException}.
+ * Writes the actions of one simulated gateway to the simulator, each immediately and on a line of its own. Owned by the
+ * thread that runs the adapter; a failed write throws {@link UncheckedIOException}.
  */
 final class ActionWriter implements DecisionActions {
     private final int gateway;
--- a/gateway/src/main/java/opalcove/simulator/EventDecoder.java
+++ b/gateway/src/main/java/opalcove/simulator/EventDecoder.java
@@ -13,8 +13,8 @@
 import opalcove.decision.ProbeStatus;
 
 /**
- * Decodes what the events of the simulator's wire carry. All methods throw {@link InvalidConfigurationException} for a
- * field that is missing or of the wrong form, or a code that is unknown.
+ * Decodes the events of the simulator's protocol. All methods throw {@link InvalidConfigurationException} for a field
+ * that is missing or has the wrong form, or for an unknown code.
  */
 final class EventDecoder {
     private static final Map<String, AttemptStatus> ATTEMPT_CODES = Map.of(
@@ -37,7 +37,7 @@
 
     private EventDecoder() {}
 
-    /** The request of a {@code Submit}. */
+    /** Decodes the request of a {@code Submit}. */
     static AdmissionRequest request(JsonFields event) {
         return new AdmissionRequest(
                 event.text("ticket"),
@@ -51,7 +51,8 @@
     }
 
     /**
-     * The outcome of an {@code Outcome}; its {@code use_pct} is 1 above the percentage, 0 or absent where none came.
+     * Decodes the outcome of an {@code Outcome}. Its {@code use_pct} is 1 above the quota use in percent; 0 or absent
+     * means that none was reported.
      */
     static AttemptOutcome outcome(JsonFields event) {
         AttemptStatus status = ATTEMPT_CODES.get(event.text("code"));
@@ -70,12 +71,12 @@
                 event.row("feedback"));
     }
 
-    /** The result of a {@code ProbeDone}. */
+    /** Decodes the result of a {@code ProbeDone}. */
     static ProbeStatus healthCheckStatus(JsonFields event) {
         return event.text("code").equals("completed") ? ProbeStatus.DONE : ProbeStatus.NOT_DONE;
     }
 
-    /** The entries of a {@code Roster}. */
+    /** Decodes the entries of a {@code Roster}. */
     static List<Endpoint> endpoints(List<JsonFields> entries) {
         List<Endpoint> endpoints = new ArrayList<>();
         for (JsonFields entry : entries) {
--- a/gateway/src/main/java/opalcove/simulator/SimulatorAdapter.java
+++ b/gateway/src/main/java/opalcove/simulator/SimulatorAdapter.java
@@ -24,8 +24,8 @@
 import opalcove.decision.Endpoint;
 
 /**
- * The adapter of the simulator's wire: reads batches of events, delivers them to the modules of the simulated gateways
- * and writes their actions. Owned by the thread that calls {@link #run}.
+ * Adapts the decision module to the simulator's protocol: reads batches of events, delivers them to the modules of the
+ * simulated gateways and writes their actions. Owned by the thread that calls {@link #run}.
  */
 public final class SimulatorAdapter {
     private final BufferedReader input;
@@ -35,7 +35,7 @@
     private double nowMs;
     private boolean inBatch;
 
-    /** Reads the simulator's batches from the input and writes the replies to the output. */
+    /** Creates an adapter that reads the simulator's batches from the input and writes the replies to the output. */
     public SimulatorAdapter(InputStream input, OutputStream output) {
         this.input = new BufferedReader(new InputStreamReader(input, StandardCharsets.UTF_8), 1 << 16);
         this.output = new OutputStreamWriter(output, StandardCharsets.UTF_8);
@@ -51,7 +51,7 @@
     /**
      * Replies to batches until the input ends.
      *
-     * @throws InvalidConfigurationException at the first message that is not of the wire
+     * @throws InvalidConfigurationException at the first message that does not follow the protocol
      */
     public void run() throws IOException {
         for (String line = input.readLine(); line != null; line = input.readLine()) {
@@ -76,7 +76,7 @@
         }
         double timeMs = sync.number("time_ms");
         if (timeMs < nowMs) {
-            throw new InvalidConfigurationException("time_ms goes back");
+            throw new InvalidConfigurationException("field time_ms must not be lower than in the previous batch");
         }
         nowMs = timeMs;
         inBatch = true;
@@ -94,7 +94,7 @@
             case "Roster" -> rosters.put(event.whole("ref"), EventDecoder.endpoints(event.objects("lines")));
             case "Born" -> start(event.whole("gateway"), event);
             case "Killed" -> modules.remove(event.whole("gateway"));
-            // Neither peers nor the counter are used; what arrives all the same has to name a gateway.
+            // The adapter uses neither peers nor the counter, but their events must still name a gateway.
             case "Inbox", "Total" -> event.whole("gateway");
             case "Announce" -> announce(module(event), event);
             case "Submit" -> module(event).requestArrived(nowMs, EventDecoder.request(event));
@@ -137,7 +137,7 @@
         }
         List<Endpoint> endpoints = rosters.get(event.whole("ref"));
         if (endpoints == null) {
-            throw new InvalidConfigurationException("no Roster numbered " + event.whole("ref"));
+            throw new InvalidConfigurationException("no Roster with ref " + event.whole("ref"));
         }
         module.endpointsChanged(nowMs, !form.equals("patch"), endpoints);
     }
--- a/gateway/src/test/java/opalcove/simulator/SimulatorAdapterTranscriptTest.java
+++ b/gateway/src/test/java/opalcove/simulator/SimulatorAdapterTranscriptTest.java
@@ -14,7 +14,10 @@
 import opalcove.config.InvalidConfigurationException;
 import org.junit.jupiter.api.Test;
 
-/** The simulator's wire, held to recorded transcripts ({@code >} to the adapter, {@code <} from it) and literal errors. */
+/**
+ * Compares the adapter's output with recorded transcripts ({@code >} marks a line to the adapter, {@code <} one from
+ * it), and its error messages with literal texts.
+ */
 class SimulatorAdapterTranscriptTest {
     private static final String SYNC = "{\"verb\":\"Sync\",\"time_ms\":10}\n";
     private static final String FLUSH = "{\"verb\":\"Flush\"}\n";
@@ -96,7 +99,8 @@
     @Test
     void batchesThatAreNotFramed() {
         rejects("Sync inside a batch", SYNC + SYNC);
-        rejects("time_ms goes back", SYNC + FLUSH + SYNC.replace("10", "9.5"));
+        rejects(
+                "field time_ms must not be lower than in the previous batch", SYNC + FLUSH + SYNC.replace("10", "9.5"));
         rejects("Flush outside a batch", FLUSH);
         rejects("Submit outside a batch", "{\"verb\":\"Submit\"}");
         rejects("the input ended inside a batch", SYNC);
@@ -133,7 +137,7 @@
     void listsThatCannotBeRead() {
         rejects("unknown form odd", SYNC + BORN + "{\"verb\":\"Announce\",\"gateway\":4,\"form\":\"odd\",\"ref\":0}");
         rejects(
-                "no Roster numbered 3",
+                "no Roster with ref 3",
                 SYNC + BORN + "{\"verb\":\"Announce\",\"gateway\":4,\"form\":\"whole\",\"ref\":3}");
         rejects(
                 "unknown stage_state odd",
