--- a/gateway/src/test/java/opalcove/simulator/SimulatorAdapterTest.java
+++ b/gateway/src/test/java/opalcove/simulator/SimulatorAdapterTest.java
@@ -32,24 +32,24 @@
     }
 
     @Test
-    void anEmptyBatchGetsAnEmptyReply() throws Exception {
+    void repliesWithEndToEmptyBatch() throws Exception {
         assertEquals(
                 "{\"verb\":\"End\"}",
                 play("{\"verb\":\"Sync\",\"time_ms\":1.5}\n" + FLUSH).trim());
     }
 
     @Test
-    void aRequestIsForwardedAndItsOutcomeRead() throws Exception {
+    void forwardsRequestAndReadsItsOutcome() throws Exception {
         String out = play(BORN + SUBMIT + FLUSH + "{\"verb\":\"Sync\",\"time_ms\":60}\n"
                 + "{\"verb\":\"Outcome\",\"gateway\":0,\"ticket\":\"00ab\",\"host\":\"h\",\"code\":\"completed\","
                 + "\"ended\":true,\"latency_ms\":50,\"shot\":0,\"use_pct\":21}\n" + FLUSH);
         assertTrue(out.contains("{\"verb\":\"HandOff\",\"gateway\":0,\"ticket\":\"00ab\",\"host\":\"h\"}"), out);
         assertTrue(out.contains("\"verb\":\"WakeMe\""), out);
-        assertEquals(2, out.lines().filter(l -> l.equals("{\"verb\":\"End\"}")).count());
+        assertEquals(2, out.lines().filter(line -> line.equals("{\"verb\":\"End\"}")).count());
     }
 
     @Test
-    void everyEventOfTheWireIsRead() throws Exception {
+    void readsEveryEventOfProtocol() throws Exception {
         String out = play(BORN + SUBMIT
                 + "{\"verb\":\"TickDue\",\"gateway\":0,\"handle\":999}\n"
                 + "{\"verb\":\"Established\",\"gateway\":0,\"ticket\":\"zz\",\"host\":\"h\"}\n"
@@ -63,7 +63,7 @@
     }
 
     @Test
-    void actionsAreWrittenInTheWiresWords() throws Exception {
+    void writesActionsInProtocolForm() throws Exception {
         String out = play(BORN.replace("\"me\":0", "\"me\":0,\"discovery\":\"on_request\"")
                         .replace("\"idempotency\":\"safe\"", "\"idempotency\":\"unsafe\"")
                 + SUBMIT
@@ -77,12 +77,12 @@
     }
 
     @Test
-    void theSameEventsGiveTheSameActions() throws Exception {
+    void writesSameActionsForSameEvents() throws Exception {
         assertEquals(play(BORN + SUBMIT + FLUSH), play(BORN + SUBMIT + FLUSH));
     }
 
     @Test
-    void badInputIsRejected() {
+    void rejectsInvalidInput() {
         String sync = "{\"verb\":\"Sync\",\"time_ms\":10}\n";
         for (String bad : new String[] {
             "[1]",
--- a/gateway/src/test/java/opalcove/simulator/SimulatorAdapterTranscriptTest.java
+++ b/gateway/src/test/java/opalcove/simulator/SimulatorAdapterTranscriptTest.java
@@ -44,20 +44,20 @@
             List<String> lines = new String(recorded.readAllBytes(), StandardCharsets.UTF_8)
                     .lines()
                     .toList();
-            String output = play(marked(lines, "> "));
+            String output = play(linesMarked(lines, "> "));
             assertTrue(lines.size() > 100, name);
-            assertEquals(marked(lines, "< "), output, name);
+            assertEquals(linesMarked(lines, "< "), output, name);
         }
     }
 
-    private static String marked(List<String> lines, String mark) {
+    private static String linesMarked(List<String> lines, String mark) {
         return lines.stream()
                 .filter(line -> line.startsWith(mark))
                 .map(line -> line.substring(mark.length()) + "\n")
                 .collect(Collectors.joining());
     }
 
-    private static void rejects(String message, String input) {
+    private static void assertRejected(String message, String input) {
         assertEquals(
                 message,
                 assertThrows(InvalidConfigurationException.class, () -> play(input), input)
@@ -65,94 +65,94 @@
     }
 
     @Test
-    void everyEventAndEveryOutcomeCode() throws IOException {
+    void replaysEveryEventAndOutcomeCode() throws IOException {
         replay("every-code");
     }
 
     @Test
-    void probesAndSecondCopies() throws IOException {
+    void replaysHealthChecksAndHedgedRequests() throws IOException {
         replay("probes-and-copies");
     }
 
     @Test
-    void theListOnRequest() throws IOException {
+    void replaysEndpointListOnRequest() throws IOException {
         replay("list-on-request");
     }
 
     @Test
-    void backendsUnderPressure() throws IOException {
+    void replaysOverloadedBackends() throws IOException {
         replay("pressed");
     }
 
     @Test
-    void anEmptyBatchIsAnsweredWithItsEndAlone() throws IOException {
+    void repliesWithEndOnlyToEmptyBatch() throws IOException {
         assertEquals("{\"verb\":\"End\"}\n{\"verb\":\"End\"}\n", play(SYNC + FLUSH + SYNC + FLUSH));
     }
 
     @Test
-    void aStartArmsTheFirstTimer() throws IOException {
+    void setsFirstTimerWhenGatewayStarts() throws IOException {
         assertEquals(
                 "{\"verb\":\"WakeMe\",\"gateway\":4,\"handle\":0,\"sleep_for_ms\":250}\n{\"verb\":\"End\"}\n",
                 play(SYNC + BORN + FLUSH));
     }
 
     @Test
-    void batchesThatAreNotFramed() {
-        rejects("Sync inside a batch", SYNC + SYNC);
-        rejects(
+    void rejectsMessagesOutsideBatchFraming() {
+        assertRejected("Sync inside a batch", SYNC + SYNC);
+        assertRejected(
                 "field time_ms must not be lower than in the previous batch", SYNC + FLUSH + SYNC.replace("10", "9.5"));
-        rejects("Flush outside a batch", FLUSH);
-        rejects("Submit outside a batch", "{\"verb\":\"Submit\"}");
-        rejects("the input ended inside a batch", SYNC);
-        rejects("unknown verb Nosuch", SYNC + "{\"verb\":\"Nosuch\"}");
-        rejects("field verb is missing", SYNC + "{\"time\":1}");
-        rejects("field verb must be a text", "{\"verb\":7}");
-        rejects("field time_ms must be a number", "{\"verb\":\"Sync\",\"time_ms\":\"x\"}");
-        rejects("the message must be an object", "[1]");
-        rejects("malformed JSON: Unexpected end of input at 1:9", "{\"verb\":");
+        assertRejected("Flush outside a batch", FLUSH);
+        assertRejected("Submit outside a batch", "{\"verb\":\"Submit\"}");
+        assertRejected("the input ended inside a batch", SYNC);
+        assertRejected("unknown verb Nosuch", SYNC + "{\"verb\":\"Nosuch\"}");
+        assertRejected("field verb is missing", SYNC + "{\"time\":1}");
+        assertRejected("field verb must be a text", "{\"verb\":7}");
+        assertRejected("field time_ms must be a number", "{\"verb\":\"Sync\",\"time_ms\":\"x\"}");
+        assertRejected("the message must be an object", "[1]");
+        assertRejected("malformed JSON: Unexpected end of input at 1:9", "{\"verb\":");
     }
 
     @Test
-    void eventsThatCannotBeRead() {
-        rejects(
+    void rejectsMalformedEvents() {
+        assertRejected(
                 "TickDue for gateway 4, which is not running",
                 SYNC + "{\"verb\":\"TickDue\",\"gateway\":4,\"handle\":0}");
-        rejects(
+        assertRejected(
                 "Submit for gateway 4, which is not running",
                 SYNC + BORN + "{\"verb\":\"Killed\",\"gateway\":4}\n{\"verb\":\"Submit\",\"gateway\":4}");
-        rejects("field gateway is missing", SYNC + "{\"verb\":\"Inbox\"}");
-        rejects("field gateway is missing", SYNC + "{\"verb\":\"Total\"}");
-        rejects("field gateway must be a whole number", SYNC + "{\"verb\":\"Killed\",\"gateway\":1.5}");
-        rejects("field ticket is missing", SYNC + BORN + "{\"verb\":\"Submit\",\"gateway\":4}");
-        rejects(
+        assertRejected("field gateway is missing", SYNC + "{\"verb\":\"Inbox\"}");
+        assertRejected("field gateway is missing", SYNC + "{\"verb\":\"Total\"}");
+        assertRejected("field gateway must be a whole number", SYNC + "{\"verb\":\"Killed\",\"gateway\":1.5}");
+        assertRejected("field ticket is missing", SYNC + BORN + "{\"verb\":\"Submit\",\"gateway\":4}");
+        assertRejected(
                 "unknown code odd",
                 SYNC + BORN + "{\"verb\":\"Outcome\",\"gateway\":4,\"ticket\":\"a\",\"host\":\"h\",\"code\":\"odd\"}");
-        rejects(
+        assertRejected(
                 "field feedback must hold numbers",
                 SYNC + BORN + "{\"verb\":\"ProbeDone\",\"gateway\":4,\"host\":\"h\",\"code\":\"completed\","
                         + "\"feedback\":[\"x\"]}");
     }
 
     @Test
-    void listsThatCannotBeRead() {
-        rejects("unknown form odd", SYNC + BORN + "{\"verb\":\"Announce\",\"gateway\":4,\"form\":\"odd\",\"ref\":0}");
-        rejects(
+    void rejectsMalformedEndpointLists() {
+        assertRejected("unknown form odd", SYNC + BORN + "{\"verb\":\"Announce\",\"gateway\":4,\"form\":\"odd\",\"ref\":0}");
+        assertRejected(
                 "no Roster with ref 3",
                 SYNC + BORN + "{\"verb\":\"Announce\",\"gateway\":4,\"form\":\"whole\",\"ref\":3}");
-        rejects(
+        assertRejected(
                 "unknown stage_state odd",
                 SYNC + "{\"verb\":\"Roster\",\"ref\":0,\"lines\":[{\"host\":\"h\",\"stage_state\":\"odd\"}]}");
-        rejects("field lines must be a list", SYNC + "{\"verb\":\"Roster\",\"ref\":0,\"lines\":7}");
-        rejects(
+        assertRejected("field lines must be a list", SYNC + "{\"verb\":\"Roster\",\"ref\":0,\"lines\":7}");
+        assertRejected(
                 "field lines[0].host is missing",
                 SYNC + "{\"verb\":\"Roster\",\"ref\":0,\"lines\":[{\"stage_state\":\"on\"}]}");
     }
 
     @Test
-    void settingsThatCannotBeServed() {
-        rejects("field facts.profiles[0] must be an object", SYNC + born("7", PLAN));
-        rejects("field facts.tiers_of_service must not be empty", SYNC + born(CLASS, ""));
-        rejects(
+    void rejectsInvalidSettings() {
+        assertRejected("field facts.profiles[0] must be an object", SYNC + born("7", PLAN));
+        assertRejected("field facts.tiers_of_service must not be empty", SYNC + born(CLASS, ""));
+        assertRejected(
                 "field facts.tiers_of_service[0].quota_rate must be a finite number not below 0",
                 SYNC + born(CLASS, PLAN.replace("\"quota_rate\":5", "\"quota_rate\":-5")));
     }
