--- a/gateway/src/main/java/opalcove/backend/PooledCall.java
+++ b/gateway/src/main/java/opalcove/backend/PooledCall.java
@@ -51,7 +51,7 @@
         return !ended && !cancelled;
     }
 
-    /** The connection that was opened for it is up. */
+    /** Called when the connection that was opened for the attempt has been established. */
     void connected(PooledConnection newConnection) {
         // While the connection was being opened, the backend may have been drained or moved, the client may have
         // disconnected or received its response, or the window for a retry may have passed.
--- a/gateway/src/main/java/opalcove/core/RequestLifecycle.java
+++ b/gateway/src/main/java/opalcove/core/RequestLifecycle.java
@@ -16,7 +16,7 @@
 import org.tinylog.Logger;
 
 /**
- * Handles a request from its arrival to its end; the methods stand in the order of its steps. It is validated and
+ * Handles a request from its arrival to its end; the methods follow the order of its steps. It is validated and
  * accepted, and the decision module chooses the next step ({@link ModuleActions}): either a final response, which ends
  * the request, or an attempt at a backend, after which the module chooses again. Used on the event loop only.
  */
--- a/gateway/src/test/java/opalcove/backend/ConnectionPoolCapacityTest.java
+++ b/gateway/src/test/java/opalcove/backend/ConnectionPoolCapacityTest.java
@@ -96,7 +96,7 @@
         return done.get(20, TimeUnit.SECONDS);
     }
 
-    /** A connection that accepts all attempts and replies what the test passes to its listener. */
+    /** A connection that accepts all attempts; the test passes the replies to its listener. */
     private static final class FakeConnection implements BackendConnection {
         private Listener listener;
 
