--- a/gateway/src/main/java/opalcove/core/LoopHeartbeat.java
+++ b/gateway/src/main/java/opalcove/core/LoopHeartbeat.java
@@ -46,7 +46,8 @@
     }
 
     private double intervalMs() {
-        double wantedMs = DRAIN_GRACE_FRACTION * generations.newest().settings.obligations().drainGraceMs();
+        double wantedMs = DRAIN_GRACE_FRACTION
+                * generations.newest().settings.obligations().drainGraceMs();
         return Math.max(MIN_INTERVAL_MS, Math.min(MAX_INTERVAL_MS, wantedMs));
     }
 
--- a/gateway/src/main/java/opalcove/core/RequestDispatcher.java
+++ b/gateway/src/main/java/opalcove/core/RequestDispatcher.java
@@ -247,7 +247,8 @@
     public String infoLines() {
         return context.counters().infoLines() + context.invariants().infoLines() + systemCallFailures.infoLines()
                 + "asks_open="
-                + context.requests().count() + "\nlinks_open=" + context.transport().openConnections() + "\nlinks_resting="
+                + context.requests().count() + "\nlinks_open="
+                + context.transport().openConnections() + "\nlinks_resting="
                 + context.transport().idleConnections() + "\n";
     }
 
--- a/gateway/src/main/java/opalcove/core/RequestLifecycle.java
+++ b/gateway/src/main/java/opalcove/core/RequestLifecycle.java
@@ -28,8 +28,8 @@
     /** A request that may have been unread for no longer than this counts as just received, ms. */
     private static final double MAX_IGNORED_UNREAD_MS = 10;
     /**
-     * A response that exceeds its deadline by more than this violates the invariant, ms: the slack that is allowed on
-     * sockets.
+     * A response that exceeds its deadline by more than this violates the invariant, ms: the lateness that is allowed
+     * to a response sent over a socket.
      */
     private static final double RESPONSE_SLACK_MS = 50;
 
@@ -89,7 +89,8 @@
             requestClass = newest.validator.requestClass(
                     newest.validator.validate(request).requestClass());
         } catch (InvalidRequestException e) {
-            // Peers also count such a failure in the class that the request names, known or not.
+            // Counted in the class that the request names, even if that class is unknown, so that this metric can be
+            // compared with those of other gateways and proxies.
             return respondImmediately(handler, request.requestClass(), new Response.Failed(e.getMessage()));
         }
         if (requests.contains(request.id())) {
--- a/gateway/src/main/java/opalcove/core/SlowStartTimes.java
+++ b/gateway/src/main/java/opalcove/core/SlowStartTimes.java
@@ -35,8 +35,8 @@
 
     private final Map<String, Start> starts = new HashMap<>();
     /**
-     * When the endpoint source was last reached, ms. Negative until then; the backends known until then are those that
-     * an earlier process knew.
+     * When the endpoint source was last reached, ms. Negative until then; the backends known until then are those of an
+     * earlier process: the endpoints that the configuration lists as last known.
      */
     private double lastContactMs = -1;
 
--- a/gateway/src/test/java/opalcove/simulator/SimulatorAdapterTest.java
+++ b/gateway/src/test/java/opalcove/simulator/SimulatorAdapterTest.java
@@ -45,7 +45,8 @@
                 + "\"ended\":true,\"latency_ms\":50,\"shot\":0,\"use_pct\":21}\n" + FLUSH);
         assertTrue(out.contains("{\"verb\":\"HandOff\",\"gateway\":0,\"ticket\":\"00ab\",\"host\":\"h\"}"), out);
         assertTrue(out.contains("\"verb\":\"WakeMe\""), out);
-        assertEquals(2, out.lines().filter(line -> line.equals("{\"verb\":\"End\"}")).count());
+        assertEquals(
+                2, out.lines().filter(line -> line.equals("{\"verb\":\"End\"}")).count());
     }
 
     @Test
--- a/gateway/src/test/java/opalcove/simulator/SimulatorAdapterTranscriptTest.java
+++ b/gateway/src/test/java/opalcove/simulator/SimulatorAdapterTranscriptTest.java
@@ -135,7 +135,8 @@
 
     @Test
     void rejectsMalformedEndpointLists() {
-        assertRejected("unknown form odd", SYNC + BORN + "{\"verb\":\"Announce\",\"gateway\":4,\"form\":\"odd\",\"ref\":0}");
+        assertRejected(
+                "unknown form odd", SYNC + BORN + "{\"verb\":\"Announce\",\"gateway\":4,\"form\":\"odd\",\"ref\":0}");
         assertRejected(
                 "no Roster with ref 3",
                 SYNC + BORN + "{\"verb\":\"Announce\",\"gateway\":4,\"form\":\"whole\",\"ref\":3}");
