--- a/gateway/src/main/java/opalcove/core/AttemptGuard.java
+++ b/gateway/src/main/java/opalcove/core/AttemptGuard.java
@@ -57,7 +57,8 @@
             return new Veto(Invariant.LISTED, "the endpoint list does not offer backend " + backend);
         }
         if (inFlight.attemptsInFlight() >= maxConcurrentAttempts) {
-            return new Veto(Invariant.ATTEMPTS, "limit of " + maxConcurrentAttempts + " concurrent attempts reached");
+            return new Veto(
+                    Invariant.ATTEMPTS, maxConcurrentAttempts + " of its attempts in flight, which is the limit");
         }
         if (inFlight.attempts.size() >= maxAttempts) {
             return new Veto(Invariant.ATTEMPTS, "maximum number of attempts reached");
--- a/gateway/src/test/java/opalcove/core/HedgedRequestTest.java
+++ b/gateway/src/test/java/opalcove/core/HedgedRequestTest.java
@@ -60,9 +60,10 @@
 
     @Test
     public void allowsOneHedgedAttemptOnlyWhenHedgingIsEnabled() {
-        assertEquals(vetoes(true), "null, null, limit of 2 concurrent attempts reached");
+        assertEquals(vetoes(true), "null, null, 2 of its attempts in flight, which is the limit");
         assertEquals(
-                vetoes(false), "null, limit of 1 concurrent attempts reached, limit of 1 concurrent attempts reached");
+                vetoes(false),
+                "null, 1 of its attempts in flight, which is the limit, 1 of its attempts in flight, which is the limit");
     }
 
     /** Returns the guard's vetoes for a first, a second and a third attempt, while all earlier ones are in flight. */
