--- a/gateway/src/main/java/opalcove/core/BackendDirectory.java
+++ b/gateway/src/main/java/opalcove/core/BackendDirectory.java
@@ -12,77 +12,77 @@
 import org.tinylog.Logger;
 
 /**
- * Takes in the endpoint list and its changes, and passes them on to the transport, the decision modules and the figures.
+ * Applies the endpoint list and its changes, and forwards them to the transport, the decision modules and the metrics.
  * Used on the event loop only.
  */
 final class BackendDirectory {
     private final Clock clock;
     private final EndpointList endpoints;
-    private final SlowStartTimes starts = new SlowStartTimes();
+    private final SlowStartTimes startTimes = new SlowStartTimes();
     private final BackendTransport transport;
     private final ConfigGenerations generations;
-    private final TurnQueue turns;
+    private final SerialTaskQueue tasks;
     private final Counters counters;
     private final Metrics metrics;
 
-    BackendDirectory(CoreParts parts) {
-        clock = parts.clock();
-        endpoints = parts.endpoints();
-        transport = parts.transport();
-        generations = parts.generations();
-        turns = parts.turns();
-        counters = parts.counters();
-        metrics = parts.metrics();
+    BackendDirectory(CoreContext context) {
+        clock = context.clock();
+        endpoints = context.endpoints();
+        transport = context.transport();
+        generations = context.generations();
+        tasks = context.tasks();
+        counters = context.counters();
+        metrics = context.metrics();
     }
 
     /**
-     * Takes in the complete list or its changed entries.
+     * Applies the complete list or its changed entries.
      *
-     * @param sourceNowMs the time of the source's own clock as it gave the list, or 0 where it is not known
+     * @param sourceNowMs the time of the source's own clock when it sent the list, Unix ms, or 0 if it is not known
      */
     void endpointsChanged(boolean complete, List<Backend> entries, double sourceNowMs) {
         endpoints.update(complete, entries).forEach(transport::retire);
-        int implausible = starts.implausibleStarts();
-        List<Endpoint> local = starts.update(complete, entries, clock.now(), sourceNowMs);
-        if (starts.implausibleStarts() > implausible) {
-            counters.implausibleStartTimes += starts.implausibleStarts() - implausible;
+        int implausibleBefore = startTimes.implausibleStarts();
+        List<Endpoint> localEndpoints = startTimes.update(complete, entries, clock.now(), sourceNowMs);
+        if (startTimes.implausibleStarts() > implausibleBefore) {
+            counters.implausibleStartTimes += startTimes.implausibleStarts() - implausibleBefore;
             Logger.warn(
-                    "{} backends have start times that this machine's clock rules out: they count as started now",
-                    starts.implausibleStarts() - implausible);
+                    "the start times of {} backends are impossible by this machine's clock; they count as started now",
+                    startTimes.implausibleStarts() - implausibleBefore);
         }
         for (ConfigGeneration each : generations.inUse()) {
-            turns.run(() -> each.module.endpointsChanged(clock.now(), complete, local));
+            tasks.run(() -> each.module.endpointsChanged(clock.now(), complete, localEndpoints));
         }
-        countAvoided();
+        updateAvoidedBackends();
     }
 
-    /** Hands a new generation's module the list as it is. */
-    void introduceTo(ConfigGeneration generation) {
-        List<Endpoint> local = starts.localEndpoints(endpoints.all());
-        turns.run(() -> generation.module.endpointsChanged(clock.now(), true, local));
+    /** Sends the current complete list to the module of a new generation. */
+    void sendCompleteListTo(ConfigGeneration generation) {
+        List<Endpoint> localEndpoints = startTimes.localEndpoints(endpoints.all());
+        tasks.run(() -> generation.module.endpointsChanged(clock.now(), true, localEndpoints));
     }
 
-    /** The endpoint source was reached, with or without changes. */
+    /** Records that the endpoint source was reached, with or without changes. */
     void sourceContacted() {
-        starts.sourceContacted(clock.now());
+        startTimes.sourceContacted(clock.now());
     }
 
-    /** All backends that the list names. */
+    /** Returns all backends in the list. */
     List<Backend> all() {
         return endpoints.all();
     }
 
-    /** What the newest module would give each backend now. */
+    /** Returns the capacity share that the newest module would assign to each backend now. */
     List<CapacityShare> capacityShares() {
         return generations.newest().module.capacityShares(clock.now());
     }
 
-    /** Updates the figures of backends that are listed and get no new requests now, for whichever reason. */
-    void countAvoided() {
-        turns.run(this::updateAvoided);
+    /** Updates the metrics of listed backends and of those that get no new requests now, for any reason. */
+    void updateAvoidedBackends() {
+        tasks.run(this::computeAvoidedBackends);
     }
 
-    private void updateAvoided() {
+    private void computeAvoidedBackends() {
         Set<String> used = new HashSet<>();
         for (CapacityShare each : capacityShares()) {
             if (each.share() > 0) {
--- a/gateway/src/main/java/opalcove/core/CoreParts.java
+++ b/gateway/src/main/java/opalcove/core/CoreContext.java
@@ -6,12 +6,12 @@
 import opalcove.metrics.InvariantMonitor;
 import opalcove.metrics.Metrics;
 
-/** What the parts of the core share; all of it is used on one event loop only. */
-record CoreParts(
+/** The objects that the classes of the core share. All of them are used on one event loop only. */
+record CoreContext(
         Vertx vertx,
         Clock clock,
         TimerQueue timers,
-        TurnQueue turns,
+        SerialTaskQueue tasks,
         BackendTransport transport,
         EndpointList endpoints,
         AttemptGuard guard,
--- a/gateway/src/main/java/opalcove/core/ModuleActions.java
+++ b/gateway/src/main/java/opalcove/core/ModuleActions.java
@@ -13,8 +13,8 @@
 import org.tinylog.Logger;
 
 /**
- * Turns the actions of one generation's decision module into steps of the requests that it decides on, and runs its
- * timers. Used on the event loop only.
+ * Turns the actions of one generation's decision module into steps of its requests, and runs the module's timers. Used
+ * on the event loop only.
  */
 final class ModuleActions implements DecisionActions {
     private final ConfigGeneration generation;
@@ -24,57 +24,57 @@
     private final BackendTransport transport;
     private final EndpointList endpoints;
     private final AttemptGuard guard;
-    private final TurnQueue turns;
+    private final SerialTaskQueue tasks;
     private final TimerQueue timers;
     private final Clock clock;
     private final Counters counters;
     private final InvariantMonitor invariants;
     private final LongObjectMap<ModuleTimer> moduleTimers = new LongObjectHashMap<>();
 
-    ModuleActions(ConfigGeneration generation, CoreParts parts, RequestLifecycle lifecycle) {
+    ModuleActions(ConfigGeneration generation, CoreContext context, RequestLifecycle lifecycle) {
         this.generation = generation;
         this.lifecycle = lifecycle;
-        generations = parts.generations();
-        requests = parts.requests();
-        transport = parts.transport();
-        endpoints = parts.endpoints();
-        guard = parts.guard();
-        turns = parts.turns();
-        timers = parts.timers();
-        clock = parts.clock();
-        counters = parts.counters();
-        invariants = parts.invariants();
+        generations = context.generations();
+        requests = context.requests();
+        transport = context.transport();
+        endpoints = context.endpoints();
+        guard = context.guard();
+        tasks = context.tasks();
+        timers = context.timers();
+        clock = context.clock();
+        counters = context.counters();
+        invariants = context.invariants();
     }
 
-    private void decide(String id, Step step) {
+    private void appendStep(String id, Step step) {
         InFlightRequest inFlight = requests.find(id, generation);
         if (inFlight != null) {
-            turns.append(() -> lifecycle.follow(inFlight, step));
+            tasks.append(() -> lifecycle.execute(inFlight, step));
         }
     }
 
     @Override
     public void startAttempt(String id, String backend, double timeoutMs) {
-        decide(id, new Step.Forward(backend, timeoutMs));
+        appendStep(id, new Step.Forward(backend, timeoutMs));
     }
 
     @Override
     public void shed(String id, double retryAfterMs) {
         InFlightRequest inFlight = requests.find(id, generation);
         if (inFlight != null && !guard.mayRefuse(inFlight)) {
-            // Guards against promising that a repeat is harmless when an attempt may have had its effect.
+            // A refusal would promise that a repeat is harmless although an attempt may already have had its effect.
             counters.vetoed++;
-            invariants.prevented(Invariant.REFUSAL, id, "it may have run");
+            invariants.prevented(Invariant.REFUSAL, id, "an attempt may have run");
             fail(id);
             return;
         }
         counters.refused(ShedReason.DECIDED);
-        decide(id, new Step.Respond(new Response.Refused((long) Math.ceil(Math.max(0, retryAfterMs)))));
+        appendStep(id, new Step.Respond(new Response.Refused((long) Math.ceil(Math.max(0, retryAfterMs)))));
     }
 
     @Override
     public void fail(String id) {
-        decide(id, new Step.Respond(new Response.Failed("failed")));
+        appendStep(id, new Step.Respond(new Response.Failed("failed")));
     }
 
     @Override
@@ -84,11 +84,12 @@
             return;
         }
         InFlightRequest.Attempt unwanted = inFlight.attempts.get(attempt);
-        // Guards the value that is being streamed; a hedged attempt beside it may be cancelled.
+        // The attempt whose value is being streamed is not cancelled, as that would truncate the value; its hedged
+        // attempt may be cancelled.
         boolean streaming = inFlight.streaming != null && inFlight.streaming.attempt() == unwanted;
         if (!streaming && unwanted.status == null) {
             counters.cancelled++;
-            turns.append(unwanted.inProgress::cancel);
+            tasks.append(unwanted.transportAttempt::cancel);
         }
     }
 
@@ -111,26 +112,29 @@
     public void checkHealth(String name) {
         Backend backend = endpoints.available(name);
         if (backend != null) {
-            turns.append(() -> checkHealth(backend));
+            tasks.append(() -> checkHealth(backend));
         }
     }
 
-    /** Checks whether a backend that the module avoids can be reached: without that it would avoid it for ever. */
+    /**
+     * Checks whether a backend that the module avoids can be reached. Without this check the module would avoid it
+     * forever.
+     */
     private void checkHealth(Backend backend) {
         counters.healthChecks++;
-        double beganMs = clock.now();
+        double startedAtMs = clock.now();
         transport.checkReachable(
                 backend,
-                reached -> turns.run(() -> {
+                reached -> tasks.run(() -> {
                     ProbeStatus status = reached ? ProbeStatus.DONE : ProbeStatus.NOT_DONE;
                     double nowMs = clock.now();
-                    generation.module.healthCheckEnded(nowMs, backend.name(), status, nowMs - beganMs, null);
+                    generation.module.healthCheckEnded(nowMs, backend.name(), status, nowMs - startedAtMs, null);
                 }));
     }
 
     @Override
     public void subscribeToEndpoints() {
-        // The endpoint list is always followed here.
+        // The gateway always follows the endpoint list.
     }
 
     @Override
@@ -149,9 +153,9 @@
         @Override
         void onExpiry() {
             moduleTimers.remove(token);
-            // A retired generation has no request left to decide on, and so no need of its ticks.
+            // A retired generation has no request left to decide on, so its module needs no timers.
             if (!generations.isRetired(generation)) {
-                turns.run(() -> generation.module.timerExpired(clock.now(), token));
+                tasks.run(() -> generation.module.timerExpired(clock.now(), token));
             }
         }
     }
--- a/gateway/src/main/java/opalcove/core/RequestLifecycle.java
+++ b/gateway/src/main/java/opalcove/core/RequestLifecycle.java
@@ -16,27 +16,30 @@
 import org.tinylog.Logger;
 
 /**
- * The life of a request, from top to bottom: it is validated and accepted; the decision module chooses
- * ({@link ModuleActions}); a final response ends it, or a backend gets an attempt, after whose end the module chooses
- * again. Used on the event loop only.
+ * Handles a request from its arrival to its end; the methods follow the order of its steps. It is validated and
+ * accepted, and the decision module chooses the next step ({@link ModuleActions}): either a final response, which ends
+ * the request, or an attempt at a backend, after which the module chooses again. Used on the event loop only.
  */
 final class RequestLifecycle {
-    /** The last moment for a final response should the module give none, ms before the client's deadline. */
+    /** If the module has given no final response this long before the client's deadline, the request is failed, ms. */
     private static final double DEADLINE_MARGIN_MS = 5;
-    /** Less time than this before the process ends is too little to serve a request in, ms. */
+    /** A request is refused if the process ends in less than this time, ms, which is too short to serve it. */
     private static final double MIN_SERVE_TIME_MS = 100;
-    /** A request that may have lain unread for no longer counts as just received, ms. */
-    private static final double UNREAD_IGNORED_MS = 10;
-    /** A response that is later than its deadline by more than this violates the invariant, ms: the slack on sockets. */
+    /** A request that may have been unread for no longer than this counts as just received, ms. */
+    private static final double MAX_IGNORED_UNREAD_MS = 10;
+    /**
+     * A response that exceeds its deadline by more than this violates the invariant, ms: the lateness that is allowed
+     * to a response sent over a socket.
+     */
     private static final double RESPONSE_SLACK_MS = 50;
 
     private static final AttemptGuard.Veto CLIENT_DISCONNECTED =
-            new AttemptGuard.Veto(Invariant.CLIENT_WAITS, "its client has left");
+            new AttemptGuard.Veto(Invariant.CLIENT_WAITS, "its client has disconnected");
 
     private final Vertx vertx;
     private final Clock clock;
     private final TimerQueue timers;
-    private final TurnQueue turns;
+    private final SerialTaskQueue tasks;
     private final BackendTransport transport;
     private final EndpointList endpoints;
     private final AttemptGuard guard;
@@ -49,34 +52,35 @@
     private final LoopHeartbeat heartbeat;
     private final StreamedResponses streamedResponses;
     private EndpointSource endpointSource = EndpointSource.ALWAYS_CURRENT;
-    /** When the process will be ended at the earliest. */
+    /** The earliest time at which the process ends, by the clock, ms. */
     private double processEndsAtMs = Double.MAX_VALUE;
 
-    RequestLifecycle(CoreParts parts, LoopHeartbeat heartbeat) {
+    RequestLifecycle(CoreContext context, LoopHeartbeat heartbeat) {
         this.heartbeat = heartbeat;
-        vertx = parts.vertx();
-        clock = parts.clock();
-        timers = parts.timers();
-        turns = parts.turns();
-        transport = parts.transport();
-        endpoints = parts.endpoints();
-        guard = parts.guard();
-        generations = parts.generations();
-        requests = parts.requests();
-        counters = parts.counters();
-        invariants = parts.invariants();
-        metrics = parts.metrics();
+        vertx = context.vertx();
+        clock = context.clock();
+        timers = context.timers();
+        tasks = context.tasks();
+        transport = context.transport();
+        endpoints = context.endpoints();
+        guard = context.guard();
+        generations = context.generations();
+        requests = context.requests();
+        counters = context.counters();
+        invariants = context.invariants();
+        metrics = context.metrics();
         responseCounts = new ResponseCounts(counters, metrics);
-        streamedResponses = new StreamedResponses(parts, responseCounts);
+        streamedResponses = new StreamedResponses(context, responseCounts);
     }
 
-    // Intake.
+    // Arrival of a request.
 
     /**
-     * Validates a request and accepts it, or responds at once.
+     * Validates a request and accepts it, or responds immediately.
      *
-     * @param unreadMs how long it may have lain unread here: its client has been waiting since
-     * @return null where the response was given at once
+     * @param unreadMs how long the request may have waited unread in this process, ms; its client has been waiting
+     *     since
+     * @return null if the response was given within this call
      */
     RequestHandle dispatch(Request request, ResponseHandler handler, double unreadMs) {
         ConfigGeneration newest = generations.newest();
@@ -85,48 +89,53 @@
             requestClass = newest.validator.requestClass(
                     newest.validator.validate(request).requestClass());
         } catch (InvalidRequestException e) {
-            // Peers count such a failure in the class that the request names, known or not.
-            return respondAtOnce(handler, request.requestClass(), new Response.Failed(e.getMessage()));
+            // Counted in the class that the request names, even if that class is unknown, so that this metric can be
+            // compared with those of other gateways and proxies.
+            return respondImmediately(handler, request.requestClass(), new Response.Failed(e.getMessage()));
         }
         if (requests.contains(request.id())) {
-            // Guards an open request against another client that names its id: it is not joined, answered or ended.
-            return respondAtOnce(handler, requestClass.name(), new Response.Failed("this id is under way"));
+            // Another client that sends the id of an open request must not join that request, receive its response or
+            // end it.
+            return respondImmediately(handler, requestClass.name(), new Response.Failed("this id is under way"));
         }
         return admit(request, requestClass, handler, unreadMs);
     }
 
-    /** Accepts a valid request and has the module decide on it, or sheds it at once. */
+    /** Accepts a valid request and requests a decision from the module, or sheds the request immediately. */
     private RequestHandle admit(
             Request request, DecisionSettings.RequestClass requestClass, ResponseHandler handler, double unreadMs) {
         DecisionSettings.Limits limits = generations.newest().settings.limits();
         if (requests.count() >= limits.maxOpen()) {
-            // Guards memory and descriptors against more open requests than this machine can hold.
+            // More open requests than this machine can hold would exhaust its memory and descriptors.
             return shed(handler, requestClass, ShedReason.TOO_MANY_OPEN, (long) limits.maxRetryAfterMs());
         }
         double untilEndMs = processEndsAtMs - clock.now();
         if (untilEndMs < MIN_SERVE_TIME_MS) {
-            // Guards a request that comes late in the shutdown against being accepted and never answered.
+            // A request that arrives late in the shutdown would otherwise be accepted and never get a response.
             return shed(handler, requestClass, ShedReason.ENDING, 0);
         }
-        double timeoutMs = unreadMs > UNREAD_IGNORED_MS ? request.timeoutMs() - unreadMs : request.timeoutMs();
+        double timeoutMs = unreadMs > MAX_IGNORED_UNREAD_MS ? request.timeoutMs() - unreadMs : request.timeoutMs();
         if (timeoutMs <= 0) {
-            // Its deadline was over before it was read: nothing may be sent for it any more.
+            // The deadline passed before the request was read, so nothing may be sent to a backend for it.
             return shed(handler, requestClass, ShedReason.UNREAD_IN_TIME, 0);
         }
         InFlightRequest accepted =
                 accept(request.withTimeoutMs(Math.min(timeoutMs, untilEndMs)), requestClass, handler);
-        consultModule(accepted);
-        return accepted.over ? null : accepted;
+        requestDecision(accepted);
+        return accepted.finished ? null : accepted;
     }
 
     private RequestHandle shed(
             ResponseHandler handler, DecisionSettings.RequestClass requestClass, ShedReason reason, long retryAfterMs) {
         counters.refused(reason);
-        return respondAtOnce(handler, requestClass.name(), new Response.Refused(retryAfterMs));
+        return respondImmediately(handler, requestClass.name(), new Response.Refused(retryAfterMs));
     }
 
-    /** The class is null where the request names none: its end is counted, but in no class. */
-    private RequestHandle respondAtOnce(ResponseHandler handler, String requestClass, Response response) {
+    /**
+     * Responds within this call. The class is null if the request names none; the response is then counted, but in no
+     * class.
+     */
+    private RequestHandle respondImmediately(ResponseHandler handler, String requestClass, Response response) {
         responseCounts.count(requestClass, response);
         handler.onResponse(response);
         handler.onReleased();
@@ -138,41 +147,44 @@
         InFlightRequest accepted =
                 new InFlightRequest(this, generations.newest(), request, requestClass, handler, clock.now());
         requests.open(accepted);
-        timers.schedule(request.timeoutMs() - DEADLINE_MARGIN_MS, accepted.deadline());
+        timers.schedule(request.timeoutMs() - DEADLINE_MARGIN_MS, accepted.deadlineTimer());
         return accepted;
     }
 
     // Decisions of the module.
 
-    private void consultModule(InFlightRequest inFlight) {
-        turns.run(() -> inFlight.generation.module.requestArrived(clock.now(), inFlight.admissionRequest()));
+    private void requestDecision(InFlightRequest inFlight) {
+        tasks.run(() -> inFlight.generation.module.requestArrived(clock.now(), inFlight.admissionRequest()));
     }
 
-    /** Does what the module chose; what it chooses for a request that is over has no effect. */
-    void follow(InFlightRequest inFlight, Step step) {
-        if (inFlight.over || inFlight.streaming != null) {
+    /** Executes the step that the module chose. A step for a request that has ended has no effect. */
+    void execute(InFlightRequest inFlight, Step step) {
+        if (inFlight.finished || inFlight.streaming != null) {
             return;
         }
-        if (step instanceof Step.Respond last) {
+        if (step instanceof Step.Respond respond) {
             requests.close(inFlight);
-            responseCounts.count(inFlight.requestClass.name(), last.response());
+            responseCounts.count(inFlight.requestClass.name(), respond.response());
             double lateMs = clock.now() - inFlight.acceptedAtMs - inFlight.request.timeoutMs();
             if (lateMs > RESPONSE_SLACK_MS) {
                 invariants.violated(
                         Invariant.ANSWER_IN_TIME,
                         inFlight.request.id(),
-                        "answered " + (long) lateMs + " ms after its time");
+                        "responded " + (long) lateMs + " ms after its deadline");
             }
-            inFlight.finish(last.response());
+            inFlight.finish(respond.response());
         } else {
-            attempt(inFlight, (Step.Forward) step);
+            forward(inFlight, (Step.Forward) step);
         }
     }
 
     // Attempts.
 
-    /** One attempt: started if the guard allows it and its client is still connected, else ended as not sent. */
-    private void attempt(InFlightRequest inFlight, Step.Forward step) {
+    /**
+     * Makes one attempt: it is started if the guard allows it and the client is still connected, else it ends as not
+     * sent.
+     */
+    private void forward(InFlightRequest inFlight, Step.Forward step) {
         double nowMs = clock.now();
         AttemptGuard.Veto veto = guard.vetoAttempt(inFlight, step.backend(), nowMs);
         boolean connected = isClientConnected(inFlight);
@@ -185,18 +197,18 @@
         }
         if (veto != null || !connected) {
             reportOutcome(inFlight, attempt, step.backend(), AttemptResult.withoutReport(AttemptStatus.NOT_SENT));
-        } else if (heartbeat.isLoopHeldUp(nowMs) || !endpointSource.isCurrent()) {
-            attempt.inProgress = new DeferredAttempt(vertx, this, inFlight, attempt, step);
+        } else if (heartbeat.isLoopDelayed(nowMs) || !endpointSource.isCurrent()) {
+            attempt.transportAttempt = new DeferredAttempt(vertx, this, inFlight, attempt, step);
         } else {
-            start(inFlight, attempt, step);
+            startAttempt(inFlight, attempt, step);
         }
     }
 
-    void start(InFlightRequest inFlight, InFlightRequest.Attempt attempt, Step.Forward step) {
+    void startAttempt(InFlightRequest inFlight, InFlightRequest.Attempt attempt, Step.Forward step) {
         counters.attempts++;
         metrics.backendCall();
         double remainingMs = remainingMs(inFlight);
-        attempt.inProgress = transport.startAttempt(
+        attempt.transportAttempt = transport.startAttempt(
                 attempt.backend,
                 inFlight.request,
                 step.timeoutMs() > 0 ? Math.min(remainingMs, step.timeoutMs()) : remainingMs,
@@ -208,15 +220,17 @@
         endpointSource.whenCurrent(action);
     }
 
-    /** Whether a response is still awaited by a client that is there; ends the request of one that has left. */
+    /** Whether the client is still connected; ends the request of a client that has disconnected. */
     private boolean isClientConnected(InFlightRequest inFlight) {
-        if (!inFlight.over && !inFlight.clientDisconnected && !inFlight.isClientConnected()) {
+        if (!inFlight.finished && !inFlight.clientDisconnected && !inFlight.isClientConnected()) {
             clientDisconnected(inFlight);
         }
         return !inFlight.clientDisconnected;
     }
 
-    /** A connection has come up for the attempt: whether what was decided before still holds. */
+    /**
+     * Called when a connection for the attempt has been established. Returns whether the earlier decision still holds.
+     */
     boolean isStillWanted(InFlightRequest inFlight, InFlightRequest.Attempt attempt) {
         return isAllowed(
                 inFlight,
@@ -225,7 +239,10 @@
                         : CLIENT_DISCONNECTED);
     }
 
-    /** The attempt's bytes, which pass on this deadline, are about to leave: whether they still may. */
+    /**
+     * Called right before the attempt's bytes are written, which forward this deadline. Returns whether they may still
+     * be written.
+     */
     boolean maySend(InFlightRequest inFlight, InFlightRequest.Attempt attempt, double deadlineMs) {
         return isAllowed(
                 inFlight,
@@ -244,39 +261,46 @@
 
     // Outcomes.
 
-    /** A value too long to be gathered has begun to come. */
-    boolean valueBegan(InFlightRequest inFlight, InFlightRequest.Attempt attempt, StreamedValue value) {
-        return streamedResponses.began(inFlight, attempt, value);
+    /**
+     * Called when the first bytes of a value arrive that is too long to be buffered. Returns whether the value is
+     * accepted.
+     */
+    boolean streamedValueStarted(InFlightRequest inFlight, InFlightRequest.Attempt attempt, StreamedValue value) {
+        return streamedResponses.valueStarted(inFlight, attempt, value);
     }
 
-    /** An attempt was started and has ended. */
+    /** Called when an attempt that was started has ended. */
     void attemptEnded(InFlightRequest inFlight, InFlightRequest.Attempt attempt, AttemptResult result) {
         counters.attemptEnded(result.status());
         if (inFlight.streaming != null && inFlight.streaming.attempt() == attempt) {
-            streamedResponses.ended(inFlight, result);
+            streamedResponses.valueEnded(inFlight, result);
             return;
         }
-        // Guards a backend against blame for a connection that only had no time to come up: its client left meanwhile.
-        boolean blameless = inFlight.clientDisconnected && result.status() == AttemptStatus.UNREACHABLE;
+        // The client disconnected while the connection was being opened, and that cancelled it. Reporting this as
+        // unreachable would count it as a fault of the backend.
+        boolean notBackendFault = inFlight.clientDisconnected && result.status() == AttemptStatus.UNREACHABLE;
         reportOutcome(
                 inFlight,
                 attempt,
                 attempt.backend.name(),
-                blameless ? AttemptResult.withoutReport(AttemptStatus.NOT_SENT) : result);
+                notBackendFault ? AttemptResult.withoutReport(AttemptStatus.NOT_SENT) : result);
     }
 
-    /** Notifies the module of an attempt's end. A served value is final; else the module's next step follows. */
+    /**
+     * Notifies the module of the end of an attempt. A served value is the final response; otherwise the module chooses
+     * the next step.
+     */
     private void reportOutcome(
             InFlightRequest inFlight, InFlightRequest.Attempt attempt, String backend, AttemptResult result) {
         attempt.status = result.status();
         boolean served = result.status() == AttemptStatus.SERVED;
-        // Guards a lent value against being read when it is no longer valid: this turn may run later.
-        ByteBuf value = served && turns.isRunning() ? Unpooled.copiedBuffer(result.value()) : result.value();
+        // The value is valid only during this call, and the task below may run later, so the value is copied.
+        ByteBuf value = served && tasks.isRunning() ? Unpooled.copiedBuffer(result.value()) : result.value();
         double nowMs = clock.now();
-        turns.run(() -> {
-            boolean first = served && !inFlight.over && inFlight.streaming == null;
-            if (first) {
-                follow(inFlight, new Step.Respond(new Response.Served(value)));
+        tasks.run(() -> {
+            boolean isFinalResponse = served && !inFlight.finished && inFlight.streaming == null;
+            if (isFinalResponse) {
+                execute(inFlight, new Step.Respond(new Response.Served(value)));
                 cancelHedges(inFlight);
             }
             inFlight.generation.module.attemptEnded(
@@ -287,52 +311,53 @@
                             attempt.number,
                             result.status(),
                             nowMs - attempt.startedAtMs,
-                            inFlight.over,
+                            inFlight.finished,
                             result.quotaUsedPercent(),
-                            first ? result.actualUnits() : 0,
+                            isFinalResponse ? result.actualUnits() : 0,
                             result.loadReport()));
             inFlight.releaseIfDone();
         });
     }
 
     /**
-     * Cancels what is still out of a served request: its hedged attempt, where there is one. The module cannot, for the
-     * request is closed by the time that it is notified of the response.
+     * Cancels the attempts of a served request that are still in flight, such as a hedged attempt. The module cannot
+     * cancel them, because the request is closed by the time that the module is notified of the response.
      */
     private void cancelHedges(InFlightRequest inFlight) {
         if (!inFlight.generation.settings.limits().mayCancel()) {
             return;
         }
-        // By index: an iterator would be an object for each request.
+        // Iterates by index, because an iterator would be allocated for each request.
         for (int i = 0; i < inFlight.attempts.size(); i++) {
             InFlightRequest.Attempt hedge = inFlight.attempts.get(i);
             if (hedge.status == null) {
                 counters.cancelled++;
-                turns.append(hedge.inProgress::cancel);
+                tasks.append(hedge.transportAttempt::cancel);
             }
         }
     }
 
-    // The end without a served value.
+    // End without a served value.
 
     /**
-     * Guards the promise of one response in time against a module that holds a request too long. Also ends the waiting
-     * for an attempt that outlasts its request, where the settings let none be cancelled: its backend may never answer.
+     * Responds to a request that the module has kept too long, so that each request gets one response before its
+     * deadline. For a request that has ended, stops waiting for its remaining attempts: if the settings do not allow
+     * cancelling them, they are still in flight and their backends may never reply.
      */
     void deadlineExpired(InFlightRequest inFlight) {
-        if (inFlight.over) {
+        if (inFlight.finished) {
             List.copyOf(inFlight.attempts).stream()
                     .filter(attempt -> attempt.status == null)
-                    .forEach(late -> {
+                    .forEach(unfinished -> {
                         counters.cancelled++;
-                        late.inProgress.cancel();
+                        unfinished.transportAttempt.cancel();
                     });
             return;
         }
         if (inFlight.expedited) {
-            endAttempts(
+            cancelAttempts(
                     inFlight,
-                    () -> follow(
+                    () -> execute(
                             inFlight,
                             new Step.Respond(
                                     guard.mayRefuse(inFlight)
@@ -342,33 +367,36 @@
         }
         counters.deadlineExpired++;
         Logger.error("{} had no response at its deadline", inFlight.request.id());
-        endAttempts(inFlight, () -> follow(inFlight, new Step.Respond(new Response.Failed("deadline"))));
+        cancelAttempts(inFlight, () -> execute(inFlight, new Step.Respond(new Response.Failed("deadline"))));
     }
 
-    /** The client has left: its attempts are cancelled and nothing is owed any more. */
+    /** Called when the client has disconnected: cancels the attempts and ends the request without a response. */
     void clientDisconnected(InFlightRequest inFlight) {
-        if (inFlight.over || inFlight.clientDisconnected) {
+        if (inFlight.finished || inFlight.clientDisconnected) {
             return;
         }
         counters.clientsDisconnected++;
         inFlight.clientDisconnected = true;
         if (inFlight.streaming != null) {
-            inFlight.streaming.attempt().inProgress.cancel();
+            inFlight.streaming.attempt().transportAttempt.cancel();
             return;
         }
-        endAttempts(inFlight, () -> {
-            if (!inFlight.over) {
+        cancelAttempts(inFlight, () -> {
+            if (!inFlight.finished) {
                 requests.close(inFlight);
                 inFlight.finish(null);
             }
         });
     }
 
-    /** Has the module cancel the request's attempts, which needs its records, and only then closes the request. */
-    private void endAttempts(InFlightRequest inFlight, Runnable closing) {
-        turns.run(() -> {
+    /**
+     * Lets the module cancel the request's attempts and then runs the action that closes the request. The order
+     * matters, as the module needs its records of the open request.
+     */
+    private void cancelAttempts(InFlightRequest inFlight, Runnable closeRequest) {
+        tasks.run(() -> {
             inFlight.generation.module.requestCancelled(clock.now(), inFlight.request.id());
-            turns.append(closing);
+            tasks.append(closeRequest);
         });
     }
 
@@ -376,27 +404,29 @@
         return inFlight.remainingMs(clock.now());
     }
 
-    /** Has the request end before the process does: the response of a later one waits for its own. */
+    /**
+     * Makes the request end before the process does, because the response of a later request waits for its response.
+     */
     void expedite(InFlightRequest inFlight) {
-        if (!inFlight.over
+        if (!inFlight.finished
                 && inFlight.streaming == null
                 && inFlight.acceptedAtMs + inFlight.request.timeoutMs() > processEndsAtMs) {
             inFlight.expedited = true;
             cancelDeadline(inFlight);
-            timers.scheduleAt(processEndsAtMs - DEADLINE_MARGIN_MS, inFlight.deadline());
+            timers.scheduleAt(processEndsAtMs - DEADLINE_MARGIN_MS, inFlight.deadlineTimer());
         }
     }
 
     void cancelDeadline(InFlightRequest inFlight) {
-        timers.cancel(inFlight.deadline());
+        timers.cancel(inFlight.deadlineTimer());
     }
 
     void endpointSource(EndpointSource source) {
         endpointSource = source;
     }
 
-    /** The process will be ended so many ms from now. */
-    void processEndsIn(double ms) {
-        processEndsAtMs = clock.now() + ms;
+    /** Announces that the process ends in {@code remainingMs}. */
+    void processEndsIn(double remainingMs) {
+        processEndsAtMs = clock.now() + remainingMs;
     }
 }
--- a/gateway/src/main/java/opalcove/core/StreamedResponses.java
+++ b/gateway/src/main/java/opalcove/core/StreamedResponses.java
@@ -5,35 +5,37 @@
 import opalcove.decision.AttemptStatus;
 
 /**
- * Responses whose value is too long to be gathered and is streamed to the client while it comes. Used on the event loop
- * only.
+ * Handles responses whose value is too long to be buffered and is streamed to the client as it arrives. Used on the
+ * event loop only.
  */
 final class StreamedResponses {
     private final Clock clock;
     private final TimerQueue timers;
-    private final TurnQueue turns;
+    private final SerialTaskQueue tasks;
     private final InFlightRequests requests;
     private final ResponseCounts responseCounts;
 
-    StreamedResponses(CoreParts parts, ResponseCounts responseCounts) {
-        clock = parts.clock();
-        timers = parts.timers();
-        turns = parts.turns();
-        requests = parts.requests();
+    StreamedResponses(CoreContext context, ResponseCounts responseCounts) {
+        clock = context.clock();
+        timers = context.timers();
+        tasks = context.tasks();
+        requests = context.requests();
         this.responseCounts = responseCounts;
     }
 
     /**
-     * A streamed value has begun. It is the final response, for what was forwarded cannot be taken back: to the module
-     * the attempt is served now, whatever time the client takes to read, and its figures follow at the end.
+     * Called when the first bytes of a streamed value have arrived. The value is the final response, because forwarded
+     * bytes cannot be withdrawn. The module is notified now that the attempt was served, so that its latency does not
+     * include the time that the client takes to read; the usage figures are reported at the end. Returns whether the
+     * handler accepts the value.
      */
-    boolean began(InFlightRequest inFlight, InFlightRequest.Attempt attempt, StreamedValue value) {
-        if (!inFlight.stream(attempt, value)) {
+    boolean valueStarted(InFlightRequest inFlight, InFlightRequest.Attempt attempt, StreamedValue value) {
+        if (!inFlight.acceptStreamedValue(attempt, value)) {
             return false;
         }
-        timers.cancel(inFlight.deadline());
+        timers.cancel(inFlight.deadlineTimer());
         double nowMs = clock.now();
-        turns.run(() -> inFlight.generation.module.attemptEnded(
+        tasks.run(() -> inFlight.generation.module.attemptEnded(
                 nowMs,
                 new AttemptOutcome(
                         inFlight.request.id(),
@@ -48,11 +50,11 @@
         return true;
     }
 
-    /** The attempt whose value was streamed has ended, the value complete or truncated. */
-    void ended(InFlightRequest inFlight, AttemptResult result) {
+    /** Called when the attempt whose value was streamed has ended, with the value complete or truncated. */
+    void valueEnded(InFlightRequest inFlight, AttemptResult result) {
         inFlight.streaming.attempt().status = result.status();
-        turns.run(() -> {
-            if (!inFlight.over) {
+        tasks.run(() -> {
+            if (!inFlight.finished) {
                 requests.close(inFlight);
                 responseCounts.count(
                         inFlight.requestClass.name(),
--- a/gateway/src/test/java/opalcove/backend/ConnectionPoolCapacityTest.java
+++ b/gateway/src/test/java/opalcove/backend/ConnectionPoolCapacityTest.java
@@ -20,7 +20,9 @@
 import opalcove.lifecycle.Application;
 import org.testng.annotations.Test;
 
-/** A pool that may open no more connections: idle ones to one backend give way to another backend. */
+/**
+ * Checks that a pool that may open no more connections closes idle connections to one backend to connect to another.
+ */
 public class ConnectionPoolCapacityTest {
     private static final int MAX_CONNECTIONS = 8;
 
@@ -28,7 +30,7 @@
     private final List<FakeConnection> connections = new ArrayList<>();
 
     @Test
-    public void linesAtRestGiveWayToANewNode() throws Exception {
+    public void closesIdleConnectionWhenNewBackendNeedsCapacity() throws Exception {
         try {
             ConnectionPool pool =
                     onLoop(() -> new ConnectionPool(vertx, TestSettings.settings(), this::connect, MAX_CONNECTIONS));
@@ -37,37 +39,39 @@
                     attempt(pool, "first", new ArrayList<>());
                 }
                 connections.forEach(
-                        connection -> connection.user.onReply(AttemptResult.withoutReport(AttemptStatus.REJECTED)));
+                        connection -> connection.listener.onReply(AttemptResult.withoutReport(AttemptStatus.REJECTED)));
                 return null;
             });
-            long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(20);
-            while (onLoop(pool::idleConnections) < MAX_CONNECTIONS - 1 && System.nanoTime() < end) {
+            long deadlineNanos = System.nanoTime() + TimeUnit.SECONDS.toNanos(20);
+            while (onLoop(pool::idleConnections) < MAX_CONNECTIONS - 1 && System.nanoTime() < deadlineNanos) {
                 Thread.sleep(1);
             }
-            // One of those that came to rest was closed, so that there is room.
+            // One of the connections that became idle was closed, so that there is capacity for a new one.
             assertEquals(onLoop(pool::openConnections), Integer.valueOf(MAX_CONNECTIONS - 1));
             for (int i = 0; i < MAX_CONNECTIONS; i++) {
                 descriptorsFreed();
-                List<AttemptResult> ends = new ArrayList<>();
+                List<AttemptResult> results = new ArrayList<>();
                 String backend = "new-" + i;
-                assertTrue(onLoop(() -> attempt(pool, backend, ends)), "connected: " + backend);
-                assertEquals(ends, List.of());
+                assertTrue(onLoop(() -> attempt(pool, backend, results)), "a connection is opened to " + backend);
+                assertEquals(results, List.of());
             }
         } finally {
             vertx.close();
         }
     }
 
-    /** Makes an attempt, and says whether a connection was opened for it. */
-    private boolean attempt(ConnectionPool pool, String name, List<AttemptResult> ends) {
+    /** Starts an attempt and returns whether a connection was opened for it. */
+    private boolean attempt(ConnectionPool pool, String name, List<AttemptResult> results) {
         int before = connections.size();
         Backend backend = new Backend(new Endpoint(name, "room-a", "app", 0, EndpointState.UP, 1, 0), name);
         Request request = new Request("id", "operator", "slot-status", "start", 1, 4000, null, false, 1, 0, null);
-        pool.startAttempt(backend, request, 4000, ends::add);
+        pool.startAttempt(backend, request, 4000, results::add);
         return connections.size() > before;
     }
 
-    /** A timer that is set now and due later than that of the closed connection's descriptor. */
+    /**
+     * Waits until the descriptor of the closed connection is freed: this timer is due later than the one that frees it.
+     */
     private void descriptorsFreed() throws Exception {
         CompletableFuture<Void> freed = new CompletableFuture<>();
         vertx.runOnContext(closed -> vertx.setTimer(5, due -> freed.complete(null)));
@@ -92,21 +96,21 @@
         return done.get(20, TimeUnit.SECONDS);
     }
 
-    /** A connection that takes everything and answers what the test says. */
+    /** A connection that accepts all attempts; the test passes the replies to its listener. */
     private static final class FakeConnection implements BackendConnection {
-        private Listener user;
+        private Listener listener;
 
         @Override
-        public void setListener(Listener attached) {
-            user = attached;
+        public void setListener(Listener newListener) {
+            listener = newListener;
         }
 
         @Override
-        public void send(Request request, double waitMs) {}
+        public void send(Request request, double deadlineMs) {}
 
         @Override
         public void close() {
-            user.onClosed();
+            listener.onClosed();
         }
     }
 }
