--- a/configlease/src/main/java/opalcove/configlease/ConfigLease.java
+++ b/configlease/src/main/java/opalcove/configlease/ConfigLease.java
@@ -35,7 +35,7 @@
     public record Counts(long requested, long confirmed, long expired, long adopted) {}
 
     /** Maximum number of requests in flight; beyond it the oldest ones are forgotten. */
-    private static final int MAX_IN_FLIGHT = 64;
+    private static final int MAX_REQUESTS_IN_FLIGHT = 64;
 
     private final LeaseConfig config;
     private final List<String> voters;
@@ -109,7 +109,7 @@
     public void expireIfDue(long nowMs) {
         if (state.mode() == Mode.FULL && nowMs >= state.expiresAtMs()) {
             expired++;
-            enter(new LeaseState(state.version(), Mode.STRICT, state.expiresAtMs()));
+            transitionTo(new LeaseState(state.version(), Mode.STRICT, state.expiresAtMs()));
         }
     }
 
@@ -117,7 +117,7 @@
         nextRequestMs = nowMs + config.renewPeriodMs();
         responseDueMs = nowMs + config.responseTimeoutMs();
         requestTimesMs.put(++lastSequence, nowMs);
-        if (requestTimesMs.size() > MAX_IN_FLIGHT) {
+        if (requestTimesMs.size() > MAX_REQUESTS_IN_FLIGHT) {
             requestTimesMs.remove(requestTimesMs.keySet().iterator().next());
         }
         requested++;
@@ -155,10 +155,10 @@
             adopted++;
             text = versionText;
         }
-        enter(new LeaseState(version, Mode.FULL, expiresAtMs));
+        transitionTo(new LeaseState(version, Mode.FULL, expiresAtMs));
     }
 
-    private void enter(LeaseState next) {
+    private void transitionTo(LeaseState next) {
         LeaseState before = state;
         state = next;
         if (before.version() != next.version() || before.mode() != next.mode()) {
--- a/configlease/src/main/java/opalcove/configlease/VersionLog.java
+++ b/configlease/src/main/java/opalcove/configlease/VersionLog.java
@@ -63,34 +63,34 @@
      * response.
      */
     public Outcome decide(Proposal proposal) {
-        for (Version each : versions) {
-            if (each.proposalId().equals(proposal.proposalId())) {
-                return new Outcome(true, each.number(), "");
+        for (Version version : versions) {
+            if (version.proposalId().equals(proposal.proposalId())) {
+                return new Outcome(true, version.number(), "");
             }
         }
         Version newest = newest();
-        long number = newest == null ? 0 : newest.number();
-        if (proposal.baseVersion() != number) {
+        long newestNumber = newest == null ? 0 : newest.number();
+        if (proposal.baseVersion() != newestNumber) {
             return new Outcome(
                     false,
-                    number,
-                    "it changes version " + proposal.baseVersion() + ", but version " + number
+                    newestNumber,
+                    "it changes version " + proposal.baseVersion() + ", but version " + newestNumber
                             + (newest == null ? "" : " by " + newest.author()) + " is in force");
         }
         if (newest != null) {
             versions.removeLast();
-            versions.addLast(new Version(number, newest.proposalId(), newest.author(), ""));
+            versions.addLast(new Version(newestNumber, newest.proposalId(), newest.author(), ""));
         }
-        versions.addLast(new Version(number + 1, proposal.proposalId(), proposal.author(), proposal.text()));
+        versions.addLast(new Version(newestNumber + 1, proposal.proposalId(), proposal.author(), proposal.text()));
         if (versions.size() > MAX_HISTORY) {
             versions.removeFirst();
         }
-        return new Outcome(true, number + 1, "");
+        return new Outcome(true, newestNumber + 1, "");
     }
 
     /** Replaces the versions by those of another voter, oldest first. */
-    public void restore(List<Version> from) {
+    public void restore(List<Version> snapshotVersions) {
         versions.clear();
-        versions.addAll(from);
+        versions.addAll(snapshotVersions);
     }
 }
--- a/configlease/src/test/java/opalcove/configlease/ConfigLeaseTest.java
+++ b/configlease/src/test/java/opalcove/configlease/ConfigLeaseTest.java
@@ -34,7 +34,7 @@
 
     /** A lease runs from the question, not from its answer; without another answer it ends, and the next voter is requested. */
     @Test
-    public void aLeaseRunsFromTheQuestionAndEndsAsStrict() {
+    public void countsLeaseFromRequestAndEntersStrictModeWhenNotRenewed() {
         lease.tick(0);
         assertEquals(requested, List.of("a1 v0"));
         lease.onResponse(240, 1, 7, "seven");
@@ -50,18 +50,18 @@
         lease.tick(2500);
         lease.onResponse(2600, 3, 6, "an older version");
         assertEquals(changes, List.of("FULL 7 seven", "STRICT 7 seven"));
-        long last = requested.size();
+        long requestCount = requested.size();
         lease.onVersionAnnounced(2700, 7);
-        assertEquals(requested.size(), last, "no news");
+        assertEquals(requested.size(), requestCount, "no news");
         lease.onVersionAnnounced(2700, 8);
-        lease.onResponse(4699, last + 1, 8, "eight");
+        lease.onResponse(4699, requestCount + 1, 8, "eight");
         assertEquals(changes.get(2), "FULL 8 eight");
         assertEquals(lease.state().expiresAtMs(), 4700);
     }
 
     /** Guards against a late tick: neither a response nor an announcement leads past the strict mode. */
     @Test
-    public void aLeaseThatHasRunOutIsStrictBeforeItIsRenewed() {
+    public void entersStrictModeBeforeRenewalWhenTickIsLate() {
         lease.tick(0);
         lease.onResponse(10, 1, 7, "seven");
         lease.tick(1900);
@@ -76,8 +76,8 @@
     }
 
     @Test
-    public void anAnswerThatComesAfterItsLeaseGivesNone() {
-        ConfigLease late = new ConfigLease(0, List.of("a"), 0, LeaseConfig.of(200), new ConfigLease.Host() {
+    public void grantsNoLeaseWhenResponseArrivesAfterLeaseEnd() {
+        ConfigLease shortLease = new ConfigLease(0, List.of("a"), 0, LeaseConfig.of(200), new ConfigLease.Host() {
             @Override
             public void requestVersion(String voter, long sequence, long heldVersion) {}
 
@@ -86,15 +86,15 @@
                 changes.add("late");
             }
         });
-        assertFalse(late.hasResponse());
-        late.tick(0);
-        late.onResponse(200, 1, 1, "one");
-        assertTrue(late.hasResponse());
-        assertEquals(late.state().mode(), LeaseState.Mode.NONE);
+        assertFalse(shortLease.hasResponse());
+        shortLease.tick(0);
+        shortLease.onResponse(200, 1, 1, "one");
+        assertTrue(shortLease.hasResponse());
+        assertEquals(shortLease.state().mode(), LeaseState.Mode.NONE);
     }
 
     @Test
-    public void proposalsInOrderBecomeVersionsOrAreRefused() {
+    public void decidesProposalsInOrderAndBoundsHistory() {
         VersionLog log = new VersionLog();
         assertEquals(log.decide(new VersionLog.Proposal("p", 0, "ops", "one")), new VersionLog.Outcome(true, 1, ""));
         assertEquals(log.decide(new VersionLog.Proposal("p", 0, "ops", "one")), new VersionLog.Outcome(true, 1, ""));
