--- a/configlease/src/main/java/opalcove/configlease/ConfigLease.java
+++ b/configlease/src/main/java/opalcove/configlease/ConfigLease.java
@@ -6,35 +6,38 @@
 import opalcove.configlease.LeaseState.Mode;
 
 /**
- * One gateway's lease on the configuration: when to have its version confirmed by which voter, and what the gateway may
- * act on meanwhile. It does no I/O and reads no clock: the host passes the time in, in ms of a monotonic clock. Not
- * thread-safe; owned by one thread of its host.
+ * One gateway's lease on its configuration version. It decides when to confirm the version with which voter, and how
+ * much of the version is in effect until then. It does no I/O and reads no clock: the host passes the time to each
+ * call, in ms of a monotonic clock. Not thread-safe; owned by one thread of its host.
  *
- * <p>A voter's response names the version that was the newest at some moment after the request. So a version confirmed
- * by a request of time t was not followed by another one before t, and may be acted on until t + lease: two gateways
- * act on two versions for at most one lease, whatever their clocks show, as long as the clocks run at the same rate.
+ * <p>A voter's response names the version that was the newest at some moment after the request. A version confirmed by
+ * a request sent at time t therefore had no successor before t, and stays in effect until t + lease. Two gateways apply
+ * two different versions for at most one lease, whatever their clocks show, as long as the clocks run at the same rate.
  */
 public final class ConfigLease {
-    /** The effects of a lease, on the thread that calls it. */
+    /** Performs the lease's side effects. The lease calls it on the thread that calls the lease. */
     public interface Host {
-        /** Requests the newest version from a voter, without any guarantee of delivery; heldVersion is 0 for none. */
+        /**
+         * Requests the newest version from a voter. The request or its response may be lost. heldVersion is the number
+         * of the version held, 0 if there is none.
+         */
         void requestVersion(String voter, long sequence, long heldVersion);
 
-        /** Version or mode have changed; text is the document of the version held. */
+        /** Called after a change of version or mode; text is the document of the version held. */
         void leaseChanged(LeaseState before, LeaseState after, String text);
     }
 
     /**
      * How often each event has occurred since the start.
      *
-     * @param requested requests for the newest version
+     * @param requested requests sent for the newest version
      * @param confirmed responses that renewed the lease
-     * @param expired leases that ended without a renewal in time
-     * @param adopted newer versions taken over
+     * @param expired leases that expired because they were not renewed in time
+     * @param adopted newer versions adopted from a response
      */
     public record Counts(long requested, long confirmed, long expired, long adopted) {}
 
-    /** Maximum number of requests in flight; beyond it the oldest ones are forgotten. */
+    /** Maximum number of requests in flight. A further one removes the oldest, whose response is then ignored. */
     private static final int MAX_REQUESTS_IN_FLIGHT = 64;
 
     private final LeaseConfig config;
@@ -53,7 +56,7 @@
     private long expired;
     private long adopted;
 
-    /** A gateway that holds no version yet; firstVoter is the index of the voter that gets the first request. */
+    /** Creates the lease of a gateway without a version; firstVoter is the index of the voter requested first. */
     public ConfigLease(long nowMs, List<String> voters, int firstVoter, LeaseConfig config, Host host) {
         this.voters = List.copyOf(voters);
         this.config = config;
@@ -62,35 +65,35 @@
         nextRequestMs = nowMs;
     }
 
-    /** What the gateway may act on now. */
+    /** Returns the version held and its mode as of the last call. */
     public LeaseState state() {
         return state;
     }
 
-    /** Whether a voter has responded since the start, even if only that there is no version yet. */
+    /** Whether a voter has responded since the start, even if the response was that there is no version yet. */
     public boolean hasResponse() {
         return hasResponse;
     }
 
-    /** The document of the version held; empty before the first. */
+    /** Returns the document of the version held; empty before the first version. */
     public String text() {
         return text;
     }
 
-    /** How often each event has occurred since the start. */
+    /** Returns how often each event has occurred since the start. */
     public Counts counts() {
         return new Counts(requested, confirmed, expired, adopted);
     }
 
-    /** When {@link #tick} is next to be called at the latest, in ms. */
+    /** Returns the time by which {@link #tick} has to be called next, in ms. */
     public long nextTickMs() {
         long dueMs = Math.min(nextRequestMs, responseDueMs);
         return state.mode() == Mode.FULL ? Math.min(dueMs, state.expiresAtMs()) : dueMs;
     }
 
     /**
-     * Does what is due. To be called before the version is acted on, too: the process may have stood still past the
-     * lease.
+     * Expires the lease and sends the next request, if they are due. Call it also before using the version: the process
+     * may have been paused past the end of the lease.
      */
     public void tick(long nowMs) {
         expireIfDue(nowMs);
@@ -103,8 +106,8 @@
     }
 
     /**
-     * Ends a lease that has run out, as {@link #tick} does. Guards against a response that renews such a lease: its host
-     * may be late with the tick.
+     * Expires a lease whose end has passed, as {@link #tick} does. When the host calls {@link #tick} late, this guards
+     * against a response that renews an expired lease without a strict mode in between.
      */
     public void expireIfDue(long nowMs) {
         if (state.mode() == Mode.FULL && nowMs >= state.expiresAtMs()) {
@@ -124,7 +127,7 @@
         host.requestVersion(voters.get(voterIndex), lastSequence, state.version());
     }
 
-    /** Handles the announcement of a version: a newer one is requested at once, but adopted from the response alone. */
+    /** Handles the announcement of a version. Requests a newer one at once, but adopts it only from the response. */
     public void onVersionAnnounced(long nowMs, long version) {
         expireIfDue(nowMs);
         if (version > state.version()) {
@@ -133,9 +136,9 @@
     }
 
     /**
-     * Handles a voter's response: the newest version at some moment after the request, and its document, null if the
-     * version is the one that the request named. Responses to requests that are not in flight are ignored: the time of
-     * their request is not known.
+     * Handles a voter's response. It holds the number of the newest version at some moment after the request, and the
+     * document of that version, which is null if the request already named the version. A response whose request is not
+     * in flight is ignored, because the time of its request, from which the lease runs, is unknown.
      */
     public void onResponse(long nowMs, long sequence, long version, String versionText) {
         expireIfDue(nowMs);
--- a/configlease/src/main/java/opalcove/configlease/LeaseState.java
+++ b/configlease/src/main/java/opalcove/configlease/LeaseState.java
@@ -1,21 +1,21 @@
 package opalcove.configlease;
 
 /**
- * What a gateway may act on.
+ * The configuration version that a gateway holds, and how much of it is in effect.
  *
- * @param version the number of the version that it holds; 0 for none
- * @param mode how far the version may be acted on
- * @param expiresAtMs when the lease ends unless it is renewed, in ms of the gateway's own monotonic clock; 0 before the
- *     first lease
+ * @param version the number of the version held; 0 if there is none
+ * @param mode how much of the version is in effect
+ * @param expiresAtMs when the lease expires unless it is renewed, in ms of the gateway's own monotonic clock; 0 before
+ *     the first lease
  */
 public record LeaseState(long version, Mode mode, long expiresAtMs) {
-    /** How far a version may be acted on. The constants' names are also the modes' names in events. */
+    /** How much of a version is in effect. The names of the constants are written to events. */
     public enum Mode {
-        /** No version is known yet. */
+        /** The gateway holds no version yet. */
         NONE,
-        /** The lease has expired: only what cannot conflict with another version is in force. */
+        /** The lease has expired: only the part that cannot conflict with another version is in effect. */
         STRICT,
-        /** The version was the newest one within the lease's time: all of it is in force. */
+        /** The lease is valid: the version was confirmed as the newest one, and all of it is in effect. */
         FULL
     }
 }
--- a/configlease/src/main/java/opalcove/configlease/VersionLog.java
+++ b/configlease/src/main/java/opalcove/configlease/VersionLog.java
@@ -6,61 +6,61 @@
 import java.util.List;
 
 /**
- * The versions of the configuration, as each voter has them: proposals accepted or rejected in the order that the
- * voters agreed on. The same proposals in the same order give the same versions everywhere. Does no I/O and reads no
- * clock; owned by its voter's thread.
+ * The configuration versions of one voter. The log accepts or rejects proposals in the order that the voters agreed on,
+ * and is deterministic: the same proposals in the same order produce the same versions on every voter. It does no I/O
+ * and reads no clock. Not thread-safe; owned by its voter's thread.
  */
 public final class VersionLog {
     /**
-     * A proposed change. Stored and sent between voters in serialized form.
+     * A proposed change of the configuration. Stored, and sent between voters, in serialized form.
      *
-     * @param proposalId its own id, by which a repetition is recognized
-     * @param baseVersion the version that it changes
-     * @param author who proposes it
+     * @param proposalId the unique id of the proposal, which identifies a repeated proposal
+     * @param baseVersion the number of the version that the proposal replaces; 0 for the first version
+     * @param author the name of the proposer
      * @param text the complete new document
      */
     public record Proposal(String proposalId, long baseVersion, String author, String text) implements Serializable {}
 
     /**
-     * One version. Stored and sent between voters in serialized form.
+     * A version of the configuration. Stored, and sent between voters, in serialized form.
      *
-     * @param number its number, from 1
-     * @param proposalId the id of its proposal
-     * @param author who proposed it
-     * @param text its document; empty for all but the newest
+     * @param number the number of the version; the first one is 1
+     * @param proposalId the id of the proposal that became this version
+     * @param author the name of the proposer
+     * @param text the document; empty for all versions but the newest
      */
     public record Version(long number, String proposalId, String author, String text) implements Serializable {}
 
     /**
      * The outcome of a proposal.
      *
-     * @param accepted whether it became a version
-     * @param version the number of its version, or of the version in force if it was rejected
-     * @param reason why it was rejected; else empty
+     * @param accepted whether the proposal became a version
+     * @param version the number of the version that the proposal became, or of the version in effect if it was rejected
+     * @param reason why the proposal was rejected; empty if it was accepted
      */
     public record Outcome(boolean accepted, long version, String reason) implements Serializable {}
 
     /**
-     * Versions in the history. A proposal that is repeated after more versions than that is rejected, for its base is
-     * old.
+     * Maximum number of versions in the history. A proposal that is repeated after more versions than that is no longer
+     * recognized, and is rejected because its base version is not the newest.
      */
     public static final int MAX_HISTORY = 16;
 
     private final Deque<Version> versions = new ArrayDeque<>();
 
-    /** The newest version; null before the first. */
+    /** Returns the newest version; null before the first. */
     public Version newest() {
         return versions.peekLast();
     }
 
-    /** The last versions, oldest first; only the newest one has its text. */
+    /** Returns the last versions, oldest first; only the newest one has its text. */
     public List<Version> history() {
         return List.copyOf(versions);
     }
 
     /**
-     * Accepts or rejects a proposal. For a repeated one the outcome is repeated: the client may have missed the
-     * response.
+     * Accepts or rejects a proposal. For an accepted proposal that is repeated it returns the same outcome again,
+     * because the client may have missed the response.
      */
     public Outcome decide(Proposal proposal) {
         for (Version version : versions) {
@@ -88,7 +88,7 @@
         return new Outcome(true, newestNumber + 1, "");
     }
 
-    /** Replaces the versions by those of another voter, oldest first. */
+    /** Replaces all versions with those of a snapshot, oldest first; the snapshot may come from another voter. */
     public void restore(List<Version> snapshotVersions) {
         versions.clear();
         versions.addAll(snapshotVersions);
--- a/configlease/src/main/java/opalcove/configlease/package-info.java
+++ b/configlease/src/main/java/opalcove/configlease/package-info.java
@@ -1,6 +1,6 @@
 /**
- * The lease of a gateway on the version of its configuration, and the log of versions that the voters agree on:
- * decisions alone, without I/O and without a clock. Depends on the JDK alone. The replication of the log among the
- * voters is in {@code opalcove.replication}.
+ * The lease that a gateway holds on its configuration version, and the log of versions that the voters agree on. The
+ * package contains only the decision logic: it does no I/O, reads no clock and depends on the JDK alone. The package
+ * {@code opalcove.replication} replicates the log among the voters.
  */
 package opalcove.configlease;
--- a/configlease/src/test/java/opalcove/configlease/ConfigLeaseTest.java
+++ b/configlease/src/test/java/opalcove/configlease/ConfigLeaseTest.java
@@ -9,7 +9,7 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** One gateway's lease against a clock of the test's own. */
+/** Tests a gateway's lease, with times given by the test, and the log of versions. */
 public class ConfigLeaseTest {
     private final List<String> requested = new ArrayList<>();
     private final List<String> changes = new ArrayList<>();
@@ -32,7 +32,10 @@
         });
     }
 
-    /** A lease runs from the question, not from its answer; without another answer it ends, and the next voter is requested. */
+    /**
+     * A lease runs from the time of the request, not from that of the response. If a voter does not respond in time,
+     * the next voter gets a request. A lease that is not renewed becomes strict.
+     */
     @Test
     public void countsLeaseFromRequestAndEntersStrictModeWhenNotRenewed() {
         lease.tick(0);
@@ -52,14 +55,14 @@
         assertEquals(changes, List.of("FULL 7 seven", "STRICT 7 seven"));
         long requestCount = requested.size();
         lease.onVersionAnnounced(2700, 7);
-        assertEquals(requested.size(), requestCount, "no news");
+        assertEquals(requested.size(), requestCount, "no request for a version that is already held");
         lease.onVersionAnnounced(2700, 8);
         lease.onResponse(4699, requestCount + 1, 8, "eight");
         assertEquals(changes.get(2), "FULL 8 eight");
         assertEquals(lease.state().expiresAtMs(), 4700);
     }
 
-    /** Guards against a late tick: neither a response nor an announcement leads past the strict mode. */
+    /** Guards against an expired lease that skips strict mode when a response or an announcement precedes the tick. */
     @Test
     public void entersStrictModeBeforeRenewalWhenTickIsLate() {
         lease.tick(0);
@@ -107,6 +110,6 @@
         }
         assertEquals(log.history().size(), VersionLog.MAX_HISTORY);
         assertEquals(log.newest().number(), 2 * VersionLog.MAX_HISTORY);
-        assertEquals(log.history().get(0).text(), "", "old texts are let go");
+        assertEquals(log.history().get(0).text(), "", "only the newest version has its text");
     }
 }
