--- a/replication/src/main/java/opalcove/replication/AtomicFile.java
+++ b/replication/src/main/java/opalcove/replication/AtomicFile.java
@@ -21,8 +21,8 @@
     private static final byte[] MAGIC = {'o', 'p', 'l', 'v'};
     private static final int FORMAT_VERSION = 1;
     private static final int HEADER_BYTES = MAGIC.length + 3 * Integer.BYTES;
-    private static final String NEW_SUFFIX = ".part";
-    private static final String PREVIOUS_SUFFIX = ".before";
+    private static final String NEW_FILE_SUFFIX = ".part";
+    private static final String PREVIOUS_FILE_SUFFIX = ".before";
 
     private AtomicFile() {}
 
@@ -38,30 +38,30 @@
                 .putInt(checksum(content))
                 .put(content)
                 .flip();
-        Path newFile = withSuffix(file, NEW_SUFFIX);
+        Path newFile = withSuffix(file, NEW_FILE_SUFFIX);
         operations.delete(newFile);
         try {
             operations.write(newFile, bytes);
             operations.sync(newFile);
         } catch (IOException e) {
-            deleteAfter(e, operations, newFile);
+            deleteAfterFailure(e, operations, newFile);
             throw e;
         }
-        keepPrevious(operations, file);
+        savePrevious(operations, file);
         operations.rename(newFile, file);
         operations.sync(file.toAbsolutePath().getParent());
     }
 
     /** Keeps the previous content under its own name, if it is intact. */
-    private static void keepPrevious(FileOperations operations, Path file) throws IOException {
+    private static void savePrevious(FileOperations operations, Path file) throws IOException {
         if (Files.exists(file) && isIntact(file)) {
-            Path previous = withSuffix(file, PREVIOUS_SUFFIX);
+            Path previous = withSuffix(file, PREVIOUS_FILE_SUFFIX);
             operations.delete(previous);
-            operations.addSecondName(previous, file);
+            operations.createHardLink(previous, file);
         }
     }
 
-    private static void deleteAfter(IOException failure, FileOperations operations, Path newFile) {
+    private static void deleteAfterFailure(IOException failure, FileOperations operations, Path newFile) {
         try {
             operations.delete(newFile);
         } catch (IOException e) {
@@ -73,7 +73,7 @@
         try {
             read(file);
             return true;
-        } catch (InvalidConfigurationException torn) {
+        } catch (InvalidConfigurationException damaged) {
             return false;
         }
     }
@@ -84,7 +84,7 @@
 
     /** Whether there is a content, even if only the previous one. */
     static boolean existsOrPrevious(Path file) {
-        return Files.exists(file) || Files.exists(withSuffix(file, PREVIOUS_SUFFIX));
+        return Files.exists(file) || Files.exists(withSuffix(file, PREVIOUS_FILE_SUFFIX));
     }
 
     /**
@@ -123,19 +123,19 @@
      * @throws InvalidConfigurationException with the reason, if neither can be read
      */
     static byte[] readOrPrevious(Path file) throws IOException {
-        Path previous = withSuffix(file, PREVIOUS_SUFFIX);
+        Path previous = withSuffix(file, PREVIOUS_FILE_SUFFIX);
         if (!Files.exists(file) && Files.exists(previous)) {
             Logger.warn("{} does not exist: using its previous content", file);
             return read(previous);
         }
         try {
             return read(file);
-        } catch (InvalidConfigurationException refused) {
+        } catch (InvalidConfigurationException rejection) {
             if (!Files.exists(previous)) {
-                throw refused;
+                throw rejection;
             }
             byte[] content = read(previous);
-            Logger.warn("{}: using the previous content", refused.getMessage());
+            Logger.warn("{}: using the previous content", rejection.getMessage());
             return content;
         }
     }
--- a/replication/src/main/java/opalcove/replication/ConfigDocument.java
+++ b/replication/src/main/java/opalcove/replication/ConfigDocument.java
@@ -125,7 +125,7 @@
     }
 
     /** The same with each plan's burst cut to this gateway's share of it. */
-    ConfigDocument withHeldBursts() {
+    ConfigDocument withBurstShares() {
         int gateways = Math.max(1, settings.gateways());
         List<DecisionSettings.Plan> plans = settings.plans().stream()
                 .map(plan -> new DecisionSettings.Plan(
--- a/replication/src/main/java/opalcove/replication/ConfigReplica.java
+++ b/replication/src/main/java/opalcove/replication/ConfigReplica.java
@@ -95,7 +95,7 @@
                                 voterNames,
                                 setup.store(),
                                 new VoterTime.Executor(host),
-                                new VoterTime.PacedClock(host),
+                                new VoterTime.AcceleratedClock(host),
                                 setup.random()),
                         (voterName, message) -> host.send(
                                 setup.voters().get(voterName),
@@ -249,7 +249,7 @@
 
     private void validate(String proposalId, String text) {
         setup.validator().accept(text == null ? "" : text);
-        int packedBytes = ReplicationMessage.packed(text).length();
+        int packedBytes = ReplicationMessage.packText(text).length();
         if (proposalId.isEmpty()) {
             throw new InvalidConfigurationException("a proposal needs an id");
         }
--- a/replication/src/main/java/opalcove/replication/EffectiveConfigSelector.java
+++ b/replication/src/main/java/opalcove/replication/EffectiveConfigSelector.java
@@ -21,7 +21,7 @@
     private final DecisionSettings ownSettings;
     private ConfigDocument held;
     private ConfigDocument previous;
-    private long closedUntilMs;
+    private long backendsWithheldUntilMs;
 
     EffectiveConfigSelector(DecisionSettings ownSettings) {
         this.ownSettings = ownSettings;
@@ -37,8 +37,8 @@
      * Sends nothing to any backend until then, unless the lease is renewed; in ms of the clock that {@link #select}
      * gets.
      */
-    void closeUntil(long untilMs) {
-        closedUntilMs = untilMs;
+    void withholdBackendsUntil(long untilMs) {
+        backendsWithheldUntilMs = untilMs;
     }
 
     /** Selects by the lease and, if there is one, by the recovery; plan is null without a recovery. */
@@ -53,8 +53,8 @@
         }
         ConfigDocument strict = base.strict(previous == null ? base : previous);
         if (plan != null && plan.areQuotasHeld()) {
-            base = base.withHeldBursts();
-            strict = strict.withHeldBursts();
+            base = base.withBurstShares();
+            strict = strict.withBurstShares();
         }
         // A version that this gateway did not receive may have drained any backend: at first an expired lease sends
         // nothing to any.
@@ -63,7 +63,9 @@
             return new Selection(effective(lease.version(), base, false, startedNotBeforeMs), onExpiry);
         }
         return new Selection(
-                nowMs < closedUntilMs ? onExpiry : effective(lease.version(), strict, true, startedNotBeforeMs),
+                nowMs < backendsWithheldUntilMs
+                        ? onExpiry
+                        : effective(lease.version(), strict, true, startedNotBeforeMs),
                 onExpiry);
     }
 
--- a/replication/src/main/java/opalcove/replication/FileOperations.java
+++ b/replication/src/main/java/opalcove/replication/FileOperations.java
@@ -32,13 +32,13 @@
     }
 
     /** Renames a file, replacing one that has the new name. */
-    default void rename(Path from, Path target) throws IOException {
-        Files.move(from, target, StandardCopyOption.ATOMIC_MOVE);
+    default void rename(Path source, Path target) throws IOException {
+        Files.move(source, target, StandardCopyOption.ATOMIC_MOVE);
     }
 
     /** Gives a file a second name, which must not exist. */
-    default void addSecondName(Path name, Path file) throws IOException {
-        Files.createLink(name, file);
+    default void createHardLink(Path link, Path existing) throws IOException {
+        Files.createLink(link, existing);
     }
 
     /** Deletes a name, if it exists. */
--- a/replication/src/main/java/opalcove/replication/RaftVoter.java
+++ b/replication/src/main/java/opalcove/replication/RaftVoter.java
@@ -81,10 +81,11 @@
     private final BiConsumer<String, byte[]> send;
     private final List<PendingRead> pendingReads = new ArrayList<>();
     private final LongConsumer onVersion;
-    private final ElectionMonitor elections = new ElectionMonitor(TimeUnit.SECONDS.toMillis(HEARTBEAT_TIMEOUT_SECONDS));
+    private final ElectionMonitor electionMonitor =
+            new ElectionMonitor(TimeUnit.SECONDS.toMillis(HEARTBEAT_TIMEOUT_SECONDS));
     private Phase phase = Phase.RUNNING;
     private RaftNode node;
-    private VersionStateMachine versions;
+    private VersionStateMachine stateMachine;
     /** How many flushes had failed when the node was started. */
     private long failedFlushesAtStart;
 
@@ -108,18 +109,18 @@
 
     /** Creates a node that goes on from the state in the store. */
     private void createNode() {
-        versions = new VersionStateMachine(onVersion);
+        stateMachine = new VersionStateMachine(onVersion);
         failedFlushesAtStart = setup.store().failedFlushes();
         RaftNode.RaftNodeBuilder builder = RaftNode.newBuilder()
                 .setGroupId(GROUP_ID)
                 .setExecutor(setup.executor())
                 .setClock(setup.clock())
                 .setRandom(setup.random())
-                .setStateMachine(versions)
+                .setStateMachine(stateMachine)
                 .setTransport(new VoterTransport())
                 .setStore(setup.store())
                 .setConfig(config());
-        RestoredRaftState restored = setup.store().restored();
+        RestoredRaftState restored = setup.store().restoredState();
         if (restored != null) {
             builder.setRestoredState(restored);
         } else {
@@ -158,9 +159,9 @@
             return;
         }
         if (phase == Phase.TERMINATED) {
-            startAgain();
+            startNewNode();
         } else if (phase == Phase.RUNNING) {
-            if (!isIntact()) {
+            if (!allFlushesSucceeded()) {
                 restart("its state could not be written");
             } else if (setup.store().hasDiverged()) {
                 restart("its log contradicts the leader's right after its snapshot");
@@ -172,14 +173,14 @@
     }
 
     /** Whether all that the node has stored was written: after a write that failed, the node takes it for written or not at all. */
-    private boolean isIntact() {
+    private boolean allFlushesSucceeded() {
         return setup.store().failedFlushes() == failedFlushesAtStart;
     }
 
     private void checkElection() {
         node.getReport().thenAccept(report -> {
             if (phase == Phase.RUNNING
-                    && elections.isStalled(report.getResult(), setup.clock().millis())) {
+                    && electionMonitor.isStalled(report.getResult(), setup.clock().millis())) {
                 restart("it keeps to a leader that it has lost");
             }
         });
@@ -193,12 +194,12 @@
             if (phase == Phase.TERMINATING) {
                 phase = Phase.TERMINATED;
                 failReads();
-                startAgain();
+                startNewNode();
             }
         });
     }
 
-    private void startAgain() {
+    private void startNewNode() {
         setup.store().discardDivergedEntries();
         try {
             // What the next node takes for stored must be in the file.
@@ -220,11 +221,11 @@
 
     /** Handles a message of another voter. */
     public void handle(byte[] message) {
-        RaftMessage read = SerializedForm.read(message, RaftMessage.class);
-        if (read instanceof AppendEntriesRequest request) {
-            setup.store().compare(request);
+        RaftMessage raftMessage = SerializedForm.read(message, RaftMessage.class);
+        if (raftMessage instanceof AppendEntriesRequest request) {
+            setup.store().detectDivergence(request);
         }
-        node.handle(read);
+        node.handle(raftMessage);
     }
 
     /** The name of the leader, as far as this voter knows; null if it knows none. */
@@ -238,7 +239,7 @@
 
     /** The versions as this voter has them, which may lag behind. */
     public List<VersionLog.Version> history() {
-        return versions.history();
+        return stateMachine.history();
     }
 
     /**
@@ -310,7 +311,7 @@
     private final class VoterTransport implements Transport {
         @Override
         public void send(RaftEndpoint target, RaftMessage message) {
-            if (isIntact() && setup.store().isWritten()) {
+            if (allFlushesSucceeded() && setup.store().ensureWritten()) {
                 send.accept(target.getId().toString(), SerializedForm.write(message));
             }
         }
--- a/replication/src/main/java/opalcove/replication/RaftVoterStore.java
+++ b/replication/src/main/java/opalcove/replication/RaftVoterStore.java
@@ -34,7 +34,7 @@
         private SnapshotChunk snapshot;
     }
 
-    private static final long NONE = -1;
+    private static final long NO_INDEX = -1;
 
     private final FileOperations operations;
     /** Null for a store in memory. */
@@ -42,11 +42,11 @@
 
     private final State state;
     /** Whether the last flush failed: the state of this voter is not in its file. */
-    private boolean hasFailed;
+    private boolean hasFailedFlush;
 
     private long failedFlushes;
-    /** The index of the snapshot whose following entries contradict the leader's; NONE if there is none. */
-    private long divergedAfter = NONE;
+    /** The index of the snapshot whose following entries contradict the leader's; NO_INDEX if there is none. */
+    private long divergedAfterIndex = NO_INDEX;
 
     private RaftVoterStore(FileOperations operations, Path file, State state) {
         this.operations = operations;
@@ -77,8 +77,8 @@
      * Whether the state of this voter is in its file; tries to write it again if the last flush failed. Guards the
      * votes: a voter that cannot write sends nothing that others may rely on.
      */
-    boolean isWritten() {
-        if (hasFailed) {
+    boolean ensureWritten() {
+        if (hasFailedFlush) {
             try {
                 flush();
                 Logger.info("agreement: voter state written again");
@@ -86,7 +86,7 @@
                 Logger.debug("agreement: voter state still not written: {}", e.getMessage());
             }
         }
-        return !hasFailed;
+        return !hasFailedFlush;
     }
 
     /** How many flushes have failed since the store was opened. */
@@ -96,14 +96,14 @@
 
     /** Whether entries are stored after the snapshot that contradict the leader's: they are not committed. */
     boolean hasDiverged() {
-        return divergedAfter != NONE;
+        return divergedAfterIndex != NO_INDEX;
     }
 
     /**
      * Notes whether the entries of a request contradict those stored right after the snapshot. MicroRaft 0.7 cannot compare
      * these, for the entry before them is in the snapshot, and refuses every such request.
      */
-    void compare(AppendEntriesRequest request) {
+    void detectDivergence(AppendEntriesRequest request) {
         boolean followsSnapshot = state.snapshot != null
                 && request.getPreviousLogIndex() == state.snapshot.getIndex()
                 && request.getPreviousLogTerm() == state.snapshot.getTerm();
@@ -113,20 +113,20 @@
         }
         LogEntry own = state.entries.get(state.snapshot.getIndex() + 1);
         if (own != null && own.getTerm() != request.getLogEntries().get(0).getTerm()) {
-            divergedAfter = state.snapshot.getIndex();
+            divergedAfterIndex = state.snapshot.getIndex();
         }
     }
 
     /** Drops the entries that contradict the leader's; to be called while no consensus node uses the store. */
     void discardDivergedEntries() {
-        if (state.snapshot != null && state.snapshot.getIndex() == divergedAfter) {
-            state.entries.tailMap(divergedAfter, false).clear();
+        if (state.snapshot != null && state.snapshot.getIndex() == divergedAfterIndex) {
+            state.entries.tailMap(divergedAfterIndex, false).clear();
         }
-        divergedAfter = NONE;
+        divergedAfterIndex = NO_INDEX;
     }
 
     /** The state that was stored; null if there is none. */
-    RestoredRaftState restored() {
+    RestoredRaftState restoredState() {
         if (state.endpoint == null || state.members == null) {
             return null;
         }
@@ -175,7 +175,7 @@
         // Raft keeps the entries after a snapshot only where the entry at its index is the snapshot's own.
         LogEntry own = state.entries.get(chunk.getIndex());
         if (own != null && own.getTerm() != chunk.getTerm() && state.entries.higherKey(chunk.getIndex()) != null) {
-            divergedAfter = chunk.getIndex();
+            divergedAfterIndex = chunk.getIndex();
         }
         state.snapshot = chunk;
     }
@@ -202,14 +202,14 @@
         if (file == null) {
             return;
         }
-        boolean hadFailed = hasFailed;
-        hasFailed = true;
+        boolean hadFailedFlush = hasFailedFlush;
+        hasFailedFlush = true;
         try {
             AtomicFile.write(operations, file, SerializedForm.write(state));
-            hasFailed = false;
+            hasFailedFlush = false;
         } catch (IOException e) {
             failedFlushes++;
-            if (!hadFailed) {
+            if (!hadFailedFlush) {
                 Logger.error(
                         "agreement: voter state not written, this voter is silent until it is: {}", e.getMessage());
             }
--- a/replication/src/main/java/opalcove/replication/RecoveryTracker.java
+++ b/replication/src/main/java/opalcove/replication/RecoveryTracker.java
@@ -34,16 +34,16 @@
     RecoveryTracker(String gateway, Path file, long meterPeriodMs) {
         this.gateway = gateway;
         this.file = file;
-        Snapshot found = null;
-        String whyNone = "";
+        Snapshot loaded = null;
+        String whyNoSnapshot = "";
         try {
-            found = SnapshotFile.read(file, gateway);
+            loaded = SnapshotFile.read(file, gateway);
         } catch (IOException | InvalidConfigurationException e) {
-            whyNone = e.getMessage();
-            Logger.warn("recovery: snapshot rejected: {}", whyNone);
+            whyNoSnapshot = e.getMessage();
+            Logger.warn("recovery: snapshot rejected: {}", whyNoSnapshot);
         }
-        snapshot = found;
-        recovery = new Recovery(startedAtMs, found, whyNone, RecoveryConfig.of(meterPeriodMs));
+        snapshot = loaded;
+        recovery = new Recovery(startedAtMs, loaded, whyNoSnapshot, RecoveryConfig.of(meterPeriodMs));
     }
 
     /** When this process started, in Unix ms. */
@@ -80,9 +80,9 @@
     }
 
     /** Updates the plan; true if it is in another phase than before. */
-    boolean advance(ConfigLease lease, List<Member> fleet) {
+    boolean advance(ConfigLease lease, List<Member> members) {
         Map<String, Long> incarnations = new HashMap<>();
-        fleet.stream()
+        members.stream()
                 .filter(each -> !each.name().equals(gateway))
                 .forEach(each -> incarnations.put(each.name(), each.incarnation()));
         RecoveryPlan before = plan;
@@ -92,7 +92,7 @@
     }
 
     /** What this gateway knows now. */
-    Snapshot currentSnapshot(boolean isClean, ConfigLease lease, List<Member> fleet) {
+    Snapshot currentSnapshot(boolean isClean, ConfigLease lease, List<Member> members) {
         return new Snapshot(
                 gateway,
                 System.currentTimeMillis(),
@@ -100,7 +100,7 @@
                 isClean,
                 lease.state().version(),
                 lease.text(),
-                fleet.stream()
+                members.stream()
                         .filter(each -> !each.name().equals(gateway))
                         .map(each -> new Snapshot.Peer(each.name(), each.address(), each.incarnation()))
                         .toList());
--- a/replication/src/main/java/opalcove/replication/ReplicatedConfigService.java
+++ b/replication/src/main/java/opalcove/replication/ReplicatedConfigService.java
@@ -53,16 +53,16 @@
     private final DatagramSocket socket;
     private final Promise<Void> ready = Promise.promise();
     private final EffectiveConfigSelector selector;
-    private final LeaseExpiry expiry = new LeaseExpiry();
+    private final LeaseExpiry leaseExpiry = new LeaseExpiry();
     private final TickTimer timer;
     /** Null if no snapshot file is configured. */
     private final RecoveryTracker recovery;
 
     private Consumer<EffectiveConfig> onChange;
-    private Supplier<List<Member>> fleet;
+    private Supplier<List<Member>> memberSupplier;
     private ConfigReplica replica;
-    private long unreadable;
-    private boolean isStateRefused;
+    private long unreadableDatagrams;
+    private boolean isStateRejected;
     private boolean wasLeader;
     private boolean hasWrittenSnapshot;
     /** How many backends are open now; -1 if discovery has the list. */
@@ -102,15 +102,15 @@
     @Override
     public Future<Void> start(Consumer<EffectiveConfig> onEffectiveConfig, Supplier<List<Member>> presentMembers) {
         onChange = onEffectiveConfig;
-        fleet = presentMembers;
+        memberSupplier = presentMembers;
         return socket.listen(settings.listen().port(), settings.listen().address())
-                .compose(open -> {
-                    open.handler(this::onDatagram);
-                    open.exceptionHandler(e -> Logger.debug("agreement: {}", e.getMessage()));
+                .compose(boundSocket -> {
+                    boundSocket.handler(this::onDatagram);
+                    boundSocket.exceptionHandler(e -> Logger.debug("agreement: {}", e.getMessage()));
                     startReplica(
                             settings.advertise().isEmpty()
                                     ? settings.listen().address() + ":"
-                                            + open.localAddress().port()
+                                            + boundSocket.localAddress().port()
                                     : settings.advertise());
                     return ready.future();
                 });
@@ -138,8 +138,8 @@
                 replica.isVoter() ? ", itself a voter" : "");
         tick();
         if (recovery != null) {
-            vertx.setPeriodic(SNAPSHOT_PERIOD_MS, due -> writeSnapshot(false));
-            vertx.setPeriodic(RECOVERY_PERIOD_MS, due -> {
+            vertx.setPeriodic(SNAPSHOT_PERIOD_MS, timerId -> writeSnapshot(false));
+            vertx.setPeriodic(RECOVERY_PERIOD_MS, timerId -> {
                 advanceRecovery();
                 publish();
             });
@@ -156,7 +156,7 @@
         } catch (IOException | InvalidConfigurationException e) {
             // Without its vote and its log it could undo what was agreed: it follows the other voters and votes no
             // more.
-            isStateRefused = true;
+            isStateRejected = true;
             Logger.error("agreement: state rejected, {} does not vote: {}", name, e.getMessage());
             events.write(Json.object().add("event", "state_refused").add("reason", e.getMessage()));
             return null;
@@ -165,18 +165,18 @@
 
     private void tick() {
         replica.tick();
-        settle();
+        publishAndRearmTimer();
     }
 
     /** Publishes the state for other threads, and sets the timer to the next tick. */
-    private void settle() {
+    private void publishAndRearmTimer() {
         if (recovery != null) {
             advanceRecovery();
         } else if (replica.lease().hasResponse()) {
             ready.tryComplete();
         }
         LeaseState lease = replica.lease().state();
-        if (expiry.renew(lease.mode() == LeaseState.Mode.FULL ? lease.expiresAtMs() : LeaseExpiry.NEVER)) {
+        if (leaseExpiry.renew(lease.mode() == LeaseState.Mode.FULL ? lease.expiresAtMs() : LeaseExpiry.NEVER)) {
             activate();
         }
         publish();
@@ -186,15 +186,15 @@
     private void onDatagram(DatagramPacket datagram) {
         try {
             replica.receive(ReplicationMessage.read(datagram.data().getBytes()));
-            settle();
+            publishAndRearmTimer();
         } catch (InvalidConfigurationException | IllegalArgumentException | UnsupportedOperationException e) {
-            unreadable++;
+            unreadableDatagrams++;
             Logger.debug("agreement: unreadable datagram: {}", e.getMessage());
         }
     }
 
     private void advanceRecovery() {
-        if (!recovery.advance(replica.lease(), fleet.get())) {
+        if (!recovery.advance(replica.lease(), memberSupplier.get())) {
             return;
         }
         RecoveryPlan plan = recovery.plan();
@@ -223,12 +223,12 @@
             // Until then the old snapshot knows more than this process.
             return;
         }
-        Snapshot snapshot = recovery.currentSnapshot(isClean, replica.lease(), fleet.get());
+        Snapshot snapshot = recovery.currentSnapshot(isClean, replica.lease(), memberSupplier.get());
         vertx.<Void>executeBlocking(() -> {
                     recovery.write(snapshot);
                     return null;
                 })
-                .onSuccess(written -> {
+                .onSuccess(ignored -> {
                     if (!hasWrittenSnapshot) {
                         hasWrittenSnapshot = true;
                         events.write(Json.object().add("event", "snapshot"));
@@ -239,14 +239,14 @@
 
     @Override
     public void leave() {
-        vertx.runOnContext(called -> writeSnapshot(true));
+        vertx.runOnContext(ignored -> writeSnapshot(true));
     }
 
     /** Has the gateway act on what is in force now. */
     private void activate() {
         EffectiveConfigSelector.Selection selection =
                 selector.select(replica.lease().state(), recovery, monotonicMs());
-        expiry.setOnExpiry(selection.onExpiry());
+        leaseExpiry.setOnExpiry(selection.onExpiry());
         EffectiveConfig effective = selection.effective();
         openBackends = effective.backends() == null ? -1 : effective.backends().size();
         onChange.accept(effective);
@@ -254,12 +254,12 @@
 
     @Override
     public EffectiveConfig effectiveIfExpired() {
-        return expiry.takeIfExpired(monotonicMs());
+        return leaseExpiry.takeIfExpired(monotonicMs());
     }
 
     @Override
     public String figures() {
-        long untilMs = expiry.expiresAtMs();
+        long untilMs = leaseExpiry.expiresAtMs();
         return figures
                 + ReplicationFigures.leaseRemaining(
                         untilMs == LeaseExpiry.NEVER ? 0 : Math.max(0, untilMs - monotonicMs()));
@@ -270,7 +270,7 @@
             wasLeader = replica.isLeader();
             events.write(Json.object().add("event", "leads").add("leads", wasLeader));
         }
-        figures = ReplicationFigures.lines(replica, isStateRefused, unreadable, recovery);
+        figures = ReplicationFigures.lines(replica, isStateRejected, unreadableDatagrams, recovery);
     }
 
     private final class Host implements ConfigReplica.Host {
@@ -287,17 +287,17 @@
                         "agreement: {} of {} bytes not sent: too large for a datagram", message.kind(), bytes.length);
                 return;
             }
-            HostAndPort to = HostAndPort.parse(address, "address");
-            socket.send(Buffer.buffer(bytes), to.port(), to.address())
-                    .onFailure(e -> Logger.debug("agreement: not sent to {}: {}", to, e.getMessage()));
+            HostAndPort target = HostAndPort.parse(address, "address");
+            socket.send(Buffer.buffer(bytes), target.port(), target.address())
+                    .onFailure(e -> Logger.debug("agreement: not sent to {}: {}", target, e.getMessage()));
         }
 
         @Override
         public void schedule(long delayMs, Runnable task) {
             if (delayMs <= 0) {
-                vertx.runOnContext(run -> task.run());
+                vertx.runOnContext(ignored -> task.run());
             } else {
-                vertx.setTimer(delayMs, due -> task.run());
+                vertx.setTimer(delayMs, timerId -> task.run());
             }
         }
 
@@ -310,8 +310,8 @@
                 // A version that this gateway did not receive may have drained any backend: none gets new work for a
                 // while.
                 long graceMs = settings.leaseMs() / 4;
-                selector.closeUntil(monotonicMs() + graceMs);
-                vertx.setTimer(graceMs, due -> activate());
+                selector.withholdBackendsUntil(monotonicMs() + graceMs);
+                vertx.setTimer(graceMs, timerId -> activate());
             }
             activate();
             Logger.info("agreement: acting on version {}, mode {}", after.version(), after.mode());
--- a/replication/src/main/java/opalcove/replication/ReplicationFigures.java
+++ b/replication/src/main/java/opalcove/replication/ReplicationFigures.java
@@ -14,7 +14,8 @@
     private ReplicationFigures() {}
 
     /** All figures but the remaining time of the lease; recovery is null without a recovery. */
-    static String lines(ConfigReplica replica, boolean isStateRefused, long unreadable, RecoveryTracker recovery) {
+    static String lines(
+            ConfigReplica replica, boolean isStateRejected, long unreadableDatagrams, RecoveryTracker recovery) {
         ReplicationFigures figures = new ReplicationFigures();
         LeaseState state = replica.lease().state();
         ConfigLease.Counts counts = replica.lease().counts();
@@ -23,12 +24,12 @@
         figures.add("agreement.voter", replica.isVoter() ? 1 : 0, GAUGE);
         figures.add("agreement.leader", replica.isLeader() ? 1 : 0, GAUGE);
         figures.add("agreement.voter_restarts", replica.voterRestarts(), COUNTER);
-        figures.add("agreement.state_refused", isStateRefused ? 1 : 0, COUNTER);
+        figures.add("agreement.state_refused", isStateRejected ? 1 : 0, COUNTER);
         figures.add("agreement.asked", counts.requested(), COUNTER);
         figures.add("agreement.confirmed", counts.confirmed(), COUNTER);
         figures.add("agreement.expired", counts.expired(), COUNTER);
         figures.add("agreement.adopted", counts.adopted(), COUNTER);
-        figures.add("agreement.unreadable", unreadable, COUNTER);
+        figures.add("agreement.unreadable", unreadableDatagrams, COUNTER);
         if (recovery != null && recovery.plan() != null) {
             RecoveryPlan plan = recovery.plan();
             figures.add("recovery.phase", plan.phase().code(), GAUGE);
--- a/replication/src/main/java/opalcove/replication/ReplicationMessage.java
+++ b/replication/src/main/java/opalcove/replication/ReplicationMessage.java
@@ -70,22 +70,22 @@
 
     private static final int MAX_NAME_LENGTH = 256;
 
-    private static final String RAFT_MESSAGE = "b";
-    private static final String VERSION = "v";
-    private static final String TEXT = "t";
-    private static final String ORIGIN = "o";
+    private static final String RAFT_MESSAGE_KEY = "b";
+    private static final String VERSION_KEY = "v";
+    private static final String TEXT_KEY = "t";
+    private static final String ORIGIN_KEY = "o";
 
     static JsonObject raftBody(byte[] message) {
-        return Json.object().add(RAFT_MESSAGE, Base64.getEncoder().encodeToString(message));
+        return Json.object().add(RAFT_MESSAGE_KEY, Base64.getEncoder().encodeToString(message));
     }
 
     static JsonObject versionBody(long version) {
-        return Json.object().add(VERSION, version);
+        return Json.object().add(VERSION_KEY, version);
     }
 
     /** A version with its document. */
     static JsonObject versionBody(long version, String text) {
-        return versionBody(version).add(TEXT, packed(text));
+        return versionBody(version).add(TEXT_KEY, packText(text));
     }
 
     /** A proposal's body. */
@@ -94,13 +94,13 @@
                 .add("id", proposal.proposalId())
                 .add("base", proposal.baseVersion())
                 .add("by", proposal.author())
-                .add(TEXT, packed(proposal.text()));
+                .add(TEXT_KEY, packText(proposal.text()));
     }
 
     static JsonObject outcomeBody(VersionLog.Outcome outcome) {
         return Json.object()
                 .add("taken", outcome.accepted())
-                .add(VERSION, outcome.version())
+                .add(VERSION_KEY, outcome.version())
                 .add("reason", outcome.reason());
     }
 
@@ -145,23 +145,23 @@
     /** The same request, forwarded by another gateway, with its sender as origin. */
     ReplicationMessage forwardedBy(String sender, String senderAddress) {
         JsonObject origin = Json.object().add("n", from).add("a", address);
-        return new ReplicationMessage(sender, senderAddress, kind, sequence, body.add(ORIGIN, origin));
+        return new ReplicationMessage(sender, senderAddress, kind, sequence, body.add(ORIGIN_KEY, origin));
     }
 
     /** The same response, returned to the origin by the gateway that forwarded the request. */
     ReplicationMessage returnedBy(String sender, String senderAddress) {
-        return new ReplicationMessage(sender, senderAddress, kind, sequence, body.remove(ORIGIN));
+        return new ReplicationMessage(sender, senderAddress, kind, sequence, body.remove(ORIGIN_KEY));
     }
 
     /** The body of a response to this request: a forwarded request's origin goes back with it. */
     JsonObject withOrigin(JsonObject responseBody) {
-        JsonValue origin = body.get(ORIGIN);
-        return origin == null ? responseBody : responseBody.add(ORIGIN, origin.asObject());
+        JsonValue origin = body.get(ORIGIN_KEY);
+        return origin == null ? responseBody : responseBody.add(ORIGIN_KEY, origin.asObject());
     }
 
     /** Whom a forwarded request came from; null if the message was not forwarded. */
     Origin origin() {
-        JsonValue origin = body.get(ORIGIN);
+        JsonValue origin = body.get(ORIGIN_KEY);
         return origin == null
                 ? null
                 : new Origin(
@@ -170,17 +170,17 @@
 
     /** The number of the version that the message is about; 0 if it names none. */
     long version() {
-        return body.getLong(VERSION, 0);
+        return body.getLong(VERSION_KEY, 0);
     }
 
     /** The document of a version; null if the message has none. */
     String text() {
-        String packed = body.getString(TEXT, null);
+        String packed = body.getString(TEXT_KEY, null);
         return packed == null ? null : SerializedForm.read(Base64.getDecoder().decode(packed), String.class);
     }
 
     byte[] raftMessage() {
-        return Base64.getDecoder().decode(body.getString(RAFT_MESSAGE, ""));
+        return Base64.getDecoder().decode(body.getString(RAFT_MESSAGE_KEY, ""));
     }
 
     /** A proposal's id; empty if it has none. */
@@ -210,7 +210,7 @@
     }
 
     /** A document as it is sent, deflated. */
-    static String packed(String text) {
+    static String packText(String text) {
         return Base64.getEncoder().encodeToString(SerializedForm.write(text));
     }
 }
--- a/replication/src/main/java/opalcove/replication/SerializedForm.java
+++ b/replication/src/main/java/opalcove/replication/SerializedForm.java
@@ -16,7 +16,7 @@
  */
 final class SerializedForm {
     /** Guards against objects of other classes in bytes from the network or from a file, and against oversized ones. */
-    private static final ObjectInputFilter ALLOWED = ObjectInputFilter.Config.createFilter(
+    private static final ObjectInputFilter INPUT_FILTER = ObjectInputFilter.Config.createFilter(
             "maxbytes=16777216;maxdepth=24;maxarray=65536;io.microraft.model.**;io.microraft.MembershipChangeMode;"
                     + WrittenClass.filterPatterns() + ";java.util.*;java.lang.*;!*");
 
@@ -40,7 +40,7 @@
      */
     static <T> T read(byte[] bytes, Class<T> type) {
         try (ObjectInputStream in = new WrittenClass.Input(new InflaterInputStream(new ByteArrayInputStream(bytes)))) {
-            in.setObjectInputFilter(ALLOWED);
+            in.setObjectInputFilter(INPUT_FILTER);
             return type.cast(in.readObject());
         } catch (IOException | ClassNotFoundException | ClassCastException e) {
             throw new InvalidConfigurationException("not a record of this program: " + e.getMessage());
--- a/replication/src/main/java/opalcove/replication/VoterTime.java
+++ b/replication/src/main/java/opalcove/replication/VoterTime.java
@@ -42,10 +42,10 @@
     }
 
     /** The host's clock, sped up. */
-    static final class PacedClock extends Clock {
+    static final class AcceleratedClock extends Clock {
         private final ConfigReplica.Host host;
 
-        PacedClock(ConfigReplica.Host host) {
+        AcceleratedClock(ConfigReplica.Host host) {
             this.host = host;
         }
 
--- a/replication/src/main/java/opalcove/replication/WrittenClass.java
+++ b/replication/src/main/java/opalcove/replication/WrittenClass.java
@@ -34,7 +34,7 @@
             "snapshot",
             "term");
 
-    private static final String PROJECT = "opalcove.";
+    private static final String PROJECT_PREFIX = "opalcove.";
 
     private final String writtenName;
     private final ObjectStreamClass descriptor;
@@ -70,17 +70,17 @@
     }
 
     /** Guards against values of one field read into another: fields are matched by their position alone. */
-    private ObjectStreamClass checked(ObjectStreamClass read) throws InvalidClassException {
+    private ObjectStreamClass validateDescriptor(ObjectStreamClass read) throws InvalidClassException {
         ObjectStreamField[] readFields = read.getFields();
         ObjectStreamField[] fields = descriptor.getFields();
-        boolean same =
+        boolean matches =
                 readFields.length == fields.length && read.getSerialVersionUID() == descriptor.getSerialVersionUID();
-        for (int i = 0; same && i < fields.length; i++) {
-            same = readFields[i].getName().equals(writtenFields.get(i))
+        for (int i = 0; matches && i < fields.length; i++) {
+            matches = readFields[i].getName().equals(writtenFields.get(i))
                     && readFields[i].getTypeCode() == fields[i].getTypeCode()
                     && (fields[i].isPrimitive() || readFields[i].getTypeString().equals(fields[i].getTypeString()));
         }
-        if (!same) {
+        if (!matches) {
             throw new InvalidClassException(writtenName, "its fields are not those of this program");
         }
         return descriptor;
@@ -115,10 +115,10 @@
             ObjectStreamClass read = super.readClassDescriptor();
             for (WrittenClass each : values()) {
                 if (each.writtenName.equals(read.getName())) {
-                    return each.checked(read);
+                    return each.validateDescriptor(read);
                 }
             }
-            if (read.getName().startsWith(PROJECT)) {
+            if (read.getName().startsWith(PROJECT_PREFIX)) {
                 throw new InvalidClassException(read.getName(), "is not written by this program");
             }
             return read;
--- a/replication/src/test/java/opalcove/replication/FolderFaultsTest.java
+++ b/replication/src/test/java/opalcove/replication/FolderFaultsTest.java
@@ -84,15 +84,15 @@
         }
 
         @Override
-        public void addSecondName(Path name, Path of) throws IOException {
+        public void createHardLink(Path link, Path existing) throws IOException {
             at(Step.LINK);
-            FileOperations.REAL.addSecondName(name, of);
+            FileOperations.REAL.createHardLink(link, existing);
         }
 
         @Override
-        public void rename(Path from, Path to) throws IOException {
+        public void rename(Path source, Path target) throws IOException {
             at(Step.RENAME);
-            FileOperations.REAL.rename(from, to);
+            FileOperations.REAL.rename(source, target);
         }
 
         /** Stands for a kill: nothing that comes after it in the write is done. */
@@ -151,14 +151,14 @@
         RaftVoterStore store = RaftVoterStore.open(disk, vote);
         disk.healed = true;
         store.persistAndFlushTerm(term(1));
-        assertTrue(store.isWritten());
+        assertTrue(store.ensureWritten());
         disk.healed = false;
         RaftStore asItsNode = store;
         assertThrows(IOException.class, () -> asItsNode.persistAndFlushTerm(term(2)));
-        assertFalse(store.isWritten(), "its vote is not in the file");
-        assertFalse(store.isWritten(), "nor is it after another try");
+        assertFalse(store.ensureWritten(), "its vote is not in the file");
+        assertFalse(store.ensureWritten(), "nor is it after another try");
         disk.healed = true;
-        assertTrue(store.isWritten());
+        assertTrue(store.ensureWritten());
         RaftVoterStore back = RaftVoterStore.open(vote);
         back.persistAndFlushInitialGroupMembers(new DefaultRaftModelFactory()
                 .createRaftGroupMembersViewBuilder()
@@ -170,7 +170,7 @@
                 .createRaftEndpointPersistentStateBuilder()
                 .setVoting(true)
                 .build());
-        assertEquals(back.restored().getTermPersistentState().getTerm(), 2, "what was said is there after a restart");
+        assertEquals(back.restoredState().getTermPersistentState().getTerm(), 2, "what was said is there after a restart");
     }
 
     private static io.microraft.model.persistence.RaftTermPersistentState term(int term) {
--- a/replication/src/test/java/opalcove/replication/ReplicationMessageFormTest.java
+++ b/replication/src/test/java/opalcove/replication/ReplicationMessageFormTest.java
@@ -93,7 +93,7 @@
 
     @Test
     public void aTextIsPackedAsADeflatedSerializedString() throws IOException {
-        byte[] packed = Base64.getDecoder().decode(ReplicationMessage.packed("one"));
+        byte[] packed = Base64.getDecoder().decode(ReplicationMessage.packText("one"));
         byte[] plain = new InflaterInputStream(new ByteArrayInputStream(packed)).readAllBytes();
         assertEquals(plain, new byte[] {(byte) 0xac, (byte) 0xed, 0, 5, 't', 0, 3, 'o', 'n', 'e'});
     }
--- a/replication/src/test/java/opalcove/replication/ReplicationTest.java
+++ b/replication/src/test/java/opalcove/replication/ReplicationTest.java
@@ -69,7 +69,7 @@
     public void aVotersFileIsReadBackWholeOrRefusedWithTheReason() throws Exception {
         Path file = Files.createTempDirectory("vote").resolve("state");
         RaftVoterStore store = RaftVoterStore.open(file);
-        assertNull(store.restored());
+        assertNull(store.restoredState());
         DefaultRaftModelFactory factory = new DefaultRaftModelFactory();
         VersionLog.Proposal proposal = new VersionLog.Proposal("id", 0, "ops", "text");
         store.persistLogEntries(List.of(factory.createLogEntryBuilder()
@@ -90,9 +90,9 @@
                 .setVoting(true)
                 .build());
         RaftVoterStore back = RaftVoterStore.open(file);
-        assertNotNull(back.restored());
-        assertEquals(back.restored().getTermPersistentState().getTerm(), 3);
-        assertEquals(back.restored().getLogEntries().get(0).getOperation(), proposal);
+        assertNotNull(back.restoredState());
+        assertEquals(back.restoredState().getTermPersistentState().getTerm(), 3);
+        assertEquals(back.restoredState().getLogEntries().get(0).getOperation(), proposal);
         byte[] whole = Files.readAllBytes(file);
         for (int cut = 0; cut < whole.length; cut++) {
             Files.write(file, Arrays.copyOf(whole, cut));
@@ -137,7 +137,7 @@
     @Test
     public void heldCutsEachBurstToOneGatewaysPart() {
         ConfigDocument held = document(TestSettings.JSON.replace("\"balancers\":1", "\"balancers\":4"), "up")
-                .withHeldBursts();
+                .withBurstShares();
         assertEquals(held.settings().plans().get(0).burst(), 25.0);
         assertEquals(held.settings().plans().get(0).rate(), 50.0);
     }
--- a/replication/src/test/java/opalcove/replication/VoterRecoveryTest.java
+++ b/replication/src/test/java/opalcove/replication/VoterRecoveryTest.java
@@ -43,13 +43,13 @@
         }
 
         @Override
-        public void addSecondName(Path name, Path of) throws IOException {
-            FileOperations.REAL.addSecondName(name, of);
+        public void createHardLink(Path link, Path existing) throws IOException {
+            FileOperations.REAL.createHardLink(link, existing);
         }
 
         @Override
-        public void rename(Path from, Path to) throws IOException {
-            FileOperations.REAL.rename(from, to);
+        public void rename(Path source, Path target) throws IOException {
+            FileOperations.REAL.rename(source, target);
         }
     }
 
--- a/replication/src/test/java/opalcove/replication/WrittenFormTest.java
+++ b/replication/src/test/java/opalcove/replication/WrittenFormTest.java
@@ -185,7 +185,7 @@
         Map<String, RaftVoterStore> stores = new LinkedHashMap<>();
         for (String name : VirtualVoters.NAMES) {
             stores.put(name, RaftVoterStore.open(folder.resolve(name + ".state")));
-            assertTrue(stores.get(name).restored().getTermPersistentState().getTerm() > 0, name);
+            assertTrue(stores.get(name).restoredState().getTermPersistentState().getTerm() > 0, name);
         }
         VirtualVoters voters = new VirtualVoters(stores, (from, message) -> {});
         String leader = voters.awaitLeader();
