--- a/replication/src/test/java/opalcove/replication/AgreementOutputTest.java
+++ b/replication/src/test/java/opalcove/replication/AgreementOutputTest.java
@@ -22,12 +22,12 @@
 
 /** What agreed versions show to the outside: figures and events. */
 public class AgreementOutputTest {
-    private static final long FAILS_AFTER_NS = TimeUnit.SECONDS.toNanos(60);
+    private static final long TIMEOUT_NS = TimeUnit.SECONDS.toNanos(60);
 
-    private static void await(Object awaited, BooleanSupplier there) throws InterruptedException {
+    private static void await(Object description, BooleanSupplier condition) throws InterruptedException {
         long start = System.nanoTime();
-        while (!there.getAsBoolean()) {
-            assertTrue(System.nanoTime() - start < FAILS_AFTER_NS, awaited.toString());
+        while (!condition.getAsBoolean()) {
+            assertTrue(System.nanoTime() - start < TIMEOUT_NS, description.toString());
             Thread.sleep(10);
         }
     }
@@ -38,7 +38,7 @@
         }
     }
 
-    private static ReplicatedConfig state(Vertx vertx, int port, Path folder, List<String> events) {
+    private static ReplicatedConfig createService(Vertx vertx, int port, Path folder, List<String> events) {
         String section =
                 """
                 {"listen":"127.0.0.1:%d","voters":[{"name":"g1","address":"127.0.0.1:%d"}],
@@ -48,39 +48,39 @@
                 .create(vertx, "g1", JsonFields.parse(section), TestSettings.settings(), events::add);
     }
 
-    private static List<String> keys(ReplicatedConfig state) {
-        return state.figures()
+    private static List<String> figureKeys(ReplicatedConfig service) {
+        return service.figures()
                 .lines()
                 .map(line -> line.replaceFirst(":-?\\d+\\|", "|"))
                 .toList();
     }
 
-    private static List<String> plain(List<String> events, Path folder) {
+    private static List<String> normalize(List<String> events, Path folder) {
         return events.stream()
                 .map(each -> each.replaceAll("(_ms\":)\\d{13}", "$10").replace(folder.toString(), "FOLDER"))
                 .toList();
     }
 
     @Test
-    public void aVoterShowsItsFiguresAndEventsInTheirForms() throws Exception {
+    public void writesVoterFiguresAndEventsInFixedFormat() throws Exception {
         Vertx vertx = Vertx.vertx();
         Path folder = Files.createTempDirectory("agreement");
         try {
             int port = freePort();
             List<String> events = new CopyOnWriteArrayList<>();
-            ReplicatedConfig state = state(vertx, port, folder, events);
-            state.start(acting -> {}, List::of).await(1, TimeUnit.MINUTES);
+            ReplicatedConfig service = createService(vertx, port, folder, events);
+            service.start(effective -> {}, List::of).await(1, TimeUnit.MINUTES);
             ReplicationClient client =
                     new ReplicationClient(List.of(HostAndPort.parse("127.0.0.1:" + port, "address")), 60_000);
             VersionLog.Outcome outcome = client.propose(0, "ops", "{\"settings\":" + TestSettings.JSON + "}");
             assertEquals(outcome, new VersionLog.Outcome(true, 1, ""));
-            String acting = "{\"event\":\"acting\",\"version\":1,\"mode\":\"FULL\",\"nodes\":-1,\"ended_ms\":0,"
+            String actingEvent = "{\"event\":\"acting\",\"version\":1,\"mode\":\"FULL\",\"nodes\":-1,\"ended_ms\":0,"
                     + "\"at_ms\":0,\"observer\":\"g1\"}";
-            await(events, () -> plain(events, folder).contains(acting));
+            await(events, () -> normalize(events, folder).contains(actingEvent));
             await(events, () -> events.toString().contains("\"phase\":\"FULL\""));
             await(events, () -> events.toString().contains("\"snapshot\""));
             assertEquals(
-                    keys(state),
+                    figureKeys(service),
                     List.of(
                             "agreement.version|g",
                             "agreement.behind|g",
@@ -98,45 +98,48 @@
                             "recovery.trusted|g",
                             "recovery.refused|g",
                             "agreement.lease_left_ms|g"));
-            String lines = state.figures();
+            String lines = service.figures();
             assertTrue(lines.startsWith("agreement.version:1|g\nagreement.behind:0|g\nagreement.voter:1|g\n"), lines);
             assertTrue(lines.contains("\nrecovery.phase:3|g\nrecovery.snapshot_age_ms:-1|g\n"), lines);
-            List<String> shown = plain(events, folder);
-            assertTrue(shown.contains("{\"event\":\"leads\",\"leads\":true,\"at_ms\":0,\"observer\":\"g1\"}"));
-            assertTrue(shown.contains("{\"event\":\"snapshot\",\"at_ms\":0,\"observer\":\"g1\"}"));
+            List<String> normalizedEvents = normalize(events, folder);
+            assertTrue(normalizedEvents.contains(
+                    "{\"event\":\"leads\",\"leads\":true,\"at_ms\":0,\"observer\":\"g1\"}"));
+            assertTrue(normalizedEvents.contains("{\"event\":\"snapshot\",\"at_ms\":0,\"observer\":\"g1\"}"));
             String refused = "\"refused\":[\"the snapshot: FOLDER/snapshot: there is none\"]";
             assertEquals(
-                    shown.stream().filter(each -> each.contains("\"recovery\"")).toList(),
+                    normalizedEvents.stream()
+                            .filter(each -> each.contains("\"recovery\""))
+                            .toList(),
                     List.of(
-                            recovery("WAITING", refused, false),
-                            recovery("RESTORING", refused, true),
-                            recovery("FULL", refused, true)));
+                            recoveryEvent("WAITING", refused, false),
+                            recoveryEvent("RESTORING", refused, true),
+                            recoveryEvent("FULL", refused, true)));
         } finally {
             vertx.close().await(1, TimeUnit.MINUTES);
         }
     }
 
-    private static String recovery(String phase, String refused, boolean cold) {
-        return "{\"event\":\"recovery\",\"phase\":\"" + phase + "\"," + refused + ",\"cold\":" + cold
+    private static String recoveryEvent(String phase, String refused, boolean areBackendsWarmingUp) {
+        return "{\"event\":\"recovery\",\"phase\":\"" + phase + "\"," + refused + ",\"cold\":" + areBackendsWarmingUp
                 + ",\"at_ms\":0,\"observer\":\"g1\"}";
     }
 
     @Test
-    public void aStateThatIsRefusedIsShownWithItsReason() throws Exception {
+    public void reportsReasonWhenStateFileIsRejected() throws Exception {
         Vertx vertx = Vertx.vertx();
         Path folder = Files.createTempDirectory("agreement");
         try {
             Files.writeString(folder.resolve("state"), "nothing of this program");
             List<String> events = new CopyOnWriteArrayList<>();
-            ReplicatedConfig state = state(vertx, freePort(), folder, events);
-            state.start(acting -> {}, List::of);
+            ReplicatedConfig service = createService(vertx, freePort(), folder, events);
+            service.start(effective -> {}, List::of);
             await(events, () -> !events.isEmpty());
             assertEquals(
-                    plain(events, folder).get(0),
+                    normalize(events, folder).get(0),
                     "{\"event\":\"state_refused\",\"reason\":\"FOLDER/state: it is no state of this program\","
                             + "\"at_ms\":0,\"observer\":\"g1\"}");
-            await(state, () -> state.figures().contains("agreement.voter:0|g\n"));
-            assertTrue(state.figures().contains("agreement.state_refused:1|c\n"), state.figures());
+            await(service, () -> service.figures().contains("agreement.voter:0|g\n"));
+            assertTrue(service.figures().contains("agreement.state_refused:1|c\n"), service.figures());
         } finally {
             vertx.close().await(1, TimeUnit.MINUTES);
         }
--- a/replication/src/test/java/opalcove/replication/FolderFaultsTest.java
+++ b/replication/src/test/java/opalcove/replication/FolderFaultsTest.java
@@ -30,16 +30,16 @@
         SYNC_FOLDER
     }
 
-    private static final byte[] OLD = "the old content".getBytes(StandardCharsets.UTF_8);
-    private static final byte[] NEW = "what is written anew".getBytes(StandardCharsets.UTF_8);
+    private static final byte[] OLD_CONTENT = "the old content".getBytes(StandardCharsets.UTF_8);
+    private static final byte[] NEW_CONTENT = "what is written anew".getBytes(StandardCharsets.UTF_8);
 
     private Path file;
 
     @BeforeMethod
-    public void folder() throws Exception {
+    public void createFileWithTwoContents() throws Exception {
         file = Files.createTempDirectory("folder").resolve("state");
         AtomicFile.write(file, "what was before that".getBytes(StandardCharsets.UTF_8));
-        AtomicFile.write(file, OLD);
+        AtomicFile.write(file, OLD_CONTENT);
     }
 
     @DataProvider
@@ -48,129 +48,132 @@
     }
 
     /** A disk that fails one step: the process ends there, having done half of it, or the system says no. */
-    private static final class Failing implements FileOperations {
+    private static final class FaultyFileOperations implements FileOperations {
         private final Step step;
-        private final boolean ends;
-        private boolean healed;
+        private final boolean endsProcess;
+        private boolean isRepaired;
 
-        Failing(Step step, boolean ends) {
+        FaultyFileOperations(Step step, boolean endsProcess) {
             this.step = step;
-            this.ends = ends;
+            this.endsProcess = endsProcess;
         }
 
-        private void at(Step now) throws IOException {
-            if (healed || now != step) {
+        private void failIfAt(Step current) throws IOException {
+            if (isRepaired || current != step) {
                 return;
             }
-            if (ends) {
-                throw new EndOfProcess();
+            if (endsProcess) {
+                throw new SimulatedProcessEnd();
             }
-            throw new IOException(now == Step.WRITE ? "No space left on device" : "Input/output error");
+            throw new IOException(current == Step.WRITE ? "No space left on device" : "Input/output error");
         }
 
         @Override
         public void write(Path name, ByteBuffer bytes) throws IOException {
-            if (!healed && step == Step.WRITE) {
+            if (!isRepaired && step == Step.WRITE) {
                 Files.write(name, new byte[] {bytes.get(0), bytes.get(1)});
             }
-            at(Step.WRITE);
+            failIfAt(Step.WRITE);
             FileOperations.REAL.write(name, bytes);
         }
 
         @Override
         public void sync(Path name) throws IOException {
-            at(Files.isDirectory(name) ? Step.SYNC_FOLDER : Step.SYNC_FILE);
+            failIfAt(Files.isDirectory(name) ? Step.SYNC_FOLDER : Step.SYNC_FILE);
             FileOperations.REAL.sync(name);
         }
 
         @Override
         public void createHardLink(Path link, Path existing) throws IOException {
-            at(Step.LINK);
+            failIfAt(Step.LINK);
             FileOperations.REAL.createHardLink(link, existing);
         }
 
         @Override
         public void rename(Path source, Path target) throws IOException {
-            at(Step.RENAME);
+            failIfAt(Step.RENAME);
             FileOperations.REAL.rename(source, target);
         }
 
         /** Stands for a kill: nothing that comes after it in the write is done. */
-        private static final class EndOfProcess extends Error {
+        private static final class SimulatedProcessEnd extends Error {
             private static final long serialVersionUID = 1;
         }
     }
 
     @Test(dataProvider = "steps")
-    public void aProcessThatEndsAtAnyStepLeavesTheOldOrTheNewContentIntact(Step step) throws Exception {
-        assertThrows(Failing.EndOfProcess.class, () -> AtomicFile.write(new Failing(step, true), file, NEW));
-        assertEquals(AtomicFile.read(file), step == Step.SYNC_FOLDER ? NEW : OLD);
-        AtomicFile.write(file, NEW);
-        assertEquals(AtomicFile.read(file), NEW, "what the kill left behind is in nobody's way");
+    public void leavesOldOrNewContentIntactWhenProcessEndsAtAnyStep(Step step) throws Exception {
+        assertThrows(
+                FaultyFileOperations.SimulatedProcessEnd.class,
+                () -> AtomicFile.write(new FaultyFileOperations(step, true), file, NEW_CONTENT));
+        assertEquals(AtomicFile.read(file), step == Step.SYNC_FOLDER ? NEW_CONTENT : OLD_CONTENT);
+        AtomicFile.write(file, NEW_CONTENT);
+        assertEquals(AtomicFile.read(file), NEW_CONTENT, "what the kill left behind is in nobody's way");
     }
 
     @Test(dataProvider = "steps")
-    public void aStepThatFailsIsReportedAndTheNextWriteIsComplete(Step step) throws Exception {
-        Failing disk = new Failing(step, false);
-        assertThrows(IOException.class, () -> AtomicFile.write(disk, file, NEW));
-        assertEquals(AtomicFile.read(file), step == Step.SYNC_FOLDER ? NEW : OLD);
-        disk.healed = true;
-        AtomicFile.write(disk, file, NEW);
-        assertEquals(AtomicFile.read(file), NEW);
+    public void reportsFailedStepAndCompletesNextWriteAfterRepair(Step step) throws Exception {
+        FaultyFileOperations disk = new FaultyFileOperations(step, false);
+        assertThrows(IOException.class, () -> AtomicFile.write(disk, file, NEW_CONTENT));
+        assertEquals(AtomicFile.read(file), step == Step.SYNC_FOLDER ? NEW_CONTENT : OLD_CONTENT);
+        disk.isRepaired = true;
+        AtomicFile.write(disk, file, NEW_CONTENT);
+        assertEquals(AtomicFile.read(file), NEW_CONTENT);
     }
 
     @Test
-    public void afterAFailedSyncTheSameFileIsNotSyncedOnceMore() throws Exception {
-        Failing disk = new Failing(Step.SYNC_FILE, false);
-        assertThrows(IOException.class, () -> AtomicFile.write(disk, file, NEW));
+    public void deletesNewFileInsteadOfSyncingItAgainAfterFailedSync() throws Exception {
+        FaultyFileOperations disk = new FaultyFileOperations(Step.SYNC_FILE, false);
+        assertThrows(IOException.class, () -> AtomicFile.write(disk, file, NEW_CONTENT));
         assertFalse(Files.exists(file.resolveSibling("state.part")), "a page may be marked clean: it is written anew");
     }
 
     @Test
-    public void aTornSnapshotGivesWayToTheOneBeforeAndATornVoteIsRefused() throws Exception {
-        Path snapshots = file.resolveSibling("snapshot");
-        Snapshot before = new Snapshot("g1", 5, 4, true, 3, "{}", List.of());
-        Snapshot after = new Snapshot("g1", 6, 4, true, 4, "{}", List.of());
-        SnapshotFile.write(snapshots, before);
-        SnapshotFile.write(snapshots, after);
-        assertEquals(SnapshotFile.read(snapshots), after);
-        byte[] whole = Files.readAllBytes(snapshots);
-        for (int cut = 0; cut < whole.length; cut++) {
-            Files.write(snapshots, java.util.Arrays.copyOf(whole, cut));
-            assertEquals(SnapshotFile.read(snapshots), before);
-            assertThrows(InvalidConfigurationException.class, () -> RaftVoterStore.open(snapshots));
+    public void readsPreviousSnapshotAndRejectsVoterStateWhenFileIsTruncated() throws Exception {
+        Path snapshotFile = file.resolveSibling("snapshot");
+        Snapshot previous = new Snapshot("g1", 5, 4, true, 3, "{}", List.of());
+        Snapshot newest = new Snapshot("g1", 6, 4, true, 4, "{}", List.of());
+        SnapshotFile.write(snapshotFile, previous);
+        SnapshotFile.write(snapshotFile, newest);
+        assertEquals(SnapshotFile.read(snapshotFile), newest);
+        byte[] complete = Files.readAllBytes(snapshotFile);
+        for (int cut = 0; cut < complete.length; cut++) {
+            Files.write(snapshotFile, java.util.Arrays.copyOf(complete, cut));
+            assertEquals(SnapshotFile.read(snapshotFile), previous);
+            assertThrows(InvalidConfigurationException.class, () -> RaftVoterStore.open(snapshotFile));
         }
-        Files.delete(snapshots);
-        assertEquals(SnapshotFile.read(snapshots), before);
+        Files.delete(snapshotFile);
+        assertEquals(SnapshotFile.read(snapshotFile), previous);
     }
 
     @Test(dataProvider = "steps")
-    public void aVoterThatCannotWriteIsSilentUntilItCan(Step step) throws Exception {
-        Path vote = file.resolveSibling("vote");
-        Failing disk = new Failing(step, false);
-        RaftVoterStore store = RaftVoterStore.open(disk, vote);
-        disk.healed = true;
+    public void reportsVoterStateAsUnwrittenUntilWriteSucceeds(Step step) throws Exception {
+        Path stateFile = file.resolveSibling("vote");
+        FaultyFileOperations disk = new FaultyFileOperations(step, false);
+        RaftVoterStore store = RaftVoterStore.open(disk, stateFile);
+        disk.isRepaired = true;
         store.persistAndFlushTerm(term(1));
         assertTrue(store.ensureWritten());
-        disk.healed = false;
-        RaftStore asItsNode = store;
-        assertThrows(IOException.class, () -> asItsNode.persistAndFlushTerm(term(2)));
+        disk.isRepaired = false;
+        RaftStore raftStore = store;
+        assertThrows(IOException.class, () -> raftStore.persistAndFlushTerm(term(2)));
         assertFalse(store.ensureWritten(), "its vote is not in the file");
         assertFalse(store.ensureWritten(), "nor is it after another try");
-        disk.healed = true;
+        disk.isRepaired = true;
         assertTrue(store.ensureWritten());
-        RaftVoterStore back = RaftVoterStore.open(vote);
-        back.persistAndFlushInitialGroupMembers(new DefaultRaftModelFactory()
+        RaftVoterStore reopened = RaftVoterStore.open(stateFile);
+        reopened.persistAndFlushInitialGroupMembers(new DefaultRaftModelFactory()
                 .createRaftGroupMembersViewBuilder()
                 .setLogIndex(0)
                 .setMembers(List.of())
                 .setVotingMembers(List.of())
                 .build());
-        back.persistAndFlushLocalEndpoint(new DefaultRaftModelFactory()
+        reopened.persistAndFlushLocalEndpoint(new DefaultRaftModelFactory()
                 .createRaftEndpointPersistentStateBuilder()
                 .setVoting(true)
                 .build());
-        assertEquals(back.restoredState().getTermPersistentState().getTerm(), 2, "what was said is there after a restart");
+        assertEquals(
+                reopened.restoredState().getTermPersistentState().getTerm(), 2, "what was said is there after a restart");
     }
 
     private static io.microraft.model.persistence.RaftTermPersistentState term(int term) {
--- a/replication/src/test/java/opalcove/replication/LeaseExpiryTest.java
+++ b/replication/src/test/java/opalcove/replication/LeaseExpiryTest.java
@@ -16,7 +16,7 @@
 
     /** Guards against a gateway that stays strict, without any backend, under a lease that was renewed at its very end. */
     @Test
-    public void aRenewalThatCrossesTheEndHasTheEffectiveConfigurationActivatedAgain() {
+    public void requestsReactivationWhenLeaseIsRenewedAfterExpiryWasTaken() {
         LeaseExpiry expiry = new LeaseExpiry();
         expiry.setOnExpiry(STRICT);
         assertNull(expiry.takeIfExpired(5000), "there is no lease yet");
@@ -30,7 +30,7 @@
 
     /** The same with the events in the other order: the renewal is seen before what was taken. */
     @Test
-    public void whatWasTakenAfterARenewalIsReportedByTheNext() {
+    public void requestsReactivationAtNextRenewalWhenExpiryIsTakenAfterRenewal() {
         LeaseExpiry expiry = new LeaseExpiry();
         expiry.setOnExpiry(STRICT);
         expiry.renew(2000);
--- a/replication/src/test/java/opalcove/replication/LeaseUnderInputTest.java
+++ b/replication/src/test/java/opalcove/replication/LeaseUnderInputTest.java
@@ -47,7 +47,7 @@
 
     /** Guards against a lease that is acted on past its end because each datagram puts off the timer of its end. */
     @Test
-    public void aLeaseEndsInTimeWhileADatagramComesEachMillisecond() {
+    public void expiresLeaseInTimeWhenDatagramArrivesEveryMillisecond() {
         Host host = new Host();
         ConfigReplica.Setup setup = new ConfigReplica.Setup(
                 "g1", "a:1", Map.of("g2", "b:2"), false, null, LEASE_MS, new Random(5), text -> {});
@@ -55,10 +55,10 @@
         replica.tick();
         replica.receive(message(Kind.VERSION_RESPONSE, host.lastSequence, 3));
         assertEquals(host.changes, List.of("FULL 3"));
-        ReplicationMessage noNews = new ReplicationMessage("g2", "b:2", Kind.RAFT, 0, Json.object());
+        ReplicationMessage raftMessage = new ReplicationMessage("g2", "b:2", Kind.RAFT, 0, Json.object());
         for (int elapsedMs = 0; elapsedMs < 2 * LEASE_MS; elapsedMs++) {
             host.nowMs++;
-            replica.receive(noNews);
+            replica.receive(raftMessage);
             LeaseState lease = replica.lease().state();
             assertTrue(
                     lease.mode() == LeaseState.Mode.STRICT || host.nowMs < lease.expiresAtMs(),
--- a/replication/src/test/java/opalcove/replication/ReplicationMessageFormTest.java
+++ b/replication/src/test/java/opalcove/replication/ReplicationMessageFormTest.java
@@ -29,7 +29,7 @@
     private static final String CLIENT = "{\"n\":\"client-1\",\"a\":\"c:1\"}";
 
     @DataProvider
-    public Object[][] forms() {
+    public Object[][] wireFormats() {
         JsonObject origin = Json.object().add("n", "g9").add("a", "127.0.0.1:9");
         return new Object[][] {
             {
@@ -71,12 +71,12 @@
         };
     }
 
-    @Test(dataProvider = "forms")
-    public void eachKindIsWrittenAndReadInItsForm(ReplicationMessage.Kind kind, JsonObject body, String form) {
-        String whole = "{\"f\":{\"n\":\"g1\",\"a\":\"127.0.0.1:7000\"}," + form + "}";
+    @Test(dataProvider = "wireFormats")
+    public void readsAndWritesEachKindInItsWireFormat(ReplicationMessage.Kind kind, JsonObject body, String fields) {
+        String json = "{\"f\":{\"n\":\"g1\",\"a\":\"127.0.0.1:7000\"}," + fields + "}";
         ReplicationMessage message = new ReplicationMessage("g1", "127.0.0.1:7000", kind, 7, body);
-        assertEquals(new String(message.bytes(), StandardCharsets.UTF_8), whole);
-        ReplicationMessage read = ReplicationMessage.read(whole.getBytes(StandardCharsets.UTF_8));
+        assertEquals(new String(message.bytes(), StandardCharsets.UTF_8), json);
+        ReplicationMessage read = ReplicationMessage.read(json.getBytes(StandardCharsets.UTF_8));
         assertEquals(read, message);
         if (body.get("t") != null) {
             assertEquals(read.text(), "one");
@@ -87,12 +87,12 @@
     }
 
     @Test
-    public void theFormsAreOfAllKinds() {
-        assertEquals(forms().length, ReplicationMessage.Kind.values().length);
+    public void hasWireFormatExampleOfEachKind() {
+        assertEquals(wireFormats().length, ReplicationMessage.Kind.values().length);
     }
 
     @Test
-    public void aTextIsPackedAsADeflatedSerializedString() throws IOException {
+    public void packsTextAsDeflatedSerializedString() throws IOException {
         byte[] packed = Base64.getDecoder().decode(ReplicationMessage.packText("one"));
         byte[] plain = new InflaterInputStream(new ByteArrayInputStream(packed)).readAllBytes();
         assertEquals(plain, new byte[] {(byte) 0xac, (byte) 0xed, 0, 5, 't', 0, 3, 'o', 'n', 'e'});
@@ -106,7 +106,7 @@
                 new PriorityQueue<>(Comparator.comparingLong(Task::atMs).thenComparingLong(Task::order));
         private final List<String> sent = new ArrayList<>();
         private long nowMs = 1000;
-        private long order;
+        private long nextOrder;
 
         @Override
         public long nowMs() {
@@ -120,7 +120,7 @@
 
         @Override
         public void schedule(long delayMs, Runnable task) {
-            tasks.add(new Task(nowMs + delayMs, order++, task));
+            tasks.add(new Task(nowMs + delayMs, nextOrder++, task));
         }
 
         @Override
@@ -128,31 +128,31 @@
             sent.add(after.version() + " " + after.mode().name() + " " + text);
         }
 
-        private void run(long ms) {
-            long end = nowMs + ms;
-            while (!tasks.isEmpty() && tasks.peek().atMs() <= end) {
+        private void runFor(long durationMs) {
+            long endMs = nowMs + durationMs;
+            while (!tasks.isEmpty() && tasks.peek().atMs() <= endMs) {
                 Task task = tasks.poll();
                 nowMs = Math.max(nowMs, task.atMs());
                 task.run().run();
             }
-            nowMs = end;
+            nowMs = endMs;
         }
 
-        private List<String> takeSent() {
-            List<String> taken = List.copyOf(sent);
+        private List<String> drainSent() {
+            List<String> drained = List.copyOf(sent);
             sent.clear();
-            return taken;
+            return drained;
         }
     }
 
-    private static ConfigReplica replica(Host host, Map<String, String> voters, boolean votes) {
+    private static ConfigReplica replica(Host host, Map<String, String> voters, boolean isVoter) {
         return new ConfigReplica(
                 new ConfigReplica.Setup(
                         "g1",
                         "a:1",
                         voters,
-                        votes,
-                        votes ? RaftVoterStore.inMemory() : null,
+                        isVoter,
+                        isVoter ? RaftVoterStore.inMemory() : null,
                         2000,
                         new Random(5),
                         text -> {}),
@@ -164,81 +164,82 @@
     }
 
     @Test
-    public void aVoterRespondsToEachRequestInItsForm() {
+    public void voterRespondsToEachRequestInItsWireFormat() {
         Host host = new Host();
         ConfigReplica replica = replica(host, Map.of("g1", "a:1"), true);
         replica.start();
-        host.run(5000);
+        host.runFor(5000);
         assertTrue(replica.isLeader());
-        String us = "c:1 {\"f\":{\"n\":\"g1\",\"a\":\"a:1\"},";
+        String prefix = "c:1 {\"f\":{\"n\":\"g1\",\"a\":\"a:1\"},";
         replica.receive(message("\"k\":\"ASK\",\"s\":1,\"v\":0"));
-        host.run(100);
-        assertEquals(host.takeSent(), List.of(us + "\"k\":\"TOLD\",\"s\":1,\"v\":0}"));
+        host.runFor(100);
+        assertEquals(host.drainSent(), List.of(prefix + "\"k\":\"TOLD\",\"s\":1,\"v\":0}"));
         String proposal = "\"s\":2,\"id\":\"x\",\"base\":0,\"by\":\"ops\",\"t\":\"" + PACKED_ONE + "\"";
         replica.receive(message("\"k\":\"PROPOSE\"," + proposal));
-        host.run(100);
+        host.runFor(100);
         assertEquals(
-                host.takeSent(),
+                host.drainSent(),
                 List.of(
-                        us + "\"k\":\"NEWS\",\"s\":0,\"v\":1}",
-                        us + "\"k\":\"DECIDED\",\"s\":2,\"taken\":true,\"v\":1,\"reason\":\"\"}"));
+                        prefix + "\"k\":\"NEWS\",\"s\":0,\"v\":1}",
+                        prefix + "\"k\":\"DECIDED\",\"s\":2,\"taken\":true,\"v\":1,\"reason\":\"\"}"));
         replica.receive(message("\"k\":\"PROPOSE\"," + proposal.replace("\"x\"", "\"y\"")));
-        host.run(100);
+        host.runFor(100);
         assertEquals(
-                host.takeSent(),
-                List.of(us + "\"k\":\"DECIDED\",\"s\":2,\"taken\":false,\"v\":1,"
+                host.drainSent(),
+                List.of(prefix + "\"k\":\"DECIDED\",\"s\":2,\"taken\":false,\"v\":1,"
                         + "\"reason\":\"it changes version 0, but version 1 by ops is in force\"}"));
         replica.receive(message("\"k\":\"PROPOSE\"," + proposal.replace("\"x\"", "\"\"")));
-        host.run(100);
+        host.runFor(100);
         assertEquals(
-                host.takeSent(),
-                List.of(us
+                host.drainSent(),
+                List.of(prefix
                         + "\"k\":\"DECIDED\",\"s\":2,\"taken\":false,\"v\":0,\"reason\":\"a proposal needs an id\"}"));
         replica.receive(message("\"k\":\"HISTORY\",\"s\":3"));
-        host.run(100);
+        host.runFor(100);
         assertEquals(
-                host.takeSent(),
-                List.of(us + "\"k\":\"VERSIONS\",\"s\":3,\"versions\":[{\"number\":1,\"by\":\"ops\",\"id\":\"x\"}]}"));
+                host.drainSent(),
+                List.of(
+                        prefix + "\"k\":\"VERSIONS\",\"s\":3,\"versions\":[{\"number\":1,\"by\":\"ops\",\"id\":\"x\"}]}"));
         replica.receive(message("\"k\":\"ASK\",\"s\":4,\"v\":0,\"o\":{\"n\":\"g9\",\"a\":\"d:9\"}"));
-        host.run(100);
-        String text = host.takeSent().toString();
-        assertTrue(text.startsWith("[" + us + "\"k\":\"TOLD\",\"s\":4,\"v\":1,\"t\":\""), text);
+        host.runFor(100);
+        String text = host.drainSent().toString();
+        assertTrue(text.startsWith("[" + prefix + "\"k\":\"TOLD\",\"s\":4,\"v\":1,\"t\":\""), text);
         assertTrue(text.endsWith("\",\"o\":{\"n\":\"g9\",\"a\":\"d:9\"}}]"), text);
     }
 
     /** Guards against an empty history of a voter that has just started and knows nothing of what is decided. */
     @Test
-    public void aVoterThatKnowsNoLeaderAndNoVersionLeavesTheHistoryToOthers() {
+    public void sendsNoHistoryWhenVoterKnowsNeitherLeaderNorVersion() {
         Host host = new Host();
         ConfigReplica replica = replica(host, Map.of("g1", "a:1", "g2", "b:2", "g3", "e:3"), true);
         replica.start();
         replica.receive(message("\"k\":\"HISTORY\",\"s\":3"));
-        host.run(100);
+        host.runFor(100);
         assertEquals(
-                host.takeSent().stream()
+                host.drainSent().stream()
                         .filter(each -> !each.contains("\"k\":\"RAFT\""))
                         .toList(),
                 List.of());
     }
 
     @Test
-    public void aGatewayRequestsTheVersionAndAdoptsTheResponse() {
+    public void requestsVersionAndAdoptsResponseWhenGatewayIsNoVoter() {
         Host host = new Host();
         ConfigReplica replica = replica(host, Map.of("g2", "b:2"), false);
         replica.tick();
         assertEquals(
-                host.takeSent(), List.of("b:2 {\"f\":{\"n\":\"g1\",\"a\":\"a:1\"},\"k\":\"ASK\",\"s\":1,\"v\":0}"));
+                host.drainSent(), List.of("b:2 {\"f\":{\"n\":\"g1\",\"a\":\"a:1\"},\"k\":\"ASK\",\"s\":1,\"v\":0}"));
         replica.receive(message("\"k\":\"TOLD\",\"s\":1,\"v\":3,\"t\":\"" + PACKED_ONE + "\""));
-        assertEquals(host.takeSent(), List.of("3 FULL one"));
+        assertEquals(host.drainSent(), List.of("3 FULL one"));
         replica.receive(message("\"k\":\"NEWS\",\"s\":0,\"v\":4"));
         assertEquals(
-                host.takeSent(), List.of("b:2 {\"f\":{\"n\":\"g1\",\"a\":\"a:1\"},\"k\":\"ASK\",\"s\":2,\"v\":3}"));
-        host.run(2000);
+                host.drainSent(), List.of("b:2 {\"f\":{\"n\":\"g1\",\"a\":\"a:1\"},\"k\":\"ASK\",\"s\":2,\"v\":3}"));
+        host.runFor(2000);
         replica.tick();
-        assertEquals(host.takeSent().get(0), "3 STRICT one");
+        assertEquals(host.drainSent().get(0), "3 STRICT one");
         replica.receive(message("\"k\":\"TOLD\",\"s\":9,\"v\":4,\"o\":{\"n\":\"g9\",\"a\":\"d:9\"}"));
         assertEquals(
-                host.takeSent(),
+                host.drainSent(),
                 List.of("d:9 {\"f\":{\"n\":\"g1\",\"a\":\"a:1\"},\"k\":\"TOLD\",\"s\":9,\"v\":4}"),
                 "a response to a forwarded request is forwarded");
     }
--- a/replication/src/test/java/opalcove/replication/ReplicationTest.java
+++ b/replication/src/test/java/opalcove/replication/ReplicationTest.java
@@ -21,22 +21,23 @@
 
 /** A version's document and its strict rules, a voter's file, the section's checks. */
 public class ReplicationTest {
-    private static final String NODES =
+    private static final String BACKENDS_JSON =
             """
             [{"name":"n1","address":"127.0.0.1:1"},{"name":"n2","address":"127.0.0.1:2","status":"%s"}]""";
 
-    private static ConfigDocument document(String settings, String secondNode) {
-        return ConfigDocument.read("{\"settings\":" + settings + ",\"nodes\":" + NODES.formatted(secondNode) + "}");
+    private static ConfigDocument document(String settings, String secondBackendStatus) {
+        return ConfigDocument.read(
+                "{\"settings\":" + settings + ",\"nodes\":" + BACKENDS_JSON.formatted(secondBackendStatus) + "}");
     }
 
     @Test
-    public void strictKeepsTheLesserQuotaOneAttemptAndADrainOfEitherVersion() {
-        ConfigDocument drained = document(
+    public void strictDocumentHasLowerQuotaOneAttemptAndNoBackendDrainedInEitherVersion() {
+        ConfigDocument previous = document(
                 TestSettings.JSON.replace(
                         "\"quota_rate\":50,\"peak_units\":100}]", "\"quota_rate\":20,\"peak_units\":200}]"),
                 "draining");
-        ConfigDocument again = document(TestSettings.JSON, "up");
-        ConfigDocument strict = again.strict(drained);
+        ConfigDocument newest = document(TestSettings.JSON, "up");
+        ConfigDocument strict = newest.strict(previous);
         assertEquals(strict.settings().limits().maxAttempts(), 1);
         assertEquals(strict.settings().plans().get(1).rate(), 20.0);
         assertEquals(strict.settings().plans().get(1).burst(), 100.0);
@@ -44,7 +45,7 @@
     }
 
     @Test
-    public void aBrokenTextIsRefusedWithItsKeyAndReason() {
+    public void rejectsInvalidDocumentWithKeyAndReason() {
         for (String[] each : new String[][] {
             {"", "JSON"},
             {"{\"settings\":{}}", "profiles"},
@@ -55,18 +56,18 @@
             },
             {
                 "{\"settings\":" + TestSettings.JSON + ",\"nodes\":"
-                        + NODES.formatted("up").replace("n2", "n1") + "}",
+                        + BACKENDS_JSON.formatted("up").replace("n2", "n1") + "}",
                 "n1 twice"
             }
         }) {
-            String refusal = expectThrows(InvalidConfigurationException.class, () -> ConfigDocument.read(each[0]))
+            String message = expectThrows(InvalidConfigurationException.class, () -> ConfigDocument.read(each[0]))
                     .getMessage();
-            assertTrue(refusal.contains(each[1]), refusal);
+            assertTrue(message.contains(each[1]), message);
         }
     }
 
     @Test
-    public void aVotersFileIsReadBackWholeOrRefusedWithTheReason() throws Exception {
+    public void readsVoterStateAndRejectsItWithReasonWhenFileIsDamaged() throws Exception {
         Path file = Files.createTempDirectory("vote").resolve("state");
         RaftVoterStore store = RaftVoterStore.open(file);
         assertNull(store.restoredState());
@@ -89,19 +90,19 @@
         store.persistAndFlushLocalEndpoint(factory.createRaftEndpointPersistentStateBuilder()
                 .setVoting(true)
                 .build());
-        RaftVoterStore back = RaftVoterStore.open(file);
-        assertNotNull(back.restoredState());
-        assertEquals(back.restoredState().getTermPersistentState().getTerm(), 3);
-        assertEquals(back.restoredState().getLogEntries().get(0).getOperation(), proposal);
-        byte[] whole = Files.readAllBytes(file);
-        for (int cut = 0; cut < whole.length; cut++) {
-            Files.write(file, Arrays.copyOf(whole, cut));
-            String refusal = expectThrows(InvalidConfigurationException.class, () -> RaftVoterStore.open(file))
+        RaftVoterStore reopened = RaftVoterStore.open(file);
+        assertNotNull(reopened.restoredState());
+        assertEquals(reopened.restoredState().getTermPersistentState().getTerm(), 3);
+        assertEquals(reopened.restoredState().getLogEntries().get(0).getOperation(), proposal);
+        byte[] complete = Files.readAllBytes(file);
+        for (int cut = 0; cut < complete.length; cut++) {
+            Files.write(file, Arrays.copyOf(complete, cut));
+            String message = expectThrows(InvalidConfigurationException.class, () -> RaftVoterStore.open(file))
                     .getMessage();
-            assertTrue(refusal.contains(file.toString()) && refusal.matches("(?s).*(empty|no state|torn).*"), refusal);
+            assertTrue(message.contains(file.toString()) && message.matches("(?s).*(empty|no state|torn).*"), message);
         }
-        byte[] changed = whole.clone();
-        changed[whole.length - 3] ^= 1;
+        byte[] changed = complete.clone();
+        changed[complete.length - 3] ^= 1;
         Files.write(file, changed);
         assertTrue(expectThrows(InvalidConfigurationException.class, () -> RaftVoterStore.open(file))
                 .getMessage()
@@ -109,7 +110,7 @@
     }
 
     @Test
-    public void aSnapshotIsReadBackWholeOrRefusedWithTheReason() throws Exception {
+    public void readsSnapshotAndRejectsItWithReasonWhenFileIsDamaged() throws Exception {
         Path file = Files.createTempDirectory("snapshot").resolve("g1");
         assertTrue(expectThrows(InvalidConfigurationException.class, () -> SnapshotFile.read(file, "g1"))
                 .getMessage()
@@ -121,12 +122,12 @@
         assertTrue(expectThrows(InvalidConfigurationException.class, () -> SnapshotFile.read(file, "g2"))
                 .getMessage()
                 .contains("is of g1"));
-        byte[] whole = Files.readAllBytes(file);
-        for (int cut = 0; cut < whole.length; cut++) {
-            Files.write(file, Arrays.copyOf(whole, cut));
-            String refusal = expectThrows(InvalidConfigurationException.class, () -> SnapshotFile.read(file, "g1"))
+        byte[] complete = Files.readAllBytes(file);
+        for (int cut = 0; cut < complete.length; cut++) {
+            Files.write(file, Arrays.copyOf(complete, cut));
+            String message = expectThrows(InvalidConfigurationException.class, () -> SnapshotFile.read(file, "g1"))
                     .getMessage();
-            assertTrue(refusal.matches("(?s).*(empty|no state|torn).*"), refusal);
+            assertTrue(message.matches("(?s).*(empty|no state|torn).*"), message);
         }
         AtomicFile.write(file, "{\"snapshot\":2}".getBytes(java.nio.charset.StandardCharsets.UTF_8));
         assertTrue(expectThrows(InvalidConfigurationException.class, () -> SnapshotFile.read(file, "g1"))
@@ -135,15 +136,15 @@
     }
 
     @Test
-    public void heldCutsEachBurstToOneGatewaysPart() {
-        ConfigDocument held = document(TestSettings.JSON.replace("\"balancers\":1", "\"balancers\":4"), "up")
+    public void cutsEachBurstToShareOfOneGateway() {
+        ConfigDocument shared = document(TestSettings.JSON.replace("\"balancers\":1", "\"balancers\":4"), "up")
                 .withBurstShares();
-        assertEquals(held.settings().plans().get(0).burst(), 25.0);
-        assertEquals(held.settings().plans().get(0).rate(), 50.0);
+        assertEquals(shared.settings().plans().get(0).burst(), 25.0);
+        assertEquals(shared.settings().plans().get(0).rate(), 50.0);
     }
 
     @Test
-    public void whatIsNoRecordOfThisProgramIsNotRead() {
+    public void rejectsSerializedObjectWhenItsClassIsNotAllowed() {
         assertTrue(expectThrows(
                         InvalidConfigurationException.class,
                         () -> SerializedForm.read(
@@ -153,22 +154,22 @@
     }
 
     @Test
-    public void theSectionIsCheckedWithItsKeys() {
-        String good =
+    public void rejectsInvalidSectionWithItsKey() {
+        String validSection =
                 """
                 {"listen":"127.0.0.1:0","voters":[{"name":"g1","address":"127.0.0.1:1"}],"state_file":"/tmp/x"}""";
-        assertEquals(ReplicationConfig.read("g1", JsonFields.parse(good)).leaseMs(), 2000);
+        assertEquals(ReplicationConfig.read("g1", JsonFields.parse(validSection)).leaseMs(), 2000);
         for (String[] each : new String[][] {
-            {good.replace("/tmp/x", ""), "state_file"},
-            {good.replace("\"state_file\"", "\"lease_ms\":1,\"state_file\""), "lease_ms"},
-            {good.replace("\"state_file\"", "\"state\""), "agreement.state is not known"},
-            {good.replace("}]", "},{\"name\":\"g2\",\"address\":\"127.0.0.1:2\"}]"), "1, 3, 5"}
+            {validSection.replace("/tmp/x", ""), "state_file"},
+            {validSection.replace("\"state_file\"", "\"lease_ms\":1,\"state_file\""), "lease_ms"},
+            {validSection.replace("\"state_file\"", "\"state\""), "agreement.state is not known"},
+            {validSection.replace("}]", "},{\"name\":\"g2\",\"address\":\"127.0.0.1:2\"}]"), "1, 3, 5"}
         }) {
-            String refusal = expectThrows(
+            String message = expectThrows(
                             InvalidConfigurationException.class,
                             () -> ReplicationConfig.read("g1", JsonFields.parse(each[0])))
                     .getMessage();
-            assertTrue(refusal.contains(each[1]), refusal);
+            assertTrue(message.contains(each[1]), message);
         }
     }
 }
--- a/replication/src/test/java/opalcove/replication/VirtualVoters.java
+++ b/replication/src/test/java/opalcove/replication/VirtualVoters.java
@@ -31,15 +31,15 @@
             new PriorityQueue<>(Comparator.comparingLong(Task::atMs).thenComparingLong(Task::order));
     private final Map<String, RaftVoter> voters = new LinkedHashMap<>();
     private final Map<String, Process> processes = new HashMap<>();
-    private final Set<String> cutOff = new HashSet<>();
-    private final BiConsumer<String, byte[]> sent;
+    private final Set<String> isolated = new HashSet<>();
+    private final BiConsumer<String, byte[]> onSend;
     private long nowMs = 1_000_000;
-    private long order;
+    private long nextOrder;
     private int restarts;
 
-    /** Starts a voter for each store; {@code sent} sees each message, be it carried or lost. */
-    VirtualVoters(Map<String, RaftVoterStore> stores, BiConsumer<String, byte[]> sent) {
-        this.sent = sent;
+    /** Starts a voter for each store; {@code onSend} sees each message, be it carried or lost. */
+    VirtualVoters(Map<String, RaftVoterStore> stores, BiConsumer<String, byte[]> onSend) {
+        this.onSend = onSend;
         stores.forEach((name, store) -> voters.put(name, create(name, store)));
         voters.values().forEach(RaftVoter::start);
     }
@@ -51,14 +51,14 @@
                 new RaftVoter.Setup(
                         name, NAMES, store, process, new VirtualClock(), new Random(name.hashCode() + restarts)),
                 (to, message) -> {
-                    sent.accept(name, message);
-                    later(1, () -> deliver(name, to, message));
+                    onSend.accept(name, message);
+                    scheduleTask(1, () -> deliver(name, to, message));
                 },
                 version -> {});
     }
 
     private void deliver(String from, String to, byte[] message) {
-        if (!cutOff.contains(from) && !cutOff.contains(to)) {
+        if (!isolated.contains(from) && !isolated.contains(to)) {
             voters.get(to).handle(message);
         }
     }
@@ -66,7 +66,7 @@
     /** Kills a voter and starts it again on what its store holds. */
     void restart(String name, RaftVoterStore store) {
         restarts++;
-        processes.get(name).end();
+        processes.get(name).terminate();
         voters.put(name, create(name, store));
         voters.get(name).start();
     }
@@ -75,12 +75,12 @@
         return voters.get(name);
     }
 
-    void cutOff(String name) {
-        cutOff.add(name);
+    void isolate(String name) {
+        isolated.add(name);
     }
 
-    void heal() {
-        cutOff.clear();
+    void reconnectAll() {
+        isolated.clear();
     }
 
     /** The voter that leads itself and is not cut off, after as long as that takes. */
@@ -92,7 +92,7 @@
     private String leader() {
         return voters.keySet().stream()
                 .filter(name ->
-                        !cutOff.contains(name) && name.equals(voters.get(name).leader()))
+                        !isolated.contains(name) && name.equals(voters.get(name).leader()))
                 .findFirst()
                 .orElse(null);
     }
@@ -108,59 +108,59 @@
         return outcome.get(0);
     }
 
-    void run(long ms) {
-        long end = nowMs + ms;
-        while (!tasks.isEmpty() && tasks.peek().atMs() <= end) {
-            next();
+    void runFor(long durationMs) {
+        long endMs = nowMs + durationMs;
+        while (!tasks.isEmpty() && tasks.peek().atMs() <= endMs) {
+            runNextTask();
         }
-        nowMs = end;
+        nowMs = endMs;
     }
 
-    void await(BooleanSupplier done) {
-        long end = nowMs + TIMEOUT_MS;
-        while (!done.getAsBoolean()) {
-            if (nowMs > end) {
+    void await(BooleanSupplier condition) {
+        long endMs = nowMs + TIMEOUT_MS;
+        while (!condition.getAsBoolean()) {
+            if (nowMs > endMs) {
                 throw new IllegalStateException("not within " + TIMEOUT_MS + " ms of virtual time");
             }
-            next();
+            runNextTask();
         }
     }
 
-    private void next() {
+    private void runNextTask() {
         Task task = tasks.poll();
         nowMs = Math.max(nowMs, task.atMs());
         task.run().run();
     }
 
-    private void later(long ms, Runnable run) {
-        tasks.add(new Task(nowMs + ms, order++, run));
+    private void scheduleTask(long delayMs, Runnable run) {
+        tasks.add(new Task(nowMs + delayMs, nextOrder++, run));
     }
 
     /** Runs the tasks of one voter until its process ends. */
     private final class Process implements RaftNodeExecutor {
         private boolean hasEnded;
 
-        void end() {
+        void terminate() {
             hasEnded = true;
         }
 
         @Override
         public void execute(Runnable task) {
-            runLater(0, task);
+            scheduleUnlessEnded(0, task);
         }
 
         @Override
         public void submit(Runnable task) {
-            runLater(0, task);
+            scheduleUnlessEnded(0, task);
         }
 
         @Override
         public void schedule(Runnable task, long delay, TimeUnit unit) {
-            runLater(Math.max(1, unit.toMillis(delay)), task);
+            scheduleUnlessEnded(Math.max(1, unit.toMillis(delay)), task);
         }
 
-        private void runLater(long delayMs, Runnable task) {
-            later(delayMs, () -> {
+        private void scheduleUnlessEnded(long delayMs, Runnable task) {
+            scheduleTask(delayMs, () -> {
                 if (!hasEnded) {
                     task.run();
                 }
--- a/replication/src/test/java/opalcove/replication/VoterElectionTest.java
+++ b/replication/src/test/java/opalcove/replication/VoterElectionTest.java
@@ -18,24 +18,24 @@
 
     /** Guards against a voter that is deaf to the loss of a leader that it found in the middle of a pre-vote. */
     @Test
-    public void votersThatFoundTheLeaderDuringAPreVoteElectAnotherOnceItIsLost() throws IOException {
+    public void electsNewLeaderWhenLeaderFoundDuringPreVoteIsLost() throws IOException {
         Path folder = Files.createTempDirectory("voters");
         Map<String, RaftVoterStore> stores = new LinkedHashMap<>();
         for (String name : VirtualVoters.NAMES) {
             stores.put(name, RaftVoterStore.open(folder.resolve(name)));
         }
         VirtualVoters voters = new VirtualVoters(stores, (from, message) -> {});
-        String lost = voters.awaitLeader();
+        String lostLeader = voters.awaitLeader();
         voters.propose(new VersionLog.Proposal("id-1", 0, "ops", "one"));
         for (String name : VirtualVoters.NAMES) {
-            if (!name.equals(lost)) {
+            if (!name.equals(lostLeader)) {
                 voters.restart(name, RaftVoterStore.open(folder.resolve(name)));
-                voters.run(REJOIN_MS);
-                assertEquals(voters.voter(name).leader(), lost, name);
+                voters.runFor(REJOIN_MS);
+                assertEquals(voters.voter(name).leader(), lostLeader, name);
             }
         }
-        voters.cutOff(lost);
-        assertNotEquals(voters.awaitLeader(), lost);
+        voters.isolate(lostLeader);
+        assertNotEquals(voters.awaitLeader(), lostLeader);
         assertEquals(
                 voters.propose(new VersionLog.Proposal("id-2", 1, "ops", "two")), new VersionLog.Outcome(true, 2, ""));
     }
--- a/replication/src/test/java/opalcove/replication/VoterRecoveryTest.java
+++ b/replication/src/test/java/opalcove/replication/VoterRecoveryTest.java
@@ -21,7 +21,7 @@
     /** Longer than an election, and than a voter takes to rejoin. */
     private static final long SETTLE_MS = 20_000;
     /** Shorter than it takes the others to give up a leader. */
-    private static final long BRIEF_MS = 1_000;
+    private static final long BELOW_HEARTBEAT_TIMEOUT_MS = 1_000;
     /** Proposals and the entry of the first term: as many entries as a snapshot is taken after. */
     private static final int PROPOSALS_TO_SNAPSHOT = 7;
 
@@ -58,7 +58,7 @@
     private int proposals;
 
     @BeforeMethod
-    public void start() throws IOException {
+    public void startVoters() throws IOException {
         Path folder = Files.createTempDirectory("voters");
         disks = new LinkedHashMap<>();
         proposals = 0;
@@ -86,79 +86,79 @@
 
     /** Guards against a leader that does not count itself any more once a write of its state has failed. */
     @Test
-    public void aLeaderWhoseDiskWasFullDecidesAgainWithOneOtherVoter() {
+    public void leaderDecidesWithOneOtherVoterAfterItsDiskWasFull() {
         String leader = voters.awaitLeader();
         proposeNext();
         disks.get(leader).isFull = true;
         proposeNext();
-        voters.run(BRIEF_MS);
+        voters.runFor(BELOW_HEARTBEAT_TIMEOUT_MS);
         disks.get(leader).isFull = false;
-        voters.run(SETTLE_MS);
-        voters.cutOff(others(leader).get(0));
+        voters.runFor(SETTLE_MS);
+        voters.isolate(others(leader).get(0));
         proposeNext();
     }
 
     /** Guards against reads that wait for ever for one which the former node never answers. */
     @Test
-    public void aReadThatALeaderCannotAnswerAnyMoreFails() {
+    public void failsPendingReadWhenLeaderCannotWriteItsState() {
         String leader = voters.awaitLeader();
         proposeNext();
         List<String> reads = new ArrayList<>();
         disks.get(leader).isFull = true;
         proposeNext();
         voters.voter(leader).readNewest(newest -> reads.add("answered"), () -> reads.add("failed"));
-        voters.run(SETTLE_MS);
+        voters.runFor(SETTLE_MS);
         disks.get(leader).isFull = false;
-        voters.run(SETTLE_MS);
+        voters.runFor(SETTLE_MS);
         assertEquals(reads, List.of("failed"));
     }
 
     /** Guards against a follower whose handling of a request was broken off by the write that failed. */
     @Test
-    public void aFollowerWhoseDiskWasFullVotesAndFollowsAgain() {
+    public void followerVotesAndReplicatesAfterItsDiskWasFull() {
         String leader = voters.awaitLeader();
         String follower = others(leader).get(0);
         proposeNext();
         disks.get(follower).isFull = true;
         proposeNext();
-        voters.run(SETTLE_MS);
+        voters.runFor(SETTLE_MS);
         disks.get(follower).isFull = false;
-        voters.run(SETTLE_MS);
-        voters.cutOff(others(leader).get(1));
+        voters.runFor(SETTLE_MS);
+        voters.isolate(others(leader).get(1));
         proposeNext();
-        voters.run(SETTLE_MS);
+        voters.runFor(SETTLE_MS);
         assertEquals(voters.voter(follower).history().size(), proposals);
     }
 
     /** Guards against a former leader that refuses all entries because its own ones after a snapshot are others. */
     @Test
-    public void aVoterWithOtherEntriesRightAfterItsSnapshotCatchesUp() {
-        String former = voters.awaitLeader();
+    public void voterCatchesUpWhenEntriesAfterItsSnapshotDifferFromLeader() {
+        String formerLeader = voters.awaitLeader();
         for (int i = 0; i < PROPOSALS_TO_SNAPSHOT; i++) {
             proposeNext();
         }
-        voters.cutOff(former);
-        Set<String> lost = new TreeSet<>();
+        voters.isolate(formerLeader);
+        Set<String> failedProposals = new TreeSet<>();
         for (String each : List.of("lost-1", "lost-2")) {
-            voters.voter(former)
+            voters.voter(formerLeader)
                     .propose(
                             new VersionLog.Proposal(each, proposals, "ops", each),
-                            outcome -> lost.add("decided: " + outcome),
-                            () -> lost.add(each));
+                            outcome -> failedProposals.add("decided: " + outcome),
+                            () -> failedProposals.add(each));
         }
         proposeNext();
-        voters.heal();
-        voters.run(SETTLE_MS);
+        voters.reconnectAll();
+        voters.runFor(SETTLE_MS);
         proposeNext();
-        voters.run(SETTLE_MS);
-        assertEquals(lost, Set.of("lost-1", "lost-2"));
+        voters.runFor(SETTLE_MS);
+        assertEquals(failedProposals, Set.of("lost-1", "lost-2"));
         for (String each : VirtualVoters.NAMES) {
             assertEquals(
                     voters.voter(each).history(),
-                    voters.voter(others(former).get(0)).history(),
+                    voters.voter(others(formerLeader).get(0)).history(),
                     each);
         }
-        voters.cutOff(others(former).get(0));
+        voters.isolate(others(formerLeader).get(0));
         proposeNext();
     }
 }
--- a/replication/src/test/java/opalcove/replication/WrittenFormTest.java
+++ b/replication/src/test/java/opalcove/replication/WrittenFormTest.java
@@ -61,7 +61,7 @@
         }
     }
 
-    private static Path copy(String... names) throws IOException {
+    private static Path copyResources(String... names) throws IOException {
         Path folder = Files.createTempDirectory("written");
         for (String name : names) {
             Files.write(folder.resolve(name), resource(name));
@@ -69,7 +69,7 @@
         return folder;
     }
 
-    private static byte[] plain(byte[] deflated) {
+    private static byte[] inflate(byte[] deflated) {
         try (InputStream in = new InflaterInputStream(new ByteArrayInputStream(deflated))) {
             return in.readAllBytes();
         } catch (IOException e) {
@@ -77,26 +77,26 @@
         }
     }
 
-    private static String fields(ObjectStreamClass descriptor) {
+    private static String describeFields(ObjectStreamClass descriptor) {
         return descriptor.getSerialVersionUID() + " "
                 + Stream.of(descriptor.getFields())
-                        .map(field -> type(field) + " " + field.getName())
+                        .map(field -> typeName(field) + " " + field.getName())
                         .collect(Collectors.joining(", "));
     }
 
-    private static String type(ObjectStreamField field) {
+    private static String typeName(ObjectStreamField field) {
         return field.isPrimitive() ? String.valueOf(field.getTypeCode()) : field.getTypeString();
     }
 
     /** The project's class descriptors in a stream, as they stand in it, read with no class of the program at hand. */
-    private static Map<String, String> classes(byte[] deflated) {
+    private static Map<String, String> projectClasses(byte[] deflated) {
         Map<String, String> classes = new TreeMap<>();
-        try (ObjectInputStream in = new ObjectInputStream(new ByteArrayInputStream(plain(deflated))) {
+        try (ObjectInputStream in = new ObjectInputStream(new ByteArrayInputStream(inflate(deflated))) {
             @Override
             protected ObjectStreamClass readClassDescriptor() throws IOException, ClassNotFoundException {
                 ObjectStreamClass descriptor = super.readClassDescriptor();
                 if (descriptor.getName().startsWith("opalcove.")) {
-                    classes.put(descriptor.getName(), fields(descriptor));
+                    classes.put(descriptor.getName(), describeFields(descriptor));
                 }
                 return descriptor;
             }
@@ -107,7 +107,7 @@
             }
         }) {
             in.readObject();
-        } catch (ClassNotFoundException wanted) {
+        } catch (ClassNotFoundException expected) {
             // The project's classes are not looked for: by their descriptors alone, the stream is read to its end.
         } catch (IOException e) {
             throw new java.io.UncheckedIOException(e);
@@ -115,41 +115,41 @@
         return classes;
     }
 
-    private static void assertWritten(Map<String, String> found, String... names) {
-        Map<String, String> wanted = new TreeMap<>();
+    private static void assertWrittenClasses(Map<String, String> found, String... names) {
+        Map<String, String> expected = new TreeMap<>();
         for (String name : names) {
-            wanted.put(name, CLASSES.get(name));
+            expected.put(name, CLASSES.get(name));
         }
-        assertEquals(found, wanted);
+        assertEquals(found, expected);
     }
 
     @DataProvider
     public Object[][] messages() {
-        String named = "opalcove.versions.Voter$Named";
+        String voterId = "opalcove.versions.Voter$Named";
         String proposal = "opalcove.agreement.Registry$Proposal";
         String version = "opalcove.agreement.Registry$Version";
         return new Object[][] {
-            {"AppendEntriesFailureResponse", new String[] {named}},
-            {"AppendEntriesRequest", new String[] {named, proposal}},
-            {"AppendEntriesSuccessResponse", new String[] {named}},
-            {"InstallSnapshotRequest", new String[] {named, version}},
-            {"InstallSnapshotResponse", new String[] {named}},
-            {"PreVoteRequest", new String[] {named}},
-            {"PreVoteResponse", new String[] {named}},
-            {"VoteRequest", new String[] {named}},
-            {"VoteResponse", new String[] {named}}
+            {"AppendEntriesFailureResponse", new String[] {voterId}},
+            {"AppendEntriesRequest", new String[] {voterId, proposal}},
+            {"AppendEntriesSuccessResponse", new String[] {voterId}},
+            {"InstallSnapshotRequest", new String[] {voterId, version}},
+            {"InstallSnapshotResponse", new String[] {voterId}},
+            {"PreVoteRequest", new String[] {voterId}},
+            {"PreVoteResponse", new String[] {voterId}},
+            {"VoteRequest", new String[] {voterId}},
+            {"VoteResponse", new String[] {voterId}}
         };
     }
 
     @Test(dataProvider = "messages")
-    public void aMessageIsReadAndWrittenInItsForm(String kind, String... names) {
-        byte[] before = resource(kind + ".message");
-        RaftMessage message = SerializedForm.read(before, RaftMessage.class);
+    public void readsMessageAndWritesSameBytes(String kind, String... names) {
+        byte[] stored = resource(kind + ".message");
+        RaftMessage message = SerializedForm.read(stored, RaftMessage.class);
         assertEquals(message.getClass().getSimpleName(), "Default" + kind + "OrBuilder");
-        byte[] now = SerializedForm.write(message);
-        assertWritten(classes(before), names);
-        assertWritten(classes(now), names);
-        assertEquals(plain(now), plain(before));
+        byte[] rewritten = SerializedForm.write(message);
+        assertWrittenClasses(projectClasses(stored), names);
+        assertWrittenClasses(projectClasses(rewritten), names);
+        assertEquals(inflate(rewritten), inflate(stored));
     }
 
     @DataProvider
@@ -158,30 +158,30 @@
     }
 
     @Test(dataProvider = "states")
-    public void aVotersStateIsReadAndWrittenInItsForm(String name) throws IOException {
-        byte[] before = AtomicFile.read(copy(name).resolve(name));
-        byte[] now = SerializedForm.write(SerializedForm.read(before, Serializable.class));
+    public void readsVoterStateAndWritesSameBytes(String name) throws IOException {
+        byte[] stored = AtomicFile.read(copyResources(name).resolve(name));
+        byte[] rewritten = SerializedForm.write(SerializedForm.read(stored, Serializable.class));
         String[] names = {
             "opalcove.agreement.Registry$Proposal",
             "opalcove.agreement.Registry$Version",
             "opalcove.versions.Voter$Named",
             "opalcove.versions.VoterStore$State"
         };
-        assertWritten(classes(before), names);
-        assertWritten(classes(now), names);
-        assertEquals(plain(now), plain(before));
+        assertWrittenClasses(projectClasses(stored), names);
+        assertWrittenClasses(projectClasses(rewritten), names);
+        assertEquals(inflate(rewritten), inflate(stored));
     }
 
     @Test
-    public void anOutcomeIsWrittenInItsForm() {
+    public void writesOutcomeUnderItsWrittenNames() {
         byte[] written = SerializedForm.write(new VersionLog.Outcome(true, 3, "why"));
-        assertWritten(classes(written), "opalcove.agreement.Registry$Outcome");
+        assertWrittenClasses(projectClasses(written), "opalcove.agreement.Registry$Outcome");
         assertEquals(SerializedForm.read(written, VersionLog.Outcome.class), new VersionLog.Outcome(true, 3, "why"));
     }
 
     @Test
-    public void votersGoOnFromTheirFilesAndOneThatStartsAnewIsBroughtUpToDate() throws IOException {
-        Path folder = copy("g1.state", "g2.state", "g3.state");
+    public void votersContinueFromStoredFilesAndReachSameHistory() throws IOException {
+        Path folder = copyResources("g1.state", "g2.state", "g3.state");
         Map<String, RaftVoterStore> stores = new LinkedHashMap<>();
         for (String name : VirtualVoters.NAMES) {
             stores.put(name, RaftVoterStore.open(folder.resolve(name + ".state")));
@@ -199,7 +199,7 @@
         assertEquals(
                 voters.propose(new VersionLog.Proposal("id-25", 24, "ops", "{\"text\":25}")),
                 new VersionLog.Outcome(true, 25, ""));
-        voters.run(10_000);
+        voters.runFor(10_000);
         for (String name : VirtualVoters.NAMES) {
             List<VersionLog.Version> history = voters.voter(name).history();
             assertEquals(
@@ -211,8 +211,8 @@
     }
 
     @Test
-    public void aSnapshotOfTheFleetIsReadAndWrittenInItsForm() throws IOException {
-        Path folder = copy("recovery.snapshot", "recovery.snapshot.before");
+    public void readsFleetSnapshotAndWritesSameBytes() throws IOException {
+        Path folder = copyResources("recovery.snapshot", "recovery.snapshot.before");
         Path file = folder.resolve("recovery.snapshot");
         Snapshot snapshot = SnapshotFile.read(file, "g1");
         assertEquals(
@@ -233,40 +233,40 @@
                         + "\"clean\":true,\"version\":24,\"text\":\"{\\\"settings\\\":{},\\\"nodes\\\":[\\\"\u00e9\\\"]}\","
                         + "\"members\":[{\"name\":\"g2\",\"address\":\"127.0.0.1:7002\",\"incarnation\":1690000000002},"
                         + "{\"name\":\"g3\",\"address\":\"127.0.0.1:7003\",\"incarnation\":1690000000003}]}");
-        Path again = folder.resolve("again");
-        SnapshotFile.write(again, snapshot);
-        assertEquals(Files.readAllBytes(again), resource("recovery.snapshot"));
+        Path rewrittenFile = folder.resolve("again");
+        SnapshotFile.write(rewrittenFile, snapshot);
+        assertEquals(Files.readAllBytes(rewrittenFile), resource("recovery.snapshot"));
         Files.delete(file);
         assertFalse(SnapshotFile.read(file, "g1").isClean(), "the content before is used");
     }
 
     @Test
-    public void aClassOfTheProjectThatIsNoRecordIsNotRead() {
+    public void rejectsProjectClassThatIsNotWrittenClass() {
         for (Serializable other : new Serializable[] {ReplicationMessage.Kind.VERSION_REQUEST, LeaseState.Mode.FULL}) {
-            String refusal = expectThrows(
+            String message = expectThrows(
                             InvalidConfigurationException.class,
                             () -> SerializedForm.read(SerializedForm.write(other), Serializable.class))
                     .getMessage();
-            assertTrue(refusal.startsWith("not a record of this program: opalcove."), refusal);
+            assertTrue(message.startsWith("not a record of this program: opalcove."), message);
         }
     }
 
     @Test
-    public void aRecordWithOtherFieldsIsNotRead() {
+    public void rejectsRecordWhenFieldNameDiffers() {
         byte[] written = SerializedForm.write(new VersionLog.Outcome(true, 3, "why"));
-        byte[] plain = plain(written);
-        int at = new String(plain, StandardCharsets.ISO_8859_1).indexOf("reason");
-        plain[at] = 'R';
+        byte[] inflated = inflate(written);
+        int fieldNameIndex = new String(inflated, StandardCharsets.ISO_8859_1).indexOf("reason");
+        inflated[fieldNameIndex] = 'R';
         ByteArrayOutputStream changed = new ByteArrayOutputStream();
         try (DeflaterOutputStream out = new DeflaterOutputStream(changed)) {
-            out.write(plain);
+            out.write(inflated);
         } catch (IOException e) {
             throw new java.io.UncheckedIOException(e);
         }
-        String refusal = expectThrows(
+        String message = expectThrows(
                         InvalidConfigurationException.class,
                         () -> SerializedForm.read(changed.toByteArray(), Serializable.class))
                 .getMessage();
-        assertTrue(refusal.contains("its fields are not those of this program"), refusal);
+        assertTrue(message.contains("its fields are not those of this program"), message);
     }
 }
