--- a/replication/src/main/java/opalcove/replication/AtomicFile.java
+++ b/replication/src/main/java/opalcove/replication/AtomicFile.java
@@ -10,12 +10,12 @@
 import org.tinylog.Logger;
 
 /**
- * Replaces a file's content as a whole or not at all: the new content is written beside the file, synced and moved into
- * its place. A header holds the version of the format, the length and a CRC32C of the content. The previous content is
- * kept under another name, for readers that may use an older one.
+ * Replaces the content of a file atomically: the new content is written to a second file, synced and renamed to the
+ * file's name. A header holds the version of the format, the length and a CRC32C of the content. The previous content
+ * stays available under another name, for readers that may use an older one.
  *
- * <p>A write that fails in any step has not been done; its caller must not rely on it. What was written so far is
- * deleted and not synced again: after a failed sync the system may take for written what it could not write.
+ * <p>If any step fails, the caller must not rely on the write. The partly written file is deleted instead of being
+ * synced again: after a failed sync, the operating system may take data for written that it could not write.
  */
 final class AtomicFile {
     private static final byte[] MAGIC = {'o', 'p', 'l', 'v'};
@@ -52,7 +52,7 @@
         operations.sync(file.toAbsolutePath().getParent());
     }
 
-    /** Keeps the previous content under its own name, if it is intact. */
+    /** Saves the previous content under a name of its own, if it is intact. */
     private static void savePrevious(FileOperations operations, Path file) throws IOException {
         if (Files.exists(file) && isIntact(file)) {
             Path previous = withSuffix(file, PREVIOUS_FILE_SUFFIX);
@@ -82,15 +82,16 @@
         return file.resolveSibling(file.getFileName() + suffix);
     }
 
-    /** Whether there is a content, even if only the previous one. */
+    /** Whether the file or its previous content exists. */
     static boolean existsOrPrevious(Path file) {
         return Files.exists(file) || Files.exists(withSuffix(file, PREVIOUS_FILE_SUFFIX));
     }
 
     /**
-     * The content.
+     * Returns the content of the file.
      *
-     * @throws InvalidConfigurationException with the reason, if the file is torn, empty, foreign or of another format
+     * @throws InvalidConfigurationException with the reason, if the file is empty, incomplete, damaged, of another
+     *     format version or not written by this class
      */
     static byte[] read(Path file) throws IOException {
         ByteBuffer bytes = ByteBuffer.wrap(Files.readAllBytes(file));
@@ -117,15 +118,15 @@
     }
 
     /**
-     * The content, or the previous one if the file cannot be read or does not exist, which is logged. Not for what must
-     * not be older than was promised, such as a vote.
+     * Returns the content of the file, or the previous content if the file is missing or invalid; that is logged. Must
+     * not be used for data that must never be older than was promised to others, such as a vote.
      *
-     * @throws InvalidConfigurationException with the reason, if neither can be read
+     * @throws InvalidConfigurationException with the reason, if neither content can be read
      */
     static byte[] readOrPrevious(Path file) throws IOException {
         Path previous = withSuffix(file, PREVIOUS_FILE_SUFFIX);
         if (!Files.exists(file) && Files.exists(previous)) {
-            Logger.warn("{} does not exist: using its previous content", file);
+            Logger.warn("{} does not exist, using its previous content", file);
             return read(previous);
         }
         try {
@@ -135,7 +136,7 @@
                 throw rejection;
             }
             byte[] content = read(previous);
-            Logger.warn("{}: using the previous content", rejection.getMessage());
+            Logger.warn("{}; using the previous content of the file", rejection.getMessage());
             return content;
         }
     }
--- a/replication/src/main/java/opalcove/replication/ConfigDocument.java
+++ b/replication/src/main/java/opalcove/replication/ConfigDocument.java
@@ -15,18 +15,18 @@
 import opalcove.decision.EndpointState;
 
 /**
- * The document of a version, and the parts of it that are in force under restrictions.
+ * The document of a version, with methods that derive the restricted configurations from it.
  *
- * @param settings settings as in the configuration file
- * @param backends the endpoint list; null if discovery has the list
+ * @param settings the settings, in the format of the configuration file
+ * @param backends the endpoint list; null if the list comes from discovery
  */
 record ConfigDocument(DecisionSettings settings, List<Backend> backends) {
     private static final Set<String> KEYS = Set.of("settings", "nodes");
 
     /**
-     * Reads and validates a document.
+     * Parses and validates a document.
      *
-     * @throws InvalidConfigurationException with key and reason, if it is not valid
+     * @throws InvalidConfigurationException with key and reason, if the document is invalid
      */
     static ConfigDocument read(String text) {
         JsonFields fields = JsonFields.parse(text);
@@ -46,7 +46,7 @@
         return new ConfigDocument(SettingsReader.read(fields.object("settings")), backends);
     }
 
-    /** The same for one gateway: its index and its zone are those of its own settings. */
+    /** Returns this document for one gateway, with the index and the zone of the gateway's own settings. */
     ConfigDocument forGateway(DecisionSettings own) {
         return new ConfigDocument(
                 new DecisionSettings(
@@ -67,8 +67,8 @@
     }
 
     /**
-     * What cannot conflict with another version, as far as a gateway can know that has only this version and the previous
-     * one: one attempt, the lower limits of each plan, and only backends that take new work in both.
+     * Returns the part that cannot conflict with another version, as far as this version and the previous one show: one
+     * attempt per request, the lower limits of each plan, and only backends that take new requests in both versions.
      */
     ConfigDocument strict(ConfigDocument previous) {
         Map<String, DecisionSettings.Plan> previousPlans = previous.settings.plans().stream()
@@ -119,12 +119,12 @@
                 plan.ceilingSlack());
     }
 
-    /** The same without any backend, if the document has the endpoint list. */
+    /** Returns this document without any backend, if the document contains the endpoint list. */
     ConfigDocument withoutBackends() {
         return backends == null ? this : new ConfigDocument(settings, List.of());
     }
 
-    /** The same with each plan's burst cut to this gateway's share of it. */
+    /** Returns this document with each plan's burst reduced to the share of one gateway. */
     ConfigDocument withBurstShares() {
         int gateways = Math.max(1, settings.gateways());
         List<DecisionSettings.Plan> plans = settings.plans().stream()
@@ -160,7 +160,7 @@
                 settings.loadMetrics());
     }
 
-    /** The lower of two limits, of which 0 is none. */
+    /** Returns the lower of two limits, where 0 means no limit. */
     private static double lowerLimit(double one, double other) {
         return one <= 0 || other <= 0 ? Math.max(one, other) : Math.min(one, other);
     }
--- a/replication/src/main/java/opalcove/replication/ConfigReplica.java
+++ b/replication/src/main/java/opalcove/replication/ConfigReplica.java
@@ -15,37 +15,38 @@
 import opalcove.replication.ReplicationMessage.Kind;
 
 /**
- * One gateway's replica of the configuration, without sockets and timers of its own: its {@link ConfigLease} and, if it
- * is a voter, its {@link RaftVoter}, and how the messages between gateways drive them. The program runs it on
- * datagrams, the simulation in virtual time. Not thread-safe; owned by one thread of its host.
+ * One gateway's replica of the configuration. It consists of the gateway's {@link ConfigLease} and, if the gateway is a
+ * voter, its {@link RaftVoter}, and dispatches the messages between gateways to them. It has no sockets or timers of
+ * its own: the program runs it on datagrams, the simulation in virtual time. Not thread-safe; owned by one thread of
+ * its host.
  */
 public final class ConfigReplica {
-    /** The effects of a replica, on the thread that calls it. */
+    /** Performs the replica's side effects. The replica calls it on the thread that calls the replica. */
     public interface Host {
-        /** This gateway's monotonic clock, in ms. */
+        /** Returns the time of this gateway's monotonic clock, in ms. */
         long nowMs();
 
-        /** Sends a message, without any guarantee of delivery. */
+        /** Sends a message, which may be lost. */
         void send(String address, ReplicationMessage message);
 
-        /** Runs the task after the delay, never within this call. */
+        /** Runs the task after the delay in ms, never during this call. */
         void schedule(long delayMs, Runnable task);
 
-        /** Version or mode of the lease have changed; text is the document of the version held. */
+        /** Called after a change of the lease's version or mode; text is the document of the version held. */
         void leaseChanged(LeaseState before, LeaseState after, String text);
     }
 
     /**
-     * A gateway and its voters.
+     * The parameters of a replica.
      *
      * @param name the gateway's name
      * @param address the gateway's address
      * @param voters the voters' addresses by name
-     * @param isVoter whether this gateway takes part in the votes
-     * @param store where the voter's state is stored; null for a gateway that is no voter
-     * @param leaseMs how long a confirmed version may be acted on
-     * @param random draws the first voter to request, and the voter's election timeouts
-     * @param validator throws InvalidConfigurationException for a document that must not be accepted
+     * @param isVoter whether this gateway is a voter
+     * @param store stores the voter's state; null if the gateway is not a voter
+     * @param leaseMs the length of a lease, in ms
+     * @param random selects the voter that gets the first request, and the voter's election timeouts
+     * @param validator throws InvalidConfigurationException if a proposed document is invalid
      */
     public record Setup(
             String name,
@@ -62,12 +63,12 @@
     private final ConfigLease lease;
     private final RaftVoter voter;
     /**
-     * Addresses that requested a version within a lease's time, and are notified of newer ones; with the time of the
-     * request.
+     * The addresses that requested a version during the last lease length, each with the time of its last request in
+     * ms. They are notified of newer versions.
      */
     private final Map<String, Long> subscribers = new HashMap<>();
 
-    /** A replica that holds no version yet. */
+    /** Creates a replica without a version. */
     public ConfigReplica(Setup setup, Host host) {
         this.setup = setup;
         this.host = host;
@@ -103,19 +104,19 @@
                         this::announceVersion);
     }
 
-    /** Takes part from now on; the host then calls {@link #tick} when the lease is due. */
+    /** Starts the voter, if there is one. From now on the host calls {@link #tick} when the lease is due. */
     public void start() {
         if (voter != null) {
             voter.start();
         }
     }
 
-    /** This gateway's lease, to be read only. */
+    /** Returns this gateway's lease. The caller must only read it. */
     public ConfigLease lease() {
         return lease;
     }
 
-    /** Whether this gateway takes part in the votes. */
+    /** Whether this gateway is a voter. */
     public boolean isVoter() {
         return voter != null;
     }
@@ -125,20 +126,21 @@
         return voter != null && setup.name().equals(voter.leader());
     }
 
-    /** How often this gateway's voter had to be started again since the start; 0 if it is no voter. */
+    /** Returns how often this gateway's voter was restarted since the start; 0 if the gateway is not a voter. */
     public long voterRestarts() {
         return voter == null ? 0 : voter.restarts();
     }
 
-    /** Does what is due. */
+    /** Expires the lease and sends the next request, if they are due. */
     public void tick() {
         lease.tick(host.nowMs());
     }
 
     /**
-     * Handles a message, after the end of a lease that is due: input without a pause must not put it off.
+     * Handles a message. First it expires the lease if that is due, because messages that arrive without a pause must
+     * not delay the end of the lease.
      *
-     * @throws InvalidConfigurationException if it makes no sense; nothing has changed then
+     * @throws InvalidConfigurationException if the message is invalid; nothing has changed then
      */
     public void receive(ReplicationMessage message) {
         lease.expireIfDue(host.nowMs());
@@ -154,7 +156,7 @@
             case VERSION_RESPONSE, PROPOSAL_RESPONSE, HISTORY_RESPONSE -> onResponse(message);
             case VERSION_ANNOUNCEMENT -> lease.onVersionAnnounced(host.nowMs(), message.version());
             default ->
-                throw new InvalidConfigurationException("no request of this gateway is answered by " + message.kind());
+                throw new InvalidConfigurationException("a gateway handles no message of kind " + message.kind());
         }
     }
 
@@ -166,8 +168,8 @@
         ReplicationMessage request =
                 message(Kind.VERSION_REQUEST, sequence, ReplicationMessage.versionBody(heldVersion));
         if (voterName.equals(setup.name()) && voter != null) {
-            // The gateway's own voter needs no network; the response takes the usual way, by the leader if that is
-            // another one.
+            // A request to the gateway's own voter needs no network. The response takes the usual path, through the
+            // leader if the leader is another voter.
             host.schedule(0, () -> onVersionRequest(request));
         } else {
             host.send(setup.voters().get(voterName), request);
@@ -175,8 +177,9 @@
     }
 
     /**
-     * Forwards a request to the leader if this voter is not the leader: clients may send to any voter. False if it is
-     * up to this voter to respond.
+     * Forwards a request to the leader if this voter is not the leader, because clients may send to any voter. Returns
+     * false if this voter has to respond itself. A request is dropped if the leader is unknown, if it was forwarded
+     * before, or if this gateway is not a voter.
      */
     private boolean forwardedToLeader(ReplicationMessage request) {
         if (voter == null) {
@@ -210,8 +213,9 @@
     }
 
     /**
-     * Responds with the leader's history. Without a leader the voter's own may still help, but not an empty one: a voter
-     * that has just started knows of no version before the leader has told it which are decided.
+     * Responds with the leader's history, or with the voter's own history if no leader is known. An empty history of
+     * its own is not sent: a voter that has just started knows no versions until the leader notifies it which entries
+     * are committed.
      */
     private void onHistoryRequest(ReplicationMessage request) {
         if (voter != null && voter.leader() == null) {
@@ -272,7 +276,7 @@
         }
     }
 
-    /** Notifies the addresses that requested a version within a lease's time; they request the new one. */
+    /** Notifies the addresses that requested a version during the last lease length; they request the new version. */
     private void announceVersion(long version) {
         long oldestMs = host.nowMs() - setup.leaseMs();
         subscribers.values().removeIf(requestedAtMs -> requestedAtMs < oldestMs);
--- a/replication/src/main/java/opalcove/replication/EffectiveConfigSelector.java
+++ b/replication/src/main/java/opalcove/replication/EffectiveConfigSelector.java
@@ -6,15 +6,16 @@
 import opalcove.recovery.RecoveryPlan;
 
 /**
- * Selects what the gateway acts on: the version held, all of it under a lease, else only what cannot conflict with
- * another version. Owned by the event loop of its {@link ReplicatedConfigService}.
+ * Selects the configuration in effect. With a valid lease it is the complete version that the gateway holds; without
+ * one it is only the part that cannot conflict with another version. Owned by the event loop of its {@link
+ * ReplicatedConfigService}.
  */
 final class EffectiveConfigSelector {
     /**
-     * A selection.
+     * The result of a selection.
      *
-     * @param effective what to act on now
-     * @param onExpiry what to act on as soon as the lease has expired
+     * @param effective the configuration in effect now
+     * @param onExpiry the configuration in effect as soon as the lease has expired
      */
     record Selection(EffectiveConfig effective, EffectiveConfig onExpiry) {}
 
@@ -27,21 +28,21 @@
         this.ownSettings = ownSettings;
     }
 
-    /** Takes over the document of a newer version. */
+    /** Adopts the document of a newer version. */
     void adopt(String text) {
         previous = held;
         held = ConfigDocument.read(text).forGateway(ownSettings);
     }
 
     /**
-     * Sends nothing to any backend until then, unless the lease is renewed; in ms of the clock that {@link #select}
-     * gets.
+     * Excludes all backends until the given time, unless the lease is renewed. The time is in ms of the clock that is
+     * passed to {@link #select}.
      */
     void withholdBackendsUntil(long untilMs) {
         backendsWithheldUntilMs = untilMs;
     }
 
-    /** Selects by the lease and, if there is one, by the recovery; plan is null without a recovery. */
+    /** Selects the configuration by the lease and the recovery; recovery is null if no snapshot file is configured. */
     Selection select(LeaseState lease, RecoveryTracker recovery, long nowMs) {
         RecoveryPlan plan = recovery == null ? null : recovery.plan();
         long startedNotBeforeMs = plan != null && plan.areBackendsWarmingUp() ? recovery.startedAtMs() : 0;
@@ -56,8 +57,8 @@
             base = base.withBurstShares();
             strict = strict.withBurstShares();
         }
-        // A version that this gateway did not receive may have drained any backend: at first an expired lease sends
-        // nothing to any.
+        // A version that this gateway did not receive may have drained any backend, so no backend gets requests right
+        // after the lease has expired.
         EffectiveConfig onExpiry = effective(lease.version(), strict.withoutBackends(), true, startedNotBeforeMs);
         if (!isStrict) {
             return new Selection(effective(lease.version(), base, false, startedNotBeforeMs), onExpiry);
--- a/replication/src/main/java/opalcove/replication/ElectionMonitor.java
+++ b/replication/src/main/java/opalcove/replication/ElectionMonitor.java
@@ -4,12 +4,13 @@
 import io.microraft.report.RaftNodeReport;
 
 /**
- * Watches that a voter gives up a leader that it no longer hears from. MicroRaft 0.7 does not always: a voter that finds the
- * leader of its own term in the middle of a pre-vote starts no further pre-vote in that term and goes on naming that leader,
- * so voters that can reach each other may elect nobody. Not thread-safe; owned by its voter's thread.
+ * Detects a voter that still follows a leader from which it no longer receives heartbeats. MicroRaft 0.7 does not
+ * always start an election then: a voter that finds the leader of its own term during a pre-vote starts no further
+ * pre-vote in that term and continues to report that leader. Voters that can reach each other may then elect no leader.
+ * Not thread-safe; owned by its voter's thread.
  */
 final class ElectionMonitor {
-    /** The node looks for a lost leader once in a heartbeat period, so one check may come before it has. */
+    /** The node checks for a lost leader once per heartbeat period, so one check may run before the node's own. */
     private static final int MAX_OVERDUE_CHECKS = 2;
 
     private final long heartbeatTimeoutMs;
@@ -19,7 +20,7 @@
         this.heartbeatTimeoutMs = heartbeatTimeoutMs;
     }
 
-    /** To be called once in a heartbeat period: whether the voter goes on naming a leader that it has lost. */
+    /** Whether the voter still reports a leader that it has lost. Must be called once per heartbeat period. */
     boolean isStalled(RaftNodeReport report, long nowMs) {
         boolean hasLeader =
                 report.getRole() == RaftRole.FOLLOWER && report.getTerm().getLeaderEndpoint() != null;
--- a/replication/src/main/java/opalcove/replication/EventWriter.java
+++ b/replication/src/main/java/opalcove/replication/EventWriter.java
@@ -3,7 +3,7 @@
 import com.eclipsesource.json.JsonObject;
 import java.util.function.Consumer;
 
-/** Writes this gateway's events, a JSON object each, if the settings ask for them. */
+/** Writes this gateway's events, each as a JSON object, if the settings enable events. */
 final class EventWriter {
     private final boolean isEnabled;
     private final String observer;
@@ -15,7 +15,7 @@
         this.sink = sink;
     }
 
-    /** Writes the event, with the time and this gateway's name added. */
+    /** Writes the event, and adds the time in Unix ms and this gateway's name to it. */
     void write(JsonObject event) {
         if (isEnabled) {
             sink.accept(event.add("at_ms", System.currentTimeMillis())
--- a/replication/src/main/java/opalcove/replication/FileOperations.java
+++ b/replication/src/main/java/opalcove/replication/FileOperations.java
@@ -8,12 +8,12 @@
 import java.nio.file.StandardCopyOption;
 import java.nio.file.StandardOpenOption;
 
-/** The steps by which a file is replaced. Each may fail, and the process may end after each. */
+/** The steps that replace a file. Each step may fail, and the process may end after each of them. */
 interface FileOperations {
-    /** The operations of the file system. */
+    /** The operations of the real file system. */
     FileOperations REAL = new FileOperations() {};
 
-    /** Writes the bytes into a new file, which must not exist. */
+    /** Writes the bytes to a new file, which must not exist yet. */
     default void write(Path file, ByteBuffer bytes) throws IOException {
         try (FileChannel channel = FileChannel.open(file, StandardOpenOption.CREATE_NEW, StandardOpenOption.WRITE)) {
             while (bytes.hasRemaining()) {
@@ -22,7 +22,7 @@
         }
     }
 
-    /** Has the system write a file, or the entries of a folder, to the medium. */
+    /** Forces a file, or the entries of a folder, to the storage device. */
     default void sync(Path file) throws IOException {
         boolean isFolder = Files.isDirectory(file);
         try (FileChannel channel =
@@ -31,17 +31,17 @@
         }
     }
 
-    /** Renames a file, replacing one that has the new name. */
+    /** Renames a file atomically, and replaces a file that has the new name. */
     default void rename(Path source, Path target) throws IOException {
         Files.move(source, target, StandardCopyOption.ATOMIC_MOVE);
     }
 
-    /** Gives a file a second name, which must not exist. */
+    /** Creates a hard link to a file. The name of the link must not exist yet. */
     default void createHardLink(Path link, Path existing) throws IOException {
         Files.createLink(link, existing);
     }
 
-    /** Deletes a name, if it exists. */
+    /** Deletes a file, if it exists. */
     default void delete(Path file) throws IOException {
         Files.deleteIfExists(file);
     }
--- a/replication/src/main/java/opalcove/replication/RaftVoter.java
+++ b/replication/src/main/java/opalcove/replication/RaftVoter.java
@@ -25,20 +25,20 @@
 import org.tinylog.Logger;
 
 /**
- * One of the gateways that agree on the order of versions: a member of a Raft group (MicroRaft) whose state machine is
- * the {@link VersionLog}. Sockets, timers and clock are its host's, so that the same voter runs in virtual time. Not
- * thread-safe; owned by the one thread that its executor runs tasks on.
+ * A voter: a member of the Raft group (MicroRaft) that agrees on the order of configuration versions. The replicated
+ * state machine is the {@link VersionLog}. The host supplies network, timers and clock, so that the same voter also
+ * runs in virtual time. Not thread-safe; owned by the single thread on which its executor runs tasks.
  */
 public final class RaftVoter {
     /**
-     * A voter and its surroundings.
+     * The identity of a voter and the resources that it uses.
      *
      * @param name the voter's name
      * @param voters the names of all voters
-     * @param store where its vote and its log are stored
-     * @param executor runs the voter's tasks, on one thread
+     * @param store stores the voter's vote and its log
+     * @param executor runs the voter's tasks on a single thread
      * @param clock the voter's clock
-     * @param random draws election timeouts
+     * @param random the source of the election timeouts
      */
     public record Setup(
             String name,
@@ -48,7 +48,7 @@
             Clock clock,
             Random random) {}
 
-    /** A voter's name, as the Raft group knows it; part of stored states and of messages. */
+    /** A voter's identity in the Raft group. It is part of stored states and of messages. */
     record VoterId(String name) implements RaftEndpoint, Serializable {
         @Override
         public Object getId() {
@@ -56,20 +56,21 @@
         }
     }
 
-    /** The phases of the consensus node that runs or is to run. */
+    /** The lifecycle of the consensus node. */
     private enum Phase {
+        /** The node runs. */
         RUNNING,
-        /** Ends, to be started again. */
+        /** The node is terminating; a new one is started after it. */
         TERMINATING,
-        /** Has ended, and is started again as soon as the state is written. */
+        /** The node has terminated; a new one is started as soon as the stored state is written. */
         TERMINATED,
-        /** This voter's part in the group has ended. */
+        /** The voter was stopped and starts no further node. */
         STOPPED
     }
 
     private record PendingRead(Consumer<VersionLog.Version> onResult, Runnable onFailure) {}
 
-    /** Part of each message between voters. */
+    /** The id of the Raft group, which is part of each message between voters. */
     private static final String GROUP_ID = "versions";
 
     private static final int HEARTBEAT_PERIOD_SECONDS = 1;
@@ -86,19 +87,19 @@
     private Phase phase = Phase.RUNNING;
     private RaftNode node;
     private VersionStateMachine stateMachine;
-    /** How many flushes had failed when the node was started. */
+    /** The store's count of failed flushes when the node was created. */
     private long failedFlushesAtStart;
 
-    /** Empty if none is in flight. */
+    /** The callers that wait for the query in flight; empty if none is in flight. */
     private List<PendingRead> readsInFlight = List.of();
 
     private long restarts;
 
     /**
-     * A voter that goes on from the state in its store.
+     * Creates a voter that resumes from the state in its store.
      *
-     * @param send sends bytes to the voter of a name, without any guarantee of delivery
-     * @param onVersion called with the number of each new version
+     * @param send sends bytes to the voter with the given name; the bytes may be lost
+     * @param onVersion receives the number of each new version
      */
     public RaftVoter(Setup setup, BiConsumer<String, byte[]> send, LongConsumer onVersion) {
         this.setup = setup;
@@ -107,7 +108,7 @@
         createNode();
     }
 
-    /** Creates a node that goes on from the state in the store. */
+    /** Creates a node that resumes from the state in the store. */
     private void createNode() {
         stateMachine = new VersionStateMachine(onVersion);
         failedFlushesAtStart = setup.store().failedFlushes();
@@ -131,7 +132,7 @@
         node = builder.build();
     }
 
-    /** Times are seconds of the voter's clock, which its host may run faster than real time. */
+    /** Times are measured on the voter's clock, which its host may run faster than real time. */
     private static RaftConfig config() {
         return RaftConfig.newBuilder()
                 .setLeaderElectionTimeoutMillis(500)
@@ -143,7 +144,7 @@
                 .build();
     }
 
-    /** Takes part from now on. */
+    /** Starts the node and its periodic check. */
     public void start() {
         node.start();
         scheduleCheck();
@@ -153,7 +154,7 @@
         setup.executor().schedule(this::check, HEARTBEAT_PERIOD_SECONDS, TimeUnit.SECONDS);
     }
 
-    /** Starts the node again where it cannot go on by itself. */
+    /** Restarts the node if it cannot recover by itself. */
     private void check() {
         if (phase == Phase.STOPPED) {
             return;
@@ -164,7 +165,7 @@
             if (!allFlushesSucceeded()) {
                 restart("its state could not be written");
             } else if (setup.store().hasDiverged()) {
-                restart("its log contradicts the leader's right after its snapshot");
+                restart("its log conflicts with the leader's right after its snapshot");
             } else {
                 checkElection();
             }
@@ -172,7 +173,10 @@
         scheduleCheck();
     }
 
-    /** Whether all that the node has stored was written: after a write that failed, the node takes it for written or not at all. */
+    /**
+     * Whether every flush since the node's creation succeeded. After a failed write the node takes its state either for
+     * written or for not stored at all, so it must be restarted from the store.
+     */
     private boolean allFlushesSucceeded() {
         return setup.store().failedFlushes() == failedFlushesAtStart;
     }
@@ -181,12 +185,12 @@
         node.getReport().thenAccept(report -> {
             if (phase == Phase.RUNNING
                     && electionMonitor.isStalled(report.getResult(), setup.clock().millis())) {
-                restart("it keeps to a leader that it has lost");
+                restart("it still follows a leader that it has lost");
             }
         });
     }
 
-    /** Starts the node again on what the store holds, as a restart of the process would. */
+    /** Replaces the node by one that resumes from the store, as a restart of the process would. */
     private void restart(String reason) {
         Logger.warn("agreement: voter restarts from its stored state: {}", reason);
         phase = Phase.TERMINATING;
@@ -202,10 +206,10 @@
     private void startNewNode() {
         setup.store().discardDivergedEntries();
         try {
-            // What the next node takes for stored must be in the file.
+            // The next node takes the store's state for written, so the state must be in the file.
             setup.store().flush();
         } catch (IOException e) {
-            Logger.debug("agreement: voter not started again, its state is not written: {}", e.getMessage());
+            Logger.debug("agreement: voter not restarted, its state cannot be written: {}", e.getMessage());
             return;
         }
         restarts++;
@@ -214,7 +218,7 @@
         node.start();
     }
 
-    /** How often the consensus node was started again because it could not go on by itself. */
+    /** Returns how often the consensus node was restarted because it could not recover by itself. */
     public long restarts() {
         return restarts;
     }
@@ -228,7 +232,7 @@
         node.handle(raftMessage);
     }
 
-    /** The name of the leader, as far as this voter knows; null if it knows none. */
+    /** Returns the name of the leader that this voter knows; null if it knows none. */
     public String leader() {
         if (phase != Phase.RUNNING) {
             return null;
@@ -237,14 +241,14 @@
         return leader == null ? null : leader.getId().toString();
     }
 
-    /** The versions as this voter has them, which may lag behind. */
+    /** Returns the versions that this voter has applied, which may lag behind the leader's. */
     public List<VersionLog.Version> history() {
         return stateMachine.history();
     }
 
     /**
-     * Reads the version that is the newest at some moment after this call, number 0 if there is none; fails if this
-     * voter is not the leader or loses the leadership. Calls during a read share the next one.
+     * Reads the version that is the newest at some moment after this call; its number is 0 if there is none. Fails if
+     * this voter is not the leader or loses the leadership. All calls made during a query share the next query.
      */
     public void readNewest(Consumer<VersionLog.Version> onResult, Runnable onFailure) {
         pendingReads.add(new PendingRead(onResult, onFailure));
@@ -260,7 +264,7 @@
         node.<VersionLog.Version>query(READ_OPERATION, QueryPolicy.LINEARIZABLE, Optional.empty(), Optional.empty())
                 .whenComplete((newest, failure) -> {
                     if (readsInFlight != reads) {
-                        // The node was restarted meanwhile.
+                        // The node was restarted during the query, and its reads have failed already.
                         return;
                     }
                     readsInFlight = List.of();
@@ -277,7 +281,10 @@
                 });
     }
 
-    /** Fails the reads of a node that has ended. Guards later reads, which wait for the one in flight: not all are ended by it. */
+    /**
+     * Fails the reads of a terminated node. The node does not complete all of its queries when it terminates, and
+     * without this call later reads would wait forever for the query in flight.
+     */
     private void failReads() {
         List<PendingRead> reads = new ArrayList<>(readsInFlight);
         reads.addAll(pendingReads);
@@ -286,7 +293,7 @@
         reads.forEach(each -> each.onFailure().run());
     }
 
-    /** Has the voters decide on a proposal; fails if this voter is not the leader, or if the outcome is not known. */
+    /** Replicates a proposal. Fails if this voter is not the leader, or if the outcome is unknown. */
     public void propose(VersionLog.Proposal proposal, Consumer<VersionLog.Outcome> onOutcome, Runnable onFailure) {
         node.<VersionLog.Outcome>replicate(proposal)
                 .whenComplete((Ordered<VersionLog.Outcome> outcome, Throwable failure) -> {
@@ -298,15 +305,15 @@
                 });
     }
 
-    /** Ends this voter's part in the group. */
+    /** Stops this voter for good. */
     public void stop() {
         phase = Phase.STOPPED;
         node.terminate();
     }
 
     /**
-     * Sends messages as bytes. Guards the votes: a voter whose state is not written sends nothing that others may rely
-     * on.
+     * Sends messages in serialized form. A voter whose state is not written sends nothing, because after a restart it
+     * would have lost a vote or an entry that other voters rely on.
      */
     private final class VoterTransport implements Transport {
         @Override
--- a/replication/src/main/java/opalcove/replication/RaftVoterStore.java
+++ b/replication/src/main/java/opalcove/replication/RaftVoterStore.java
@@ -20,11 +20,12 @@
 import org.tinylog.Logger;
 
 /**
- * What a voter must not forget: its vote, and the log since the last snapshot. It is small, a few versions, so each
- * flush writes all of it to an {@link AtomicFile}. Not thread-safe; owned by its voter's thread.
+ * Stores the state that a voter must not lose: its vote, the last snapshot, and the log since then. The state is small,
+ * a few versions, so each flush writes it completely to an {@link AtomicFile}. Not thread-safe; owned by its voter's
+ * thread.
  */
 public final class RaftVoterStore implements RaftStore {
-    /** The content of the file. */
+    /** The content of the file, in serialized form. */
     static final class State implements Serializable {
         private static final long serialVersionUID = 1;
         private RaftEndpointPersistentState endpoint;
@@ -37,15 +38,15 @@
     private static final long NO_INDEX = -1;
 
     private final FileOperations operations;
-    /** Null for a store in memory. */
+    /** The file of the state; null for a store in memory. */
     private final Path file;
 
     private final State state;
-    /** Whether the last flush failed: the state of this voter is not in its file. */
+    /** Whether the last flush failed, so that the state of this voter is not in its file. */
     private boolean hasFailedFlush;
 
     private long failedFlushes;
-    /** The index of the snapshot whose following entries contradict the leader's; NO_INDEX if there is none. */
+    /** The index of the snapshot after which the stored entries conflict with the leader's; NO_INDEX if none do. */
     private long divergedAfterIndex = NO_INDEX;
 
     private RaftVoterStore(FileOperations operations, Path file, State state) {
@@ -55,15 +56,16 @@
     }
 
     /**
-     * Opens the store in that file, a new one if the file does not exist.
+     * Opens the store in a file; a store without any state if the file does not exist.
      *
-     * @throws opalcove.config.InvalidConfigurationException with the reason, if the file is torn or foreign
+     * @throws opalcove.config.InvalidConfigurationException with the reason, if the file is damaged or not a voter's
+     *     state
      */
     static RaftVoterStore open(Path file) throws IOException {
         return open(FileOperations.REAL, file);
     }
 
-    /** A store that lasts as long as its process, for simulations. */
+    /** Creates a store in memory, for simulations. Its content is lost when the process ends. */
     public static RaftVoterStore inMemory() {
         return new RaftVoterStore(FileOperations.REAL, null, new State());
     }
@@ -74,14 +76,14 @@
     }
 
     /**
-     * Whether the state of this voter is in its file; tries to write it again if the last flush failed. Guards the
-     * votes: a voter that cannot write sends nothing that others may rely on.
+     * Retries the last flush if it failed, and returns whether the state of this voter is in its file. A voter that
+     * cannot write its state must send nothing, because other voters would rely on a vote that a restart loses.
      */
     boolean ensureWritten() {
         if (hasFailedFlush) {
             try {
                 flush();
-                Logger.info("agreement: voter state written again");
+                Logger.info("agreement: voter state written after a failed write");
             } catch (IOException e) {
                 Logger.debug("agreement: voter state still not written: {}", e.getMessage());
             }
@@ -89,19 +91,19 @@
         return !hasFailedFlush;
     }
 
-    /** How many flushes have failed since the store was opened. */
+    /** Returns how many flushes have failed since the store was opened. */
     long failedFlushes() {
         return failedFlushes;
     }
 
-    /** Whether entries are stored after the snapshot that contradict the leader's: they are not committed. */
+    /** Whether the entries stored after the snapshot conflict with the leader's. Such entries are not committed. */
     boolean hasDiverged() {
         return divergedAfterIndex != NO_INDEX;
     }
 
     /**
-     * Notes whether the entries of a request contradict those stored right after the snapshot. MicroRaft 0.7 cannot compare
-     * these, for the entry before them is in the snapshot, and refuses every such request.
+     * Records a conflict between the entries of a request and those stored right after the snapshot. MicroRaft 0.7
+     * cannot compare them, because the preceding entry is in the snapshot, and rejects every such request.
      */
     void detectDivergence(AppendEntriesRequest request) {
         boolean followsSnapshot = state.snapshot != null
@@ -117,7 +119,7 @@
         }
     }
 
-    /** Drops the entries that contradict the leader's; to be called while no consensus node uses the store. */
+    /** Deletes the entries that conflict with the leader's. Call this only while no consensus node uses the store. */
     void discardDivergedEntries() {
         if (state.snapshot != null && state.snapshot.getIndex() == divergedAfterIndex) {
             state.entries.tailMap(divergedAfterIndex, false).clear();
@@ -125,7 +127,7 @@
         divergedAfterIndex = NO_INDEX;
     }
 
-    /** The state that was stored; null if there is none. */
+    /** Returns the stored state; null if there is none. */
     RestoredRaftState restoredState() {
         if (state.endpoint == null || state.members == null) {
             return null;
@@ -170,9 +172,9 @@
     public void persistSnapshotChunk(SnapshotChunk chunk) {
         if (chunk.getSnapshotChunkCount() != 1) {
             throw new IllegalStateException(
-                    "a snapshot of versions is one chunk, not " + chunk.getSnapshotChunkCount());
+                    "the snapshot of the versions must have 1 chunk, not " + chunk.getSnapshotChunkCount());
         }
-        // Raft keeps the entries after a snapshot only where the entry at its index is the snapshot's own.
+        // Raft retains the entries after a snapshot only if the entry at the snapshot's index has the snapshot's term.
         LogEntry own = state.entries.get(chunk.getIndex());
         if (own != null && own.getTerm() != chunk.getTerm() && state.entries.higherKey(chunk.getIndex()) != null) {
             divergedAfterIndex = chunk.getIndex();
@@ -211,7 +213,7 @@
             failedFlushes++;
             if (!hadFailedFlush) {
                 Logger.error(
-                        "agreement: voter state not written, this voter is silent until it is: {}", e.getMessage());
+                        "agreement: voter state not written, this voter sends nothing until it is: {}", e.getMessage());
             }
             throw e;
         }
--- a/replication/src/main/java/opalcove/replication/RecoveryTracker.java
+++ b/replication/src/main/java/opalcove/replication/RecoveryTracker.java
@@ -16,13 +16,14 @@
 import org.tinylog.Logger;
 
 /**
- * This process's recovery after its start, from the snapshot file of its predecessor to its own. Owned by the event
- * loop of its {@link ReplicatedConfigService}.
+ * Tracks the recovery of this process after its start. The recovery begins with the snapshot file of the previous
+ * process, which this process later replaces by its own. Owned by the event loop of its {@link
+ * ReplicatedConfigService}.
  */
 final class RecoveryTracker {
     private final String gateway;
     private final Path file;
-    /** Follows the monotonic clock: a step of the wall clock neither delays the recovery nor skips it. */
+    /** Advances with the monotonic clock, so that a step of the wall clock neither delays nor skips the recovery. */
     private final Clock clock = new Clock();
 
     private final long startedAtMs = (long) clock.now();
@@ -30,7 +31,7 @@
     private final Recovery recovery;
     private RecoveryPlan plan;
 
-    /** Starts from the snapshot in that file, if it can be read. */
+    /** Starts the recovery from the snapshot in the file, if it can be read. */
     RecoveryTracker(String gateway, Path file, long meterPeriodMs) {
         this.gateway = gateway;
         this.file = file;
@@ -46,12 +47,12 @@
         recovery = new Recovery(startedAtMs, loaded, whyNoSnapshot, RecoveryConfig.of(meterPeriodMs));
     }
 
-    /** When this process started, in Unix ms. */
+    /** Returns the time at which this process started, in Unix ms. */
     long startedAtMs() {
         return startedAtMs;
     }
 
-    /** The members in the snapshot, taken as alive. */
+    /** Returns the members in the snapshot, all in the state ALIVE. */
     List<Member> knownMembers() {
         return snapshot == null
                 ? List.of()
@@ -60,17 +61,17 @@
                         .toList();
     }
 
-    /** The snapshot that this process started from; null if there is none that can be used. */
+    /** Returns the snapshot that this process started from; null if there is no valid one. */
     Snapshot snapshot() {
         return snapshot;
     }
 
-    /** How old the snapshot was at the start, in ms; -1 without a snapshot. */
+    /** Returns the age of the snapshot at the start of the process, in ms; -1 without a snapshot. */
     long snapshotAgeMs() {
         return snapshot == null ? -1 : Math.max(0, startedAtMs - snapshot.writtenAtMs());
     }
 
-    /** What to do now; null before the first {@link #advance}. */
+    /** Returns the current plan; null before the first {@link #advance}. */
     RecoveryPlan plan() {
         return plan;
     }
@@ -79,7 +80,7 @@
         return plan != null && plan.isReady();
     }
 
-    /** Updates the plan; true if it is in another phase than before. */
+    /** Updates the plan. Returns whether its phase has changed. */
     boolean advance(ConfigLease lease, List<Member> members) {
         Map<String, Long> incarnations = new HashMap<>();
         members.stream()
@@ -91,7 +92,7 @@
         return before == null || before.phase() != plan.phase();
     }
 
-    /** What this gateway knows now. */
+    /** Returns a snapshot of this gateway's current state. */
     Snapshot currentSnapshot(boolean isClean, ConfigLease lease, List<Member> members) {
         return new Snapshot(
                 gateway,
@@ -106,7 +107,7 @@
                         .toList());
     }
 
-    /** Writes a snapshot; blocks. */
+    /** Writes a snapshot to the file. Blocks. */
     void write(Snapshot current) throws IOException {
         SnapshotFile.write(file, current);
     }
--- a/replication/src/main/java/opalcove/replication/ReplicatedConfigService.java
+++ b/replication/src/main/java/opalcove/replication/ReplicatedConfigService.java
@@ -28,12 +28,12 @@
 import org.tinylog.Logger;
 
 /**
- * This process's part in the replicated configuration, on datagrams and timers: its {@link ConfigReplica}, and its
- * {@link RecoveryTracker} if a snapshot file is configured. Owned by an event loop of its own, apart from client work;
- * {@link #effectiveIfExpired} and {@link #figures} may be called on any thread.
+ * Runs this gateway's {@link ConfigReplica} on datagrams and timers, and its {@link RecoveryTracker} if a snapshot file
+ * is configured. Owned by an event loop of its own, separate from client requests; {@link #effectiveIfExpired} and
+ * {@link #figures} may be called on any thread.
  */
 public final class ReplicatedConfigService implements ReplicatedConfig {
-    /** Creates the service for the program that serves. */
+    /** Creates the service; the gateway finds this class through the service loader. */
     public static final class ServiceProvider implements Provider {
         @Override
         public ReplicatedConfig create(
@@ -65,7 +65,7 @@
     private boolean isStateRejected;
     private boolean wasLeader;
     private boolean hasWrittenSnapshot;
-    /** How many backends are open now; -1 if discovery has the list. */
+    /** The number of backends in the configuration in effect; -1 if the endpoint list comes from discovery. */
     private int openBackends = -1;
 
     private volatile String figures = "";
@@ -106,7 +106,8 @@
         return socket.listen(settings.listen().port(), settings.listen().address())
                 .compose(boundSocket -> {
                     boundSocket.handler(this::onDatagram);
-                    boundSocket.exceptionHandler(e -> Logger.debug("agreement: {}", e.getMessage()));
+                    boundSocket.exceptionHandler(
+                            e -> Logger.debug("agreement: error on the datagram socket: {}", e.getMessage()));
                     startReplica(
                             settings.advertise().isEmpty()
                                     ? settings.listen().address() + ":"
@@ -131,11 +132,11 @@
                 new Host());
         replica.start();
         Logger.info(
-                "agreement: {} at {}, voters {}{}",
+                "agreement: gateway {} has the address {}, voters {}{}",
                 name,
                 address,
                 settings.voters().keySet(),
-                replica.isVoter() ? ", itself a voter" : "");
+                replica.isVoter() ? ", this gateway is a voter" : "");
         tick();
         if (recovery != null) {
             vertx.setPeriodic(SNAPSHOT_PERIOD_MS, timerId -> writeSnapshot(false));
@@ -146,7 +147,7 @@
         }
     }
 
-    /** The store of this gateway's vote; null if it is no voter, or must not vote since its state is rejected. */
+    /** Opens the voter's store; null if this gateway is no voter, or must not vote because its state is invalid. */
     private RaftVoterStore openStore() {
         if (!settings.voters().containsKey(name)) {
             return null;
@@ -154,10 +155,10 @@
         try {
             return RaftVoterStore.open(settings.stateFile());
         } catch (IOException | InvalidConfigurationException e) {
-            // Without its vote and its log it could undo what was agreed: it follows the other voters and votes no
-            // more.
+            // A voter without its vote and its log could revert committed versions. The gateway therefore only follows
+            // the other voters, and no longer votes.
             isStateRejected = true;
-            Logger.error("agreement: state rejected, {} does not vote: {}", name, e.getMessage());
+            Logger.error("agreement: state file rejected, gateway {} does not vote: {}", name, e.getMessage());
             events.write(Json.object().add("event", "state_refused").add("reason", e.getMessage()));
             return null;
         }
@@ -168,7 +169,7 @@
         publishAndRearmTimer();
     }
 
-    /** Publishes the state for other threads, and sets the timer to the next tick. */
+    /** Publishes the lease and the figures to other threads, and sets the timer to the next tick. */
     private void publishAndRearmTimer() {
         if (recovery != null) {
             advanceRecovery();
@@ -199,7 +200,7 @@
         }
         RecoveryPlan plan = recovery.plan();
         Logger.info(
-                "recovery: {}; trusted {}, refused {}, pending {}",
+                "recovery: phase {}; trusted {}, rejected {}, pending {}",
                 plan.phase(),
                 plan.trusted(),
                 plan.refused(),
@@ -217,10 +218,10 @@
         }
     }
 
-    /** Writes what is known now, off the event loop. */
+    /** Writes a snapshot of the current state on a worker thread. */
     private void writeSnapshot(boolean isClean) {
         if (recovery == null || !recovery.isReady()) {
-            // Until then the old snapshot knows more than this process.
+            // Before the recovery is ready, the old snapshot is more complete than this process's state.
             return;
         }
         Snapshot snapshot = recovery.currentSnapshot(isClean, replica.lease(), memberSupplier.get());
@@ -242,7 +243,7 @@
         vertx.runOnContext(ignored -> writeSnapshot(true));
     }
 
-    /** Has the gateway act on what is in force now. */
+    /** Passes the configuration that is in effect now to the gateway. */
     private void activate() {
         EffectiveConfigSelector.Selection selection =
                 selector.select(replica.lease().state(), recovery, monotonicMs());
@@ -284,12 +285,14 @@
             byte[] bytes = message.bytes();
             if (bytes.length > ReplicationMessage.MAX_BYTES) {
                 Logger.error(
-                        "agreement: {} of {} bytes not sent: too large for a datagram", message.kind(), bytes.length);
+                        "agreement: {} message of {} bytes not sent: too large for a datagram",
+                        message.kind(),
+                        bytes.length);
                 return;
             }
             HostAndPort target = HostAndPort.parse(address, "address");
             socket.send(Buffer.buffer(bytes), target.port(), target.address())
-                    .onFailure(e -> Logger.debug("agreement: not sent to {}: {}", target, e.getMessage()));
+                    .onFailure(e -> Logger.debug("agreement: datagram to {} not sent: {}", target, e.getMessage()));
         }
 
         @Override
@@ -307,14 +310,14 @@
                 selector.adopt(text);
             }
             if (after.mode() == LeaseState.Mode.STRICT) {
-                // A version that this gateway did not receive may have drained any backend: none gets new work for a
-                // while.
+                // A version that this gateway did not receive may have drained any backend. No backend gets new
+                // requests for a quarter of the lease.
                 long graceMs = settings.leaseMs() / 4;
                 selector.withholdBackendsUntil(monotonicMs() + graceMs);
                 vertx.setTimer(graceMs, timerId -> activate());
             }
             activate();
-            Logger.info("agreement: acting on version {}, mode {}", after.version(), after.mode());
+            Logger.info("agreement: version {} is in effect, mode {}", after.version(), after.mode());
             events.write(Json.object()
                     .add("event", "acting")
                     .add("version", after.version())
--- a/replication/src/main/java/opalcove/replication/ReplicationClient.java
+++ b/replication/src/main/java/opalcove/replication/ReplicationClient.java
@@ -18,25 +18,26 @@
 import opalcove.replication.ReplicationMessage.Kind;
 
 /**
- * A client of the voters for commands: sends a request to one voter after the other until one responds. It binds to loopback
- * and so runs on the machine of a voter. Each call blocks; it has no state and may be used on any thread.
+ * A client of the voters, used by commands. It sends a request to one voter after another until one responds. It binds
+ * to loopback and therefore has to run on the machine of a voter. Each call blocks. The client is stateless and may be
+ * used on any thread.
  */
 public final class ReplicationClient {
     private static final int RESPONSE_TIMEOUT_MS = 300;
-    /** No version has this number, so the response holds the document. */
+    /** No version has this number, so every response contains the document. */
     private static final long NO_HELD_VERSION = -1;
 
     private final List<HostAndPort> voters;
     private final long callTimeoutMs;
 
-    /** A client of the voters at these addresses; callTimeoutMs bounds a call with all its attempts. */
+    /** Creates a client of the voters at these addresses; callTimeoutMs limits a call including all its attempts. */
     public ReplicationClient(List<HostAndPort> voters, long callTimeoutMs) {
         this.voters = List.copyOf(voters);
         this.callTimeoutMs = callTimeoutMs;
     }
 
     /**
-     * The version in force; number 0 if there is none.
+     * Returns the version in effect; its number is 0 if there is none.
      *
      * @throws IOException if no voter responds in time
      */
@@ -47,7 +48,7 @@
     }
 
     /**
-     * The last versions, oldest first, without their documents.
+     * Returns the last versions, oldest first, without their documents.
      *
      * @throws IOException if no voter responds in time
      */
@@ -56,9 +57,9 @@
     }
 
     /**
-     * Proposes a complete new document in place of a version, repeatedly until the outcome is known.
+     * Proposes a complete new document to replace a version, and repeats the proposal until the outcome is known.
      *
-     * @throws IOException if no voter responds in time; the outcome is not known then
+     * @throws IOException if no voter responds in time; the outcome is unknown then
      */
     public VersionLog.Outcome propose(long baseVersion, String author, String text) throws IOException {
         VersionLog.Proposal proposal = new VersionLog.Proposal(UUID.randomUUID().toString(), baseVersion, author, text);
@@ -73,7 +74,8 @@
             byte[] request = new ReplicationMessage("client-" + socket.getLocalPort(), address, kind, 1, body).bytes();
             if (request.length > ReplicationMessage.MAX_BYTES) {
                 throw new InvalidConfigurationException(
-                        "the document is too large for a datagram: " + request.length + " bytes");
+                        "the document is too large for a datagram: " + request.length + " bytes, at most "
+                                + ReplicationMessage.MAX_BYTES);
             }
             long endNanos = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(callTimeoutMs);
             for (int attempt = 0; System.nanoTime() < endNanos; attempt++) {
@@ -86,7 +88,7 @@
         }
     }
 
-    /** The next message after a request; null if there is none in time. */
+    /** Sends a request and returns the next message; null if none arrives in time. */
     private static ReplicationMessage request(DatagramSocket socket, byte[] request, HostAndPort voter)
             throws IOException {
         socket.send(new DatagramPacket(request, request.length, new InetSocketAddress(voter.address(), voter.port())));
--- a/replication/src/main/java/opalcove/replication/ReplicationConfig.java
+++ b/replication/src/main/java/opalcove/replication/ReplicationConfig.java
@@ -9,16 +9,17 @@
 import opalcove.config.JsonFields;
 
 /**
- * The section {@code agreement} of the configuration.
+ * The section {@code agreement} of the configuration file.
  *
- * @param listen where this gateway listens for datagrams
- * @param advertise the address that it gives to other gateways; empty for the one that it listens at
+ * @param listen the address at which this gateway listens for datagrams
+ * @param advertise the address that other gateways use for this one; empty for the address at which it listens
  * @param voters the voters' addresses by name, in the order of the section
- * @param leaseMs how long a confirmed version may be acted on
- * @param stateFile where a voter stores its vote; null for a gateway that is no voter
- * @param snapshotFile where the gateway stores what it knows, for a recovery after a loss of power; null for no
+ * @param leaseMs the length of a lease on a version, in ms
+ * @param stateFile the file in which a voter stores its vote and its log; null if the section names none, which only a
+ *     gateway that is not a voter may do
+ * @param snapshotFile the file in which the gateway stores its snapshot, for a recovery after a power loss; null for no
  *     recovery
- * @param events whether changes are written as events
+ * @param events whether the gateway writes events
  */
 record ReplicationConfig(
         HostAndPort listen,
@@ -36,9 +37,9 @@
     private static final int DEFAULT_LEASE_MS = 2000;
 
     /**
-     * Reads the section for the gateway of that name.
+     * Reads the section for the gateway with the given name.
      *
-     * @throws InvalidConfigurationException with the key of what is wrong
+     * @throws InvalidConfigurationException with the key of the invalid field
      */
     static ReplicationConfig read(String name, JsonFields fields) {
         for (String key : fields.names()) {
@@ -55,7 +56,7 @@
         String stateFile = fields.textOr("state_file", "");
         if (voters.containsKey(name) && stateFile.isEmpty()) {
             throw new InvalidConfigurationException(
-                    "field agreement.state_file must name a file: a voter must not forget its vote");
+                    "field agreement.state_file must name a file: a voter stores its vote in it");
         }
         String snapshotFile = fields.textOr("snapshot_file", "");
         String advertise = fields.textOr("advertise", "");
--- a/replication/src/main/java/opalcove/replication/ReplicationFigures.java
+++ b/replication/src/main/java/opalcove/replication/ReplicationFigures.java
@@ -4,7 +4,7 @@
 import opalcove.configlease.LeaseState;
 import opalcove.recovery.RecoveryPlan;
 
-/** The figures of the replication and of the recovery, a line each, in the form of STATS. */
+/** The figures of the replication and of the recovery, one per line, in the format of the STATS command. */
 final class ReplicationFigures {
     private static final char GAUGE = 'g';
     private static final char COUNTER = 'c';
@@ -13,7 +13,7 @@
 
     private ReplicationFigures() {}
 
-    /** All figures but the remaining time of the lease; recovery is null without a recovery. */
+    /** Returns all figures except the remaining time of the lease; recovery is null without a recovery. */
     static String lines(
             ConfigReplica replica, boolean isStateRejected, long unreadableDatagrams, RecoveryTracker recovery) {
         ReplicationFigures figures = new ReplicationFigures();
@@ -40,7 +40,7 @@
         return figures.lines.toString();
     }
 
-    /** The line of the remaining time of the lease. */
+    /** Returns the line for the remaining time of the lease, in ms. */
     static String leaseRemaining(long remainingMs) {
         return "agreement.lease_left_ms:" + remainingMs + "|g\n";
     }
--- a/replication/src/main/java/opalcove/replication/ReplicationMessage.java
+++ b/replication/src/main/java/opalcove/replication/ReplicationMessage.java
@@ -14,24 +14,25 @@
 import opalcove.configlease.VersionLog;
 
 /**
- * A message between gateways about versions of the configuration, one JSON object in a datagram.
+ * A message about configuration versions between gateways, or between a client and a gateway: a JSON object in one
+ * datagram.
  *
  * @param from the sender's name
  * @param address the sender's address
- * @param kind what the message requests or answers
- * @param sequence the number of the request, repeated in the response
- * @param body the fields that go with the kind; written and read by the methods here alone
+ * @param kind the kind of request or response
+ * @param sequence the sequence number of the request, which its response repeats
+ * @param body the fields of the kind; only the methods of this class read and write them
  */
 public record ReplicationMessage(String from, String address, Kind kind, long sequence, JsonObject body) {
-    /** What a message requests or answers, each with its name in datagrams. */
+    /** The kind of a message, with its name in datagrams. */
     public enum Kind {
-        /** A message of the consensus protocol, between voters. */
+        /** A message of the Raft protocol between voters. */
         RAFT("RAFT"),
-        /** Requests the newest version; names the one held. */
+        /** Requests the newest version, and names the version that the sender holds. */
         VERSION_REQUEST("ASK"),
-        /** Number of the newest version, and its document if that is another one than the request named. */
+        /** The number of the newest version, and its document if the request named another version. */
         VERSION_RESPONSE("TOLD"),
-        /** Announces that there is a newer version. */
+        /** Announces a newer version. */
         VERSION_ANNOUNCEMENT("NEWS"),
         /** Proposes a version. */
         PROPOSAL("PROPOSE"),
@@ -59,11 +60,11 @@
         }
     }
 
-    /** The gateway or client that a forwarded request came from. */
+    /** The original sender of a forwarded request, a gateway or a client. */
     record Origin(String name, String address) {}
 
     /**
-     * Maximum length of a message, in bytes: what a datagram holds on loopback, and on most networks with large
+     * Maximum length of a message, in bytes. A datagram of this size fits on loopback, and on most networks with large
      * packets.
      */
     public static final int MAX_BYTES = 60_000;
@@ -83,12 +84,12 @@
         return Json.object().add(VERSION_KEY, version);
     }
 
-    /** A version with its document. */
+    /** Returns the body for a version with its document. */
     static JsonObject versionBody(long version, String text) {
         return versionBody(version).add(TEXT_KEY, packText(text));
     }
 
-    /** A proposal's body. */
+    /** Returns the body for a proposal. */
     public static JsonObject proposalBody(VersionLog.Proposal proposal) {
         return Json.object()
                 .add("id", proposal.proposalId())
@@ -115,7 +116,7 @@
         return Json.object().add("versions", versions);
     }
 
-    /** The datagram. */
+    /** Returns the content of the datagram. */
     public byte[] bytes() {
         JsonObject object = Json.object()
                 .add("f", Json.object().add("n", from).add("a", address))
@@ -128,38 +129,39 @@
     /**
      * Reads a datagram.
      *
-     * @throws InvalidConfigurationException with key and reason, if it is no message
+     * @throws InvalidConfigurationException with key and reason, if the bytes are not a valid message
      */
     public static ReplicationMessage read(byte[] bytes) {
         String text = new String(bytes, StandardCharsets.UTF_8);
         JsonFields fields = JsonFields.parse(text);
         String name = fields.object("f").text("n");
         if (name.isEmpty() || name.length() > MAX_NAME_LENGTH) {
-            throw new InvalidConfigurationException("field f.n must be a name");
+            throw new InvalidConfigurationException(
+                    "field f.n must be a name of 1 to " + MAX_NAME_LENGTH + " characters");
         }
         JsonObject body = Json.parse(text).asObject();
         body.remove("f").remove("k").remove("s");
         return new ReplicationMessage(name, fields.object("f").text("a"), Kind.read(fields), fields.serial("s"), body);
     }
 
-    /** The same request, forwarded by another gateway, with its sender as origin. */
+    /** Returns this request as forwarded by another gateway; the origin is the sender of this message. */
     ReplicationMessage forwardedBy(String sender, String senderAddress) {
         JsonObject origin = Json.object().add("n", from).add("a", address);
         return new ReplicationMessage(sender, senderAddress, kind, sequence, body.add(ORIGIN_KEY, origin));
     }
 
-    /** The same response, returned to the origin by the gateway that forwarded the request. */
+    /** Returns this response as sent to the origin by the gateway that forwarded the request. */
     ReplicationMessage returnedBy(String sender, String senderAddress) {
         return new ReplicationMessage(sender, senderAddress, kind, sequence, body.remove(ORIGIN_KEY));
     }
 
-    /** The body of a response to this request: a forwarded request's origin goes back with it. */
+    /** Adds the origin of this request, if it was forwarded, to the body of its response. */
     JsonObject withOrigin(JsonObject responseBody) {
         JsonValue origin = body.get(ORIGIN_KEY);
         return origin == null ? responseBody : responseBody.add(ORIGIN_KEY, origin.asObject());
     }
 
-    /** Whom a forwarded request came from; null if the message was not forwarded. */
+    /** Returns the original sender of a forwarded request; null if the message was not forwarded. */
     Origin origin() {
         JsonValue origin = body.get(ORIGIN_KEY);
         return origin == null
@@ -168,12 +170,12 @@
                         origin.asObject().getString("n", ""), origin.asObject().getString("a", ""));
     }
 
-    /** The number of the version that the message is about; 0 if it names none. */
+    /** Returns the number of the version in the message; 0 if it names none. */
     long version() {
         return body.getLong(VERSION_KEY, 0);
     }
 
-    /** The document of a version; null if the message has none. */
+    /** Returns the document in the message; null if it has none. */
     String text() {
         String packed = body.getString(TEXT_KEY, null);
         return packed == null ? null : SerializedForm.read(Base64.getDecoder().decode(packed), String.class);
@@ -183,22 +185,22 @@
         return Base64.getDecoder().decode(body.getString(RAFT_MESSAGE_KEY, ""));
     }
 
-    /** A proposal's id; empty if it has none. */
+    /** Returns the id of the proposal; empty if it has none. */
     String proposalId() {
         return body.getString("id", "");
     }
 
-    /** The proposal, with its document unpacked. */
+    /** Returns the proposal with the given unpacked document. */
     VersionLog.Proposal proposal(String text) {
         return new VersionLog.Proposal(proposalId(), body.getLong("base", 0), body.getString("by", ""), text);
     }
 
-    /** The outcome of a proposal. */
+    /** Returns the outcome of a proposal. */
     public VersionLog.Outcome outcome() {
         return new VersionLog.Outcome(body.getBoolean("taken", false), version(), body.getString("reason", ""));
     }
 
-    /** The last versions, oldest first, without their documents. */
+    /** Returns the last versions, oldest first, without their documents. */
     List<VersionLog.Version> history() {
         List<VersionLog.Version> versions = new ArrayList<>();
         for (JsonValue each : body.get("versions").asArray()) {
@@ -209,7 +211,7 @@
         return versions;
     }
 
-    /** A document as it is sent, deflated. */
+    /** Returns a document in the form used in messages: serialized, deflated and in Base64. */
     static String packText(String text) {
         return Base64.getEncoder().encodeToString(SerializedForm.write(text));
     }
--- a/replication/src/main/java/opalcove/replication/SerializedForm.java
+++ b/replication/src/main/java/opalcove/replication/SerializedForm.java
@@ -11,11 +11,12 @@
 import opalcove.config.InvalidConfigurationException;
 
 /**
- * Messages and records of the consensus library as bytes: serialized Java objects, deflated. Only the library's model,
- * the project's classes of {@link WrittenClass} and plain classes of the JDK are read, with bounds on size and depth.
+ * Converts messages and records of the consensus library to bytes and back. The bytes are serialized Java objects,
+ * deflated. It reads only the library's model, the classes of {@link WrittenClass} and basic classes of the JDK, with
+ * limits on size and depth.
  */
 final class SerializedForm {
-    /** Guards against objects of other classes in bytes from the network or from a file, and against oversized ones. */
+    /** Rejects objects of other classes, and oversized objects, in bytes from the network or from a file. */
     private static final ObjectInputFilter INPUT_FILTER = ObjectInputFilter.Config.createFilter(
             "maxbytes=16777216;maxdepth=24;maxarray=65536;io.microraft.model.**;io.microraft.MembershipChangeMode;"
                     + WrittenClass.filterPatterns() + ";java.util.*;java.lang.*;!*");
@@ -35,8 +36,8 @@
     /**
      * Reads an object.
      *
-     * @throws InvalidConfigurationException with the reason, if the bytes hold no object of that type and of allowed
-     *     classes
+     * @throws InvalidConfigurationException with the reason, if the bytes do not hold an object of that type that
+     *     consists of allowed classes
      */
     static <T> T read(byte[] bytes, Class<T> type) {
         try (ObjectInputStream in = new WrittenClass.Input(new InflaterInputStream(new ByteArrayInputStream(bytes)))) {
--- a/replication/src/main/java/opalcove/replication/SnapshotFile.java
+++ b/replication/src/main/java/opalcove/replication/SnapshotFile.java
@@ -11,7 +11,7 @@
 import opalcove.config.JsonFields;
 import opalcove.recovery.Snapshot;
 
-/** A gateway's snapshot as JSON in an {@link AtomicFile}. */
+/** Reads and writes a gateway's snapshot as JSON in an {@link AtomicFile}. */
 public final class SnapshotFile {
     private static final int FORMAT_VERSION = 1;
 
@@ -38,10 +38,10 @@
     }
 
     /**
-     * Reads a snapshot, the previous one if the newest cannot be read.
+     * Reads a snapshot, or the previous one if the newest cannot be read.
      *
-     * @throws InvalidConfigurationException with the reason, if there is none, or if it is torn, of another format or
-     *     no snapshot
+     * @throws InvalidConfigurationException with the reason, if there is no snapshot, or if it is damaged, of another
+     *     format version or not a snapshot
      */
     public static Snapshot read(Path file) throws IOException {
         if (!AtomicFile.existsOrPrevious(file)) {
@@ -75,7 +75,8 @@
     }
 
     /**
-     * Reads the snapshot of the gateway of that name, as {@link #read(Path)}; one of another gateway is rejected too.
+     * Reads the snapshot of the gateway with the given name, as {@link #read(Path)} does; rejects a snapshot of another
+     * gateway.
      */
     static Snapshot read(Path file, String gateway) throws IOException {
         Snapshot snapshot = read(file);
--- a/replication/src/main/java/opalcove/replication/VersionStateMachine.java
+++ b/replication/src/main/java/opalcove/replication/VersionStateMachine.java
@@ -9,7 +9,7 @@
 
 /** The state machine of the Raft group: the {@link VersionLog}. Owned by its voter's thread. */
 final class VersionStateMachine implements StateMachine {
-    /** Stands in the stored logs. */
+    /** The operation of the first log entry of each term. It is part of stored logs. */
     private static final String NEW_TERM_OPERATION = "term";
 
     private static final VersionLog.Version NO_VERSION = new VersionLog.Version(0, "", "", "");
@@ -17,12 +17,12 @@
     private final VersionLog log = new VersionLog();
     private final LongConsumer onVersion;
 
-    /** A state machine without versions; onVersion is called with the number of each new one. */
+    /** Creates a state machine without versions; onVersion receives the number of each new version. */
     VersionStateMachine(LongConsumer onVersion) {
         this.onVersion = onVersion;
     }
 
-    /** The versions, oldest first. */
+    /** Returns the versions, oldest first. */
     List<VersionLog.Version> history() {
         return log.history();
     }
--- a/replication/src/main/java/opalcove/replication/VoterTime.java
+++ b/replication/src/main/java/opalcove/replication/VoterTime.java
@@ -8,11 +8,11 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Executor and clock of a voter, on its host's thread and clock. They run faster than the host's time, since the
- * periods of the consensus library are whole seconds.
+ * The executor and the clock of a voter, based on its host's thread and clock. They run faster than the host's time,
+ * because the consensus library only has periods in whole seconds.
  */
 final class VoterTime {
-    /** How much faster a voter's time runs than the host's. */
+    /** The factor by which a voter's time runs faster than the host's. */
     private static final int SPEEDUP = 4;
 
     private VoterTime() {}
@@ -41,7 +41,7 @@
         }
     }
 
-    /** The host's clock, sped up. */
+    /** The host's monotonic clock, accelerated. */
     static final class AcceleratedClock extends Clock {
         private final ConfigReplica.Host host;
 
--- a/replication/src/main/java/opalcove/replication/WrittenClass.java
+++ b/replication/src/main/java/opalcove/replication/WrittenClass.java
@@ -15,10 +15,11 @@
 import opalcove.configlease.VersionLog;
 
 /**
- * The project's classes in serialized streams, each with its name and the names of its fields in the stream. These stay the
- * same when a class or a field is renamed in the code: stored states outlive a build, and processes of an older build must be
- * able to read the messages of this one. Fields are listed in the order of the stream: primitive ones first, each group by its
- * names in the code; so a new name in the code must sort in the same place.
+ * The project's classes in serialized streams, each with the class name and the field names that the stream uses.
+ * These names must not change when a class or a field is renamed in the code: stored states outlive a build, and
+ * processes of an older build must be able to read the messages of this one. The fields are listed in stream order:
+ * primitive fields first, and each group sorted by the names in the code. A new name in the code must therefore sort
+ * into the same place.
  */
 enum WrittenClass {
     PROPOSAL("opalcove.agreement.Registry$Proposal", VersionLog.Proposal.class, "base", "by", "id", "text"),
@@ -45,11 +46,11 @@
         this.writtenFields = List.of(writtenFields);
         descriptor = ObjectStreamClass.lookup(type);
         if (descriptor.getFields().length != writtenFields.length) {
-            throw new IllegalStateException(type + " is written with the fields " + this.writtenFields);
+            throw new IllegalStateException(type + " must have as many fields as " + this.writtenFields);
         }
     }
 
-    /** The names of the classes in the code, as patterns of a serialization filter. */
+    /** Returns the names of these classes in the code, as patterns of a serialization filter. */
     static String filterPatterns() {
         return Stream.of(values()).map(each -> each.descriptor.getName()).collect(Collectors.joining(";"));
     }
@@ -69,7 +70,10 @@
         }
     }
 
-    /** Guards against values of one field read into another: fields are matched by their position alone. */
+    /**
+     * Returns the descriptor of this class if the one read from the stream has the same fields. Without this check a
+     * value could be read into another field, because fields are matched by position only.
+     */
     private ObjectStreamClass validateDescriptor(ObjectStreamClass read) throws InvalidClassException {
         ObjectStreamField[] readFields = read.getFields();
         ObjectStreamField[] fields = descriptor.getFields();
@@ -86,7 +90,7 @@
         return descriptor;
     }
 
-    /** Writes the project's classes under their written names. */
+    /** Writes the project's classes under their names in streams. */
     static final class Output extends ObjectOutputStream {
         Output(OutputStream sink) throws IOException {
             super(sink);
@@ -104,7 +108,7 @@
         }
     }
 
-    /** Reads the project's classes by their written names, and no others of the project. */
+    /** Reads the project's classes by their names in streams, and rejects all other classes of the project. */
     static final class Input extends ObjectInputStream {
         Input(InputStream source) throws IOException {
             super(source);
--- a/replication/src/main/java/opalcove/replication/package-info.java
+++ b/replication/src/main/java/opalcove/replication/package-info.java
@@ -1,6 +1,7 @@
 /**
- * The replicated configuration: versions of settings and endpoint list that the gateways agree on, by a Raft group of voters and
- * a lease of each gateway. {@link opalcove.replication.ReplicatedConfigService} is the entry point of the program, {@link
- * opalcove.replication.ConfigReplica} that of the simulation, {@link opalcove.replication.ReplicationClient} that of commands.
+ * The replicated configuration. Some gateways are voters: they form a Raft group that agrees on the versions of the
+ * settings and the endpoint list. Every gateway holds a lease on its version. The entry points are {@link
+ * opalcove.replication.ReplicatedConfigService} for the program, {@link opalcove.replication.ConfigReplica} for the
+ * simulation, and {@link opalcove.replication.ReplicationClient} for commands.
  */
 package opalcove.replication;
