--- a/replication/src/test/java/opalcove/replication/AgreementOutputTest.java
+++ b/replication/src/test/java/opalcove/replication/AgreementOutputTest.java
@@ -20,7 +20,7 @@
 import opalcove.configlease.VersionLog;
 import org.testng.annotations.Test;
 
-/** What agreed versions show to the outside: figures and events. */
+/** Tests the figures and events of the replicated configuration, which other programs read. */
 public class AgreementOutputTest {
     private static final long TIMEOUT_NS = TimeUnit.SECONDS.toNanos(60);
 
--- a/replication/src/test/java/opalcove/replication/FolderFaultsTest.java
+++ b/replication/src/test/java/opalcove/replication/FolderFaultsTest.java
@@ -19,9 +19,9 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** Folders that fail for a while, and a process that ends at any step of a write. */
+/** Tests writes to a folder that fails temporarily, and a process that ends at any step of a write. */
 public class FolderFaultsTest {
-    /** The steps of a write, in their order. */
+    /** The steps of a write, in order. */
     private enum Step {
         WRITE,
         SYNC_FILE,
@@ -47,7 +47,7 @@
         return new Object[][] {{Step.WRITE}, {Step.SYNC_FILE}, {Step.LINK}, {Step.RENAME}, {Step.SYNC_FOLDER}};
     }
 
-    /** A disk that fails one step: the process ends there, having done half of it, or the system says no. */
+    /** File operations of which one step fails: either the process ends in it, or the step throws an IOException. */
     private static final class FaultyFileOperations implements FileOperations {
         private final Step step;
         private final boolean endsProcess;
@@ -95,7 +95,7 @@
             FileOperations.REAL.rename(source, target);
         }
 
-        /** Stands for a kill: nothing that comes after it in the write is done. */
+        /** Simulates the end of the process: no later operation of the write is executed. */
         private static final class SimulatedProcessEnd extends Error {
             private static final long serialVersionUID = 1;
         }
@@ -108,7 +108,7 @@
                 () -> AtomicFile.write(new FaultyFileOperations(step, true), file, NEW_CONTENT));
         assertEquals(AtomicFile.read(file), step == Step.SYNC_FOLDER ? NEW_CONTENT : OLD_CONTENT);
         AtomicFile.write(file, NEW_CONTENT);
-        assertEquals(AtomicFile.read(file), NEW_CONTENT, "what the kill left behind is in nobody's way");
+        assertEquals(AtomicFile.read(file), NEW_CONTENT, "the next write succeeds in spite of leftover files");
     }
 
     @Test(dataProvider = "steps")
@@ -125,7 +125,9 @@
     public void deletesNewFileInsteadOfSyncingItAgainAfterFailedSync() throws Exception {
         FaultyFileOperations disk = new FaultyFileOperations(Step.SYNC_FILE, false);
         assertThrows(IOException.class, () -> AtomicFile.write(disk, file, NEW_CONTENT));
-        assertFalse(Files.exists(file.resolveSibling("state.part")), "a page may be marked clean: it is written anew");
+        assertFalse(
+                Files.exists(file.resolveSibling("state.part")),
+                "the file must be deleted, since its pages may be marked clean");
     }
 
     @Test
@@ -157,8 +159,8 @@
         disk.isRepaired = false;
         RaftStore raftStore = store;
         assertThrows(IOException.class, () -> raftStore.persistAndFlushTerm(term(2)));
-        assertFalse(store.ensureWritten(), "its vote is not in the file");
-        assertFalse(store.ensureWritten(), "nor is it after another try");
+        assertFalse(store.ensureWritten(), "the vote is not in the file");
+        assertFalse(store.ensureWritten(), "nor is it after a retry");
         disk.isRepaired = true;
         assertTrue(store.ensureWritten());
         RaftVoterStore reopened = RaftVoterStore.open(stateFile);
@@ -173,7 +175,7 @@
                 .setVoting(true)
                 .build());
         assertEquals(
-                reopened.restoredState().getTermPersistentState().getTerm(), 2, "what was said is there after a restart");
+                reopened.restoredState().getTermPersistentState().getTerm(), 2, "the flushed term survives a restart");
     }
 
     private static io.microraft.model.persistence.RaftTermPersistentState term(int term) {
--- a/replication/src/test/java/opalcove/replication/LeaseUnderInputTest.java
+++ b/replication/src/test/java/opalcove/replication/LeaseUnderInputTest.java
@@ -12,11 +12,11 @@
 import opalcove.replication.ReplicationMessage.Kind;
 import org.testng.annotations.Test;
 
-/** A gateway's lease while datagrams come without a pause, in virtual time. */
+/** Tests a gateway's lease while datagrams arrive without a pause, in virtual time. */
 public class LeaseUnderInputTest {
     private static final long LEASE_MS = 2000;
 
-    /** A host whose timers never expire, as those that each datagram puts off. */
+    /** A host whose timers never fire, like timers that each datagram postpones. */
     private static final class Host implements ConfigReplica.Host {
         private final List<String> changes = new ArrayList<>();
         private long lastSequence;
@@ -45,7 +45,7 @@
         return new ReplicationMessage("g2", "b:2", kind, sequence, ReplicationMessage.versionBody(version, "text"));
     }
 
-    /** Guards against a lease that is acted on past its end because each datagram puts off the timer of its end. */
+    /** Guards against a lease that stays valid past its end because each datagram postpones the timer of that end. */
     @Test
     public void expiresLeaseInTimeWhenDatagramArrivesEveryMillisecond() {
         Host host = new Host();
--- a/replication/src/test/java/opalcove/replication/ReplicationMessageFormTest.java
+++ b/replication/src/test/java/opalcove/replication/ReplicationMessageFormTest.java
@@ -21,9 +21,9 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** The datagrams between gateways about versions as bytes: processes of an older program read and write the same. */
+/** Tests the wire format of datagrams about versions, which processes of an older build read and write too. */
 public class ReplicationMessageFormTest {
-    /** The text "one" as today's program packs it. */
+    /** The text "one" as the program packs it. */
     private static final String PACKED_ONE = "eJxb85aBtYSBOT8vFQAUjANY";
 
     private static final String CLIENT = "{\"n\":\"client-1\",\"a\":\"c:1\"}";
@@ -100,7 +100,7 @@
 
     private record Task(long atMs, long order, Runnable run) {}
 
-    /** A gateway in virtual time that notes what it sends to others; itself it reaches. */
+    /** A gateway's host in virtual time that records each sent message and each change of the lease. */
     private static final class Host implements ConfigReplica.Host {
         private final PriorityQueue<Task> tasks =
                 new PriorityQueue<>(Comparator.comparingLong(Task::atMs).thenComparingLong(Task::order));
@@ -198,8 +198,8 @@
         host.runFor(100);
         assertEquals(
                 host.drainSent(),
-                List.of(
-                        prefix + "\"k\":\"VERSIONS\",\"s\":3,\"versions\":[{\"number\":1,\"by\":\"ops\",\"id\":\"x\"}]}"));
+                List.of(prefix
+                        + "\"k\":\"VERSIONS\",\"s\":3,\"versions\":[{\"number\":1,\"by\":\"ops\",\"id\":\"x\"}]}"));
         replica.receive(message("\"k\":\"ASK\",\"s\":4,\"v\":0,\"o\":{\"n\":\"g9\",\"a\":\"d:9\"}"));
         host.runFor(100);
         String text = host.drainSent().toString();
@@ -207,7 +207,7 @@
         assertTrue(text.endsWith("\",\"o\":{\"n\":\"g9\",\"a\":\"d:9\"}}]"), text);
     }
 
-    /** Guards against an empty history of a voter that has just started and knows nothing of what is decided. */
+    /** Guards against an empty history sent by a voter that has just started and knows no committed versions yet. */
     @Test
     public void sendsNoHistoryWhenVoterKnowsNeitherLeaderNorVersion() {
         Host host = new Host();
--- a/replication/src/test/java/opalcove/replication/ReplicationTest.java
+++ b/replication/src/test/java/opalcove/replication/ReplicationTest.java
@@ -19,7 +19,7 @@
 import opalcove.recovery.Snapshot;
 import org.testng.annotations.Test;
 
-/** A version's document and its strict rules, a voter's file, the section's checks. */
+/** Tests a version's document and its strict part, the stored files, and the checks of the configuration section. */
 public class ReplicationTest {
     private static final String BACKENDS_JSON =
             """
--- a/replication/src/test/java/opalcove/replication/VirtualVoters.java
+++ b/replication/src/test/java/opalcove/replication/VirtualVoters.java
@@ -20,7 +20,10 @@
 import java.util.function.BooleanSupplier;
 import opalcove.configlease.VersionLog;
 
-/** Voters in virtual time, each on its own store: messages take one ms, and none goes to or from one that is cut off. */
+/**
+ * Runs voters in virtual time, each with its own store. A message takes 1 ms. Messages from and to isolated voters are
+ * lost.
+ */
 final class VirtualVoters {
     static final List<String> NAMES = List.of("g1", "g2", "g3");
     private static final long TIMEOUT_MS = 120_000;
@@ -37,7 +40,7 @@
     private long nextOrder;
     private int restarts;
 
-    /** Starts a voter for each store; {@code onSend} sees each message, be it carried or lost. */
+    /** Starts a voter for each store; {@code onSend} receives each sent message, including the lost ones. */
     VirtualVoters(Map<String, RaftVoterStore> stores, BiConsumer<String, byte[]> onSend) {
         this.onSend = onSend;
         stores.forEach((name, store) -> voters.put(name, create(name, store)));
@@ -63,7 +66,7 @@
         }
     }
 
-    /** Kills a voter and starts it again on what its store holds. */
+    /** Terminates a voter and starts a new one from the given store. */
     void restart(String name, RaftVoterStore store) {
         restarts++;
         processes.get(name).terminate();
@@ -83,7 +86,7 @@
         isolated.clear();
     }
 
-    /** The voter that leads itself and is not cut off, after as long as that takes. */
+    /** Runs until a voter that is not isolated considers itself the leader, and returns its name. */
     String awaitLeader() {
         await(() -> leader() != null);
         return leader();
@@ -97,7 +100,7 @@
                 .orElse(null);
     }
 
-    /** Has the leader decide on a proposal. */
+    /** Sends a proposal to the leader and returns its outcome. */
     VersionLog.Outcome propose(VersionLog.Proposal proposal) {
         List<VersionLog.Outcome> outcome = new ArrayList<>();
         String leader = awaitLeader();
@@ -136,7 +139,7 @@
         tasks.add(new Task(nowMs + delayMs, nextOrder++, run));
     }
 
-    /** Runs the tasks of one voter until its process ends. */
+    /** Runs the tasks of one voter until it is terminated. */
     private final class Process implements RaftNodeExecutor {
         private boolean hasEnded;
 
--- a/replication/src/test/java/opalcove/replication/VoterElectionTest.java
+++ b/replication/src/test/java/opalcove/replication/VoterElectionTest.java
@@ -11,12 +11,12 @@
 import opalcove.configlease.VersionLog;
 import org.testng.annotations.Test;
 
-/** Elections among voters in virtual time. */
+/** Tests elections among voters in virtual time. */
 public class VoterElectionTest {
-    /** Longer than a restarted voter takes to hear from its leader. */
+    /** Longer than a restarted voter takes to receive a message from its leader. */
     private static final long REJOIN_MS = 5_000;
 
-    /** Guards against a voter that is deaf to the loss of a leader that it found in the middle of a pre-vote. */
+    /** Guards against voters that do not detect the loss of a leader that they found during a pre-vote. */
     @Test
     public void electsNewLeaderWhenLeaderFoundDuringPreVoteIsLost() throws IOException {
         Path folder = Files.createTempDirectory("voters");
--- a/replication/src/test/java/opalcove/replication/VoterRecoveryTest.java
+++ b/replication/src/test/java/opalcove/replication/VoterRecoveryTest.java
@@ -16,13 +16,13 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** Voters in virtual time that go on after a fault of their own. */
+/** Tests that voters recover from faults of their own, in virtual time. */
 public class VoterRecoveryTest {
-    /** Longer than an election, and than a voter takes to rejoin. */
+    /** Longer than an election, and longer than a voter takes to rejoin. */
     private static final long SETTLE_MS = 20_000;
-    /** Shorter than it takes the others to give up a leader. */
+    /** Shorter than the time after which the other voters consider a leader lost. */
     private static final long BELOW_HEARTBEAT_TIMEOUT_MS = 1_000;
-    /** Proposals and the entry of the first term: as many entries as a snapshot is taken after. */
+    /** This many proposals, together with the entry of the first term, trigger a snapshot. */
     private static final int PROPOSALS_TO_SNAPSHOT = 7;
 
     /** A disk whose writes fail while it is full. */
@@ -84,7 +84,7 @@
         return VirtualVoters.NAMES.stream().filter(each -> !each.equals(name)).toList();
     }
 
-    /** Guards against a leader that does not count itself any more once a write of its state has failed. */
+    /** Guards against a leader that no longer counts itself for a majority after a write of its state has failed. */
     @Test
     public void leaderDecidesWithOneOtherVoterAfterItsDiskWasFull() {
         String leader = voters.awaitLeader();
@@ -98,7 +98,7 @@
         proposeNext();
     }
 
-    /** Guards against reads that wait for ever for one which the former node never answers. */
+    /** Guards against reads that wait forever for a query that the terminated node never completes. */
     @Test
     public void failsPendingReadWhenLeaderCannotWriteItsState() {
         String leader = voters.awaitLeader();
@@ -113,7 +113,7 @@
         assertEquals(reads, List.of("failed"));
     }
 
-    /** Guards against a follower whose handling of a request was broken off by the write that failed. */
+    /** Guards against a follower that cannot recover after a failed write has aborted the handling of a request. */
     @Test
     public void followerVotesAndReplicatesAfterItsDiskWasFull() {
         String leader = voters.awaitLeader();
@@ -130,7 +130,7 @@
         assertEquals(voters.voter(follower).history().size(), proposals);
     }
 
-    /** Guards against a former leader that refuses all entries because its own ones after a snapshot are others. */
+    /** Guards against a former leader that rejects all entries because its own entries after a snapshot differ. */
     @Test
     public void voterCatchesUpWhenEntriesAfterItsSnapshotDifferFromLeader() {
         String formerLeader = voters.awaitLeader();
--- a/replication/src/test/java/opalcove/replication/WrittenFormTest.java
+++ b/replication/src/test/java/opalcove/replication/WrittenFormTest.java
@@ -34,11 +34,11 @@
 import org.testng.annotations.Test;
 
 /**
- * What is stored, and what voters send one another, in the form that the program had when these files were made: whatever its
- * classes are called since, it reads them, goes on from them and writes the same.
+ * Tests the serialized form of stored data and of messages between voters against files that an older build wrote. The
+ * program must read these files, resume from them and write the same bytes, whatever its classes are called now.
  */
 public class WrittenFormTest {
-    /** The project's classes in streams: name, serialVersionUID and fields, in the order of the stream. */
+    /** The project's classes in streams, each name with serialVersionUID and fields, in stream order. */
     private static final Map<String, String> CLASSES = Map.of(
             "opalcove.agreement.Registry$Proposal",
             "0 J base, Ljava/lang/String; by, Ljava/lang/String; id, Ljava/lang/String; text",
@@ -88,7 +88,7 @@
         return field.isPrimitive() ? String.valueOf(field.getTypeCode()) : field.getTypeString();
     }
 
-    /** The project's class descriptors in a stream, as they stand in it, read with no class of the program at hand. */
+    /** Returns the project's class descriptors in a stream, read without the classes of the program. */
     private static Map<String, String> projectClasses(byte[] deflated) {
         Map<String, String> classes = new TreeMap<>();
         try (ObjectInputStream in = new ObjectInputStream(new ByteArrayInputStream(inflate(deflated))) {
@@ -108,7 +108,7 @@
         }) {
             in.readObject();
         } catch (ClassNotFoundException expected) {
-            // The project's classes are not looked for: by their descriptors alone, the stream is read to its end.
+            // The project's classes are not resolved. The stream is read to its end by their descriptors alone.
         } catch (IOException e) {
             throw new java.io.UncheckedIOException(e);
         }
@@ -192,7 +192,7 @@
         assertEquals(
                 voters.propose(new VersionLog.Proposal("id-24", 23, "ops", "again")),
                 new VersionLog.Outcome(true, 24, ""),
-                "what was taken before the restart is known");
+                "a proposal accepted before the restart is recognized");
         assertEquals(
                 voters.propose(new VersionLog.Proposal("id-new", 23, "ops", "late")),
                 new VersionLog.Outcome(false, 24, "it changes version 23, but version 24 by ops is in force"));
@@ -237,7 +237,7 @@
         SnapshotFile.write(rewrittenFile, snapshot);
         assertEquals(Files.readAllBytes(rewrittenFile), resource("recovery.snapshot"));
         Files.delete(file);
-        assertFalse(SnapshotFile.read(file, "g1").isClean(), "the content before is used");
+        assertFalse(SnapshotFile.read(file, "g1").isClean(), "the previous content is used");
     }
 
     @Test
