--- a/replication/src/main/java/opalcove/replication/RaftVoter.java
+++ b/replication/src/main/java/opalcove/replication/RaftVoter.java
@@ -184,7 +184,8 @@
     private void checkElection() {
         node.getReport().thenAccept(report -> {
             if (phase == Phase.RUNNING
-                    && electionMonitor.isStalled(report.getResult(), setup.clock().millis())) {
+                    && electionMonitor.isStalled(
+                            report.getResult(), setup.clock().millis())) {
                 restart("it still follows a leader that it has lost");
             }
         });
--- a/replication/src/test/java/opalcove/replication/AgreementOutputTest.java
+++ b/replication/src/test/java/opalcove/replication/AgreementOutputTest.java
@@ -102,8 +102,8 @@
             assertTrue(lines.startsWith("agreement.version:1|g\nagreement.behind:0|g\nagreement.voter:1|g\n"), lines);
             assertTrue(lines.contains("\nrecovery.phase:3|g\nrecovery.snapshot_age_ms:-1|g\n"), lines);
             List<String> normalizedEvents = normalize(events, folder);
-            assertTrue(normalizedEvents.contains(
-                    "{\"event\":\"leads\",\"leads\":true,\"at_ms\":0,\"observer\":\"g1\"}"));
+            assertTrue(
+                    normalizedEvents.contains("{\"event\":\"leads\",\"leads\":true,\"at_ms\":0,\"observer\":\"g1\"}"));
             assertTrue(normalizedEvents.contains("{\"event\":\"snapshot\",\"at_ms\":0,\"observer\":\"g1\"}"));
             String refused = "\"refused\":[\"the snapshot: FOLDER/snapshot: there is none\"]";
             assertEquals(
--- a/replication/src/test/java/opalcove/replication/ReplicationTest.java
+++ b/replication/src/test/java/opalcove/replication/ReplicationTest.java
@@ -158,7 +158,8 @@
         String validSection =
                 """
                 {"listen":"127.0.0.1:0","voters":[{"name":"g1","address":"127.0.0.1:1"}],"state_file":"/tmp/x"}""";
-        assertEquals(ReplicationConfig.read("g1", JsonFields.parse(validSection)).leaseMs(), 2000);
+        assertEquals(
+                ReplicationConfig.read("g1", JsonFields.parse(validSection)).leaseMs(), 2000);
         for (String[] each : new String[][] {
             {validSection.replace("/tmp/x", ""), "state_file"},
             {validSection.replace("\"state_file\"", "\"lease_ms\":1,\"state_file\""), "lease_ms"},
