--- a/replication/src/main/java/opalcove/replication/AtomicFile.java
+++ b/replication/src/main/java/opalcove/replication/AtomicFile.java
@@ -57,7 +57,7 @@
         if (Files.exists(file) && isIntact(file)) {
             Path previous = withSuffix(file, PREVIOUS_FILE_SUFFIX);
             operations.delete(previous);
-            operations.createHardLink(previous, file);
+            operations.createAlias(previous, file);
         }
     }
 
--- a/replication/src/main/java/opalcove/replication/FileOperations.java
+++ b/replication/src/main/java/opalcove/replication/FileOperations.java
@@ -36,9 +36,9 @@
         Files.move(source, target, StandardCopyOption.ATOMIC_MOVE);
     }
 
-    /** Creates a hard link to a file. The name of the link must not exist yet. */
-    default void createHardLink(Path link, Path existing) throws IOException {
-        Files.createLink(link, existing);
+    /** Gives a file an additional name (a hard link). The new name must not exist yet. */
+    default void createAlias(Path alias, Path existing) throws IOException {
+        Files.createLink(alias, existing);
     }
 
     /** Deletes a file, if it exists. */
--- a/replication/src/main/java/opalcove/replication/ReplicationClient.java
+++ b/replication/src/main/java/opalcove/replication/ReplicationClient.java
@@ -73,8 +73,8 @@
             String address = socket.getLocalAddress().getHostAddress() + ":" + socket.getLocalPort();
             byte[] request = new ReplicationMessage("client-" + socket.getLocalPort(), address, kind, 1, body).bytes();
             if (request.length > ReplicationMessage.MAX_BYTES) {
-                throw new InvalidConfigurationException("the document is too large for a datagram: " + request.length
-                        + " bytes, at most " + ReplicationMessage.MAX_BYTES);
+                throw new InvalidConfigurationException(
+                        "the document is too large for a datagram: " + request.length + " bytes");
             }
             long endNanos = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(callTimeoutMs);
             for (int attempt = 0; System.nanoTime() < endNanos; attempt++) {
--- a/replication/src/test/java/opalcove/replication/FolderFaultsTest.java
+++ b/replication/src/test/java/opalcove/replication/FolderFaultsTest.java
@@ -84,9 +84,9 @@
         }
 
         @Override
-        public void createHardLink(Path link, Path existing) throws IOException {
+        public void createAlias(Path alias, Path existing) throws IOException {
             failIfAt(Step.LINK);
-            FileOperations.REAL.createHardLink(link, existing);
+            FileOperations.REAL.createAlias(alias, existing);
         }
 
         @Override
--- a/replication/src/test/java/opalcove/replication/VoterRecoveryTest.java
+++ b/replication/src/test/java/opalcove/replication/VoterRecoveryTest.java
@@ -43,8 +43,8 @@
         }
 
         @Override
-        public void createHardLink(Path link, Path existing) throws IOException {
-            FileOperations.REAL.createHardLink(link, existing);
+        public void createAlias(Path alias, Path existing) throws IOException {
+            FileOperations.REAL.createAlias(alias, existing);
         }
 
         @Override
