--- a/configlease/src/test/java/opalcove/configlease/ConfigLeaseTest.java
+++ b/configlease/src/test/java/opalcove/configlease/ConfigLeaseTest.java
@@ -9,7 +9,7 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** One gateway's lease against a clock of the test's own. */
+/** Tests a gateway's lease, with times given by the test, and the log of versions. */
 public class ConfigLeaseTest {
     private final List<String> requested = new ArrayList<>();
     private final List<String> changes = new ArrayList<>();
@@ -32,9 +32,12 @@
         });
     }
 
-    /** A lease runs from the question, not from its answer; without another answer it ends, and the next voter is requested. */
+    /**
+     * A lease runs from the time of the request, not from that of the response. If a voter does not respond in time,
+     * the next voter gets a request. A lease that is not renewed becomes strict.
+     */
     @Test
-    public void aLeaseRunsFromTheQuestionAndEndsAsStrict() {
+    public void countsLeaseFromRequestAndEntersStrictModeWhenNotRenewed() {
         lease.tick(0);
         assertEquals(requested, List.of("a1 v0"));
         lease.onResponse(240, 1, 7, "seven");
@@ -50,18 +53,18 @@
         lease.tick(2500);
         lease.onResponse(2600, 3, 6, "an older version");
         assertEquals(changes, List.of("FULL 7 seven", "STRICT 7 seven"));
-        long last = requested.size();
+        long requestCount = requested.size();
         lease.onVersionAnnounced(2700, 7);
-        assertEquals(requested.size(), last, "no news");
+        assertEquals(requested.size(), requestCount, "no request for a version that is already held");
         lease.onVersionAnnounced(2700, 8);
-        lease.onResponse(4699, last + 1, 8, "eight");
+        lease.onResponse(4699, requestCount + 1, 8, "eight");
         assertEquals(changes.get(2), "FULL 8 eight");
         assertEquals(lease.state().expiresAtMs(), 4700);
     }
 
-    /** Guards against a late tick: neither a response nor an announcement leads past the strict mode. */
+    /** Guards against an expired lease that skips strict mode when a response or an announcement precedes the tick. */
     @Test
-    public void aLeaseThatHasRunOutIsStrictBeforeItIsRenewed() {
+    public void entersStrictModeBeforeRenewalWhenTickIsLate() {
         lease.tick(0);
         lease.onResponse(10, 1, 7, "seven");
         lease.tick(1900);
@@ -76,8 +79,8 @@
     }
 
     @Test
-    public void anAnswerThatComesAfterItsLeaseGivesNone() {
-        ConfigLease late = new ConfigLease(0, List.of("a"), 0, LeaseConfig.of(200), new ConfigLease.Host() {
+    public void grantsNoLeaseWhenResponseArrivesAfterLeaseEnd() {
+        ConfigLease shortLease = new ConfigLease(0, List.of("a"), 0, LeaseConfig.of(200), new ConfigLease.Host() {
             @Override
             public void requestVersion(String voter, long sequence, long heldVersion) {}
 
@@ -86,15 +89,15 @@
                 changes.add("late");
             }
         });
-        assertFalse(late.hasResponse());
-        late.tick(0);
-        late.onResponse(200, 1, 1, "one");
-        assertTrue(late.hasResponse());
-        assertEquals(late.state().mode(), LeaseState.Mode.NONE);
+        assertFalse(shortLease.hasResponse());
+        shortLease.tick(0);
+        shortLease.onResponse(200, 1, 1, "one");
+        assertTrue(shortLease.hasResponse());
+        assertEquals(shortLease.state().mode(), LeaseState.Mode.NONE);
     }
 
     @Test
-    public void proposalsInOrderBecomeVersionsOrAreRefused() {
+    public void decidesProposalsInOrderAndBoundsHistory() {
         VersionLog log = new VersionLog();
         assertEquals(log.decide(new VersionLog.Proposal("p", 0, "ops", "one")), new VersionLog.Outcome(true, 1, ""));
         assertEquals(log.decide(new VersionLog.Proposal("p", 0, "ops", "one")), new VersionLog.Outcome(true, 1, ""));
@@ -107,6 +110,6 @@
         }
         assertEquals(log.history().size(), VersionLog.MAX_HISTORY);
         assertEquals(log.newest().number(), 2 * VersionLog.MAX_HISTORY);
-        assertEquals(log.history().get(0).text(), "", "old texts are let go");
+        assertEquals(log.history().get(0).text(), "", "only the newest version has its text");
     }
 }
--- a/replication/src/main/java/opalcove/replication/AtomicFile.java
+++ b/replication/src/main/java/opalcove/replication/AtomicFile.java
@@ -10,19 +10,19 @@
 import org.tinylog.Logger;
 
 /**
- * Replaces a file's content as a whole or not at all: the new content is written beside the file, synced and moved into
- * its place. A header holds the version of the format, the length and a CRC32C of the content. The previous content is
- * kept under another name, for readers that may use an older one.
+ * Replaces the content of a file atomically: the new content is written to a second file, synced and renamed to the
+ * file's name. A header holds the version of the format, the length and a CRC32C of the content. The previous content
+ * stays available under another name, for readers that may use an older one.
  *
- * <p>A write that fails in any step has not been done; its caller must not rely on it. What was written so far is
- * deleted and not synced again: after a failed sync the system may take for written what it could not write.
+ * <p>If any step fails, the caller must not rely on the write. The partly written file is deleted instead of being
+ * synced again: after a failed sync, the operating system may take data for written that it could not write.
  */
 final class AtomicFile {
     private static final byte[] MAGIC = {'o', 'p', 'l', 'v'};
     private static final int FORMAT_VERSION = 1;
     private static final int HEADER_BYTES = MAGIC.length + 3 * Integer.BYTES;
-    private static final String NEW_SUFFIX = ".part";
-    private static final String PREVIOUS_SUFFIX = ".before";
+    private static final String NEW_FILE_SUFFIX = ".part";
+    private static final String PREVIOUS_FILE_SUFFIX = ".before";
 
     private AtomicFile() {}
 
@@ -38,30 +38,30 @@
                 .putInt(checksum(content))
                 .put(content)
                 .flip();
-        Path newFile = withSuffix(file, NEW_SUFFIX);
+        Path newFile = withSuffix(file, NEW_FILE_SUFFIX);
         operations.delete(newFile);
         try {
             operations.write(newFile, bytes);
             operations.sync(newFile);
         } catch (IOException e) {
-            deleteAfter(e, operations, newFile);
+            deleteAfterFailure(e, operations, newFile);
             throw e;
         }
-        keepPrevious(operations, file);
+        savePrevious(operations, file);
         operations.rename(newFile, file);
         operations.sync(file.toAbsolutePath().getParent());
     }
 
-    /** Keeps the previous content under its own name, if it is intact. */
-    private static void keepPrevious(FileOperations operations, Path file) throws IOException {
+    /** Saves the previous content under a name of its own, if it is intact. */
+    private static void savePrevious(FileOperations operations, Path file) throws IOException {
         if (Files.exists(file) && isIntact(file)) {
-            Path previous = withSuffix(file, PREVIOUS_SUFFIX);
+            Path previous = withSuffix(file, PREVIOUS_FILE_SUFFIX);
             operations.delete(previous);
-            operations.addSecondName(previous, file);
+            operations.createAlias(previous, file);
         }
     }
 
-    private static void deleteAfter(IOException failure, FileOperations operations, Path newFile) {
+    private static void deleteAfterFailure(IOException failure, FileOperations operations, Path newFile) {
         try {
             operations.delete(newFile);
         } catch (IOException e) {
@@ -73,7 +73,7 @@
         try {
             read(file);
             return true;
-        } catch (InvalidConfigurationException torn) {
+        } catch (InvalidConfigurationException damaged) {
             return false;
         }
     }
@@ -82,15 +82,16 @@
         return file.resolveSibling(file.getFileName() + suffix);
     }
 
-    /** Whether there is a content, even if only the previous one. */
+    /** Whether the file or its previous content exists. */
     static boolean existsOrPrevious(Path file) {
-        return Files.exists(file) || Files.exists(withSuffix(file, PREVIOUS_SUFFIX));
+        return Files.exists(file) || Files.exists(withSuffix(file, PREVIOUS_FILE_SUFFIX));
     }
 
     /**
-     * The content.
+     * Returns the content of the file.
      *
-     * @throws InvalidConfigurationException with the reason, if the file is torn, empty, foreign or of another format
+     * @throws InvalidConfigurationException with the reason, if the file is empty, incomplete, damaged, of another
+     *     format version or not written by this class
      */
     static byte[] read(Path file) throws IOException {
         ByteBuffer bytes = ByteBuffer.wrap(Files.readAllBytes(file));
@@ -117,25 +118,25 @@
     }
 
     /**
-     * The content, or the previous one if the file cannot be read or does not exist, which is logged. Not for what must
-     * not be older than was promised, such as a vote.
+     * Returns the content of the file, or the previous content if the file is missing or invalid; that is logged. Must
+     * not be used for data that must never be older than was promised to others, such as a vote.
      *
-     * @throws InvalidConfigurationException with the reason, if neither can be read
+     * @throws InvalidConfigurationException with the reason, if neither content can be read
      */
     static byte[] readOrPrevious(Path file) throws IOException {
-        Path previous = withSuffix(file, PREVIOUS_SUFFIX);
+        Path previous = withSuffix(file, PREVIOUS_FILE_SUFFIX);
         if (!Files.exists(file) && Files.exists(previous)) {
-            Logger.warn("{} does not exist: using its previous content", file);
+            Logger.warn("{} does not exist, using its previous content", file);
             return read(previous);
         }
         try {
             return read(file);
-        } catch (InvalidConfigurationException refused) {
+        } catch (InvalidConfigurationException rejection) {
             if (!Files.exists(previous)) {
-                throw refused;
+                throw rejection;
             }
             byte[] content = read(previous);
-            Logger.warn("{}: using the previous content", refused.getMessage());
+            Logger.warn("{}; using the previous content of the file", rejection.getMessage());
             return content;
         }
     }
--- a/replication/src/main/java/opalcove/replication/ReplicatedConfigService.java
+++ b/replication/src/main/java/opalcove/replication/ReplicatedConfigService.java
@@ -28,12 +28,12 @@
 import org.tinylog.Logger;
 
 /**
- * This process's part in the replicated configuration, on datagrams and timers: its {@link ConfigReplica}, and its
- * {@link RecoveryTracker} if a snapshot file is configured. Owned by an event loop of its own, apart from client work;
- * {@link #effectiveIfExpired} and {@link #figures} may be called on any thread.
+ * Runs this gateway's {@link ConfigReplica} on datagrams and timers, and its {@link RecoveryTracker} if a snapshot file
+ * is configured. Owned by an event loop of its own, separate from client requests; {@link #effectiveIfExpired} and
+ * {@link #figures} may be called on any thread.
  */
 public final class ReplicatedConfigService implements ReplicatedConfig {
-    /** Creates the service for the program that serves. */
+    /** Creates the service; the gateway finds this class through the service loader. */
     public static final class ServiceProvider implements Provider {
         @Override
         public ReplicatedConfig create(
@@ -53,19 +53,19 @@
     private final DatagramSocket socket;
     private final Promise<Void> ready = Promise.promise();
     private final EffectiveConfigSelector selector;
-    private final LeaseExpiry expiry = new LeaseExpiry();
+    private final LeaseExpiry leaseExpiry = new LeaseExpiry();
     private final TickTimer timer;
     /** Null if no snapshot file is configured. */
     private final RecoveryTracker recovery;
 
     private Consumer<EffectiveConfig> onChange;
-    private Supplier<List<Member>> fleet;
+    private Supplier<List<Member>> memberSupplier;
     private ConfigReplica replica;
-    private long unreadable;
-    private boolean isStateRefused;
+    private long unreadableDatagrams;
+    private boolean isStateRejected;
     private boolean wasLeader;
     private boolean hasWrittenSnapshot;
-    /** How many backends are open now; -1 if discovery has the list. */
+    /** The number of backends in the configuration in effect; -1 if the endpoint list comes from discovery. */
     private int openBackends = -1;
 
     private volatile String figures = "";
@@ -102,15 +102,16 @@
     @Override
     public Future<Void> start(Consumer<EffectiveConfig> onEffectiveConfig, Supplier<List<Member>> presentMembers) {
         onChange = onEffectiveConfig;
-        fleet = presentMembers;
+        memberSupplier = presentMembers;
         return socket.listen(settings.listen().port(), settings.listen().address())
-                .compose(open -> {
-                    open.handler(this::onDatagram);
-                    open.exceptionHandler(e -> Logger.debug("agreement: {}", e.getMessage()));
+                .compose(boundSocket -> {
+                    boundSocket.handler(this::onDatagram);
+                    boundSocket.exceptionHandler(
+                            e -> Logger.debug("agreement: error on the datagram socket: {}", e.getMessage()));
                     startReplica(
                             settings.advertise().isEmpty()
                                     ? settings.listen().address() + ":"
-                                            + open.localAddress().port()
+                                            + boundSocket.localAddress().port()
                                     : settings.advertise());
                     return ready.future();
                 });
@@ -131,22 +132,22 @@
                 new Host());
         replica.start();
         Logger.info(
-                "agreement: {} at {}, voters {}{}",
+                "agreement: gateway {} has the address {}, voters {}{}",
                 name,
                 address,
                 settings.voters().keySet(),
-                replica.isVoter() ? ", itself a voter" : "");
+                replica.isVoter() ? ", this gateway is a voter" : "");
         tick();
         if (recovery != null) {
-            vertx.setPeriodic(SNAPSHOT_PERIOD_MS, due -> writeSnapshot(false));
-            vertx.setPeriodic(RECOVERY_PERIOD_MS, due -> {
+            vertx.setPeriodic(SNAPSHOT_PERIOD_MS, timerId -> writeSnapshot(false));
+            vertx.setPeriodic(RECOVERY_PERIOD_MS, timerId -> {
                 advanceRecovery();
                 publish();
             });
         }
     }
 
-    /** The store of this gateway's vote; null if it is no voter, or must not vote since its state is rejected. */
+    /** Opens the voter's store; null if this gateway is no voter, or must not vote because its state is invalid. */
     private RaftVoterStore openStore() {
         if (!settings.voters().containsKey(name)) {
             return null;
@@ -154,10 +155,10 @@
         try {
             return RaftVoterStore.open(settings.stateFile());
         } catch (IOException | InvalidConfigurationException e) {
-            // Without its vote and its log it could undo what was agreed: it follows the other voters and votes no
-            // more.
-            isStateRefused = true;
-            Logger.error("agreement: state rejected, {} does not vote: {}", name, e.getMessage());
+            // A voter without its vote and its log could revert committed versions. The gateway therefore only follows
+            // the other voters, and no longer votes.
+            isStateRejected = true;
+            Logger.error("agreement: state file rejected, gateway {} does not vote: {}", name, e.getMessage());
             events.write(Json.object().add("event", "state_refused").add("reason", e.getMessage()));
             return null;
         }
@@ -165,18 +166,18 @@
 
     private void tick() {
         replica.tick();
-        settle();
+        publishAndRearmTimer();
     }
 
-    /** Publishes the state for other threads, and sets the timer to the next tick. */
-    private void settle() {
+    /** Publishes the lease and the figures to other threads, and sets the timer to the next tick. */
+    private void publishAndRearmTimer() {
         if (recovery != null) {
             advanceRecovery();
         } else if (replica.lease().hasResponse()) {
             ready.tryComplete();
         }
         LeaseState lease = replica.lease().state();
-        if (expiry.renew(lease.mode() == LeaseState.Mode.FULL ? lease.expiresAtMs() : LeaseExpiry.NEVER)) {
+        if (leaseExpiry.renew(lease.mode() == LeaseState.Mode.FULL ? lease.expiresAtMs() : LeaseExpiry.NEVER)) {
             activate();
         }
         publish();
@@ -186,20 +187,20 @@
     private void onDatagram(DatagramPacket datagram) {
         try {
             replica.receive(ReplicationMessage.read(datagram.data().getBytes()));
-            settle();
+            publishAndRearmTimer();
         } catch (InvalidConfigurationException | IllegalArgumentException | UnsupportedOperationException e) {
-            unreadable++;
+            unreadableDatagrams++;
             Logger.debug("agreement: unreadable datagram: {}", e.getMessage());
         }
     }
 
     private void advanceRecovery() {
-        if (!recovery.advance(replica.lease(), fleet.get())) {
+        if (!recovery.advance(replica.lease(), memberSupplier.get())) {
             return;
         }
         RecoveryPlan plan = recovery.plan();
         Logger.info(
-                "recovery: {}; trusted {}, refused {}, pending {}",
+                "recovery: phase {}; trusted {}, rejected {}, pending {}",
                 plan.phase(),
                 plan.trusted(),
                 plan.refused(),
@@ -217,18 +218,18 @@
         }
     }
 
-    /** Writes what is known now, off the event loop. */
+    /** Writes a snapshot of the current state on a worker thread. */
     private void writeSnapshot(boolean isClean) {
         if (recovery == null || !recovery.isReady()) {
-            // Until then the old snapshot knows more than this process.
+            // Before the recovery is ready, the old snapshot is more complete than this process's state.
             return;
         }
-        Snapshot snapshot = recovery.currentSnapshot(isClean, replica.lease(), fleet.get());
+        Snapshot snapshot = recovery.currentSnapshot(isClean, replica.lease(), memberSupplier.get());
         vertx.<Void>executeBlocking(() -> {
                     recovery.write(snapshot);
                     return null;
                 })
-                .onSuccess(written -> {
+                .onSuccess(ignored -> {
                     if (!hasWrittenSnapshot) {
                         hasWrittenSnapshot = true;
                         events.write(Json.object().add("event", "snapshot"));
@@ -239,14 +240,14 @@
 
     @Override
     public void leave() {
-        vertx.runOnContext(called -> writeSnapshot(true));
+        vertx.runOnContext(ignored -> writeSnapshot(true));
     }
 
-    /** Has the gateway act on what is in force now. */
+    /** Passes the configuration that is in effect now to the gateway. */
     private void activate() {
         EffectiveConfigSelector.Selection selection =
                 selector.select(replica.lease().state(), recovery, monotonicMs());
-        expiry.setOnExpiry(selection.onExpiry());
+        leaseExpiry.setOnExpiry(selection.onExpiry());
         EffectiveConfig effective = selection.effective();
         openBackends = effective.backends() == null ? -1 : effective.backends().size();
         onChange.accept(effective);
@@ -254,12 +255,12 @@
 
     @Override
     public EffectiveConfig effectiveIfExpired() {
-        return expiry.takeIfExpired(monotonicMs());
+        return leaseExpiry.takeIfExpired(monotonicMs());
     }
 
     @Override
     public String figures() {
-        long untilMs = expiry.expiresAtMs();
+        long untilMs = leaseExpiry.expiresAtMs();
         return figures
                 + ReplicationFigures.leaseRemaining(
                         untilMs == LeaseExpiry.NEVER ? 0 : Math.max(0, untilMs - monotonicMs()));
@@ -270,7 +271,7 @@
             wasLeader = replica.isLeader();
             events.write(Json.object().add("event", "leads").add("leads", wasLeader));
         }
-        figures = ReplicationFigures.lines(replica, isStateRefused, unreadable, recovery);
+        figures = ReplicationFigures.lines(replica, isStateRejected, unreadableDatagrams, recovery);
     }
 
     private final class Host implements ConfigReplica.Host {
@@ -284,20 +285,22 @@
             byte[] bytes = message.bytes();
             if (bytes.length > ReplicationMessage.MAX_BYTES) {
                 Logger.error(
-                        "agreement: {} of {} bytes not sent: too large for a datagram", message.kind(), bytes.length);
+                        "agreement: {} message of {} bytes not sent: too large for a datagram",
+                        message.kind(),
+                        bytes.length);
                 return;
             }
-            HostAndPort to = HostAndPort.parse(address, "address");
-            socket.send(Buffer.buffer(bytes), to.port(), to.address())
-                    .onFailure(e -> Logger.debug("agreement: not sent to {}: {}", to, e.getMessage()));
+            HostAndPort target = HostAndPort.parse(address, "address");
+            socket.send(Buffer.buffer(bytes), target.port(), target.address())
+                    .onFailure(e -> Logger.debug("agreement: datagram to {} not sent: {}", target, e.getMessage()));
         }
 
         @Override
         public void schedule(long delayMs, Runnable task) {
             if (delayMs <= 0) {
-                vertx.runOnContext(run -> task.run());
+                vertx.runOnContext(ignored -> task.run());
             } else {
-                vertx.setTimer(delayMs, due -> task.run());
+                vertx.setTimer(delayMs, timerId -> task.run());
             }
         }
 
@@ -307,14 +310,14 @@
                 selector.adopt(text);
             }
             if (after.mode() == LeaseState.Mode.STRICT) {
-                // A version that this gateway did not receive may have drained any backend: none gets new work for a
-                // while.
+                // A version that this gateway did not receive may have drained any backend. No backend gets new
+                // requests for a quarter of the lease.
                 long graceMs = settings.leaseMs() / 4;
-                selector.closeUntil(monotonicMs() + graceMs);
-                vertx.setTimer(graceMs, due -> activate());
+                selector.withholdBackendsUntil(monotonicMs() + graceMs);
+                vertx.setTimer(graceMs, timerId -> activate());
             }
             activate();
-            Logger.info("agreement: acting on version {}, mode {}", after.version(), after.mode());
+            Logger.info("agreement: version {} is in effect, mode {}", after.version(), after.mode());
             events.write(Json.object()
                     .add("event", "acting")
                     .add("version", after.version())
--- a/replication/src/test/java/opalcove/replication/VirtualVoters.java
+++ b/replication/src/test/java/opalcove/replication/VirtualVoters.java
@@ -20,7 +20,10 @@
 import java.util.function.BooleanSupplier;
 import opalcove.configlease.VersionLog;
 
-/** Voters in virtual time, each on its own store: messages take one ms, and none goes to or from one that is cut off. */
+/**
+ * Runs voters in virtual time, each with its own store. A message takes 1 ms. Messages from and to isolated voters are
+ * lost.
+ */
 final class VirtualVoters {
     static final List<String> NAMES = List.of("g1", "g2", "g3");
     private static final long TIMEOUT_MS = 120_000;
@@ -31,15 +34,15 @@
             new PriorityQueue<>(Comparator.comparingLong(Task::atMs).thenComparingLong(Task::order));
     private final Map<String, RaftVoter> voters = new LinkedHashMap<>();
     private final Map<String, Process> processes = new HashMap<>();
-    private final Set<String> cutOff = new HashSet<>();
-    private final BiConsumer<String, byte[]> sent;
+    private final Set<String> isolated = new HashSet<>();
+    private final BiConsumer<String, byte[]> onSend;
     private long nowMs = 1_000_000;
-    private long order;
+    private long nextOrder;
     private int restarts;
 
-    /** Starts a voter for each store; {@code sent} sees each message, be it carried or lost. */
-    VirtualVoters(Map<String, RaftVoterStore> stores, BiConsumer<String, byte[]> sent) {
-        this.sent = sent;
+    /** Starts a voter for each store; {@code onSend} receives each sent message, including the lost ones. */
+    VirtualVoters(Map<String, RaftVoterStore> stores, BiConsumer<String, byte[]> onSend) {
+        this.onSend = onSend;
         stores.forEach((name, store) -> voters.put(name, create(name, store)));
         voters.values().forEach(RaftVoter::start);
     }
@@ -51,22 +54,22 @@
                 new RaftVoter.Setup(
                         name, NAMES, store, process, new VirtualClock(), new Random(name.hashCode() + restarts)),
                 (to, message) -> {
-                    sent.accept(name, message);
-                    later(1, () -> deliver(name, to, message));
+                    onSend.accept(name, message);
+                    scheduleTask(1, () -> deliver(name, to, message));
                 },
                 version -> {});
     }
 
     private void deliver(String from, String to, byte[] message) {
-        if (!cutOff.contains(from) && !cutOff.contains(to)) {
+        if (!isolated.contains(from) && !isolated.contains(to)) {
             voters.get(to).handle(message);
         }
     }
 
-    /** Kills a voter and starts it again on what its store holds. */
+    /** Terminates a voter and starts a new one from the given store. */
     void restart(String name, RaftVoterStore store) {
         restarts++;
-        processes.get(name).end();
+        processes.get(name).terminate();
         voters.put(name, create(name, store));
         voters.get(name).start();
     }
@@ -75,15 +78,15 @@
         return voters.get(name);
     }
 
-    void cutOff(String name) {
-        cutOff.add(name);
+    void isolate(String name) {
+        isolated.add(name);
     }
 
-    void heal() {
-        cutOff.clear();
+    void reconnectAll() {
+        isolated.clear();
     }
 
-    /** The voter that leads itself and is not cut off, after as long as that takes. */
+    /** Runs until a voter that is not isolated considers itself the leader, and returns its name. */
     String awaitLeader() {
         await(() -> leader() != null);
         return leader();
@@ -92,12 +95,12 @@
     private String leader() {
         return voters.keySet().stream()
                 .filter(name ->
-                        !cutOff.contains(name) && name.equals(voters.get(name).leader()))
+                        !isolated.contains(name) && name.equals(voters.get(name).leader()))
                 .findFirst()
                 .orElse(null);
     }
 
-    /** Has the leader decide on a proposal. */
+    /** Sends a proposal to the leader and returns its outcome. */
     VersionLog.Outcome propose(VersionLog.Proposal proposal) {
         List<VersionLog.Outcome> outcome = new ArrayList<>();
         String leader = awaitLeader();
@@ -108,59 +111,59 @@
         return outcome.get(0);
     }
 
-    void run(long ms) {
-        long end = nowMs + ms;
-        while (!tasks.isEmpty() && tasks.peek().atMs() <= end) {
-            next();
+    void runFor(long durationMs) {
+        long endMs = nowMs + durationMs;
+        while (!tasks.isEmpty() && tasks.peek().atMs() <= endMs) {
+            runNextTask();
         }
-        nowMs = end;
+        nowMs = endMs;
     }
 
-    void await(BooleanSupplier done) {
-        long end = nowMs + TIMEOUT_MS;
-        while (!done.getAsBoolean()) {
-            if (nowMs > end) {
+    void await(BooleanSupplier condition) {
+        long endMs = nowMs + TIMEOUT_MS;
+        while (!condition.getAsBoolean()) {
+            if (nowMs > endMs) {
                 throw new IllegalStateException("not within " + TIMEOUT_MS + " ms of virtual time");
             }
-            next();
+            runNextTask();
         }
     }
 
-    private void next() {
+    private void runNextTask() {
         Task task = tasks.poll();
         nowMs = Math.max(nowMs, task.atMs());
         task.run().run();
     }
 
-    private void later(long ms, Runnable run) {
-        tasks.add(new Task(nowMs + ms, order++, run));
+    private void scheduleTask(long delayMs, Runnable run) {
+        tasks.add(new Task(nowMs + delayMs, nextOrder++, run));
     }
 
-    /** Runs the tasks of one voter until its process ends. */
+    /** Runs the tasks of one voter until it is terminated. */
     private final class Process implements RaftNodeExecutor {
         private boolean hasEnded;
 
-        void end() {
+        void terminate() {
             hasEnded = true;
         }
 
         @Override
         public void execute(Runnable task) {
-            runLater(0, task);
+            scheduleUnlessEnded(0, task);
         }
 
         @Override
         public void submit(Runnable task) {
-            runLater(0, task);
+            scheduleUnlessEnded(0, task);
         }
 
         @Override
         public void schedule(Runnable task, long delay, TimeUnit unit) {
-            runLater(Math.max(1, unit.toMillis(delay)), task);
+            scheduleUnlessEnded(Math.max(1, unit.toMillis(delay)), task);
         }
 
-        private void runLater(long delayMs, Runnable task) {
-            later(delayMs, () -> {
+        private void scheduleUnlessEnded(long delayMs, Runnable task) {
+            scheduleTask(delayMs, () -> {
                 if (!hasEnded) {
                     task.run();
                 }
--- a/replication/src/test/java/opalcove/replication/VoterRecoveryTest.java
+++ b/replication/src/test/java/opalcove/replication/VoterRecoveryTest.java
@@ -16,13 +16,13 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** Voters in virtual time that go on after a fault of their own. */
+/** Tests that voters recover from faults of their own, in virtual time. */
 public class VoterRecoveryTest {
-    /** Longer than an election, and than a voter takes to rejoin. */
+    /** Longer than an election, and longer than a voter takes to rejoin. */
     private static final long SETTLE_MS = 20_000;
-    /** Shorter than it takes the others to give up a leader. */
-    private static final long BRIEF_MS = 1_000;
-    /** Proposals and the entry of the first term: as many entries as a snapshot is taken after. */
+    /** Shorter than the time after which the other voters consider a leader lost. */
+    private static final long BELOW_HEARTBEAT_TIMEOUT_MS = 1_000;
+    /** This many proposals, together with the entry of the first term, trigger a snapshot. */
     private static final int PROPOSALS_TO_SNAPSHOT = 7;
 
     /** A disk whose writes fail while it is full. */
@@ -43,13 +43,13 @@
         }
 
         @Override
-        public void addSecondName(Path name, Path of) throws IOException {
-            FileOperations.REAL.addSecondName(name, of);
+        public void createAlias(Path alias, Path existing) throws IOException {
+            FileOperations.REAL.createAlias(alias, existing);
         }
 
         @Override
-        public void rename(Path from, Path to) throws IOException {
-            FileOperations.REAL.rename(from, to);
+        public void rename(Path source, Path target) throws IOException {
+            FileOperations.REAL.rename(source, target);
         }
     }
 
@@ -58,7 +58,7 @@
     private int proposals;
 
     @BeforeMethod
-    public void start() throws IOException {
+    public void startVoters() throws IOException {
         Path folder = Files.createTempDirectory("voters");
         disks = new LinkedHashMap<>();
         proposals = 0;
@@ -84,81 +84,81 @@
         return VirtualVoters.NAMES.stream().filter(each -> !each.equals(name)).toList();
     }
 
-    /** Guards against a leader that does not count itself any more once a write of its state has failed. */
+    /** Guards against a leader that no longer counts itself for a majority after a write of its state has failed. */
     @Test
-    public void aLeaderWhoseDiskWasFullDecidesAgainWithOneOtherVoter() {
+    public void leaderDecidesWithOneOtherVoterAfterItsDiskWasFull() {
         String leader = voters.awaitLeader();
         proposeNext();
         disks.get(leader).isFull = true;
         proposeNext();
-        voters.run(BRIEF_MS);
+        voters.runFor(BELOW_HEARTBEAT_TIMEOUT_MS);
         disks.get(leader).isFull = false;
-        voters.run(SETTLE_MS);
-        voters.cutOff(others(leader).get(0));
+        voters.runFor(SETTLE_MS);
+        voters.isolate(others(leader).get(0));
         proposeNext();
     }
 
-    /** Guards against reads that wait for ever for one which the former node never answers. */
+    /** Guards against reads that wait forever for a query that the terminated node never completes. */
     @Test
-    public void aReadThatALeaderCannotAnswerAnyMoreFails() {
+    public void failsPendingReadWhenLeaderCannotWriteItsState() {
         String leader = voters.awaitLeader();
         proposeNext();
         List<String> reads = new ArrayList<>();
         disks.get(leader).isFull = true;
         proposeNext();
         voters.voter(leader).readNewest(newest -> reads.add("answered"), () -> reads.add("failed"));
-        voters.run(SETTLE_MS);
+        voters.runFor(SETTLE_MS);
         disks.get(leader).isFull = false;
-        voters.run(SETTLE_MS);
+        voters.runFor(SETTLE_MS);
         assertEquals(reads, List.of("failed"));
     }
 
-    /** Guards against a follower whose handling of a request was broken off by the write that failed. */
+    /** Guards against a follower that cannot recover after a failed write has aborted the handling of a request. */
     @Test
-    public void aFollowerWhoseDiskWasFullVotesAndFollowsAgain() {
+    public void followerVotesAndReplicatesAfterItsDiskWasFull() {
         String leader = voters.awaitLeader();
         String follower = others(leader).get(0);
         proposeNext();
         disks.get(follower).isFull = true;
         proposeNext();
-        voters.run(SETTLE_MS);
+        voters.runFor(SETTLE_MS);
         disks.get(follower).isFull = false;
-        voters.run(SETTLE_MS);
-        voters.cutOff(others(leader).get(1));
+        voters.runFor(SETTLE_MS);
+        voters.isolate(others(leader).get(1));
         proposeNext();
-        voters.run(SETTLE_MS);
+        voters.runFor(SETTLE_MS);
         assertEquals(voters.voter(follower).history().size(), proposals);
     }
 
-    /** Guards against a former leader that refuses all entries because its own ones after a snapshot are others. */
+    /** Guards against a former leader that rejects all entries because its own entries after a snapshot differ. */
     @Test
-    public void aVoterWithOtherEntriesRightAfterItsSnapshotCatchesUp() {
-        String former = voters.awaitLeader();
+    public void voterCatchesUpWhenEntriesAfterItsSnapshotDifferFromLeader() {
+        String formerLeader = voters.awaitLeader();
         for (int i = 0; i < PROPOSALS_TO_SNAPSHOT; i++) {
             proposeNext();
         }
-        voters.cutOff(former);
-        Set<String> lost = new TreeSet<>();
+        voters.isolate(formerLeader);
+        Set<String> failedProposals = new TreeSet<>();
         for (String each : List.of("lost-1", "lost-2")) {
-            voters.voter(former)
+            voters.voter(formerLeader)
                     .propose(
                             new VersionLog.Proposal(each, proposals, "ops", each),
-                            outcome -> lost.add("decided: " + outcome),
-                            () -> lost.add(each));
+                            outcome -> failedProposals.add("decided: " + outcome),
+                            () -> failedProposals.add(each));
         }
         proposeNext();
-        voters.heal();
-        voters.run(SETTLE_MS);
+        voters.reconnectAll();
+        voters.runFor(SETTLE_MS);
         proposeNext();
-        voters.run(SETTLE_MS);
-        assertEquals(lost, Set.of("lost-1", "lost-2"));
+        voters.runFor(SETTLE_MS);
+        assertEquals(failedProposals, Set.of("lost-1", "lost-2"));
         for (String each : VirtualVoters.NAMES) {
             assertEquals(
                     voters.voter(each).history(),
-                    voters.voter(others(former).get(0)).history(),
+                    voters.voter(others(formerLeader).get(0)).history(),
                     each);
         }
-        voters.cutOff(others(former).get(0));
+        voters.isolate(others(formerLeader).get(0));
         proposeNext();
     }
 }
--- a/replication/src/test/java/opalcove/replication/WrittenFormTest.java
+++ b/replication/src/test/java/opalcove/replication/WrittenFormTest.java
@@ -34,11 +34,11 @@
 import org.testng.annotations.Test;
 
 /**
- * What is stored, and what voters send one another, in the form that the program had when these files were made: whatever its
- * classes are called since, it reads them, goes on from them and writes the same.
+ * Tests the serialized form of stored data and of messages between voters against files that an older build wrote. The
+ * program must read these files, resume from them and write the same bytes, whatever its classes are called now.
  */
 public class WrittenFormTest {
-    /** The project's classes in streams: name, serialVersionUID and fields, in the order of the stream. */
+    /** The project's classes in streams, each name with serialVersionUID and fields, in stream order. */
     private static final Map<String, String> CLASSES = Map.of(
             "opalcove.agreement.Registry$Proposal",
             "0 J base, Ljava/lang/String; by, Ljava/lang/String; id, Ljava/lang/String; text",
@@ -61,7 +61,7 @@
         }
     }
 
-    private static Path copy(String... names) throws IOException {
+    private static Path copyResources(String... names) throws IOException {
         Path folder = Files.createTempDirectory("written");
         for (String name : names) {
             Files.write(folder.resolve(name), resource(name));
@@ -69,7 +69,7 @@
         return folder;
     }
 
-    private static byte[] plain(byte[] deflated) {
+    private static byte[] inflate(byte[] deflated) {
         try (InputStream in = new InflaterInputStream(new ByteArrayInputStream(deflated))) {
             return in.readAllBytes();
         } catch (IOException e) {
@@ -77,26 +77,26 @@
         }
     }
 
-    private static String fields(ObjectStreamClass descriptor) {
+    private static String describeFields(ObjectStreamClass descriptor) {
         return descriptor.getSerialVersionUID() + " "
                 + Stream.of(descriptor.getFields())
-                        .map(field -> type(field) + " " + field.getName())
+                        .map(field -> typeName(field) + " " + field.getName())
                         .collect(Collectors.joining(", "));
     }
 
-    private static String type(ObjectStreamField field) {
+    private static String typeName(ObjectStreamField field) {
         return field.isPrimitive() ? String.valueOf(field.getTypeCode()) : field.getTypeString();
     }
 
-    /** The project's class descriptors in a stream, as they stand in it, read with no class of the program at hand. */
-    private static Map<String, String> classes(byte[] deflated) {
+    /** Returns the project's class descriptors in a stream, read without the classes of the program. */
+    private static Map<String, String> projectClasses(byte[] deflated) {
         Map<String, String> classes = new TreeMap<>();
-        try (ObjectInputStream in = new ObjectInputStream(new ByteArrayInputStream(plain(deflated))) {
+        try (ObjectInputStream in = new ObjectInputStream(new ByteArrayInputStream(inflate(deflated))) {
             @Override
             protected ObjectStreamClass readClassDescriptor() throws IOException, ClassNotFoundException {
                 ObjectStreamClass descriptor = super.readClassDescriptor();
                 if (descriptor.getName().startsWith("opalcove.")) {
-                    classes.put(descriptor.getName(), fields(descriptor));
+                    classes.put(descriptor.getName(), describeFields(descriptor));
                 }
                 return descriptor;
             }
@@ -107,49 +107,49 @@
             }
         }) {
             in.readObject();
-        } catch (ClassNotFoundException wanted) {
-            // The project's classes are not looked for: by their descriptors alone, the stream is read to its end.
+        } catch (ClassNotFoundException expected) {
+            // The project's classes are not resolved. The stream is read to its end by their descriptors alone.
         } catch (IOException e) {
             throw new java.io.UncheckedIOException(e);
         }
         return classes;
     }
 
-    private static void assertWritten(Map<String, String> found, String... names) {
-        Map<String, String> wanted = new TreeMap<>();
+    private static void assertWrittenClasses(Map<String, String> found, String... names) {
+        Map<String, String> expected = new TreeMap<>();
         for (String name : names) {
-            wanted.put(name, CLASSES.get(name));
+            expected.put(name, CLASSES.get(name));
         }
-        assertEquals(found, wanted);
+        assertEquals(found, expected);
     }
 
     @DataProvider
     public Object[][] messages() {
-        String named = "opalcove.versions.Voter$Named";
+        String voterId = "opalcove.versions.Voter$Named";
         String proposal = "opalcove.agreement.Registry$Proposal";
         String version = "opalcove.agreement.Registry$Version";
         return new Object[][] {
-            {"AppendEntriesFailureResponse", new String[] {named}},
-            {"AppendEntriesRequest", new String[] {named, proposal}},
-            {"AppendEntriesSuccessResponse", new String[] {named}},
-            {"InstallSnapshotRequest", new String[] {named, version}},
-            {"InstallSnapshotResponse", new String[] {named}},
-            {"PreVoteRequest", new String[] {named}},
-            {"PreVoteResponse", new String[] {named}},
-            {"VoteRequest", new String[] {named}},
-            {"VoteResponse", new String[] {named}}
+            {"AppendEntriesFailureResponse", new String[] {voterId}},
+            {"AppendEntriesRequest", new String[] {voterId, proposal}},
+            {"AppendEntriesSuccessResponse", new String[] {voterId}},
+            {"InstallSnapshotRequest", new String[] {voterId, version}},
+            {"InstallSnapshotResponse", new String[] {voterId}},
+            {"PreVoteRequest", new String[] {voterId}},
+            {"PreVoteResponse", new String[] {voterId}},
+            {"VoteRequest", new String[] {voterId}},
+            {"VoteResponse", new String[] {voterId}}
         };
     }
 
     @Test(dataProvider = "messages")
-    public void aMessageIsReadAndWrittenInItsForm(String kind, String... names) {
-        byte[] before = resource(kind + ".message");
-        RaftMessage message = SerializedForm.read(before, RaftMessage.class);
+    public void readsMessageAndWritesSameBytes(String kind, String... names) {
+        byte[] stored = resource(kind + ".message");
+        RaftMessage message = SerializedForm.read(stored, RaftMessage.class);
         assertEquals(message.getClass().getSimpleName(), "Default" + kind + "OrBuilder");
-        byte[] now = SerializedForm.write(message);
-        assertWritten(classes(before), names);
-        assertWritten(classes(now), names);
-        assertEquals(plain(now), plain(before));
+        byte[] rewritten = SerializedForm.write(message);
+        assertWrittenClasses(projectClasses(stored), names);
+        assertWrittenClasses(projectClasses(rewritten), names);
+        assertEquals(inflate(rewritten), inflate(stored));
     }
 
     @DataProvider
@@ -158,48 +158,48 @@
     }
 
     @Test(dataProvider = "states")
-    public void aVotersStateIsReadAndWrittenInItsForm(String name) throws IOException {
-        byte[] before = AtomicFile.read(copy(name).resolve(name));
-        byte[] now = SerializedForm.write(SerializedForm.read(before, Serializable.class));
+    public void readsVoterStateAndWritesSameBytes(String name) throws IOException {
+        byte[] stored = AtomicFile.read(copyResources(name).resolve(name));
+        byte[] rewritten = SerializedForm.write(SerializedForm.read(stored, Serializable.class));
         String[] names = {
             "opalcove.agreement.Registry$Proposal",
             "opalcove.agreement.Registry$Version",
             "opalcove.versions.Voter$Named",
             "opalcove.versions.VoterStore$State"
         };
-        assertWritten(classes(before), names);
-        assertWritten(classes(now), names);
-        assertEquals(plain(now), plain(before));
+        assertWrittenClasses(projectClasses(stored), names);
+        assertWrittenClasses(projectClasses(rewritten), names);
+        assertEquals(inflate(rewritten), inflate(stored));
     }
 
     @Test
-    public void anOutcomeIsWrittenInItsForm() {
+    public void writesOutcomeUnderItsWrittenNames() {
         byte[] written = SerializedForm.write(new VersionLog.Outcome(true, 3, "why"));
-        assertWritten(classes(written), "opalcove.agreement.Registry$Outcome");
+        assertWrittenClasses(projectClasses(written), "opalcove.agreement.Registry$Outcome");
         assertEquals(SerializedForm.read(written, VersionLog.Outcome.class), new VersionLog.Outcome(true, 3, "why"));
     }
 
     @Test
-    public void votersGoOnFromTheirFilesAndOneThatStartsAnewIsBroughtUpToDate() throws IOException {
-        Path folder = copy("g1.state", "g2.state", "g3.state");
+    public void votersContinueFromStoredFilesAndReachSameHistory() throws IOException {
+        Path folder = copyResources("g1.state", "g2.state", "g3.state");
         Map<String, RaftVoterStore> stores = new LinkedHashMap<>();
         for (String name : VirtualVoters.NAMES) {
             stores.put(name, RaftVoterStore.open(folder.resolve(name + ".state")));
-            assertTrue(stores.get(name).restored().getTermPersistentState().getTerm() > 0, name);
+            assertTrue(stores.get(name).restoredState().getTermPersistentState().getTerm() > 0, name);
         }
         VirtualVoters voters = new VirtualVoters(stores, (from, message) -> {});
         String leader = voters.awaitLeader();
         assertEquals(
                 voters.propose(new VersionLog.Proposal("id-24", 23, "ops", "again")),
                 new VersionLog.Outcome(true, 24, ""),
-                "what was taken before the restart is known");
+                "a proposal accepted before the restart is recognized");
         assertEquals(
                 voters.propose(new VersionLog.Proposal("id-new", 23, "ops", "late")),
                 new VersionLog.Outcome(false, 24, "it changes version 23, but version 24 by ops is in force"));
         assertEquals(
                 voters.propose(new VersionLog.Proposal("id-25", 24, "ops", "{\"text\":25}")),
                 new VersionLog.Outcome(true, 25, ""));
-        voters.run(10_000);
+        voters.runFor(10_000);
         for (String name : VirtualVoters.NAMES) {
             List<VersionLog.Version> history = voters.voter(name).history();
             assertEquals(
@@ -211,8 +211,8 @@
     }
 
     @Test
-    public void aSnapshotOfTheFleetIsReadAndWrittenInItsForm() throws IOException {
-        Path folder = copy("recovery.snapshot", "recovery.snapshot.before");
+    public void readsFleetSnapshotAndWritesSameBytes() throws IOException {
+        Path folder = copyResources("recovery.snapshot", "recovery.snapshot.before");
         Path file = folder.resolve("recovery.snapshot");
         Snapshot snapshot = SnapshotFile.read(file, "g1");
         assertEquals(
@@ -233,40 +233,40 @@
                         + "\"clean\":true,\"version\":24,\"text\":\"{\\\"settings\\\":{},\\\"nodes\\\":[\\\"\u00e9\\\"]}\","
                         + "\"members\":[{\"name\":\"g2\",\"address\":\"127.0.0.1:7002\",\"incarnation\":1690000000002},"
                         + "{\"name\":\"g3\",\"address\":\"127.0.0.1:7003\",\"incarnation\":1690000000003}]}");
-        Path again = folder.resolve("again");
-        SnapshotFile.write(again, snapshot);
-        assertEquals(Files.readAllBytes(again), resource("recovery.snapshot"));
+        Path rewrittenFile = folder.resolve("again");
+        SnapshotFile.write(rewrittenFile, snapshot);
+        assertEquals(Files.readAllBytes(rewrittenFile), resource("recovery.snapshot"));
         Files.delete(file);
-        assertFalse(SnapshotFile.read(file, "g1").isClean(), "the content before is used");
+        assertFalse(SnapshotFile.read(file, "g1").isClean(), "the previous content is used");
     }
 
     @Test
-    public void aClassOfTheProjectThatIsNoRecordIsNotRead() {
+    public void rejectsProjectClassThatIsNotWrittenClass() {
         for (Serializable other : new Serializable[] {ReplicationMessage.Kind.VERSION_REQUEST, LeaseState.Mode.FULL}) {
-            String refusal = expectThrows(
+            String message = expectThrows(
                             InvalidConfigurationException.class,
                             () -> SerializedForm.read(SerializedForm.write(other), Serializable.class))
                     .getMessage();
-            assertTrue(refusal.startsWith("not a record of this program: opalcove."), refusal);
+            assertTrue(message.startsWith("not a record of this program: opalcove."), message);
         }
     }
 
     @Test
-    public void aRecordWithOtherFieldsIsNotRead() {
+    public void rejectsRecordWhenFieldNameDiffers() {
         byte[] written = SerializedForm.write(new VersionLog.Outcome(true, 3, "why"));
-        byte[] plain = plain(written);
-        int at = new String(plain, StandardCharsets.ISO_8859_1).indexOf("reason");
-        plain[at] = 'R';
+        byte[] inflated = inflate(written);
+        int fieldNameIndex = new String(inflated, StandardCharsets.ISO_8859_1).indexOf("reason");
+        inflated[fieldNameIndex] = 'R';
         ByteArrayOutputStream changed = new ByteArrayOutputStream();
         try (DeflaterOutputStream out = new DeflaterOutputStream(changed)) {
-            out.write(plain);
+            out.write(inflated);
         } catch (IOException e) {
             throw new java.io.UncheckedIOException(e);
         }
-        String refusal = expectThrows(
+        String message = expectThrows(
                         InvalidConfigurationException.class,
                         () -> SerializedForm.read(changed.toByteArray(), Serializable.class))
                 .getMessage();
-        assertTrue(refusal.contains("its fields are not those of this program"), refusal);
+        assertTrue(message.contains("its fields are not those of this program"), message);
     }
 }
