--- a/config/src/main/java/opalcove/config/Clock.java
+++ b/config/src/main/java/opalcove/config/Clock.java
@@ -1,16 +1,17 @@
 package opalcove.config;
 
 /**
- * Time in milliseconds that goes with the monotonic clock. It began as Unix time: start times in lists of an earlier
- * process, or of a machine whose clock is right, can be compared with it ({@code SlowStartTimes}); a step of the wall
- * clock does not change it.
+ * A clock in Unix milliseconds that advances with the monotonic clock. It reads the wall clock only once, when it is
+ * created, so a later step of the wall clock does not change it. Its values can be compared with start times that an
+ * earlier process, or a machine whose clock is right, wrote into an endpoint list ({@code SlowStartTimes}).
+ * Thread-safe.
  */
 public final class Clock {
     private final double startUnixMs = System.currentTimeMillis();
 
     private final long startNanos = System.nanoTime();
 
-    /** The time in Unix milliseconds; it never goes back. */
+    /** Returns the time in Unix milliseconds; it never decreases. */
     public double now() {
         return startUnixMs + (System.nanoTime() - startNanos) / 1e6;
     }
--- a/config/src/main/java/opalcove/config/ConfigValidator.java
+++ b/config/src/main/java/opalcove/config/ConfigValidator.java
@@ -9,22 +9,22 @@
 import java.util.function.Supplier;
 
 /**
- * Gathers the problems of a settings file, so that one start reports them all, each by file, key and reason. Used by
- * one thread.
+ * Collects the problems of a settings file, so that a single start reports all of them, each with the file, the key and
+ * the reason. Not thread-safe.
  */
 public final class ConfigValidator {
     private final Path file;
     private final List<String> problems = new ArrayList<>();
 
-    /** Starts without problems found so far. */
+    /** Creates a validator of this file that has found no problems yet. */
     public ConfigValidator(Path file) {
         this.file = file;
     }
 
     /**
-     * The file's fields, whatever further keys it has.
+     * Reads the file's fields; unknown keys are allowed.
      *
-     * @throws InvalidConfigurationException at once where the file cannot be read
+     * @throws InvalidConfigurationException immediately if the file cannot be read or parsed
      */
     public JsonFields fields() {
         try {
@@ -37,9 +37,9 @@
     }
 
     /**
-     * The file's fields, of which only these keys are known; others are problems.
+     * Reads the file's fields and records each key that is not among the known ones as a problem.
      *
-     * @throws InvalidConfigurationException at once where the file cannot be read
+     * @throws InvalidConfigurationException immediately if the file cannot be read or parsed
      */
     public JsonFields fields(Set<String> keys) {
         JsonFields fields = fields();
@@ -49,7 +49,7 @@
         return fields;
     }
 
-    /** The value, or the other one where it has a problem. */
+    /** Returns the value, or records its problems and returns the fallback if it is invalid. */
     public <T> T valueOr(Supplier<T> value, T otherwise) {
         try {
             return value.get();
@@ -59,7 +59,7 @@
         }
     }
 
-    /** Adds a problem; the message is prefixed with the file's name. */
+    /** Records a problem; its message is prefixed with the file's path. */
     public void addProblem(String problem) {
         problems.add(file + ": " + problem);
     }
@@ -67,7 +67,7 @@
     /**
      * Ends the validation.
      *
-     * @throws InvalidConfigurationException with all problems that were found, if any
+     * @throws InvalidConfigurationException with all recorded problems, one per line, if there are any
      */
     public void throwIfInvalid() {
         if (!problems.isEmpty()) {
--- a/config/src/main/java/opalcove/config/EndpointCodec.java
+++ b/config/src/main/java/opalcove/config/EndpointCodec.java
@@ -7,14 +7,14 @@
 import opalcove.decision.Endpoint;
 import opalcove.decision.EndpointState;
 
-/** Reads and writes endpoint lists in discovery's JSON form. */
+/** Reads and writes endpoint lists in the JSON format of discovery. */
 public final class EndpointCodec {
     private EndpointCodec() {}
 
     /**
-     * Reads the backends of a list.
+     * Reads the entries of a list.
      *
-     * @throws InvalidConfigurationException if an entry cannot be read, with its place
+     * @throws InvalidConfigurationException if an entry is invalid; it names the path of the entry's key
      */
     public static List<Backend> read(List<JsonFields> entries) {
         List<Backend> backends = new ArrayList<>();
@@ -43,7 +43,7 @@
         return backends;
     }
 
-    /** Writes one entry. */
+    /** Writes one entry of a list. */
     public static JsonObject write(Backend backend) {
         Endpoint endpoint = backend.endpoint();
         String status =
@@ -63,7 +63,12 @@
                 .add("since_ms", (long) endpoint.startedMs());
     }
 
-    /** Writes a complete list, or its changed entries, with the index that they have or build on. */
+    /**
+     * Writes a complete list, or only its changed entries.
+     *
+     * @param index the version of the list once these entries are applied
+     * @param complete whether the entries are the complete list rather than changes
+     */
     public static JsonObject write(long index, boolean complete, List<Backend> backends) {
         JsonArray entries = new JsonArray();
         backends.forEach(backend -> entries.add(write(backend)));
--- a/config/src/main/java/opalcove/config/HostAndPort.java
+++ b/config/src/main/java/opalcove/config/HostAndPort.java
@@ -1,11 +1,12 @@
 package opalcove.config;
 
-/** An address and a port, as settings and endpoint lists write them. */
+/** A network address and a port, in the form in which settings and endpoint lists hold them. */
 public record HostAndPort(String address, int port) {
     /**
-     * Reads {@code ADDRESS:PORT}; the key names the field that holds it.
+     * Parses {@code ADDRESS:PORT}.
      *
-     * @throws InvalidConfigurationException if the text is of another form
+     * @param key the field that holds the text, for the error message
+     * @throws InvalidConfigurationException if the text does not have this form
      */
     public static HostAndPort parse(String text, String key) {
         int colon = text.lastIndexOf(':');
--- a/config/src/main/java/opalcove/config/JsonFields.java
+++ b/config/src/main/java/opalcove/config/JsonFields.java
@@ -11,7 +11,8 @@
 import java.util.Map;
 
 /**
- * The fields of one JSON object, read by name and type; what is wrong is reported with the path of its key. Immutable.
+ * The fields of one JSON object, read by name and type. An invalid field is reported with the path of its key.
+ * Immutable.
  */
 public final class JsonFields {
     private final JsonObject object;
@@ -23,9 +24,9 @@
     }
 
     /**
-     * Reads a text that must hold one object.
+     * Parses a text that must hold one JSON object.
      *
-     * @throws InvalidConfigurationException if it does not
+     * @throws InvalidConfigurationException if the text is not valid JSON or holds no object
      */
     public static JsonFields parse(String text) {
         try {
@@ -44,7 +45,7 @@
         return new JsonFields(value.asObject(), path);
     }
 
-    /** The path of a field of this object, for messages. */
+    /** Returns the path of a field of this object, for messages. */
     String at(String name) {
         return path.isEmpty() ? name : path + "." + name;
     }
@@ -53,18 +54,18 @@
         return new InvalidConfigurationException(at(name), reason);
     }
 
-    /** Whether the field is there and not null. */
+    /** Returns whether the field is present and not null. */
     public boolean has(String name) {
         JsonValue value = object.get(name);
         return value != null && !value.isNull();
     }
 
-    /** The names of all fields there are. */
+    /** Returns the names of all fields that are present. */
     public List<String> names() {
         return object.names();
     }
 
-    /** Where this object stands, for messages; empty at the top. */
+    /** Returns the path of this object, for messages; empty for the top-level object. */
     public String path() {
         return path;
     }
@@ -77,9 +78,9 @@
     }
 
     /**
-     * A string.
+     * Returns a string.
      *
-     * @throws InvalidConfigurationException if it is absent or no string
+     * @throws InvalidConfigurationException if the field is absent or not a string
      */
     public String text(String name) {
         JsonValue value = required(name);
@@ -89,15 +90,15 @@
         return value.asString();
     }
 
-    /** A string, or the default where it is absent. */
+    /** Returns a string, or the default if the field is absent. */
     public String textOr(String name, String absent) {
         return has(name) ? text(name) : absent;
     }
 
     /**
-     * A number.
+     * Returns a number.
      *
-     * @throws InvalidConfigurationException if it is absent or no number
+     * @throws InvalidConfigurationException if the field is absent or not a number
      */
     public double number(String name) {
         JsonValue value = required(name);
@@ -107,26 +108,30 @@
         return value.asDouble();
     }
 
-    /** A number, or the default where it is absent. */
+    /** Returns a number, or the default if the field is absent. */
     public double numberOr(String name, double absent) {
         return has(name) ? number(name) : absent;
     }
 
     /**
-     * A whole number.
+     * Returns an integer, truncated to 32 bits.
      *
-     * @throws InvalidConfigurationException if it is absent or no whole number
+     * @throws InvalidConfigurationException if the field is absent or not an integer
      */
     public int whole(String name) {
         return (int) serial(name);
     }
 
-    /** A whole number, or the default where it is absent. */
+    /** Returns an integer, or the default if the field is absent. */
     public int wholeOr(String name, int absent) {
         return has(name) ? whole(name) : absent;
     }
 
-    /** A whole number of up to 63 bits. */
+    /**
+     * Returns an integer of up to 63 bits.
+     *
+     * @throws InvalidConfigurationException if the field is absent or not an integer
+     */
     public long serial(String name) {
         JsonValue value = required(name);
         try {
@@ -141,9 +146,9 @@
     }
 
     /**
-     * A boolean; false where it is absent.
+     * Returns a boolean, or false if the field is absent.
      *
-     * @throws InvalidConfigurationException if it is no boolean
+     * @throws InvalidConfigurationException if the field is not a boolean
      */
     public boolean flag(String name) {
         if (!has(name)) {
@@ -156,9 +161,9 @@
     }
 
     /**
-     * A constant of an enum, written in lower case.
+     * Returns an enum constant whose name the field holds; case is ignored.
      *
-     * @throws InvalidConfigurationException if there is no such constant
+     * @throws InvalidConfigurationException if the field is absent or the enum has no such constant
      */
     public <E extends Enum<E>> E choice(String name, Class<E> form) {
         try {
@@ -169,9 +174,9 @@
     }
 
     /**
-     * What one of these options stands for; upper and lower case are the same.
+     * Returns the value of the option that the field holds; case is ignored.
      *
-     * @throws InvalidConfigurationException if it is absent or none of them
+     * @throws InvalidConfigurationException if the field is absent or holds none of the options
      */
     <T> T choice(String name, Map<String, T> options) {
         String written = text(name).toUpperCase(Locale.ROOT);
@@ -184,15 +189,19 @@
     }
 
     /**
-     * A nested object.
+     * Returns a nested object.
      *
-     * @throws InvalidConfigurationException if it is absent or no object
+     * @throws InvalidConfigurationException if the field is absent or not an object
      */
     public JsonFields object(String name) {
         return of(required(name), at(name));
     }
 
-    /** A list of objects. */
+    /**
+     * Returns a list of objects.
+     *
+     * @throws InvalidConfigurationException if the field is absent, not a list, or an item is not an object
+     */
     public List<JsonFields> objects(String name) {
         List<JsonFields> items = new ArrayList<>();
         for (JsonValue each : array(name)) {
@@ -201,7 +210,7 @@
         return items;
     }
 
-    /** A list of texts; none where the field is absent. */
+    /** Returns a list of strings, which is empty if the field is absent. */
     public List<String> texts(String name) {
         List<String> items = new ArrayList<>();
         if (has(name)) {
@@ -215,7 +224,7 @@
         return items;
     }
 
-    /** A list of numbers, or null where the field is absent. */
+    /** Returns a list of numbers, or null if the field is absent. */
     public double[] row(String name) {
         if (!has(name)) {
             return null;
--- a/config/src/main/java/opalcove/config/Range.java
+++ b/config/src/main/java/opalcove/config/Range.java
@@ -3,14 +3,17 @@
 import java.math.BigDecimal;
 
 /**
- * The values that a numeric setting may have.
+ * The values that a numeric setting may have. Immutable.
  *
- * @param min the least value
- * @param max the greatest value, which is allowed, too
- * @param excludesMin whether the least value itself is not allowed
+ * @param min the lower bound
+ * @param max the upper bound, which is itself allowed
+ * @param excludesMin whether the lower bound itself is not allowed
  */
 record Range(double min, double max, boolean excludesMin) {
-    /** More than any rate, time in ms or count of units that is meant; beyond it sums lose whole units. */
+    /**
+     * The upper bound of settings without a bound of their own. It exceeds any sensible rate, time in ms or number of
+     * units; above it the sum of two doubles may lose whole units.
+     */
     private static final double GREATEST = 1e15;
 
     static final Range NOT_NEGATIVE = new Range(0, GREATEST, false);
@@ -25,7 +28,7 @@
         return value >= min && value <= max && !(excludesMin && value == min);
     }
 
-    /** What a value must be, for messages. */
+    /** Returns what a value must be, for messages. */
     String requirement() {
         if (max < GREATEST) {
             return "must be " + (excludesMin ? "over " : "from ") + text(min) + (excludesMin ? " and at most " : " to ")
--- a/config/src/main/java/opalcove/config/RangedJsonFields.java
+++ b/config/src/main/java/opalcove/config/RangedJsonFields.java
@@ -9,35 +9,35 @@
 import java.util.function.Supplier;
 
 /**
- * The fields of one JSON object, each read within its range. A field that is wrong is recorded as a problem and read
- * as a stand-in, so that one pass finds all problems; what was read must not be used when there are any.
+ * The fields of one JSON object, each checked against its range. An invalid field is recorded as a problem and read as
+ * a placeholder, so that one pass finds all problems. The values must not be used if there are any problems. Not
+ * thread-safe.
  */
 final class RangedJsonFields {
-    /** The control character DEL. */
     private static final char DELETE = 0x7f;
 
     private final JsonFields fields;
     private final List<InvalidConfigurationException.Problem> problems;
     private final Set<String> invalid = new HashSet<>();
 
-    /** Reads these fields, and adds what is wrong to the problems. */
+    /** Creates a reader of these fields that adds each problem to the list. */
     RangedJsonFields(JsonFields fields, List<InvalidConfigurationException.Problem> problems) {
         this.fields = fields;
         this.problems = problems;
     }
 
-    /** Records that a field is wrong. */
+    /** Records that a field is invalid. */
     void reject(String key, String reason) {
         problems.add(new InvalidConfigurationException.Problem(fields.at(key), reason));
         invalid.add(key);
     }
 
-    /** Whether nothing was wrong with these fields, so that what was read of them may be compared. */
+    /** Returns whether all these fields were valid, so that their values may be compared with each other. */
     boolean areValid(String... keys) {
         return Arrays.stream(keys).noneMatch(invalid::contains);
     }
 
-    /** A number that must be there. */
+    /** Returns a number; an absent field is a problem. */
     double number(String key, Range range) {
         return inRange(key, readOr(key, () -> fields.number(key), range.max()), range);
     }
@@ -46,7 +46,7 @@
         return fields.has(key) ? number(key, range) : absent;
     }
 
-    /** A whole number that must be there; the range lies within that of an int. */
+    /** Returns an integer; an absent field is a problem. The range must lie within that of an int. */
     int whole(String key, Range range) {
         return (int) inRange(key, readOr(key, () -> (double) fields.serial(key), range.max()), range);
     }
@@ -67,7 +67,7 @@
         return readOr(key, () -> fields.texts(key), List.of());
     }
 
-    /** One of these options, or the first of them where the field is absent. */
+    /** Returns one of these options, or the first one if the field is absent. */
     String oneOf(String key, List<String> options) {
         String option = textOr(key, options.get(0));
         if (!options.contains(option)) {
@@ -76,14 +76,15 @@
         return option;
     }
 
-    /** What one of these options stands for, in upper or lower case. */
+    /** Returns the value of the option that the field holds; case is ignored. An absent field is a problem. */
     <T> T choice(String key, Map<String, T> options) {
         return readOr(key, () -> fields.choice(key, options), null);
     }
 
     /**
-     * A name that a request can carry on every wire, where clients write names between commas, and that none of the taken
-     * ones equals. It is taken then.
+     * Returns a name and adds it to the used names, among which it must not be yet. Spaces, commas and control
+     * characters are not allowed: a request must be able to carry the name on every protocol, and clients send names
+     * separated by commas.
      */
     String uniqueName(String key, Set<String> taken) {
         String name = readOr(key, () -> fields.text(key), null);
@@ -99,16 +100,17 @@
         return name;
     }
 
-    /** An object that must be there. */
+    /** Returns a nested object; an absent field is a problem. */
     RangedJsonFields object(String key) {
         JsonFields object = readOr(key, () -> fields.object(key), null);
-        // What is not there is one problem: the fields that it lacks are none of their own.
+        // An absent object is reported as one problem: the problems of its absent fields go to a list that is
+        // discarded.
         return object == null
                 ? new RangedJsonFields(JsonFields.parse("{}"), new ArrayList<>())
                 : new RangedJsonFields(object, problems);
     }
 
-    /** A list of objects with at least one. */
+    /** Returns a list of at least one object. */
     List<RangedJsonFields> objects(String key) {
         List<JsonFields> items = readOr(key, () -> fields.objects(key), null);
         if (items == null) {
--- a/config/src/main/java/opalcove/config/ReplicatedConfig.java
+++ b/config/src/main/java/opalcove/config/ReplicatedConfig.java
@@ -9,18 +9,20 @@
 import opalcove.membership.Member;
 
 /**
- * Settings and endpoint list that the gateways agree on by versions. Off without the section {@code agreement}; a
- * program without a {@link Provider} rejects that section.
+ * The replicated configuration: settings and an endpoint list, in numbered versions on which all gateways agree. It is
+ * off unless the configuration file has the section {@code agreement}; a program without a {@link Provider} rejects
+ * that section.
  */
 public interface ReplicatedConfig {
     /**
-     * What the gateway acts on.
+     * The configuration that the gateway applies.
      *
-     * @param version the number of the version; 0 for none
-     * @param settings the settings
-     * @param backends the endpoint list; null if discovery has the list
-     * @param isStrict whether only what cannot conflict with another version is in it
-     * @param startedNotBeforeMs no backend counts as started before it, Unix ms; 0 if the start times in the list are in force
+     * @param version the number of the version; 0 if there is none
+     * @param settings the settings in force
+     * @param backends the endpoint list; null if the list comes from discovery
+     * @param isStrict whether it holds only what cannot conflict with another version
+     * @param startedNotBeforeMs the earliest time, in Unix ms, at which a backend counts as started; 0 if the start
+     *     times of the list apply unchanged
      */
     record EffectiveConfig(
             long version,
@@ -29,29 +31,30 @@
             boolean isStrict,
             long startedNotBeforeMs) {}
 
-    /** Creates the part of this process; found by the service loader. */
+    /** Creates the replicated configuration of this process; loaded by {@link java.util.ServiceLoader}. */
     interface Provider {
         /**
-         * Creates the part.
+         * Creates the replicated configuration; {@link #start} starts it.
          *
-         * @param vertx an event loop of its own
+         * @param vertx an event loop that nothing else uses
+         * @param name the name of this gateway
          * @param section the section {@code agreement}
-         * @param settings those of the configuration file, of which what concerns this gateway alone stays in force
+         * @param settings the settings of the configuration file; those that concern only this gateway stay in force
          * @param events receives a JSON object for each event
          */
         ReplicatedConfig create(
                 Vertx vertx, String name, JsonFields section, DecisionSettings settings, Consumer<String> events);
     }
 
-    /** The members known from before the start, to be contacted; empty if none are. */
+    /** Returns the members that are known from before the start and are to be contacted; may be empty. */
     List<Member> knownMembers();
 
     /**
-     * Starts. Completes once clients may be accepted: when the voters have named the version in force, or that there is
-     * none, and, if the fleet lost power, the recovery allows it.
+     * Starts to follow the versions. The future completes once clients may be accepted: the voters have reported the
+     * version in force, or that there is none, and, if the fleet lost power, the recovery permits it.
      *
-     * @param onEffectiveConfig called on any thread whenever what to act on has changed
-     * @param presentMembers the gateways that are present, this one included
+     * @param onEffectiveConfig called on any thread whenever the configuration to apply has changed
+     * @param presentMembers supplies the gateways that are present, including this one
      */
     Future<Void> start(Consumer<EffectiveConfig> onEffectiveConfig, Supplier<List<Member>> presentMembers);
 
@@ -59,11 +62,11 @@
     void leave();
 
     /**
-     * What to act on if the lease has expired and that was not yet notified; null otherwise. May be called on any
-     * thread.
+     * Returns the configuration to apply if the lease has expired and the callback of {@link #start} was not notified
+     * of it yet; null otherwise. May be called on any thread.
      */
     EffectiveConfig effectiveIfExpired();
 
-    /** The figures, a line each, in the form of STATS. May be called on any thread. */
+    /** Returns the metrics, one per line, in the format of the command STATS. May be called on any thread. */
     String figures();
 }
--- a/config/src/main/java/opalcove/config/SettingsReader.java
+++ b/config/src/main/java/opalcove/config/SettingsReader.java
@@ -12,8 +12,8 @@
 import opalcove.decision.LoadReportSource;
 
 /**
- * The one reader of a deployment's settings, for the simulator's adapter and for the gateway with all its front ends.
- * {@code docs/settings.md} lists every key with its unit, its use and what is refused.
+ * Reads the settings of a deployment, both for the simulator's adapter and for the gateway with all its protocols.
+ * {@code docs/settings.md} lists every key with its unit, its use and the values that are rejected.
  */
 public final class SettingsReader {
     private static final Map<String, LoadMetric> LOAD_METRICS = Map.of(
@@ -30,31 +30,31 @@
             "failed_ps",
             LoadMetric.ERRORS_PER_S);
 
-    /** The options for whether a class's requests may run more than once. */
+    /** Whether the requests of a class may be executed more than once. */
     private static final Map<String, Idempotency> IDEMPOTENCY =
             Map.of("safe", Idempotency.SAFE, "keyed", Idempotency.KEYED, "unsafe", Idempotency.UNSAFE);
 
-    /** The options for which backends drop repeats of a request with a key. */
+    /** Which backends discard repeated requests with the same key. */
     private static final Map<String, DeduplicationScope> GROUP =
             Map.of("all", DeduplicationScope.ALL, "zone", DeduplicationScope.ZONE, "cell", DeduplicationScope.CELL);
 
-    /**
-     * The options for who learns of a changed endpoint list without polling; the first holds where the key is absent.
-     */
+    /** Whether changes of the endpoint list are pushed or must be polled; the first is the default. */
     private static final List<String> DISCOVERY = List.of("pushed", "on_request");
 
-    /** The options for where load reports come from; the first holds where the key is absent. */
+    /** Where load reports come from; the first is the default. */
     private static final List<String> REPORT_SOURCES = List.of("off", "inline", "on_probe");
 
-    /** More gateways, attempts or open requests than any deployment has. */
+    /** The upper bound exceeds the gateways, attempts and open requests of any deployment. */
     private static final Range COUNT = Range.of(1, 1_000_000);
 
     private static final Range INDEX = Range.of(0, 1_000_000);
 
-    /** How long a client or a connection may be waited for, ms; a day at most. */
+    /** A time limit of a request or of opening a connection, in ms; one day at most. */
     private static final Range WAIT_MS = Range.of(1, 86_400_000);
 
-    /** A step of the simulator's clock; longer ones would be longer than requests, ms. */
+    /**
+     * A step of the simulator's clock, in ms; a step above this maximum would be longer than the requests themselves.
+     */
     private static final Range TICK_MS = Range.of(0.001, 60_000);
 
     private static final double CONNECT_TIMEOUT_MS = 250;
@@ -63,9 +63,9 @@
     private SettingsReader() {}
 
     /**
-     * Reads the settings object; unknown keys are ignored, as the wire's page demands.
+     * Reads the settings object. Unknown keys are ignored, as the specification of the protocol requires.
      *
-     * @throws InvalidConfigurationException with every value that cannot be served, each by its key and the reason
+     * @throws InvalidConfigurationException with every invalid value, each by its key and the reason
      */
     public static DecisionSettings read(JsonFields fields) {
         List<InvalidConfigurationException.Problem> problems = new ArrayList<>();
@@ -194,7 +194,7 @@
         };
     }
 
-    /** The value of a load report that a column's name stands for. */
+    /** Returns the load metric that a column of this name in load reports holds. */
     public static LoadMetric loadMetric(String name) {
         return LOAD_METRICS.getOrDefault(name, LoadMetric.UNKNOWN);
     }
--- a/config/src/main/java/opalcove/config/package-info.java
+++ b/config/src/main/java/opalcove/config/package-info.java
@@ -1,5 +1,6 @@
 /**
- * Settings and endpoint lists as they are written: reading JSON by name, type and range, with every problem reported by its
- * key, and the form in which gateways agree on them. Knows neither sockets nor decisions.
+ * The written form of settings and endpoint lists: it reads JSON fields by name, type and range, reports every problem
+ * by its key, and defines the replicated configuration on which the gateways agree. It depends on neither sockets nor
+ * decisions.
  */
 package opalcove.config;
--- a/config/src/main/java/opalcove/timer/TickTimer.java
+++ b/config/src/main/java/opalcove/timer/TickTimer.java
@@ -4,9 +4,9 @@
 import java.util.function.LongSupplier;
 
 /**
- * The timer of a protocol that says after each event when its next tick is due. A timer that is set is only ever moved to
- * an earlier time: input that comes without a pause cannot put off a tick that is due. A tick may come earlier than the
- * protocol last asked for, never later. Used on one event loop only.
+ * The timer of a protocol that states after each event when its next tick is due. A timer that is set is only ever
+ * moved to an earlier time, so that continuous input cannot postpone a tick that is due. A tick may run earlier than
+ * the protocol last requested, but not later. Must be used on one event loop only.
  */
 public final class TickTimer {
     private static final long NONE = -1;
@@ -18,14 +18,22 @@
     private long timer = NONE;
     private long armedForMs;
 
-    /** A timer that is not set yet; clockMs is the monotonic clock that ticks are due by, in ms. */
+    /**
+     * Creates a timer that is not set yet.
+     *
+     * @param clockMs the monotonic clock of the due times, in ms
+     * @param tick run on the event loop whenever the timer fires
+     */
     public TickTimer(Vertx vertx, LongSupplier clockMs, Runnable tick) {
         this.vertx = vertx;
         this.clockMs = clockMs;
         this.tick = tick;
     }
 
-    /** Has the next tick run at that time of the clock, or as soon after as possible, unless an earlier one is set. */
+    /**
+     * Schedules the next tick for this time of the clock, in ms, or for now if it has passed; a timer set earlier
+     * stays.
+     */
     public void arm(long dueMs) {
         if (timer != NONE) {
             if (armedForMs <= dueMs) {
--- a/config/src/main/java/opalcove/timer/package-info.java
+++ b/config/src/main/java/opalcove/timer/package-info.java
@@ -1,2 +1,2 @@
-/** Timers that several modules share. */
+/** Timers that several modules use. */
 package opalcove.timer;
--- a/config/src/test/java/opalcove/LeakCounter.java
+++ b/config/src/test/java/opalcove/LeakCounter.java
@@ -4,8 +4,8 @@
 import java.util.concurrent.atomic.AtomicInteger;
 
 /**
- * Netty's leak detector, at its strictest in the tests (see the parent pom), which counts what it reports. A buffer that
- * was let go of without a release is reported once it is collected and another one is made.
+ * Netty's leak detector that counts its reports; the parent pom sets it to its strictest level for the tests. A buffer
+ * that was dropped without a release is reported once it has been garbage collected and another buffer is allocated.
  */
 public final class LeakCounter<T> extends ResourceLeakDetector<T> {
     private static final AtomicInteger REPORTED = new AtomicInteger();
@@ -14,7 +14,7 @@
         super(resource, samplingInterval);
     }
 
-    /** Netty's factory looks for this one, too. */
+    /** Netty's factory looks up this constructor as well. */
     public LeakCounter(Class<?> resource, int samplingInterval, long maxActive) {
         super(resource, samplingInterval);
     }
@@ -31,7 +31,10 @@
         super.reportUntracedLeak(resource);
     }
 
-    /** Has garbage collected and looked through; gives the leaks of this process so far. */
+    /**
+     * Forces garbage collection and allocates buffers, so that pending leaks are reported; returns the number of leaks
+     * of this process so far.
+     */
     public static int found() {
         for (int i = 0; i < 3; i++) {
             System.gc();
--- a/config/src/test/java/opalcove/TestSettings.java
+++ b/config/src/test/java/opalcove/TestSettings.java
@@ -4,7 +4,7 @@
 import opalcove.config.SettingsReader;
 import opalcove.decision.DecisionSettings;
 
-/** The settings that tests play with: three classes and two plans of the deployment. */
+/** The settings that tests use: three request classes and two plans. */
 public final class TestSettings {
     public static final String JSON =
             """
@@ -24,16 +24,17 @@
 
     private TestSettings() {}
 
-    /** Settings under which no more than four asks may be open. */
+    /** Returns settings that allow four open requests at most. */
     public static DecisionSettings settings() {
         return settings(4);
     }
 
-    /** Settings under which the node list has to be asked for. */
+    /** Returns settings under which the endpoint list is polled rather than pushed. */
     public static DecisionSettings settingsOfAListThatIsAskedFor() {
         return SettingsReader.read(JsonFields.parse(JSON.replace("\"pushed\"", "\"on_request\"")));
     }
 
+    /** Returns settings that allow this many open requests at most. */
     public static DecisionSettings settings(int mostOpen) {
         return SettingsReader.read(JsonFields.parse(JSON.replace("\"max_open\":4", "\"max_open\":" + mostOpen)));
     }
--- a/config/src/test/java/opalcove/timer/TickTimerTest.java
+++ b/config/src/test/java/opalcove/timer/TickTimerTest.java
@@ -11,7 +11,7 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** The order of ticks and of other timers of the same event loop. */
+/** Tests the order of ticks and of other timers of the same event loop. */
 public class TickTimerTest {
     private static final long TIMEOUT_SECONDS = 60;
     private static final long OVERDUE_MS = 1000;
@@ -42,7 +42,7 @@
         }
     }
 
-    /** Guards against a tick that is put off by each datagram, and against one that a later time moves. */
+    /** Guards against a tick that each datagram postpones, and against one that is moved by a later due time. */
     @Test
     public void inputDoesNotPutOffATickThatIsDue() throws Exception {
         vertx.runOnContext(turn -> {
--- a/gateway/src/test/java/opalcove/config/OutsideTextsTest.java
+++ b/gateway/src/test/java/opalcove/config/OutsideTextsTest.java
@@ -29,7 +29,10 @@
 import opalcove.decision.LoadReportSource;
 import org.testng.annotations.Test;
 
-/** Texts that clients, operators and stored lists hold: words of settings, reasons of errors, the endpoint list. */
+/**
+ * Tests the texts on which clients, administrators and stored files depend: options of settings, error reasons, and the
+ * endpoint list.
+ */
 public class OutsideTextsTest {
     private static final String ID = "00000000000000a1";
     private static final String OPERATOR = "00000000000000b2";
--- a/gateway/src/test/java/opalcove/config/SettingsReaderTest.java
+++ b/gateway/src/test/java/opalcove/config/SettingsReaderTest.java
@@ -31,12 +31,16 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
+/** Tests which settings are rejected, each with its key and the reason, and that the settings page lists every key. */
 public class SettingsReaderTest {
     private static final String NOT_BELOW_0 = "must be a finite number not below 0";
     private static final String COUNT = "must be from 1 to 1000000";
     private static final String WAIT = "must be from 1 to 86400000";
 
-    /** A text of the good settings, what takes its place, and the key and the reason that are told then. */
+    /**
+     * Each case: a text of the valid settings, its invalid replacement, and the key and the reason of the resulting
+     * problem.
+     */
     @DataProvider
     public Object[][] wrongs() {
         return Stream.of(wrongTopLevel(), wrongLimits(), wrongClasses(), wrongPlans())
@@ -129,9 +133,9 @@
         };
     }
 
-    @Test(dataProvider = "wrongs")
+    @Test(dataProvider = "invalidSettings")
     public void whatCannotBeServedIsRefusedWithKeyAndReason(String good, String wrong, String key, String reason) {
-        assertTrue(TestSettings.JSON.contains(good), "the good settings do not have " + good);
+        assertTrue(TestSettings.JSON.contains(good), "the valid settings do not contain " + good);
         assertEquals(
                 problems(TestSettings.JSON.replace(good, wrong)),
                 List.of(new InvalidConfigurationException.Problem(key, reason)));
@@ -158,7 +162,10 @@
         assertEquals(settings.loadMetrics(), List.of(LoadMetric.UNKNOWN));
     }
 
-    /** The whole file at once: its own keys and those of the settings, each line with the file. */
+    /**
+     * The problems of the file's own keys and of the settings are reported together, one per line, each with the path
+     * of the file.
+     */
     @Test
     public void theConfigurationFileIsRefusedWithEveryProblem() throws IOException {
         Path file = Files.createTempFile("config", ".json");
@@ -185,7 +192,7 @@
         }
     }
 
-    /** Values that a mistake may leave anywhere; 1e999 is infinite once it is read as a double. */
+    /** Values that a mistake may put anywhere; 1e999 is infinite when it is read as a double. */
     private static final List<String> VALUES = List.of(
             "null",
             "true",
@@ -225,10 +232,12 @@
                 throw new AssertionError("seed " + seed + ": " + settings, e);
             }
         }
-        assertTrue(taken > rounds / 20 && taken < rounds / 2, "a test of both ways, but " + taken + " were taken");
+        assertTrue(
+                taken > rounds / 20 && taken < rounds / 2,
+                "both outcomes must be tested, but " + taken + " were accepted");
     }
 
-    /** Replaces, removes or repeats one value, at any depth. */
+    /** Replaces, removes or duplicates one value at any depth. */
     private static void mutate(JsonValue value, Random random) {
         if (value.isObject() && !value.asObject().isEmpty()) {
             JsonObject object = value.asObject();
@@ -260,7 +269,7 @@
         return Json.parse(VALUES.get(random.nextInt(VALUES.size())));
     }
 
-    /** The page tells of every key that is read, so that it cannot fall behind the code. */
+    /** Guards against a key that is added to the code and not to the settings page. */
     @Test
     public void theSettingsPageNamesEveryKeyThatIsRead() throws IOException {
         Set<String> read = new TreeSet<>();
@@ -276,11 +285,11 @@
                 read.add(key.group(1));
             }
         }
-        assertTrue(read.size() > 55, "the sources are no longer read by this pattern: " + read);
+        assertTrue(read.size() > 55, "this pattern no longer matches the sources: " + read);
         assertEquals(unnamed(read), Set.of());
     }
 
-    /** Also of those that are not read, as the fullest settings in the repository have them. */
+    /** Includes the keys that are not read; these two files have the most complete settings in the repository. */
     @Test
     public void theSettingsPageNamesEveryKeyOfTheExamples() throws IOException {
         Set<String> keys = new TreeSet<>();
@@ -303,7 +312,7 @@
         }
     }
 
-    /** The keys that stand in no first column of the page's tables. */
+    /** Returns the keys that no table of the page lists in its first column. */
     private static Set<String> unnamed(Set<String> keys) throws IOException {
         Set<String> named = new TreeSet<>();
         for (String line : Files.readAllLines(Path.of("docs/settings.md"))) {
@@ -321,7 +330,7 @@
                         .problems());
     }
 
-    /** A gateway that the module is never asked to act for. */
+    /** Ignores the actions of the decision module, to which no events are sent here. */
     private static final class NoActions implements DecisionActions {
         @Override
         public void startAttempt(String id, String host, double timeoutMs) {}
