--- a/config/src/main/java/opalcove/config/ConfigValidator.java
+++ b/config/src/main/java/opalcove/config/ConfigValidator.java
@@ -41,21 +41,21 @@
      *
      * @throws InvalidConfigurationException immediately if the file cannot be read or parsed
      */
-    public JsonFields fields(Set<String> keys) {
+    public JsonFields fields(Set<String> knownKeys) {
         JsonFields fields = fields();
         fields.names().stream()
-                .filter(key -> !keys.contains(key))
+                .filter(key -> !knownKeys.contains(key))
                 .forEach(key -> addProblem("field " + key + " is not known here"));
         return fields;
     }
 
     /** Returns the value, or records its problems and returns the fallback if it is invalid. */
-    public <T> T valueOr(Supplier<T> value, T otherwise) {
+    public <T> T valueOr(Supplier<T> value, T fallback) {
         try {
             return value.get();
         } catch (InvalidConfigurationException e) {
-            e.problems().forEach(each -> addProblem(each.toString()));
-            return otherwise;
+            e.problems().forEach(problem -> addProblem(problem.toString()));
+            return fallback;
         }
     }
 
--- a/config/src/main/java/opalcove/config/EndpointCodec.java
+++ b/config/src/main/java/opalcove/config/EndpointCodec.java
@@ -27,7 +27,7 @@
                         case "removed" -> EndpointState.REMOVED;
                         default ->
                             throw new InvalidConfigurationException(
-                                    entry.at("status"), "has an unknown value " + status);
+                                    entry.pathOf("status"), "has an unknown value " + status);
                     };
             backends.add(new Backend(
                     new Endpoint(
--- a/config/src/main/java/opalcove/config/JsonFields.java
+++ b/config/src/main/java/opalcove/config/JsonFields.java
@@ -46,12 +46,12 @@
     }
 
     /** Returns the path of a field of this object, for messages. */
-    String at(String name) {
+    String pathOf(String name) {
         return path.isEmpty() ? name : path + "." + name;
     }
 
     private InvalidConfigurationException invalid(String name, String reason) {
-        return new InvalidConfigurationException(at(name), reason);
+        return new InvalidConfigurationException(pathOf(name), reason);
     }
 
     /** Returns whether the field is present and not null. */
@@ -91,8 +91,8 @@
     }
 
     /** Returns a string, or the default if the field is absent. */
-    public String textOr(String name, String absent) {
-        return has(name) ? text(name) : absent;
+    public String textOr(String name, String defaultValue) {
+        return has(name) ? text(name) : defaultValue;
     }
 
     /**
@@ -109,8 +109,8 @@
     }
 
     /** Returns a number, or the default if the field is absent. */
-    public double numberOr(String name, double absent) {
-        return has(name) ? number(name) : absent;
+    public double numberOr(String name, double defaultValue) {
+        return has(name) ? number(name) : defaultValue;
     }
 
     /**
@@ -123,8 +123,8 @@
     }
 
     /** Returns an integer, or the default if the field is absent. */
-    public int wholeOr(String name, int absent) {
-        return has(name) ? whole(name) : absent;
+    public int wholeOr(String name, int defaultValue) {
+        return has(name) ? whole(name) : defaultValue;
     }
 
     /**
@@ -165,9 +165,9 @@
      *
      * @throws InvalidConfigurationException if the field is absent or the enum has no such constant
      */
-    public <E extends Enum<E>> E choice(String name, Class<E> form) {
+    public <E extends Enum<E>> E choice(String name, Class<E> type) {
         try {
-            return Enum.valueOf(form, text(name).toUpperCase(Locale.ROOT));
+            return Enum.valueOf(type, text(name).toUpperCase(Locale.ROOT));
         } catch (IllegalArgumentException e) {
             throw invalid(name, "has an unknown value " + text(name));
         }
@@ -179,9 +179,9 @@
      * @throws InvalidConfigurationException if the field is absent or holds none of the options
      */
     <T> T choice(String name, Map<String, T> options) {
-        String written = text(name).toUpperCase(Locale.ROOT);
+        String upperCase = text(name).toUpperCase(Locale.ROOT);
         for (Map.Entry<String, T> option : options.entrySet()) {
-            if (option.getKey().toUpperCase(Locale.ROOT).equals(written)) {
+            if (option.getKey().toUpperCase(Locale.ROOT).equals(upperCase)) {
                 return option.getValue();
             }
         }
@@ -194,7 +194,7 @@
      * @throws InvalidConfigurationException if the field is absent or not an object
      */
     public JsonFields object(String name) {
-        return of(required(name), at(name));
+        return of(required(name), pathOf(name));
     }
 
     /**
@@ -204,8 +204,8 @@
      */
     public List<JsonFields> objects(String name) {
         List<JsonFields> items = new ArrayList<>();
-        for (JsonValue each : array(name)) {
-            items.add(of(each, at(name) + "[" + items.size() + "]"));
+        for (JsonValue item : array(name)) {
+            items.add(of(item, pathOf(name) + "[" + items.size() + "]"));
         }
         return items;
     }
@@ -214,11 +214,11 @@
     public List<String> texts(String name) {
         List<String> items = new ArrayList<>();
         if (has(name)) {
-            for (JsonValue each : array(name)) {
-                if (!each.isString()) {
+            for (JsonValue item : array(name)) {
+                if (!item.isString()) {
                     throw invalid(name, "must hold texts");
                 }
-                items.add(each.asString());
+                items.add(item.asString());
             }
         }
         return items;
@@ -230,14 +230,14 @@
             return null;
         }
         JsonArray items = array(name);
-        double[] row = new double[items.size()];
-        for (int i = 0; i < row.length; i++) {
+        double[] numbers = new double[items.size()];
+        for (int i = 0; i < numbers.length; i++) {
             if (!items.get(i).isNumber()) {
                 throw invalid(name, "must hold numbers");
             }
-            row[i] = items.get(i).asDouble();
+            numbers[i] = items.get(i).asDouble();
         }
-        return row;
+        return numbers;
     }
 
     private JsonArray array(String name) {
--- a/config/src/main/java/opalcove/config/RangedJsonFields.java
+++ b/config/src/main/java/opalcove/config/RangedJsonFields.java
@@ -14,7 +14,7 @@
  * thread-safe.
  */
 final class RangedJsonFields {
-    private static final char DELETE = 0x7f;
+    private static final char DELETE_CHARACTER = 0x7f;
 
     private final JsonFields fields;
     private final List<InvalidConfigurationException.Problem> problems;
@@ -28,7 +28,7 @@
 
     /** Records that a field is invalid. */
     void reject(String key, String reason) {
-        problems.add(new InvalidConfigurationException.Problem(fields.at(key), reason));
+        problems.add(new InvalidConfigurationException.Problem(fields.pathOf(key), reason));
         invalid.add(key);
     }
 
@@ -42,8 +42,8 @@
         return inRange(key, readOr(key, () -> fields.number(key), range.max()), range);
     }
 
-    double numberOr(String key, double absent, Range range) {
-        return fields.has(key) ? number(key, range) : absent;
+    double numberOr(String key, double defaultValue, Range range) {
+        return fields.has(key) ? number(key, range) : defaultValue;
     }
 
     /** Returns an integer; an absent field is a problem. The range must lie within that of an int. */
@@ -51,16 +51,16 @@
         return (int) inRange(key, readOr(key, () -> (double) fields.serial(key), range.max()), range);
     }
 
-    int wholeOr(String key, int absent, Range range) {
-        return fields.has(key) ? whole(key, range) : absent;
+    int wholeOr(String key, int defaultValue, Range range) {
+        return fields.has(key) ? whole(key, range) : defaultValue;
     }
 
     boolean flag(String key) {
         return readOr(key, () -> fields.flag(key), false);
     }
 
-    String textOr(String key, String absent) {
-        return readOr(key, () -> fields.textOr(key, absent), absent);
+    String textOr(String key, String defaultValue) {
+        return readOr(key, () -> fields.textOr(key, defaultValue), defaultValue);
     }
 
     List<String> texts(String key) {
@@ -86,15 +86,16 @@
      * characters are not allowed: a request must be able to carry the name on every protocol, and clients send names
      * separated by commas.
      */
-    String uniqueName(String key, Set<String> taken) {
+    String uniqueName(String key, Set<String> usedNames) {
         String name = readOr(key, () -> fields.text(key), null);
         if (name == null) {
             return "";
         }
         if (name.isEmpty()
-                || name.chars().anyMatch(character -> character <= ' ' || character == ',' || character == DELETE)) {
+                || name.chars()
+                        .anyMatch(character -> character <= ' ' || character == ',' || character == DELETE_CHARACTER)) {
             reject(key, "must be a name without spaces, commas and control characters, not '" + name + "'");
-        } else if (!taken.add(name)) {
+        } else if (!usedNames.add(name)) {
             reject(key, "is there twice: " + name);
         }
         return name;
@@ -130,13 +131,13 @@
         return value;
     }
 
-    private <T> T readOr(String key, Supplier<T> read, T standIn) {
+    private <T> T readOr(String key, Supplier<T> read, T placeholder) {
         try {
             return read.get();
         } catch (InvalidConfigurationException e) {
             problems.addAll(e.problems());
             invalid.add(key);
-            return standIn;
+            return placeholder;
         }
     }
 }
--- a/config/src/main/java/opalcove/config/SettingsReader.java
+++ b/config/src/main/java/opalcove/config/SettingsReader.java
@@ -31,34 +31,34 @@
             LoadMetric.ERRORS_PER_S);
 
     /** Whether the requests of a class may be executed more than once. */
-    private static final Map<String, Idempotency> IDEMPOTENCY =
+    private static final Map<String, Idempotency> IDEMPOTENCIES =
             Map.of("safe", Idempotency.SAFE, "keyed", Idempotency.KEYED, "unsafe", Idempotency.UNSAFE);
 
     /** Which backends discard repeated requests with the same key. */
-    private static final Map<String, DeduplicationScope> GROUP =
+    private static final Map<String, DeduplicationScope> DEDUPLICATION_SCOPES =
             Map.of("all", DeduplicationScope.ALL, "zone", DeduplicationScope.ZONE, "cell", DeduplicationScope.CELL);
 
     /** Whether changes of the endpoint list are pushed or must be polled; the first is the default. */
-    private static final List<String> DISCOVERY = List.of("pushed", "on_request");
+    private static final List<String> DISCOVERY_KINDS = List.of("pushed", "on_request");
 
     /** Where load reports come from; the first is the default. */
-    private static final List<String> REPORT_SOURCES = List.of("off", "inline", "on_probe");
+    private static final List<String> LOAD_REPORT_SOURCES = List.of("off", "inline", "on_probe");
 
     /** The upper bound exceeds the gateways, attempts and open requests of any deployment. */
     private static final Range COUNT = Range.of(1, 1_000_000);
 
-    private static final Range INDEX = Range.of(0, 1_000_000);
+    private static final Range COUNT_OR_ZERO = Range.of(0, 1_000_000);
 
     /** A time limit of a request or of opening a connection, in ms; one day at most. */
-    private static final Range WAIT_MS = Range.of(1, 86_400_000);
+    private static final Range TIME_LIMIT_MS = Range.of(1, 86_400_000);
 
     /**
      * A step of the simulator's clock, in ms; a step above this maximum would be longer than the requests themselves.
      */
     private static final Range TICK_MS = Range.of(0.001, 60_000);
 
-    private static final double CONNECT_TIMEOUT_MS = 250;
-    private static final int MAX_OPEN = 20_000;
+    private static final double DEFAULT_CONNECT_TIMEOUT_MS = 250;
+    private static final int DEFAULT_MAX_OPEN_REQUESTS = 20_000;
 
     private SettingsReader() {}
 
@@ -85,7 +85,7 @@
         RangedJsonFields specifics = fields.object("specifics");
         RangedJsonFields feedback = fields.object("feedback");
         int gateways = fields.whole("balancers", COUNT);
-        int self = fields.whole("me", INDEX);
+        int self = fields.whole("me", COUNT_OR_ZERO);
         if (fields.areValid("me", "balancers") && self >= gateways) {
             fields.reject("me", "must be below balancers, " + gateways);
         }
@@ -99,9 +99,9 @@
                 classes(fields.objects("profiles")),
                 plans(fields.objects("tiers_of_service")),
                 limits(fields.object("ceilings"), specifics),
-                obligations(fields.object("obligations"), fields.oneOf("discovery", DISCOVERY)),
+                obligations(fields.object("obligations"), fields.oneOf("discovery", DISCOVERY_KINDS)),
                 costs(fields.object("costs")),
-                loadReportSource(feedback.oneOf("how", REPORT_SOURCES)),
+                loadReportSource(feedback.oneOf("how", LOAD_REPORT_SOURCES)),
                 feedback.texts("columns").stream()
                         .map(SettingsReader::loadMetric)
                         .toList());
@@ -115,10 +115,10 @@
                     profile.uniqueName("name", names),
                     profile.number("value", Range.NOT_NEGATIVE),
                     profile.numberOr("late_value", 0, Range.SHARE),
-                    profile.number("aim_ms", WAIT_MS),
-                    profile.number("deadline_ms", WAIT_MS),
-                    profile.choice("idempotency", IDEMPOTENCY),
-                    profile.choice("group", GROUP),
+                    profile.number("aim_ms", TIME_LIMIT_MS),
+                    profile.number("deadline_ms", TIME_LIMIT_MS),
+                    profile.choice("idempotency", IDEMPOTENCIES),
+                    profile.choice("group", DEDUPLICATION_SCOPES),
                     profile.numberOr("window_ms", 0, Range.NOT_NEGATIVE),
                     profile.flag("stream")));
         }
@@ -133,7 +133,7 @@
                     tier.uniqueName("name", names),
                     tier.numberOr("quota_rate", 0, Range.NOT_NEGATIVE),
                     tier.numberOr("peak_units", 0, Range.NOT_NEGATIVE),
-                    tier.wholeOr("max_out", 0, INDEX),
+                    tier.wholeOr("max_out", 0, COUNT_OR_ZERO),
                     tier.numberOr("value_factor", 1, Range.NOT_NEGATIVE),
                     tier.numberOr("excess_worth", 0, Range.NOT_NEGATIVE),
                     tier.numberOr("overrun_cost", 0, Range.NOT_NEGATIVE),
@@ -158,8 +158,8 @@
                 ceilings.numberOr("max_retry_after_ms", 0, Range.NOT_NEGATIVE),
                 ceilings.numberOr("idle_close_ms", 0, Range.NOT_NEGATIVE),
                 specifics.flag("counter"),
-                ceilings.numberOr("dial_timeout_ms", CONNECT_TIMEOUT_MS, WAIT_MS),
-                ceilings.wholeOr("max_open", MAX_OPEN, COUNT),
+                ceilings.numberOr("dial_timeout_ms", DEFAULT_CONNECT_TIMEOUT_MS, TIME_LIMIT_MS),
+                ceilings.wholeOr("max_open", DEFAULT_MAX_OPEN_REQUESTS, COUNT),
                 specifics.numberOr("largest", Double.MAX_VALUE, Range.POSITIVE));
     }
 
--- a/config/src/main/java/opalcove/timer/TickTimer.java
+++ b/config/src/main/java/opalcove/timer/TickTimer.java
@@ -9,14 +9,14 @@
  * the protocol last requested, but not later. Must be used on one event loop only.
  */
 public final class TickTimer {
-    private static final long NONE = -1;
+    private static final long NO_TIMER = -1;
     private static final long MIN_DELAY_MS = 1;
 
     private final Vertx vertx;
     private final LongSupplier clockMs;
     private final Runnable tick;
-    private long timer = NONE;
-    private long armedForMs;
+    private long timerId = NO_TIMER;
+    private long armedDueMs;
 
     /**
      * Creates a timer that is not set yet.
@@ -35,15 +35,15 @@
      * stays.
      */
     public void arm(long dueMs) {
-        if (timer != NONE) {
-            if (armedForMs <= dueMs) {
+        if (timerId != NO_TIMER) {
+            if (armedDueMs <= dueMs) {
                 return;
             }
-            vertx.cancelTimer(timer);
+            vertx.cancelTimer(timerId);
         }
-        armedForMs = dueMs;
-        timer = vertx.setTimer(Math.max(MIN_DELAY_MS, dueMs - clockMs.getAsLong()), due -> {
-            timer = NONE;
+        armedDueMs = dueMs;
+        timerId = vertx.setTimer(Math.max(MIN_DELAY_MS, dueMs - clockMs.getAsLong()), due -> {
+            timerId = NO_TIMER;
             tick.run();
         });
     }
--- a/config/src/test/java/opalcove/LeakCounter.java
+++ b/config/src/test/java/opalcove/LeakCounter.java
@@ -36,9 +36,9 @@
      * of this process so far.
      */
     public static int found() {
-        for (int i = 0; i < 3; i++) {
+        for (int collection = 0; collection < 3; collection++) {
             System.gc();
-            for (int k = 0; k < 50; k++) {
+            for (int allocation = 0; allocation < 50; allocation++) {
                 io.netty.buffer.PooledByteBufAllocator.DEFAULT.directBuffer(16).release();
             }
         }
--- a/config/src/test/java/opalcove/TestSettings.java
+++ b/config/src/test/java/opalcove/TestSettings.java
@@ -35,7 +35,7 @@
     }
 
     /** Returns settings that allow this many open requests at most. */
-    public static DecisionSettings settings(int mostOpen) {
-        return SettingsReader.read(JsonFields.parse(JSON.replace("\"max_open\":4", "\"max_open\":" + mostOpen)));
+    public static DecisionSettings settings(int maxOpenRequests) {
+        return SettingsReader.read(JsonFields.parse(JSON.replace("\"max_open\":4", "\"max_open\":" + maxOpenRequests)));
     }
 }
--- a/config/src/test/java/opalcove/timer/TickTimerTest.java
+++ b/config/src/test/java/opalcove/timer/TickTimerTest.java
@@ -15,7 +15,7 @@
 public class TickTimerTest {
     private static final long TIMEOUT_SECONDS = 60;
     private static final long OVERDUE_MS = 1000;
-    private static final long INPUT_MS = 5;
+    private static final long INPUT_DURATION_MS = 5;
 
     private final List<String> order = new ArrayList<>();
     private final CompletableFuture<List<String>> done = new CompletableFuture<>();
@@ -44,13 +44,13 @@
 
     /** Guards against a tick that each datagram postpones, and against one that is moved by a later due time. */
     @Test
-    public void inputDoesNotPutOffATickThatIsDue() throws Exception {
-        vertx.runOnContext(turn -> {
+    public void runsDueTickBeforeLaterTimersDuringContinuousInput() throws Exception {
+        vertx.runOnContext(run -> {
             long startMs = nowMs();
             TickTimer timer = new TickTimer(vertx, TickTimerTest::nowMs, () -> record("tick"));
             timer.arm(startMs - OVERDUE_MS);
             vertx.setTimer(1, due -> record("next timer"));
-            while (nowMs() < startMs + INPUT_MS) {
+            while (nowMs() < startMs + INPUT_DURATION_MS) {
                 timer.arm(startMs - OVERDUE_MS);
             }
             timer.arm(startMs + TimeUnit.HOURS.toMillis(1));
--- a/gateway/src/test/java/opalcove/config/OutsideTextsTest.java
+++ b/gateway/src/test/java/opalcove/config/OutsideTextsTest.java
@@ -35,7 +35,7 @@
  */
 public class OutsideTextsTest {
     private static final String ID = "00000000000000a1";
-    private static final String OPERATOR = "00000000000000b2";
+    private static final String TENANT = "00000000000000b2";
 
     private static DecisionSettings.RequestClass firstClass(String before, String after) {
         assertTrue(TestSettings.JSON.contains(before), before);
@@ -45,45 +45,45 @@
     }
 
     @Test
-    public void idempotencyHasThreeWordsInAnyCase() {
+    public void readsIdempotencyOptionsInAnyCase() {
         List<Idempotency> read = new ArrayList<>();
-        for (String word : List.of("safe", "keyed", "unsafe", "SAFE", "Keyed", "uNsAfE")) {
-            read.add(firstClass("\"idempotency\":\"safe\"", "\"idempotency\":\"" + word + "\"")
+        for (String option : List.of("safe", "keyed", "unsafe", "SAFE", "Keyed", "uNsAfE")) {
+            read.add(firstClass("\"idempotency\":\"safe\"", "\"idempotency\":\"" + option + "\"")
                     .idempotency());
         }
-        List<Idempotency> three = List.of(Idempotency.SAFE, Idempotency.KEYED, Idempotency.UNSAFE);
-        assertEquals(read.subList(0, 3), three);
-        assertEquals(read.subList(3, 6), three);
+        List<Idempotency> expected = List.of(Idempotency.SAFE, Idempotency.KEYED, Idempotency.UNSAFE);
+        assertEquals(read.subList(0, 3), expected);
+        assertEquals(read.subList(3, 6), expected);
     }
 
     @Test
-    public void groupHasThreeWordsInAnyCase() {
+    public void readsGroupOptionsInAnyCase() {
         List<DeduplicationScope> read = new ArrayList<>();
-        for (String word : List.of("all", "zone", "cell", "ALL", "Zone", "cELL")) {
-            read.add(firstClass("\"group\":\"all\"", "\"group\":\"" + word + "\"")
+        for (String option : List.of("all", "zone", "cell", "ALL", "Zone", "cELL")) {
+            read.add(firstClass("\"group\":\"all\"", "\"group\":\"" + option + "\"")
                     .deduplicationScope());
         }
-        List<DeduplicationScope> three =
+        List<DeduplicationScope> expected =
                 List.of(DeduplicationScope.ALL, DeduplicationScope.ZONE, DeduplicationScope.CELL);
-        assertEquals(read.subList(0, 3), three);
-        assertEquals(read.subList(3, 6), three);
+        assertEquals(read.subList(0, 3), expected);
+        assertEquals(read.subList(3, 6), expected);
     }
 
     @Test
-    public void unknownWordsOfSettingsAreRefusedAsWritten() {
-        for (String word : List.of("idempotent", "Safe ", "", "pod", "SAFE,KEYED")) {
+    public void namesUnknownOptionAsWrittenWhenRejected() {
+        for (String option : List.of("idempotent", "Safe ", "", "pod", "SAFE,KEYED")) {
             assertEquals(
                     expectThrows(
                                     InvalidConfigurationException.class,
-                                    () -> firstClass("\"idempotency\":\"safe\"", "\"idempotency\":\"" + word + "\""))
+                                    () -> firstClass("\"idempotency\":\"safe\"", "\"idempotency\":\"" + option + "\""))
                             .getMessage(),
-                    "field profiles[0].idempotency has an unknown value " + word);
+                    "field profiles[0].idempotency has an unknown value " + option);
             assertEquals(
                     expectThrows(
                                     InvalidConfigurationException.class,
-                                    () -> firstClass("\"group\":\"all\"", "\"group\":\"" + word + "\""))
+                                    () -> firstClass("\"group\":\"all\"", "\"group\":\"" + option + "\""))
                             .getMessage(),
-                    "field profiles[0].group has an unknown value " + word);
+                    "field profiles[0].group has an unknown value " + option);
         }
         assertEquals(
                 expectThrows(InvalidConfigurationException.class, () -> firstClass("\"group\":\"all\"", "\"group\":1"))
@@ -92,13 +92,14 @@
     }
 
     @Test
-    public void loadReportsAndDiscoveryHaveTheseWords() {
+    public void readsOptionsOfLoadReportsAndDiscovery() {
         List<Object> read = new ArrayList<>();
-        for (String word : List.of("off", "inline", "on_probe")) {
-            read.add(settings("\"how\":\"inline\"", "\"how\":\"" + word + "\"").loadReportSource());
+        for (String option : List.of("off", "inline", "on_probe")) {
+            read.add(
+                    settings("\"how\":\"inline\"", "\"how\":\"" + option + "\"").loadReportSource());
         }
-        for (String word : List.of("pushed", "on_request")) {
-            read.add(settings("\"discovery\":\"pushed\"", "\"discovery\":\"" + word + "\"")
+        for (String option : List.of("pushed", "on_request")) {
+            read.add(settings("\"discovery\":\"pushed\"", "\"discovery\":\"" + option + "\"")
                     .obligations()
                     .listOnRequest());
         }
@@ -130,10 +131,10 @@
     }
 
     @Test
-    public void fieldsOfTheWrongFormAreToldSo() {
+    public void namesFieldAndExpectedTypeWhenFieldIsInvalid() {
         JsonFields fields =
                 JsonFields.parse("{\"row\":[1,\"2\"],\"texts\":[1],\"text\":\"x\",\"half\":0.5,\"in\":{\"a\":1}}");
-        List<String> reported = new ArrayList<>();
+        List<String> messages = new ArrayList<>();
         List<Runnable> reads = List.of(
                 () -> fields.row("row"),
                 () -> fields.texts("texts"),
@@ -147,11 +148,11 @@
                 () -> fields.object("in").text("a"),
                 () -> JsonFields.parse("[]"));
         for (Runnable read : reads) {
-            reported.add(
+            messages.add(
                     expectThrows(InvalidConfigurationException.class, read::run).getMessage());
         }
         assertEquals(
-                reported,
+                messages,
                 List.of(
                         "field row must hold numbers",
                         "field texts must hold texts",
@@ -178,7 +179,7 @@
     }
 
     @Test
-    public void theEndpointListIsWrittenInThisForm() {
+    public void writesEndpointListInStoredFormat() {
         List<Backend> backends = List.of(
                 new Backend(
                         new Endpoint("n1", "room-a", "app", 3, EndpointState.UP, 1, 1700000000123.0), "127.0.0.1:7001"),
@@ -201,7 +202,7 @@
     }
 
     @Test
-    public void anEndpointNeedsItsNameAndAddressAlone() {
+    public void readsEndpointWithNameAndAddressOnly() {
         List<Backend> read = EndpointCodec.read(JsonFields.parse("{\"l\":[{\"name\":\"n\",\"address\":\"a:1\"}]}")
                 .objects("l"));
         assertEquals(read, List.of(new Backend(new Endpoint("n", "", "", 0, EndpointState.UP, 1, 0), "a:1")));
@@ -216,7 +217,7 @@
     }
 
     @Test
-    public void parametersThatCannotBeReadAreNamedToTheClient() {
+    public void namesParameterWhenItIsInvalid() {
         Map<String, String> values = new HashMap<>();
         values.put("empty", "");
         values.put("word", "x");
@@ -234,71 +235,72 @@
     }
 
     @Test
-    public void requestsThatCannotBeTakenAreRefusedWithTheseTexts() {
-        RequestValidator rules = new RequestValidator(TestSettings.settings());
-        assertEquals(rejection(() -> rules.requestClass("other")), "unknown class");
+    public void rejectsInvalidRequestsWithTheseTexts() {
+        RequestValidator validator = new RequestValidator(TestSettings.settings());
+        assertEquals(rejection(() -> validator.requestClass("other")), "unknown class");
         assertEquals(
-                rejection(() -> rules.validate(request(OPERATOR, "other", "start", 1, 4000, null, 1, 0))),
+                rejection(() -> validator.validate(request(TENANT, "other", "start", 1, 4000, null, 1, 0))),
                 "unknown class");
         assertEquals(
-                rejection(() -> rules.validate(request(OPERATOR, "slot-status", "other", 1, 4000, null, 1, 0))),
+                rejection(() -> validator.validate(request(TENANT, "slot-status", "other", 1, 4000, null, 1, 0))),
                 "unknown plan");
         assertEquals(
-                rejection(
-                        () -> rules.validate(request("0000000200000000", "slot-status", "start", 1, 4000, null, 1, 0))),
+                rejection(() ->
+                        validator.validate(request("0000000200000000", "slot-status", "start", 1, 4000, null, 1, 0))),
                 "the operator is out of range");
         assertEquals(
-                rejection(() -> rules.validate(request("2", "slot-status", "start", 1, 4000, null, 1, 0))),
+                rejection(() -> validator.validate(request("2", "slot-status", "start", 1, 4000, null, 1, 0))),
                 "the operator must be 16 hex digits");
         for (double units : new double[] {0, -1, 8.5, Double.NaN}) {
             assertEquals(
-                    rejection(() -> rules.validate(request(OPERATOR, "slot-status", "start", units, 4000, null, 1, 0))),
+                    rejection(
+                            () -> validator.validate(request(TENANT, "slot-status", "start", units, 4000, null, 1, 0))),
                     "the units are out of range");
         }
         for (double waitMs : new double[] {0, -1, 4001, Double.NaN}) {
             assertEquals(
-                    rejection(() -> rules.validate(request(OPERATOR, "slot-status", "start", 1, waitMs, null, 1, 0))),
+                    rejection(() -> validator.validate(request(TENANT, "slot-status", "start", 1, waitMs, null, 1, 0))),
                     "the time to wait is out of range");
         }
         for (int[] gateways : new int[][] {{0, 0}, {2, 0}, {1, -1}, {1, 1}}) {
             assertEquals(
-                    rejection(() -> rules.validate(
-                            request(OPERATOR, "slot-status", "start", 1, 4000, null, gateways[0], gateways[1]))),
+                    rejection(() -> validator.validate(
+                            request(TENANT, "slot-status", "start", 1, 4000, null, gateways[0], gateways[1]))),
                     "the operator's gateways are out of range");
         }
         assertEquals(
-                rejection(() -> rules.validate(request(OPERATOR, "slot-status", "start", 1, 4000, "k", 1, 0))),
+                rejection(() -> validator.validate(request(TENANT, "slot-status", "start", 1, 4000, "k", 1, 0))),
                 "a key for a class without, or none");
         assertEquals(
-                rejection(() -> rules.validate(request(OPERATOR, "swap-record", "start", 1, 4000, null, 1, 0))),
+                rejection(() -> validator.validate(request(TENANT, "swap-record", "start", 1, 4000, null, 1, 0))),
                 "a key for a class without, or none");
         for (String key : List.of("a,b", "a b", "\u007f", "k".repeat(65))) {
             assertEquals(
-                    rejection(() -> rules.validate(request(OPERATOR, "swap-record", "start", 1, 4000, key, 1, 0))),
+                    rejection(() -> validator.validate(request(TENANT, "swap-record", "start", 1, 4000, key, 1, 0))),
                     "the key cannot be passed on");
         }
     }
 
     @Test
-    public void requestsTakenTwiceOrOverTheLimitAreAnsweredAtOnce() throws Exception {
+    public void respondsImmediatelyWhenRequestIsDuplicateOrOverLimit() throws Exception {
         Vertx vertx = Vertx.vertx();
         try {
             List<Response> responses = new ArrayList<>();
-            onLoop(vertx, () -> {
-                RequestDispatcher gateway =
-                        new RequestDispatcher(vertx, new Clock(), TestSettings.settings(2), 1, new HeldTransport());
-                gateway.endpointsChanged(
+            runOnEventLoop(vertx, () -> {
+                RequestDispatcher dispatcher = new RequestDispatcher(
+                        vertx, new Clock(), TestSettings.settings(2), 1, new UnresponsiveTransport());
+                dispatcher.endpointsChanged(
                         true,
                         List.of(new Backend(new Endpoint("n1", "room-a", "app", 0, EndpointState.UP, 1, 0), "a:1")));
-                gateway.dispatch(request(OPERATOR, "slot-status", "start", 1, 4000, null, 1, 0), response -> {});
-                gateway.dispatch(request(OPERATOR, "slot-status", "start", 1, 4000, null, 1, 0), responses::add);
-                gateway.dispatch(request(OPERATOR, "other", "start", 1, 4000, null, 1, 0), responses::add);
+                dispatcher.dispatch(request(TENANT, "slot-status", "start", 1, 4000, null, 1, 0), response -> {});
+                dispatcher.dispatch(request(TENANT, "slot-status", "start", 1, 4000, null, 1, 0), responses::add);
+                dispatcher.dispatch(request(TENANT, "other", "start", 1, 4000, null, 1, 0), responses::add);
                 Request second = new Request(
-                        "00000000000000a2", OPERATOR, "slot-status", "start", 1, 4000, null, false, 1, 0, null);
-                gateway.dispatch(second, response -> {});
+                        "00000000000000a2", TENANT, "slot-status", "start", 1, 4000, null, false, 1, 0, null);
+                dispatcher.dispatch(second, response -> {});
                 Request third = new Request(
-                        "00000000000000a3", OPERATOR, "slot-status", "start", 1, 4000, null, false, 1, 0, null);
-                gateway.dispatch(third, responses::add);
+                        "00000000000000a3", TENANT, "slot-status", "start", 1, 4000, null, false, 1, 0, null);
+                dispatcher.dispatch(third, responses::add);
                 return null;
             });
             assertEquals(
@@ -324,15 +326,15 @@
         return new Request(ID, tenant, requestClass, plan, units, waitMs, key, false, gateways, firstGateway, null);
     }
 
-    private interface Read {
-        void read() throws InvalidRequestException;
+    private interface InvalidCall {
+        void run() throws InvalidRequestException;
     }
 
-    private static String rejection(Read read) {
-        return expectThrows(InvalidRequestException.class, read::read).getMessage();
+    private static String rejection(InvalidCall call) {
+        return expectThrows(InvalidRequestException.class, call::run).getMessage();
     }
 
-    private static <T> void onLoop(Vertx vertx, Supplier<T> work) throws Exception {
+    private static <T> void runOnEventLoop(Vertx vertx, Supplier<T> work) throws Exception {
         CompletableFuture<T> done = new CompletableFuture<>();
         vertx.runOnContext(run -> {
             try {
@@ -344,7 +346,7 @@
         done.get(20, TimeUnit.SECONDS);
     }
 
-    private static final class HeldTransport extends NoOpBackendTransport {
+    private static final class UnresponsiveTransport extends NoOpBackendTransport {
         @Override
         public Attempt startAttempt(Backend backend, Request request, double waitMs, AttemptListener ended) {
             return () -> {};
--- a/gateway/src/test/java/opalcove/config/SettingsReaderTest.java
+++ b/gateway/src/test/java/opalcove/config/SettingsReaderTest.java
@@ -35,20 +35,20 @@
 public class SettingsReaderTest {
     private static final String NOT_BELOW_0 = "must be a finite number not below 0";
     private static final String COUNT = "must be from 1 to 1000000";
-    private static final String WAIT = "must be from 1 to 86400000";
+    private static final String TIME_LIMIT = "must be from 1 to 86400000";
 
     /**
      * Each case: a text of the valid settings, its invalid replacement, and the key and the reason of the resulting
      * problem.
      */
     @DataProvider
-    public Object[][] wrongs() {
-        return Stream.of(wrongTopLevel(), wrongLimits(), wrongClasses(), wrongPlans())
+    public Object[][] invalidSettings() {
+        return Stream.of(invalidTopLevel(), invalidLimits(), invalidClasses(), invalidPlans())
                 .flatMap(Stream::of)
                 .toArray(Object[][]::new);
     }
 
-    private static Object[][] wrongTopLevel() {
+    private static Object[][] invalidTopLevel() {
         return new Object[][] {
             {"\"me\":0", "\"me\":1", "me", "must be below balancers, 1"},
             {"\"me\":0", "\"me\":-1", "me", "must be from 0 to 1000000"},
@@ -72,12 +72,12 @@
         };
     }
 
-    private static Object[][] wrongLimits() {
+    private static Object[][] invalidLimits() {
         return new Object[][] {
             {"\"max_attempts\":6", "\"max_attempts\":0", "ceilings.max_attempts", COUNT},
             {"\"may_cancel\":true", "\"may_cancel\":1", "ceilings.may_cancel", "must be true or false"},
             {"\"max_retry_after_ms\":2000", "\"max_retry_after_ms\":-5", "ceilings.max_retry_after_ms", NOT_BELOW_0},
-            {"\"dial_timeout_ms\":250", "\"dial_timeout_ms\":0", "ceilings.dial_timeout_ms", WAIT},
+            {"\"dial_timeout_ms\":250", "\"dial_timeout_ms\":0", "ceilings.dial_timeout_ms", TIME_LIMIT},
             {"\"max_open\":4", "\"max_open\":0", "ceilings.max_open", COUNT},
             {"\"largest\":8", "\"largest\":0", "specifics.largest", "must be a finite number over 0"},
             {"\"cost_after\":true", "\"cost_after\":\"yes\"", "specifics.cost_after", "must be true or false"},
@@ -91,7 +91,7 @@
         };
     }
 
-    private static Object[][] wrongClasses() {
+    private static Object[][] invalidClasses() {
         return new Object[][] {
             {"\"profiles\":[", "\"profiles\":[],\"others\":[", "profiles", "must not be empty"},
             {"\"profiles\":[", "\"profiles\":[1,", "profiles[0]", "must be an object"},
@@ -105,13 +105,13 @@
             {"\"keyed\"", "\"idempotent\"", "profiles[2].idempotency", "has an unknown value idempotent"},
             {"\"cell\"", "\"rack\"", "profiles[2].group", "has an unknown value rack"},
             {"\"value\":6", "\"value\":-6", "profiles[2].value", NOT_BELOW_0},
-            {"\"deadline_ms\":4000", "\"deadline_ms\":0", "profiles[0].deadline_ms", WAIT},
-            {"\"deadline_ms\":4000", "\"deadline_ms\":1e9", "profiles[0].deadline_ms", WAIT},
+            {"\"deadline_ms\":4000", "\"deadline_ms\":0", "profiles[0].deadline_ms", TIME_LIMIT},
+            {"\"deadline_ms\":4000", "\"deadline_ms\":1e9", "profiles[0].deadline_ms", TIME_LIMIT},
             {"\"window_ms\":4000", "\"window_ms\":-1", "profiles[2].window_ms", NOT_BELOW_0},
         };
     }
 
-    private static Object[][] wrongPlans() {
+    private static Object[][] invalidPlans() {
         return new Object[][] {
             {"\"tiers_of_service\":[", "\"tiers_of_service\":[],\"t\":[", "tiers_of_service", "must not be empty"},
             {"flotte", "start", "tiers_of_service[1].name", "is there twice: start"},
@@ -134,20 +134,20 @@
     }
 
     @Test(dataProvider = "invalidSettings")
-    public void whatCannotBeServedIsRefusedWithKeyAndReason(String good, String wrong, String key, String reason) {
-        assertTrue(TestSettings.JSON.contains(good), "the valid settings do not contain " + good);
+    public void namesKeyAndReasonWhenSettingIsInvalid(String valid, String invalid, String key, String reason) {
+        assertTrue(TestSettings.JSON.contains(valid), "the valid settings do not contain " + valid);
         assertEquals(
-                problems(TestSettings.JSON.replace(good, wrong)),
+                problems(TestSettings.JSON.replace(valid, invalid)),
                 List.of(new InvalidConfigurationException.Problem(key, reason)));
     }
 
     @Test
-    public void allProblemsAreToldAtOnce() {
-        String wrong = TestSettings.JSON
+    public void reportsAllProblemsTogether() {
+        String invalid = TestSettings.JSON
                 .replace("\"me\":0", "\"me\":-1")
                 .replace("\"max_open\":4", "\"max_open\":\"4\"")
                 .replace("\"cell\"", "\"rack\"");
-        List<String> keys = problems(wrong).stream()
+        List<String> keys = problems(invalid).stream()
                 .map(InvalidConfigurationException.Problem::key)
                 .sorted()
                 .toList();
@@ -155,7 +155,7 @@
     }
 
     @Test
-    public void furtherKeysAndUnknownColumnsArePassedOver() {
+    public void ignoresUnknownKeysAndColumns() {
         DecisionSettings settings = SettingsReader.read(JsonFields.parse(TestSettings.JSON
                 .replace("{\"me\":0", "{\"sunshine\":[1],\"me\":0")
                 .replace("svc_ms", "moon_phase")));
@@ -167,7 +167,7 @@
      * of the file.
      */
     @Test
-    public void theConfigurationFileIsRefusedWithEveryProblem() throws IOException {
+    public void reportsEveryProblemOfConfigurationFile() throws IOException {
         Path file = Files.createTempFile("config", ".json");
         try {
             Files.writeString(
@@ -212,8 +212,8 @@
             "{}");
 
     @Test
-    public void mutatedSettingsAreTakenOrRefusedWithTheirKeys() {
-        int taken = 0;
+    public void acceptsMutatedSettingsOrNamesTheirInvalidKeys() {
+        int accepted = 0;
         int rounds = 5000;
         for (int seed = 0; seed < rounds; seed++) {
             Random random = new Random(seed);
@@ -224,7 +224,7 @@
             try {
                 new AdmissionController(
                         0, SettingsReader.read(JsonFields.parse(settings.toString())), seed, new NoActions());
-                taken++;
+                accepted++;
             } catch (InvalidConfigurationException e) {
                 assertFalse(e.problems().isEmpty());
                 e.problems().forEach(problem -> assertFalse(problem.key().isEmpty(), settings + " " + problem));
@@ -233,8 +233,8 @@
             }
         }
         assertTrue(
-                taken > rounds / 20 && taken < rounds / 2,
-                "both outcomes must be tested, but " + taken + " were accepted");
+                accepted > rounds / 20 && accepted < rounds / 2,
+                "both outcomes must be tested, but " + accepted + " were accepted");
     }
 
     /** Replaces, removes or duplicates one value at any depth. */
@@ -242,36 +242,36 @@
         if (value.isObject() && !value.asObject().isEmpty()) {
             JsonObject object = value.asObject();
             String name = object.names().get(random.nextInt(object.size()));
-            if (compound(object.get(name)) && random.nextInt(4) > 0) {
+            if (isCompound(object.get(name)) && random.nextInt(4) > 0) {
                 mutate(object.get(name), random);
             } else if (random.nextInt(4) == 0) {
                 object.remove(name);
             } else {
-                object.set(name, any(random));
+                object.set(name, randomValue(random));
             }
         } else if (value.isArray() && !value.asArray().isEmpty()) {
             JsonArray array = value.asArray();
-            int at = random.nextInt(array.size());
+            int index = random.nextInt(array.size());
             switch (random.nextInt(6)) {
-                case 0 -> array.add(array.get(at));
-                case 1 -> array.remove(at);
-                case 2 -> array.set(at, any(random));
-                default -> mutate(array.get(at), random);
+                case 0 -> array.add(array.get(index));
+                case 1 -> array.remove(index);
+                case 2 -> array.set(index, randomValue(random));
+                default -> mutate(array.get(index), random);
             }
         }
     }
 
-    private static boolean compound(JsonValue value) {
+    private static boolean isCompound(JsonValue value) {
         return value.isObject() || value.isArray();
     }
 
-    private static JsonValue any(Random random) {
+    private static JsonValue randomValue(Random random) {
         return Json.parse(VALUES.get(random.nextInt(VALUES.size())));
     }
 
     /** Guards against a key that is added to the code and not to the settings page. */
     @Test
-    public void theSettingsPageNamesEveryKeyThatIsRead() throws IOException {
+    public void settingsPageListsEveryKeyThatIsRead() throws IOException {
         Set<String> read = new TreeSet<>();
         for (String source : List.of(
                 "config/src/main/java/opalcove/config/SettingsReader.java",
@@ -286,42 +286,42 @@
             }
         }
         assertTrue(read.size() > 55, "this pattern no longer matches the sources: " + read);
-        assertEquals(unnamed(read), Set.of());
+        assertEquals(unlisted(read), Set.of());
     }
 
     /** Includes the keys that are not read; these two files have the most complete settings in the repository. */
     @Test
-    public void theSettingsPageNamesEveryKeyOfTheExamples() throws IOException {
+    public void settingsPageListsEveryKeyOfTheExamples() throws IOException {
         Set<String> keys = new TreeSet<>();
-        names(Json.parse(Files.readString(Path.of("example/config.json"))), keys);
-        names(
+        collectKeys(Json.parse(Files.readString(Path.of("example/config.json"))), keys);
+        collectKeys(
                 Json.parse(
                         Files.readString(Path.of("laboratory/src/main/resources/opalcove/laboratory/settings.json"))),
                 keys);
-        assertEquals(unnamed(keys), Set.of());
+        assertEquals(unlisted(keys), Set.of());
     }
 
-    private static void names(JsonValue value, Set<String> names) {
+    private static void collectKeys(JsonValue value, Set<String> keys) {
         if (value.isArray()) {
-            value.asArray().forEach(each -> names(each, names));
+            value.asArray().forEach(item -> collectKeys(item, keys));
         } else if (value.isObject()) {
             for (JsonObject.Member member : value.asObject()) {
-                names.add(member.getName());
-                names(member.getValue(), names);
+                keys.add(member.getName());
+                collectKeys(member.getValue(), keys);
             }
         }
     }
 
     /** Returns the keys that no table of the page lists in its first column. */
-    private static Set<String> unnamed(Set<String> keys) throws IOException {
-        Set<String> named = new TreeSet<>();
+    private static Set<String> unlisted(Set<String> keys) throws IOException {
+        Set<String> listed = new TreeSet<>();
         for (String line : Files.readAllLines(Path.of("docs/settings.md"))) {
             if (line.startsWith("| `")) {
                 String path = line.substring(3, line.indexOf('`', 3));
-                named.addAll(Arrays.asList(path.replace("[]", "").split("\\.")));
+                listed.addAll(Arrays.asList(path.replace("[]", "").split("\\.")));
             }
         }
-        return keys.stream().filter(key -> !named.contains(key)).collect(Collectors.toCollection(TreeSet::new));
+        return keys.stream().filter(key -> !listed.contains(key)).collect(Collectors.toCollection(TreeSet::new));
     }
 
     private static List<InvalidConfigurationException.Problem> problems(String settings) {
