--- a/gateway/src/main/java/opalcove/discovery/Backoff.java
+++ b/gateway/src/main/java/opalcove/discovery/Backoff.java
@@ -3,13 +3,13 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Waits between attempts at a service that all gateways call: each twice as long as the one before, up to a bound, and
- * each drawn at random. Guards an overloaded service against gateways that call again together, and as soon as they are
- * rejected: at 14 gateways a fixed tenth of a second kept a list service from answering any of them for a whole day.
- * Not thread-safe.
+ * Computes the waits between attempts to call a service that all gateways share. The mean wait doubles with each
+ * attempt up to a bound, and each wait is drawn at random around the mean. Without it, gateways that are rejected
+ * together call an overloaded service again together and at once: with 14 gateways, a fixed wait of 100 ms prevented a
+ * list service from responding to any of them for an entire day. Not thread-safe.
  */
 public final class Backoff {
-    /** The longest wait that is drawn, as a multiple of the mean; the shortest is 1 less. */
+    /** The longest wait as a multiple of the mean; the shortest is this multiple minus 1. */
     private static final double MAX_DRAW = 1.5;
 
     private final double minMs;
@@ -18,13 +18,14 @@
     private double meanMs;
 
     /**
-     * Waits whose mean grows from one bound to the other.
+     * Creates waits whose mean grows from {@code minMs} to {@code maxMs}.
      *
-     * @throws IllegalArgumentException if the bounds are below 1 or in the wrong order
+     * @throws IllegalArgumentException if {@code minMs} is below 1 or above {@code maxMs}
      */
     public Backoff(double minMs, double maxMs, RandomGenerator random) {
         if (!(minMs >= 1) || !(maxMs >= minMs)) {
-            throw new IllegalArgumentException("a wait from " + minMs + " to " + maxMs + " ms");
+            throw new IllegalArgumentException("the wait must have bounds of at least 1 ms in ascending order, not "
+                    + minMs + " and " + maxMs + " ms");
         }
         this.minMs = minMs;
         this.maxMs = maxMs;
@@ -32,14 +33,15 @@
         meanMs = minMs;
     }
 
-    /** The next wait, ms: from half to one and a half times the present mean. */
+    /** Returns the next wait in ms, from 0.5 to 1.5 times the current mean. */
     public long next() {
         return next(Double.MAX_VALUE);
     }
 
     /**
-     * The next wait, ms, of this length at most (at least 1 ms). One whose mean is longer is drawn around a shorter
-     * mean rather than cut off, so that callers with the same bound still call at different times.
+     * Returns the next wait in ms, at most this limit but at least 1 ms. If the current mean could exceed the limit,
+     * the wait is drawn around a shorter mean rather than cut off at the limit, so that callers with the same limit
+     * still call at different times.
      */
     public long next(double limitMs) {
         double waitMs = Math.min(meanMs, limitMs / MAX_DRAW) * (MAX_DRAW - 1 + random.nextDouble());
@@ -47,7 +49,7 @@
         return Math.max(1, Math.round(waitMs));
     }
 
-    /** An attempt has succeeded: the next wait is short again. */
+    /** Resets the mean to its minimum after a successful attempt. */
     public void reset() {
         meanMs = minMs;
     }
--- a/gateway/src/main/java/opalcove/discovery/DiscoveryClient.java
+++ b/gateway/src/main/java/opalcove/discovery/DiscoveryClient.java
@@ -25,33 +25,37 @@
 import org.tinylog.Logger;
 
 /**
- * Follows the endpoint list at discovery: the complete list first, then a watch that is renewed at once. Owned by the
- * event loop it is started on.
+ * Follows the endpoint list of discovery: it requests the complete list first and then watches for changes, renewing
+ * the watch immediately after each response. Owned by the event loop on which it is started.
  */
 public final class DiscoveryClient implements EndpointSource {
-    /** The index of no list: the complete one is requested. */
+    /** The index that stands for no known list; the complete list is requested. */
     public static final long NO_INDEX = -1;
 
     private static final String PATH = "/v1/endpoints";
-    /** Failed calls after which a list that has not arrived yet is not waited for: discovery does not respond. */
+    /**
+     * The number of failed calls after which discovery counts as unresponsive and the client is ready without a list.
+     */
     private static final int MAX_FAILURES_BEFORE_READY = 2;
-    /** Calls that may return late before a process that is always slow becomes ready all the same. */
+    /**
+     * The number of late responses after which the client is ready all the same, because its process is always slow.
+     */
     private static final int MAX_LATE_BEFORE_READY = 8;
 
-    /** Notified of what discovery sends, on the client's event loop. */
+    /** Receives endpoint lists and failures from discovery, on the client's event loop. */
     public interface Listener {
         /**
-         * Backends were received.
+         * Called when backends were received.
          *
-         * @param isComplete whether they are the complete list, or else the entries that changed
-         * @param discoveryNowMs discovery's own clock as it sent them, as Unix time; 0 where it gave none
+         * @param isComplete whether the backends are the complete list rather than the changed entries
+         * @param discoveryNowMs discovery's own clock when it sent them, in Unix ms; 0 if the response has no date
          */
         void endpointsReceived(boolean isComplete, List<Backend> backends, double discoveryNowMs);
 
-        /** A call was answered, with or without changes, which were given before. */
+        /** Called after each valid response, with or without changes; {@link #endpointsReceived} was called before. */
         default void responseReceived() {}
 
-        /** A call has brought no usable list: no response, or one that is invalid. */
+        /** Called when a call failed: there was no response, or an invalid one. */
         default void callFailed(boolean isInvalid) {}
     }
 
@@ -65,34 +69,36 @@
 
     private PollSchedule schedule;
     private HostAndPort address;
-    /** How often the address has changed: the result of a call that began at an earlier address is ignored. */
+    /** The number of address changes; the result of a call that was made to an earlier address is ignored. */
     private int moveCount;
-    /** When it last changed, by {@link System#nanoTime}. */
+    /** The {@link System#nanoTime} of the last address change. */
     private long movedAtNanos;
 
     private HttpClientRequest currentRequest;
-    /** Discovery's own clock as its last response gave it, as Unix time; 0 where it gave none. */
+    /** Discovery's own clock according to its last response, in Unix ms; 0 if the response has no date. */
     private double discoveryNowMs;
 
     private long index = NO_INDEX;
-    /** Whether a failure was logged and no list has arrived since. */
+    /** Whether a failure was logged and no list has been received since. */
     private boolean isFailing;
 
     private boolean isStarted;
     private int failuresBeforeReady;
     private int lateBeforeReady;
-    /** Whether only a fresh list makes this client ready. */
+    /** Whether only a fresh list makes this client ready, see {@link PollSchedule#freshMs}. */
     private boolean needsFreshList;
-    /** A response lay unread while the process was held up, and what followed it is being requested. */
+    /**
+     * Whether a response was read late because the process was stalled, and the changes after it are being requested.
+     */
     private boolean isCatchingUp;
 
-    /** Follows the list at this address; {@link #startFrom} begins. */
+    /** Creates a client of discovery at this address; {@link #startFrom} starts it. */
     public DiscoveryClient(
             Vertx vertx, HostAndPort address, DecisionSettings settings, RandomGenerator random, Listener listener) {
         this(vertx, address, PollSchedule.of(settings, random), random, listener);
     }
 
-    /** Follows the list at this address by a schedule that no settings change. */
+    /** Creates a client of discovery at this address with a fixed schedule. */
     public DiscoveryClient(Vertx vertx, HostAndPort address, PollSchedule schedule, Listener listener) {
         this(vertx, address, schedule, null, listener);
     }
@@ -110,17 +116,17 @@
                 .setDecompressionSupported(false));
     }
 
-    /** Starts with the complete list; the future succeeds once that has arrived, however many calls it takes. */
+    /** Starts with the complete list; the future succeeds once it is received, however many calls that takes. */
     public Future<Void> start() {
         return startFrom(NO_INDEX);
     }
 
     /**
-     * Starts with what changed since a known index. Guards a shared service after a release: each gateway sends it one
-     * watch, not a call for the complete list and then a watch.
+     * Starts with the changes since a known index. This reduces the load of a shared service after a release: each
+     * gateway sends it one watch instead of a call for the complete list and then a watch.
      */
     public Future<Void> startFrom(long knownIndex) {
-        // An index of a discovery that was left before the start says nothing of this one.
+        // After a move before the start, the known index belongs to the former discovery and means nothing to this one.
         index = moveCount == 0 ? knownIndex : NO_INDEX;
         isStarted = true;
         if (schedule.firstAfterMs() > 0) {
@@ -133,33 +139,37 @@
     }
 
     /**
-     * Succeeds once a list is known, or once discovery does not respond. Guards backends that were drained while this
-     * process started, of which its agent's knowledge counts as known here from the first moment: while a call is in
-     * flight its response is waited for, and a list that took long to arrive, as the first one of a slow process does,
-     * may have been overtaken by a drain, so what followed it is requested. Where one slow service is polled by all
-     * gateways any list will do: nothing of it counts as known before it has responded.
+     * Returns a future that succeeds once a list is known, or once discovery counts as unresponsive.
+     *
+     * <p>This guards against requests to backends that were drained while this process started: the gateway is required
+     * to know from the first moment what its agent knows. A response to a call in flight is therefore awaited. A list
+     * that took long to be received, such as the first list of a slow process, may be older than a drain, so the
+     * changes after it are requested. If one slow service is polled by all gateways, any list is sufficient: the
+     * gateway is not required to know any of the service's changes before the service has responded.
      *
-     * @param freshListOnly whether only a fresh list will do
+     * @param freshListOnly whether only a fresh list completes the future
      */
     public Future<Void> whenReady(boolean freshListOnly) {
         needsFreshList = freshListOnly;
         return ready.future();
     }
 
-    /** New settings are in force: calls from now on follow their schedule. */
+    /** Applies new settings; calls from now on follow their schedule. */
     public void applySettings(DecisionSettings settings) {
         schedule = PollSchedule.of(settings, random);
     }
 
-    /** Follows discovery at another address, with the complete list first; until that arrives the last list holds. */
+    /**
+     * Follows discovery at another address, starting with the complete list; the last list holds until it is received.
+     */
     public void moveTo(HostAndPort newAddress) {
         if (newAddress.equals(address)) {
             return;
         }
         Logger.info("discovery moves from {} to {}", address, newAddress);
         address = newAddress;
-        // Guards against indexes of two discoveries taken for one another's, and against a late response of the old
-        // one.
+        // Without the new count a late response of the former discovery would be applied, and its index would be sent
+        // to the new discovery.
         moveCount++;
         movedAtNanos = System.nanoTime();
         schedule.backoff().reset();
@@ -168,22 +178,24 @@
         if (currentRequest != null) {
             currentRequest.reset();
         }
-        // Before the start there is no watch to continue, and the start's own is made at the new address.
+        // Before the start there is no watch to continue; startFrom makes its first call to the new address.
         if (isStarted) {
             watch();
         }
     }
 
     /**
-     * Guards a draining backend while the process was held up: the response that lay unread ended the watch, and what
-     * the agent learnt after it is given to the next call alone, though its grace has begun.
+     * Sets whether this client is catching up, and runs the waiting actions once it is not. Without it, requests would
+     * be sent to a draining backend after the process was stalled: the unread response had ended the watch, so that
+     * changes which the agent learnt after it arrive only with the response to the next call, although their grace has
+     * begun.
      */
     private void setCatchingUp(boolean begins) {
         isCatchingUp = begins;
         if (!begins && !whenCurrent.isEmpty()) {
             List<Runnable> waiting = List.copyOf(whenCurrent);
             whenCurrent.clear();
-            // Each by itself: the watch continues whatever becomes of them.
+            // Each action runs in its own task, so that the watch continues even if an action fails.
             waiting.forEach(action -> vertx.runOnContext(run -> action.run()));
         }
     }
@@ -212,11 +224,14 @@
         }
     }
 
-    /** Makes the next call, at once after a response is received: a watch lasts while it is renewed within 200 ms. */
+    /**
+     * Makes the next call. After a response it must follow immediately: a watch stays valid only if it is renewed
+     * within 200 ms.
+     */
     private void watch() {
         int move = moveCount;
         long calledAtNanos = System.nanoTime();
-        // Before this client is ready, and after the process was held up, only what is available already is requested.
+        // Before this client is ready, and after the process was stalled, the call does not wait for further changes.
         boolean isUrgent = isCatchingUp || needsFreshList && !ready.future().isComplete();
         int waitMs = isUrgent ? 1 : schedule.waitMs();
         Future<Void> call = index < 0
@@ -232,14 +247,14 @@
             }
             if (move == moveCount) {
                 boolean layUnread = response.succeeded() && msSince(calledAtNanos) - waitMs > schedule.lateMs();
-                // Once for each such response: a process that is always slow continues all the same.
+                // Not twice in succession: a process that is always slow must not catch up forever.
                 setCatchingUp(layUnread && !isCatchingUp);
             }
             scheduleNext(response.succeeded(), calledAtNanos, move);
         });
     }
 
-    /** The response to a call of that time was received, and its list is known. */
+    /** Completes the ready future if the response to a call made at this time is fresh enough. */
     private void completeReady(long calledAtNanos) {
         if (!needsFreshList
                 || msSince(calledAtNanos) <= schedule.freshMs()
@@ -253,7 +268,8 @@
             return;
         }
         if (hasSucceeded) {
-            // Not within the end of the response, when its connection is not free yet and a second would be opened.
+            // Not from within the response's end handler: its connection is not free yet, so a second one would be
+            // opened.
             vertx.runOnContext(free -> watchUnlessMoved(move));
         } else {
             long maxMs = schedule.maxBackoffMs(msSince(calledAtNanos), moveCount, msSince(movedAtNanos));
@@ -280,21 +296,23 @@
             return hasMoved();
         }
         currentRequest = request;
-        // Otherwise Vert.x logs it as an error that does not name the connection.
+        // Without this handler Vert.x logs the failure as an error that does not name the connection.
         request.connection().exceptionHandler(e -> Logger.debug("discovery's connection failed: {}", e.getMessage()));
         Future<Buffer> body = request.send().compose(this::readBody);
-        // Guards against a response that stops half way: the client's own idle time-out was seen not to end it.
+        // Ends a response that stalls half way; the client's own idle timeout was seen not to end it.
         long timeout = vertx.setTimer(responseTimeoutMs(silenceMs, calledAtNanos), due -> request.reset());
         return body.onComplete(done -> vertx.cancelTimer(timeout));
     }
 
     private static <T> Future<T> hasMoved() {
-        return Future.failedFuture("discovery has moved");
+        return Future.failedFuture("the address of discovery has changed");
     }
 
-    /** The time for a response, ms: a call whose connection was slow to come up ends no later than any other. */
+    /**
+     * Returns the timeout of a response, in ms. A call whose connection took long to open ends no later than any other.
+     */
     private long responseTimeoutMs(int silenceMs, long calledAtNanos) {
-        // Before this client is ready, counted from when the call was sent: a process that has just started is slow
+        // Before this client is ready the connect time does not count, because a process that has just started is slow
         // itself.
         long connectMs = ready.future().isComplete() ? msSince(calledAtNanos) : 0;
         return Math.max(1, Math.min(silenceMs, schedule.waitMs() + schedule.silenceMs() - connectMs));
@@ -305,13 +323,13 @@
         String dateHeader = response.getHeader(HttpHeaders.DATE);
         Date date = dateHeader == null ? null : DateFormatter.parseHttpDate(dateHeader);
         discoveryNowMs = date == null ? 0 : date.getTime();
-        // The body is read in either case. Guards the client's few connections against rejections whose body never
-        // arrives: each would occupy one, until no call could be made any more.
+        // The body is read whatever the status, so that the response timeout covers it. Otherwise each rejection whose
+        // body never arrives would occupy one of the client's few connections, until no call could be made any more.
         Future<Buffer> body = response.body();
         return status == 200 ? body : body.compose(read -> Future.failedFuture("status " + status));
     }
 
-    /** Reports each call without a usable list; logs the first of consecutive ones only. */
+    /** Reports each failed call to the listener and logs only the first one of a series. */
     private void callFailed(Throwable cause, int move) {
         if (move != moveCount) {
             return;
@@ -334,7 +352,7 @@
         try {
             EndpointListResponse response = EndpointListResponse.parse(body.toString());
             if (!response.isComplete() && response.index() < index) {
-                // Guards backends that are known to be draining against changes from before their drain.
+                // Changes from before a drain would put a backend that is known to be draining back to up.
                 long known = index;
                 index = NO_INDEX;
                 throw new InvalidConfigurationException(
--- a/gateway/src/main/java/opalcove/discovery/EndpointListResponse.java
+++ b/gateway/src/main/java/opalcove/discovery/EndpointListResponse.java
@@ -7,16 +7,17 @@
 import opalcove.config.JsonFields;
 
 /**
- * The body of a response of discovery.
+ * The body of a response from discovery.
  *
- * @param index the list's version
- * @param isComplete whether it holds the complete list, or else the entries that changed
+ * @param index the version of the list
+ * @param isComplete whether the backends are the complete list rather than the changed entries
+ * @param backends the entries of the list
  */
 record EndpointListResponse(long index, boolean isComplete, List<Backend> backends) {
     /**
      * Parses a body.
      *
-     * @throws InvalidConfigurationException if any of it cannot be read, with the place
+     * @throws InvalidConfigurationException if the body is invalid; it names the path of the key
      */
     static EndpointListResponse parse(String body) {
         JsonFields fields = JsonFields.parse(body);
--- a/gateway/src/main/java/opalcove/discovery/PollSchedule.java
+++ b/gateway/src/main/java/opalcove/discovery/PollSchedule.java
@@ -4,41 +4,48 @@
 import opalcove.decision.DecisionSettings;
 
 /**
- * When discovery is called, and how long each call is waited for. A list that is pushed is held by an agent on this
- * machine, which answers at once and at no cost: it is called at once, and again soon. One that is polled is held by
- * one service of limited capacity for all gateways: they spread their first calls, back off, and wait for its rejection
- * rather than leave calls in its queue.
+ * Determines when discovery is called and how long each call may take.
  *
- * <p>What a pushed list's agent has counts as known at once, also when the agent has been silent and no call that was
- * made meanwhile is ever answered: a call and the wait after it together end within the drain grace, the time in which
- * sends to a draining backend have to stop. A change of a polled list counts as known 6 s after discovery had it and
- * could be reached, whatever calls failed before. docs/design/crossings.md has the sums.
+ * <p>A pushed list is held by an agent on this machine, which responds immediately and at no cost. It is therefore
+ * called without delay, and again soon after a failure. A polled list is held by one service of limited capacity that
+ * all gateways share. They spread their first calls, back off, and wait long enough for the service to reject a call,
+ * so that no abandoned calls remain in its queue.
  *
- * @param waitMs how long a watch may wait for a change
- * @param silenceMs how much later its response may arrive before the watch counts as broken
- * @param firstAfterMs when the first call is made
- * @param backoff waits after failed calls; stateful, owned by the client's event loop
- * @param maxPeriodMs the longest time from the start of a call that fails to the start of the next
- * @param freshMs a list is fresh that was received so soon after it was requested: while an older one was in flight its
- *     agent may have learnt of a drain, whose grace began then
- * @param lateMs a watch whose response is received so much later than its wait shows that this process was held up
+ * <p>The gateway is required to know a change of a pushed list as soon as the agent has it, even if the agent was
+ * silent before and never responds to the calls of that time. A call and the wait after it therefore end within the
+ * drain grace, the time in which requests must stop being sent to a draining backend. The gateway is required to know a
+ * change of a polled list 6 s after discovery had it and was reachable, regardless of which calls failed before.
+ * docs/design/crossings.md has the calculations.
+ *
+ * @param waitMs how long a watch may wait for a change, in ms
+ * @param silenceMs how much later than that its response may arrive before the watch counts as broken, in ms
+ * @param firstAfterMs the delay of the first call, in ms
+ * @param backoff the waits after failed calls; stateful, owned by the client's event loop
+ * @param maxPeriodMs the longest time from the start of a failed call to the start of the next one, in ms
+ * @param freshMs the longest time from a call to its response for which the received list is fresh, in ms; during a
+ *     longer call the agent may have learnt of a drain, whose grace began at that time
+ * @param lateMs how much later than its wait the response of a watch must be received to show that this process was
+ *     stalled, in ms
  */
 public record PollSchedule(
         int waitMs, int silenceMs, long firstAfterMs, Backoff backoff, long maxPeriodMs, long freshMs, long lateMs) {
     /**
-     * How long a connection may take to come up before the first list: a process that has just started is slow itself.
+     * The connect timeout before this client is ready, in ms; it is long because a process that has just started is
+     * slow itself.
      */
     static final int FIRST_CONNECT_MS = 1000;
 
     private static final long DEFAULT_FRESH_MS = 300;
     /**
-     * The first calls of all gateways, and those after a failure that all of them met, are spread over so long for each
-     * of them: a release, or a service that breaks all its connections, does not make them call at one instant.
+     * The time per gateway, in ms, over which the first calls of all gateways are spread, and their calls after a
+     * failure that all of them had. Without it, all gateways call at the same instant after a release, or after a
+     * service has broken all its connections.
      */
     private static final double SPREAD_MS = 20;
     /**
-     * A polled list: a service short of capacity rejects a call after 2 s in its queue, which the silence outlasts. A
-     * call and the wait after it leave 1.5 s of the 6 s for the next call's response and for a process that is held up.
+     * The times of a polled list, in ms. A service that is short of capacity rejects a call after 2 s in its queue, and
+     * the allowed silence is longer than that. A call and the wait after it leave 1.5 s of the 6 s for the response of
+     * the next call and for a process that is stalled.
      */
     private static final int POLLED_WAIT_MS = 1500;
 
@@ -47,12 +54,15 @@
     private static final double POLLED_BACKOFF_MS = 200;
     private static final double POLLED_MAX_BACKOFF_MS = 3200;
     /**
-     * After a move to another address a change counts as known 4 s after SIGHUP: a call that fails before that is
-     * repeated within so long of the move.
+     * The time after a move to another address within which a failed call is repeated, in ms. The gateway is required
+     * to know a change 4 s after SIGHUP.
      */
     private static final long MOVED_MS = 3200;
 
-    /** The times of a pushed list as parts of the drain grace; a fifth is reserved for a process that is held up. */
+    /**
+     * The times of a pushed list as parts of the drain grace, of which a fifth is reserved for a process that is
+     * stalled.
+     */
     private static final double WAIT_PART = 0.25;
 
     private static final double SILENCE_PART = 0.4;
@@ -60,17 +70,20 @@
     private static final double PERIOD_PART = 0.8;
     private static final double FRESH_PART = 0.3;
     private static final double LATE_PART = 0.4;
-    /** No agent is given less time than this grace has. */
+    /** A shorter drain grace does not reduce the times below those of this grace, in ms. */
     private static final double MIN_GRACE_MS = 100;
-    /** A longer grace makes no call slower than this one does: draining backends reject attempts. */
+    /**
+     * A longer drain grace does not extend the times beyond those of this grace, in ms: draining backends reject
+     * attempts.
+     */
     private static final double MAX_GRACE_MS = 1000;
 
-    /** A schedule whose calls are not bounded together, and by which nothing is late. */
+    /** Creates a schedule without a bound for a call and the wait after it, and by which no response is late. */
     public PollSchedule(int waitMs, int silenceMs, long firstAfterMs, Backoff backoff) {
         this(waitMs, silenceMs, firstAfterMs, backoff, Long.MAX_VALUE, DEFAULT_FRESH_MS, Long.MAX_VALUE);
     }
 
-    /** The schedule of the settings' kind of discovery. */
+    /** Returns the schedule for the kind of discovery, pushed or polled, that the settings name. */
     public static PollSchedule of(DecisionSettings settings, RandomGenerator random) {
         return settings.obligations().listOnRequest()
                 ? polled(settings.gateways(), random)
@@ -103,7 +116,13 @@
                 (long) (LATE_PART * graceMs));
     }
 
-    /** How long the wait after a failed call may be, ms; moveCount is how often the address has changed. */
+    /**
+     * Returns the longest permitted wait after a failed call, in ms.
+     *
+     * @param msSinceCall the time since the failed call was made
+     * @param moveCount how often the address of discovery has changed
+     * @param msSinceMove the time since its last change
+     */
     public long maxBackoffMs(long msSinceCall, int moveCount, long msSinceMove) {
         long remainingPeriodMs = maxPeriodMs - msSinceCall;
         boolean hasJustMoved = moveCount > 0 && msSinceMove < MOVED_MS;
@@ -111,8 +130,8 @@
     }
 
     /**
-     * How long a connection to discovery may take to come up, ms. One that was tried while the agent was away may never
-     * come up, and is part of the same drain grace as a call that is never answered.
+     * Returns the connect timeout for discovery, in ms. A connection that was attempted while the agent was down may
+     * never be established; it must end within the same drain grace as a call without a response.
      */
     public int connectMs() {
         return Math.min(FIRST_CONNECT_MS, silenceMs);
--- a/gateway/src/main/java/opalcove/discovery/package-info.java
+++ b/gateway/src/main/java/opalcove/discovery/package-info.java
@@ -1,6 +1,6 @@
 /**
- * The client of discovery: {@link opalcove.discovery.DiscoveryClient} follows the endpoint list,
- * {@code PollSchedule} says when it calls, {@code EndpointListResponse} is what a call brings. Knows no backends and no
- * clients; runs on the gateway's event loop.
+ * The client of discovery: {@link opalcove.discovery.DiscoveryClient} follows the endpoint list, {@code PollSchedule}
+ * determines when it calls, and {@code EndpointListResponse} is the parsed response of a call. The package has no
+ * connections to backends or clients and runs on the gateway's event loop.
  */
 package opalcove.discovery;
--- a/gateway/src/test/java/opalcove/discovery/BackoffTest.java
+++ b/gateway/src/test/java/opalcove/discovery/BackoffTest.java
@@ -9,6 +9,7 @@
 import java.util.stream.IntStream;
 import org.testng.annotations.Test;
 
+/** Tests the bounds and the spread of the waits that {@link Backoff} draws. */
 public class BackoffTest {
     private static long[] waits(long seed, int count) {
         Backoff wait = new Backoff(200, 3200, new SplittableRandom(seed));
@@ -21,24 +22,26 @@
             long[] waits = waits(seed, 9);
             for (int i = 0; i < waits.length; i++) {
                 double mean = Math.min(3200, 200 << i);
-                assertTrue(waits[i] >= 0.5 * mean - 1 && waits[i] <= 1.5 * mean + 1, seed + ": " + waits[i]);
+                assertTrue(
+                        waits[i] >= 0.5 * mean - 1 && waits[i] <= 1.5 * mean + 1,
+                        "seed " + seed + ": waits " + waits[i] + " ms");
             }
         }
     }
 
-    /** Fourteen gateways that were refused at one instant: their next calls are spread, and rarer each time. */
+    /** Guards against 14 gateways that were rejected at the same instant and call again together. */
     @Test
     public void gatewaysThatAreRejectedTogetherDoNotCallAgainTogether() {
         long distinct = IntStream.range(0, 14)
                 .mapToLong(seed -> waits(seed, 3)[2])
                 .distinct()
                 .count();
-        assertTrue(distinct >= 12, distinct + " of 14");
+        assertTrue(distinct >= 12, distinct + " distinct waits of 14");
         assertNotEquals(waits(1, 5), waits(2, 5));
         assertEquals(waits(1, 5), waits(1, 5));
     }
 
-    /** Waits that have a bound keep to it and are drawn all the same; shorter ones are as they would have been. */
+    /** A wait with a limit stays within it and is still drawn at random; the limit does not change a shorter wait. */
     @Test
     public void aWaitThatHasABoundIsDrawnBelowIt() {
         for (int seed = 0; seed < 200; seed++) {
@@ -46,7 +49,7 @@
             assertEquals(wait.next(4500), waits(seed, 1)[0]);
             for (int i = 0; i < 8; i++) {
                 long next = wait.next(600);
-                assertTrue(next >= 200 && next <= 600, seed + ": " + next);
+                assertTrue(next >= 200 && next <= 600, "seed " + seed + ": waits " + next + " ms");
             }
             assertEquals(wait.next(0), 1);
         }
--- a/gateway/src/test/java/opalcove/discovery/DiscoveryBoundsTest.java
+++ b/gateway/src/test/java/opalcove/discovery/DiscoveryBoundsTest.java
@@ -28,17 +28,23 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** How long a change at discovery can stay unknown here: the sums of the waits, and the next call after each failure. */
+/**
+ * Tests how long the gateway may take to learn of a change: the sums of the waits, and the next call after each kind of
+ * failure.
+ */
 public class DiscoveryBoundsTest {
     private static final String NODE = "{\"name\":\"s-1\",\"address\":\"127.0.0.1:1\",\"zone\":\"a\",\"type\":\"m\","
             + "\"group\":0,\"status\":\"up\",\"weight\":1.0,\"since_ms\":0}";
-    /** More than the connections that the HTTP client has for one address. */
+    /** More than the number of connections that the HTTP client opens to one address. */
     private static final int FAILURES = 8;
-    /** A change counts as told so long after discovery had it and could be reached, ms. */
+    /** The time after which the gateway must know a change that discovery has, while discovery is reachable. */
     private static final double KNOWN_AFTER_MS = 6000;
-    /** What is left of that for the answer of the next call and for a process on a part of a core, ms. */
+    /**
+     * The part of that time reserved for the response to the next call and for a process that has only a part of a
+     * core.
+     */
     private static final double MARGIN_MS = 1500;
-    /** When a service in want of capacity refuses a call that is in line, ms. */
+    /** The time after which a service that is short of capacity rejects a queued call. */
     private static final double LINE_MS = 2000;
 
     private Vertx vertx;
@@ -70,7 +76,10 @@
         return SettingsReader.read(JsonFields.parse(json));
     }
 
-    /** The longest times that a call of this pace takes until it has failed, ms: at once, in line, connecting, silent. */
+    /**
+     * Returns the longest times in ms until a call fails: immediately, in the service's queue, while connecting,
+     * without a response.
+     */
     private static double[] failuresMs(PollSchedule pace) {
         return new double[] {0, Math.min(LINE_MS, pace.silenceMs()), pace.connectMs(), pace.waitMs() + pace.silenceMs()
         };
@@ -85,23 +94,27 @@
         return new Object[][] {{100}, {570}};
     }
 
-    /** Of a list that is asked for, however often a call has failed before. */
+    /** A polled list must be called in time however many calls have failed before. */
     @Test(dataProvider = "fleets")
     public void aChangeIsPolledInTimeWhateverFailed(int gateways) {
         for (int seed = 0; seed < 50; seed++) {
             PollSchedule pace = PollSchedule.of(polled(gateways), new SplittableRandom(seed));
-            assertTrue(pace.firstAfterMs() <= KNOWN_AFTER_MS - MARGIN_MS, "first call after " + pace.firstAfterMs());
+            assertTrue(
+                    pace.firstAfterMs() <= KNOWN_AFTER_MS - MARGIN_MS,
+                    "first call after " + pace.firstAfterMs() + " ms");
             for (double failedAfterMs : failuresMs(pace)) {
                 pace.backoff().reset();
                 for (int failed = 0; failed < 20; failed++) {
                     double ms = failedAfterMs + wait(pace, failedAfterMs);
-                    assertTrue(ms <= KNOWN_AFTER_MS - MARGIN_MS, failed + " calls failed, the next after " + ms);
+                    assertTrue(
+                            ms <= KNOWN_AFTER_MS - MARGIN_MS,
+                            failed + " calls failed, the next one after " + ms + " ms");
                 }
             }
         }
     }
 
-    /** After SIGHUP a change counts 4 s later: the second call at the new address, too, is out by then. */
+    /** The gateway must know a change 4 s after SIGHUP, so the second call to the new address must be made before. */
     @Test(dataProvider = "fleets")
     public void aMovedServiceIsPolledAgainInTime(int gateways) {
         for (int seed = 0; seed < 50; seed++) {
@@ -110,13 +123,13 @@
                 pace.backoff().reset();
                 long since = (long) failedAfterMs;
                 long ms = since + pace.backoff().next(pace.maxBackoffMs(since, 1, since));
-                assertTrue(ms <= 3200, "the next after " + ms);
+                assertTrue(ms <= 3200, "the next call after " + ms + " ms");
             }
             assertEquals(pace.maxBackoffMs(0, 1, 3200), pace.maxPeriodMs());
         }
     }
 
-    /** A service breaks the watches of all gateways in one instant: their next calls come over seconds. */
+    /** A service breaks the watches of all gateways at one instant; their next calls must be spread over seconds. */
     @Test(dataProvider = "fleets")
     public void gatewaysWhoseWatchesBreakTogetherCallAgainOverSeconds(int gateways) {
         int[] inTenths = new int[60];
@@ -125,10 +138,10 @@
             inTenths[(int) wait(pace, 0) / 100]++;
         }
         int max = IntStream.of(inTenths).max().orElseThrow();
-        assertTrue(max <= gateways / 5, max + " of " + gateways + " in a tenth of a second");
+        assertTrue(max <= gateways / 5, max + " of " + gateways + " calls within 100 ms");
     }
 
-    /** The bound does not have a fleet come back as one: after each kind of failure its next calls are spread. */
+    /** Guards against a bound of the wait that makes all gateways call at the same time after a failure of any kind. */
     @Test(dataProvider = "fleets")
     public void gatewaysThatFailedTogetherDoNotCallAgainTogether(int gateways) {
         PollSchedule first = PollSchedule.of(polled(gateways), new SplittableRandom(0));
@@ -144,9 +157,11 @@
                 mean += wait / gateways;
                 waits.add(wait);
             }
-            // Each gateway calls less than once in 2.5 s, at times drawn from at least a third of a second.
-            assertTrue(failedAfterMs + mean > 2500, failedAfterMs + " and " + mean);
-            assertTrue(waits.size() >= Math.min(gateways, 333) / 2, waits.size() + " of " + gateways);
+            // Each gateway calls less than once in 2.5 s, at times drawn from a range of at least 333 ms.
+            assertTrue(
+                    failedAfterMs + mean > 2500,
+                    "a call failed after " + failedAfterMs + " ms, mean wait " + mean + " ms");
+            assertTrue(waits.size() >= Math.min(gateways, 333) / 2, waits.size() + " distinct waits of " + gateways);
         }
     }
 
@@ -155,21 +170,26 @@
         return new Object[][] {{500}, {1000}, {1500}};
     }
 
-    /** Of a pushed list: a silent agent returns with a drain, and a fifth of the grace is left for sends to end. */
+    /**
+     * A silent agent returns with a drain: the next call must be made early enough that a fifth of the grace remains to
+     * stop sends.
+     */
     @Test(dataProvider = "graces")
     public void aPushedChangeIsRequestedWithinTheGrace(int graceMs) {
         for (int seed = 0; seed < 50; seed++) {
             PollSchedule pace = PollSchedule.of(pushed(graceMs), new SplittableRandom(seed));
             for (double failedAfterMs : failuresMs(pace)) {
                 for (int failed = 0; failed < 20; failed++) {
-                    assertTrue(failedAfterMs + wait(pace, failedAfterMs) <= 0.8 * graceMs, failedAfterMs + "");
+                    assertTrue(
+                            failedAfterMs + wait(pace, failedAfterMs) <= 0.8 * graceMs,
+                            "a call failed after " + failedAfterMs + " ms");
                 }
             }
             assertTrue(pace.freshMs() <= 0.3 * graceMs && pace.lateMs() <= 0.4 * graceMs, pace + "");
         }
     }
 
-    /** Where the settings name no grace there is one; a grace that is next to none still leaves times to wait. */
+    /** Without a grace in the settings there is a default; even a grace of 0 ms gives positive times. */
     @Test
     public void aGraceIsNeverNone() {
         assertEquals(settings().obligations().drainGraceMs(), DecisionSettings.Obligations.DEFAULT_DRAIN_GRACE_MS);
@@ -177,7 +197,7 @@
         assertTrue(pace.waitMs() > 0 && pace.silenceMs() > 0 && pace.backoff().next(1) == 1, pace + "");
     }
 
-    /** What discovery does with a call. */
+    /** The reaction of discovery to a call. */
     private interface Action {
         void to(NetSocket line);
     }
@@ -195,19 +215,25 @@
         String list = ok("{\"index\":4,\"snapshot\":true,\"endpoints\":[" + NODE + "]}");
         String half = list.substring(0, list.length() - 9);
         return new Object[][] {
-            {"refused", says("HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n")},
-            {"refused, its body never ends", says("HTTP/1.1 503 Service Unavailable\r\nContent-Length: 9\r\n\r\nno")},
-            {"torn", says(ok("{\"index\":4,\"snapshot\":true,\"endp"))},
-            {"stalled in the middle", says(half)},
-            {"broken in the middle", (Action) line -> line.write(half).onComplete(written -> line.close())},
-            {"broken before", (Action) NetSocket::close},
-            {"silent", (Action) line -> {}},
+            {"rejected", says("HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n")},
+            {
+                "rejected, with a body that never ends",
+                says("HTTP/1.1 503 Service Unavailable\r\nContent-Length: 9\r\n\r\nno")
+            },
+            {"truncated list", says(ok("{\"index\":4,\"snapshot\":true,\"endp"))},
+            {"response stalls in the middle", says(half)},
+            {
+                "connection closed in the middle of the response",
+                (Action) line -> line.write(half).onComplete(written -> line.close())
+            },
+            {"connection closed before the response", (Action) NetSocket::close},
+            {"no response", (Action) line -> {}},
         };
     }
 
     /**
-     * The waits have grown to an hour, but the time between two calls has a bound: the list is heard after any number of
-     * failures of a kind, and so is what the watch after it brings.
+     * The waits have grown to an hour, but the time between two calls is bounded. The list must be received after
+     * several failures of each kind, and so must the response of the watch that follows it.
      */
     @Test(dataProvider = "failures")
     public void theNextCallIsMadeInTime(String kind, Action failure) throws Exception {
@@ -236,7 +262,7 @@
         assertEquals(drained.get(20, TimeUnit.SECONDS).name(), "s-1", kind);
     }
 
-    /** Nobody listens there. */
+    /** Nothing listens at the address of discovery. */
     @Test
     public void theNextCallIsMadeInTimeWhereConnectionsAreRefused() throws Exception {
         CountDownLatch failed = new CountDownLatch(FAILURES);
@@ -253,7 +279,7 @@
                 failed.countDown();
             }
         });
-        assertTrue(failed.await(20, TimeUnit.SECONDS), failed.getCount() + " failures did not come");
+        assertTrue(failed.await(20, TimeUnit.SECONDS), failed.getCount() + " more failed calls expected");
     }
 
     private void follow(int port, DiscoveryClient.Listener listener) {
--- a/gateway/src/test/java/opalcove/discovery/DiscoveryClientTest.java
+++ b/gateway/src/test/java/opalcove/discovery/DiscoveryClientTest.java
@@ -37,13 +37,16 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** A list service that is overbooked: what the watch requests, and how long it means to wait before it asks again. */
+/**
+ * Tests what the client requests from a list service that is overloaded, slow or silent, and how long it waits between
+ * calls.
+ */
 public class DiscoveryClientTest {
     private static final String NODE = "{\"name\":\"s-1\",\"address\":\"127.0.0.1:1\",\"zone\":\"a\",\"type\":\"m\","
             + "\"group\":0,\"status\":\"up\",\"weight\":1.0,\"since_ms\":0}";
 
     private Vertx vertx;
-    /** The event loop of the last watch. */
+    /** The event loop of the client that was started last. */
     private volatile Context loop;
 
     @BeforeMethod
@@ -56,7 +59,7 @@
         vertx.close().toCompletionStage().toCompletableFuture().get(20, TimeUnit.SECONDS);
     }
 
-    /** Draws the shortest waits there are, so that the test does not last, and tells that it was asked. */
+    /** Draws the shortest possible waits, to keep the test short, and records each draw as an event. */
     private record Shortest(Queue<String> told) implements RandomGenerator {
         @Override
         public long nextLong() {
@@ -71,7 +74,10 @@
                 .replace("\"pushed\"", '"' + discovery + '"')));
     }
 
-    /** One service for all gateways is asked ever more rarely and not by all at once; an agent on the machine, at once. */
+    /**
+     * A service that all gateways share is called less often after each failure and at different times; an agent on the
+     * machine is called without delay.
+     */
     @Test
     public void onlyAPolledListIsPolledWithSpread() {
         DecisionSettings one = settings("on_request");
@@ -87,13 +93,13 @@
             IntStream.range(0, 6).forEach(i -> pushed.backoff().next());
             assertTrue(pushed.backoff().next() <= 300);
         }
-        assertTrue(starts.size() >= 10, starts + "");
+        assertTrue(starts.size() >= 10, "delays of the first calls: " + starts);
     }
 
     /**
-     * A pushed list counts as told from the moment that its agent has it, also where the agent was silent till then and never
-     * answers what it was asked meanwhile: a call and the wait after it end within the second in which sends have to stop.
-     * One that is asked for counts as told 6 s after its watch fell silent.
+     * The gateway must know a pushed list as soon as its agent has it, even if the agent was silent before and never
+     * responds to the calls of that time. A call and the wait after it must therefore end within the second in which
+     * sends have to stop. A polled list must be known 6 s after its watch became silent.
      */
     @Test
     public void aSilentWatchIsOpenedAnewBeforeWhatItMissedHasToBeKnown() {
@@ -104,8 +110,8 @@
     }
 
     /**
-     * The same where a watch has been silent for long: a pushed list's waits have grown then, and its agent learns at its
-     * return what counts as told at once. A connection that was tried before the return may never come up.
+     * Guards against waits for a pushed list that have grown during a long silence: the gateway must know at once what
+     * the agent learns when it returns. A connection that was attempted before that may never be established.
      */
     @Test
     public void afterALongSilenceAPushedListIsReceivedWithinTheSecond() {
@@ -122,7 +128,10 @@
                 + pace.backoff().next();
     }
 
-    /** A connection hangs in an agent's full backlog: it is given up within the silence, not after a second, and tried anew. */
+    /**
+     * A connection hangs in the full backlog of an agent: it must be abandoned after silenceMs, not after a second, and
+     * attempted again.
+     */
     @Test
     public void aConnectionThatNeverComesUpIsAbandonedWithinTheSilence() throws Exception {
         Queue<Boolean> untold = new ConcurrentLinkedQueue<>();
@@ -152,7 +161,7 @@
             List<Socket> full = new ArrayList<>();
             try (Socket line = agent.accept()) {
                 call(line);
-                // From here on the kernel answers no SYN: its queue of this listener is full.
+                // Once the queue of this listener is full, the kernel no longer answers a SYN.
                 for (int i = 0; i < 4; i++) {
                     Socket filler = new Socket();
                     full.add(filler);
@@ -168,27 +177,30 @@
                                 .getBytes(StandardCharsets.US_ASCII));
                 call(line);
             }
-            // The first failure is the end of that watch, the later ones are connections.
+            // The first failure is the end of the watch; the later ones are connections that were not established.
             again.get(20, TimeUnit.SECONDS);
             assertEquals(listed.getCount(), 0);
             assertEquals(List.copyOf(untold).subList(0, 4), Collections.nCopies(4, false));
             List<Long> ends = List.copyOf(at);
-            // The rule's own second; the shortest of three tries, so that a machine that is held up once does not
-            // count.
+            // The bound is the required second. The shortest of three attempts is compared, so that a single stall of
+            // the machine does not fail the test.
             assertTrue(
                     IntStream.range(1, 4)
                                     .mapToLong(i -> ends.get(i) - ends.get(i - 1))
                                     .min()
                                     .orElseThrow()
                             < TimeUnit.SECONDS.toNanos(1),
-                    ends + "");
+                    "failed at (ns): " + ends);
             for (Socket filler : full) {
                 filler.close();
             }
         }
     }
 
-    /** Changes up to an earlier version name a backend that has been drained since as up: they are refused, the whole list follows. */
+    /**
+     * Changes up to an earlier version name a drained backend as up: they must be rejected and the complete list
+     * requested.
+     */
     @Test
     public void changesThatGoBackwardsAreRejectedAndTheCompleteListIsRequested() throws Exception {
         Queue<String> calls = new ConcurrentLinkedQueue<>();
@@ -237,7 +249,7 @@
         assertEquals(List.copyOf(untold), List.of(true));
     }
 
-    /** Two watches are never answered: the list goes on, and hears of a drain that it missed. */
+    /** Two watches get no response: the client must watch again and receive the drain that happened meanwhile. */
     @Test
     public void whatASilentWatchMissedIsReceivedByTheNext() throws Exception {
         Queue<String> watches = new ConcurrentLinkedQueue<>();
@@ -264,7 +276,10 @@
         assertEquals(List.copyOf(watches).subList(0, 3), Collections.nCopies(3, "/v1/endpoints?since=4&timeout_ms=20"));
     }
 
-    /** The old discovery answers after the move, with a backend that the new one has drained, and the new one counts from less. */
+    /**
+     * The former discovery responds after the move with a backend that the new one has drained; the new one's index is
+     * smaller.
+     */
     @Test
     public void aLateResponseOfTheFormerDiscoveryIsIgnored() throws Exception {
         CompletableFuture<HttpServerRequest> watched = new CompletableFuture<>();
@@ -282,7 +297,7 @@
             if (call.uri().contains("since")) {
                 second.complete(call.uri());
             } else {
-                // The old one speaks first.
+                // The former discovery responds first.
                 watched.join()
                         .response()
                         .end("{\"index\":41,\"snapshot\":true,\"endpoints\":[" + NODE.replace("s-1", "s-2") + "]}")
@@ -306,7 +321,10 @@
         assertEquals(List.copyOf(told), List.of("s-1 UP", "s-1 DRAINING"));
     }
 
-    /** The answer lies in the kernel while the process is held up for longer than silence lasts: it is taken, not given up. */
+    /**
+     * The response lies in the kernel while the process is stalled for longer than silenceMs: it must be read, not
+     * abandoned.
+     */
     @Test
     public void aProcessThatWasHeldUpDoesNotTakeItsOwnSlownessForSilence() throws Exception {
         int silenceMs = 300;
@@ -336,14 +354,16 @@
                                 .getBytes(StandardCharsets.US_ASCII));
                 Thread.sleep(2 * silenceMs);
                 goOn.countDown();
-                // The watch goes on over the same connection.
+                // The watch continues on the same connection.
                 assertEquals(call(line), "GET /v1/endpoints?since=4&timeout_ms=10000 HTTP/1.1");
                 assertTrue(received.isDone());
             }
         }
     }
 
-    /** A server opens on the first word: not while a call is on its way, but with its list, or when discovery does not answer. */
+    /**
+     * The client must become ready with the list, or when discovery rejects calls, but not while a call is in flight.
+     */
     @Test
     public void readyIsReachedByTheListOrByTheLackOfAResponse() throws Exception {
         CompletableFuture<HttpServerRequest> held = new CompletableFuture<>();
@@ -357,7 +377,7 @@
                 new PollSchedule(10_000, 20_000, 0, new Backoff(1, 2, new SplittableRandom(1))),
                 (whole, lines, discoveryNow) -> told.addAll(lines));
         HttpServerRequest call = held.get(20, TimeUnit.SECONDS);
-        assertFalse(watch.whenReady(true).isComplete(), "opens while the list is on its way");
+        assertFalse(watch.whenReady(true).isComplete(), "ready while the first call is in flight");
         call.response().end("{\"index\":4,\"snapshot\":true,\"endpoints\":[" + NODE + "]}");
         watch.whenReady(true).toCompletionStage().toCompletableFuture().get(20, TimeUnit.SECONDS);
         assertEquals(told.size(), 1);
@@ -370,13 +390,13 @@
                 new PollSchedule(10_000, 20_000, 0, new Backoff(1, 2, new SplittableRandom(1))),
                 (whole, lines, discoveryNow) -> told.addAll(lines));
         away.whenReady(true).toCompletionStage().toCompletableFuture().get(20, TimeUnit.SECONDS);
-        assertTrue(refused.size() >= 2, refused + "");
+        assertTrue(refused.size() >= 2, "rejected calls: " + refused);
         assertEquals(told.size(), 1);
     }
 
     /**
-     * A drain overtakes the first list, which is long on its way to a process that is slow in its first second: what came
-     * since is asked for, without a wait, before the server opens.
+     * A drain happens while the first list takes long to reach a process that is slow in its first second: the changes
+     * since then must be requested, without a wait, before the client is ready.
      */
     @Test
     public void aListThatTookLongToArriveDoesNotMakeReady() throws Exception {
@@ -385,21 +405,27 @@
         assertEquals(List.copyOf(calls).subList(0, 2), List.of("/v1/endpoints", "/v1/endpoints?since=4&timeout_ms=1"));
     }
 
-    /** One service for all gateways may be slow itself, and tells nothing before it answers: it is not asked more for that. */
+    /**
+     * A service that all gateways share may itself be slow, and its changes need not be known before it responds: no
+     * extra call is made to it.
+     */
     @Test
     public void anyListOfOneServiceMakesReady() throws Exception {
         Queue<String> calls = new ConcurrentLinkedQueue<>();
         assertEquals(knownWhenReady(false, calls), List.of("UP"));
-        assertFalse(calls.contains("/v1/endpoints?since=4&timeout_ms=1"), calls + "");
+        assertFalse(calls.contains("/v1/endpoints?since=4&timeout_ms=1"), "calls: " + calls);
     }
 
-    /** What is known at the first word where the first list is held and its backend is drained meanwhile. */
+    /**
+     * Returns the states received until the client is ready, if the first list is delayed and its backend drained
+     * meanwhile.
+     */
     private List<String> knownWhenReady(boolean fresh, Queue<String> calls) throws Exception {
         Queue<String> told = new ConcurrentLinkedQueue<>();
         int port = serve(call -> {
             calls.add(call.uri());
             if (calls.size() == 1) {
-                // Held for longer than a list is fresh.
+                // Delayed for longer than the time in which a list is fresh.
                 vertx.setTimer(400, late -> call.response()
                         .end("{\"index\":4,\"snapshot\":true,\"endpoints\":[" + NODE + "]}"));
             } else {
@@ -422,7 +448,10 @@
         return knownWhenReady.get(20, TimeUnit.SECONDS);
     }
 
-    /** SIGHUP came while the process started: one watch, at the new address, of its whole list. */
+    /**
+     * SIGHUP arrives while the process starts: there must be one watch only, at the new address, after its complete
+     * list.
+     */
     @Test
     public void aMoveBeforeTheStartLeavesOneWatch() throws Exception {
         Queue<String> calls = new ConcurrentLinkedQueue<>();
@@ -448,13 +477,13 @@
         assertEquals(List.copyOf(calls), List.of("/v1/endpoints", "/v1/endpoints?since=4"));
     }
 
-    /** The next call on this connection; its first line. */
+    /** Reads the next call on this connection and returns its request line. */
     public static String call(Socket line) throws Exception {
         line.setSoTimeout(20_000);
         StringBuilder head = new StringBuilder();
         while (head.indexOf("\r\n\r\n") < 0) {
             int each = line.getInputStream().read();
-            assertTrue(each >= 0, "the connection was given up");
+            assertTrue(each >= 0, "the client closed the connection");
             head.append((char) each);
         }
         return head.substring(0, head.indexOf("\r\n"));
@@ -498,7 +527,7 @@
                         "/v1/endpoints?since=5"));
     }
 
-    /** After a release: a gateway that knows a version asks for one watch, and never for the whole list. */
+    /** After a release, a gateway that knows a version must request a watch only, and never the complete list. */
     @Test
     public void aKnownVersionIsFollowedByWhatHasChangedSince() throws Exception {
         assertEquals(
@@ -517,7 +546,10 @@
                         "/v1/endpoints?since=5"));
     }
 
-    /** What a watch requests that starts from this version, and when it waits, at a service that refuses now and then. */
+    /**
+     * Returns the calls and waits, in order, of a client that starts from this version at a service that rejects some
+     * calls.
+     */
     private List<String> calls(long known) throws Exception {
         Queue<String> told = new ConcurrentLinkedQueue<>();
         Queue<String> answers = new ConcurrentLinkedQueue<>(List.of(
@@ -555,7 +587,7 @@
         over.get(20, TimeUnit.SECONDS);
         assertTrue(first.isDone());
         assertEquals(backends.size(), 2);
-        // Four waits were drawn; the answers in between had them start from the shortest again.
+        // Four waits were drawn; the successful responses between them reset the wait to the shortest.
         List<String> calls = List.copyOf(told);
         assertEquals(waits.next(), 2);
         return calls;
--- a/gateway/src/test/java/opalcove/discovery/DiscoveryRequestsTest.java
+++ b/gateway/src/test/java/opalcove/discovery/DiscoveryRequestsTest.java
@@ -15,7 +15,7 @@
 import opalcove.decision.DecisionSettings;
 import org.testng.annotations.Test;
 
-/** What is sent to discovery, byte for byte, for a list that is pushed and for one that is polled. */
+/** Tests the exact bytes of the requests to discovery, for a pushed list and for a polled one. */
 public class DiscoveryRequestsTest {
     private static final int TIMEOUT_S = 20;
     private static final String LIST = "{\"index\":41,\"snapshot\":true,\"endpoints\":[]}";
@@ -39,7 +39,7 @@
                         "GET /v1/endpoints?since=41&timeout_ms=1500 HTTP/1.1\r\nhost: 127.0.0.1:PORT\r\n\r\n"));
     }
 
-    /** Before the client port opens nothing is waited for but what discovery has already. */
+    /** Before the client port opens, the request must not wait for changes that discovery does not have yet. */
     @Test
     public void aWatchWhileAFreshListIsAwaited() throws Exception {
         assertEquals(
@@ -47,7 +47,9 @@
                 "GET /v1/endpoints?since=7&timeout_ms=1 HTTP/1.1\r\nhost: 127.0.0.1:PORT\r\n\r\n");
     }
 
-    /** The first two requests of a gateway that knows this version, all of their bytes, with PORT in the port's place. */
+    /**
+     * Returns all bytes of the first two requests of a gateway that knows this version, with PORT in place of the port.
+     */
     private static List<String> requests(DecisionSettings settings, long known, boolean fresh) throws Exception {
         Vertx vertx = Vertx.vertx();
         try (ServerSocket discovery = new ServerSocket(0, 8, InetAddress.getByName("127.0.0.1"))) {
