--- a/gateway/src/main/java/opalcove/discovery/Backoff.java
+++ b/gateway/src/main/java/opalcove/discovery/Backoff.java
@@ -10,7 +10,7 @@
  */
 public final class Backoff {
     /** The longest wait as a multiple of the mean; the shortest is this multiple minus 1. */
-    private static final double MAX_DRAW = 1.5;
+    private static final double MAX_WAIT_FACTOR = 1.5;
 
     private final double minMs;
     private final double maxMs;
@@ -44,7 +44,7 @@
      * still call at different times.
      */
     public long next(double limitMs) {
-        double waitMs = Math.min(meanMs, limitMs / MAX_DRAW) * (MAX_DRAW - 1 + random.nextDouble());
+        double waitMs = Math.min(meanMs, limitMs / MAX_WAIT_FACTOR) * (MAX_WAIT_FACTOR - 1 + random.nextDouble());
         meanMs = Math.min(maxMs, 2 * meanMs);
         return Math.max(1, Math.round(waitMs));
     }
--- a/gateway/src/main/java/opalcove/discovery/DiscoveryClient.java
+++ b/gateway/src/main/java/opalcove/discovery/DiscoveryClient.java
@@ -32,7 +32,7 @@
     /** The index that stands for no known list; the complete list is requested. */
     public static final long NO_INDEX = -1;
 
-    private static final String PATH = "/v1/endpoints";
+    private static final String ENDPOINTS_PATH = "/v1/endpoints";
     /**
      * The number of failed calls after which discovery counts as unresponsive and the client is ready without a list.
      */
@@ -40,7 +40,7 @@
     /**
      * The number of late responses after which the client is ready all the same, because its process is always slow.
      */
-    private static final int MAX_LATE_BEFORE_READY = 8;
+    private static final int MAX_LATE_RESPONSES_BEFORE_READY = 8;
 
     /** Receives endpoint lists and failures from discovery, on the client's event loop. */
     public interface Listener {
@@ -84,7 +84,7 @@
 
     private boolean isStarted;
     private int failuresBeforeReady;
-    private int lateBeforeReady;
+    private int lateResponsesBeforeReady;
     /** Whether only a fresh list makes this client ready, see {@link PollSchedule#freshMs}. */
     private boolean needsFreshList;
     /**
@@ -112,7 +112,7 @@
         this.address = address;
         client = vertx.createHttpClient(new HttpClientOptions()
                 .setKeepAlive(true)
-                .setConnectTimeout(PollSchedule.FIRST_CONNECT_MS)
+                .setConnectTimeout(PollSchedule.STARTUP_CONNECT_TIMEOUT_MS)
                 .setDecompressionSupported(false));
     }
 
@@ -235,9 +235,9 @@
         boolean isUrgent = isCatchingUp || needsFreshList && !ready.future().isComplete();
         int waitMs = isUrgent ? 1 : schedule.waitMs();
         Future<Void> call = index < 0
-                ? call(PATH, schedule.silenceMs(), calledAtNanos, move)
+                ? call(ENDPOINTS_PATH, schedule.silenceMs(), calledAtNanos, move)
                 : call(
-                        PATH + "?since=" + index + "&timeout_ms=" + waitMs,
+                        ENDPOINTS_PATH + "?since=" + index + "&timeout_ms=" + waitMs,
                         waitMs + schedule.silenceMs(),
                         calledAtNanos,
                         move);
@@ -246,9 +246,9 @@
                 completeReady(calledAtNanos);
             }
             if (move == moveCount) {
-                boolean layUnread = response.succeeded() && msSince(calledAtNanos) - waitMs > schedule.lateMs();
+                boolean wasReadLate = response.succeeded() && msSince(calledAtNanos) - waitMs > schedule.lateMs();
                 // Not twice in succession: a process that is always slow must not catch up forever.
-                setCatchingUp(layUnread && !isCatchingUp);
+                setCatchingUp(wasReadLate && !isCatchingUp);
             }
             scheduleNext(response.succeeded(), calledAtNanos, move);
         });
@@ -258,7 +258,7 @@
     private void completeReady(long calledAtNanos) {
         if (!needsFreshList
                 || msSince(calledAtNanos) <= schedule.freshMs()
-                || ++lateBeforeReady >= MAX_LATE_BEFORE_READY) {
+                || ++lateResponsesBeforeReady >= MAX_LATE_RESPONSES_BEFORE_READY) {
             ready.tryComplete();
         }
     }
@@ -284,16 +284,18 @@
                         .setPort(address.port())
                         .setURI(uri)
                         .setConnectTimeout(
-                                ready.future().isComplete() ? schedule.connectMs() : PollSchedule.FIRST_CONNECT_MS))
+                                ready.future().isComplete()
+                                        ? schedule.connectTimeoutMs()
+                                        : PollSchedule.STARTUP_CONNECT_TIMEOUT_MS))
                 .compose(request -> send(request, silenceMs, calledAtNanos, move))
-                .compose(body -> move == moveCount ? receive(body) : hasMoved())
+                .compose(body -> move == moveCount ? receive(body) : movedFailure())
                 .onFailure(cause -> callFailed(cause, move));
     }
 
     private Future<Buffer> send(HttpClientRequest request, int silenceMs, long calledAtNanos, int move) {
         if (move != moveCount) {
             request.reset();
-            return hasMoved();
+            return movedFailure();
         }
         currentRequest = request;
         // Without this handler Vert.x logs the failure as an error that does not name the connection.
@@ -304,7 +306,7 @@
         return body.onComplete(done -> vertx.cancelTimer(timeout));
     }
 
-    private static <T> Future<T> hasMoved() {
+    private static <T> Future<T> movedFailure() {
         return Future.failedFuture("the address of discovery has changed");
     }
 
@@ -353,10 +355,10 @@
             EndpointListResponse response = EndpointListResponse.parse(body.toString());
             if (!response.isComplete() && response.index() < index) {
                 // Changes from before a drain would put a backend that is known to be draining back to up.
-                long known = index;
+                long knownIndex = index;
                 index = NO_INDEX;
                 throw new InvalidConfigurationException(
-                        "changes up to version " + response.index() + " do not follow version " + known);
+                        "changes up to version " + response.index() + " do not follow version " + knownIndex);
             }
             index = response.index();
             isFailing = false;
--- a/gateway/src/main/java/opalcove/discovery/PollSchedule.java
+++ b/gateway/src/main/java/opalcove/discovery/PollSchedule.java
@@ -33,7 +33,7 @@
      * The connect timeout before this client is ready, in ms; it is long because a process that has just started is
      * slow itself.
      */
-    static final int FIRST_CONNECT_MS = 1000;
+    static final int STARTUP_CONNECT_TIMEOUT_MS = 1000;
 
     private static final long DEFAULT_FRESH_MS = 300;
     /**
@@ -41,7 +41,7 @@
      * failure that all of them had. Without it, all gateways call at the same instant after a release, or after a
      * service has broken all its connections.
      */
-    private static final double SPREAD_MS = 20;
+    private static final double SPREAD_PER_GATEWAY_MS = 20;
     /**
      * The times of a polled list, in ms. A service that is short of capacity rejects a call after 2 s in its queue, and
      * the allowed silence is longer than that. A call and the wait after it leave 1.5 s of the 6 s for the response of
@@ -57,7 +57,7 @@
      * The time after a move to another address within which a failed call is repeated, in ms. The gateway is required
      * to know a change 4 s after SIGHUP.
      */
-    private static final long MOVED_MS = 3200;
+    private static final long MAX_RETRY_AFTER_MOVE_MS = 3200;
 
     /**
      * The times of a pushed list as parts of the drain grace, of which a fifth is reserved for a process that is
@@ -91,9 +91,9 @@
     }
 
     private static PollSchedule polled(int gateways, RandomGenerator random) {
-        double fleetMs = SPREAD_MS * (gateways - 1);
-        double spreadMs = Math.min(fleetMs, POLLED_MAX_PERIOD_MS);
-        double backoffMs = Math.min(Math.max(POLLED_BACKOFF_MS, fleetMs), POLLED_MAX_BACKOFF_MS);
+        double fleetSpreadMs = SPREAD_PER_GATEWAY_MS * (gateways - 1);
+        double spreadMs = Math.min(fleetSpreadMs, POLLED_MAX_PERIOD_MS);
+        double backoffMs = Math.min(Math.max(POLLED_BACKOFF_MS, fleetSpreadMs), POLLED_MAX_BACKOFF_MS);
         return new PollSchedule(
                 POLLED_WAIT_MS,
                 POLLED_SILENCE_MS,
@@ -125,15 +125,17 @@
      */
     public long maxBackoffMs(long msSinceCall, int moveCount, long msSinceMove) {
         long remainingPeriodMs = maxPeriodMs - msSinceCall;
-        boolean hasJustMoved = moveCount > 0 && msSinceMove < MOVED_MS;
-        return Math.max(1, hasJustMoved ? Math.min(remainingPeriodMs, MOVED_MS - msSinceMove) : remainingPeriodMs);
+        boolean hasJustMoved = moveCount > 0 && msSinceMove < MAX_RETRY_AFTER_MOVE_MS;
+        return Math.max(
+                1,
+                hasJustMoved ? Math.min(remainingPeriodMs, MAX_RETRY_AFTER_MOVE_MS - msSinceMove) : remainingPeriodMs);
     }
 
     /**
      * Returns the connect timeout for discovery, in ms. A connection that was attempted while the agent was down may
      * never be established; it must end within the same drain grace as a call without a response.
      */
-    public int connectMs() {
-        return Math.min(FIRST_CONNECT_MS, silenceMs);
+    public int connectTimeoutMs() {
+        return Math.min(STARTUP_CONNECT_TIMEOUT_MS, silenceMs);
     }
 }
--- a/gateway/src/test/java/opalcove/discovery/BackoffTest.java
+++ b/gateway/src/test/java/opalcove/discovery/BackoffTest.java
@@ -12,18 +12,18 @@
 /** Tests the bounds and the spread of the waits that {@link Backoff} draws. */
 public class BackoffTest {
     private static long[] waits(long seed, int count) {
-        Backoff wait = new Backoff(200, 3200, new SplittableRandom(seed));
-        return IntStream.range(0, count).mapToLong(i -> wait.next()).toArray();
+        Backoff backoff = new Backoff(200, 3200, new SplittableRandom(seed));
+        return IntStream.range(0, count).mapToLong(i -> backoff.next()).toArray();
     }
 
     @Test
-    public void eachWaitIsDrawnAroundTwiceTheOneBeforeUpToABound() {
+    public void doublesMeanWaitUpToMaximum() {
         for (long seed = 0; seed < 200; seed++) {
             long[] waits = waits(seed, 9);
             for (int i = 0; i < waits.length; i++) {
-                double mean = Math.min(3200, 200 << i);
+                double meanMs = Math.min(3200, 200 << i);
                 assertTrue(
-                        waits[i] >= 0.5 * mean - 1 && waits[i] <= 1.5 * mean + 1,
+                        waits[i] >= 0.5 * meanMs - 1 && waits[i] <= 1.5 * meanMs + 1,
                         "seed " + seed + ": waits " + waits[i] + " ms");
             }
         }
@@ -31,7 +31,7 @@
 
     /** Guards against 14 gateways that were rejected at the same instant and call again together. */
     @Test
-    public void gatewaysThatAreRejectedTogetherDoNotCallAgainTogether() {
+    public void drawsDifferentWaitsForGatewaysThatWereRejectedTogether() {
         long distinct = IntStream.range(0, 14)
                 .mapToLong(seed -> waits(seed, 3)[2])
                 .distinct()
@@ -43,24 +43,24 @@
 
     /** A wait with a limit stays within it and is still drawn at random; the limit does not change a shorter wait. */
     @Test
-    public void aWaitThatHasABoundIsDrawnBelowIt() {
+    public void drawsWaitWithinLimit() {
         for (int seed = 0; seed < 200; seed++) {
-            Backoff wait = new Backoff(200, 3200, new SplittableRandom(seed));
-            assertEquals(wait.next(4500), waits(seed, 1)[0]);
+            Backoff backoff = new Backoff(200, 3200, new SplittableRandom(seed));
+            assertEquals(backoff.next(4500), waits(seed, 1)[0]);
             for (int i = 0; i < 8; i++) {
-                long next = wait.next(600);
+                long next = backoff.next(600);
                 assertTrue(next >= 200 && next <= 600, "seed " + seed + ": waits " + next + " ms");
             }
-            assertEquals(wait.next(0), 1);
+            assertEquals(backoff.next(0), 1);
         }
     }
 
     @Test
-    public void anAttemptThatSucceedsMakesItShortAgain() {
-        Backoff wait = new Backoff(200, 3200, new SplittableRandom(7));
-        IntStream.range(0, 8).forEach(i -> wait.next());
-        wait.reset();
-        assertTrue(wait.next() <= 300);
+    public void returnsToMinimumWaitAfterReset() {
+        Backoff backoff = new Backoff(200, 3200, new SplittableRandom(7));
+        IntStream.range(0, 8).forEach(i -> backoff.next());
+        backoff.reset();
+        assertTrue(backoff.next() <= 300);
         assertThrows(IllegalArgumentException.class, () -> new Backoff(0, 10, new SplittableRandom(7)));
         assertThrows(IllegalArgumentException.class, () -> new Backoff(20, 10, new SplittableRandom(7)));
     }
--- a/gateway/src/test/java/opalcove/discovery/DiscoveryBoundsTest.java
+++ b/gateway/src/test/java/opalcove/discovery/DiscoveryBoundsTest.java
@@ -33,8 +33,9 @@
  * failure.
  */
 public class DiscoveryBoundsTest {
-    private static final String NODE = "{\"name\":\"s-1\",\"address\":\"127.0.0.1:1\",\"zone\":\"a\",\"type\":\"m\","
-            + "\"group\":0,\"status\":\"up\",\"weight\":1.0,\"since_ms\":0}";
+    private static final String ENDPOINT =
+            "{\"name\":\"s-1\",\"address\":\"127.0.0.1:1\",\"zone\":\"a\",\"type\":\"m\","
+                    + "\"group\":0,\"status\":\"up\",\"weight\":1.0,\"since_ms\":0}";
     /** More than the number of connections that the HTTP client opens to one address. */
     private static final int FAILURES = 8;
     /** The time after which the gateway must know a change that discovery has, while discovery is reachable. */
@@ -45,7 +46,7 @@
      */
     private static final double MARGIN_MS = 1500;
     /** The time after which a service that is short of capacity rejects a queued call. */
-    private static final double LINE_MS = 2000;
+    private static final double QUEUE_TIMEOUT_MS = 2000;
 
     private Vertx vertx;
 
@@ -80,13 +81,17 @@
      * Returns the longest times in ms until a call fails: immediately, in the service's queue, while connecting,
      * without a response.
      */
-    private static double[] failuresMs(PollSchedule pace) {
-        return new double[] {0, Math.min(LINE_MS, pace.silenceMs()), pace.connectMs(), pace.waitMs() + pace.silenceMs()
+    private static double[] failuresMs(PollSchedule schedule) {
+        return new double[] {
+            0,
+            Math.min(QUEUE_TIMEOUT_MS, schedule.silenceMs()),
+            schedule.connectTimeoutMs(),
+            schedule.waitMs() + schedule.silenceMs()
         };
     }
 
-    private static double wait(PollSchedule pace, double failedAfterMs) {
-        return pace.backoff().next(pace.maxBackoffMs((long) failedAfterMs, 0, 0));
+    private static double wait(PollSchedule schedule, double failedAfterMs) {
+        return schedule.backoff().next(schedule.maxBackoffMs((long) failedAfterMs, 0, 0));
     }
 
     @DataProvider
@@ -96,16 +101,16 @@
 
     /** A polled list must be called in time however many calls have failed before. */
     @Test(dataProvider = "fleets")
-    public void aChangeIsPolledInTimeWhateverFailed(int gateways) {
+    public void pollsWithinBoundAfterAnyFailures(int gateways) {
         for (int seed = 0; seed < 50; seed++) {
-            PollSchedule pace = PollSchedule.of(polled(gateways), new SplittableRandom(seed));
+            PollSchedule schedule = PollSchedule.of(polled(gateways), new SplittableRandom(seed));
             assertTrue(
-                    pace.firstAfterMs() <= KNOWN_AFTER_MS - MARGIN_MS,
-                    "first call after " + pace.firstAfterMs() + " ms");
-            for (double failedAfterMs : failuresMs(pace)) {
-                pace.backoff().reset();
+                    schedule.firstAfterMs() <= KNOWN_AFTER_MS - MARGIN_MS,
+                    "first call after " + schedule.firstAfterMs() + " ms");
+            for (double failedAfterMs : failuresMs(schedule)) {
+                schedule.backoff().reset();
                 for (int failed = 0; failed < 20; failed++) {
-                    double ms = failedAfterMs + wait(pace, failedAfterMs);
+                    double ms = failedAfterMs + wait(schedule, failedAfterMs);
                     assertTrue(
                             ms <= KNOWN_AFTER_MS - MARGIN_MS,
                             failed + " calls failed, the next one after " + ms + " ms");
@@ -116,51 +121,52 @@
 
     /** The gateway must know a change 4 s after SIGHUP, so the second call to the new address must be made before. */
     @Test(dataProvider = "fleets")
-    public void aMovedServiceIsPolledAgainInTime(int gateways) {
+    public void repeatsFailedCallWithinBoundAfterMove(int gateways) {
         for (int seed = 0; seed < 50; seed++) {
-            PollSchedule pace = PollSchedule.of(polled(gateways), new SplittableRandom(seed));
-            for (double failedAfterMs : new double[] {0, LINE_MS, pace.connectMs(), pace.silenceMs()}) {
-                pace.backoff().reset();
+            PollSchedule schedule = PollSchedule.of(polled(gateways), new SplittableRandom(seed));
+            for (double failedAfterMs :
+                    new double[] {0, QUEUE_TIMEOUT_MS, schedule.connectTimeoutMs(), schedule.silenceMs()}) {
+                schedule.backoff().reset();
                 long since = (long) failedAfterMs;
-                long ms = since + pace.backoff().next(pace.maxBackoffMs(since, 1, since));
+                long ms = since + schedule.backoff().next(schedule.maxBackoffMs(since, 1, since));
                 assertTrue(ms <= 3200, "the next call after " + ms + " ms");
             }
-            assertEquals(pace.maxBackoffMs(0, 1, 3200), pace.maxPeriodMs());
+            assertEquals(schedule.maxBackoffMs(0, 1, 3200), schedule.maxPeriodMs());
         }
     }
 
     /** A service breaks the watches of all gateways at one instant; their next calls must be spread over seconds. */
     @Test(dataProvider = "fleets")
-    public void gatewaysWhoseWatchesBreakTogetherCallAgainOverSeconds(int gateways) {
-        int[] inTenths = new int[60];
+    public void spreadsCallsOfAllGatewaysWhenTheirWatchesBreakTogether(int gateways) {
+        int[] callsPer100Ms = new int[60];
         for (int seed = 0; seed < gateways; seed++) {
-            PollSchedule pace = PollSchedule.of(polled(gateways), new SplittableRandom(seed));
-            inTenths[(int) wait(pace, 0) / 100]++;
+            PollSchedule schedule = PollSchedule.of(polled(gateways), new SplittableRandom(seed));
+            callsPer100Ms[(int) wait(schedule, 0) / 100]++;
         }
-        int max = IntStream.of(inTenths).max().orElseThrow();
+        int max = IntStream.of(callsPer100Ms).max().orElseThrow();
         assertTrue(max <= gateways / 5, max + " of " + gateways + " calls within 100 ms");
     }
 
     /** Guards against a bound of the wait that makes all gateways call at the same time after a failure of any kind. */
     @Test(dataProvider = "fleets")
-    public void gatewaysThatFailedTogetherDoNotCallAgainTogether(int gateways) {
+    public void spreadsCallsOfAllGatewaysAfterRepeatedFailures(int gateways) {
         PollSchedule first = PollSchedule.of(polled(gateways), new SplittableRandom(0));
         for (double failedAfterMs : failuresMs(first)) {
             Set<Double> waits = new HashSet<>();
-            double mean = 0;
+            double meanMs = 0;
             for (int seed = 0; seed < gateways; seed++) {
-                PollSchedule pace = PollSchedule.of(polled(gateways), new SplittableRandom(seed));
+                PollSchedule schedule = PollSchedule.of(polled(gateways), new SplittableRandom(seed));
                 for (int failed = 0; failed < 6; failed++) {
-                    wait(pace, failedAfterMs);
+                    wait(schedule, failedAfterMs);
                 }
-                double wait = wait(pace, failedAfterMs);
-                mean += wait / gateways;
+                double wait = wait(schedule, failedAfterMs);
+                meanMs += wait / gateways;
                 waits.add(wait);
             }
             // Each gateway calls less than once in 2.5 s, at times drawn from a range of at least 333 ms.
             assertTrue(
-                    failedAfterMs + mean > 2500,
-                    "a call failed after " + failedAfterMs + " ms, mean wait " + mean + " ms");
+                    failedAfterMs + meanMs > 2500,
+                    "a call failed after " + failedAfterMs + " ms, mean wait " + meanMs + " ms");
             assertTrue(waits.size() >= Math.min(gateways, 333) / 2, waits.size() + " distinct waits of " + gateways);
         }
     }
@@ -175,35 +181,39 @@
      * stop sends.
      */
     @Test(dataProvider = "graces")
-    public void aPushedChangeIsRequestedWithinTheGrace(int graceMs) {
+    public void callsAgentWithinDrainGraceAfterAnyFailures(int graceMs) {
         for (int seed = 0; seed < 50; seed++) {
-            PollSchedule pace = PollSchedule.of(pushed(graceMs), new SplittableRandom(seed));
-            for (double failedAfterMs : failuresMs(pace)) {
+            PollSchedule schedule = PollSchedule.of(pushed(graceMs), new SplittableRandom(seed));
+            for (double failedAfterMs : failuresMs(schedule)) {
                 for (int failed = 0; failed < 20; failed++) {
                     assertTrue(
-                            failedAfterMs + wait(pace, failedAfterMs) <= 0.8 * graceMs,
+                            failedAfterMs + wait(schedule, failedAfterMs) <= 0.8 * graceMs,
                             "a call failed after " + failedAfterMs + " ms");
                 }
             }
-            assertTrue(pace.freshMs() <= 0.3 * graceMs && pace.lateMs() <= 0.4 * graceMs, pace + "");
+            assertTrue(schedule.freshMs() <= 0.3 * graceMs && schedule.lateMs() <= 0.4 * graceMs, schedule + "");
         }
     }
 
     /** Without a grace in the settings there is a default; even a grace of 0 ms gives positive times. */
     @Test
-    public void aGraceIsNeverNone() {
+    public void usesPositiveTimesWhenGraceIsAbsentOrZero() {
         assertEquals(settings().obligations().drainGraceMs(), DecisionSettings.Obligations.DEFAULT_DRAIN_GRACE_MS);
-        PollSchedule pace = PollSchedule.of(pushed(0), new SplittableRandom(1));
-        assertTrue(pace.waitMs() > 0 && pace.silenceMs() > 0 && pace.backoff().next(1) == 1, pace + "");
+        PollSchedule schedule = PollSchedule.of(pushed(0), new SplittableRandom(1));
+        assertTrue(
+                schedule.waitMs() > 0
+                        && schedule.silenceMs() > 0
+                        && schedule.backoff().next(1) == 1,
+                schedule + "");
     }
 
     /** The reaction of discovery to a call. */
-    private interface Action {
-        void to(NetSocket line);
+    private interface Reaction {
+        void apply(NetSocket connection);
     }
 
-    private static Action says(String bytes) {
-        return line -> line.write(bytes);
+    private static Reaction respond(String bytes) {
+        return connection -> connection.write(bytes);
     }
 
     private static String ok(String body) {
@@ -212,22 +222,22 @@
 
     @DataProvider
     public Object[][] failures() {
-        String list = ok("{\"index\":4,\"snapshot\":true,\"endpoints\":[" + NODE + "]}");
+        String list = ok("{\"index\":4,\"snapshot\":true,\"endpoints\":[" + ENDPOINT + "]}");
         String half = list.substring(0, list.length() - 9);
         return new Object[][] {
-            {"rejected", says("HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n")},
+            {"rejected", respond("HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n")},
             {
                 "rejected, with a body that never ends",
-                says("HTTP/1.1 503 Service Unavailable\r\nContent-Length: 9\r\n\r\nno")
+                respond("HTTP/1.1 503 Service Unavailable\r\nContent-Length: 9\r\n\r\nno")
             },
-            {"truncated list", says(ok("{\"index\":4,\"snapshot\":true,\"endp"))},
-            {"response stalls in the middle", says(half)},
+            {"truncated list", respond(ok("{\"index\":4,\"snapshot\":true,\"endp"))},
+            {"response stalls in the middle", respond(half)},
             {
                 "connection closed in the middle of the response",
-                (Action) line -> line.write(half).onComplete(written -> line.close())
+                (Reaction) connection -> connection.write(half).onComplete(written -> connection.close())
             },
-            {"connection closed before the response", (Action) NetSocket::close},
-            {"no response", (Action) line -> {}},
+            {"connection closed before the response", (Reaction) NetSocket::close},
+            {"no response", (Reaction) connection -> {}},
         };
     }
 
@@ -236,18 +246,18 @@
      * several failures of each kind, and so must the response of the watch that follows it.
      */
     @Test(dataProvider = "failures")
-    public void theNextCallIsMadeInTime(String kind, Action failure) throws Exception {
+    public void callsAgainWithinBoundAfterFailure(String kind, Reaction failure) throws Exception {
         AtomicInteger calls = new AtomicInteger();
         int port = vertx.createNetServer()
-                .connectHandler(line -> line.handler(call -> {
+                .connectHandler(connection -> connection.handler(call -> {
                     int number = calls.incrementAndGet();
                     if (number == FAILURES + 1) {
-                        line.write(ok("{\"index\":4,\"snapshot\":true,\"endpoints\":[" + NODE + "]}"));
+                        connection.write(ok("{\"index\":4,\"snapshot\":true,\"endpoints\":[" + ENDPOINT + "]}"));
                     } else if (number == 2 * FAILURES + 2) {
-                        line.write(ok("{\"index\":5,\"snapshot\":false,\"endpoints\":["
-                                + NODE.replace("\"up\"", "\"draining\"") + "]}"));
+                        connection.write(ok("{\"index\":5,\"snapshot\":false,\"endpoints\":["
+                                + ENDPOINT.replace("\"up\"", "\"draining\"") + "]}"));
                     } else {
-                        failure.to(line);
+                        failure.apply(connection);
                     }
                 }))
                 .listen(0, "127.0.0.1")
@@ -256,37 +266,37 @@
                 .get(20, TimeUnit.SECONDS)
                 .actualPort();
         CompletableFuture<Backend> drained = new CompletableFuture<>();
-        follow(port, (whole, lines, discoveryNow) -> lines.stream()
-                .filter(line -> line.endpoint().state() == EndpointState.DRAINING)
+        startClient(port, (isComplete, backends, discoveryNowMs) -> backends.stream()
+                .filter(backend -> backend.endpoint().state() == EndpointState.DRAINING)
                 .forEach(drained::complete));
         assertEquals(drained.get(20, TimeUnit.SECONDS).name(), "s-1", kind);
     }
 
     /** Nothing listens at the address of discovery. */
     @Test
-    public void theNextCallIsMadeInTimeWhereConnectionsAreRefused() throws Exception {
+    public void callsAgainWithinBoundWhenConnectionsAreRefused() throws Exception {
         CountDownLatch failed = new CountDownLatch(FAILURES);
         int port;
         try (ServerSocket closed = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
             port = closed.getLocalPort();
         }
-        follow(port, new DiscoveryClient.Listener() {
+        startClient(port, new DiscoveryClient.Listener() {
             @Override
-            public void endpointsReceived(boolean whole, List<Backend> lines, double discoveryNow) {}
+            public void endpointsReceived(boolean isComplete, List<Backend> backends, double discoveryNowMs) {}
 
             @Override
-            public void callFailed(boolean refused) {
+            public void callFailed(boolean isInvalid) {
                 failed.countDown();
             }
         });
         assertTrue(failed.await(20, TimeUnit.SECONDS), failed.getCount() + " more failed calls expected");
     }
 
-    private void follow(int port, DiscoveryClient.Listener listener) {
+    private void startClient(int port, DiscoveryClient.Listener listener) {
         double hourMs = TimeUnit.HOURS.toMillis(1);
-        Backoff grown = new Backoff(hourMs, hourMs, new SplittableRandom(1));
-        PollSchedule pace = new PollSchedule(20, 150, 0, grown, 250, Long.MAX_VALUE, Long.MAX_VALUE);
+        Backoff hourlyBackoff = new Backoff(hourMs, hourMs, new SplittableRandom(1));
+        PollSchedule schedule = new PollSchedule(20, 150, 0, hourlyBackoff, 250, Long.MAX_VALUE, Long.MAX_VALUE);
         vertx.runOnContext(
-                start -> new DiscoveryClient(vertx, new HostAndPort("127.0.0.1", port), pace, listener).start());
+                start -> new DiscoveryClient(vertx, new HostAndPort("127.0.0.1", port), schedule, listener).start());
     }
 }
--- a/gateway/src/test/java/opalcove/discovery/DiscoveryClientTest.java
+++ b/gateway/src/test/java/opalcove/discovery/DiscoveryClientTest.java
@@ -42,12 +42,13 @@
  * calls.
  */
 public class DiscoveryClientTest {
-    private static final String NODE = "{\"name\":\"s-1\",\"address\":\"127.0.0.1:1\",\"zone\":\"a\",\"type\":\"m\","
-            + "\"group\":0,\"status\":\"up\",\"weight\":1.0,\"since_ms\":0}";
+    private static final String ENDPOINT =
+            "{\"name\":\"s-1\",\"address\":\"127.0.0.1:1\",\"zone\":\"a\",\"type\":\"m\","
+                    + "\"group\":0,\"status\":\"up\",\"weight\":1.0,\"since_ms\":0}";
 
     private Vertx vertx;
     /** The event loop of the client that was started last. */
-    private volatile Context loop;
+    private volatile Context eventLoop;
 
     @BeforeMethod
     public void open() {
@@ -60,10 +61,10 @@
     }
 
     /** Draws the shortest possible waits, to keep the test short, and records each draw as an event. */
-    private record Shortest(Queue<String> told) implements RandomGenerator {
+    private record ShortestWaits(Queue<String> events) implements RandomGenerator {
         @Override
         public long nextLong() {
-            told.add("waits");
+            events.add("waits");
             return 0;
         }
     }
@@ -79,21 +80,21 @@
      * machine is called without delay.
      */
     @Test
-    public void onlyAPolledListIsPolledWithSpread() {
-        DecisionSettings one = settings("on_request");
-        DecisionSettings agent = settings("pushed");
-        Set<Long> starts = new HashSet<>();
+    public void spreadsAndSlowsCallsOnlyWhenListIsPolled() {
+        DecisionSettings polledSettings = settings("on_request");
+        DecisionSettings pushedSettings = settings("pushed");
+        Set<Long> firstCallsAfterMs = new HashSet<>();
         for (int seed = 0; seed < 14; seed++) {
-            PollSchedule polled = PollSchedule.of(one, new SplittableRandom(seed));
-            starts.add(polled.firstAfterMs());
+            PollSchedule polled = PollSchedule.of(polledSettings, new SplittableRandom(seed));
+            firstCallsAfterMs.add(polled.firstAfterMs());
             IntStream.range(0, 6).forEach(i -> polled.backoff().next());
             assertTrue(polled.backoff().next() >= 1600);
-            PollSchedule pushed = PollSchedule.of(agent, new SplittableRandom(seed));
+            PollSchedule pushed = PollSchedule.of(pushedSettings, new SplittableRandom(seed));
             assertEquals(pushed.firstAfterMs(), 0);
             IntStream.range(0, 6).forEach(i -> pushed.backoff().next());
             assertTrue(pushed.backoff().next() <= 300);
         }
-        assertTrue(starts.size() >= 10, "delays of the first calls: " + starts);
+        assertTrue(firstCallsAfterMs.size() >= 10, "delays of the first calls: " + firstCallsAfterMs);
     }
 
     /**
@@ -102,10 +103,10 @@
      * sends have to stop. A polled list must be known 6 s after its watch became silent.
      */
     @Test
-    public void aSilentWatchIsOpenedAnewBeforeWhatItMissedHasToBeKnown() {
+    public void callsAgainBeforeMissedChangeMustBeKnownWhenWatchIsSilent() {
         for (int seed = 0; seed < 14; seed++) {
-            assertTrue(longestGap(PollSchedule.of(settings("pushed"), new SplittableRandom(seed))) < 1000);
-            assertTrue(longestGap(PollSchedule.of(settings("on_request"), new SplittableRandom(seed))) < 6000);
+            assertTrue(longestGapMs(PollSchedule.of(settings("pushed"), new SplittableRandom(seed))) < 1000);
+            assertTrue(longestGapMs(PollSchedule.of(settings("on_request"), new SplittableRandom(seed))) < 6000);
         }
     }
 
@@ -114,18 +115,18 @@
      * the agent learns when it returns. A connection that was attempted before that may never be established.
      */
     @Test
-    public void afterALongSilenceAPushedListIsReceivedWithinTheSecond() {
+    public void callsAgentWithinOneSecondAfterLongSilence() {
         for (int seed = 0; seed < 14; seed++) {
-            PollSchedule pace = PollSchedule.of(settings("pushed"), new SplittableRandom(seed));
+            PollSchedule schedule = PollSchedule.of(settings("pushed"), new SplittableRandom(seed));
             for (int failed = 0; failed < 50; failed++) {
-                assertTrue(longestGap(pace) < 1000);
+                assertTrue(longestGapMs(schedule) < 1000);
             }
         }
     }
 
-    private static double longestGap(PollSchedule pace) {
-        return Math.max(pace.connectMs(), pace.waitMs() + pace.silenceMs())
-                + pace.backoff().next();
+    private static double longestGapMs(PollSchedule schedule) {
+        return Math.max(schedule.connectTimeoutMs(), schedule.waitMs() + schedule.silenceMs())
+                + schedule.backoff().next();
     }
 
     /**
@@ -133,55 +134,56 @@
      * attempted again.
      */
     @Test
-    public void aConnectionThatNeverComesUpIsAbandonedWithinTheSilence() throws Exception {
-        Queue<Boolean> untold = new ConcurrentLinkedQueue<>();
-        Queue<Long> at = new ConcurrentLinkedQueue<>();
-        CompletableFuture<Void> again = new CompletableFuture<>();
-        CountDownLatch listed = new CountDownLatch(1);
+    public void retriesConnectionAfterSilenceMsWhenBacklogIsFull() throws Exception {
+        Queue<Boolean> failures = new ConcurrentLinkedQueue<>();
+        Queue<Long> failedAtNanos = new ConcurrentLinkedQueue<>();
+        CompletableFuture<Void> failedFourTimes = new CompletableFuture<>();
+        CountDownLatch listReceived = new CountDownLatch(1);
         int silenceMs = 600;
         try (ServerSocket agent = new ServerSocket(0, 1, InetAddress.getByName("127.0.0.1"))) {
             agent.setSoTimeout(20_000);
-            PollSchedule pace = new PollSchedule(10_000, silenceMs, 0, new Backoff(1, 2, new SplittableRandom(1)));
-            assertEquals(pace.connectMs(), silenceMs);
-            watch(agent.getLocalPort(), pace, new DiscoveryClient.Listener() {
+            PollSchedule schedule = new PollSchedule(10_000, silenceMs, 0, new Backoff(1, 2, new SplittableRandom(1)));
+            assertEquals(schedule.connectTimeoutMs(), silenceMs);
+            startClient(agent.getLocalPort(), schedule, new DiscoveryClient.Listener() {
                 @Override
-                public void endpointsReceived(boolean whole, List<Backend> lines, double discoveryNow) {
-                    listed.countDown();
+                public void endpointsReceived(boolean isComplete, List<Backend> backends, double discoveryNowMs) {
+                    listReceived.countDown();
                 }
 
                 @Override
-                public void callFailed(boolean refused) {
-                    untold.add(refused);
-                    at.add(System.nanoTime());
-                    if (untold.size() == 4) {
-                        again.complete(null);
+                public void callFailed(boolean isInvalid) {
+                    failures.add(isInvalid);
+                    failedAtNanos.add(System.nanoTime());
+                    if (failures.size() == 4) {
+                        failedFourTimes.complete(null);
                     }
                 }
             });
-            List<Socket> full = new ArrayList<>();
-            try (Socket line = agent.accept()) {
-                call(line);
+            List<Socket> fillers = new ArrayList<>();
+            try (Socket connection = agent.accept()) {
+                call(connection);
                 // Once the queue of this listener is full, the kernel no longer answers a SYN.
                 for (int i = 0; i < 4; i++) {
                     Socket filler = new Socket();
-                    full.add(filler);
+                    fillers.add(filler);
                     try {
                         filler.connect(agent.getLocalSocketAddress(), 100);
                     } catch (SocketTimeoutException e) {
                         break;
                     }
                 }
-                String list = "{\"index\":4,\"snapshot\":true,\"endpoints\":[" + NODE + "]}";
-                line.getOutputStream()
+                String list = "{\"index\":4,\"snapshot\":true,\"endpoints\":[" + ENDPOINT + "]}";
+                connection
+                        .getOutputStream()
                         .write(("HTTP/1.1 200 OK\r\nContent-Length: " + list.length() + "\r\n\r\n" + list)
                                 .getBytes(StandardCharsets.US_ASCII));
-                call(line);
+                call(connection);
             }
             // The first failure is the end of the watch; the later ones are connections that were not established.
-            again.get(20, TimeUnit.SECONDS);
-            assertEquals(listed.getCount(), 0);
-            assertEquals(List.copyOf(untold).subList(0, 4), Collections.nCopies(4, false));
-            List<Long> ends = List.copyOf(at);
+            failedFourTimes.get(20, TimeUnit.SECONDS);
+            assertEquals(listReceived.getCount(), 0);
+            assertEquals(List.copyOf(failures).subList(0, 4), Collections.nCopies(4, false));
+            List<Long> ends = List.copyOf(failedAtNanos);
             // The bound is the required second. The shortest of three attempts is compared, so that a single stall of
             // the machine does not fail the test.
             assertTrue(
@@ -191,7 +193,7 @@
                                     .orElseThrow()
                             < TimeUnit.SECONDS.toNanos(1),
                     "failed at (ns): " + ends);
-            for (Socket filler : full) {
+            for (Socket filler : fillers) {
                 filler.close();
             }
         }
@@ -202,41 +204,42 @@
      * requested.
      */
     @Test
-    public void changesThatGoBackwardsAreRejectedAndTheCompleteListIsRequested() throws Exception {
+    public void requestsCompleteListWhenChangesHaveOlderVersion() throws Exception {
         Queue<String> calls = new ConcurrentLinkedQueue<>();
-        Queue<String> told = new ConcurrentLinkedQueue<>();
-        Queue<Boolean> untold = new ConcurrentLinkedQueue<>();
-        CompletableFuture<Void> over = new CompletableFuture<>();
-        String draining = NODE.replace("\"up\"", "\"draining\"");
-        Queue<String> answers = new ConcurrentLinkedQueue<>(List.of(
-                "{\"index\":4,\"snapshot\":true,\"endpoints\":[" + NODE + "]}",
+        Queue<String> received = new ConcurrentLinkedQueue<>();
+        Queue<Boolean> failures = new ConcurrentLinkedQueue<>();
+        CompletableFuture<Void> done = new CompletableFuture<>();
+        String draining = ENDPOINT.replace("\"up\"", "\"draining\"");
+        Queue<String> responses = new ConcurrentLinkedQueue<>(List.of(
+                "{\"index\":4,\"snapshot\":true,\"endpoints\":[" + ENDPOINT + "]}",
                 "{\"index\":6,\"snapshot\":false,\"endpoints\":[" + draining + "]}",
-                "{\"index\":5,\"snapshot\":false,\"endpoints\":[" + NODE + "]}",
+                "{\"index\":5,\"snapshot\":false,\"endpoints\":[" + ENDPOINT + "]}",
                 "{\"index\":7,\"snapshot\":true,\"endpoints\":[" + draining + "]}"));
         int port = serve(call -> {
             calls.add(call.uri().replaceAll("&.*", ""));
-            String answer = answers.poll();
-            if (answer == null) {
-                over.complete(null);
+            String response = responses.poll();
+            if (response == null) {
+                done.complete(null);
             } else {
-                call.response().end(answer);
+                call.response().end(response);
             }
         });
-        watch(
+        startClient(
                 port,
                 new PollSchedule(10_000, 20_000, 0, new Backoff(1, 2, new SplittableRandom(1))),
                 new DiscoveryClient.Listener() {
                     @Override
-                    public void endpointsReceived(boolean whole, List<Backend> lines, double discoveryNow) {
-                        lines.forEach(line -> told.add(line.endpoint().state().name()));
+                    public void endpointsReceived(boolean isComplete, List<Backend> backends, double discoveryNowMs) {
+                        backends.forEach(backend ->
+                                received.add(backend.endpoint().state().name()));
                     }
 
                     @Override
-                    public void callFailed(boolean refused) {
-                        untold.add(refused);
+                    public void callFailed(boolean isInvalid) {
+                        failures.add(isInvalid);
                     }
                 });
-        over.get(20, TimeUnit.SECONDS);
+        done.get(20, TimeUnit.SECONDS);
         assertEquals(
                 List.copyOf(calls),
                 List.of(
@@ -245,32 +248,32 @@
                         "/v1/endpoints?since=6",
                         "/v1/endpoints",
                         "/v1/endpoints?since=7"));
-        assertEquals(List.copyOf(told), List.of("UP", "DRAINING", "DRAINING"));
-        assertEquals(List.copyOf(untold), List.of(true));
+        assertEquals(List.copyOf(received), List.of("UP", "DRAINING", "DRAINING"));
+        assertEquals(List.copyOf(failures), List.of(true));
     }
 
     /** Two watches get no response: the client must watch again and receive the drain that happened meanwhile. */
     @Test
-    public void whatASilentWatchMissedIsReceivedByTheNext() throws Exception {
+    public void receivesMissedDrainAfterSilentWatches() throws Exception {
         Queue<String> watches = new ConcurrentLinkedQueue<>();
         CompletableFuture<Backend> drained = new CompletableFuture<>();
         int port = serve(call -> {
             if (!call.uri().contains("since")) {
-                call.response().end("{\"index\":4,\"snapshot\":true,\"endpoints\":[" + NODE + "]}");
+                call.response().end("{\"index\":4,\"snapshot\":true,\"endpoints\":[" + ENDPOINT + "]}");
                 return;
             }
             watches.add(call.uri());
             if (watches.size() == 3) {
                 call.response()
-                        .end("{\"index\":5,\"snapshot\":false,\"endpoints\":[" + NODE.replace("\"up\"", "\"draining\"")
-                                + "]}");
+                        .end("{\"index\":5,\"snapshot\":false,\"endpoints\":["
+                                + ENDPOINT.replace("\"up\"", "\"draining\"") + "]}");
             }
         });
-        watch(
+        startClient(
                 port,
                 new PollSchedule(20, 500, 0, new Backoff(1, 2, new SplittableRandom(1))),
-                (whole, lines, discoveryNow) -> lines.stream()
-                        .filter(line -> line.endpoint().state() == EndpointState.DRAINING)
+                (isComplete, backends, discoveryNowMs) -> backends.stream()
+                        .filter(backend -> backend.endpoint().state() == EndpointState.DRAINING)
                         .forEach(drained::complete));
         assertEquals(drained.get(20, TimeUnit.SECONDS).name(), "s-1");
         assertEquals(List.copyOf(watches).subList(0, 3), Collections.nCopies(3, "/v1/endpoints?since=4&timeout_ms=20"));
@@ -281,44 +284,44 @@
      * smaller.
      */
     @Test
-    public void aLateResponseOfTheFormerDiscoveryIsIgnored() throws Exception {
+    public void ignoresLateResponseOfFormerDiscoveryAfterMove() throws Exception {
         CompletableFuture<HttpServerRequest> watched = new CompletableFuture<>();
-        CompletableFuture<Void> answeredLate = new CompletableFuture<>();
-        Queue<String> told = new ConcurrentLinkedQueue<>();
-        int old = serve(call -> {
+        CompletableFuture<Void> lateResponseSent = new CompletableFuture<>();
+        Queue<String> received = new ConcurrentLinkedQueue<>();
+        int formerPort = serve(call -> {
             if (call.uri().contains("since")) {
                 watched.complete(call);
             } else {
-                call.response().end("{\"index\":40,\"snapshot\":true,\"endpoints\":[" + NODE + "]}");
+                call.response().end("{\"index\":40,\"snapshot\":true,\"endpoints\":[" + ENDPOINT + "]}");
             }
         });
-        CompletableFuture<String> second = new CompletableFuture<>();
-        int elsewhere = serve(call -> {
+        CompletableFuture<String> watchedAfterMove = new CompletableFuture<>();
+        int newPort = serve(call -> {
             if (call.uri().contains("since")) {
-                second.complete(call.uri());
+                watchedAfterMove.complete(call.uri());
             } else {
                 // The former discovery responds first.
                 watched.join()
                         .response()
-                        .end("{\"index\":41,\"snapshot\":true,\"endpoints\":[" + NODE.replace("s-1", "s-2") + "]}")
+                        .end("{\"index\":41,\"snapshot\":true,\"endpoints\":[" + ENDPOINT.replace("s-1", "s-2") + "]}")
                         .onComplete(written -> {
-                            answeredLate.complete(null);
+                            lateResponseSent.complete(null);
                             call.response()
                                     .end("{\"index\":3,\"snapshot\":true,\"endpoints\":["
-                                            + NODE.replace("\"up\"", "\"draining\"") + "]}");
+                                            + ENDPOINT.replace("\"up\"", "\"draining\"") + "]}");
                         });
             }
         });
-        DiscoveryClient watch = watch(
-                old,
+        DiscoveryClient client = startClient(
+                formerPort,
                 new PollSchedule(10_000, 20_000, 0, new Backoff(1, 2, new SplittableRandom(1))),
-                (whole, lines, discoveryNow) -> lines.forEach(
-                        line -> told.add(line.name() + " " + line.endpoint().state())));
+                (isComplete, backends, discoveryNowMs) -> backends.forEach(backend ->
+                        received.add(backend.name() + " " + backend.endpoint().state())));
         watched.get(20, TimeUnit.SECONDS);
-        vertx.runOnContext(move -> watch.moveTo(new HostAndPort("127.0.0.1", elsewhere)));
-        assertEquals(second.get(20, TimeUnit.SECONDS), "/v1/endpoints?since=3&timeout_ms=10000");
-        assertTrue(answeredLate.isDone());
-        assertEquals(List.copyOf(told), List.of("s-1 UP", "s-1 DRAINING"));
+        vertx.runOnContext(run -> client.moveTo(new HostAndPort("127.0.0.1", newPort)));
+        assertEquals(watchedAfterMove.get(20, TimeUnit.SECONDS), "/v1/endpoints?since=3&timeout_ms=10000");
+        assertTrue(lateResponseSent.isDone());
+        assertEquals(List.copyOf(received), List.of("s-1 UP", "s-1 DRAINING"));
     }
 
     /**
@@ -326,36 +329,37 @@
      * abandoned.
      */
     @Test
-    public void aProcessThatWasHeldUpDoesNotTakeItsOwnSlownessForSilence() throws Exception {
+    public void readsPendingResponseWhenProcessWasStalledLongerThanSilenceMs() throws Exception {
         int silenceMs = 300;
         CompletableFuture<Backend> received = new CompletableFuture<>();
         try (ServerSocket discovery = new ServerSocket(0, 8, InetAddress.getByName("127.0.0.1"))) {
             discovery.setSoTimeout(20_000);
-            watch(
+            startClient(
                     discovery.getLocalPort(),
                     new PollSchedule(10_000, silenceMs, 0, new Backoff(1, 2, new SplittableRandom(1))),
-                    (whole, lines, discoveryNow) -> received.complete(lines.get(0)));
-            try (Socket line = discovery.accept()) {
-                assertEquals(call(line), "GET /v1/endpoints HTTP/1.1");
-                CountDownLatch held = new CountDownLatch(1);
-                CountDownLatch goOn = new CountDownLatch(1);
-                loop.runOnContext(hold -> {
-                    held.countDown();
+                    (isComplete, backends, discoveryNowMs) -> received.complete(backends.get(0)));
+            try (Socket connection = discovery.accept()) {
+                assertEquals(call(connection), "GET /v1/endpoints HTTP/1.1");
+                CountDownLatch isBlocked = new CountDownLatch(1);
+                CountDownLatch unblock = new CountDownLatch(1);
+                eventLoop.runOnContext(run -> {
+                    isBlocked.countDown();
                     try {
-                        goOn.await();
+                        unblock.await();
                     } catch (InterruptedException e) {
                         Thread.currentThread().interrupt();
                     }
                 });
-                held.await();
-                String list = "{\"index\":4,\"snapshot\":true,\"endpoints\":[" + NODE + "]}";
-                line.getOutputStream()
+                isBlocked.await();
+                String list = "{\"index\":4,\"snapshot\":true,\"endpoints\":[" + ENDPOINT + "]}";
+                connection
+                        .getOutputStream()
                         .write(("HTTP/1.1 200 OK\r\nContent-Length: " + list.length() + "\r\n\r\n" + list)
                                 .getBytes(StandardCharsets.US_ASCII));
                 Thread.sleep(2 * silenceMs);
-                goOn.countDown();
+                unblock.countDown();
                 // The watch continues on the same connection.
-                assertEquals(call(line), "GET /v1/endpoints?since=4&timeout_ms=10000 HTTP/1.1");
+                assertEquals(call(connection), "GET /v1/endpoints?since=4&timeout_ms=10000 HTTP/1.1");
                 assertTrue(received.isDone());
             }
         }
@@ -365,33 +369,33 @@
      * The client must become ready with the list, or when discovery rejects calls, but not while a call is in flight.
      */
     @Test
-    public void readyIsReachedByTheListOrByTheLackOfAResponse() throws Exception {
-        CompletableFuture<HttpServerRequest> held = new CompletableFuture<>();
-        Queue<Backend> told = new ConcurrentLinkedQueue<>();
-        DiscoveryClient watch = watch(
+    public void becomesReadyWithListOrWhenDiscoveryRejectsCalls() throws Exception {
+        CompletableFuture<HttpServerRequest> firstCall = new CompletableFuture<>();
+        Queue<Backend> receivedBackends = new ConcurrentLinkedQueue<>();
+        DiscoveryClient client = startClient(
                 serve(call -> {
-                    if (!held.complete(call)) {
+                    if (!firstCall.complete(call)) {
                         call.response().end("{\"index\":4,\"snapshot\":false,\"endpoints\":[]}");
                     }
                 }),
                 new PollSchedule(10_000, 20_000, 0, new Backoff(1, 2, new SplittableRandom(1))),
-                (whole, lines, discoveryNow) -> told.addAll(lines));
-        HttpServerRequest call = held.get(20, TimeUnit.SECONDS);
-        assertFalse(watch.whenReady(true).isComplete(), "ready while the first call is in flight");
-        call.response().end("{\"index\":4,\"snapshot\":true,\"endpoints\":[" + NODE + "]}");
-        watch.whenReady(true).toCompletionStage().toCompletableFuture().get(20, TimeUnit.SECONDS);
-        assertEquals(told.size(), 1);
-        Queue<String> refused = new ConcurrentLinkedQueue<>();
-        DiscoveryClient away = watch(
-                serve(each -> {
-                    refused.add(each.uri());
-                    each.response().setStatusCode(503).end();
+                (isComplete, backends, discoveryNowMs) -> receivedBackends.addAll(backends));
+        HttpServerRequest call = firstCall.get(20, TimeUnit.SECONDS);
+        assertFalse(client.whenReady(true).isComplete(), "ready while the first call is in flight");
+        call.response().end("{\"index\":4,\"snapshot\":true,\"endpoints\":[" + ENDPOINT + "]}");
+        client.whenReady(true).toCompletionStage().toCompletableFuture().get(20, TimeUnit.SECONDS);
+        assertEquals(receivedBackends.size(), 1);
+        Queue<String> rejected = new ConcurrentLinkedQueue<>();
+        DiscoveryClient rejectedClient = startClient(
+                serve(rejectedCall -> {
+                    rejected.add(rejectedCall.uri());
+                    rejectedCall.response().setStatusCode(503).end();
                 }),
                 new PollSchedule(10_000, 20_000, 0, new Backoff(1, 2, new SplittableRandom(1))),
-                (whole, lines, discoveryNow) -> told.addAll(lines));
-        away.whenReady(true).toCompletionStage().toCompletableFuture().get(20, TimeUnit.SECONDS);
-        assertTrue(refused.size() >= 2, "rejected calls: " + refused);
-        assertEquals(told.size(), 1);
+                (isComplete, backends, discoveryNowMs) -> receivedBackends.addAll(backends));
+        rejectedClient.whenReady(true).toCompletionStage().toCompletableFuture().get(20, TimeUnit.SECONDS);
+        assertTrue(rejected.size() >= 2, "rejected calls: " + rejected);
+        assertEquals(receivedBackends.size(), 1);
     }
 
     /**
@@ -399,7 +403,7 @@
      * since then must be requested, without a wait, before the client is ready.
      */
     @Test
-    public void aListThatTookLongToArriveDoesNotMakeReady() throws Exception {
+    public void requestsLaterChangesBeforeReadyWhenFirstListIsLate() throws Exception {
         Queue<String> calls = new ConcurrentLinkedQueue<>();
         assertEquals(knownWhenReady(true, calls), List.of("UP", "DRAINING"));
         assertEquals(List.copyOf(calls).subList(0, 2), List.of("/v1/endpoints", "/v1/endpoints?since=4&timeout_ms=1"));
@@ -410,7 +414,7 @@
      * extra call is made to it.
      */
     @Test
-    public void anyListOfOneServiceMakesReady() throws Exception {
+    public void becomesReadyWithAnyListWhenFreshListIsNotRequired() throws Exception {
         Queue<String> calls = new ConcurrentLinkedQueue<>();
         assertEquals(knownWhenReady(false, calls), List.of("UP"));
         assertFalse(calls.contains("/v1/endpoints?since=4&timeout_ms=1"), "calls: " + calls);
@@ -420,30 +424,30 @@
      * Returns the states received until the client is ready, if the first list is delayed and its backend drained
      * meanwhile.
      */
-    private List<String> knownWhenReady(boolean fresh, Queue<String> calls) throws Exception {
-        Queue<String> told = new ConcurrentLinkedQueue<>();
+    private List<String> knownWhenReady(boolean freshListOnly, Queue<String> calls) throws Exception {
+        Queue<String> received = new ConcurrentLinkedQueue<>();
         int port = serve(call -> {
             calls.add(call.uri());
             if (calls.size() == 1) {
                 // Delayed for longer than the time in which a list is fresh.
                 vertx.setTimer(400, late -> call.response()
-                        .end("{\"index\":4,\"snapshot\":true,\"endpoints\":[" + NODE + "]}"));
+                        .end("{\"index\":4,\"snapshot\":true,\"endpoints\":[" + ENDPOINT + "]}"));
             } else {
                 call.response()
                         .end("{\"index\":5,\"snapshot\":false,\"endpoints\":["
-                                + (calls.size() == 2 ? NODE.replace("\"up\"", "\"draining\"") : "") + "]}");
+                                + (calls.size() == 2 ? ENDPOINT.replace("\"up\"", "\"draining\"") : "") + "]}");
             }
         });
         CompletableFuture<List<String>> knownWhenReady = new CompletableFuture<>();
         vertx.runOnContext(start -> {
-            DiscoveryClient watch = new DiscoveryClient(
+            DiscoveryClient client = new DiscoveryClient(
                     vertx,
                     new HostAndPort("127.0.0.1", port),
                     new PollSchedule(10_000, 20_000, 0, new Backoff(1, 2, new SplittableRandom(1))),
-                    (whole, lines, discoveryNow) -> lines.forEach(
-                            line -> told.add(line.endpoint().state().name())));
-            watch.whenReady(fresh).onSuccess(word -> knownWhenReady.complete(List.copyOf(told)));
-            watch.start();
+                    (isComplete, backends, discoveryNowMs) -> backends.forEach(
+                            backend -> received.add(backend.endpoint().state().name())));
+            client.whenReady(freshListOnly).onSuccess(ready -> knownWhenReady.complete(List.copyOf(received)));
+            client.start();
         });
         return knownWhenReady.get(20, TimeUnit.SECONDS);
     }
@@ -453,45 +457,45 @@
      * list.
      */
     @Test
-    public void aMoveBeforeTheStartLeavesOneWatch() throws Exception {
+    public void watchesNewAddressOnlyWhenMovedBeforeStart() throws Exception {
         Queue<String> calls = new ConcurrentLinkedQueue<>();
         CompletableFuture<Void> watched = new CompletableFuture<>();
-        int elsewhere = serve(call -> {
+        int newPort = serve(call -> {
             calls.add(call.uri().replaceAll("&.*", ""));
             if (call.uri().contains("since")) {
                 watched.complete(null);
             } else {
-                call.response().end("{\"index\":4,\"snapshot\":true,\"endpoints\":[" + NODE + "]}");
+                call.response().end("{\"index\":4,\"snapshot\":true,\"endpoints\":[" + ENDPOINT + "]}");
             }
         });
         vertx.runOnContext(start -> {
-            DiscoveryClient watch = new DiscoveryClient(
+            DiscoveryClient client = new DiscoveryClient(
                     vertx,
                     new HostAndPort("127.0.0.1", 1),
                     new PollSchedule(10_000, 20_000, 0, new Backoff(1, 2, new SplittableRandom(1))),
-                    (whole, lines, discoveryNow) -> {});
-            watch.moveTo(new HostAndPort("127.0.0.1", elsewhere));
-            watch.startFrom(41);
+                    (isComplete, backends, discoveryNowMs) -> {});
+            client.moveTo(new HostAndPort("127.0.0.1", newPort));
+            client.startFrom(41);
         });
         watched.get(20, TimeUnit.SECONDS);
         assertEquals(List.copyOf(calls), List.of("/v1/endpoints", "/v1/endpoints?since=4"));
     }
 
     /** Reads the next call on this connection and returns its request line. */
-    public static String call(Socket line) throws Exception {
-        line.setSoTimeout(20_000);
+    public static String call(Socket connection) throws Exception {
+        connection.setSoTimeout(20_000);
         StringBuilder head = new StringBuilder();
         while (head.indexOf("\r\n\r\n") < 0) {
-            int each = line.getInputStream().read();
-            assertTrue(each >= 0, "the client closed the connection");
-            head.append((char) each);
+            int next = connection.getInputStream().read();
+            assertTrue(next >= 0, "the client closed the connection");
+            head.append((char) next);
         }
         return head.substring(0, head.indexOf("\r\n"));
     }
 
-    private int serve(io.vertx.core.Handler<HttpServerRequest> calls) throws Exception {
+    private int serve(io.vertx.core.Handler<HttpServerRequest> callHandler) throws Exception {
         return vertx.createHttpServer()
-                .requestHandler(calls)
+                .requestHandler(callHandler)
                 .listen(0, "127.0.0.1")
                 .toCompletionStage()
                 .toCompletableFuture()
@@ -499,20 +503,21 @@
                 .actualPort();
     }
 
-    private DiscoveryClient watch(int port, PollSchedule pace, DiscoveryClient.Listener listener) throws Exception {
-        CompletableFuture<DiscoveryClient> watch = new CompletableFuture<>();
+    private DiscoveryClient startClient(int port, PollSchedule schedule, DiscoveryClient.Listener listener)
+            throws Exception {
+        CompletableFuture<DiscoveryClient> client = new CompletableFuture<>();
         vertx.runOnContext(start -> {
-            loop = Vertx.currentContext();
-            watch.complete(new DiscoveryClient(vertx, new HostAndPort("127.0.0.1", port), pace, listener));
-            watch.join().start();
+            eventLoop = Vertx.currentContext();
+            client.complete(new DiscoveryClient(vertx, new HostAndPort("127.0.0.1", port), schedule, listener));
+            client.join().start();
         });
-        return watch.get(20, TimeUnit.SECONDS);
+        return client.get(20, TimeUnit.SECONDS);
     }
 
     @Test
-    public void aRefusedCallIsMadeAgainAfterAGrowingWaitAndAnAnsweredOneAtOnce() throws Exception {
+    public void repeatsRejectedCallAfterWaitAndSuccessfulCallImmediately() throws Exception {
         assertEquals(
-                calls(DiscoveryClient.NO_INDEX),
+                callsAndWaits(DiscoveryClient.NO_INDEX),
                 List.of(
                         "/v1/endpoints",
                         "waits",
@@ -529,9 +534,9 @@
 
     /** After a release, a gateway that knows a version must request a watch only, and never the complete list. */
     @Test
-    public void aKnownVersionIsFollowedByWhatHasChangedSince() throws Exception {
+    public void watchesFromKnownVersionWithoutCompleteList() throws Exception {
         assertEquals(
-                calls(3),
+                callsAndWaits(3),
                 List.of(
                         "/v1/endpoints?since=3",
                         "waits",
@@ -550,23 +555,23 @@
      * Returns the calls and waits, in order, of a client that starts from this version at a service that rejects some
      * calls.
      */
-    private List<String> calls(long known) throws Exception {
-        Queue<String> told = new ConcurrentLinkedQueue<>();
-        Queue<String> answers = new ConcurrentLinkedQueue<>(List.of(
+    private List<String> callsAndWaits(long knownVersion) throws Exception {
+        Queue<String> events = new ConcurrentLinkedQueue<>();
+        Queue<String> responses = new ConcurrentLinkedQueue<>(List.of(
                 "",
                 "",
                 "{torn",
-                "{\"index\":4,\"snapshot\":true,\"endpoints\":[" + NODE + "]}",
-                "{\"index\":5,\"snapshot\":false,\"endpoints\":[" + NODE + "]}",
+                "{\"index\":4,\"snapshot\":true,\"endpoints\":[" + ENDPOINT + "]}",
+                "{\"index\":5,\"snapshot\":false,\"endpoints\":[" + ENDPOINT + "]}",
                 ""));
-        CompletableFuture<Void> over = new CompletableFuture<>();
+        CompletableFuture<Void> done = new CompletableFuture<>();
         HttpServer server = vertx.createHttpServer().requestHandler(call -> {
-            told.add(call.uri().replaceAll("&.*", ""));
-            String answer = answers.poll();
-            if (answer == null) {
-                over.complete(null);
+            events.add(call.uri().replaceAll("&.*", ""));
+            String response = responses.poll();
+            if (response == null) {
+                done.complete(null);
             } else {
-                call.response().setStatusCode(answer.isEmpty() ? 503 : 200).end(answer);
+                call.response().setStatusCode(response.isEmpty() ? 503 : 200).end(response);
             }
         });
         int port = server.listen(0, "127.0.0.1")
@@ -574,22 +579,22 @@
                 .toCompletableFuture()
                 .get(20, TimeUnit.SECONDS)
                 .actualPort();
-        Backoff waits = new Backoff(2, 64, new Shortest(told));
-        Queue<Backend> backends = new ConcurrentLinkedQueue<>();
-        CompletableFuture<Void> first = new CompletableFuture<>();
+        Backoff waits = new Backoff(2, 64, new ShortestWaits(events));
+        Queue<Backend> receivedBackends = new ConcurrentLinkedQueue<>();
+        CompletableFuture<Void> firstList = new CompletableFuture<>();
         vertx.runOnContext(start -> new DiscoveryClient(
                         vertx,
                         new HostAndPort("127.0.0.1", port),
                         new PollSchedule(10_000, 20_000, 1, waits),
-                        (whole, lines, discoveryNow) -> backends.addAll(lines))
-                .startFrom(known)
-                .onSuccess(first::complete));
-        over.get(20, TimeUnit.SECONDS);
-        assertTrue(first.isDone());
-        assertEquals(backends.size(), 2);
+                        (isComplete, backends, discoveryNowMs) -> receivedBackends.addAll(backends))
+                .startFrom(knownVersion)
+                .onSuccess(firstList::complete));
+        done.get(20, TimeUnit.SECONDS);
+        assertTrue(firstList.isDone());
+        assertEquals(receivedBackends.size(), 2);
         // Four waits were drawn; the successful responses between them reset the wait to the shortest.
-        List<String> calls = List.copyOf(told);
+        List<String> callsAndWaits = List.copyOf(events);
         assertEquals(waits.next(), 2);
-        return calls;
+        return callsAndWaits;
     }
 }
