--- a/gateway/src/main/java/opalcove/server/ConfigurationApplier.java
+++ b/gateway/src/main/java/opalcove/server/ConfigurationApplier.java
@@ -13,15 +13,15 @@
 import org.tinylog.Logger;
 
 /**
- * Applies configuration to the gateway: the replicated version in force, or where there is none, the gateway's own file
- * and discovery. Owned by the gateway's event loop.
+ * Applies configuration to the gateway: the replicated version in force or, if there is none, the gateway's own file
+ * and the list from discovery. Owned by the gateway's event loop.
  */
 final class ConfigurationApplier implements DiscoveryClient.Listener {
-    /** How long a voter's first message on the version in force is waited for. */
+    /** The longest wait at the start for a voter to report the version in force. */
     private static final long FIRST_VERSION_MS = 12_000;
 
     private final RequestDispatcher dispatcher;
-    /** The replicated version in force, or null. */
+    /** The replicated configuration in force, or null. */
     private ReplicatedConfig.EffectiveConfig inForce;
 
     ConfigurationApplier(RequestDispatcher dispatcher) {
@@ -29,8 +29,8 @@
     }
 
     /**
-     * Applies what is replicated from now on. Completes once the version in force is known, or after the time in which
-     * it should have been: clients are then accepted without.
+     * Applies the replicated configuration from now on. The future completes once the version in force is known, or
+     * after the time limit for it; clients are then accepted without a replicated version.
      */
     Future<Void> follow(Vertx vertx, ReplicatedConfig replicated, Supplier<List<Member>> presentMembers) {
         dispatcher.beforeEachRequest(() -> {
@@ -49,7 +49,8 @@
                 .onSuccess(started -> vertx.runOnContext(run -> known.tryComplete()));
         vertx.setTimer(FIRST_VERSION_MS, due -> {
             if (known.tryComplete()) {
-                Logger.error("no voter has named the version in force: serving clients by the settings of the file");
+                Logger.error(
+                        "no voter has reported the version in force: serving clients with the settings of the file");
             }
         });
         return known.future();
@@ -67,7 +68,9 @@
         }
     }
 
-    /** After a power loss the list may be older than that: no backend counts as started earlier than this gateway. */
+    /**
+     * Raises the start times to the minimum in force: after a power loss the list may hold start times from before it.
+     */
     private List<Backend> withStartTimes(List<Backend> backends) {
         if (inForce == null || inForce.startedNotBeforeMs() == 0) {
             return backends;
@@ -78,7 +81,7 @@
                 .toList();
     }
 
-    /** Discovery's list is applied where no replicated version has one. */
+    /** Applies discovery's list unless the replicated version in force has a list. */
     @Override
     public void endpointsReceived(boolean isComplete, List<Backend> backends, double discoveryNowMs) {
         if (inForce == null || inForce.backends() == null) {
@@ -96,7 +99,7 @@
         dispatcher.endpointUpdateFailed(isInvalid);
     }
 
-    /** Whether a replicated version is in force, so that the settings of the file are not. */
+    /** Returns whether a replicated version is in force, and not the settings of the file. */
     boolean hasReplicatedVersion() {
         return inForce != null;
     }
--- a/gateway/src/main/java/opalcove/server/DescriptorBudget.java
+++ b/gateway/src/main/java/opalcove/server/DescriptorBudget.java
@@ -10,35 +10,43 @@
 import org.tinylog.Logger;
 
 /**
- * How the file descriptors of the process are divided, so that no use takes those of another. The shares add up to no
- * more than the limit, unless that is under {@link #minLimit}; then the smallest shares are used all the same.
+ * Divides the file descriptors of the process into shares, so that no use can exhaust those of another. The sum of the
+ * shares does not exceed the limit, unless the limit is below {@link #minLimit}; in that case the minimum shares apply
+ * regardless.
  *
- * @param limit descriptors that the process may hold
- * @param base those that the program itself uses: its files, event loops and listening sockets
- * @param discovery those reserved for calls of discovery
- * @param counter those reserved for the counter
- * @param console those reserved for the admin server
- * @param reserve those reserved for what cannot be foreseen, such as a file that is opened briefly
- * @param backends connections to backends, including those being opened
- * @param clients connections of clients, including those being closed and those accepted and not yet handled
+ * @param limit the descriptors that the process may hold
+ * @param base the descriptors that the program itself uses: its files, event loops and listening sockets
+ * @param discovery the descriptors reserved for calls to discovery
+ * @param counter the descriptors reserved for the counter
+ * @param console the descriptors reserved for the admin server
+ * @param reserve the descriptors reserved for unforeseen uses, such as a file that is opened briefly
+ * @param backends the descriptors for connections to backends, including those being opened
+ * @param clients the descriptors for client connections, including those being closed and those accepted and not yet
+ *     handled
  */
 record DescriptorBudget(
         int limit, int base, int discovery, int counter, int console, int reserve, int backends, int clients) {
-    /** A watch, one that is being closed, and one at each of two addresses while discovery moves. */
+    /**
+     * One for a watch, one for a connection that is being closed, and one for each of two addresses while discovery
+     * moves.
+     */
     static final int DISCOVERY = 4;
 
     static final int COUNTER = 1;
     static final int RESERVE = 16;
-    /** The smallest share of backends and of clients. */
+    /** The minimum share of backends and of clients. */
     static final int MIN_SHARE = 18;
-    /** Assumed for the program where the system does not report it. */
+    /** The assumed descriptors of the program if the system does not report them. */
     private static final int DEFAULT_BASE = 40;
 
     private static final Path LIMITS_FILE = Path.of("/proc/self/limits");
     private static final File OPEN_FILES = new File("/proc/self/fd");
     private static final Pattern MAX_OPEN_LINE = Pattern.compile("(?m)^Max open files\\s+(\\d+)");
 
-    /** Divides the rest of a limit in halves between backends and clients: a request holds one of each. */
+    /**
+     * Divides a limit; backends and clients get equal parts of the rest, because a request holds one descriptor of
+     * each.
+     */
     static DescriptorBudget divide(int limit, int base, boolean withConsole) {
         int console = withConsole ? AdminServer.MAX_DESCRIPTORS : 0;
         int rest = limit - minLimit(base, console) + 2 * MIN_SHARE;
@@ -47,7 +55,7 @@
         return new DescriptorBudget(limit, base, DISCOVERY, COUNTER, console, RESERVE, backends, clients);
     }
 
-    /** Divides the smaller of the configured limit and the system's, by what this process holds now. */
+    /** Divides the smaller of the configured limit and the system's; the base is what this process holds now. */
     static DescriptorBudget ofThisProcess(int configured, boolean withConsole) {
         DescriptorBudget budget = divide(Math.min(configured, systemLimit()), heldNow(), withConsole);
         int minLimit = minLimit(budget.base, budget.console);
@@ -57,12 +65,12 @@
         return budget;
     }
 
-    /** The smallest limit that holds all shares. */
+    /** Returns the smallest limit that is sufficient for all shares. */
     private static int minLimit(int base, int console) {
         return base + DISCOVERY + COUNTER + console + RESERVE + 2 * MIN_SHARE;
     }
 
-    /** The sum of all shares. */
+    /** Returns the sum of all shares. */
     int sum() {
         return base + discovery + counter + console + reserve + backends + clients;
     }
--- a/gateway/src/main/java/opalcove/server/GatewayConfig.java
+++ b/gateway/src/main/java/opalcove/server/GatewayConfig.java
@@ -15,19 +15,20 @@
 import opalcove.discovery.DiscoveryClient;
 
 /**
- * The configuration of a gateway: its file and the environment.
+ * The configuration of a gateway, read from its file and the environment. Immutable.
  *
  * @param name the gateway's own name, which may be empty
- * @param listen where clients connect
- * @param console where administrators connect; null for nowhere
- * @param discovery where discovery is called
- * @param seed of the gateway's random draws
- * @param sockets the descriptors that the process may hold
- * @param known the endpoint list known from before the start; empty for none
- * @param knownIndex its version
- * @param warmUpMs how long the start may warm up; 0 for not at all
- * @param membership null where membership is off
- * @param agreement the section {@code agreement}, unread; null where it is absent
+ * @param listen the address at which clients connect
+ * @param console the address at which administrators connect; null if the admin server is off
+ * @param discovery the address of discovery
+ * @param seed the seed of the gateway's random numbers
+ * @param sockets the number of descriptors that the process may hold
+ * @param known the endpoint list that is known from before the start; empty if there is none
+ * @param knownIndex the version of that list; {@link DiscoveryClient#NO_INDEX} if it has none
+ * @param settings the settings of the deployment
+ * @param warmUpMs the longest time of the warm-up, in ms; 0 for no warm-up
+ * @param membership the section {@code membership}; null if membership is off
+ * @param agreement the section {@code agreement}, not parsed yet; null if it is absent
  */
 public record GatewayConfig(
         String name,
@@ -43,8 +44,8 @@
         MembershipConfig membership,
         JsonFields agreement) {
     /**
-     * How long the warm-up may take with all its waits; it ends sooner on a whole core. A start has 6 s to become
-     * ready, of which the machine may take a part first.
+     * The default time limit of the warm-up with all its waits; it ends sooner if it has an entire core. A process must
+     * be ready within 6 s of its start, and the machine may take a part of that time first.
      */
     private static final int DEFAULT_WARM_UP_MS = 2500;
 
@@ -52,14 +53,15 @@
 
     private static final int DEFAULT_SOCKETS = 1024;
 
-    /** With fewer descriptors no share of them remains for connections to clients and backends. */
+    /** With fewer descriptors none would remain for connections to clients and backends. */
     private static final int MIN_SOCKETS = 16;
 
     /**
-     * Reads the file that GW_CONFIG names. The other variables take precedence over it, except for discovery: they are
-     * as old as the process, and the file may have been replaced since.
+     * Reads the file that the environment variable GW_CONFIG names. The other variables take precedence over the file,
+     * except for the address of discovery: the variables are as old as the process, and the file may have been replaced
+     * since to move discovery.
      *
-     * @throws InvalidConfigurationException with every problem of the file, each by file, key and reason
+     * @throws InvalidConfigurationException with every problem of the file, each with the file, the key and the reason
      */
     public static GatewayConfig read(Map<String, String> environment) {
         String file = environment.get("GW_CONFIG");
--- a/gateway/src/main/java/opalcove/server/GatewayServer.java
+++ b/gateway/src/main/java/opalcove/server/GatewayServer.java
@@ -24,23 +24,23 @@
 import opalcove.resp.WarmUp;
 import org.tinylog.Logger;
 
-/** Starts the gateway: RESP2 on both sides, the endpoint list from discovery. */
+/** Starts the gateway, which speaks RESP2 to clients and backends and gets the endpoint list from discovery. */
 public final class GatewayServer {
     private GatewayServer() {}
 
     /**
-     * Starts the gateway by the environment and its configuration; returns at once, and the gateway runs on its own
-     * threads.
+     * Starts the gateway with the configuration that the environment names. It returns as soon as the warm-up is over;
+     * the gateway runs on its own threads.
      *
      * @throws InvalidConfigurationException if the configuration cannot be used
      */
     public static void start() {
         StartupTimes times = new StartupTimes();
-        // Before anything else: without a handler SIGHUP would end the process.
+        // This must come first: without a handler SIGHUP would end the process.
         ReloadSignal reloadSignal = new ReloadSignal();
         GatewayConfig config = GatewayConfig.read(System.getenv());
         times.reached(StartPhase.CONFIGURATION_READ);
-        // The admin server opens first, so that administrators see how far the start has progressed.
+        // The admin server opens early, so that administrators can see the progress of the start.
         GatewayStatus status = new GatewayStatus();
         startAdminServer(config, status);
         ReplicatedConfig replicatedConfig = createReplicatedConfig(config);
@@ -59,10 +59,10 @@
     }
 
     /**
-     * What exists before the event loop runs.
+     * The components that exist before the gateway's event loop runs.
      *
-     * @param membership null where the configuration has none
-     * @param replicatedConfig null where the configuration has none
+     * @param membership null if membership is off
+     * @param replicatedConfig null if the replicated configuration is off
      */
     private record Parts(
             GatewayConfig config,
@@ -84,7 +84,7 @@
                 });
     }
 
-    /** Wires the gateway on its event loop, and listens for clients once the endpoint list is known. */
+    /** Wires the gateway on its event loop and listens for clients once the endpoint list is known. */
     private static void open(Vertx vertx, Application application, Parts parts) {
         GatewayConfig config = parts.config();
         StartupTimes times = parts.times();
@@ -105,7 +105,8 @@
         leaveCluster(application, parts);
         parts.status().gatewayWired(vertx, dispatcher, server, application.phases());
         if (!config.known().isEmpty()) {
-            // An empty list would make every backend of discovery's first one look newly started, and due a slow start.
+            // After an empty list every backend of discovery's first list would look newly started and get a slow
+            // start.
             dispatcher.endpointsChanged(true, config.known(), 0);
         }
         parts.reloadSignal().listen(() -> reload(config, vertx, discovery, dispatcher, applier));
@@ -118,7 +119,7 @@
         });
     }
 
-    /** Notifies the other gateways when the process begins to end. */
+    /** Notifies the other gateways when this process starts its graceful shutdown. */
     private static void leaveCluster(Application application, Parts parts) {
         application.phases().onChange(phase -> {
             if (phase != Lifecycle.Phase.LEAVING) {
@@ -134,11 +135,13 @@
     }
 
     /**
-     * Follows discovery, and the replicated configuration where there is one; completes once requests may be accepted.
+     * Follows discovery, and the replicated configuration if there is one. The future completes once requests may be
+     * accepted.
      *
-     * <p>A list known from before may be out of date: requests must not go to a backend that a local agent may know to
-     * be removed, and only where the agent does not respond must the known list do. Where one service is polled the
-     * known list will do, for waiting for that service would only keep the gateway out of service longer.
+     * <p>A list that is known from before the start may be out of date. If a local agent pushes the list, requests must
+     * not go to a backend that the agent may know to be removed, so the known list is used only if the agent does not
+     * respond. If one service is polled, the known list is sufficient: waiting for that service would only keep the
+     * gateway out of service longer.
      */
     private static Future<?> whenEndpointsKnown(
             Vertx vertx, DiscoveryClient discovery, ConfigurationApplier applier, Parts parts) {
@@ -155,7 +158,9 @@
                 vertx, parts.replicatedConfig(), membership == null ? List::of : membership::presentMembers));
     }
 
-    /** Joins the other gateways where membership is on; a member that cannot listen ends the process with 1. */
+    /**
+     * Joins the other gateways if membership is on; if it cannot listen for them, the process ends with exit code 1.
+     */
     private static MembershipService startMembership(GatewayConfig config, List<Member> known) {
         if (config.membership() == null) {
             return null;
@@ -172,7 +177,7 @@
         return membership;
     }
 
-    /** Creates the replicated configuration where it is on; the gateway's own jar has no provider for it. */
+    /** Creates the replicated configuration if it is on; the gateway's own jar has no provider for it. */
     private static ReplicatedConfig createReplicatedConfig(GatewayConfig config) {
         if (config.agreement() == null) {
             return null;
@@ -180,7 +185,7 @@
         return ServiceLoader.load(ReplicatedConfig.Provider.class)
                 .findFirst()
                 .orElseThrow(() -> new InvalidConfigurationException(
-                        "field agreement: this program has no part for it, opalcove.jar has"))
+                        "field agreement is not supported by this program; opalcove.jar supports it"))
                 .create(
                         Application.createEventLoop(),
                         config.name(),
@@ -190,8 +195,9 @@
     }
 
     /**
-     * Applies a configuration file that was replaced: discovery moves and new settings are in force at once (open
-     * requests keep theirs); a file that cannot be used leaves the old one in force, whole.
+     * Applies a configuration file that was replaced: a new address of discovery and new settings take effect at once,
+     * and open requests keep the settings they had. If the file is invalid, the old configuration stays in force
+     * completely.
      */
     private static void reload(
             GatewayConfig started,
--- a/gateway/src/main/java/opalcove/server/GatewayStatus.java
+++ b/gateway/src/main/java/opalcove/server/GatewayStatus.java
@@ -9,8 +9,8 @@
 import opalcove.resp.RespServer;
 
 /**
- * The gateway as administrators see it. Until it is wired the process is starting. Thread-safe: it is read on the admin
- * server's thread, for which the state is published here, and what is changed is changed on the gateway's event loop.
+ * The state of the gateway for the admin server. It is {@code STARTING} until the gateway is wired. Thread-safe: the
+ * admin server's thread reads the state that is published here, and all changes to the gateway run on its event loop.
  */
 public final class GatewayStatus implements AdminTarget {
     private volatile Lifecycle.Phase phase = Lifecycle.Phase.STARTING;
@@ -21,7 +21,7 @@
     private volatile MembershipService membership;
     private volatile ReplicatedConfig replicatedConfig;
 
-    /** Publishes the gateway once it is wired; a drain that was requested before begins. */
+    /** Publishes the gateway once it is wired; if a drain was requested before, it begins now. */
     public synchronized void gatewayWired(
             Vertx eventLoop, RequestDispatcher wiredDispatcher, RespServer wiredServer, Lifecycle lifecycle) {
         vertx = eventLoop;
@@ -33,12 +33,12 @@
         }
     }
 
-    /** Sets the part of the cluster; null where membership is off. */
+    /** Sets the membership service; null if membership is off. */
     void setMembership(MembershipService service) {
         membership = service;
     }
 
-    /** Sets the replicated configuration; null where it is off. */
+    /** Sets the replicated configuration; null if it is off. */
     void setReplicatedConfig(ReplicatedConfig config) {
         replicatedConfig = config;
     }
--- a/gateway/src/main/java/opalcove/server/package-info.java
+++ b/gateway/src/main/java/opalcove/server/package-info.java
@@ -1,6 +1,7 @@
 /**
- * The gateway's start and its wiring: {@link opalcove.server.GatewayServer} builds the parts from a
- * {@link opalcove.server.GatewayConfig}, {@code DescriptorBudget} divides the descriptors, {@code ConfigurationApplier}
- * brings configuration to the dispatcher, and {@link opalcove.server.GatewayStatus} is what administrators see.
+ * The start and the wiring of the gateway. {@link opalcove.server.GatewayServer} builds the components from a
+ * {@link opalcove.server.GatewayConfig}, {@code DescriptorBudget} divides the file descriptors,
+ * {@code ConfigurationApplier} applies configuration to the dispatcher, and {@link opalcove.server.GatewayStatus} is
+ * the state for the admin server.
  */
 package opalcove.server;
--- a/gateway/src/test/java/opalcove/server/ConfigRefusalsTest.java
+++ b/gateway/src/test/java/opalcove/server/ConfigRefusalsTest.java
@@ -18,7 +18,7 @@
 import org.testng.annotations.BeforeClass;
 import org.testng.annotations.Test;
 
-/** What a start refuses in the configuration and in the environment, by key, reason and exit code, as literal text. */
+/** Tests the exact texts and exit codes with which the program rejects an invalid configuration or environment. */
 public class ConfigRefusalsTest {
     private static final int TIMEOUT_S = 60;
     private static final String USAGE =
@@ -38,7 +38,7 @@
         Files.delete(file);
     }
 
-    /** The problems of the example's configuration after pairs of a text and what is in its place. */
+    /** Returns the problems of the example configuration after changes, each a text and its replacement. */
     private List<String> problems(Map<String, String> environment, String... changes) throws IOException {
         String json = example;
         for (int i = 0; i < changes.length; i += 2) {
@@ -121,7 +121,7 @@
                 "cannot read /nowhere/config.json: /nowhere/config.json");
     }
 
-    /** The environment goes before the file, but for discovery. */
+    /** The environment takes precedence over the file, except for the address of discovery. */
     @Test
     public void whichOfTheTwoHolds() throws IOException {
         Files.writeString(file, example);
@@ -151,7 +151,7 @@
                         + file + ": field seed must be 16 hex digits\n");
     }
 
-    /** Runs the program; its exit code and what it wrote to standard error. */
+    /** Runs the program and returns its exit code and standard error output. */
     private static String run(String config, String... arguments) throws Exception {
         List<String> command = new ArrayList<>(List.of(
                 Path.of(System.getProperty("java.home"), "bin", "java").toString(),
@@ -168,7 +168,7 @@
         String errors = new String(process.getErrorStream().readAllBytes(), StandardCharsets.UTF_8);
         if (!process.waitFor(TIMEOUT_S, TimeUnit.SECONDS)) {
             process.destroyForcibly();
-            throw new AssertionError("the program goes on: " + errors);
+            throw new AssertionError("the program is still running after " + TIMEOUT_S + " s: " + errors);
         }
         return process.exitValue() + " " + errors;
     }
--- a/gateway/src/test/java/opalcove/server/DescriptorBudgetTest.java
+++ b/gateway/src/test/java/opalcove/server/DescriptorBudgetTest.java
@@ -6,7 +6,7 @@
 import opalcove.resp.RespServer;
 import org.testng.annotations.Test;
 
-/** How descriptors are divided: on paper, for every limit of a platform. */
+/** Tests the arithmetic of dividing descriptors for every limit from 160 to 4096. */
 public class DescriptorBudgetTest {
     private static final int MAX = 4096;
 
@@ -36,7 +36,7 @@
     public void aServerHoldsNoMoreThanTheShareOfClients() {
         for (int clients = DescriptorBudget.MIN_SHARE; clients <= MAX; clients++) {
             int held = RespServer.maxDescriptors(RespServer.maxConnectionsWithin(clients));
-            assertTrue(held <= clients, held + " of " + clients);
+            assertTrue(held <= clients, held + " descriptors held of a share of " + clients);
         }
     }
 }
--- a/gateway/src/test/java/opalcove/server/DescriptorLimitTest.java
+++ b/gateway/src/test/java/opalcove/server/DescriptorLimitTest.java
@@ -29,18 +29,18 @@
 import opalcove.resp.RespTestBed;
 import org.testng.annotations.Test;
 
-/** The program in a process of its own that may hold few descriptors, while idle clients take all that they can get. */
+/** Tests the program in a process with few descriptors, while idle clients take as many of them as they can. */
 public class DescriptorLimitTest {
     private static final int LIMIT = 256;
-    /** Idle connections, more than the limit and less than the kernel's backlog. */
+    /** The number of idle connections; more than the limit and less than the kernel's backlog. */
     private static final int CROWD = 400;
 
     private static final long TIMEOUT_NANOS = TimeUnit.SECONDS.toNanos(60);
     private static final InetAddress LOOPBACK = InetAddress.getLoopbackAddress();
 
     /**
-     * Discovery goes away, the crowd comes and stays: requests are still served. Discovery comes back with another backend:
-     * it is heard, and the new backend is dialled.
+     * Discovery stops, and idle clients connect and stay: requests must still be served. Discovery returns with another
+     * backend: the gateway must receive its list and connect to the new backend.
      */
     @Test
     public void aCrowdOfIdleClientsKeepsNeitherDiscoveryNorANewBackendAway() throws Exception {
@@ -51,13 +51,16 @@
             discovery.list = list(1, line("first", first, "up"));
             try (GatewayProcess gateway = new GatewayProcess(port, discovery)) {
                 Client client = new Client(port);
-                until("a first request is served", gateway, client::requestsAndIsServed);
+                until("the first request is served", gateway, client::requestsAndIsServed);
                 discovery.stop();
                 try (Crowd crowd = new Crowd(port)) {
-                    until("the crowd has filled its share", gateway, () -> gateway.descriptors() > LIMIT / 3);
+                    until("the idle clients have filled their share", gateway, () -> gateway.descriptors() > LIMIT / 3);
                     assertTrue(crowd.thread.isAlive());
                     for (int i = 0; i < 20; i++) {
-                        until("requests are served beside the crowd", gateway, client::requestsAndIsServed);
+                        until(
+                                "requests are served while idle clients are connected",
+                                gateway,
+                                client::requestsAndIsServed);
                     }
                     discovery.restart(list(2, line("first", first, "draining"), line("second", second, "up")));
                     until("discovery is reached again", gateway, () -> discovery.lists.get() > 0);
@@ -68,7 +71,7 @@
                     assertTrue(gateway.max <= LIMIT - DescriptorBudget.COUNTER, "descriptors: " + gateway.max);
                     assertFalse(gateway.log().contains("Too many open files"), gateway.log());
                     until(
-                            "idle connections were closed, and counted",
+                            "idle connections are closed and counted",
                             gateway,
                             () -> client.figure("connections_closed_for_descriptors") > 0);
                 }
@@ -80,7 +83,7 @@
         long end = System.nanoTime() + TIMEOUT_NANOS;
         while (!reached.call()) {
             gateway.descriptors();
-            assertTrue(gateway.process.isAlive(), "the gateway has ended: " + gateway.log());
+            assertTrue(gateway.process.isAlive(), "the gateway has exited: " + gateway.log());
             assertTrue(System.nanoTime() < end, "not reached: " + state + "\n" + gateway.log());
             Thread.sleep(5);
         }
@@ -95,7 +98,7 @@
                 + "\"type\":\"app\",\"group\":0,\"status\":\"" + status + "\",\"weight\":1,\"since_ms\":0}";
     }
 
-    /** A port that no other process is given: it is bound here and not listened at. */
+    /** Reserves a port: it is bound here without listening, so that no other process gets it. */
     private static SocketChannel reservedPort() throws IOException {
         return SocketChannel.open()
                 .setOption(StandardSocketOptions.SO_REUSEPORT, true)
@@ -107,7 +110,7 @@
         private final Path config = Files.createTempFile("config", ".json");
         private final Path log = Files.createTempFile("gateway", ".log");
         private final Process process;
-        /** The most descriptors that it was seen to hold. */
+        /** The largest number of descriptors seen so far. */
         private int max;
 
         GatewayProcess(SocketChannel port, Discovery discovery) throws IOException {
@@ -158,7 +161,7 @@
         return "127.0.0.1:" + ((InetSocketAddress) port.getLocalAddress()).getPort();
     }
 
-    /** Serves each of its connections on a thread of its own; closing it resets them. */
+    /** A server that handles each connection on a thread of its own; closing the server resets them. */
     private abstract static class Server implements Closeable {
         private final ServerSocket server = new ServerSocket(0, 512, LOOPBACK);
         private final Set<Socket> open = ConcurrentHashMap.newKeySet();
@@ -206,7 +209,7 @@
                 try {
                     work.run();
                 } catch (Exception ended) {
-                    // Its connection, or the server, was closed.
+                    // The connection or the server was closed.
                 }
             });
             thread.setDaemon(true);
@@ -214,7 +217,7 @@
         }
     }
 
-    /** A backend that serves every request at once. */
+    /** A backend that serves every request immediately. */
     private static final class Backend extends Server {
         private final AtomicInteger served = new AtomicInteger();
 
@@ -232,11 +235,14 @@
         }
     }
 
-    /** Discovery: the whole list for each call, a watch once there is a newer one; away, it closes whatever comes. */
+    /**
+     * Discovery that responds to a call with the complete list, and to a watch once there is a newer list. While it is
+     * stopped it closes every connection.
+     */
     private static final class Discovery extends Server {
-        /** Null while it is away. */
+        /** Null while it is stopped. */
         private volatile String list;
-        /** Lists given since it came back. */
+        /** The number of lists sent since the restart. */
         private final AtomicInteger lists = new AtomicInteger();
 
         Discovery() throws IOException {}
@@ -256,7 +262,7 @@
             while (true) {
                 String call = line(in);
                 while (!line(in).isEmpty()) {
-                    // The call's headers.
+                    // Skips the headers.
                 }
                 String known = call.replaceFirst(".*since=(\\d+).*", "\"index\":$1,");
                 while (list != null && list.contains(known)) {
@@ -272,7 +278,7 @@
         }
     }
 
-    /** A client that asks on one connection for as long as that is kept, and then on another. */
+    /** A client that sends requests on one connection until that is closed, and then on a new one. */
     private static final class Client {
         private final SocketChannel port;
         private Socket socket;
@@ -282,7 +288,7 @@
             this.port = port;
         }
 
-        /** Whether the connection was kept, or made, and the request served on it. */
+        /** Sends a request, on a new connection if necessary; returns whether it was served. */
         boolean requestsAndIsServed() throws IOException {
             return "done".equals(answer(RespTestBed.query(++number, 4000)));
         }
@@ -314,7 +320,7 @@
         }
     }
 
-    /** Connections that are opened and never used, and opened again when they were closed. */
+    /** Idle connections that are opened again whenever they are closed. */
     private static final class Crowd implements Closeable {
         private static final long AGAIN_MS = 100;
         private final List<SocketChannel> idle = new ArrayList<>();
@@ -328,7 +334,7 @@
                         Thread.sleep(AGAIN_MS);
                     }
                 } catch (IOException | InterruptedException over) {
-                    // The test is over.
+                    // The idle clients were closed at the end of the test.
                 }
             });
             thread.start();
--- a/gateway/src/test/java/opalcove/server/MembershipSectionTest.java
+++ b/gateway/src/test/java/opalcove/server/MembershipSectionTest.java
@@ -16,7 +16,10 @@
 import opalcove.membership.SwimMessage;
 import org.testng.annotations.Test;
 
-/** The section membership of the configuration, and datagrams between members: invalid ones are rejected with key and reason. */
+/**
+ * Tests the section {@code membership} of the configuration and the datagrams between members: invalid ones must be
+ * rejected with key and reason.
+ */
 public class MembershipSectionTest {
     private static final Member SELF = new Member("g1", "127.0.0.1:7000", 17, Member.State.ALIVE);
 
--- a/gateway/src/test/java/opalcove/server/NotReadyTextTest.java
+++ b/gateway/src/test/java/opalcove/server/NotReadyTextTest.java
@@ -8,7 +8,7 @@
 import opalcove.lifecycle.Lifecycle;
 import org.testng.annotations.Test;
 
-/** What READY says of each phase of the program: operators' checks read it. */
+/** Tests the reply to READY in each phase of the program, on which health checks of administrators depend. */
 public class NotReadyTextTest {
     @Test
     public void eachPhaseHasItsText() {
--- a/gateway/src/test/java/opalcove/server/ReusePortTest.java
+++ b/gateway/src/test/java/opalcove/server/ReusePortTest.java
@@ -8,7 +8,7 @@
 import opalcove.lifecycle.Application;
 import org.testng.annotations.Test;
 
-/** A new process of the gateway listens at the port of the old one while that still serves. */
+/** A new process of the gateway must be able to listen at the port of the old process while that still serves. */
 public class ReusePortTest {
     @Test
     public void twoEventLoopsListenAtOnePort() throws Exception {
