--- a/gateway/src/main/java/opalcove/server/ConfigurationApplier.java
+++ b/gateway/src/main/java/opalcove/server/ConfigurationApplier.java
@@ -18,7 +18,7 @@
  */
 final class ConfigurationApplier implements DiscoveryClient.Listener {
     /** The longest wait at the start for a voter to report the version in force. */
-    private static final long FIRST_VERSION_MS = 12_000;
+    private static final long FIRST_VERSION_TIMEOUT_MS = 12_000;
 
     private final RequestDispatcher dispatcher;
     /** The replicated configuration in force, or null. */
@@ -41,13 +41,13 @@
         });
         Promise<Void> known = Promise.promise();
         replicated
-                .start(next -> vertx.runOnContext(run -> apply(next)), presentMembers)
+                .start(config -> vertx.runOnContext(run -> apply(config)), presentMembers)
                 .onFailure(e -> {
                     Logger.error("cannot listen at agreement.listen: {}", e.getMessage());
                     Runtime.getRuntime().halt(1);
                 })
                 .onSuccess(started -> vertx.runOnContext(run -> known.tryComplete()));
-        vertx.setTimer(FIRST_VERSION_MS, due -> {
+        vertx.setTimer(FIRST_VERSION_TIMEOUT_MS, due -> {
             if (known.tryComplete()) {
                 Logger.error(
                         "no voter has reported the version in force: serving clients with the settings of the file");
@@ -56,13 +56,13 @@
         return known.future();
     }
 
-    private void apply(ReplicatedConfig.EffectiveConfig next) {
-        boolean restartsSlowStart = next.startedNotBeforeMs() > 0
-                && (inForce == null || inForce.startedNotBeforeMs() != next.startedNotBeforeMs());
-        inForce = next;
-        dispatcher.applySettings(next.settings());
-        if (next.backends() != null) {
-            dispatcher.endpointsChanged(true, withStartTimes(next.backends()));
+    private void apply(ReplicatedConfig.EffectiveConfig config) {
+        boolean restartsSlowStart = config.startedNotBeforeMs() > 0
+                && (inForce == null || inForce.startedNotBeforeMs() != config.startedNotBeforeMs());
+        inForce = config;
+        dispatcher.applySettings(config.settings());
+        if (config.backends() != null) {
+            dispatcher.endpointsChanged(true, withStartTimes(config.backends()));
         } else if (restartsSlowStart) {
             dispatcher.endpointsChanged(true, withStartTimes(dispatcher.backends()));
         }
--- a/gateway/src/main/java/opalcove/server/DescriptorBudget.java
+++ b/gateway/src/main/java/opalcove/server/DescriptorBudget.java
@@ -30,18 +30,18 @@
      * One for a watch, one for a connection that is being closed, and one for each of two addresses while discovery
      * moves.
      */
-    static final int DISCOVERY = 4;
+    static final int DISCOVERY_SHARE = 4;
 
-    static final int COUNTER = 1;
-    static final int RESERVE = 16;
+    static final int COUNTER_SHARE = 1;
+    static final int RESERVE_SHARE = 16;
     /** The minimum share of backends and of clients. */
     static final int MIN_SHARE = 18;
     /** The assumed descriptors of the program if the system does not report them. */
     private static final int DEFAULT_BASE = 40;
 
     private static final Path LIMITS_FILE = Path.of("/proc/self/limits");
-    private static final File OPEN_FILES = new File("/proc/self/fd");
-    private static final Pattern MAX_OPEN_LINE = Pattern.compile("(?m)^Max open files\\s+(\\d+)");
+    private static final File DESCRIPTOR_FOLDER = new File("/proc/self/fd");
+    private static final Pattern OPEN_FILES_LIMIT = Pattern.compile("(?m)^Max open files\\s+(\\d+)");
 
     /**
      * Divides a limit; backends and clients get equal parts of the rest, because a request holds one descriptor of
@@ -52,12 +52,13 @@
         int rest = limit - minLimit(base, console) + 2 * MIN_SHARE;
         int backends = Math.max(MIN_SHARE, rest / 2);
         int clients = Math.max(MIN_SHARE, rest - rest / 2);
-        return new DescriptorBudget(limit, base, DISCOVERY, COUNTER, console, RESERVE, backends, clients);
+        return new DescriptorBudget(
+                limit, base, DISCOVERY_SHARE, COUNTER_SHARE, console, RESERVE_SHARE, backends, clients);
     }
 
     /** Divides the smaller of the configured limit and the system's; the base is what this process holds now. */
     static DescriptorBudget ofThisProcess(int configured, boolean withConsole) {
-        DescriptorBudget budget = divide(Math.min(configured, systemLimit()), heldNow(), withConsole);
+        DescriptorBudget budget = divide(Math.min(configured, systemLimit()), openDescriptors(), withConsole);
         int minLimit = minLimit(budget.base, budget.console);
         if (budget.limit < minLimit) {
             Logger.warn("{} descriptors are too few, at least {} are needed", budget.limit, minLimit);
@@ -67,7 +68,7 @@
 
     /** Returns the smallest limit that is sufficient for all shares. */
     private static int minLimit(int base, int console) {
-        return base + DISCOVERY + COUNTER + console + RESERVE + 2 * MIN_SHARE;
+        return base + DISCOVERY_SHARE + COUNTER_SHARE + console + RESERVE_SHARE + 2 * MIN_SHARE;
     }
 
     /** Returns the sum of all shares. */
@@ -77,7 +78,7 @@
 
     private static int systemLimit() {
         try {
-            Matcher line = MAX_OPEN_LINE.matcher(Files.readString(LIMITS_FILE));
+            Matcher line = OPEN_FILES_LIMIT.matcher(Files.readString(LIMITS_FILE));
             return line.find() ? (int) Math.min(Integer.MAX_VALUE, Long.parseLong(line.group(1))) : Integer.MAX_VALUE;
         } catch (IOException | NumberFormatException e) {
             Logger.debug("the system's limit of descriptors is not known: {}", e.getMessage());
@@ -85,8 +86,8 @@
         }
     }
 
-    private static int heldNow() {
-        String[] open = OPEN_FILES.list();
+    private static int openDescriptors() {
+        String[] open = DESCRIPTOR_FOLDER.list();
         return open == null ? DEFAULT_BASE : open.length;
     }
 }
--- a/gateway/src/main/java/opalcove/server/GatewayConfig.java
+++ b/gateway/src/main/java/opalcove/server/GatewayConfig.java
@@ -77,7 +77,7 @@
                 validator.valueOr(() -> discovery(fields, environment), null),
                 validator.valueOr(() -> seed(fields), 0L),
                 validator.valueOr(() -> sockets(fields), DEFAULT_SOCKETS),
-                validator.valueOr(() -> known(fields), List.of()),
+                validator.valueOr(() -> knownBackends(fields), List.of()),
                 validator.valueOr(() -> knownIndex(fields), DiscoveryClient.NO_INDEX),
                 validator.valueOr(() -> SettingsReader.read(fields.object("settings")), null),
                 validator.valueOr(() -> warmUpMs(fields), 0),
@@ -118,7 +118,7 @@
         return (int) sockets;
     }
 
-    private static List<Backend> known(JsonFields fields) {
+    private static List<Backend> knownBackends(JsonFields fields) {
         return fields.has("known") ? EndpointCodec.read(fields.object("known").objects("endpoints")) : List.of();
     }
 
--- a/gateway/src/main/java/opalcove/server/GatewayServer.java
+++ b/gateway/src/main/java/opalcove/server/GatewayServer.java
@@ -54,8 +54,8 @@
                 WarmUp.run(Application::createEventLoop, config.settings(), TimeBudget.ofMs(config.warmUpMs())));
         times.reached(StartPhase.WARMED_UP);
         Application application = new Application();
-        Parts parts = new Parts(config, status, reloadSignal, times, membership, replicatedConfig);
-        application.start(vertx -> open(vertx, application, parts));
+        Components components = new Components(config, status, reloadSignal, times, membership, replicatedConfig);
+        application.start(vertx -> open(vertx, application, components));
     }
 
     /**
@@ -64,7 +64,7 @@
      * @param membership null if membership is off
      * @param replicatedConfig null if the replicated configuration is off
      */
-    private record Parts(
+    private record Components(
             GatewayConfig config,
             GatewayStatus status,
             ReloadSignal reloadSignal,
@@ -85,9 +85,9 @@
     }
 
     /** Wires the gateway on its event loop and listens for clients once the endpoint list is known. */
-    private static void open(Vertx vertx, Application application, Parts parts) {
-        GatewayConfig config = parts.config();
-        StartupTimes times = parts.times();
+    private static void open(Vertx vertx, Application application, Components components) {
+        GatewayConfig config = components.config();
+        StartupTimes times = components.times();
         times.reached(StartPhase.EVENT_LOOP_UP);
         DescriptorBudget budget = DescriptorBudget.ofThisProcess(config.sockets(), config.console() != null);
         Logger.info("descriptors: {}", budget);
@@ -102,15 +102,15 @@
                 vertx, config.discovery(), config.settings(), new SplittableRandom(config.seed()), applier);
         dispatcher.endpointSource(discovery);
         application.onShutdown(dispatcher, server::drain);
-        leaveCluster(application, parts);
-        parts.status().gatewayWired(vertx, dispatcher, server, application.phases());
+        leaveCluster(application, components);
+        components.status().gatewayWired(vertx, dispatcher, server, application.phases());
         if (!config.known().isEmpty()) {
             // After an empty list every backend of discovery's first list would look newly started and get a slow
             // start.
             dispatcher.endpointsChanged(true, config.known(), 0);
         }
-        parts.reloadSignal().listen(() -> reload(config, vertx, discovery, dispatcher, applier));
-        whenEndpointsKnown(vertx, discovery, applier, parts).onComplete(known -> {
+        components.reloadSignal().listen(() -> reload(config, vertx, discovery, dispatcher, applier));
+        whenEndpointsKnown(vertx, discovery, applier, components).onComplete(known -> {
             times.reached(StartPhase.ENDPOINTS_KNOWN);
             application.open(() -> server.listen(config.listen()).onSuccess(port -> {
                 times.reached(StartPhase.LISTENING);
@@ -120,16 +120,16 @@
     }
 
     /** Notifies the other gateways when this process starts its graceful shutdown. */
-    private static void leaveCluster(Application application, Parts parts) {
+    private static void leaveCluster(Application application, Components components) {
         application.phases().onChange(phase -> {
             if (phase != Lifecycle.Phase.LEAVING) {
                 return;
             }
-            if (parts.membership() != null) {
-                parts.membership().leave();
+            if (components.membership() != null) {
+                components.membership().leave();
             }
-            if (parts.replicatedConfig() != null) {
-                parts.replicatedConfig().leave();
+            if (components.replicatedConfig() != null) {
+                components.replicatedConfig().leave();
             }
         });
     }
@@ -144,18 +144,18 @@
      * gateway out of service longer.
      */
     private static Future<?> whenEndpointsKnown(
-            Vertx vertx, DiscoveryClient discovery, ConfigurationApplier applier, Parts parts) {
-        GatewayConfig config = parts.config();
+            Vertx vertx, DiscoveryClient discovery, ConfigurationApplier applier, Components components) {
+        GatewayConfig config = components.config();
         boolean isPolled = config.settings().obligations().listOnRequest();
-        boolean knownListWillDo = isPolled && !config.known().isEmpty();
-        discovery.startFrom(knownListWillDo ? config.knownIndex() : DiscoveryClient.NO_INDEX);
-        Future<?> listed = knownListWillDo ? Future.succeededFuture() : discovery.whenReady(!isPolled);
-        if (parts.replicatedConfig() == null) {
-            return listed;
+        boolean isKnownListSufficient = isPolled && !config.known().isEmpty();
+        discovery.startFrom(isKnownListSufficient ? config.knownIndex() : DiscoveryClient.NO_INDEX);
+        Future<?> endpointsKnown = isKnownListSufficient ? Future.succeededFuture() : discovery.whenReady(!isPolled);
+        if (components.replicatedConfig() == null) {
+            return endpointsKnown;
         }
-        MembershipService membership = parts.membership();
-        return listed.eventually(() -> applier.follow(
-                vertx, parts.replicatedConfig(), membership == null ? List::of : membership::presentMembers));
+        MembershipService membership = components.membership();
+        return endpointsKnown.eventually(() -> applier.follow(
+                vertx, components.replicatedConfig(), membership == null ? List::of : membership::presentMembers));
     }
 
     /**
--- a/gateway/src/main/java/opalcove/server/GatewayStatus.java
+++ b/gateway/src/main/java/opalcove/server/GatewayStatus.java
@@ -27,7 +27,7 @@
         vertx = eventLoop;
         dispatcher = wiredDispatcher;
         server = wiredServer;
-        lifecycle.onChange(next -> phase = next);
+        lifecycle.onChange(newPhase -> phase = newPhase);
         if (isDrainRequested) {
             vertx.runOnContext(run -> server.setDrainRequested(true));
         }
--- a/gateway/src/test/java/opalcove/server/ConfigRefusalsTest.java
+++ b/gateway/src/test/java/opalcove/server/ConfigRefusalsTest.java
@@ -20,7 +20,7 @@
 
 /** Tests the exact texts and exit codes with which the program rejects an invalid configuration or environment. */
 public class ConfigRefusalsTest {
-    private static final int TIMEOUT_S = 60;
+    private static final int TIMEOUT_SECONDS = 60;
     private static final String USAGE =
             "usage: java -jar opalcove-gateway.jar serve | adapter (the other commands are in opalcove.jar)\n";
 
@@ -47,15 +47,15 @@
         Files.writeString(file, json);
         Map<String, String> variables = new java.util.HashMap<>(environment);
         variables.put("GW_CONFIG", file.toString());
-        InvalidConfigurationException refused =
+        InvalidConfigurationException rejection =
                 expectThrows(InvalidConfigurationException.class, () -> GatewayConfig.read(variables));
         List<String> problems = new ArrayList<>();
-        refused.getMessage().lines().forEach(line -> problems.add(line.replace(file + ": ", "FILE: ")));
+        rejection.getMessage().lines().forEach(line -> problems.add(line.replace(file + ": ", "FILE: ")));
         return problems;
     }
 
     @Test
-    public void ofTheConfigurationFile() throws IOException {
+    public void rejectsInvalidValuesOfConfigurationFile() throws IOException {
         String[][] cases = {
             {"\"name\": \"n0\"", "\"name\": 7", "field name must be a text"},
             {
@@ -93,14 +93,14 @@
             {"\"settings\":", "\"set\":", "field settings is missing"},
             {"\"me\": 0", "\"me\": 1", "field settings.me must be below balancers, 1"},
         };
-        for (String[] each : cases) {
-            assertEquals(problems(Map.of(), each[0], each[1]), List.of("FILE: " + each[2]), each[1]);
+        for (String[] invalid : cases) {
+            assertEquals(problems(Map.of(), invalid[0], invalid[1]), List.of("FILE: " + invalid[2]), invalid[1]);
         }
         assertEquals(problems(Map.of(), example, "[]"), List.of("FILE: the message must be an object"));
     }
 
     @Test
-    public void ofTheEnvironment() throws IOException {
+    public void rejectsInvalidValuesOfEnvironment() throws IOException {
         assertEquals(
                 problems(Map.of("GW_LISTEN", "x", "GW_CONSOLE", "y")),
                 List.of(
@@ -123,7 +123,7 @@
 
     /** The environment takes precedence over the file, except for the address of discovery. */
     @Test
-    public void whichOfTheTwoHolds() throws IOException {
+    public void prefersEnvironmentToFileExceptForDiscovery() throws IOException {
         Files.writeString(file, example);
         GatewayConfig config = GatewayConfig.read(Map.of(
                 "GW_CONFIG", file.toString(),
@@ -139,7 +139,7 @@
     }
 
     @Test
-    public void exitCodes() throws Exception {
+    public void exitsWithCodeAndMessageWhenArgumentsOrConfigurationAreInvalid() throws Exception {
         assertEquals(run(null), "2 " + USAGE);
         assertEquals(run(null, "nonsense"), "2 " + USAGE);
         assertEquals(run(null, "serve", "serve"), "2 " + USAGE);
@@ -166,9 +166,9 @@
         }
         Process process = builder.start();
         String errors = new String(process.getErrorStream().readAllBytes(), StandardCharsets.UTF_8);
-        if (!process.waitFor(TIMEOUT_S, TimeUnit.SECONDS)) {
+        if (!process.waitFor(TIMEOUT_SECONDS, TimeUnit.SECONDS)) {
             process.destroyForcibly();
-            throw new AssertionError("the program is still running after " + TIMEOUT_S + " s: " + errors);
+            throw new AssertionError("the program is still running after " + TIMEOUT_SECONDS + " s: " + errors);
         }
         return process.exitValue() + " " + errors;
     }
--- a/gateway/src/test/java/opalcove/server/DescriptorBudgetTest.java
+++ b/gateway/src/test/java/opalcove/server/DescriptorBudgetTest.java
@@ -8,13 +8,13 @@
 
 /** Tests the arithmetic of dividing descriptors for every limit from 160 to 4096. */
 public class DescriptorBudgetTest {
-    private static final int MAX = 4096;
+    private static final int MAX_LIMIT = 4096;
 
     @Test
-    public void theSharesAddUpToTheLimit() {
+    public void dividesLimitIntoSharesThatAddUpToIt() {
         for (boolean withConsole : new boolean[] {true, false}) {
             for (int base = 10; base <= 60; base += 5) {
-                for (int limit = 160; limit <= MAX; limit++) {
+                for (int limit = 160; limit <= MAX_LIMIT; limit++) {
                     DescriptorBudget budget = DescriptorBudget.divide(limit, base, withConsole);
                     assertEquals(budget.sum(), limit, budget.toString());
                     assertTrue(budget.discovery() > 0 && budget.counter() > 0, budget.toString());
@@ -26,15 +26,15 @@
     }
 
     @Test
-    public void aLimitTooSmallForAllGivesEachUseItsMinimum() {
+    public void usesMinimumSharesWhenLimitIsTooSmall() {
         DescriptorBudget budget = DescriptorBudget.divide(20, 40, true);
         assertEquals(budget.backends(), DescriptorBudget.MIN_SHARE);
         assertEquals(budget.clients(), DescriptorBudget.MIN_SHARE);
     }
 
     @Test
-    public void aServerHoldsNoMoreThanTheShareOfClients() {
-        for (int clients = DescriptorBudget.MIN_SHARE; clients <= MAX; clients++) {
+    public void serverHoldsNoMoreThanShareOfClients() {
+        for (int clients = DescriptorBudget.MIN_SHARE; clients <= MAX_LIMIT; clients++) {
             int held = RespServer.maxDescriptors(RespServer.maxConnectionsWithin(clients));
             assertTrue(held <= clients, held + " descriptors held of a share of " + clients);
         }
--- a/gateway/src/test/java/opalcove/server/DescriptorLimitTest.java
+++ b/gateway/src/test/java/opalcove/server/DescriptorLimitTest.java
@@ -33,7 +33,7 @@
 public class DescriptorLimitTest {
     private static final int LIMIT = 256;
     /** The number of idle connections; more than the limit and less than the kernel's backlog. */
-    private static final int CROWD = 400;
+    private static final int IDLE_CONNECTIONS = 400;
 
     private static final long TIMEOUT_NANOS = TimeUnit.SECONDS.toNanos(60);
     private static final InetAddress LOOPBACK = InetAddress.getLoopbackAddress();
@@ -43,43 +43,49 @@
      * backend: the gateway must receive its list and connect to the new backend.
      */
     @Test
-    public void aCrowdOfIdleClientsKeepsNeitherDiscoveryNorANewBackendAway() throws Exception {
+    public void reachesDiscoveryAndNewBackendWhileIdleClientsHoldTheirShare() throws Exception {
         try (Backend first = new Backend();
                 Backend second = new Backend();
                 Discovery discovery = new Discovery();
                 SocketChannel port = reservedPort()) {
-            discovery.list = list(1, line("first", first, "up"));
+            discovery.list = listOf(1, endpoint("first", first, "up"));
             try (GatewayProcess gateway = new GatewayProcess(port, discovery)) {
                 Client client = new Client(port);
-                until("the first request is served", gateway, client::requestsAndIsServed);
+                waitUntil("the first request is served", gateway, client::requestsAndIsServed);
                 discovery.stop();
-                try (Crowd crowd = new Crowd(port)) {
-                    until("the idle clients have filled their share", gateway, () -> gateway.descriptors() > LIMIT / 3);
-                    assertTrue(crowd.thread.isAlive());
+                try (IdleClients idleClients = new IdleClients(port)) {
+                    waitUntil(
+                            "the idle clients have filled their share",
+                            gateway,
+                            () -> gateway.descriptors() > LIMIT / 3);
+                    assertTrue(idleClients.thread.isAlive());
                     for (int i = 0; i < 20; i++) {
-                        until(
+                        waitUntil(
                                 "requests are served while idle clients are connected",
                                 gateway,
                                 client::requestsAndIsServed);
                     }
-                    discovery.restart(list(2, line("first", first, "draining"), line("second", second, "up")));
-                    until("discovery is reached again", gateway, () -> discovery.lists.get() > 0);
-                    until(
+                    discovery.restart(
+                            listOf(2, endpoint("first", first, "draining"), endpoint("second", second, "up")));
+                    waitUntil("discovery is reached again", gateway, () -> discovery.lists.get() > 0);
+                    waitUntil(
                             "the new backend serves",
                             gateway,
                             () -> client.requestsAndIsServed() && second.served.get() > 0);
-                    assertTrue(gateway.max <= LIMIT - DescriptorBudget.COUNTER, "descriptors: " + gateway.max);
+                    assertTrue(
+                            gateway.maxDescriptors <= LIMIT - DescriptorBudget.COUNTER_SHARE,
+                            "descriptors: " + gateway.maxDescriptors);
                     assertFalse(gateway.log().contains("Too many open files"), gateway.log());
-                    until(
+                    waitUntil(
                             "idle connections are closed and counted",
                             gateway,
-                            () -> client.figure("connections_closed_for_descriptors") > 0);
+                            () -> client.metric("connections_closed_for_descriptors") > 0);
                 }
             }
         }
     }
 
-    private static void until(String state, GatewayProcess gateway, Callable<Boolean> reached) throws Exception {
+    private static void waitUntil(String state, GatewayProcess gateway, Callable<Boolean> reached) throws Exception {
         long end = System.nanoTime() + TIMEOUT_NANOS;
         while (!reached.call()) {
             gateway.descriptors();
@@ -89,11 +95,11 @@
         }
     }
 
-    private static String list(int index, String... lines) {
+    private static String listOf(int index, String... lines) {
         return "{\"index\":" + index + ",\"snapshot\":true,\"endpoints\":[" + String.join(",", lines) + "]}";
     }
 
-    private static String line(String name, Backend backend, String status) {
+    private static String endpoint(String name, Backend backend, String status) {
         return "{\"name\":\"" + name + "\",\"address\":\"127.0.0.1:" + backend.port() + "\",\"zone\":\"room-a\","
                 + "\"type\":\"app\",\"group\":0,\"status\":\"" + status + "\",\"weight\":1,\"since_ms\":0}";
     }
@@ -111,7 +117,7 @@
         private final Path log = Files.createTempFile("gateway", ".log");
         private final Process process;
         /** The largest number of descriptors seen so far. */
-        private int max;
+        private int maxDescriptors;
 
         GatewayProcess(SocketChannel port, Discovery discovery) throws IOException {
             Files.writeString(
@@ -141,7 +147,7 @@
             String[] open = Path.of("/proc", Long.toString(process.pid()), "fd")
                     .toFile()
                     .list();
-            max = Math.max(max, open == null ? 0 : open.length);
+            maxDescriptors = Math.max(maxDescriptors, open == null ? 0 : open.length);
             return open == null ? 0 : open.length;
         }
 
@@ -167,11 +173,11 @@
         private final Set<Socket> open = ConcurrentHashMap.newKeySet();
 
         Server() throws IOException {
-            daemon(() -> {
+            startDaemon(() -> {
                 while (true) {
                     Socket socket = server.accept();
                     open.add(socket);
-                    daemon(() -> {
+                    startDaemon(() -> {
                         try (socket) {
                             serve(socket, new BufferedInputStream(socket.getInputStream()));
                         } finally {
@@ -200,15 +206,15 @@
             reset();
         }
 
-        private interface Work {
+        private interface Task {
             void run() throws Exception;
         }
 
-        private static void daemon(Work work) {
+        private static void startDaemon(Task task) {
             Thread thread = new Thread(() -> {
                 try {
-                    work.run();
-                } catch (Exception ended) {
+                    task.run();
+                } catch (Exception closed) {
                     // The connection or the server was closed.
                 }
             });
@@ -226,8 +232,8 @@
         @Override
         void serve(Socket socket, InputStream in) throws Exception {
             while (true) {
-                for (int words = Integer.parseInt(line(in).substring(1)); words > 0; words--) {
-                    in.readNBytes(Integer.parseInt(line(in).substring(1)) + 2);
+                for (int parts = Integer.parseInt(readLine(in).substring(1)); parts > 0; parts--) {
+                    in.readNBytes(Integer.parseInt(readLine(in).substring(1)) + 2);
                 }
                 served.incrementAndGet();
                 write(socket, "*3\r\n$4\r\ndone\r\n$-1\r\n$-1\r\n");
@@ -260,19 +266,19 @@
         @Override
         void serve(Socket socket, InputStream in) throws Exception {
             while (true) {
-                String call = line(in);
-                while (!line(in).isEmpty()) {
+                String call = readLine(in);
+                while (!readLine(in).isEmpty()) {
                     // Skips the headers.
                 }
                 String known = call.replaceFirst(".*since=(\\d+).*", "\"index\":$1,");
                 while (list != null && list.contains(known)) {
                     Thread.sleep(1);
                 }
-                String answer = list;
-                if (answer == null) {
+                String response = list;
+                if (response == null) {
                     return;
                 }
-                write(socket, "HTTP/1.1 200 OK\r\nContent-Length: " + answer.length() + "\r\n\r\n" + answer);
+                write(socket, "HTTP/1.1 200 OK\r\nContent-Length: " + response.length() + "\r\n\r\n" + response);
                 lists.incrementAndGet();
             }
         }
@@ -290,11 +296,11 @@
 
         /** Sends a request, on a new connection if necessary; returns whether it was served. */
         boolean requestsAndIsServed() throws IOException {
-            return "done".equals(answer(RespTestBed.query(++number, 4000)));
+            return "done".equals(response(RespTestBed.query(++number, 4000)));
         }
 
-        int figure(String name) throws IOException {
-            String lines = answer(RespTestBed.words("INFO"));
+        int metric(String name) throws IOException {
+            String lines = response(RespTestBed.words("INFO"));
             return lines == null
                     ? 0
                     : lines.lines()
@@ -303,7 +309,7 @@
                             .sum();
         }
 
-        private String answer(String command) throws IOException {
+        private String response(String command) throws IOException {
             try {
                 if (socket == null) {
                     socket = new Socket();
@@ -321,33 +327,33 @@
     }
 
     /** Idle connections that are opened again whenever they are closed. */
-    private static final class Crowd implements Closeable {
-        private static final long AGAIN_MS = 100;
+    private static final class IdleClients implements Closeable {
+        private static final long RECONNECT_DELAY_MS = 100;
         private final List<SocketChannel> idle = new ArrayList<>();
         private final Thread thread;
 
-        Crowd(SocketChannel port) {
+        IdleClients(SocketChannel port) {
             thread = new Thread(() -> {
                 try {
                     while (true) {
-                        stay(port);
-                        Thread.sleep(AGAIN_MS);
+                        replaceClosedConnections(port);
+                        Thread.sleep(RECONNECT_DELAY_MS);
                     }
-                } catch (IOException | InterruptedException over) {
+                } catch (IOException | InterruptedException closed) {
                     // The idle clients were closed at the end of the test.
                 }
             });
             thread.start();
         }
 
-        private void stay(SocketChannel port) throws IOException {
+        private void replaceClosedConnections(SocketChannel port) throws IOException {
             for (SocketChannel each : List.copyOf(idle)) {
                 if (hasEnded(each)) {
                     each.close();
                     idle.remove(each);
                 }
             }
-            while (idle.size() < CROWD) {
+            while (idle.size() < IDLE_CONNECTIONS) {
                 SocketChannel next = SocketChannel.open();
                 next.configureBlocking(false);
                 next.connect(port.getLocalAddress());
@@ -381,7 +387,7 @@
         socket.getOutputStream().write(text.getBytes(StandardCharsets.ISO_8859_1));
     }
 
-    private static String line(InputStream in) throws IOException {
+    private static String readLine(InputStream in) throws IOException {
         StringBuilder line = new StringBuilder();
         for (int each = in.read(); each != '\n'; each = in.read()) {
             if (each < 0) {
--- a/gateway/src/test/java/opalcove/server/MembershipSectionTest.java
+++ b/gateway/src/test/java/opalcove/server/MembershipSectionTest.java
@@ -24,7 +24,7 @@
     private static final Member SELF = new Member("g1", "127.0.0.1:7000", 17, Member.State.ALIVE);
 
     @Test
-    public void aMessageReadIsTheOneWritten() {
+    public void readsMessageAsWritten() {
         SwimMessage message = new SwimMessage(
                 SwimMessage.Kind.PING_REQ,
                 SELF,
@@ -38,41 +38,42 @@
     }
 
     @Test
-    public void aDatagramThatIsCutOffAtAnyByteOrIsNoMessageIsRefused() {
-        byte[] whole = MembershipCodec.write(
+    public void rejectsDatagramThatIsTruncatedOrInvalid() {
+        byte[] datagram = MembershipCodec.write(
                 new SwimMessage(SwimMessage.Kind.PING, SELF, 1, "g2", "", List.of(new GossipEntry(SELF, ""))));
-        String text = new String(whole, StandardCharsets.UTF_8);
-        for (int length = 0; length < whole.length; length++) {
-            byte[] torn = text.substring(0, length).getBytes(StandardCharsets.UTF_8);
-            assertThrows(InvalidConfigurationException.class, () -> MembershipCodec.read(torn));
+        String text = new String(datagram, StandardCharsets.UTF_8);
+        for (int length = 0; length < datagram.length; length++) {
+            byte[] truncated = text.substring(0, length).getBytes(StandardCharsets.UTF_8);
+            assertThrows(InvalidConfigurationException.class, () -> MembershipCodec.read(truncated));
         }
-        for (String[] wrong : new String[][] {
+        for (String[] invalid : new String[][] {
             {"\"k\":\"PING\"", "\"k\":\"DANCE\"", "field k"},
             {"\"n\":\"g1\"", "\"n\":\"\"", "name"},
             {"\"i\":17", "\"i\":\"x\"", "i must be a number"}
         }) {
-            InvalidConfigurationException refused = expectThrows(
+            InvalidConfigurationException rejection = expectThrows(
                     InvalidConfigurationException.class,
-                    () -> MembershipCodec.read(text.replace(wrong[0], wrong[1]).getBytes(StandardCharsets.UTF_8)));
-            assertTrue(refused.getMessage().contains(wrong[2]), refused.getMessage());
+                    () -> MembershipCodec.read(
+                            text.replace(invalid[0], invalid[1]).getBytes(StandardCharsets.UTF_8)));
+            assertTrue(rejection.getMessage().contains(invalid[2]), rejection.getMessage());
         }
     }
 
     @Test
-    public void aSectionWithAWrongValueIsRefusedByItsKey() {
-        String good = "{\"listen\":\"127.0.0.1:0\",\"seeds\":[\"127.0.0.1:7001\"],\"probe_ms\":500}";
-        assertEquals(MembershipConfig.read(JsonFields.parse(good)).protocol().ackTimeoutMs(), 200);
-        for (String[] wrong : new String[][] {
+    public void namesKeyWhenSectionHasInvalidValue() {
+        String valid = "{\"listen\":\"127.0.0.1:0\",\"seeds\":[\"127.0.0.1:7001\"],\"probe_ms\":500}";
+        assertEquals(MembershipConfig.read(JsonFields.parse(valid)).protocol().ackTimeoutMs(), 200);
+        for (String[] invalid : new String[][] {
             {"127.0.0.1:0", "nowhere", "membership.listen"},
             {"127.0.0.1:7001", "here", "membership.seeds"},
             {"500", "5", "membership.probe_ms"},
             {"500", "\"soon\"", "probe_ms"},
             {"\"listen\"", "\"at\"", "listen is missing"}
         }) {
-            InvalidConfigurationException refused = expectThrows(
+            InvalidConfigurationException rejection = expectThrows(
                     InvalidConfigurationException.class,
-                    () -> MembershipConfig.read(JsonFields.parse(good.replace(wrong[0], wrong[1]))));
-            assertTrue(refused.getMessage().contains(wrong[2]), refused.getMessage());
+                    () -> MembershipConfig.read(JsonFields.parse(valid.replace(invalid[0], invalid[1]))));
+            assertTrue(rejection.getMessage().contains(invalid[2]), rejection.getMessage());
         }
     }
 }
--- a/gateway/src/test/java/opalcove/server/NotReadyTextTest.java
+++ b/gateway/src/test/java/opalcove/server/NotReadyTextTest.java
@@ -11,19 +11,19 @@
 /** Tests the reply to READY in each phase of the program, on which health checks of administrators depend. */
 public class NotReadyTextTest {
     @Test
-    public void eachPhaseHasItsText() {
+    public void repliesWithTextOfEachPhase() {
         Vertx vertx = Vertx.vertx();
         try {
-            Lifecycle phases = new Lifecycle();
+            Lifecycle lifecycle = new Lifecycle();
             GatewayStatus status = new GatewayStatus();
-            List<String> told = new ArrayList<>();
-            told.add(status.notReady());
-            status.gatewayWired(vertx, null, null, phases);
+            List<String> replies = new ArrayList<>();
+            replies.add(status.notReady());
+            status.gatewayWired(vertx, null, null, lifecycle);
             for (Lifecycle.Phase phase : Lifecycle.Phase.values()) {
-                phases.enter(phase);
-                told.add(String.valueOf(status.notReady()));
+                lifecycle.enter(phase);
+                replies.add(String.valueOf(status.notReady()));
             }
-            assertEquals(told, List.of("starting", "starting", "null", "leaving", "draining", "stopped"));
+            assertEquals(replies, List.of("starting", "starting", "null", "leaving", "draining", "stopped"));
         } finally {
             vertx.close();
         }
--- a/gateway/src/test/java/opalcove/server/ReusePortTest.java
+++ b/gateway/src/test/java/opalcove/server/ReusePortTest.java
@@ -11,29 +11,31 @@
 /** A new process of the gateway must be able to listen at the port of the old process while that still serves. */
 public class ReusePortTest {
     @Test
-    public void twoEventLoopsListenAtOnePort() throws Exception {
-        Vertx old = Application.createEventLoop();
-        Vertx next = Application.createEventLoop();
+    public void listensAtSamePortWithTwoEventLoops() throws Exception {
+        Vertx oldEventLoop = Application.createEventLoop();
+        Vertx newEventLoop = Application.createEventLoop();
         try {
             NetServerOptions options = new NetServerOptions().setReusePort(true).setReuseAddress(true);
-            int port = old.createNetServer(options)
+            int firstPort = oldEventLoop
+                    .createNetServer(options)
                     .connectHandler(socket -> {})
                     .listen(0, "127.0.0.1")
                     .toCompletionStage()
                     .toCompletableFuture()
                     .get(10, TimeUnit.SECONDS)
                     .actualPort();
-            int second = next.createNetServer(options)
+            int secondPort = newEventLoop
+                    .createNetServer(options)
                     .connectHandler(socket -> {})
-                    .listen(port, "127.0.0.1")
+                    .listen(firstPort, "127.0.0.1")
                     .toCompletionStage()
                     .toCompletableFuture()
                     .get(10, TimeUnit.SECONDS)
                     .actualPort();
-            assertEquals(second, port);
+            assertEquals(secondPort, firstPort);
         } finally {
-            old.close();
-            next.close();
+            oldEventLoop.close();
+            newEventLoop.close();
         }
     }
 }
