--- a/gateway/src/main/java/opalcove/transport/AcceptLimiter.java
+++ b/gateway/src/main/java/opalcove/transport/AcceptLimiter.java
@@ -11,20 +11,21 @@
 
 /**
  * Accepts connections of one listening socket only while fewer than a limit are open; the others wait in the kernel's
- * backlog. Guards the descriptors reserved for other uses: the acceptor's thread accepts connections as fast as they
- * arrive, however far the event loop that handles them has progressed.
+ * backlog. Without the limit, connections would use the descriptors that are reserved for other purposes: the
+ * acceptor's thread accepts them as fast as they arrive, regardless of the progress of the event loop that handles
+ * them.
  *
- * <p>Where the system fails to accept, it is retried after a wait that grows with each failure in a row. How long a
- * connection may have waited meanwhile is recorded with it. All but {@link #isBelowLimit} runs on the acceptor's event
- * loop. All times are by {@link System#nanoTime}.
+ * <p>If the system fails to accept a connection, this class retries after a wait that grows with each consecutive
+ * failure. It records with each connection since when it may have waited. All methods except {@link #isBelowLimit} run
+ * on the acceptor's event loop. All times are {@link System#nanoTime} values.
  */
 final class AcceptLimiter extends ChannelInboundHandlerAdapter {
-    /** Since when a connection may have waited to be accepted. */
+    /** The time since which a connection may have waited to be accepted. */
     static final AttributeKey<Long> WAITING_SINCE = AttributeKey.valueOf("opalcove.waiting-since");
 
     private static final long MIN_RETRY_MS = 1;
     private static final long MAX_RETRY_MS = 32;
-    /** More connections than a server's backlog holds. */
+    /** More connections than the backlog of a server can hold. */
     private static final int MAX_WAITING = 520;
 
     private final Channel server;
@@ -33,27 +34,28 @@
     private final Consumer<IOException> acceptFailureListener;
     private final DescriptorCounter connections = new DescriptorCounter(this::resumeIfBelowLimit);
     private volatile boolean isPaused;
-    /** The system has failed to accept, and is not retried yet. */
+    /** Whether the system failed to accept a connection and the retry is pending. */
     private volatile boolean isBackingOff;
 
     private long retryMs = MIN_RETRY_MS;
-    /** Whether connections may have waited since {@link #waitingSince}: the backlog was not emptied since. */
+    /** Whether connections may have waited since {@link #waitingSince}, because the backlog was not emptied since. */
     private boolean mayWait;
 
     private long waitingSince;
-    /** When the last connections were accepted, as many as a backlog may hold, in a ring. */
+    /** A ring buffer of the times at which the last connections were accepted, as many as a backlog can hold. */
     private final long[] acceptedAt = new long[MAX_WAITING];
 
     private long acceptedCount;
     private int acceptedInRead;
-    /** What the two were before the read of the listening socket that has just ended. */
+    /** The value of {@link #mayWait} before the read of the listening socket that has just ended. */
     private boolean mayWaitBefore;
 
+    /** The value of {@link #waitingSince} before that read. */
     private long waitingSinceBefore;
 
-    /** A limit below the connections of one read counts as that many. */
+    /** Creates a limiter; a limit below the number of connections that one read may accept is raised to that number. */
     @SuppressWarnings(
-            "deprecation") // the server channel's own setting; its successor is the allocator, which is shared
+            "deprecation") // sets the limit for this channel only; its replacement belongs to the shared allocator
     AcceptLimiter(Channel server, int limit, LongSupplier unreadSince, Consumer<IOException> acceptFailureListener) {
         this.server = server;
         this.unreadSince = unreadSince;
@@ -62,7 +64,7 @@
         server.config().setMaxMessagesPerRead(CoarseWaitTransport.ACCEPTS_AT_ONCE);
     }
 
-    /** Whether another read of the listening socket keeps within the limit. Thread-safe. */
+    /** Returns whether another read of the listening socket stays within the limit. Thread-safe. */
     boolean isBelowLimit() {
         return connections.held() < pauseAt;
     }
@@ -80,7 +82,8 @@
             isPaused = true;
             server.config().setAutoRead(false);
             if (isBelowLimit()) {
-                // Connections were closed meanwhile, and their close may not have seen the pause.
+                // Connections may have been closed before they could see that the limiter is paused, so the check is
+                // repeated.
                 resumeIfBelowLimit();
             }
         }
@@ -102,8 +105,9 @@
     }
 
     /**
-     * Since when a connection that is accepted now may have waited: those before it in the backlog, no more than that
-     * holds, were accepted after it had arrived. Guards new clients in a storm that never lets the backlog run empty.
+     * Returns the time since which a connection that is accepted now may have waited. The connections before it in the
+     * backlog, which are at most as many as the backlog holds, were accepted after it had arrived. Without this bound
+     * new clients would count as waiting since the begin of a connection storm that never lets the backlog run empty.
      */
     private long earliestWaitingSince() {
         if (acceptedCount < MAX_WAITING) {
@@ -121,9 +125,9 @@
     }
 
     /**
-     * The system fails to accept, for lack of descriptors or memory, for example. Guards clients against Netty's own
-     * reaction, which is to accept nothing for a second, and the processor against retrying again and again. Called
-     * after the end of the read that failed, which therefore has not emptied the backlog.
+     * Handles a failure to accept a connection, for example for lack of descriptors or memory. Netty's own reaction
+     * would be to accept nothing for a second, and a retry without a wait would use up the processor. Netty calls this
+     * method after {@link #channelReadComplete} of the failed read, which therefore did not empty the backlog.
      */
     @Override
     public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
--- a/gateway/src/main/java/opalcove/transport/CoarseWaitTransport.java
+++ b/gateway/src/main/java/opalcove/transport/CoarseWaitTransport.java
@@ -30,27 +30,32 @@
 import org.tinylog.Logger;
 
 /**
- * Vert.x's NIO transport with what the gateway needs of sockets beyond it: limits and failures of accepting, shared
- * ports, and when event loops read. Its waits are coarse: a selector waits in whole milliseconds, and Netty rounds the
- * wait to the nearest one, so with less than half a millisecond to go its loop polls the selector again and again until
- * the timer is due. Here it rounds up, so that the loop sleeps and a timer is up to a millisecond late. Guards the
- * processor: on a part of a core those polls were most of all that the loop did.
+ * Vert.x's NIO transport, extended by what the gateway needs in addition: limits on accepted connections, notification
+ * of accept failures, shared ports, and the times at which event loops read their sockets.
+ *
+ * <p>Its waits are coarse. A selector waits for a number of full milliseconds, and Netty rounds the wait to the nearest
+ * one. With less than half a millisecond to go, Netty's loop therefore polls the selector repeatedly until the timer is
+ * due. This transport rounds the wait up instead, so that the loop sleeps and a timer is up to a millisecond late. This
+ * saves processor time: on a part of a core those polls were most of the work of the loop.
  */
 public class CoarseWaitTransport extends NioTransport {
-    /** Connections that one read of a listening socket may accept. */
+    /** The maximum number of connections that one read of a listening socket accepts. */
     public static final int ACCEPTS_AT_ONCE = 8;
 
-    /** Netty adds as much again before it truncates to whole milliseconds. */
+    /**
+     * Added to each wait, in ns; Netty adds the same amount again before it truncates the wait to full milliseconds.
+     */
     private static final long ROUNDING_NANOS = 499_999;
-    /** Reads of a listening socket before it is closed; each accepts several, and all together a whole backlog. */
+    /** The number of reads of a listening socket before it is closed; together they accept a complete backlog. */
     private static final int MAX_BACKLOG_READS = 128;
-    /** How often, and how long, it waits to be below the limit before the rest of the backlog is closed unread. */
+    /** The number of waits for the limit of connections before the rest of the backlog is closed unread. */
     private static final int MAX_BACKLOG_WAITS = 20;
 
+    /** The length of each of these waits. */
     private static final long BACKLOG_WAIT_MS = 5;
 
     private final Set<Channel> listening = ConcurrentHashMap.newKeySet();
-    /** Connections of one listening socket that may be open at once. */
+    /** The maximum number of open connections of one listening socket. */
     private volatile int maxAccepted = Integer.MAX_VALUE;
 
     private volatile Consumer<IOException> acceptFailureListener =
@@ -69,9 +74,9 @@
     }
 
     /**
-     * Supplies up to when the event loop of the caller's context has read its sockets, by {@link System#nanoTime}; to
-     * be called on that loop only. Where the Vert.x instance is not on this transport it is assumed to be always up to
-     * date.
+     * Returns a supplier of the {@link System#nanoTime} up to which the event loop of the caller's context has read its
+     * sockets. The supplier must be called on that loop only. If the Vert.x instance does not use this transport, the
+     * loop is assumed to be always up to date.
      */
     public static LongSupplier readUpTo(Vertx vertx) {
         SocketReadTimes times = readTimes(vertx);
@@ -79,9 +84,9 @@
     }
 
     /**
-     * Supplies since when what the event loop of the caller's context reads in this turn may have lain unread, by
-     * {@link System#nanoTime}; to be called on that loop only. Where the Vert.x instance is not on this transport it is
-     * assumed to have arrived just now.
+     * Returns a supplier of the {@link System#nanoTime} since which data that the event loop of the caller's context
+     * reads in this turn may have lain unread. The supplier must be called on that loop only. If the Vert.x instance
+     * does not use this transport, the data is assumed to have arrived just now.
      */
     public static LongSupplier unreadSince(Vertx vertx) {
         SocketReadTimes times = readTimes(vertx);
@@ -89,8 +94,8 @@
     }
 
     /**
-     * Since when an accepted connection may have waited to be accepted, by {@link System#nanoTime}; now, where that is
-     * not known.
+     * Returns the {@link System#nanoTime} since which an accepted connection may have waited to be accepted, or the
+     * current time if that is not known.
      */
     public static long waitingSince(Vertx vertx, AttributeMap connection) {
         Long since = connection.attr(AcceptLimiter.WAITING_SINCE).get();
@@ -101,7 +106,7 @@
         return times == null ? since : times.arrivedSince(since);
     }
 
-    /** Calls the action each time that the system fails to accept a connection, on the acceptor's thread. */
+    /** Calls the action on the acceptor's thread each time the system fails to accept a connection. */
     public static void whenAcceptRefused(Vertx vertx, Consumer<IOException> action) {
         if (((VertxInternal) vertx).transport() instanceof CoarseWaitTransport transport) {
             transport.acceptFailureListener = action;
@@ -116,8 +121,8 @@
     }
 
     /**
-     * Sets SO_REUSEPORT, which Vert.x leaves to its native transports; the JDK has it on Linux. With it a new process
-     * of the gateway listens at the port of the old one while that still serves.
+     * Sets SO_REUSEPORT, which Vert.x supports only in its native transports; the JDK supports it on Linux. It allows a
+     * new process of the gateway to listen at the port of the old process while that still serves.
      */
     @Override
     public void configure(NetServerOptions options, boolean domainSocket, ServerBootstrap bootstrap) {
@@ -147,8 +152,8 @@
     }
 
     /**
-     * Limits how many connections may be open at once, of each socket that listens from now on. Others wait in the
-     * kernel's backlog. Does nothing where the Vert.x instance is not on this transport.
+     * Limits the number of open connections of each socket that listens from now on; further connections wait in the
+     * kernel's backlog. Does nothing if the Vert.x instance does not use this transport.
      */
     public static void limitAccepted(Vertx vertx, int max) {
         if (((VertxInternal) vertx).transport() instanceof CoarseWaitTransport transport) {
@@ -157,10 +162,12 @@
     }
 
     /**
-     * Stops listening at shared ports and leaves the servers as they are: all connections that the kernel holds are
-     * accepted first, and handed over as usual. Guards connections that were established while the loops were held up,
-     * which a server's own shutdown closes unread. Runs the action on the caller's context once all of them were handed
-     * over; gives false, and does nothing, where the Vert.x instance is not on this transport.
+     * Stops listening at shared ports without closing the servers. All connections in the kernel's backlog are accepted
+     * first and handed to their servers as usual. Without it, a server's own shutdown would close unread the
+     * connections that were established while the loops were stalled.
+     *
+     * @param whenStopped runs on the caller's context once all these connections were handed over
+     * @return false, without any effect, if the Vert.x instance does not use this transport
      */
     public static boolean stopListening(Vertx vertx, Runnable whenStopped) {
         if (!(((VertxInternal) vertx).transport() instanceof CoarseWaitTransport transport)) {
@@ -169,7 +176,7 @@
         Context context = vertx.getOrCreateContext();
         List<Channel> servers = List.copyOf(transport.listening);
         AtomicInteger remaining = new AtomicInteger(servers.size() + 1);
-        // Two turns: in the first the connections handed over are registered, in the second their handler has run.
+        // Two turns are needed: in the first the accepted connections are registered, in the second their handlers run.
         Runnable stepDone = () -> {
             if (remaining.decrementAndGet() == 0) {
                 context.runOnContext(registered -> context.runOnContext(handled -> whenStopped.run()));
@@ -182,7 +189,7 @@
         return true;
     }
 
-    /** Accepts what the kernel holds, as far as the limit allows, and closes the listening socket. */
+    /** Accepts the kernel's backlog as far as the limit permits, and closes the listening socket. */
     private static void acceptBacklog(Channel server, int waits, Runnable whenClosed) {
         AcceptLimiter limiter = server.pipeline().get(AcceptLimiter.class);
         if (server.unsafe() instanceof AbstractNioChannel.NioUnsafe nio && limiter != null) {
@@ -201,14 +208,13 @@
         server.close().addListener(closed -> whenClosed.run());
     }
 
-    /** The handler of a loop; a transport that observes what loops do wraps it in its own. */
+    /** Creates the handler of an event loop; a subclass that observes event loops wraps it in its own handler. */
     protected IoHandler handler(IoHandlerFactory plain, ThreadAwareExecutor executor) {
         return plain.newHandler(executor);
     }
 
     /**
-     * Gives its loop's handler a context in which the next timer is a little further away, and records when the sockets
-     * are polled and read.
+     * Presents a slightly later timer to the event loop's handler, and records when the sockets are polled and read.
      */
     private static final class CoarseWaitHandler extends DelegatingIoHandler {
         private final SocketReadTimes readTimes;
@@ -226,7 +232,7 @@
             return handled;
         }
 
-        /** Netty's handler calls this between its poll of the sockets and the reading of those that are ready. */
+        /** Netty's handler calls this after it has polled the sockets and before it reads those that are ready. */
         @Override
         public boolean shouldReportActiveIoTime() {
             readTimes.polled();
@@ -240,7 +246,7 @@
             return delayNanos;
         }
 
-        /** What is due already is not delayed, and no timer stays none. */
+        /** Adds the rounding to a delay, unless the timer is already due or there is no timer. */
         private static long roundUp(long delayNanos) {
             return delayNanos <= 0 || delayNanos > Long.MAX_VALUE - ROUNDING_NANOS
                     ? delayNanos
--- a/gateway/src/main/java/opalcove/transport/DelegatingIoHandler.java
+++ b/gateway/src/main/java/opalcove/transport/DelegatingIoHandler.java
@@ -6,9 +6,9 @@
 import io.netty.channel.IoRegistration;
 
 /**
- * An event loop's handler that delegates to another, and the loop's context that delegates to its own: a subclass
- * overrides what it changes. It is the context itself, so that a poll of the sockets allocates nothing. Owned by its
- * event loop.
+ * An event loop's I/O handler and its context, both of which delegate to the original ones; a subclass overrides the
+ * methods it changes. One object has both roles, so that a poll of the sockets allocates nothing. Owned by its event
+ * loop.
  */
 public abstract class DelegatingIoHandler implements IoHandler, IoHandlerContext {
     private final IoHandler handler;
--- a/gateway/src/main/java/opalcove/transport/LibraryLogging.java
+++ b/gateway/src/main/java/opalcove/transport/LibraryLogging.java
@@ -8,16 +8,18 @@
 import org.tinylog.Logger;
 
 /**
- * Routes what Vert.x and Netty log to tinylog, from level info up. Guards the start against their own search for a
- * logging library, which ends at java.util.logging: its classes are needed for nothing else, and its lines have another
- * form than the program's. Stateless.
+ * Routes the log messages of Vert.x and Netty, from level info up, to tinylog. Otherwise both would search for a
+ * logging library at the start and end up at java.util.logging, whose classes are not needed for anything else, and
+ * whose lines have a different format from those of the program. Stateless.
  */
 public final class LibraryLogging {
     private static final String VERTX_FACTORY = "vertx.logger-delegate-factory-class-name";
 
     private LibraryLogging() {}
 
-    /** Has to be called before a class of Vert.x or Netty that logs is loaded; a factory that is set already stays. */
+    /**
+     * Must be called before a class of Vert.x or Netty that logs is loaded; a Vert.x factory that is set already stays.
+     */
     public static void install() {
         if (System.getProperty(VERTX_FACTORY) == null) {
             System.setProperty(VERTX_FACTORY, VertxLogs.class.getName());
@@ -25,7 +27,7 @@
         InternalLoggerFactory.setDefaultFactory(new NettyLogs());
     }
 
-    /** Made by Vert.x, by its name. */
+    /** Created by Vert.x by its class name. */
     public static final class VertxLogs implements LogDelegateFactory {
         @Override
         public boolean isAvailable() {
@@ -114,7 +116,7 @@
         }
     }
 
-    /** Netty's placeholders are tinylog's; a cause comes last among the arguments. */
+    /** Netty and tinylog use the same placeholders; if there is a cause, it is the last argument. */
     private static final class NettyLog extends AbstractInternalLogger {
         private static final long serialVersionUID = 1;
 
--- a/gateway/src/main/java/opalcove/transport/SocketReadTimes.java
+++ b/gateway/src/main/java/opalcove/transport/SocketReadTimes.java
@@ -3,52 +3,56 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * When one event loop last polled its sockets, and how long what it reads may have lain unread. All times are by {@link
- * System#nanoTime}. Owned by that loop.
+ * Records when one event loop last polled its sockets, and since when the data that it reads may have lain unread. All
+ * times are {@link System#nanoTime} values. Owned by that loop.
  *
  * <p>A turn of the loop has two parts: it polls the sockets and reads those that are ready, one after another, and then
- * runs its tasks and timers. While it reads, what arrived at a socket further down may not have been read yet, so the
- * time of the turn before's poll holds.
+ * runs its tasks and timers. While it reads, data at a later socket may not have been read yet, so that only data that
+ * had arrived by the previous turn's poll is certain to have been read.
  *
- * <p>What is read in a turn arrived after the turn before had polled. Where the loop slept in between it arrived just
- * now, for it ended the sleep; but not where the sleep, or the turn before it, lasted longer than it should have: then
- * the process was paused for a while, and what is read may have arrived at any time since. A pause shorter than the
- * rest of the sleep is not detected.
+ * <p>Data that is read in a turn arrived after the poll of the previous turn. If the loop slept in between, the data
+ * arrived just now, because it ended the sleep. This does not hold if the sleep or the previous turn lasted longer than
+ * it should have: the process was then paused for some time, and the data may have arrived at any time since the
+ * previous poll. A pause that is shorter than the rest of the sleep is not detected.
  */
 final class SocketReadTimes {
-    /** A shorter wait for sockets is not a sleep: something was ready already. */
+    /** A shorter wait for sockets does not count as a sleep, because a socket was already ready. */
     private static final long SLEPT_NANOS = TimeUnit.MILLISECONDS.toNanos(1);
-    /** A sleep that lasted so much longer than it should have shows that the process was paused. */
+    /** A sleep or a turn that exceeds its expected duration by this time shows that the process was paused. */
     private static final long LATE_NANOS = TimeUnit.MILLISECONDS.toNanos(20);
-    /** Other loops may take what waited for them so much later than this one detected the end of a pause. */
+    /**
+     * Other loops may accept connections that waited for them until this time after this loop detected the end of a
+     * pause.
+     */
     private static final long NEAR_NANOS = TimeUnit.MILLISECONDS.toNanos(50);
 
     private long polledAt = System.nanoTime();
     private long readUpTo = polledAt;
     private long unreadSince = polledAt;
-    /** When the process was last paused, as far as was detected: from the poll before until that time. */
+    /** The begin of the last detected pause of the process, which is the time of the poll before it. */
     private long pausedSince = polledAt;
 
+    /** The time at which the last pause was detected. */
     private long pausedUntil = polledAt;
-    /** Nothing was read after a pause: what is read next may have arrived since then. */
+    /** Whether nothing was read after a pause, so that data that is read next may have arrived since the pause. */
     private boolean isCarriedOver;
 
     private long carriedSince;
     private long pollBeganAt = polledAt;
     private long wakesAt = polledAt;
 
-    /** The sockets are about to be polled. */
+    /** Called before the sockets are polled. */
     void pollBegins() {
         pollBeganAt = System.nanoTime();
         wakesAt = pollBeganAt;
     }
 
-    /** The loop will wait for sockets no longer than that. */
+    /** Called with the longest time, in ns, for which the loop will wait for sockets. */
     void sleepLimited(long delayNanos) {
         wakesAt = delayNanos > Long.MAX_VALUE / 2 ? pollBeganAt + Long.MAX_VALUE / 2 : System.nanoTime() + delayNanos;
     }
 
-    /** The sockets that are ready are known, and are read next. */
+    /** Called after the poll, before the ready sockets are read. */
     void polled() {
         long now = System.nanoTime();
         boolean isLate = now - wakesAt >= LATE_NANOS || pollBeganAt - polledAt >= LATE_NANOS;
@@ -65,8 +69,10 @@
     }
 
     /**
-     * All ready sockets have been read, so many. The end of a pause interrupts the sleep, which then ends with no
-     * socket ready, though some are: the next turn reads them, and they may be as old.
+     * Called after the ready sockets were read. The end of a pause may interrupt the sleep and end it with no socket
+     * reported as ready, although some are. The next turn then reads them, and their data may be as old as the pause.
+     *
+     * @param handled the number of sockets that were read
      */
     void socketsRead(int handled) {
         readUpTo = polledAt;
@@ -74,25 +80,25 @@
         carriedSince = unreadSince;
     }
 
-    /** What had arrived by this time, at sockets that the loop reads, has been read. */
+    /** Returns the time up to which all data that arrived at this loop's sockets has been read. */
     long readUpTo() {
         return readUpTo;
     }
 
     /**
-     * What was accepted by another loop at that time arrived no earlier than the time given here: that loop may not
-     * have detected a pause.
+     * Returns the earliest time at which a connection that another loop accepted at the given time may have arrived;
+     * that loop may not have detected a pause which this loop detected.
      */
     long arrivedSince(long acceptedAt) {
         if (acceptedAt - polledAt >= LATE_NANOS) {
-            // This turn has lasted long, and may be the one that was paused.
+            // This turn has lasted long, and the process may have been paused during it.
             return polledAt;
         }
         boolean isNear = acceptedAt - pausedUntil < NEAR_NANOS;
         return isNear ? Math.min(acceptedAt, pausedSince) : acceptedAt;
     }
 
-    /** What is read in this turn, of sockets that the loop reads, arrived no earlier. */
+    /** Returns the earliest time at which data that this loop reads in this turn may have arrived. */
     long unreadSince() {
         return unreadSince;
     }
--- a/gateway/src/test/java/opalcove/transport/SocketReadTimesTest.java
+++ b/gateway/src/test/java/opalcove/transport/SocketReadTimesTest.java
@@ -5,14 +5,14 @@
 import java.util.concurrent.TimeUnit;
 import org.testng.annotations.Test;
 
-/** Since when what a loop reads may have lain unread, by what the loop has seen of its own time. */
+/** Tests since when data may have lain unread, given the duration of an event loop's sleeps and turns. */
 public class SocketReadTimesTest {
     private static final long LATE_MS = 60;
     private static final long SLEEP_MS = 30;
 
     private final SocketReadTimes times = new SocketReadTimes();
 
-    /** One turn: polls, sleeps for so long, though it should have been no longer than the limit, and reads so many sockets. */
+    /** Simulates one turn: a poll that sleeps for sleepMs although maxSleepMs was its limit, and then reads sockets. */
     private void turn(long maxSleepMs, long waitsMs, int handled) throws Exception {
         times.pollBegins();
         times.sleepLimited(TimeUnit.MILLISECONDS.toNanos(maxSleepMs));
@@ -23,7 +23,9 @@
 
     private void assertUnreadForAtLeast(long ms) {
         long unread = System.nanoTime() - times.unreadSince();
-        assertTrue(unread >= TimeUnit.MILLISECONDS.toNanos(ms), unread + " ns");
+        assertTrue(
+                unread >= TimeUnit.MILLISECONDS.toNanos(ms),
+                "unread for " + unread + " ns, at least " + ms + " ms expected");
     }
 
     @Test
@@ -31,7 +33,8 @@
         turn(0, 0, 1);
         long before = System.nanoTime();
         turn(10_000, SLEEP_MS, 1);
-        assertTrue(times.unreadSince() - before >= TimeUnit.MILLISECONDS.toNanos(SLEEP_MS), "it came just now");
+        assertTrue(
+                times.unreadSince() - before >= TimeUnit.MILLISECONDS.toNanos(SLEEP_MS), "the data arrived just now");
     }
 
     @Test
@@ -50,7 +53,7 @@
         long before = System.nanoTime();
         turn(0, 0, 1);
         turn(0, 0, 1);
-        assertTrue(times.unreadSince() - before >= 0, "once it is read it is over");
+        assertTrue(times.unreadSince() - before >= 0, "the pause no longer counts after a read");
     }
 
     @Test
@@ -62,6 +65,6 @@
         long before = System.nanoTime();
         turn(1, LATE_MS, 1);
         turn(1, LATE_MS, 1);
-        assertTrue(times.unreadSince() - before >= 0, "no older than the look of the turn before");
+        assertTrue(times.unreadSince() - before >= 0, "data is no older than the poll of the previous turn");
     }
 }
