--- a/gateway/src/main/java/opalcove/transport/AcceptLimiter.java
+++ b/gateway/src/main/java/opalcove/transport/AcceptLimiter.java
@@ -23,13 +23,13 @@
     /** The time since which a connection may have waited to be accepted. */
     static final AttributeKey<Long> WAITING_SINCE = AttributeKey.valueOf("opalcove.waiting-since");
 
-    private static final long MIN_RETRY_MS = 1;
-    private static final long MAX_RETRY_MS = 32;
+    private static final long MIN_RETRY_DELAY_MS = 1;
+    private static final long MAX_RETRY_DELAY_MS = 32;
     /** More connections than the backlog of a server can hold. */
-    private static final int MAX_WAITING = 520;
+    private static final int MAX_BACKLOG_CONNECTIONS = 520;
 
     private final Channel server;
-    private final int pauseAt;
+    private final int pauseThreshold;
     private final LongSupplier unreadSince;
     private final Consumer<IOException> acceptFailureListener;
     private final DescriptorCounter connections = new DescriptorCounter(this::resumeIfBelowLimit);
@@ -37,13 +37,13 @@
     /** Whether the system failed to accept a connection and the retry is pending. */
     private volatile boolean isBackingOff;
 
-    private long retryMs = MIN_RETRY_MS;
+    private long retryDelayMs = MIN_RETRY_DELAY_MS;
     /** Whether connections may have waited since {@link #waitingSince}, because the backlog was not emptied since. */
     private boolean mayWait;
 
     private long waitingSince;
     /** A ring buffer of the times at which the last connections were accepted, as many as a backlog can hold. */
-    private final long[] acceptedAt = new long[MAX_WAITING];
+    private final long[] acceptedAtNanos = new long[MAX_BACKLOG_CONNECTIONS];
 
     private long acceptedCount;
     private int acceptedInRead;
@@ -60,22 +60,22 @@
         this.server = server;
         this.unreadSince = unreadSince;
         this.acceptFailureListener = acceptFailureListener;
-        pauseAt = Math.max(1, limit - CoarseWaitTransport.ACCEPTS_AT_ONCE + 1);
+        pauseThreshold = Math.max(1, limit - CoarseWaitTransport.ACCEPTS_AT_ONCE + 1);
         server.config().setMaxMessagesPerRead(CoarseWaitTransport.ACCEPTS_AT_ONCE);
     }
 
     /** Returns whether another read of the listening socket stays within the limit. Thread-safe. */
     boolean isBelowLimit() {
-        return connections.held() < pauseAt;
+        return connections.held() < pauseThreshold;
     }
 
     @Override
     public void channelRead(ChannelHandlerContext context, Object message) {
         Channel connection = (Channel) message;
         acceptedInRead++;
-        retryMs = MIN_RETRY_MS;
+        retryDelayMs = MIN_RETRY_DELAY_MS;
         connection.attr(WAITING_SINCE).set(mayWait ? earliestWaitingSince() : unreadSince.getAsLong());
-        acceptedAt[(int) (acceptedCount++ % MAX_WAITING)] = System.nanoTime();
+        acceptedAtNanos[(int) (acceptedCount++ % MAX_BACKLOG_CONNECTIONS)] = System.nanoTime();
         connections.opened();
         connection.closeFuture().addListener(closed -> connections.closed(connection.eventLoop()));
         if (!isBelowLimit()) {
@@ -99,7 +99,7 @@
         if (isEmptied) {
             mayWait = false;
         } else {
-            waitFrom(unreadSince.getAsLong());
+            markWaitingSince(unreadSince.getAsLong());
         }
         context.fireChannelReadComplete();
     }
@@ -110,14 +110,14 @@
      * new clients would count as waiting since the begin of a connection storm that never lets the backlog run empty.
      */
     private long earliestWaitingSince() {
-        if (acceptedCount < MAX_WAITING) {
+        if (acceptedCount < MAX_BACKLOG_CONNECTIONS) {
             return waitingSince;
         }
-        long oldest = acceptedAt[(int) (acceptedCount % MAX_WAITING)];
+        long oldest = acceptedAtNanos[(int) (acceptedCount % MAX_BACKLOG_CONNECTIONS)];
         return oldest - waitingSince > 0 ? oldest : waitingSince;
     }
 
-    private void waitFrom(long since) {
+    private void markWaitingSince(long since) {
         if (!mayWait) {
             mayWait = true;
             waitingSince = since;
@@ -137,13 +137,13 @@
         }
         mayWait = mayWaitBefore;
         waitingSince = waitingSinceBefore;
-        waitFrom(unreadSince.getAsLong());
+        markWaitingSince(unreadSince.getAsLong());
         acceptFailureListener.accept(failure);
         if (!isBackingOff) {
             isBackingOff = true;
             server.config().setAutoRead(false);
-            server.eventLoop().schedule(this::retry, retryMs, TimeUnit.MILLISECONDS);
-            retryMs = Math.min(2 * retryMs, MAX_RETRY_MS);
+            server.eventLoop().schedule(this::retry, retryDelayMs, TimeUnit.MILLISECONDS);
+            retryDelayMs = Math.min(2 * retryDelayMs, MAX_RETRY_DELAY_MS);
         }
     }
 
--- a/gateway/src/main/java/opalcove/transport/CoarseWaitTransport.java
+++ b/gateway/src/main/java/opalcove/transport/CoarseWaitTransport.java
@@ -56,7 +56,7 @@
 
     private final Set<Channel> listening = ConcurrentHashMap.newKeySet();
     /** The maximum number of open connections of one listening socket. */
-    private volatile int maxAccepted = Integer.MAX_VALUE;
+    private volatile int maxConnections = Integer.MAX_VALUE;
 
     private volatile Consumer<IOException> acceptFailureListener =
             failure -> Logger.warn("cannot accept a connection: {}", failure.getMessage());
@@ -65,11 +65,11 @@
 
     @Override
     public IoHandlerFactory ioHandlerFactory() {
-        IoHandlerFactory plain = super.ioHandlerFactory();
+        IoHandlerFactory defaultFactory = super.ioHandlerFactory();
         return executor -> {
             SocketReadTimes times = new SocketReadTimes();
             readTimes.put(executor, times);
-            return new CoarseWaitHandler(handler(plain, executor), times);
+            return new CoarseWaitHandler(handler(defaultFactory, executor), times);
         };
     }
 
@@ -140,7 +140,7 @@
                 server.pipeline()
                         .addLast(new AcceptLimiter(
                                 server,
-                                maxAccepted,
+                                maxConnections,
                                 acceptor == null ? System::nanoTime : acceptor::unreadSince,
                                 failure -> acceptFailureListener.accept(failure)));
                 if (options.isReusePort()) {
@@ -157,7 +157,7 @@
      */
     public static void limitAccepted(Vertx vertx, int max) {
         if (((VertxInternal) vertx).transport() instanceof CoarseWaitTransport transport) {
-            transport.maxAccepted = max;
+            transport.maxConnections = max;
         }
     }
 
@@ -209,8 +209,8 @@
     }
 
     /** Creates the handler of an event loop; a subclass that observes event loops wraps it in its own handler. */
-    protected IoHandler handler(IoHandlerFactory plain, ThreadAwareExecutor executor) {
-        return plain.newHandler(executor);
+    protected IoHandler handler(IoHandlerFactory defaultFactory, ThreadAwareExecutor executor) {
+        return defaultFactory.newHandler(executor);
     }
 
     /**
--- a/gateway/src/main/java/opalcove/transport/DelegatingIoHandler.java
+++ b/gateway/src/main/java/opalcove/transport/DelegatingIoHandler.java
@@ -12,7 +12,7 @@
  */
 public abstract class DelegatingIoHandler implements IoHandler, IoHandlerContext {
     private final IoHandler handler;
-    private IoHandlerContext loop;
+    private IoHandlerContext loopContext;
 
     protected DelegatingIoHandler(IoHandler handler) {
         this.handler = handler;
@@ -25,33 +25,33 @@
 
     @Override
     public int run(IoHandlerContext context) {
-        loop = context;
+        loopContext = context;
         return handler.run(this);
     }
 
     @Override
     public boolean canBlock() {
-        return loop.canBlock();
+        return loopContext.canBlock();
     }
 
     @Override
     public long delayNanos(long now) {
-        return loop.delayNanos(now);
+        return loopContext.delayNanos(now);
     }
 
     @Override
     public long deadlineNanos() {
-        return loop.deadlineNanos();
+        return loopContext.deadlineNanos();
     }
 
     @Override
     public void reportActiveIoTime(long activeNanos) {
-        loop.reportActiveIoTime(activeNanos);
+        loopContext.reportActiveIoTime(activeNanos);
     }
 
     @Override
     public boolean shouldReportActiveIoTime() {
-        return loop.shouldReportActiveIoTime();
+        return loopContext.shouldReportActiveIoTime();
     }
 
     @Override
--- a/gateway/src/main/java/opalcove/transport/DescriptorCounter.java
+++ b/gateway/src/main/java/opalcove/transport/DescriptorCounter.java
@@ -15,7 +15,7 @@
 public final class DescriptorCounter {
     private final AtomicInteger held = new AtomicInteger();
     private final AtomicInteger closed = new AtomicInteger();
-    private final Runnable whenFreed;
+    private final Runnable whenReleased;
 
     /** Creates a counter that does nothing when descriptors are released. */
     public DescriptorCounter() {
@@ -25,8 +25,8 @@
     /**
      * Creates a counter that runs the action whenever descriptors were released, on the event loop that closed them.
      */
-    public DescriptorCounter(Runnable whenFreed) {
-        this.whenFreed = whenFreed;
+    public DescriptorCounter(Runnable whenReleased) {
+        this.whenReleased = whenReleased;
     }
 
     /** Returns the event loop of the caller's context, or of a new context if there is none. */
@@ -49,12 +49,12 @@
         if (closed.getAndIncrement() == 0) {
             // Of the tasks that a task submits, only a timer is certain to run in a later turn, that is after another
             // poll.
-            loop.execute(() -> loop.schedule(this::freed, 1, TimeUnit.MILLISECONDS));
+            loop.execute(() -> loop.schedule(this::descriptorsReleased, 1, TimeUnit.MILLISECONDS));
         }
     }
 
-    private void freed() {
+    private void descriptorsReleased() {
         held.addAndGet(-closed.getAndSet(0));
-        whenFreed.run();
+        whenReleased.run();
     }
 }
--- a/gateway/src/main/java/opalcove/transport/LibraryLogging.java
+++ b/gateway/src/main/java/opalcove/transport/LibraryLogging.java
@@ -13,7 +13,7 @@
  * whose lines have a different format from those of the program. Stateless.
  */
 public final class LibraryLogging {
-    private static final String VERTX_FACTORY = "vertx.logger-delegate-factory-class-name";
+    private static final String VERTX_FACTORY_PROPERTY = "vertx.logger-delegate-factory-class-name";
 
     private LibraryLogging() {}
 
@@ -21,8 +21,8 @@
      * Must be called before a class of Vert.x or Netty that logs is loaded; a Vert.x factory that is set already stays.
      */
     public static void install() {
-        if (System.getProperty(VERTX_FACTORY) == null) {
-            System.setProperty(VERTX_FACTORY, VertxLogs.class.getName());
+        if (System.getProperty(VERTX_FACTORY_PROPERTY) == null) {
+            System.setProperty(VERTX_FACTORY_PROPERTY, VertxLogs.class.getName());
         }
         InternalLoggerFactory.setDefaultFactory(new NettyLogs());
     }
--- a/gateway/src/main/java/opalcove/transport/SocketReadTimes.java
+++ b/gateway/src/main/java/opalcove/transport/SocketReadTimes.java
@@ -17,55 +17,58 @@
  */
 final class SocketReadTimes {
     /** A shorter wait for sockets does not count as a sleep, because a socket was already ready. */
-    private static final long SLEPT_NANOS = TimeUnit.MILLISECONDS.toNanos(1);
+    private static final long MIN_SLEEP_NANOS = TimeUnit.MILLISECONDS.toNanos(1);
     /** A sleep or a turn that exceeds its expected duration by this time shows that the process was paused. */
-    private static final long LATE_NANOS = TimeUnit.MILLISECONDS.toNanos(20);
+    private static final long PAUSE_THRESHOLD_NANOS = TimeUnit.MILLISECONDS.toNanos(20);
     /**
      * Other loops may accept connections that waited for them until this time after this loop detected the end of a
      * pause.
      */
-    private static final long NEAR_NANOS = TimeUnit.MILLISECONDS.toNanos(50);
+    private static final long PAUSE_END_TOLERANCE_NANOS = TimeUnit.MILLISECONDS.toNanos(50);
 
-    private long polledAt = System.nanoTime();
-    private long readUpTo = polledAt;
-    private long unreadSince = polledAt;
+    private long polledAtNanos = System.nanoTime();
+    private long readUpTo = polledAtNanos;
+    private long unreadSince = polledAtNanos;
     /** The begin of the last detected pause of the process, which is the time of the poll before it. */
-    private long pausedSince = polledAt;
+    private long pausedSince = polledAtNanos;
 
     /** The time at which the last pause was detected. */
-    private long pausedUntil = polledAt;
+    private long pausedUntil = polledAtNanos;
     /** Whether nothing was read after a pause, so that data that is read next may have arrived since the pause. */
     private boolean isCarriedOver;
 
     private long carriedSince;
-    private long pollBeganAt = polledAt;
-    private long wakesAt = polledAt;
+    private long pollBeganAtNanos = polledAtNanos;
+    private long wakesAtNanos = polledAtNanos;
 
     /** Called before the sockets are polled. */
     void pollBegins() {
-        pollBeganAt = System.nanoTime();
-        wakesAt = pollBeganAt;
+        pollBeganAtNanos = System.nanoTime();
+        wakesAtNanos = pollBeganAtNanos;
     }
 
     /** Called with the longest time, in ns, for which the loop will wait for sockets. */
     void sleepLimited(long delayNanos) {
-        wakesAt = delayNanos > Long.MAX_VALUE / 2 ? pollBeganAt + Long.MAX_VALUE / 2 : System.nanoTime() + delayNanos;
+        wakesAtNanos = delayNanos > Long.MAX_VALUE / 2
+                ? pollBeganAtNanos + Long.MAX_VALUE / 2
+                : System.nanoTime() + delayNanos;
     }
 
     /** Called after the poll, before the ready sockets are read. */
     void polled() {
         long now = System.nanoTime();
-        boolean isLate = now - wakesAt >= LATE_NANOS || pollBeganAt - polledAt >= LATE_NANOS;
+        boolean isLate = now - wakesAtNanos >= PAUSE_THRESHOLD_NANOS
+                || pollBeganAtNanos - polledAtNanos >= PAUSE_THRESHOLD_NANOS;
         if (isLate) {
-            pausedSince = polledAt;
+            pausedSince = polledAtNanos;
             pausedUntil = now;
         }
-        boolean hasSlept = now - pollBeganAt > SLEPT_NANOS;
-        unreadSince = hasSlept && !isLate ? now : polledAt;
+        boolean hasSlept = now - pollBeganAtNanos > MIN_SLEEP_NANOS;
+        unreadSince = hasSlept && !isLate ? now : polledAtNanos;
         if (isCarriedOver) {
             unreadSince = carriedSince;
         }
-        polledAt = now;
+        polledAtNanos = now;
     }
 
     /**
@@ -75,8 +78,8 @@
      * @param handled the number of sockets that were read
      */
     void socketsRead(int handled) {
-        readUpTo = polledAt;
-        isCarriedOver = handled == 0 && polledAt == pausedUntil;
+        readUpTo = polledAtNanos;
+        isCarriedOver = handled == 0 && polledAtNanos == pausedUntil;
         carriedSince = unreadSince;
     }
 
@@ -89,13 +92,13 @@
      * Returns the earliest time at which a connection that another loop accepted at the given time may have arrived;
      * that loop may not have detected a pause which this loop detected.
      */
-    long arrivedSince(long acceptedAt) {
-        if (acceptedAt - polledAt >= LATE_NANOS) {
+    long arrivedSince(long acceptedAtNanos) {
+        if (acceptedAtNanos - polledAtNanos >= PAUSE_THRESHOLD_NANOS) {
             // This turn has lasted long, and the process may have been paused during it.
-            return polledAt;
+            return polledAtNanos;
         }
-        boolean isNear = acceptedAt - pausedUntil < NEAR_NANOS;
-        return isNear ? Math.min(acceptedAt, pausedSince) : acceptedAt;
+        boolean isSoonAfterPause = acceptedAtNanos - pausedUntil < PAUSE_END_TOLERANCE_NANOS;
+        return isSoonAfterPause ? Math.min(acceptedAtNanos, pausedSince) : acceptedAtNanos;
     }
 
     /** Returns the earliest time at which data that this loop reads in this turn may have arrived. */
