--- a/gateway/src/main/java/opalcove/lifecycle/Application.java
+++ b/gateway/src/main/java/opalcove/lifecycle/Application.java
@@ -21,38 +21,42 @@
 import org.tinylog.Logger;
 
 /**
- * The process of a gateway, whichever front end it has: its event loop, its phases, and its end at SIGTERM. Created on
- * the thread that starts the program; what it starts runs on the event loop.
+ * The process of a gateway, independent of its client protocol: its event loop, its phases, and its graceful shutdown
+ * at SIGTERM. It is created on the thread that starts the program, and its work runs on the event loop.
  */
 public final class Application {
-    /** Vert.x's property for the folder of its file cache. */
+    /** The system property for the folder of Vert.x's file cache. */
     private static final String FILE_CACHE = "vertx.cacheDirBase";
     /**
-     * How long a load balancer may go on sending new connections after it was notified that this gateway leaves, ms.
+     * How long a load balancer may still send new connections after it was notified that this gateway leaves.
      */
     private static final long LEAVE_NOTICE_MS = 500;
 
     /**
-     * The platform kills a process no sooner than this after SIGTERM: the longest deadline, of which no more than this
-     * counts, and the grace, ms.
+     * The upper bound of the longest deadline when the time for the shutdown is computed. The platform kills a process
+     * no sooner after SIGTERM than the longest deadline, limited to this time, plus {@link #SHUTDOWN_GRACE_MS}.
      */
     private static final long MAX_SHUTDOWN_MS = 3000;
 
+    /** The time that the platform grants a process after SIGTERM in addition to the longest deadline. */
     private static final long SHUTDOWN_GRACE_MS = 700;
     /**
-     * How much earlier the last responses are given, ms: the signal may have come late, and responses take their way.
+     * How much earlier than at that time the last responses are sent, because the signal may have arrived late and
+     * responses take time to reach clients.
      */
     private static final long SHUTDOWN_MARGIN_MS = 200;
-    /** How long a start tries to listen where the machine lacks something for it, and how often, ms. */
+    /** How long a start retries to listen while the machine lacks a resource for it. */
     private static final long LISTEN_RETRY_MS = 8000;
 
+    /** The interval of these retries. */
     private static final long LISTEN_RETRY_INTERVAL_MS = 50;
-    /** Time for the last response to leave the process, ms. */
+    /** The time for the last response to leave the process. */
     private static final long FLUSH_MS = 50;
 
     static {
         LibraryLogging.install();
-        // Vert.x computes a name for its file cache, which is off; its first string concatenation is slow at a start.
+        // Vert.x computes a name for its file cache even if that is off. Setting the property avoids the computation,
+        // whose string concatenation, the first one of the process, is slow at a start.
         if (System.getProperty(FILE_CACHE) == null) {
             System.setProperty(FILE_CACHE, System.getProperty("java.io.tmpdir"));
         }
@@ -62,10 +66,10 @@
     private final Lifecycle phases = new Lifecycle();
     private final CountDownLatch stopped = new CountDownLatch(1);
 
-    /** Connections that may come to be open before the limit on them is checked. */
+    /** The number of connections that may be accepted before the limit on them is checked. */
     public static final int ACCEPTS_AT_ONCE = CoarseWaitTransport.ACCEPTS_AT_ONCE;
 
-    /** Creates one event loop, without a file cache: the file system may be read-only. */
+    /** Creates an event loop without a file cache, because the file system may be read-only. */
     public static Vertx createEventLoop() {
         return VertxBootstrap.create()
                 .options(new VertxOptions()
@@ -81,65 +85,66 @@
     }
 
     /**
-     * Up to when the event loop of the caller's context has read its sockets, on the scale of {@link System#nanoTime};
-     * to be called on that loop alone.
+     * Returns a supplier of the {@link System#nanoTime} up to which the event loop of the caller's context has read its
+     * sockets. The supplier must be called on that loop only.
      */
     public static LongSupplier readUpTo(Vertx vertx) {
         return CoarseWaitTransport.readUpTo(vertx);
     }
 
     /**
-     * Since when what the event loop of the caller's context reads in this turn may have lain unread, on the scale of
-     * {@link System#nanoTime}; to be called on that loop alone.
+     * Returns a supplier of the {@link System#nanoTime} since which data that the event loop of the caller's context
+     * reads in this turn may have lain unread. The supplier must be called on that loop only.
      */
     public static LongSupplier unreadSince(Vertx vertx) {
         return CoarseWaitTransport.unreadSince(vertx);
     }
 
     /**
-     * Since when an accepted connection may have waited to be accepted, on the scale of {@link System#nanoTime}; now, where
-     * that is not known.
+     * Returns the {@link System#nanoTime} since which an accepted connection may have waited to be accepted, or the
+     * current time if that is not known.
      */
     public static long waitingSince(Vertx vertx, AttributeMap connection) {
         return CoarseWaitTransport.waitingSince(vertx, connection);
     }
 
-    /** Calls the action each time that the system fails to accept a connection, on a thread of its own. */
+    /** Calls the action, on the acceptor's thread, each time the system fails to accept a connection. */
     public static void whenAcceptRefused(Vertx vertx, Consumer<IOException> action) {
         CoarseWaitTransport.whenAcceptRefused(vertx, action);
     }
 
     /**
-     * Limits the connections of a front end's server that are open at once, for servers that listen from now on; the
-     * others wait to be accepted.
+     * Limits the open connections of each server that listens from now on; further connections wait to be accepted.
      */
     public static void limitAccepted(Vertx vertx, int maxConnections) {
         CoarseWaitTransport.limitAccepted(vertx, maxConnections);
     }
 
     /**
-     * Stops listening once all connections that the system holds have been accepted; what was accepted is served. Runs
-     * the action then; gives false, and does nothing, on an event loop that {@link #createEventLoop} has not made.
+     * Stops listening once all connections in the system's backlog have been accepted; accepted connections are served.
+     *
+     * @param then runs once listening has stopped
+     * @return false, without any effect, if the event loop was not created by {@link #createEventLoop}
      */
     public static boolean stopListening(Vertx vertx, Runnable then) {
         return CoarseWaitTransport.stopListening(vertx, then);
     }
 
-    /** Runs the wiring on the event loop, and shuts down gracefully at SIGTERM from now on. */
+    /** Runs the wiring on the event loop and installs the graceful shutdown at SIGTERM. */
     public void start(Consumer<Vertx> wiring) {
         vertx.runOnContext(start -> wiring.accept(vertx));
         Runtime.getRuntime().addShutdownHook(new Thread(this::shutDown, "leave"));
     }
 
-    /** The program's phases. */
+    /** Returns the phases of this process. */
     public Lifecycle phases() {
         return phases;
     }
 
-    /** Opens the front end and accepts requests once it listens; a program that cannot listen exits with 1. */
+    /** Listens for clients and then accepts requests; if listening fails, the process ends with exit code 1. */
     public void open(Supplier<Future<Integer>> listen) {
         if (phases.current() != Phase.STARTING) {
-            // SIGTERM came meanwhile. Guards clients against a front end that opens then: what they send is lost.
+            // SIGTERM arrived during the start. A server that still opened now would lose the requests of its clients.
             return;
         }
         listenWithRetries(vertx, listen)
@@ -151,8 +156,8 @@
     }
 
     /**
-     * Listens; where this machine lacks something for it now (descriptors, memory, the address), again and again for a
-     * while. Guards the start against ending for what the machine lacks for a moment.
+     * Listens and, while this machine lacks a resource for it (descriptors, memory, the address), retries for up to 8
+     * s. Without the retries a start would fail because of a resource that is missing only for a moment.
      */
     public static <T> Future<T> listenWithRetries(Vertx vertx, Supplier<Future<T>> listen) {
         return listenWithRetries(vertx, listen, System.nanoTime());
@@ -173,9 +178,9 @@
     }
 
     /**
-     * Sets what the phases at the end of the program do.
+     * Registers the work of the shutdown phases.
      *
-     * @param drain stops accepting connections, and runs its argument once all are closed
+     * @param drain stops accepting connections, and runs its argument once all connections are closed
      */
     public void onShutdown(RequestDispatcher dispatcher, Consumer<Runnable> drain) {
         phases.onChange(phase -> {
@@ -184,8 +189,8 @@
                 case DRAINING -> {
                     dispatcher.beginShutdown(shutdownBudgetMs(dispatcher.maxDeadlineMs()));
                     drain.accept(() -> phases.enter(Phase.STOPPED));
-                    // Guards the end against a client that reads no response: one that is owed a response gets it
-                    // first.
+                    // A client that does not read its responses must not delay the exit beyond the longest deadline;
+                    // pending requests get their responses first.
                     vertx.setTimer(
                             dispatcher.maxDeadlineMs() + LEAVE_NOTICE_MS,
                             due -> dispatcher.whenIdle(
@@ -200,13 +205,13 @@
         });
     }
 
-    /** How long a request that is accepted after the leave notice may wait for its response, ms. */
+    /** Returns how long a request that is accepted after the leave notice may wait for its response, in ms. */
     public static long shutdownBudgetMs(long maxDeadlineMs) {
         return Math.max(
                 0, Math.min(maxDeadlineMs, MAX_SHUTDOWN_MS) + SHUTDOWN_GRACE_MS - SHUTDOWN_MARGIN_MS - LEAVE_NOTICE_MS);
     }
 
-    /** At SIGTERM: what was accepted is answered first; then the process exits with 0. */
+    /** Handles SIGTERM: responds to all accepted requests first and then ends the process with exit code 0. */
     private void shutDown() {
         vertx.runOnContext(notified -> phases.enter(Phase.LEAVING));
         try {
--- a/gateway/src/main/java/opalcove/lifecycle/Lifecycle.java
+++ b/gateway/src/main/java/opalcove/lifecycle/Lifecycle.java
@@ -6,21 +6,21 @@
 import org.tinylog.Logger;
 
 /**
- * The program's phases, from start to exit. They are entered in order, each once; a phase may be skipped. Used on the
- * event loop only.
+ * The phases of the process, from start to exit. They are entered in order and at most once each; a phase may be
+ * skipped. Must be used on the event loop only.
  */
 public final class Lifecycle {
-    /** The phases, in their order. */
+    /** The phases, in the order in which they are entered. */
     public enum Phase {
-        /** Reads its settings and the endpoint list; accepts nothing yet. */
+        /** The process reads its settings and the endpoint list and accepts nothing yet. */
         STARTING("starting"),
-        /** Accepts requests and answers them. */
+        /** The process accepts requests and responds to them. */
         SERVING("serving"),
-        /** Has received SIGTERM: still accepts what comes, for as long as a load balancer may not know yet. */
+        /** The process has received SIGTERM but still accepts clients while a load balancer may not know of it yet. */
         LEAVING("leaving"),
-        /** Accepts no new clients; answers what it has and closes idle connections. */
+        /** The process accepts no new clients, responds to open requests and closes idle connections. */
         DRAINING("draining"),
-        /** Owes nothing more. */
+        /** All requests have their responses. */
         STOPPED("stopped");
 
         private final String displayName;
@@ -29,7 +29,7 @@
             this.displayName = displayName;
         }
 
-        /** The phase's name for operators. */
+        /** Returns the name of the phase in replies to administrators. */
         public String displayName() {
             return displayName;
         }
@@ -38,12 +38,12 @@
     private final List<Consumer<Phase>> listeners = new ArrayList<>();
     private Phase phase = Phase.STARTING;
 
-    /** Calls the listener at each later change. */
+    /** Registers a listener that is called at each change from now on. */
     public void onChange(Consumer<Phase> listener) {
         listeners.add(listener);
     }
 
-    /** Goes on to a later phase; going back or staying changes nothing. */
+    /** Enters a later phase; has no effect for the current or an earlier phase. */
     public void enter(Phase next) {
         if (next.ordinal() <= phase.ordinal()) {
             return;
@@ -53,12 +53,12 @@
         List.copyOf(listeners).forEach(listener -> listener.accept(next));
     }
 
-    /** The phase that the program is in. */
+    /** Returns the current phase. */
     public Phase current() {
         return phase;
     }
 
-    /** Whether new requests are accepted. */
+    /** Returns whether new requests are accepted. */
     public boolean acceptsRequests() {
         return phase != Phase.STARTING && phase != Phase.STOPPED;
     }
--- a/gateway/src/main/java/opalcove/lifecycle/StartupTimes.java
+++ b/gateway/src/main/java/opalcove/lifecycle/StartupTimes.java
@@ -6,27 +6,32 @@
 import java.util.function.LongSupplier;
 
 /**
- * When the program's start reached each of its phases, counted from {@code main}. What the JVM needs before that is
- * not in it: the process itself has no cheap clock for it. Safe for use by several threads: the starting thread writes
- * first, the event loop later.
+ * Records when the start of the process reached each of its phases, counted from {@code main}. The time that the JVM
+ * needs before {@code main} is not included, because the process has no cheap way to measure it. Thread-safe: the
+ * starting thread writes first and the event loop later.
  */
 public final class StartupTimes {
     /** The phases of a start, in the order in which they are reached. */
     public enum StartPhase {
         /** The configuration file has been read and checked. */
         CONFIGURATION_READ("CONFIGURATION_READ"),
-        /** The admin server, membership and replicated configuration have been started, as far as there are any. */
+        /**
+         * The admin server, membership and replicated configuration have been started, if the configuration has them.
+         */
         ADMIN_OPEN("DOOR_OPEN"),
-        /** The warm-up has been run, or skipped. */
+        /** The warm-up has been run or skipped. */
         WARMED_UP("REHEARSED"),
         /** The event loop runs. */
         EVENT_LOOP_UP("EVENT_LOOP_UP"),
-        /** The gateway has its backends: from the stored list, from discovery, or none as discovery does not answer. */
+        /**
+         * The backends are known from the stored list or discovery, or there are none because discovery does not
+         * respond.
+         */
         ENDPOINTS_KNOWN("LIST_KNOWN"),
-        /** The front end listens. */
+        /** The server listens for clients. */
         LISTENING("FRONT_OPEN");
 
-        /** The name in the log line, which tools read. */
+        /** The name of the phase in the log line, which tools parse. */
         private final String logName;
 
         StartPhase(String logName) {
@@ -38,23 +43,23 @@
     private final long startedNanos;
     private final Map<StartPhase, Long> reachedAfterNanos = new EnumMap<>(StartPhase.class);
 
-    /** Begins to count now. */
+    /** Starts measuring now. */
     public StartupTimes() {
         this(System::nanoTime);
     }
 
-    /** Begins to count now, by a clock that gives ns. */
+    /** Starts measuring now, with a clock in ns. */
     StartupTimes(LongSupplier nanoClock) {
         this.nanoClock = nanoClock;
         startedNanos = nanoClock.getAsLong();
     }
 
-    /** Records that the phase has been reached; only the first time counts. */
+    /** Records that the phase has been reached; later calls for the same phase have no effect. */
     public synchronized void reached(StartPhase phase) {
         reachedAfterNanos.putIfAbsent(phase, nanoClock.getAsLong() - startedNanos);
     }
 
-    /** The time to the last phase reached and what each took after the one before, ms, as one line for the log. */
+    /** Returns a log line with the time to the last phase and the time of each phase since the previous one, in ms. */
     public synchronized String logLine() {
         StringBuilder phases = new StringBuilder();
         long beforeNanos = 0;
--- a/gateway/src/test/java/opalcove/lifecycle/ListeningTest.java
+++ b/gateway/src/test/java/opalcove/lifecycle/ListeningTest.java
@@ -18,7 +18,7 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** A start that the machine has no socket for at the moment tries again; one that never can listen ends. */
+/** Tests that a start retries to listen while the machine lacks a resource, and fails if it can never listen. */
 public class ListeningTest {
     private static final int PATIENCE_S = 20;
     private final Deque<Throwable> failures = new ArrayDeque<>();
@@ -62,7 +62,7 @@
         failures.add(new BindException("Address already in use"));
         try {
             listening().get(PATIENCE_S, TimeUnit.SECONDS);
-            throw new AssertionError("it was tried again");
+            throw new AssertionError("listening was retried");
         } catch (ExecutionException e) {
             assertTrue(e.getCause() instanceof BindException);
         }
--- a/gateway/src/test/java/opalcove/lifecycle/StartupTimesTest.java
+++ b/gateway/src/test/java/opalcove/lifecycle/StartupTimesTest.java
@@ -7,6 +7,7 @@
 import opalcove.lifecycle.StartupTimes.StartPhase;
 import org.testng.annotations.Test;
 
+/** Tests the log line with the times of a start. */
 public class StartupTimesTest {
     @Test
     public void eachPhaseCountsFromTheOneBeforeAndOnlyOnce() {
