--- a/gateway/src/main/java/opalcove/lifecycle/Application.java
+++ b/gateway/src/main/java/opalcove/lifecycle/Application.java
@@ -26,7 +26,7 @@
  */
 public final class Application {
     /** The system property for the folder of Vert.x's file cache. */
-    private static final String FILE_CACHE = "vertx.cacheDirBase";
+    private static final String FILE_CACHE_PROPERTY = "vertx.cacheDirBase";
     /**
      * How long a load balancer may still send new connections after it was notified that this gateway leaves.
      */
@@ -46,7 +46,7 @@
      */
     private static final long SHUTDOWN_MARGIN_MS = 200;
     /** How long a start retries to listen while the machine lacks a resource for it. */
-    private static final long LISTEN_RETRY_MS = 8000;
+    private static final long MAX_LISTEN_RETRY_MS = 8000;
 
     /** The interval of these retries. */
     private static final long LISTEN_RETRY_INTERVAL_MS = 50;
@@ -57,8 +57,8 @@
         LibraryLogging.install();
         // Vert.x computes a name for its file cache even if that is off. Setting the property avoids the computation,
         // whose string concatenation, the first one of the process, is slow at a start.
-        if (System.getProperty(FILE_CACHE) == null) {
-            System.setProperty(FILE_CACHE, System.getProperty("java.io.tmpdir"));
+        if (System.getProperty(FILE_CACHE_PROPERTY) == null) {
+            System.setProperty(FILE_CACHE_PROPERTY, System.getProperty("java.io.tmpdir"));
         }
     }
 
@@ -165,8 +165,8 @@
 
     private static <T> Future<T> listenWithRetries(Vertx vertx, Supplier<Future<T>> listen, long sinceNanos) {
         return listen.get().recover(failure -> {
-            boolean over = System.nanoTime() - sinceNanos > TimeUnit.MILLISECONDS.toNanos(LISTEN_RETRY_MS);
-            if (over || !Errno.of(failure).isOfThisMachine()) {
+            boolean isTimedOut = System.nanoTime() - sinceNanos > TimeUnit.MILLISECONDS.toNanos(MAX_LISTEN_RETRY_MS);
+            if (isTimedOut || !Errno.of(failure).isOfThisMachine()) {
                 return Future.failedFuture(failure);
             }
             Logger.warn("cannot listen yet: {}", failure.getMessage());
--- a/gateway/src/main/java/opalcove/lifecycle/StartupTimes.java
+++ b/gateway/src/main/java/opalcove/lifecycle/StartupTimes.java
@@ -62,22 +62,22 @@
     /** Returns a log line with the time to the last phase and the time of each phase since the previous one, in ms. */
     public synchronized String logLine() {
         StringBuilder phases = new StringBuilder();
-        long beforeNanos = 0;
-        for (Map.Entry<StartPhase, Long> each : reachedAfterNanos.entrySet()) {
+        long previousNanos = 0;
+        for (Map.Entry<StartPhase, Long> entry : reachedAfterNanos.entrySet()) {
             phases.append(phases.length() == 0 ? "" : ", ")
-                    .append(each.getKey().logName)
+                    .append(entry.getKey().logName)
                     .append(' ')
-                    .append(millis(each.getValue() - beforeNanos));
-            beforeNanos = each.getValue();
+                    .append(millis(entry.getValue() - previousNanos));
+            previousNanos = entry.getValue();
         }
         return new StringBuilder("started in ")
-                .append(millis(beforeNanos))
+                .append(millis(previousNanos))
                 .append(" ms: ")
                 .append(phases)
                 .toString();
     }
 
-    private static long millis(long nanoClock) {
-        return TimeUnit.NANOSECONDS.toMillis(nanoClock);
+    private static long millis(long nanos) {
+        return TimeUnit.NANOSECONDS.toMillis(nanos);
     }
 }
--- a/gateway/src/test/java/opalcove/lifecycle/ListeningTest.java
+++ b/gateway/src/test/java/opalcove/lifecycle/ListeningTest.java
@@ -20,7 +20,7 @@
 
 /** Tests that a start retries to listen while the machine lacks a resource, and fails if it can never listen. */
 public class ListeningTest {
-    private static final int PATIENCE_S = 20;
+    private static final int TIMEOUT_SECONDS = 20;
     private final Deque<Throwable> failures = new ArrayDeque<>();
     private Vertx vertx;
 
@@ -35,7 +35,7 @@
         vertx.close();
     }
 
-    private CompletableFuture<Integer> listening() {
+    private CompletableFuture<Integer> startListening() {
         CompletableFuture<Integer> port = new CompletableFuture<>();
         vertx.runOnContext(start -> Application.listenWithRetries(vertx, this::listen)
                 .onSuccess(port::complete)
@@ -49,19 +49,19 @@
     }
 
     @Test
-    public void whatTheMachineLacksForAMomentIsWaitedFor() throws Exception {
+    public void retriesToListenWhileMachineLacksResource() throws Exception {
         failures.addAll(List.of(
                 new IllegalStateException("Failed to open a socket.", new SocketException("Too many open files")),
                 new IOException("No buffer space available")));
-        assertEquals(listening().get(PATIENCE_S, TimeUnit.SECONDS), Integer.valueOf(1));
+        assertEquals(startListening().get(TIMEOUT_SECONDS, TimeUnit.SECONDS), Integer.valueOf(1));
         assertTrue(failures.isEmpty());
     }
 
     @Test
-    public void anAddressThatAnotherHasEndsTheStart() throws Exception {
+    public void failsToListenWhenAddressIsInUse() throws Exception {
         failures.add(new BindException("Address already in use"));
         try {
-            listening().get(PATIENCE_S, TimeUnit.SECONDS);
+            startListening().get(TIMEOUT_SECONDS, TimeUnit.SECONDS);
             throw new AssertionError("listening was retried");
         } catch (ExecutionException e) {
             assertTrue(e.getCause() instanceof BindException);
--- a/gateway/src/test/java/opalcove/lifecycle/StartupTimesTest.java
+++ b/gateway/src/test/java/opalcove/lifecycle/StartupTimesTest.java
@@ -10,7 +10,7 @@
 /** Tests the log line with the times of a start. */
 public class StartupTimesTest {
     @Test
-    public void eachPhaseCountsFromTheOneBeforeAndOnlyOnce() {
+    public void measuresEachPhaseSincePreviousOneAndOnlyOnce() {
         AtomicLong clock = new AtomicLong(TimeUnit.SECONDS.toNanos(7));
         StartupTimes times = new StartupTimes(clock::get);
         clock.addAndGet(TimeUnit.MILLISECONDS.toNanos(30));
