--- a/gateway/src/main/java/opalcove/metrics/ConnectionCloseReason.java
+++ b/gateway/src/main/java/opalcove/metrics/ConnectionCloseReason.java
@@ -1,16 +1,16 @@
 package opalcove.metrics;
 
-/** Why a front end has closed a client's connection. */
+/** The reasons for which the gateway closes a client connection. */
 public enum ConnectionCloseReason {
-    /** It was idle for as long as a connection may be. */
+    /** The connection was idle for longer than permitted. */
     IDLE("idle"),
-    /** The gateway drains, and owed nothing on it. */
+    /** The gateway drains, and no response was pending on the connection. */
     DRAINED("drained"),
-    /** Capacity was needed for a new one, and it was idle. */
+    /** The connection was idle, and its descriptor was needed for a new connection. */
     CAPACITY_NEEDED("for_room"),
-    /** It stopped in the middle of a command. */
+    /** The client stopped sending in the middle of a command. */
     STALLED("stalled"),
-    /** What came was no command. */
+    /** The client sent something that is not a command. */
     PROTOCOL("protocol"),
     /** A streamed value ended before it was complete. */
     TRUNCATED("cut");
@@ -21,7 +21,7 @@
         this.metricName = metricName;
     }
 
-    /** The name in INFO. */
+    /** Returns the name of the reason in INFO. */
     String metricName() {
         return metricName;
     }
--- a/gateway/src/main/java/opalcove/metrics/Counters.java
+++ b/gateway/src/main/java/opalcove/metrics/Counters.java
@@ -2,7 +2,7 @@
 
 import opalcove.decision.AttemptStatus;
 
-/** What the gateway received, sent and answered, for INFO. Written on the event loop only. */
+/** The counters of INFO: the requests, attempts and connections of the gateway. Must be used on the event loop only. */
 public final class Counters {
     public long received;
     public long joined;
@@ -25,22 +25,22 @@
     private final long[] refusedByReason = new long[ShedReason.values().length];
     private final long[] closed = new long[ConnectionCloseReason.values().length];
 
-    /** Counts the end of an attempt. */
+    /** Counts an attempt that ended with this status. */
     public void attemptEnded(AttemptStatus status) {
         attemptsByStatus[status.ordinal()]++;
     }
 
-    /** Counts why a request was refused. */
+    /** Counts a request that was refused for this reason. */
     public void refused(ShedReason reason) {
         refusedByReason[reason.ordinal()]++;
     }
 
-    /** Counts why a client connection was closed. */
+    /** Counts a client connection that was closed for this reason. */
     public void closed(ConnectionCloseReason reason) {
         closed[reason.ordinal()]++;
     }
 
-    /** The counters as INFO shows them: one name and value a line. */
+    /** Returns the counters in the format of INFO: one name and value per line. */
     public String infoLines() {
         StringBuilder text = new StringBuilder();
         line(text, "taken", received);
@@ -72,7 +72,7 @@
         return text.toString();
     }
 
-    /** The name of an attempt's end in INFO. */
+    /** Returns the name of the status in INFO. */
     private static String metricName(AttemptStatus status) {
         return switch (status) {
             case SERVED -> "served";
--- a/gateway/src/main/java/opalcove/metrics/Errno.java
+++ b/gateway/src/main/java/opalcove/metrics/Errno.java
@@ -5,8 +5,8 @@
 import java.util.Locale;
 
 /**
- * Why a system call has failed, as far as the JDK reports it: by the text of the system's message. It separates what
- * this machine lacks from what the peer has done.
+ * The reason why a system call failed, which is recognised by the text of the system's message, because the JDK does
+ * not report it otherwise. It separates failures of this machine from failures that the peer caused.
  */
 public enum Errno {
     EMFILE("emfile", "too many open files", true),
@@ -35,7 +35,10 @@
         this.ofThisMachine = ofThisMachine;
     }
 
-    /** The reason of the failure, or of what has caused it. */
+    /**
+     * Returns the reason of the failure or of the first of its causes that has a known reason; {@link #OTHER} if none
+     * has.
+     */
     public static Errno of(Throwable failure) {
         for (Throwable cause = failure; cause != null; cause = cause.getCause()) {
             Errno found = of(String.valueOf(cause.getMessage()));
@@ -63,17 +66,17 @@
         return longest;
     }
 
-    /** The name in figures. */
+    /** Returns the name of the reason in metrics. */
     String metricName() {
         return metricName;
     }
 
-    /** Whether it concerns this machine alone: nothing of it has reached the peer. */
+    /** Returns whether the failure concerns this machine only, so that nothing has reached the peer. */
     public boolean isOfThisMachine() {
         return ofThisMachine;
     }
 
-    /** Whether descriptors are what is missing. */
+    /** Returns whether the failure is a lack of file descriptors. */
     public boolean isShortOfDescriptors() {
         return this == EMFILE || this == ENFILE;
     }
--- a/gateway/src/main/java/opalcove/metrics/Invariant.java
+++ b/gateway/src/main/java/opalcove/metrics/Invariant.java
@@ -1,22 +1,22 @@
 package opalcove.metrics;
 
-/** The invariants that are checked while the gateway runs, one name each in its figures and its log. */
+/** The invariants that are checked while the gateway runs. Each has a name in the metrics and the log. */
 public enum Invariant {
-    /** A request gets its final response within its time. */
+    /** A request gets its final response before its deadline. */
     ANSWER_IN_TIME("answer_in_time"),
-    /** A request that was read is not closed without a response. */
+    /** A connection is not closed without a response to a request that was read. */
     CLOSED_UNANSWERED("closed_unanswered"),
-    /** Nothing is sent for a client that has left, or whose request is over. */
+    /** Nothing is sent to a backend for a client that has disconnected or whose request has ended. */
     CLIENT_WAITS("client_waits"),
-    /** A backend gets no longer deadline than its client has left. */
+    /** The deadline sent to a backend is no longer than the time that remains for its client. */
     DEADLINE_PASSED_ON("deadline_passed_on"),
-    /** Nothing new is sent to a backend that the list does not offer. */
+    /** No new attempt is sent to a backend that is not available according to the endpoint list. */
     LISTED("listed"),
-    /** A request is repeated only as its class allows. */
+    /** A request is repeated only if its class permits it. */
     REPEAT("repeat"),
-    /** No more attempts of a request are out, or made, than the settings allow. */
+    /** A request has no more attempts, in flight or in total, than the settings permit. */
     ATTEMPTS("attempts"),
-    /** A refusal only where trying again is harmless. */
+    /** A request is refused only if a retry by the client is harmless. */
     REFUSAL("refusal");
 
     private final String metricName;
@@ -25,7 +25,7 @@
         this.metricName = metricName;
     }
 
-    /** The name in figures and the log. */
+    /** Returns the name of the invariant in metrics and the log. */
     String metricName() {
         return metricName;
     }
--- a/gateway/src/main/java/opalcove/metrics/InvariantMonitor.java
+++ b/gateway/src/main/java/opalcove/metrics/InvariantMonitor.java
@@ -7,10 +7,11 @@
 import org.tinylog.Logger;
 
 /**
- * Counts and logs, by invariant, what was prevented because it would have violated it, and what has violated it. The
- * first is the ordinary work of the checks; the second is a fault of the program, or of the machine under it, and
- * fails tests and soaks. Logged once a second for each invariant at most, with the number of those that were not.
- * Written on the event loop only; counts may be read by any thread.
+ * Counts and logs, for each invariant, the actions that were prevented because they would have violated it, and the
+ * violations that happened. Prevented actions are the ordinary work of the checks. A violation is a fault of the
+ * program or of the machine, and fails tests and soaks. Each kind is logged at most once per second and invariant, with
+ * the number of occurrences that were not logged. Must be written on the event loop only; the counts may be read by any
+ * thread.
  */
 public final class InvariantMonitor {
     private static final long LOG_INTERVAL_NANOS = TimeUnit.SECONDS.toNanos(1);
@@ -20,13 +21,13 @@
     private final long[] lastLoggedNanos = new long[2 * Invariant.values().length];
     private final long[] unlogged = new long[2 * Invariant.values().length];
 
-    /** A monitor that has counted nothing yet. */
+    /** Creates a monitor whose counts are 0. */
     public InvariantMonitor() {
         long longAgoNanos = System.nanoTime() - LOG_INTERVAL_NANOS;
         Arrays.fill(lastLoggedNanos, longAgoNanos);
     }
 
-    /** Something was not done because it would have violated the invariant. */
+    /** Counts an action that was prevented because it would have violated the invariant. */
     public void prevented(Invariant invariant, String id, String cause) {
         prevented.incrementAndGet(invariant.ordinal());
         if (mayLog(invariant.ordinal())) {
@@ -39,7 +40,7 @@
         }
     }
 
-    /** The invariant was violated. */
+    /** Counts a violation of the invariant. */
     public void violated(Invariant invariant, String id, String cause) {
         violated.incrementAndGet(invariant.ordinal());
         int slot = Invariant.values().length + invariant.ordinal();
@@ -64,12 +65,12 @@
         return others == 0 ? "" : " (and " + others + " more before)";
     }
 
-    /** How often the invariant was violated. */
+    /** Returns the number of violations of the invariant. */
     public long violated(Invariant invariant) {
         return violated.get(invariant.ordinal());
     }
 
-    /** What INFO shows: one name and value a line. */
+    /** Returns the counts in the format of INFO: one name and value per line. */
     public String infoLines() {
         StringBuilder text = new StringBuilder();
         for (Invariant invariant : Invariant.values()) {
@@ -81,7 +82,7 @@
         return text.toString();
     }
 
-    /** The same in the StatsD form, with this prefix. */
+    /** Appends the counts in StatsD format, with this prefix before each name. */
     void appendStatsd(StringBuilder text, String prefix) {
         for (Invariant invariant : Invariant.values()) {
             appendStatsd(text, prefix + "rule_stopped." + invariant.metricName(), prevented.get(invariant.ordinal()));
--- a/gateway/src/main/java/opalcove/metrics/Metrics.java
+++ b/gateway/src/main/java/opalcove/metrics/Metrics.java
@@ -6,12 +6,12 @@
 import java.util.concurrent.atomic.AtomicLongArray;
 
 /**
- * The figures that operators fetch, in the StatsD text form: {@code gateway.success.C:812|c} for a count, {@code
- * gateway.inflight:14|g} for a gauge. The event loop writes them; the admin server reads them on a thread of its own,
- * so each is atomic. Counts start at 0 with the process.
+ * The metrics that administrators fetch with STATS, in StatsD text format: {@code gateway.success.C:812|c} is a
+ * counter, {@code gateway.inflight:14|g} is a gauge. The event loop writes them and the admin server reads them on its
+ * own thread, so each one is atomic. Counters start at 0 with the process.
  */
 public final class Metrics {
-    /** How a request ended. */
+    /** The outcome of a request. */
     public enum RequestOutcome {
         SUCCESS("success"),
         BUSY("busy"),
@@ -25,9 +25,11 @@
     }
 
     private static final String PREFIX = "gateway.";
-    /** Guards memory against requests that name ever new classes: beyond these, an end is counted in no class. */
+    /**
+     * Limits the memory that requests with ever new class names can use; outcomes of further classes are not counted.
+     */
     static final int MAX_CLASSES = 64;
-    /** The longest class name that is counted by name. */
+    /** The length of the longest class name whose outcomes are counted. */
     static final int MAX_NAME_LENGTH = 64;
 
     private final InvariantMonitor invariants;
@@ -42,18 +44,18 @@
     private volatile int backendsListed;
     private volatile int backendsAvoided;
 
-    /** Metrics that report no invariants and failures of their own. */
+    /** Creates metrics whose invariant and failure counts stay 0, because no other object has access to them. */
     public Metrics() {
         this(new InvariantMonitor(), new SystemCallFailures());
     }
 
-    /** Metrics that report these invariants and failures, too. */
+    /** Creates metrics that also report these invariants and failures. */
     public Metrics(InvariantMonitor invariants, SystemCallFailures systemCallFailures) {
         this.invariants = invariants;
         this.systemCallFailures = systemCallFailures;
     }
 
-    /** A request of the class has ended. */
+    /** Counts the outcome of a request of this class. */
     public void requestEnded(String requestClass, RequestOutcome outcome) {
         AtomicLongArray outcomes = byClass.get(requestClass);
         if (outcomes == null) {
@@ -71,33 +73,35 @@
         outcomes.incrementAndGet(outcome.ordinal());
     }
 
-    /** An attempt was started. */
+    /** Counts an attempt that was started. */
     public void backendCall() {
         backendCalls.incrementAndGet();
     }
 
-    /** A settings file was applied at SIGHUP, or rejected. */
+    /** Counts a settings file that was applied or rejected at SIGHUP. */
     public void reconfigured(boolean applied) {
         (applied ? reconfigOk : reconfigFailed).incrementAndGet();
     }
 
-    /** A client's connection was closed for lack of descriptors: an idle one, or a new one that was not read. */
+    /**
+     * Counts a client connection that was closed for lack of descriptors: an idle one, or a new one that was not read.
+     */
     public void connectionClosedForDescriptors(boolean isNew) {
         (isNew ? connectionsRefused : connectionsClosed).incrementAndGet();
     }
 
-    /** Sets the number of requests that are open now. */
+    /** Sets the number of open requests. */
     public void inFlight(int open) {
         inFlight = open;
     }
 
-    /** Sets the numbers of backends that are listed, and of those that are avoided now. */
+    /** Sets the number of listed backends and the number of those that are currently avoided. */
     public void backends(int listed, int avoided) {
         backendsListed = listed;
         backendsAvoided = avoided;
     }
 
-    /** All figures, one a line, each line ended by a line feed. */
+    /** Returns all metrics, one per line, each ended by a line feed. */
     public String statsdLines() {
         StringBuilder text = new StringBuilder(256);
         byClass.forEach((name, outcomes) -> {
--- a/gateway/src/main/java/opalcove/metrics/ShedReason.java
+++ b/gateway/src/main/java/opalcove/metrics/ShedReason.java
@@ -1,14 +1,14 @@
 package opalcove.metrics;
 
-/** Why a request was refused. */
+/** The reasons for which a request is refused. */
 public enum ShedReason {
-    /** The decision module refused it: for quotas, pressure, or because no backend had it. */
+    /** The decision module refused the request: because of a quota, overload, or because no backend was available. */
     DECIDED("decided"),
-    /** As many requests were open as the settings allow. */
+    /** The number of open requests had reached the limit of the settings. */
     TOO_MANY_OPEN("too_many_open"),
-    /** The process ends before there would be a response. */
+    /** The process would exit before there is a response. */
     ENDING("ending"),
-    /** Its deadline was over before it was read. */
+    /** The deadline of the request had passed before the request was read. */
     UNREAD_IN_TIME("unread_in_time");
 
     private final String metricName;
@@ -17,7 +17,7 @@
         this.metricName = metricName;
     }
 
-    /** The name in INFO. */
+    /** Returns the name of the reason in INFO. */
     String metricName() {
         return metricName;
     }
--- a/gateway/src/main/java/opalcove/metrics/SystemCall.java
+++ b/gateway/src/main/java/opalcove/metrics/SystemCall.java
@@ -11,7 +11,7 @@
         this.metricName = metricName;
     }
 
-    /** The name in figures. */
+    /** Returns the name of the call in metrics. */
     String metricName() {
         return metricName;
     }
--- a/gateway/src/main/java/opalcove/metrics/SystemCallFailures.java
+++ b/gateway/src/main/java/opalcove/metrics/SystemCallFailures.java
@@ -5,8 +5,8 @@
 import org.tinylog.Logger;
 
 /**
- * Counts failed system calls by call and reason, and logs them, once a second at most. Written on the event loop only;
- * counts may be read by any thread.
+ * Counts failed system calls by call and reason, and logs them at most once per second. Must be written on the event
+ * loop only; the counts may be read by any thread.
  */
 public final class SystemCallFailures {
     private static final long LOG_INTERVAL_NANOS = TimeUnit.SECONDS.toNanos(1);
@@ -38,7 +38,7 @@
         return call.ordinal() * Errno.values().length + errno.ordinal();
     }
 
-    /** What INFO shows: one name and value a line, of those that have failed. */
+    /** Returns the counts of calls that have failed, in the format of INFO: one name and value per line. */
     public String infoLines() {
         StringBuilder text = new StringBuilder();
         forEachFailed(
@@ -46,13 +46,13 @@
         return text.toString();
     }
 
-    /** The same in the StatsD form, with this prefix. */
+    /** Appends the same counts in StatsD format, with this prefix before each name. */
     void appendStatsd(StringBuilder text, String prefix) {
         forEachFailed((name, count) ->
                 text.append(prefix).append(name).append(':').append(count).append("|c\n"));
     }
 
-    /** Receives the name and the count of what has failed. */
+    /** Receives the name and the count of a failure. */
     private interface FigureConsumer {
         void accept(String name, long count);
     }
--- a/gateway/src/test/java/opalcove/metrics/OutsideNamesTest.java
+++ b/gateway/src/test/java/opalcove/metrics/OutsideNamesTest.java
@@ -21,7 +21,10 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** The keys of INFO and STATS, in their order: dashboards and alerts read them, so they outlive names in the code. */
+/**
+ * Tests the keys of INFO and STATS and their order. Dashboards and alerts read them, so renames in the code must not
+ * change them.
+ */
 public class OutsideNamesTest {
     private Vertx vertx;
     private RequestDispatcher gateway;
@@ -154,7 +157,7 @@
                 """);
     }
 
-    /** A failure of each kind that is told apart, in the order of the figures. */
+    /** Returns one failure for each reason, in the order of the metrics. */
     private static List<Throwable> failures() {
         return List.of(
                 new IOException("Too many open files"),
@@ -167,10 +170,10 @@
                 new IOException("Resource temporarily unavailable"),
                 new IOException("Interrupted system call"),
                 new IOException("Software caused connection abort"),
-                new ConnectException("no word of the system"),
+                new ConnectException("no known message"),
                 new IOException("Connection reset by peer"),
                 new IOException("Connection timed out"),
-                new NoRouteToHostException("no word of the system"),
+                new NoRouteToHostException("no known message"),
                 new IOException("something else"));
     }
 
@@ -266,7 +269,7 @@
     private static final class NoTransport extends NoOpBackendTransport {
         @Override
         public Attempt startAttempt(Backend backend, Request request, double waitMs, AttemptListener ended) {
-            throw new AssertionError("no attempt is made in this test");
+            throw new AssertionError("this test must not start an attempt");
         }
     }
 }
