--- a/gateway/src/main/java/opalcove/metrics/Counters.java
+++ b/gateway/src/main/java/opalcove/metrics/Counters.java
@@ -23,7 +23,7 @@
     public long connectionsRefusedForDescriptors;
     private final long[] attemptsByStatus = new long[AttemptStatus.values().length];
     private final long[] refusedByReason = new long[ShedReason.values().length];
-    private final long[] closed = new long[ConnectionCloseReason.values().length];
+    private final long[] closedByReason = new long[ConnectionCloseReason.values().length];
 
     /** Counts an attempt that ended with this status. */
     public void attemptEnded(AttemptStatus status) {
@@ -37,7 +37,7 @@
 
     /** Counts a client connection that was closed for this reason. */
     public void closed(ConnectionCloseReason reason) {
-        closed[reason.ordinal()]++;
+        closedByReason[reason.ordinal()]++;
     }
 
     /** Returns the counters in the format of INFO: one name and value per line. */
@@ -46,20 +46,20 @@
         line(text, "taken", received);
         line(text, "joined", joined);
         line(text, "attempts", attempts);
-        for (AttemptStatus each : AttemptStatus.values()) {
-            line(text, "attempts_" + metricName(each), attemptsByStatus[each.ordinal()]);
+        for (AttemptStatus status : AttemptStatus.values()) {
+            line(text, "attempts_" + metricName(status), attemptsByStatus[status.ordinal()]);
         }
         line(text, "given_up", cancelled);
         line(text, "lapsed_while_dialled", vetoedLate);
         line(text, "probes", healthChecks);
         line(text, "served", served);
         line(text, "refused", refused);
-        for (ShedReason each : ShedReason.values()) {
-            line(text, "refused." + each.metricName(), refusedByReason[each.ordinal()]);
+        for (ShedReason reason : ShedReason.values()) {
+            line(text, "refused." + reason.metricName(), refusedByReason[reason.ordinal()]);
         }
         line(text, "failed", failed);
-        for (ConnectionCloseReason each : ConnectionCloseReason.values()) {
-            line(text, "connections_ended." + each.metricName(), closed[each.ordinal()]);
+        for (ConnectionCloseReason reason : ConnectionCloseReason.values()) {
+            line(text, "connections_ended." + reason.metricName(), closedByReason[reason.ordinal()]);
         }
         line(text, "terminals_left", clientsDisconnected);
         line(text, "list_calls_failed", endpointPollsFailed);
--- a/gateway/src/main/java/opalcove/metrics/Errno.java
+++ b/gateway/src/main/java/opalcove/metrics/Errno.java
@@ -58,9 +58,9 @@
     private static Errno of(String message) {
         String text = message.toLowerCase(Locale.ROOT);
         Errno longest = OTHER;
-        for (Errno cause : values()) {
-            if (text.contains(cause.message) && cause.message.length() > longest.message.length()) {
-                longest = cause;
+        for (Errno errno : values()) {
+            if (text.contains(errno.message) && errno.message.length() > longest.message.length()) {
+                longest = errno;
             }
         }
         return longest;
--- a/gateway/src/main/java/opalcove/metrics/Metrics.java
+++ b/gateway/src/main/java/opalcove/metrics/Metrics.java
@@ -19,8 +19,8 @@
 
         private final String metricName;
 
-        RequestOutcome(String value) {
-            this.metricName = value;
+        RequestOutcome(String metricName) {
+            this.metricName = metricName;
         }
     }
 
@@ -34,7 +34,7 @@
 
     private final InvariantMonitor invariants;
     private final SystemCallFailures systemCallFailures;
-    private final Map<String, AtomicLongArray> byClass = new ConcurrentHashMap<>();
+    private final Map<String, AtomicLongArray> outcomesByClass = new ConcurrentHashMap<>();
     private final AtomicLong backendCalls = new AtomicLong();
     private final AtomicLong reconfigOk = new AtomicLong();
     private final AtomicLong reconfigFailed = new AtomicLong();
@@ -57,9 +57,9 @@
 
     /** Counts the outcome of a request of this class. */
     public void requestEnded(String requestClass, RequestOutcome outcome) {
-        AtomicLongArray outcomes = byClass.get(requestClass);
+        AtomicLongArray outcomes = outcomesByClass.get(requestClass);
         if (outcomes == null) {
-            if (byClass.size() >= MAX_CLASSES
+            if (outcomesByClass.size() >= MAX_CLASSES
                     || requestClass.length() > MAX_NAME_LENGTH
                     || !requestClass
                             .chars()
@@ -67,8 +67,8 @@
                                     character > ' ' && character < 127 && character != ':' && character != '|')) {
                 return;
             }
-            outcomes =
-                    byClass.computeIfAbsent(requestClass, name -> new AtomicLongArray(RequestOutcome.values().length));
+            outcomes = outcomesByClass.computeIfAbsent(
+                    requestClass, name -> new AtomicLongArray(RequestOutcome.values().length));
         }
         outcomes.incrementAndGet(outcome.ordinal());
     }
@@ -104,29 +104,29 @@
     /** Returns all metrics, one per line, each ended by a line feed. */
     public String statsdLines() {
         StringBuilder text = new StringBuilder(256);
-        byClass.forEach((name, outcomes) -> {
+        outcomesByClass.forEach((name, outcomes) -> {
             for (RequestOutcome outcome : RequestOutcome.values()) {
-                count(text, outcome.metricName + "." + name, outcomes.get(outcome.ordinal()));
+                appendCounter(text, outcome.metricName + "." + name, outcomes.get(outcome.ordinal()));
             }
         });
-        count(text, "backend_calls", backendCalls.get());
-        gauge(text, "inflight", inFlight);
-        gauge(text, "hosts_listed", backendsListed);
-        gauge(text, "hosts_down", backendsAvoided);
-        count(text, "reconfig_ok", reconfigOk.get());
-        count(text, "reconfig_failed", reconfigFailed.get());
-        count(text, "connections_closed_for_descriptors", connectionsClosed.get());
-        count(text, "connections_refused_for_descriptors", connectionsRefused.get());
+        appendCounter(text, "backend_calls", backendCalls.get());
+        appendGauge(text, "inflight", inFlight);
+        appendGauge(text, "hosts_listed", backendsListed);
+        appendGauge(text, "hosts_down", backendsAvoided);
+        appendCounter(text, "reconfig_ok", reconfigOk.get());
+        appendCounter(text, "reconfig_failed", reconfigFailed.get());
+        appendCounter(text, "connections_closed_for_descriptors", connectionsClosed.get());
+        appendCounter(text, "connections_refused_for_descriptors", connectionsRefused.get());
         invariants.appendStatsd(text, PREFIX);
         systemCallFailures.appendStatsd(text, PREFIX);
         return text.toString();
     }
 
-    private static void count(StringBuilder text, String name, long value) {
+    private static void appendCounter(StringBuilder text, String name, long value) {
         text.append(PREFIX).append(name).append(':').append(value).append("|c\n");
     }
 
-    private static void gauge(StringBuilder text, String name, long value) {
+    private static void appendGauge(StringBuilder text, String name, long value) {
         text.append(PREFIX).append(name).append(':').append(value).append("|g\n");
     }
 }
--- a/gateway/src/main/java/opalcove/metrics/SystemCallFailures.java
+++ b/gateway/src/main/java/opalcove/metrics/SystemCallFailures.java
@@ -53,11 +53,11 @@
     }
 
     /** Receives the name and the count of a failure. */
-    private interface FigureConsumer {
+    private interface MetricConsumer {
         void accept(String name, long count);
     }
 
-    private void forEachFailed(FigureConsumer consumer) {
+    private void forEachFailed(MetricConsumer consumer) {
         for (SystemCall call : SystemCall.values()) {
             for (Errno errno : Errno.values()) {
                 long count = counts.get(index(call, errno));
--- a/gateway/src/test/java/opalcove/metrics/OutsideNamesTest.java
+++ b/gateway/src/test/java/opalcove/metrics/OutsideNamesTest.java
@@ -27,13 +27,13 @@
  */
 public class OutsideNamesTest {
     private Vertx vertx;
-    private RequestDispatcher gateway;
+    private RequestDispatcher dispatcher;
 
     @BeforeMethod
     public void open() throws Exception {
         vertx = Vertx.vertx();
-        gateway =
-                onLoop(() -> new RequestDispatcher(vertx, new Clock(), TestSettings.settings(), 1, new NoTransport()));
+        dispatcher = runOnEventLoop(
+                () -> new RequestDispatcher(vertx, new Clock(), TestSettings.settings(), 1, new FailingTransport()));
     }
 
     @AfterMethod
@@ -42,9 +42,9 @@
     }
 
     @Test
-    public void infoHasTheseKeysInThisOrder() throws Exception {
+    public void infoListsTheseKeysInOrder() throws Exception {
         assertEquals(
-                onLoop(gateway::infoLines),
+                runOnEventLoop(dispatcher::infoLines),
                 """
                 taken=0
                 joined=0
@@ -104,8 +104,8 @@
     }
 
     @Test
-    public void statsHasTheseKeysInThisOrder() {
-        Metrics metrics = gateway.metrics();
+    public void statsListsTheseKeysInOrder() {
+        Metrics metrics = dispatcher.metrics();
         metrics.requestEnded("swap-record", Metrics.RequestOutcome.SUCCESS);
         metrics.requestEnded("swap-record", Metrics.RequestOutcome.BUSY);
         metrics.requestEnded("swap-record", Metrics.RequestOutcome.BUSY);
@@ -118,11 +118,11 @@
         metrics.reconfigured(true);
         metrics.reconfigured(false);
         metrics.reconfigured(false);
-        gateway.clientConnectionClosedForDescriptors(false);
-        gateway.clientConnectionClosedForDescriptors(true);
-        gateway.clientConnectionClosedForDescriptors(true);
-        gateway.invariants().violated(Invariant.REPEAT, "id", "a test");
-        gateway.systemCallFailed(SystemCall.ACCEPT, new IOException("Too many open files"));
+        dispatcher.clientConnectionClosedForDescriptors(false);
+        dispatcher.clientConnectionClosedForDescriptors(true);
+        dispatcher.clientConnectionClosedForDescriptors(true);
+        dispatcher.invariants().violated(Invariant.REPEAT, "id", "a test");
+        dispatcher.systemCallFailed(SystemCall.ACCEPT, new IOException("Too many open files"));
         assertEquals(
                 metrics.statsdLines(),
                 """
@@ -178,13 +178,13 @@
     }
 
     @Test
-    public void failedSystemCallsAreNamedByCallAndReason() throws Exception {
+    public void countsFailedSystemCallsByCallAndReason() throws Exception {
         failures().forEach(failure -> {
-            gateway.systemCallFailed(SystemCall.CONNECT, failure);
-            gateway.systemCallFailed(SystemCall.ACCEPT, failure);
+            dispatcher.systemCallFailed(SystemCall.CONNECT, failure);
+            dispatcher.systemCallFailed(SystemCall.ACCEPT, failure);
         });
         assertEquals(
-                onLoop(gateway::infoLines)
+                runOnEventLoop(dispatcher::infoLines)
                         .lines()
                         .filter(line -> line.startsWith("syscall_failed"))
                         .toList(),
@@ -223,7 +223,8 @@
                         .lines()
                         .toList());
         assertEquals(
-                gateway.metrics()
+                dispatcher
+                        .metrics()
                         .statsdLines()
                         .lines()
                         .filter(line -> line.startsWith("gateway.syscall_failed"))
@@ -233,14 +234,14 @@
     }
 
     @Test
-    public void eachEndOfAConnectionIsCountedByItsOwnName() throws Exception {
+    public void countsClosedConnectionsByReason() throws Exception {
         List<String> counted = new ArrayList<>();
-        for (ConnectionCloseReason end : ConnectionCloseReason.values()) {
-            gateway.clientConnectionClosed(end);
-            counted.add(onLoop(gateway::infoLines)
+        for (ConnectionCloseReason reason : ConnectionCloseReason.values()) {
+            dispatcher.clientConnectionClosed(reason);
+            counted.add(runOnEventLoop(dispatcher::infoLines)
                     .lines()
                     .filter(line -> line.startsWith("connections_ended.") && line.endsWith("=1"))
-                    .reduce((before, last) -> last)
+                    .reduce((previous, last) -> last)
                     .orElseThrow());
         }
         assertEquals(
@@ -254,7 +255,7 @@
                         "connections_ended.cut=1"));
     }
 
-    private <T> T onLoop(Supplier<T> work) throws Exception {
+    private <T> T runOnEventLoop(Supplier<T> work) throws Exception {
         CompletableFuture<T> done = new CompletableFuture<>();
         vertx.runOnContext(run -> {
             try {
@@ -266,7 +267,7 @@
         return done.get(20, TimeUnit.SECONDS);
     }
 
-    private static final class NoTransport extends NoOpBackendTransport {
+    private static final class FailingTransport extends NoOpBackendTransport {
         @Override
         public Attempt startAttempt(Backend backend, Request request, double waitMs, AttemptListener ended) {
             throw new AssertionError("this test must not start an attempt");
