--- a/gateway/src/main/java/opalcove/admin/AdminCommands.java
+++ b/gateway/src/main/java/opalcove/admin/AdminCommands.java
@@ -5,11 +5,12 @@
 import org.tinylog.Logger;
 
 /**
- * Executes the commands of administrators. A response is one line that begins with {@code +OK} or {@code -ERR}; for
- * {@code STATS} and {@code MEMBERS} lines follow, ended by a line {@code .}. Owned by the admin server's thread.
+ * Executes the commands of administrators. A response is one line that begins with {@code +OK} or {@code -ERR}. In a
+ * response to {@code STATS} or {@code MEMBERS} more lines follow, and a line {@code .} ends it. Owned by the admin
+ * server's thread.
  */
 final class AdminCommands {
-    /** How much of an unknown command is repeated in its response and in the log, characters. */
+    /** The number of characters of an unknown command that the response and the log repeat. */
     private static final int MAX_SHOWN = 32;
 
     private final AdminTarget target;
@@ -19,7 +20,7 @@
         this.target = target;
     }
 
-    /** The response to a command, with its line ends. */
+    /** Executes a command and returns the response with its line feeds. */
     String execute(String command) {
         switch (command.toUpperCase(Locale.ROOT)) {
             case "READY" -> {
@@ -49,7 +50,7 @@
         }
     }
 
-    /** The response to a command of more than so many bytes. */
+    /** Returns the response to a command that is longer than the maximum. */
     String rejectOverlong(int maxBytes) {
         logInvalid("a command longer than " + maxBytes + " bytes");
         return "-ERR a call is one line of at most " + maxBytes + " bytes\n";
--- a/gateway/src/main/java/opalcove/admin/AdminServer.java
+++ b/gateway/src/main/java/opalcove/admin/AdminServer.java
@@ -17,17 +17,24 @@
 import org.tinylog.Logger;
 
 /**
- * Serves administrators at an address of its own, one command a connection. A command is one line. Runs on an event
- * loop of its own, so that no client work delays it, and reads no more than one line of limited length.
+ * Serves the commands of administrators at the address of the admin console, one command per connection. A command is
+ * one line of limited length; nothing after it is read. The server runs on an event loop of its own, so that the work
+ * for clients does not delay it.
  */
 public final class AdminServer {
-    /** The longest command, with its line end. */
+    /** The maximum length of a command, including its line feed. */
     static final int MAX_COMMAND_BYTES = 256;
-    /** A connection that has not sent a complete command in time is closed. */
+    /** A connection is closed if it has not sent a complete command within this time. */
     static final long COMMAND_TIMEOUT_MS = 5000;
-    /** Guards the descriptors: the most connections open at once; the oldest is closed for a new one. */
+    /**
+     * The maximum number of open connections, which limits the descriptors used; a new connection replaces the oldest
+     * one.
+     */
     static final int MAX_CONNECTIONS = 16;
-    /** The descriptors held at most: connections, those accepted and not yet handled, and the listening socket. */
+    /**
+     * The maximum number of descriptors: open connections, connections accepted but not yet handled, and the listening
+     * socket.
+     */
     public static final int MAX_DESCRIPTORS = MAX_CONNECTIONS + Application.ACCEPTS_AT_ONCE + 1;
 
     private static final int INITIAL_LINE_BYTES = 64;
@@ -35,10 +42,10 @@
     private final Vertx vertx;
     private final AdminCommands commands;
     private final NetServer server;
-    /** Connections whose command has not been answered, the oldest first. */
+    /** The connections without a response yet, the oldest first. */
     private final Set<NetSocket> open = new LinkedHashSet<>();
 
-    /** Serves commands for this target on an event loop that has no other work. */
+    /** Creates a server of commands for this target, on an event loop that has no other work. */
     public AdminServer(Vertx ownEventLoop, AdminTarget target) {
         vertx = ownEventLoop;
         commands = new AdminCommands(target);
@@ -47,7 +54,7 @@
         server.connectHandler(this::connectionAccepted);
     }
 
-    /** Listens at the endpoint; gives the port. */
+    /** Listens at this address and returns the port. */
     public Future<Integer> listen(HostAndPort endpoint) {
         return server.listen(SocketAddress.inetSocketAddress(endpoint.port(), endpoint.address()))
                 .map(NetServer::actualPort);
@@ -94,7 +101,7 @@
         }
     }
 
-    /** Writes the response, null for none, and closes the connection once it is written. */
+    /** Writes the response and closes the connection afterwards; without a response (null) closes it immediately. */
     private void end(NetSocket socket, String response) {
         if (!open.remove(socket)) {
             return;
--- a/gateway/src/main/java/opalcove/admin/package-info.java
+++ b/gateway/src/main/java/opalcove/admin/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The console address: {@link opalcove.admin.AdminServer} reads one command a connection, {@code AdminCommands}
- * executes it on an {@link opalcove.admin.AdminTarget}. Runs on an event loop of its own.
+ * The admin console: {@link opalcove.admin.AdminServer} reads one command per connection, and {@code AdminCommands}
+ * executes it on an {@link opalcove.admin.AdminTarget}. The package runs on an event loop of its own.
  */
 package opalcove.admin;
--- a/gateway/src/test/java/opalcove/admin/AdminRepliesTest.java
+++ b/gateway/src/test/java/opalcove/admin/AdminRepliesTest.java
@@ -21,7 +21,7 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** The console address of a gateway by its bytes: each reply as literal text. */
+/** Tests the exact bytes of each reply of a gateway's admin console. */
 public class AdminRepliesTest {
     private static final int TIMEOUT_S = 20;
 
@@ -45,7 +45,7 @@
         vertx.close().toCompletionStage().toCompletableFuture().get(TIMEOUT_S, TimeUnit.SECONDS);
     }
 
-    /** Puts a gateway behind the console, as at the end of a start. */
+    /** Connects a gateway to the admin server, as at the end of a start. */
     private void wire() throws Exception {
         CompletableFuture<Void> wired = new CompletableFuture<>();
         vertx.runOnContext(start -> {
@@ -58,7 +58,7 @@
         wired.get(TIMEOUT_S, TimeUnit.SECONDS);
     }
 
-    /** One test for all phases: they are entered in order, each once. */
+    /** Tests all phases together, because they can be entered only in order and once each. */
     @Test
     public void eachCommandFromTheStartToTheEnd() throws Exception {
         assertEquals(exchange("READY"), "-ERR not ready: starting\n");
--- a/gateway/src/test/java/opalcove/admin/AdminServerTest.java
+++ b/gateway/src/test/java/opalcove/admin/AdminServerTest.java
@@ -18,7 +18,7 @@
 import org.testng.annotations.BeforeClass;
 import org.testng.annotations.Test;
 
-/** The console address, by the bytes that go to it and come back. */
+/** Tests the admin console by the bytes that are sent to it and received from it. */
 public class AdminServerTest {
     private final Metrics metrics = new Metrics();
     private final List<Boolean> told = new ArrayList<>();
