--- a/gateway/src/main/java/opalcove/admin/AdminCommands.java
+++ b/gateway/src/main/java/opalcove/admin/AdminCommands.java
@@ -11,7 +11,7 @@
  */
 final class AdminCommands {
     /** The number of characters of an unknown command that the response and the log repeat. */
-    private static final int MAX_SHOWN = 32;
+    private static final int MAX_SHOWN_CHARACTERS = 32;
 
     private final AdminTarget target;
     private final AtomicLong invalidCount = new AtomicLong();
@@ -43,7 +43,9 @@
                 return "+OK taking clients\n";
             }
             default -> {
-                String shown = command.length() > MAX_SHOWN ? command.substring(0, MAX_SHOWN) + "..." : command;
+                String shown = command.length() > MAX_SHOWN_CHARACTERS
+                        ? command.substring(0, MAX_SHOWN_CHARACTERS) + "..."
+                        : command;
                 logInvalid("unknown command " + shown);
                 return "-ERR unknown call '" + shown + "'; calls are READY, STATS, DRAIN and UNDRAIN\n";
             }
--- a/gateway/src/main/java/opalcove/admin/AdminServer.java
+++ b/gateway/src/main/java/opalcove/admin/AdminServer.java
@@ -43,7 +43,7 @@
     private final AdminCommands commands;
     private final NetServer server;
     /** The connections without a response yet, the oldest first. */
-    private final Set<NetSocket> open = new LinkedHashSet<>();
+    private final Set<NetSocket> openConnections = new LinkedHashSet<>();
 
     /** Creates a server of commands for this target, on an event loop that has no other work. */
     public AdminServer(Vertx ownEventLoop, AdminTarget target) {
@@ -55,22 +55,22 @@
     }
 
     /** Listens at this address and returns the port. */
-    public Future<Integer> listen(HostAndPort endpoint) {
-        return server.listen(SocketAddress.inetSocketAddress(endpoint.port(), endpoint.address()))
+    public Future<Integer> listen(HostAndPort address) {
+        return server.listen(SocketAddress.inetSocketAddress(address.port(), address.address()))
                 .map(NetServer::actualPort);
     }
 
     private void connectionAccepted(NetSocket socket) {
-        if (open.size() >= MAX_CONNECTIONS) {
-            NetSocket oldest = open.iterator().next();
-            open.remove(oldest);
+        if (openConnections.size() >= MAX_CONNECTIONS) {
+            NetSocket oldest = openConnections.iterator().next();
+            openConnections.remove(oldest);
             oldest.close();
         }
-        open.add(socket);
+        openConnections.add(socket);
         ByteBuf line = Unpooled.buffer(INITIAL_LINE_BYTES, MAX_COMMAND_BYTES);
-        long timeout = vertx.setTimer(COMMAND_TIMEOUT_MS, due -> end(socket, null));
+        long timeout = vertx.setTimer(COMMAND_TIMEOUT_MS, due -> respondAndClose(socket, null));
         socket.closeHandler(closed -> {
-            open.remove(socket);
+            openConnections.remove(socket);
             vertx.cancelTimer(timeout);
             line.release();
         });
@@ -79,7 +79,7 @@
     }
 
     private void bytesRead(NetSocket socket, Buffer bytes, ByteBuf line, long timeout) {
-        if (!open.contains(socket)) {
+        if (!openConnections.contains(socket)) {
             return;
         }
         for (int i = 0; i < bytes.length(); i++) {
@@ -87,14 +87,14 @@
             if (next == '\n') {
                 vertx.cancelTimer(timeout);
                 socket.pause();
-                end(
+                respondAndClose(
                         socket,
                         commands.execute(
                                 line.toString(StandardCharsets.US_ASCII).strip()));
                 return;
             }
             if (!line.isWritable()) {
-                end(socket, commands.rejectOverlong(MAX_COMMAND_BYTES));
+                respondAndClose(socket, commands.rejectOverlong(MAX_COMMAND_BYTES));
                 return;
             }
             line.writeByte(next);
@@ -102,8 +102,8 @@
     }
 
     /** Writes the response and closes the connection afterwards; without a response (null) closes it immediately. */
-    private void end(NetSocket socket, String response) {
-        if (!open.remove(socket)) {
+    private void respondAndClose(NetSocket socket, String response) {
+        if (!openConnections.remove(socket)) {
             return;
         }
         if (response == null) {
--- a/gateway/src/test/java/opalcove/admin/AdminRepliesTest.java
+++ b/gateway/src/test/java/opalcove/admin/AdminRepliesTest.java
@@ -23,10 +23,10 @@
 
 /** Tests the exact bytes of each reply of a gateway's admin console. */
 public class AdminRepliesTest {
-    private static final int TIMEOUT_S = 20;
+    private static final int TIMEOUT_SECONDS = 20;
 
     private final GatewayStatus status = new GatewayStatus();
-    private final Lifecycle phases = new Lifecycle();
+    private final Lifecycle lifecycle = new Lifecycle();
     private Vertx vertx;
     private int port;
 
@@ -37,47 +37,48 @@
                 .listen(new HostAndPort("127.0.0.1", 0))
                 .toCompletionStage()
                 .toCompletableFuture()
-                .get(TIMEOUT_S, TimeUnit.SECONDS);
+                .get(TIMEOUT_SECONDS, TimeUnit.SECONDS);
     }
 
     @AfterMethod
     public void close() throws Exception {
-        vertx.close().toCompletionStage().toCompletableFuture().get(TIMEOUT_S, TimeUnit.SECONDS);
+        vertx.close().toCompletionStage().toCompletableFuture().get(TIMEOUT_SECONDS, TimeUnit.SECONDS);
     }
 
     /** Connects a gateway to the admin server, as at the end of a start. */
-    private void wire() throws Exception {
+    private void wireGateway() throws Exception {
         CompletableFuture<Void> wired = new CompletableFuture<>();
         vertx.runOnContext(start -> {
-            ConnectionPool links = new ConnectionPool(
+            ConnectionPool connections = new ConnectionPool(
                     vertx, TestSettings.settings(), new RespConnector(vertx, TestSettings.settings()), 64);
-            RequestDispatcher gateway = new RequestDispatcher(vertx, new Clock(), TestSettings.settings(), 1, links);
-            status.gatewayWired(vertx, gateway, new RespServer(vertx, gateway, phases, 64), phases);
+            RequestDispatcher dispatcher =
+                    new RequestDispatcher(vertx, new Clock(), TestSettings.settings(), 1, connections);
+            status.gatewayWired(vertx, dispatcher, new RespServer(vertx, dispatcher, lifecycle, 64), lifecycle);
             wired.complete(null);
         });
-        wired.get(TIMEOUT_S, TimeUnit.SECONDS);
+        wired.get(TIMEOUT_SECONDS, TimeUnit.SECONDS);
     }
 
     /** Tests all phases together, because they can be entered only in order and once each. */
     @Test
-    public void eachCommandFromTheStartToTheEnd() throws Exception {
+    public void repliesToEachCommandInEachPhase() throws Exception {
         assertEquals(exchange("READY"), "-ERR not ready: starting\n");
         assertEquals(exchange("STATS"), "+OK\n.\n");
         assertEquals(exchange("MEMBERS"), "-ERR membership is off\n");
-        wire();
+        wireGateway();
         assertEquals(exchange("READY"), "-ERR not ready: starting\n");
-        phases.enter(Lifecycle.Phase.SERVING);
+        lifecycle.enter(Lifecycle.Phase.SERVING);
         assertEquals(exchange("READY"), "+OK ready\n");
         assertEquals(exchange("  ready \r"), "+OK ready\n");
         assertEquals(exchange("DRAIN"), "+OK draining\n");
         assertEquals(exchange("READY"), "-ERR not ready: clients are sent away\n");
         assertEquals(exchange("UNDRAIN"), "+OK taking clients\n");
         assertEquals(exchange("READY"), "+OK ready\n");
-        phases.enter(Lifecycle.Phase.LEAVING);
+        lifecycle.enter(Lifecycle.Phase.LEAVING);
         assertEquals(exchange("READY"), "-ERR not ready: leaving\n");
-        phases.enter(Lifecycle.Phase.DRAINING);
+        lifecycle.enter(Lifecycle.Phase.DRAINING);
         assertEquals(exchange("READY"), "-ERR not ready: draining\n");
-        phases.enter(Lifecycle.Phase.STOPPED);
+        lifecycle.enter(Lifecycle.Phase.STOPPED);
         assertEquals(exchange("READY"), "-ERR not ready: stopped\n");
         assertEquals(exchange("REBOOT"), "-ERR unknown call 'REBOOT'; calls are READY, STATS, DRAIN and UNDRAIN\n");
         assertEquals(exchange(""), "-ERR unknown call ''; calls are READY, STATS, DRAIN and UNDRAIN\n");
@@ -88,8 +89,8 @@
     }
 
     @Test
-    public void statsOfAGatewayThatHasDoneNothing() throws Exception {
-        wire();
+    public void statsListsZeroMetricsWhenGatewayIsIdle() throws Exception {
+        wireGateway();
         assertEquals(
                 exchange("STATS"),
                 """
@@ -123,8 +124,8 @@
     }
 
     @Test
-    public void membersOfAGatewayThatTalksToOthers() throws Exception {
-        AdminTarget talking = new AdminTarget() {
+    public void membersListsMembersWhenMembershipIsOn() throws Exception {
+        AdminTarget target = new AdminTarget() {
             @Override
             public String notReady() {
                 return null;
@@ -141,20 +142,20 @@
             }
 
             @Override
-            public void setDrainRequested(boolean away) {}
+            public void setDrainRequested(boolean requested) {}
         };
-        port = new AdminServer(vertx, talking)
+        port = new AdminServer(vertx, target)
                 .listen(new HostAndPort("127.0.0.1", 0))
                 .toCompletionStage()
                 .toCompletableFuture()
-                .get(TIMEOUT_S, TimeUnit.SECONDS);
+                .get(TIMEOUT_SECONDS, TimeUnit.SECONDS);
         assertEquals(exchange("members"), "+OK\nn0 alive\nn1 dead\n.\n");
     }
 
-    private String exchange(String call) throws Exception {
+    private String exchange(String command) throws Exception {
         try (Socket socket = new Socket("127.0.0.1", port)) {
-            socket.setSoTimeout(TIMEOUT_S * 1000);
-            socket.getOutputStream().write((call + "\n").getBytes(StandardCharsets.US_ASCII));
+            socket.setSoTimeout(TIMEOUT_SECONDS * 1000);
+            socket.getOutputStream().write((command + "\n").getBytes(StandardCharsets.US_ASCII));
             return new String(socket.getInputStream().readAllBytes(), StandardCharsets.US_ASCII);
         }
     }
--- a/gateway/src/test/java/opalcove/admin/AdminServerTest.java
+++ b/gateway/src/test/java/opalcove/admin/AdminServerTest.java
@@ -21,7 +21,7 @@
 /** Tests the admin console by the bytes that are sent to it and received from it. */
 public class AdminServerTest {
     private final Metrics metrics = new Metrics();
-    private final List<Boolean> told = new ArrayList<>();
+    private final List<Boolean> drainRequests = new ArrayList<>();
     private volatile String notReady = "starting";
     private Vertx vertx;
     private int port;
@@ -29,7 +29,7 @@
     @BeforeClass
     public void open() throws Exception {
         vertx = Vertx.vertx();
-        AdminServer console = new AdminServer(vertx, new AdminTarget() {
+        AdminServer server = new AdminServer(vertx, new AdminTarget() {
             @Override
             public String notReady() {
                 return notReady;
@@ -41,13 +41,13 @@
             }
 
             @Override
-            public void setDrainRequested(boolean away) {
-                synchronized (told) {
-                    told.add(away);
+            public void setDrainRequested(boolean requested) {
+                synchronized (drainRequests) {
+                    drainRequests.add(requested);
                 }
             }
         });
-        port = console.listen(new HostAndPort("127.0.0.1", 0))
+        port = server.listen(new HostAndPort("127.0.0.1", 0))
                 .toCompletionStage()
                 .toCompletableFuture()
                 .get(10, TimeUnit.SECONDS);
@@ -59,7 +59,7 @@
     }
 
     @Test
-    public void readyReportsHowFarTheStartHasProgressed() throws Exception {
+    public void readyReportsReasonUntilGatewayIsReady() throws Exception {
         notReady = "starting";
         assertEquals(exchange("READY\n"), "-ERR not ready: starting\n");
         notReady = null;
@@ -67,7 +67,7 @@
     }
 
     @Test
-    public void statsGivesTheFiguresInStatsdFormThenADot() throws Exception {
+    public void statsListsMetricsInStatsdFormatAndEndsWithDot() throws Exception {
         Metrics.RequestOutcome success = Metrics.RequestOutcome.SUCCESS;
         metrics.requestEnded("slot-status", success);
         metrics.requestEnded("slot-status", success);
@@ -76,23 +76,23 @@
         metrics.inFlight(14);
         metrics.backends(5, 1);
         metrics.reconfigured(false);
-        String answer = exchange("STATS\n");
-        assertTrue(answer.startsWith("+OK\n"), answer);
-        assertTrue(answer.endsWith("\n.\n"), answer);
-        List<String> lines = answer.lines().toList();
-        assertTrue(lines.contains("gateway.success.slot-status:2|c"), answer);
-        assertTrue(lines.contains("gateway.busy.slot-status:1|c"), answer);
-        assertTrue(lines.contains("gateway.failure.slot-status:0|c"), answer);
-        assertTrue(lines.contains("gateway.backend_calls:1|c"), answer);
-        assertTrue(lines.contains("gateway.inflight:14|g"), answer);
-        assertTrue(lines.contains("gateway.hosts_listed:5|g"), answer);
-        assertTrue(lines.contains("gateway.hosts_down:1|g"), answer);
-        assertTrue(lines.contains("gateway.reconfig_ok:0|c"), answer);
-        assertTrue(lines.contains("gateway.reconfig_failed:1|c"), answer);
+        String response = exchange("STATS\n");
+        assertTrue(response.startsWith("+OK\n"), response);
+        assertTrue(response.endsWith("\n.\n"), response);
+        List<String> lines = response.lines().toList();
+        assertTrue(lines.contains("gateway.success.slot-status:2|c"), response);
+        assertTrue(lines.contains("gateway.busy.slot-status:1|c"), response);
+        assertTrue(lines.contains("gateway.failure.slot-status:0|c"), response);
+        assertTrue(lines.contains("gateway.backend_calls:1|c"), response);
+        assertTrue(lines.contains("gateway.inflight:14|g"), response);
+        assertTrue(lines.contains("gateway.hosts_listed:5|g"), response);
+        assertTrue(lines.contains("gateway.hosts_down:1|g"), response);
+        assertTrue(lines.contains("gateway.reconfig_ok:0|c"), response);
+        assertTrue(lines.contains("gateway.reconfig_failed:1|c"), response);
     }
 
     @Test
-    public void classesAreCountedByNameButNotWithoutBound() {
+    public void countsOutcomesByClassUpToLimitOfClasses() {
         Metrics metrics = new Metrics();
         metrics.requestEnded("battery-update-ii", Metrics.RequestOutcome.FAILURE);
         metrics.requestEnded("bad|name", Metrics.RequestOutcome.FAILURE);
@@ -111,22 +111,22 @@
     }
 
     @Test
-    public void drainAndUndrainAreHandedToTheGateway() throws Exception {
+    public void forwardsDrainAndUndrainToGateway() throws Exception {
         assertEquals(exchange("DRAIN\n"), "+OK draining\n");
         assertEquals(exchange("undrain\n"), "+OK taking clients\n");
-        synchronized (told) {
-            assertEquals(told.subList(told.size() - 2, told.size()), List.of(true, false));
+        synchronized (drainRequests) {
+            assertEquals(drainRequests.subList(drainRequests.size() - 2, drainRequests.size()), List.of(true, false));
         }
     }
 
     @Test
-    public void anUnknownOrOverlongCallIsAnErrorAndCounted() throws Exception {
+    public void rejectsUnknownOrOverlongCommand() throws Exception {
         assertEquals(exchange("REBOOT\n"), "-ERR unknown call 'REBOOT'; calls are READY, STATS, DRAIN and UNDRAIN\n");
         assertTrue(exchange("X".repeat(300) + "\n").startsWith("-ERR a call is one line"));
     }
 
     @Test
-    public void anIdleCallerHoldsNobodyUp() throws Exception {
+    public void respondsWhileAnotherConnectionIsIdle() throws Exception {
         try (Socket idle = new Socket("127.0.0.1", port)) {
             idle.getOutputStream().write("REA".getBytes(StandardCharsets.US_ASCII));
             notReady = null;
@@ -135,16 +135,16 @@
     }
 
     /** Sends the bytes on a new connection and reads all until the admin server closes it. */
-    private String exchange(String call) throws Exception {
+    private String exchange(String command) throws Exception {
         try (Socket socket = new Socket("127.0.0.1", port)) {
             socket.setSoTimeout(10_000);
             OutputStream out = socket.getOutputStream();
-            out.write(call.getBytes(StandardCharsets.US_ASCII));
+            out.write(command.getBytes(StandardCharsets.US_ASCII));
             out.flush();
             InputStream in = socket.getInputStream();
-            ByteArrayOutputStream got = new ByteArrayOutputStream();
-            in.transferTo(got);
-            return got.toString(StandardCharsets.US_ASCII);
+            ByteArrayOutputStream received = new ByteArrayOutputStream();
+            in.transferTo(received);
+            return received.toString(StandardCharsets.US_ASCII);
         }
     }
 }
