--- a/gateway/src/main/java/opalcove/cluster/MembershipCodec.java
+++ b/gateway/src/main/java/opalcove/cluster/MembershipCodec.java
@@ -12,15 +12,15 @@
 import opalcove.membership.SwimMessage;
 
 /**
- * Writes and reads the messages between members: a datagram is one JSON object with names of one letter, the sender
- * first.
+ * Writes and reads the messages between members. A datagram is one JSON object whose keys have one letter; the sender
+ * comes first.
  */
 public final class MembershipCodec {
     private static final int MAX_NAME_LENGTH = 128;
 
     private MembershipCodec() {}
 
-    /** The message as a datagram. */
+    /** Returns the message as a datagram. */
     public static byte[] write(SwimMessage message) {
         JsonObject object = Json.object()
                 .add("f", member(message.from()))
@@ -54,7 +54,7 @@
     /**
      * Reads a datagram.
      *
-     * @throws InvalidConfigurationException with key and reason, if it is no message
+     * @throws InvalidConfigurationException if the datagram is not a valid message; it names the key and the reason
      */
     public static SwimMessage read(byte[] bytes) {
         JsonFields fields = JsonFields.parse(new String(bytes, StandardCharsets.UTF_8));
--- a/gateway/src/main/java/opalcove/cluster/MembershipConfig.java
+++ b/gateway/src/main/java/opalcove/cluster/MembershipConfig.java
@@ -9,11 +9,11 @@
 /**
  * The section {@code membership} of the configuration.
  *
- * @param listen where this member listens for datagrams
- * @param advertise the address that it gives to other members; empty for the one that it listens at
- * @param seeds addresses of members to join the fleet through
- * @param protocol times and limits of the protocol
- * @param events whether each change is written to standard output as a JSON line
+ * @param listen the address at which this member listens for datagrams
+ * @param advertise the address that this member announces to other members; empty for the address at which it listens
+ * @param seeds the addresses of members through which this member joins the fleet
+ * @param protocol the times and limits of the protocol
+ * @param events whether each change of a member is written to standard output as a JSON line
  */
 public record MembershipConfig(
         HostAndPort listen, String advertise, List<String> seeds, SwimConfig protocol, boolean events) {
@@ -24,7 +24,7 @@
     /**
      * Reads the section.
      *
-     * @throws InvalidConfigurationException with the key of what is wrong
+     * @throws InvalidConfigurationException with the key of the first invalid value
      */
     public static MembershipConfig read(JsonFields fields) {
         HostAndPort listen = HostAndPort.parse(fields.text("listen"), "membership.listen");
--- a/gateway/src/main/java/opalcove/cluster/MembershipService.java
+++ b/gateway/src/main/java/opalcove/cluster/MembershipService.java
@@ -22,10 +22,11 @@
 import org.tinylog.Logger;
 
 /**
- * This process as a member of the gateways' fleet: its {@link FailureDetector} on datagrams and timers. Owned by an
- * event loop of its own, apart from client work, whose long turns would look like silence to the other members. What
- * other threads read ({@link #figures}, {@link #memberList}, {@link #presentMembers}) is published at each tick, at
- * most a gossip period apart: not at each datagram, whose cost would grow with the fleet.
+ * Runs this process as a member of the gateways' fleet: connects the {@link FailureDetector} to datagrams and timers.
+ * It is owned by an event loop that does no work for clients, because long turns of such work would look like silence
+ * to the other members. The data for other threads ({@link #figures}, {@link #memberList}, {@link #presentMembers}) is
+ * published at each tick, at most a gossip period apart, and not at each datagram, because that cost would grow with
+ * the fleet.
  */
 public final class MembershipService {
     private static final int SOCKET_BUFFER_BYTES = 1 << 20;
@@ -48,11 +49,12 @@
     private volatile String memberList = "";
 
     /**
-     * A member that has not started yet.
+     * Creates a member that has not started yet.
      *
-     * @param vertx an event loop of its own
-     * @param knownMembers members known from before the start
-     * @param events receives a JSON object for each change, if the settings ask for events
+     * @param vertx an event loop that does no work for clients
+     * @param name the name of this member
+     * @param knownMembers the members that are known from before the start
+     * @param events receives a JSON object for each change of a member, if the settings enable events
      */
     public MembershipService(
             Vertx vertx, String name, MembershipConfig settings, List<Member> knownMembers, Consumer<String> events) {
@@ -67,7 +69,7 @@
                 .setSendBufferSize(SOCKET_BUFFER_BYTES));
     }
 
-    /** Listens and joins the fleet; fails if the address cannot be listened at. */
+    /** Listens and joins the fleet; the future fails if listening fails. */
     public Future<Void> start() {
         return socket.listen(settings.listen().port(), settings.listen().address())
                 .map(open -> {
@@ -75,7 +77,8 @@
                             ? settings.listen().address() + ":"
                                     + open.localAddress().port()
                             : settings.advertise();
-                    // The time of the start as first incarnation: higher than that of any earlier process of this name.
+                    // The first incarnation is the time of the start: it is higher than that of any earlier process of
+                    // this name.
                     detector = new FailureDetector(
                             monotonicMs(),
                             name,
@@ -122,7 +125,7 @@
         armTimer();
     }
 
-    /** Announces that this member leaves; to be called some gossip periods before the process ends. */
+    /** Announces that this member leaves; must be called some gossip periods before the process ends. */
     public void leave() {
         vertx.runOnContext(called -> {
             if (detector != null && detector.self().state() == Member.State.ALIVE) {
@@ -187,19 +190,19 @@
                 .append('\n');
     }
 
-    /** The figures, a line each, in the form of STATS. May be called on any thread. */
+    /** Returns the metrics, one per line, in the format of STATS. May be called on any thread. */
     public String figures() {
         return figures;
     }
 
-    /** The members that are present, this one included. May be called on any thread. */
+    /** Returns the members that are present, including this one. May be called on any thread. */
     public List<Member> presentMembers() {
         return presentMembers;
     }
 
     /**
-     * All members that are known, this one first: name, address, incarnation and state, a line each. May be called on
-     * any thread.
+     * Returns all known members, this one first, one per line with name, address, incarnation and state. May be called
+     * on any thread.
      */
     public String memberList() {
         return memberList;
@@ -212,7 +215,7 @@
                 HostAndPort to = HostAndPort.parse(address, "address");
                 sent++;
                 socket.send(Buffer.buffer(MembershipCodec.write(message)), to.port(), to.address())
-                        .onFailure(e -> Logger.debug("membership: not sent to {}: {}", address, e.getMessage()));
+                        .onFailure(e -> Logger.debug("membership: cannot send to {}: {}", address, e.getMessage()));
             } catch (InvalidConfigurationException e) {
                 Logger.warn("membership: unusable address of a member: {}", e.getMessage());
             }
--- a/gateway/src/test/java/opalcove/cluster/DatagramFormTest.java
+++ b/gateway/src/test/java/opalcove/cluster/DatagramFormTest.java
@@ -10,7 +10,10 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** The datagrams between members as bytes: processes of an older program read and write the same. */
+/**
+ * Tests the exact bytes of the datagrams between members, because processes of an older version read and write the same
+ * format.
+ */
 public class DatagramFormTest {
     private static final Member SENDER = new Member("g1", "127.0.0.1:7000", 17, Member.State.ALIVE);
     private static final String SENDER_FORM = "{\"n\":\"g1\",\"a\":\"127.0.0.1:7000\",\"i\":17,\"s\":\"ALIVE\"}";
@@ -59,7 +62,7 @@
         };
     }
 
-    @Test(dataProvider = "forms")
+    @Test(dataProvider = "datagrams")
     public void eachKindIsWrittenAndReadInItsForm(SwimMessage message, String form) {
         assertEquals(new String(MembershipCodec.write(message), StandardCharsets.UTF_8), form);
         assertEquals(MembershipCodec.read(form.getBytes(StandardCharsets.UTF_8)), message);
--- a/gateway/src/test/java/opalcove/cluster/MembershipOutputTest.java
+++ b/gateway/src/test/java/opalcove/cluster/MembershipOutputTest.java
@@ -18,7 +18,7 @@
 import opalcove.membership.SwimMessage;
 import org.testng.annotations.Test;
 
-/** What a member shows to the outside: the reply to MEMBERS, its figures and its events. */
+/** Tests the published output of a member: the reply to MEMBERS, its metrics and its events. */
 public class MembershipOutputTest {
     private static final long FAILS_AFTER_NS = TimeUnit.SECONDS.toNanos(60);
     private static final InetAddress LOOPBACK = InetAddress.getLoopbackAddress();
@@ -58,7 +58,7 @@
         try (DatagramSocket peer = new DatagramSocket(new InetSocketAddress(LOOPBACK, 0))) {
             Member second = new Member("g2", "127.0.0.1:" + peer.getLocalPort(), 4, Member.State.ALIVE);
             List<String> events = new CopyOnWriteArrayList<>();
-            // Periods so long that nothing is judged by time before the test has seen it.
+            // The periods are long enough that no timeout changes a member's state before the test has checked it.
             MembershipService membership = new MembershipService(
                     vertx,
                     "g1",
@@ -67,7 +67,9 @@
                     List.of(second),
                     events::add);
             membership.start().await(1, TimeUnit.MINUTES);
-            await("itself first", () -> membership.memberList().startsWith("g1 127.0.0.1:"));
+            await(
+                    "the member list starts with the member itself",
+                    () -> membership.memberList().startsWith("g1 127.0.0.1:"));
             String self = membership.memberList().lines().findFirst().orElseThrow();
             assertTrue(self.matches("g1 127\\.0\\.0\\.1:\\d+ \\d+ alive"), self);
             int port = Integer.parseInt(self.split("[: ]")[2]);
@@ -102,7 +104,9 @@
                             event("g3", "DEAD", "SUSPECT"),
                             event("g4", "LEFT", "ALIVE")));
             membership.leave();
-            await("it says that it leaves", () -> membership.memberList().contains(self.replace(" alive", " left")));
+            await(
+                    "the member announces that it leaves",
+                    () -> membership.memberList().contains(self.replace(" alive", " left")));
         } finally {
             vertx.close().await(1, TimeUnit.MINUTES);
         }
