--- a/gateway/src/main/java/opalcove/cluster/MembershipCodec.java
+++ b/gateway/src/main/java/opalcove/cluster/MembershipCodec.java
@@ -59,7 +59,7 @@
     public static SwimMessage read(byte[] bytes) {
         JsonFields fields = JsonFields.parse(new String(bytes, StandardCharsets.UTF_8));
         List<GossipEntry> gossip = fields.objects("w").stream()
-                .map(each -> new GossipEntry(member(each), name(each.textOr("b", ""), true)))
+                .map(entry -> new GossipEntry(member(entry), name(entry.textOr("b", ""), true)))
                 .toList();
         return new SwimMessage(
                 fields.choice("k", SwimMessage.Kind.class),
--- a/gateway/src/main/java/opalcove/cluster/MembershipService.java
+++ b/gateway/src/main/java/opalcove/cluster/MembershipService.java
@@ -43,7 +43,7 @@
     private FailureDetector detector;
     private long sent;
     private long received;
-    private long unreadable;
+    private long unreadableDatagrams;
     private volatile List<Member> presentMembers = List.of();
     private volatile String figures = "";
     private volatile String memberList = "";
@@ -116,7 +116,7 @@
         try {
             message = MembershipCodec.read(datagram.data().getBytes());
         } catch (InvalidConfigurationException e) {
-            unreadable++;
+            unreadableDatagrams++;
             Logger.debug("membership: unreadable datagram: {}", e.getMessage());
             return;
         }
@@ -127,7 +127,7 @@
 
     /** Announces that this member leaves; must be called some gossip periods before the process ends. */
     public void leave() {
-        vertx.runOnContext(called -> {
+        vertx.runOnContext(run -> {
             if (detector != null && detector.self().state() == Member.State.ALIVE) {
                 detector.leave(monotonicMs());
                 publish();
@@ -137,39 +137,39 @@
     }
 
     private void publish() {
-        figures = currentFigures();
+        figures = currentMetrics();
         StringBuilder list = new StringBuilder(256);
         appendMember(list, detector.self());
-        detector.peers().forEach(each -> appendMember(list, each));
+        detector.peers().forEach(member -> appendMember(list, member));
         memberList = list.toString();
         presentMembers = List.copyOf(detector.presentMembers());
     }
 
-    private String currentFigures() {
+    private String currentMetrics() {
         ProtocolCounts counts = detector.counts();
         long suspects = detector.peers().stream()
-                .filter(each -> each.state() == Member.State.SUSPECT)
+                .filter(member -> member.state() == Member.State.SUSPECT)
                 .count();
         StringBuilder text = new StringBuilder(512);
-        appendFigure(text, "members", detector.presentMembers().size(), GAUGE);
-        appendFigure(text, "suspects", suspects, GAUGE);
-        appendFigure(text, "health", detector.healthScore(), GAUGE);
-        appendFigure(text, "version", detector.version(), GAUGE);
-        appendFigure(text, "incarnation", detector.self().incarnation(), GAUGE);
-        appendFigure(text, "sent", sent, COUNTER);
-        appendFigure(text, "received", received, COUNTER);
-        appendFigure(text, "unreadable", unreadable, COUNTER);
-        appendFigure(text, "probes", counts.probes(), COUNTER);
-        appendFigure(text, "acks", counts.acks(), COUNTER);
-        appendFigure(text, "helped", counts.requestedProbes(), COUNTER);
-        appendFigure(text, "suspicions", counts.suspicions(), COUNTER);
-        appendFigure(text, "confirmed", counts.confirmedDeaths(), COUNTER);
-        appendFigure(text, "refuted", counts.refutations(), COUNTER);
-        appendFigure(text, "pauses", counts.pauses(), COUNTER);
+        appendMetric(text, "members", detector.presentMembers().size(), GAUGE);
+        appendMetric(text, "suspects", suspects, GAUGE);
+        appendMetric(text, "health", detector.healthScore(), GAUGE);
+        appendMetric(text, "version", detector.version(), GAUGE);
+        appendMetric(text, "incarnation", detector.self().incarnation(), GAUGE);
+        appendMetric(text, "sent", sent, COUNTER);
+        appendMetric(text, "received", received, COUNTER);
+        appendMetric(text, "unreadable", unreadableDatagrams, COUNTER);
+        appendMetric(text, "probes", counts.probes(), COUNTER);
+        appendMetric(text, "acks", counts.acks(), COUNTER);
+        appendMetric(text, "helped", counts.requestedProbes(), COUNTER);
+        appendMetric(text, "suspicions", counts.suspicions(), COUNTER);
+        appendMetric(text, "confirmed", counts.confirmedDeaths(), COUNTER);
+        appendMetric(text, "refuted", counts.refutations(), COUNTER);
+        appendMetric(text, "pauses", counts.pauses(), COUNTER);
         return text.toString();
     }
 
-    private static void appendFigure(StringBuilder text, String key, long value, char kind) {
+    private static void appendMetric(StringBuilder text, String key, long value, char kind) {
         text.append("membership.")
                 .append(key)
                 .append(':')
--- a/gateway/src/test/java/opalcove/cluster/MembershipOutputTest.java
+++ b/gateway/src/test/java/opalcove/cluster/MembershipOutputTest.java
@@ -20,10 +20,10 @@
 
 /** Tests the published output of a member: the reply to MEMBERS, its metrics and its events. */
 public class MembershipOutputTest {
-    private static final long FAILS_AFTER_NS = TimeUnit.SECONDS.toNanos(60);
+    private static final long TIMEOUT_NANOS = TimeUnit.SECONDS.toNanos(60);
     private static final InetAddress LOOPBACK = InetAddress.getLoopbackAddress();
 
-    private static final List<String> FIGURES = List.of(
+    private static final List<String> METRICS = List.of(
             "membership.members|g",
             "membership.suspects|g",
             "membership.health|g",
@@ -40,20 +40,20 @@
             "membership.refuted|c",
             "membership.pauses|c");
 
-    private static void await(String awaited, BooleanSupplier there) throws InterruptedException {
+    private static void waitUntil(String description, BooleanSupplier condition) throws InterruptedException {
         long start = System.nanoTime();
-        while (!there.getAsBoolean()) {
-            assertTrue(System.nanoTime() - start < FAILS_AFTER_NS, awaited);
+        while (!condition.getAsBoolean()) {
+            assertTrue(System.nanoTime() - start < TIMEOUT_NANOS, description);
             Thread.sleep(10);
         }
     }
 
-    private static GossipEntry word(String name, Member.State state) {
+    private static GossipEntry gossip(String name, Member.State state) {
         return new GossipEntry(new Member(name, "127.0.0.1:9", 5, state), state == Member.State.SUSPECT ? "g2" : "");
     }
 
     @Test
-    public void aMemberShowsWhatItKnowsInItsForms() throws Exception {
+    public void publishesMembersMetricsAndEventsInTheirFormats() throws Exception {
         Vertx vertx = Vertx.vertx();
         try (DatagramSocket peer = new DatagramSocket(new InetSocketAddress(LOOPBACK, 0))) {
             Member second = new Member("g2", "127.0.0.1:" + peer.getLocalPort(), 4, Member.State.ALIVE);
@@ -67,22 +67,22 @@
                     List.of(second),
                     events::add);
             membership.start().await(1, TimeUnit.MINUTES);
-            await(
+            waitUntil(
                     "the member list starts with the member itself",
                     () -> membership.memberList().startsWith("g1 127.0.0.1:"));
             String self = membership.memberList().lines().findFirst().orElseThrow();
             assertTrue(self.matches("g1 127\\.0\\.0\\.1:\\d+ \\d+ alive"), self);
             int port = Integer.parseInt(self.split("[: ]")[2]);
 
-            send(peer, port, second, word("g3", Member.State.SUSPECT), word("g4", Member.State.ALIVE));
-            await(
+            send(peer, port, second, gossip("g3", Member.State.SUSPECT), gossip("g4", Member.State.ALIVE));
+            waitUntil(
                     membership.memberList(),
                     () -> membership.memberList().endsWith("g3 127.0.0.1:9 5 suspect\ng4 127.0.0.1:9 5 alive\n"));
             assertTrue(
                     membership.memberList().startsWith(self + "\n" + "g2 " + second.address() + " 4 "),
                     membership.memberList());
-            send(peer, port, second, word("g3", Member.State.DEAD), word("g4", Member.State.LEFT));
-            await(
+            send(peer, port, second, gossip("g3", Member.State.DEAD), gossip("g4", Member.State.LEFT));
+            waitUntil(
                     membership.memberList(),
                     () -> membership.memberList().endsWith("g3 127.0.0.1:9 5 dead\ng4 127.0.0.1:9 5 left\n"));
 
@@ -92,11 +92,11 @@
                             .lines()
                             .map(line -> line.replaceFirst(":\\d+\\|", "|"))
                             .toList(),
-                    FIGURES);
+                    METRICS);
             assertEquals(
                     events.stream()
-                            .filter(each -> !each.contains("\"name\":\"g2\""))
-                            .map(each -> each.replaceFirst("\"at_ms\":\\d{13},", "\"at_ms\":0,"))
+                            .filter(event -> !event.contains("\"name\":\"g2\""))
+                            .map(event -> event.replaceFirst("\"at_ms\":\\d{13},", "\"at_ms\":0,"))
                             .toList(),
                     List.of(
                             event("g3", "SUSPECT", "UNKNOWN"),
@@ -104,7 +104,7 @@
                             event("g3", "DEAD", "SUSPECT"),
                             event("g4", "LEFT", "ALIVE")));
             membership.leave();
-            await(
+            waitUntil(
                     "the member announces that it leaves",
                     () -> membership.memberList().contains(self.replace(" alive", " left")));
         } finally {
@@ -112,8 +112,9 @@
         }
     }
 
-    private static void send(DatagramSocket peer, int port, Member from, GossipEntry... words) throws Exception {
-        byte[] bytes = MembershipCodec.write(new SwimMessage(SwimMessage.Kind.GOSSIP, from, 0, "", "", List.of(words)));
+    private static void send(DatagramSocket peer, int port, Member from, GossipEntry... gossip) throws Exception {
+        byte[] bytes =
+                MembershipCodec.write(new SwimMessage(SwimMessage.Kind.GOSSIP, from, 0, "", "", List.of(gossip)));
         peer.send(new DatagramPacket(bytes, bytes.length, LOOPBACK, port));
     }
 
