--- a/gateway/src/test/java/opalcove/discovery/DiscoveryClientTest.java
+++ b/gateway/src/test/java/opalcove/discovery/DiscoveryClientTest.java
@@ -161,7 +161,7 @@
             });
             List<Socket> fillers = new ArrayList<>();
             try (Socket connection = agent.accept()) {
-                call(connection);
+                readCall(connection);
                 // Once the queue of this listener is full, the kernel no longer answers a SYN.
                 for (int i = 0; i < 4; i++) {
                     Socket filler = new Socket();
@@ -177,7 +177,7 @@
                         .getOutputStream()
                         .write(("HTTP/1.1 200 OK\r\nContent-Length: " + list.length() + "\r\n\r\n" + list)
                                 .getBytes(StandardCharsets.US_ASCII));
-                call(connection);
+                readCall(connection);
             }
             // The first failure is the end of the watch; the later ones are connections that were not established.
             failedFourTimes.get(20, TimeUnit.SECONDS);
@@ -339,7 +339,7 @@
                     new PollSchedule(10_000, silenceMs, 0, new Backoff(1, 2, new SplittableRandom(1))),
                     (isComplete, backends, discoveryNowMs) -> received.complete(backends.get(0)));
             try (Socket connection = discovery.accept()) {
-                assertEquals(call(connection), "GET /v1/endpoints HTTP/1.1");
+                assertEquals(readCall(connection), "GET /v1/endpoints HTTP/1.1");
                 CountDownLatch isBlocked = new CountDownLatch(1);
                 CountDownLatch unblock = new CountDownLatch(1);
                 eventLoop.runOnContext(run -> {
@@ -359,7 +359,7 @@
                 Thread.sleep(2 * silenceMs);
                 unblock.countDown();
                 // The watch continues on the same connection.
-                assertEquals(call(connection), "GET /v1/endpoints?since=4&timeout_ms=10000 HTTP/1.1");
+                assertEquals(readCall(connection), "GET /v1/endpoints?since=4&timeout_ms=10000 HTTP/1.1");
                 assertTrue(received.isDone());
             }
         }
@@ -482,7 +482,7 @@
     }
 
     /** Reads the next call on this connection and returns its request line. */
-    public static String call(Socket connection) throws Exception {
+    public static String readCall(Socket connection) throws Exception {
         connection.setSoTimeout(20_000);
         StringBuilder head = new StringBuilder();
         while (head.indexOf("\r\n\r\n") < 0) {
--- a/gateway/src/test/java/opalcove/resp/ConnectionCrossingsTest.java
+++ b/gateway/src/test/java/opalcove/resp/ConnectionCrossingsTest.java
@@ -66,9 +66,9 @@
                         .start();
             });
             try (Socket agent = discovery.accept()) {
-                DiscoveryClientTest.call(agent);
+                DiscoveryClientTest.readCall(agent);
                 list(agent, 4, first.is(EndpointState.UP), second.is(EndpointState.DRAINING));
-                DiscoveryClientTest.call(agent);
+                DiscoveryClientTest.readCall(agent);
                 Socket client = stage.client();
                 RespTestBed.say(client, RespTestBed.query(1, 4000));
                 RespTestBed.BackendPeer rested = first.accept();
@@ -117,9 +117,9 @@
                 watch.start();
             });
             try (Socket agent = discovery.accept()) {
-                DiscoveryClientTest.call(agent);
+                DiscoveryClientTest.readCall(agent);
                 list(agent, 4, first.is(EndpointState.UP), second.is(EndpointState.DRAINING));
-                DiscoveryClientTest.call(agent);
+                DiscoveryClientTest.readCall(agent);
                 Socket client = stage.client();
                 stage.unread(
                         () -> {
@@ -128,7 +128,7 @@
                             Thread.sleep(pauseMs);
                         },
                         () -> {});
-                DiscoveryClientTest.call(agent);
+                DiscoveryClientTest.readCall(agent);
                 Socket later = stage.client();
                 RespTestBed.say(later, RespTestBed.query(2, 4000));
                 stage.until("asks_open", 2);
