--- a/config/src/main/java/opalcove/config/EndpointCodec.java
+++ b/config/src/main/java/opalcove/config/EndpointCodec.java
@@ -34,7 +34,7 @@
                             entry.text("name"),
                             entry.textOr("zone", ""),
                             entry.textOr("type", ""),
-                            entry.wholeOr("group", 0),
+                            entry.integerOr("group", 0),
                             state,
                             entry.numberOr("weight", 1),
                             entry.numberOr("since_ms", 0)),
--- a/config/src/main/java/opalcove/config/JsonFields.java
+++ b/config/src/main/java/opalcove/config/JsonFields.java
@@ -118,13 +118,13 @@
      *
      * @throws InvalidConfigurationException if the field is absent or not an integer
      */
-    public int whole(String name) {
-        return (int) serial(name);
+    public int integer(String name) {
+        return (int) longInteger(name);
     }
 
     /** Returns an integer, or the default if the field is absent. */
-    public int wholeOr(String name, int defaultValue) {
-        return has(name) ? whole(name) : defaultValue;
+    public int integerOr(String name, int defaultValue) {
+        return has(name) ? integer(name) : defaultValue;
     }
 
     /**
@@ -132,7 +132,7 @@
      *
      * @throws InvalidConfigurationException if the field is absent or not an integer
      */
-    public long serial(String name) {
+    public long longInteger(String name) {
         JsonValue value = required(name);
         try {
             return value.asLong();
@@ -225,7 +225,7 @@
     }
 
     /** Returns a list of numbers, or null if the field is absent. */
-    public double[] row(String name) {
+    public double[] numbers(String name) {
         if (!has(name)) {
             return null;
         }
--- a/config/src/main/java/opalcove/config/RangedJsonFields.java
+++ b/config/src/main/java/opalcove/config/RangedJsonFields.java
@@ -47,12 +47,12 @@
     }
 
     /** Returns an integer; an absent field is a problem. The range must lie within that of an int. */
-    int whole(String key, Range range) {
-        return (int) inRange(key, readOr(key, () -> (double) fields.serial(key), range.max()), range);
+    int integer(String key, Range range) {
+        return (int) inRange(key, readOr(key, () -> (double) fields.longInteger(key), range.max()), range);
     }
 
-    int wholeOr(String key, int defaultValue, Range range) {
-        return fields.has(key) ? whole(key, range) : defaultValue;
+    int integerOr(String key, int defaultValue, Range range) {
+        return fields.has(key) ? integer(key, range) : defaultValue;
     }
 
     boolean flag(String key) {
--- a/config/src/main/java/opalcove/config/SettingsReader.java
+++ b/config/src/main/java/opalcove/config/SettingsReader.java
@@ -84,8 +84,8 @@
     private static DecisionSettings settings(RangedJsonFields fields) {
         RangedJsonFields specifics = fields.object("specifics");
         RangedJsonFields feedback = fields.object("feedback");
-        int gateways = fields.whole("balancers", COUNT);
-        int self = fields.whole("me", COUNT_OR_ZERO);
+        int gateways = fields.integer("balancers", COUNT);
+        int self = fields.integer("me", COUNT_OR_ZERO);
         if (fields.areValid("me", "balancers") && self >= gateways) {
             fields.reject("me", "must be below balancers, " + gateways);
         }
@@ -133,7 +133,7 @@
                     tier.uniqueName("name", names),
                     tier.numberOr("quota_rate", 0, Range.NOT_NEGATIVE),
                     tier.numberOr("peak_units", 0, Range.NOT_NEGATIVE),
-                    tier.wholeOr("max_out", 0, COUNT_OR_ZERO),
+                    tier.integerOr("max_out", 0, COUNT_OR_ZERO),
                     tier.numberOr("value_factor", 1, Range.NOT_NEGATIVE),
                     tier.numberOr("excess_worth", 0, Range.NOT_NEGATIVE),
                     tier.numberOr("overrun_cost", 0, Range.NOT_NEGATIVE),
@@ -150,7 +150,7 @@
 
     private static DecisionSettings.Limits limits(RangedJsonFields ceilings, RangedJsonFields specifics) {
         return new DecisionSettings.Limits(
-                ceilings.wholeOr("max_attempts", 1, COUNT),
+                ceilings.integerOr("max_attempts", 1, COUNT),
                 ceilings.flag("second_copies"),
                 ceilings.flag("may_cancel"),
                 ceilings.flag("may_probe"),
@@ -159,7 +159,7 @@
                 ceilings.numberOr("idle_close_ms", 0, Range.NOT_NEGATIVE),
                 specifics.flag("counter"),
                 ceilings.numberOr("dial_timeout_ms", DEFAULT_CONNECT_TIMEOUT_MS, TIME_LIMIT_MS),
-                ceilings.wholeOr("max_open", DEFAULT_MAX_OPEN_REQUESTS, COUNT),
+                ceilings.integerOr("max_open", DEFAULT_MAX_OPEN_REQUESTS, COUNT),
                 specifics.numberOr("largest", Double.MAX_VALUE, Range.POSITIVE));
     }
 
--- a/control/src/main/java/opalcove/control/server/ControlConfig.java
+++ b/control/src/main/java/opalcove/control/server/ControlConfig.java
@@ -101,7 +101,7 @@
                         "field " + each.path() + ".name is empty or there twice: " + name);
             }
             Set<Integer> pods = pods(each);
-            long leaseMs = each.wholeOr("lease_ms", 0);
+            long leaseMs = each.integerOr("lease_ms", 0);
             if (leaseMs < 0 || leaseMs > 0 && leaseMs < MIN_LEASE_MS) {
                 throw new InvalidConfigurationException(
                         "field " + each.path() + ".lease_ms must be 0 or at least " + MIN_LEASE_MS);
@@ -115,7 +115,7 @@
     }
 
     private static Set<Integer> pods(JsonFields cluster) {
-        double[] pods = cluster.row("pods");
+        double[] pods = cluster.numbers("pods");
         return pods == null
                 ? Set.of()
                 : Arrays.stream(pods).mapToObj(pod -> (int) pod).collect(Collectors.toSet());
--- a/gateway/src/main/java/opalcove/cluster/MembershipCodec.java
+++ b/gateway/src/main/java/opalcove/cluster/MembershipCodec.java
@@ -64,7 +64,7 @@
         return new SwimMessage(
                 fields.choice("k", SwimMessage.Kind.class),
                 member(fields.object("f")),
-                fields.serial("s"),
+                fields.longInteger("s"),
                 name(fields.textOr("t", ""), true),
                 fields.textOr("a", ""),
                 gossip);
@@ -74,7 +74,7 @@
         return new Member(
                 name(fields.text("n"), false),
                 fields.text("a"),
-                fields.serial("i"),
+                fields.longInteger("i"),
                 fields.choice("s", Member.State.class));
     }
 
--- a/gateway/src/main/java/opalcove/cluster/MembershipConfig.java
+++ b/gateway/src/main/java/opalcove/cluster/MembershipConfig.java
@@ -34,7 +34,7 @@
         }
         List<String> seeds = fields.texts("seeds");
         seeds.forEach(seed -> HostAndPort.parse(seed, "membership.seeds"));
-        int probePeriodMs = fields.wholeOr("probe_ms", DEFAULT_PROBE_PERIOD_MS);
+        int probePeriodMs = fields.integerOr("probe_ms", DEFAULT_PROBE_PERIOD_MS);
         if (probePeriodMs < MIN_PROBE_PERIOD_MS || probePeriodMs > MAX_PROBE_PERIOD_MS) {
             throw new InvalidConfigurationException(
                     "membership.probe_ms", "must be from " + MIN_PROBE_PERIOD_MS + " to " + MAX_PROBE_PERIOD_MS);
--- a/gateway/src/main/java/opalcove/discovery/EndpointListResponse.java
+++ b/gateway/src/main/java/opalcove/discovery/EndpointListResponse.java
@@ -22,7 +22,7 @@
     static EndpointListResponse parse(String body) {
         JsonFields fields = JsonFields.parse(body);
         List<Backend> backends = EndpointCodec.read(fields.objects("endpoints"));
-        long index = fields.serial("index");
+        long index = fields.longInteger("index");
         return new EndpointListResponse(index, fields.flag("snapshot"), backends);
     }
 }
--- a/gateway/src/main/java/opalcove/server/GatewayConfig.java
+++ b/gateway/src/main/java/opalcove/server/GatewayConfig.java
@@ -110,7 +110,7 @@
         if (!fields.has("limits") || !fields.object("limits").has("sockets")) {
             return DEFAULT_SOCKETS;
         }
-        long sockets = fields.object("limits").serial("sockets");
+        long sockets = fields.object("limits").longInteger("sockets");
         if (sockets < MIN_SOCKETS || sockets > Integer.MAX_VALUE / 2) {
             throw new InvalidConfigurationException(
                     "limits.sockets", "must be a whole number from " + MIN_SOCKETS + " on");
@@ -124,12 +124,12 @@
 
     private static long knownIndex(JsonFields fields) {
         return fields.has("known") && fields.object("known").has("index")
-                ? fields.object("known").serial("index")
+                ? fields.object("known").longInteger("index")
                 : DiscoveryClient.NO_INDEX;
     }
 
     private static int warmUpMs(JsonFields fields) {
-        int warmUpMs = fields.wholeOr("rehearsal_ms", DEFAULT_WARM_UP_MS);
+        int warmUpMs = fields.integerOr("rehearsal_ms", DEFAULT_WARM_UP_MS);
         if (warmUpMs < 0 || warmUpMs > MAX_WARM_UP_MS) {
             throw new InvalidConfigurationException("rehearsal_ms", "must be from 0 to " + MAX_WARM_UP_MS);
         }
--- a/gateway/src/main/java/opalcove/simulator/EventDecoder.java
+++ b/gateway/src/main/java/opalcove/simulator/EventDecoder.java
@@ -46,7 +46,7 @@
                 event.text("holder"),
                 event.number("units"),
                 event.number("budget_ms"),
-                event.whole("entry_points"),
+                event.integer("entry_points"),
                 event.flag("resent"));
     }
 
@@ -61,13 +61,13 @@
         return new AttemptOutcome(
                 event.text("ticket"),
                 event.text("host"),
-                event.wholeOr("shot", 0),
+                event.integerOr("shot", 0),
                 status,
                 event.numberOr("latency_ms", 0),
                 event.flag("ended"),
-                event.wholeOr("use_pct", 0) - 1,
+                event.integerOr("use_pct", 0) - 1,
                 event.numberOr("charged", 0),
-                event.row("feedback"));
+                event.numbers("feedback"));
     }
 
     /** The result of a {@code ProbeDone}. */
@@ -97,7 +97,7 @@
                 entry.text("host"),
                 entry.textOr("rack_zone", ""),
                 entry.textOr("model", ""),
-                entry.wholeOr("bay", 0),
+                entry.integerOr("bay", 0),
                 state,
                 entry.numberOr("heft", 1),
                 entry.numberOr("online_since_ms", 0));
--- a/gateway/src/main/java/opalcove/simulator/SimulatorAdapter.java
+++ b/gateway/src/main/java/opalcove/simulator/SimulatorAdapter.java
@@ -91,27 +91,28 @@
     private void handle(String verb, JsonFields event) throws IOException {
         switch (verb) {
             case "Flush" -> endBatch();
-            case "Roster" -> rosters.put(event.whole("ref"), EventDecoder.endpoints(event.objects("lines")));
-            case "Born" -> start(event.whole("gateway"), event);
-            case "Killed" -> modules.remove(event.whole("gateway"));
+            case "Roster" -> rosters.put(event.integer("ref"), EventDecoder.endpoints(event.objects("lines")));
+            case "Born" -> start(event.integer("gateway"), event);
+            case "Killed" -> modules.remove(event.integer("gateway"));
             // Neither peers nor the counter are used; what arrives all the same has to name a gateway.
-            case "Inbox", "Total" -> event.whole("gateway");
+            case "Inbox", "Total" -> event.integer("gateway");
             case "Announce" -> announce(module(event), event);
             case "Submit" -> module(event).requestArrived(nowMs, EventDecoder.request(event));
             case "Outcome" -> module(event).attemptEnded(nowMs, EventDecoder.outcome(event));
-            case "Established" -> module(event).responseStarted(nowMs, event.text("ticket"), event.wholeOr("shot", 0));
+            case "Established" ->
+                module(event).responseStarted(nowMs, event.text("ticket"), event.integerOr("shot", 0));
             case "CancelledByClient" -> module(event).requestCancelled(nowMs, event.text("ticket"));
-            case "TickDue" -> module(event).timerExpired(nowMs, event.serial("handle"));
+            case "TickDue" -> module(event).timerExpired(nowMs, event.longInteger("handle"));
             case "ProbeDone" -> healthCheckEnded(module(event), event);
             default -> throw new InvalidConfigurationException("unknown verb " + verb);
         }
     }
 
     private DecisionModule module(JsonFields event) {
-        DecisionModule module = modules.get(event.whole("gateway"));
+        DecisionModule module = modules.get(event.integer("gateway"));
         if (module == null) {
             throw new InvalidConfigurationException(
-                    event.text("verb") + " for gateway " + event.whole("gateway") + ", which is not running");
+                    event.text("verb") + " for gateway " + event.integer("gateway") + ", which is not running");
         }
         return module;
     }
@@ -122,7 +123,7 @@
                 new AdmissionController(
                         nowMs,
                         SettingsReader.read(event.object("facts")),
-                        event.serial("rng_seed"),
+                        event.longInteger("rng_seed"),
                         new ActionWriter(gateway, output)));
     }
 
@@ -135,9 +136,9 @@
         if (!form.equals("whole") && !form.equals("patch") && !form.equals("stale_copy")) {
             throw new InvalidConfigurationException("unknown form " + form);
         }
-        List<Endpoint> endpoints = rosters.get(event.whole("ref"));
+        List<Endpoint> endpoints = rosters.get(event.integer("ref"));
         if (endpoints == null) {
-            throw new InvalidConfigurationException("no Roster numbered " + event.whole("ref"));
+            throw new InvalidConfigurationException("no Roster numbered " + event.integer("ref"));
         }
         module.endpointsChanged(nowMs, !form.equals("patch"), endpoints);
     }
@@ -148,6 +149,6 @@
                 event.text("host"),
                 EventDecoder.healthCheckStatus(event),
                 event.numberOr("latency_ms", 0),
-                event.row("feedback"));
+                event.numbers("feedback"));
     }
 }
--- a/gateway/src/test/java/opalcove/config/OutsideTextsTest.java
+++ b/gateway/src/test/java/opalcove/config/OutsideTextsTest.java
@@ -136,11 +136,11 @@
                 JsonFields.parse("{\"row\":[1,\"2\"],\"texts\":[1],\"text\":\"x\",\"half\":0.5,\"in\":{\"a\":1}}");
         List<String> messages = new ArrayList<>();
         List<Runnable> reads = List.of(
-                () -> fields.row("row"),
+                () -> fields.numbers("row"),
                 () -> fields.texts("texts"),
                 () -> fields.number("text"),
                 () -> fields.text("half"),
-                () -> fields.serial("half"),
+                () -> fields.longInteger("half"),
                 () -> fields.flag("text"),
                 () -> fields.object("text"),
                 () -> fields.objects("text"),
--- a/gateway/src/test/java/opalcove/config/SettingsReaderTest.java
+++ b/gateway/src/test/java/opalcove/config/SettingsReaderTest.java
@@ -278,7 +278,7 @@
                 "gateway/src/main/java/opalcove/server/GatewayConfig.java",
                 "config/src/main/java/opalcove/config/EndpointCodec.java")) {
             Matcher key = Pattern.compile(
-                            "\\.(?:has|number|numberOr|whole|wholeOr|serial|flag|text|textOr|texts|oneOf|choice|uniqueName"
+                            "\\.(?:has|number|numberOr|integer|integerOr|longInteger|flag|text|textOr|texts|oneOf|choice|uniqueName"
                                     + "|object|objects)\\(\\s*\"(\\w+)\"")
                     .matcher(Files.readString(Path.of(source)));
             while (key.find()) {
--- a/laboratory/src/main/java/opalcove/laboratory/ClusterScenario.java
+++ b/laboratory/src/main/java/opalcove/laboratory/ClusterScenario.java
@@ -70,12 +70,12 @@
         List<String> voters =
                 check.valueOr(() -> fields.has("voters") ? fields.texts("voters") : List.<String>of(), List.of());
         known(check, "voters", voters, members);
-        int leaseMs = check.valueOr(() -> fields.wholeOr("lease_ms", 2000), 2000);
+        int leaseMs = check.valueOr(() -> fields.integerOr("lease_ms", 2000), 2000);
         if (leaseMs < 200 || leaseMs > 60_000 || !voters.isEmpty() && voters.size() % 2 == 0) {
             check.addProblem("field lease_ms must be from 200 to 60000, and voters an odd number of members");
         }
-        int probeMs = check.valueOr(() -> fields.wholeOr("probe_ms", 500), 500);
-        int maxS = check.valueOr(() -> fields.wholeOr("most_s", 60), 60);
+        int probeMs = check.valueOr(() -> fields.integerOr("probe_ms", 500), 500);
+        int maxS = check.valueOr(() -> fields.integerOr("most_s", 60), 60);
         if (probeMs < 20 || maxS < 1 || maxS > 3600) {
             check.addProblem("field probe_ms must be at least 20, and most_s from 1 to 3600");
         }
@@ -94,7 +94,7 @@
         if (steps.isEmpty()) {
             check.addProblem("field steps must hold a step");
         }
-        long seed = check.valueOr(() -> fields.has("seed") ? fields.serial("seed") : 1L, 1L);
+        long seed = check.valueOr(() -> fields.has("seed") ? fields.longInteger("seed") : 1L, 1L);
         check.throwIfInvalid();
         return new ClusterScenario(seed, probeMs, seeds, voters, leaseMs, maxS * 1000L, steps);
     }
@@ -114,11 +114,11 @@
         if (tells && !STATES.contains(state)) {
             throw new InvalidConfigurationException("field " + f.path() + ".state must be one of " + STATES);
         }
-        int forMs = f.wholeOr("for_ms", 0);
+        int forMs = f.integerOr("for_ms", 0);
         double loss = f.numberOr("loss", 0);
         double repeated = f.numberOr("repeated", 0);
-        int least = f.wholeOr("least_ms", 0);
-        int most = f.wholeOr("most_ms", least);
+        int least = f.integerOr("least_ms", 0);
+        int most = f.integerOr("most_ms", least);
         if (loss < 0 || loss > 1 || repeated < 0 || repeated > 1 || least < 0 || most < least || forMs < 0) {
             throw new InvalidConfigurationException(
                     "field " + f.path() + " must have shares from 0 to 1 and times that are not below 0");
@@ -130,8 +130,8 @@
                 state,
                 forMs,
                 new MembershipModel.Net(loss, repeated, least, most),
-                f.wholeOr("base", 0),
-                f.wholeOr("attempts", 6));
+                f.integerOr("base", 0),
+                f.integerOr("attempts", 6));
     }
 
     /**
--- a/mqtt/src/main/java/opalcove/mqtt/MqttConfig.java
+++ b/mqtt/src/main/java/opalcove/mqtt/MqttConfig.java
@@ -70,7 +70,7 @@
     }
 
     private static int maxConnections(JsonFields fields, String key) {
-        int value = fields.wholeOr(key, DEFAULT_MAX_CONNECTIONS);
+        int value = fields.integerOr(key, DEFAULT_MAX_CONNECTIONS);
         if (value < 1 || value > MAX_CONNECTIONS) {
             throw new InvalidConfigurationException("field " + key + " must be from 1 to " + MAX_CONNECTIONS);
         }
--- a/plan/src/main/java/opalcove/plan/EndpointPlan.java
+++ b/plan/src/main/java/opalcove/plan/EndpointPlan.java
@@ -61,7 +61,8 @@
             throw new InvalidConfigurationException("field snapshot must be false: a plan holds changes");
         }
         List<Backend> changes = EndpointCodec.read(fields.objects("endpoints"));
-        return new EndpointPlan(HostAndPort.parse(fields.text("control"), "control"), fields.serial("index"), changes);
+        return new EndpointPlan(
+                HostAndPort.parse(fields.text("control"), "control"), fields.longInteger("index"), changes);
     }
 
     String write() {
--- a/plan/src/main/java/opalcove/plan/Planner.java
+++ b/plan/src/main/java/opalcove/plan/Planner.java
@@ -47,7 +47,7 @@
     public String plan(HostAndPort control, List<Backend> wanted, Path planFile) throws IOException {
         JsonFields list = JsonFields.parse(call(control, HttpMethod.GET, ""));
         List<Backend> running = EndpointCodec.read(list.objects("endpoints"));
-        EndpointPlan plan = new EndpointPlan(control, list.serial("index"), EndpointPlan.changes(running, wanted));
+        EndpointPlan plan = new EndpointPlan(control, list.longInteger("index"), EndpointPlan.changes(running, wanted));
         Files.writeString(planFile, plan.write());
         return PlanDescription.of(running, plan.changes());
     }
--- a/replication/src/main/java/opalcove/replication/ReplicationConfig.java
+++ b/replication/src/main/java/opalcove/replication/ReplicationConfig.java
@@ -47,7 +47,7 @@
             }
         }
         Map<String, String> voters = voters(fields);
-        int leaseMs = fields.wholeOr("lease_ms", DEFAULT_LEASE_MS);
+        int leaseMs = fields.integerOr("lease_ms", DEFAULT_LEASE_MS);
         if (leaseMs < MIN_LEASE_MS || leaseMs > MAX_LEASE_MS) {
             throw new InvalidConfigurationException(
                     "field agreement.lease_ms must be from " + MIN_LEASE_MS + " to " + MAX_LEASE_MS);
--- a/replication/src/main/java/opalcove/replication/ReplicationMessage.java
+++ b/replication/src/main/java/opalcove/replication/ReplicationMessage.java
@@ -139,7 +139,8 @@
         }
         JsonObject body = Json.parse(text).asObject();
         body.remove("f").remove("k").remove("s");
-        return new ReplicationMessage(name, fields.object("f").text("a"), Kind.read(fields), fields.serial("s"), body);
+        return new ReplicationMessage(
+                name, fields.object("f").text("a"), Kind.read(fields), fields.longInteger("s"), body);
     }
 
     /** The same request, forwarded by another gateway, with its sender as origin. */
--- a/replication/src/main/java/opalcove/replication/SnapshotFile.java
+++ b/replication/src/main/java/opalcove/replication/SnapshotFile.java
@@ -57,19 +57,20 @@
     }
 
     private static Snapshot parse(JsonFields fields) {
-        if (fields.whole("snapshot") != FORMAT_VERSION) {
+        if (fields.integer("snapshot") != FORMAT_VERSION) {
             throw new InvalidConfigurationException(
-                    "its form is " + fields.whole("snapshot") + ", not " + FORMAT_VERSION);
+                    "its form is " + fields.integer("snapshot") + ", not " + FORMAT_VERSION);
         }
         List<Snapshot.Peer> members = fields.objects("members").stream()
-                .map(each -> new Snapshot.Peer(each.text("name"), each.text("address"), each.serial("incarnation")))
+                .map(each ->
+                        new Snapshot.Peer(each.text("name"), each.text("address"), each.longInteger("incarnation")))
                 .toList();
         return new Snapshot(
                 fields.text("gateway"),
-                fields.serial("written_ms"),
-                fields.serial("incarnation"),
+                fields.longInteger("written_ms"),
+                fields.longInteger("incarnation"),
                 fields.flag("clean"),
-                fields.serial("version"),
+                fields.longInteger("version"),
                 fields.text("text"),
                 members);
     }
