--- a/config/src/test/java/opalcove/LeakCounter.java
+++ b/config/src/test/java/opalcove/LeakCounter.java
@@ -35,7 +35,7 @@
      * Forces garbage collection and allocates buffers, so that pending leaks are reported; returns the number of leaks
      * of this process so far.
      */
-    public static int found() {
+    public static int countLeaks() {
         for (int collection = 0; collection < 3; collection++) {
             System.gc();
             for (int allocation = 0; allocation < 50; allocation++) {
--- a/config/src/test/java/opalcove/TestSettings.java
+++ b/config/src/test/java/opalcove/TestSettings.java
@@ -30,7 +30,7 @@
     }
 
     /** Returns settings under which the endpoint list is polled rather than pushed. */
-    public static DecisionSettings settingsOfAListThatIsAskedFor() {
+    public static DecisionSettings settingsWithPolledList() {
         return SettingsReader.read(JsonFields.parse(JSON.replace("\"pushed\"", "\"on_request\"")));
     }
 
--- a/gateway/src/test/java/opalcove/discovery/DiscoveryRequestsTest.java
+++ b/gateway/src/test/java/opalcove/discovery/DiscoveryRequestsTest.java
@@ -33,7 +33,7 @@
     @Test
     public void watchesFromKnownVersionWhenListIsPolled() throws Exception {
         assertEquals(
-                requests(TestSettings.settingsOfAListThatIsAskedFor(), 7, false),
+                requests(TestSettings.settingsWithPolledList(), 7, false),
                 List.of(
                         "GET /v1/endpoints?since=7&timeout_ms=1500 HTTP/1.1\r\nhost: 127.0.0.1:PORT\r\n\r\n",
                         "GET /v1/endpoints?since=41&timeout_ms=1500 HTTP/1.1\r\nhost: 127.0.0.1:PORT\r\n\r\n"));
--- a/gateway/src/test/java/opalcove/resp/RawSocketTest.java
+++ b/gateway/src/test/java/opalcove/resp/RawSocketTest.java
@@ -39,7 +39,7 @@
     @AfterMethod
     public void stop() throws Exception {
         vertx.close().toCompletionStage().toCompletableFuture().get(TIMEOUT_S, TimeUnit.SECONDS);
-        assertEquals(LeakCounter.found(), 0);
+        assertEquals(LeakCounter.countLeaks(), 0);
     }
 
     /** Connects; at the first byte read the action is run, in that turn, with the raw socket and the Vert.x one. */
--- a/mqtt/src/test/java/opalcove/ExchangeTest.java
+++ b/mqtt/src/test/java/opalcove/ExchangeTest.java
@@ -97,7 +97,7 @@
     /** In none of the exchanges, closed and broken connections among them, was a buffer dropped without a release. */
     @AfterClass
     public void nothingLeaked() {
-        assertEquals(LeakCounter.found(), 0);
+        assertEquals(LeakCounter.countLeaks(), 0);
     }
 
     /** A dispatcher with its servers, and the parties around it. */
@@ -172,9 +172,7 @@
                     onLoop(() -> new DiscoveryClient(
                                     vertx,
                                     discovery,
-                                    words.length == 1
-                                            ? TestSettings.settings()
-                                            : TestSettings.settingsOfAListThatIsAskedFor(),
+                                    words.length == 1 ? TestSettings.settings() : TestSettings.settingsWithPolledList(),
                                     new SplittableRandom(1),
                                     dispatcher::endpointsChanged)
                             .start());
