--- a/config/src/main/java/opalcove/config/SettingsReader.java
+++ b/config/src/main/java/opalcove/config/SettingsReader.java
@@ -12,8 +12,8 @@
 import opalcove.decision.LoadReportSource;
 
 /**
- * The one reader of a deployment's settings, for the simulator's adapter and for the gateway with all its front ends.
- * {@code docs/settings.md} lists every key with its unit, its use and what is refused.
+ * Reads the settings of a deployment, both for the simulator's adapter and for the gateway with all its protocols.
+ * {@code docs/settings.md} lists every key with its unit, its use and the values that are rejected.
  */
 public final class SettingsReader {
     private static final Map<String, LoadMetric> LOAD_METRICS = Map.of(
@@ -30,42 +30,42 @@
             "failed_ps",
             LoadMetric.ERRORS_PER_S);
 
-    /** The options for whether a class's requests may run more than once. */
-    private static final Map<String, Idempotency> IDEMPOTENCY =
+    /** Whether the requests of a class may be executed more than once. */
+    private static final Map<String, Idempotency> IDEMPOTENCIES =
             Map.of("safe", Idempotency.SAFE, "keyed", Idempotency.KEYED, "unsafe", Idempotency.UNSAFE);
 
-    /** The options for which backends drop repeats of a request with a key. */
-    private static final Map<String, DeduplicationScope> GROUP =
+    /** Which backends discard repeated requests with the same key. */
+    private static final Map<String, DeduplicationScope> DEDUPLICATION_SCOPES =
             Map.of("all", DeduplicationScope.ALL, "zone", DeduplicationScope.ZONE, "cell", DeduplicationScope.CELL);
 
-    /**
-     * The options for who learns of a changed endpoint list without polling; the first holds where the key is absent.
-     */
-    private static final List<String> DISCOVERY = List.of("pushed", "on_request");
+    /** Whether changes of the endpoint list are pushed or must be polled; the first is the default. */
+    private static final List<String> DISCOVERY_KINDS = List.of("pushed", "on_request");
 
-    /** The options for where load reports come from; the first holds where the key is absent. */
-    private static final List<String> REPORT_SOURCES = List.of("off", "inline", "on_probe");
+    /** Where load reports come from; the first is the default. */
+    private static final List<String> LOAD_REPORT_SOURCES = List.of("off", "inline", "on_probe");
 
-    /** More gateways, attempts or open requests than any deployment has. */
+    /** The upper bound exceeds the gateways, attempts and open requests of any deployment. */
     private static final Range COUNT = Range.of(1, 1_000_000);
 
-    private static final Range INDEX = Range.of(0, 1_000_000);
+    private static final Range COUNT_OR_ZERO = Range.of(0, 1_000_000);
 
-    /** How long a client or a connection may be waited for, ms; a day at most. */
-    private static final Range WAIT_MS = Range.of(1, 86_400_000);
+    /** A time limit of a request or of opening a connection, in ms; one day at most. */
+    private static final Range TIME_LIMIT_MS = Range.of(1, 86_400_000);
 
-    /** A step of the simulator's clock; longer ones would be longer than requests, ms. */
+    /**
+     * A step of the simulator's clock, in ms; a step above this maximum would be longer than the requests themselves.
+     */
     private static final Range TICK_MS = Range.of(0.001, 60_000);
 
-    private static final double CONNECT_TIMEOUT_MS = 250;
-    private static final int MAX_OPEN = 20_000;
+    private static final double DEFAULT_CONNECT_TIMEOUT_MS = 250;
+    private static final int DEFAULT_MAX_OPEN_REQUESTS = 20_000;
 
     private SettingsReader() {}
 
     /**
-     * Reads the settings object; unknown keys are ignored, as the wire's page demands.
+     * Reads the settings object. Unknown keys are ignored, as the specification of the protocol requires.
      *
-     * @throws InvalidConfigurationException with every value that cannot be served, each by its key and the reason
+     * @throws InvalidConfigurationException with every invalid value, each by its key and the reason
      */
     public static DecisionSettings read(JsonFields fields) {
         List<InvalidConfigurationException.Problem> problems = new ArrayList<>();
@@ -84,8 +84,8 @@
     private static DecisionSettings settings(RangedJsonFields fields) {
         RangedJsonFields specifics = fields.object("specifics");
         RangedJsonFields feedback = fields.object("feedback");
-        int gateways = fields.whole("balancers", COUNT);
-        int self = fields.whole("me", INDEX);
+        int gateways = fields.integer("balancers", COUNT);
+        int self = fields.integer("me", COUNT_OR_ZERO);
         if (fields.areValid("me", "balancers") && self >= gateways) {
             fields.reject("me", "must be below balancers, " + gateways);
         }
@@ -99,9 +99,9 @@
                 classes(fields.objects("profiles")),
                 plans(fields.objects("tiers_of_service")),
                 limits(fields.object("ceilings"), specifics),
-                obligations(fields.object("obligations"), fields.oneOf("discovery", DISCOVERY)),
+                obligations(fields.object("obligations"), fields.oneOf("discovery", DISCOVERY_KINDS)),
                 costs(fields.object("costs")),
-                loadReportSource(feedback.oneOf("how", REPORT_SOURCES)),
+                loadReportSource(feedback.oneOf("how", LOAD_REPORT_SOURCES)),
                 feedback.texts("columns").stream()
                         .map(SettingsReader::loadMetric)
                         .toList());
@@ -115,10 +115,10 @@
                     profile.uniqueName("name", names),
                     profile.number("value", Range.NOT_NEGATIVE),
                     profile.numberOr("late_value", 0, Range.SHARE),
-                    profile.number("aim_ms", WAIT_MS),
-                    profile.number("deadline_ms", WAIT_MS),
-                    profile.choice("idempotency", IDEMPOTENCY),
-                    profile.choice("group", GROUP),
+                    profile.number("aim_ms", TIME_LIMIT_MS),
+                    profile.number("deadline_ms", TIME_LIMIT_MS),
+                    profile.choice("idempotency", IDEMPOTENCIES),
+                    profile.choice("group", DEDUPLICATION_SCOPES),
                     profile.numberOr("window_ms", 0, Range.NOT_NEGATIVE),
                     profile.flag("stream")));
         }
@@ -133,7 +133,7 @@
                     tier.uniqueName("name", names),
                     tier.numberOr("quota_rate", 0, Range.NOT_NEGATIVE),
                     tier.numberOr("peak_units", 0, Range.NOT_NEGATIVE),
-                    tier.wholeOr("max_out", 0, INDEX),
+                    tier.integerOr("max_out", 0, COUNT_OR_ZERO),
                     tier.numberOr("value_factor", 1, Range.NOT_NEGATIVE),
                     tier.numberOr("excess_worth", 0, Range.NOT_NEGATIVE),
                     tier.numberOr("overrun_cost", 0, Range.NOT_NEGATIVE),
@@ -150,7 +150,7 @@
 
     private static DecisionSettings.Limits limits(RangedJsonFields ceilings, RangedJsonFields specifics) {
         return new DecisionSettings.Limits(
-                ceilings.wholeOr("max_attempts", 1, COUNT),
+                ceilings.integerOr("max_attempts", 1, COUNT),
                 ceilings.flag("second_copies"),
                 ceilings.flag("may_cancel"),
                 ceilings.flag("may_probe"),
@@ -158,8 +158,8 @@
                 ceilings.numberOr("max_retry_after_ms", 0, Range.NOT_NEGATIVE),
                 ceilings.numberOr("idle_close_ms", 0, Range.NOT_NEGATIVE),
                 specifics.flag("counter"),
-                ceilings.numberOr("dial_timeout_ms", CONNECT_TIMEOUT_MS, WAIT_MS),
-                ceilings.wholeOr("max_open", MAX_OPEN, COUNT),
+                ceilings.numberOr("dial_timeout_ms", DEFAULT_CONNECT_TIMEOUT_MS, TIME_LIMIT_MS),
+                ceilings.integerOr("max_open", DEFAULT_MAX_OPEN_REQUESTS, COUNT),
                 specifics.numberOr("largest", Double.MAX_VALUE, Range.POSITIVE));
     }
 
@@ -194,7 +194,7 @@
         };
     }
 
-    /** The value of a load report that a column's name stands for. */
+    /** Returns the load metric that a column of this name in load reports holds. */
     public static LoadMetric loadMetric(String name) {
         return LOAD_METRICS.getOrDefault(name, LoadMetric.UNKNOWN);
     }
--- a/config/src/test/java/opalcove/TestSettings.java
+++ b/config/src/test/java/opalcove/TestSettings.java
@@ -4,7 +4,7 @@
 import opalcove.config.SettingsReader;
 import opalcove.decision.DecisionSettings;
 
-/** The settings that tests play with: three classes and two plans of the deployment. */
+/** The settings that tests use: three request classes and two plans. */
 public final class TestSettings {
     public static final String JSON =
             """
@@ -24,17 +24,18 @@
 
     private TestSettings() {}
 
-    /** Settings under which no more than four asks may be open. */
+    /** Returns settings that allow four open requests at most. */
     public static DecisionSettings settings() {
         return settings(4);
     }
 
-    /** Settings under which the node list has to be asked for. */
-    public static DecisionSettings settingsOfAListThatIsAskedFor() {
+    /** Returns settings under which the endpoint list is polled rather than pushed. */
+    public static DecisionSettings settingsWithPolledList() {
         return SettingsReader.read(JsonFields.parse(JSON.replace("\"pushed\"", "\"on_request\"")));
     }
 
-    public static DecisionSettings settings(int mostOpen) {
-        return SettingsReader.read(JsonFields.parse(JSON.replace("\"max_open\":4", "\"max_open\":" + mostOpen)));
+    /** Returns settings that allow this many open requests at most. */
+    public static DecisionSettings settings(int maxOpenRequests) {
+        return SettingsReader.read(JsonFields.parse(JSON.replace("\"max_open\":4", "\"max_open\":" + maxOpenRequests)));
     }
 }
--- a/gateway/src/main/java/opalcove/cluster/MembershipCodec.java
+++ b/gateway/src/main/java/opalcove/cluster/MembershipCodec.java
@@ -12,15 +12,15 @@
 import opalcove.membership.SwimMessage;
 
 /**
- * Writes and reads the messages between members: a datagram is one JSON object with names of one letter, the sender
- * first.
+ * Writes and reads the messages between members. A datagram is one JSON object whose keys have one letter; the sender
+ * comes first.
  */
 public final class MembershipCodec {
     private static final int MAX_NAME_LENGTH = 128;
 
     private MembershipCodec() {}
 
-    /** The message as a datagram. */
+    /** Returns the message as a datagram. */
     public static byte[] write(SwimMessage message) {
         JsonObject object = Json.object()
                 .add("f", member(message.from()))
@@ -54,17 +54,17 @@
     /**
      * Reads a datagram.
      *
-     * @throws InvalidConfigurationException with key and reason, if it is no message
+     * @throws InvalidConfigurationException if the datagram is not a valid message; it names the key and the reason
      */
     public static SwimMessage read(byte[] bytes) {
         JsonFields fields = JsonFields.parse(new String(bytes, StandardCharsets.UTF_8));
         List<GossipEntry> gossip = fields.objects("w").stream()
-                .map(each -> new GossipEntry(member(each), name(each.textOr("b", ""), true)))
+                .map(entry -> new GossipEntry(member(entry), name(entry.textOr("b", ""), true)))
                 .toList();
         return new SwimMessage(
                 fields.choice("k", SwimMessage.Kind.class),
                 member(fields.object("f")),
-                fields.serial("s"),
+                fields.longInteger("s"),
                 name(fields.textOr("t", ""), true),
                 fields.textOr("a", ""),
                 gossip);
@@ -74,7 +74,7 @@
         return new Member(
                 name(fields.text("n"), false),
                 fields.text("a"),
-                fields.serial("i"),
+                fields.longInteger("i"),
                 fields.choice("s", Member.State.class));
     }
 
--- a/gateway/src/main/java/opalcove/cluster/MembershipConfig.java
+++ b/gateway/src/main/java/opalcove/cluster/MembershipConfig.java
@@ -9,11 +9,11 @@
 /**
  * The section {@code membership} of the configuration.
  *
- * @param listen where this member listens for datagrams
- * @param advertise the address that it gives to other members; empty for the one that it listens at
- * @param seeds addresses of members to join the fleet through
- * @param protocol times and limits of the protocol
- * @param events whether each change is written to standard output as a JSON line
+ * @param listen the address at which this member listens for datagrams
+ * @param advertise the address that this member announces to other members; empty for the address at which it listens
+ * @param seeds the addresses of members through which this member joins the fleet
+ * @param protocol the times and limits of the protocol
+ * @param events whether each change of a member is written to standard output as a JSON line
  */
 public record MembershipConfig(
         HostAndPort listen, String advertise, List<String> seeds, SwimConfig protocol, boolean events) {
@@ -24,7 +24,7 @@
     /**
      * Reads the section.
      *
-     * @throws InvalidConfigurationException with the key of what is wrong
+     * @throws InvalidConfigurationException with the key of the first invalid value
      */
     public static MembershipConfig read(JsonFields fields) {
         HostAndPort listen = HostAndPort.parse(fields.text("listen"), "membership.listen");
@@ -34,7 +34,7 @@
         }
         List<String> seeds = fields.texts("seeds");
         seeds.forEach(seed -> HostAndPort.parse(seed, "membership.seeds"));
-        int probePeriodMs = fields.wholeOr("probe_ms", DEFAULT_PROBE_PERIOD_MS);
+        int probePeriodMs = fields.integerOr("probe_ms", DEFAULT_PROBE_PERIOD_MS);
         if (probePeriodMs < MIN_PROBE_PERIOD_MS || probePeriodMs > MAX_PROBE_PERIOD_MS) {
             throw new InvalidConfigurationException(
                     "membership.probe_ms", "must be from " + MIN_PROBE_PERIOD_MS + " to " + MAX_PROBE_PERIOD_MS);
--- a/gateway/src/main/java/opalcove/cluster/MembershipService.java
+++ b/gateway/src/main/java/opalcove/cluster/MembershipService.java
@@ -22,10 +22,11 @@
 import org.tinylog.Logger;
 
 /**
- * This process as a member of the gateways' fleet: its {@link FailureDetector} on datagrams and timers. Owned by an
- * event loop of its own, apart from client work, whose long turns would look like silence to the other members. What
- * other threads read ({@link #figures}, {@link #memberList}, {@link #presentMembers}) is published at each tick, at
- * most a gossip period apart: not at each datagram, whose cost would grow with the fleet.
+ * Runs this process as a member of the gateways' fleet: connects the {@link FailureDetector} to datagrams and timers.
+ * It is owned by an event loop that does no work for clients, because long turns of such work would look like silence
+ * to the other members. The data for other threads ({@link #figures}, {@link #memberList}, {@link #presentMembers}) is
+ * published at each tick, at most a gossip period apart, and not at each datagram, because that cost would grow with
+ * the fleet.
  */
 public final class MembershipService {
     private static final int SOCKET_BUFFER_BYTES = 1 << 20;
@@ -42,17 +43,18 @@
     private FailureDetector detector;
     private long sent;
     private long received;
-    private long unreadable;
+    private long unreadableDatagrams;
     private volatile List<Member> presentMembers = List.of();
     private volatile String figures = "";
     private volatile String memberList = "";
 
     /**
-     * A member that has not started yet.
+     * Creates a member that has not started yet.
      *
-     * @param vertx an event loop of its own
-     * @param knownMembers members known from before the start
-     * @param events receives a JSON object for each change, if the settings ask for events
+     * @param vertx an event loop that does no work for clients
+     * @param name the name of this member
+     * @param knownMembers the members that are known from before the start
+     * @param events receives a JSON object for each change of a member, if the settings enable events
      */
     public MembershipService(
             Vertx vertx, String name, MembershipConfig settings, List<Member> knownMembers, Consumer<String> events) {
@@ -67,7 +69,7 @@
                 .setSendBufferSize(SOCKET_BUFFER_BYTES));
     }
 
-    /** Listens and joins the fleet; fails if the address cannot be listened at. */
+    /** Listens and joins the fleet; the future fails if listening fails. */
     public Future<Void> start() {
         return socket.listen(settings.listen().port(), settings.listen().address())
                 .map(open -> {
@@ -75,7 +77,8 @@
                             ? settings.listen().address() + ":"
                                     + open.localAddress().port()
                             : settings.advertise();
-                    // The time of the start as first incarnation: higher than that of any earlier process of this name.
+                    // The first incarnation is the time of the start: it is higher than that of any earlier process of
+                    // this name.
                     detector = new FailureDetector(
                             monotonicMs(),
                             name,
@@ -113,7 +116,7 @@
         try {
             message = MembershipCodec.read(datagram.data().getBytes());
         } catch (InvalidConfigurationException e) {
-            unreadable++;
+            unreadableDatagrams++;
             Logger.debug("membership: unreadable datagram: {}", e.getMessage());
             return;
         }
@@ -122,9 +125,9 @@
         armTimer();
     }
 
-    /** Announces that this member leaves; to be called some gossip periods before the process ends. */
+    /** Announces that this member leaves; must be called some gossip periods before the process ends. */
     public void leave() {
-        vertx.runOnContext(called -> {
+        vertx.runOnContext(run -> {
             if (detector != null && detector.self().state() == Member.State.ALIVE) {
                 detector.leave(monotonicMs());
                 publish();
@@ -134,39 +137,39 @@
     }
 
     private void publish() {
-        figures = currentFigures();
+        figures = currentMetrics();
         StringBuilder list = new StringBuilder(256);
         appendMember(list, detector.self());
-        detector.peers().forEach(each -> appendMember(list, each));
+        detector.peers().forEach(member -> appendMember(list, member));
         memberList = list.toString();
         presentMembers = List.copyOf(detector.presentMembers());
     }
 
-    private String currentFigures() {
+    private String currentMetrics() {
         ProtocolCounts counts = detector.counts();
         long suspects = detector.peers().stream()
-                .filter(each -> each.state() == Member.State.SUSPECT)
+                .filter(member -> member.state() == Member.State.SUSPECT)
                 .count();
         StringBuilder text = new StringBuilder(512);
-        appendFigure(text, "members", detector.presentMembers().size(), GAUGE);
-        appendFigure(text, "suspects", suspects, GAUGE);
-        appendFigure(text, "health", detector.healthScore(), GAUGE);
-        appendFigure(text, "version", detector.version(), GAUGE);
-        appendFigure(text, "incarnation", detector.self().incarnation(), GAUGE);
-        appendFigure(text, "sent", sent, COUNTER);
-        appendFigure(text, "received", received, COUNTER);
-        appendFigure(text, "unreadable", unreadable, COUNTER);
-        appendFigure(text, "probes", counts.probes(), COUNTER);
-        appendFigure(text, "acks", counts.acks(), COUNTER);
-        appendFigure(text, "helped", counts.requestedProbes(), COUNTER);
-        appendFigure(text, "suspicions", counts.suspicions(), COUNTER);
-        appendFigure(text, "confirmed", counts.confirmedDeaths(), COUNTER);
-        appendFigure(text, "refuted", counts.refutations(), COUNTER);
-        appendFigure(text, "pauses", counts.pauses(), COUNTER);
+        appendMetric(text, "members", detector.presentMembers().size(), GAUGE);
+        appendMetric(text, "suspects", suspects, GAUGE);
+        appendMetric(text, "health", detector.healthScore(), GAUGE);
+        appendMetric(text, "version", detector.version(), GAUGE);
+        appendMetric(text, "incarnation", detector.self().incarnation(), GAUGE);
+        appendMetric(text, "sent", sent, COUNTER);
+        appendMetric(text, "received", received, COUNTER);
+        appendMetric(text, "unreadable", unreadableDatagrams, COUNTER);
+        appendMetric(text, "probes", counts.probes(), COUNTER);
+        appendMetric(text, "acks", counts.acks(), COUNTER);
+        appendMetric(text, "helped", counts.requestedProbes(), COUNTER);
+        appendMetric(text, "suspicions", counts.suspicions(), COUNTER);
+        appendMetric(text, "confirmed", counts.confirmedDeaths(), COUNTER);
+        appendMetric(text, "refuted", counts.refutations(), COUNTER);
+        appendMetric(text, "pauses", counts.pauses(), COUNTER);
         return text.toString();
     }
 
-    private static void appendFigure(StringBuilder text, String key, long value, char kind) {
+    private static void appendMetric(StringBuilder text, String key, long value, char kind) {
         text.append("membership.")
                 .append(key)
                 .append(':')
@@ -187,19 +190,19 @@
                 .append('\n');
     }
 
-    /** The figures, a line each, in the form of STATS. May be called on any thread. */
+    /** Returns the metrics, one per line, in the format of STATS. May be called on any thread. */
     public String figures() {
         return figures;
     }
 
-    /** The members that are present, this one included. May be called on any thread. */
+    /** Returns the members that are present, including this one. May be called on any thread. */
     public List<Member> presentMembers() {
         return presentMembers;
     }
 
     /**
-     * All members that are known, this one first: name, address, incarnation and state, a line each. May be called on
-     * any thread.
+     * Returns all known members, this one first, one per line with name, address, incarnation and state. May be called
+     * on any thread.
      */
     public String memberList() {
         return memberList;
@@ -212,7 +215,7 @@
                 HostAndPort to = HostAndPort.parse(address, "address");
                 sent++;
                 socket.send(Buffer.buffer(MembershipCodec.write(message)), to.port(), to.address())
-                        .onFailure(e -> Logger.debug("membership: not sent to {}: {}", address, e.getMessage()));
+                        .onFailure(e -> Logger.debug("membership: cannot send to {}: {}", address, e.getMessage()));
             } catch (InvalidConfigurationException e) {
                 Logger.warn("membership: unusable address of a member: {}", e.getMessage());
             }
--- a/gateway/src/main/java/opalcove/metrics/Counters.java
+++ b/gateway/src/main/java/opalcove/metrics/Counters.java
@@ -2,7 +2,7 @@
 
 import opalcove.decision.AttemptStatus;
 
-/** What the gateway received, sent and answered, for INFO. Written on the event loop only. */
+/** The counters of INFO: the requests, attempts and connections of the gateway. Must be used on the event loop only. */
 public final class Counters {
     public long received;
     public long joined;
@@ -23,43 +23,43 @@
     public long connectionsRefusedForDescriptors;
     private final long[] attemptsByStatus = new long[AttemptStatus.values().length];
     private final long[] refusedByReason = new long[ShedReason.values().length];
-    private final long[] closed = new long[ConnectionCloseReason.values().length];
+    private final long[] closedByReason = new long[ConnectionCloseReason.values().length];
 
-    /** Counts the end of an attempt. */
+    /** Counts an attempt that ended with this status. */
     public void attemptEnded(AttemptStatus status) {
         attemptsByStatus[status.ordinal()]++;
     }
 
-    /** Counts why a request was refused. */
+    /** Counts a request that was refused for this reason. */
     public void refused(ShedReason reason) {
         refusedByReason[reason.ordinal()]++;
     }
 
-    /** Counts why a client connection was closed. */
+    /** Counts a client connection that was closed for this reason. */
     public void closed(ConnectionCloseReason reason) {
-        closed[reason.ordinal()]++;
+        closedByReason[reason.ordinal()]++;
     }
 
-    /** The counters as INFO shows them: one name and value a line. */
+    /** Returns the counters in the format of INFO: one name and value per line. */
     public String infoLines() {
         StringBuilder text = new StringBuilder();
         line(text, "taken", received);
         line(text, "joined", joined);
         line(text, "attempts", attempts);
-        for (AttemptStatus each : AttemptStatus.values()) {
-            line(text, "attempts_" + metricName(each), attemptsByStatus[each.ordinal()]);
+        for (AttemptStatus status : AttemptStatus.values()) {
+            line(text, "attempts_" + metricName(status), attemptsByStatus[status.ordinal()]);
         }
         line(text, "given_up", cancelled);
         line(text, "lapsed_while_dialled", vetoedLate);
         line(text, "probes", healthChecks);
         line(text, "served", served);
         line(text, "refused", refused);
-        for (ShedReason each : ShedReason.values()) {
-            line(text, "refused." + each.metricName(), refusedByReason[each.ordinal()]);
+        for (ShedReason reason : ShedReason.values()) {
+            line(text, "refused." + reason.metricName(), refusedByReason[reason.ordinal()]);
         }
         line(text, "failed", failed);
-        for (ConnectionCloseReason each : ConnectionCloseReason.values()) {
-            line(text, "connections_ended." + each.metricName(), closed[each.ordinal()]);
+        for (ConnectionCloseReason reason : ConnectionCloseReason.values()) {
+            line(text, "connections_ended." + reason.metricName(), closedByReason[reason.ordinal()]);
         }
         line(text, "terminals_left", clientsDisconnected);
         line(text, "list_calls_failed", endpointPollsFailed);
@@ -72,7 +72,7 @@
         return text.toString();
     }
 
-    /** The name of an attempt's end in INFO. */
+    /** Returns the name of the status in INFO. */
     private static String metricName(AttemptStatus status) {
         return switch (status) {
             case SERVED -> "served";
--- a/gateway/src/main/java/opalcove/metrics/Metrics.java
+++ b/gateway/src/main/java/opalcove/metrics/Metrics.java
@@ -6,12 +6,12 @@
 import java.util.concurrent.atomic.AtomicLongArray;
 
 /**
- * The figures that operators fetch, in the StatsD text form: {@code gateway.success.C:812|c} for a count, {@code
- * gateway.inflight:14|g} for a gauge. The event loop writes them; the admin server reads them on a thread of its own,
- * so each is atomic. Counts start at 0 with the process.
+ * The metrics that administrators fetch with STATS, in StatsD text format: {@code gateway.success.C:812|c} is a
+ * counter, {@code gateway.inflight:14|g} is a gauge. The event loop writes them and the admin server reads them on its
+ * own thread, so each one is atomic. Counters start at 0 with the process.
  */
 public final class Metrics {
-    /** How a request ended. */
+    /** The outcome of a request. */
     public enum RequestOutcome {
         SUCCESS("success"),
         BUSY("busy"),
@@ -19,20 +19,22 @@
 
         private final String metricName;
 
-        RequestOutcome(String value) {
-            this.metricName = value;
+        RequestOutcome(String metricName) {
+            this.metricName = metricName;
         }
     }
 
     private static final String PREFIX = "gateway.";
-    /** Guards memory against requests that name ever new classes: beyond these, an end is counted in no class. */
+    /**
+     * Limits the memory that requests with ever new class names can use; outcomes of further classes are not counted.
+     */
     static final int MAX_CLASSES = 64;
-    /** The longest class name that is counted by name. */
+    /** The length of the longest class name whose outcomes are counted. */
     static final int MAX_NAME_LENGTH = 64;
 
     private final InvariantMonitor invariants;
     private final SystemCallFailures systemCallFailures;
-    private final Map<String, AtomicLongArray> byClass = new ConcurrentHashMap<>();
+    private final Map<String, AtomicLongArray> outcomesByClass = new ConcurrentHashMap<>();
     private final AtomicLong backendCalls = new AtomicLong();
     private final AtomicLong reconfigOk = new AtomicLong();
     private final AtomicLong reconfigFailed = new AtomicLong();
@@ -42,22 +44,22 @@
     private volatile int backendsListed;
     private volatile int backendsAvoided;
 
-    /** Metrics that report no invariants and failures of their own. */
+    /** Creates metrics whose invariant and failure counts stay 0, because no other object has access to them. */
     public Metrics() {
         this(new InvariantMonitor(), new SystemCallFailures());
     }
 
-    /** Metrics that report these invariants and failures, too. */
+    /** Creates metrics that also report these invariants and failures. */
     public Metrics(InvariantMonitor invariants, SystemCallFailures systemCallFailures) {
         this.invariants = invariants;
         this.systemCallFailures = systemCallFailures;
     }
 
-    /** A request of the class has ended. */
+    /** Counts the outcome of a request of this class. */
     public void requestEnded(String requestClass, RequestOutcome outcome) {
-        AtomicLongArray outcomes = byClass.get(requestClass);
+        AtomicLongArray outcomes = outcomesByClass.get(requestClass);
         if (outcomes == null) {
-            if (byClass.size() >= MAX_CLASSES
+            if (outcomesByClass.size() >= MAX_CLASSES
                     || requestClass.length() > MAX_NAME_LENGTH
                     || !requestClass
                             .chars()
@@ -65,64 +67,66 @@
                                     character > ' ' && character < 127 && character != ':' && character != '|')) {
                 return;
             }
-            outcomes =
-                    byClass.computeIfAbsent(requestClass, name -> new AtomicLongArray(RequestOutcome.values().length));
+            outcomes = outcomesByClass.computeIfAbsent(
+                    requestClass, name -> new AtomicLongArray(RequestOutcome.values().length));
         }
         outcomes.incrementAndGet(outcome.ordinal());
     }
 
-    /** An attempt was started. */
+    /** Counts an attempt that was started. */
     public void backendCall() {
         backendCalls.incrementAndGet();
     }
 
-    /** A settings file was applied at SIGHUP, or rejected. */
+    /** Counts a settings file that was applied or rejected at SIGHUP. */
     public void reconfigured(boolean applied) {
         (applied ? reconfigOk : reconfigFailed).incrementAndGet();
     }
 
-    /** A client's connection was closed for lack of descriptors: an idle one, or a new one that was not read. */
+    /**
+     * Counts a client connection that was closed for lack of descriptors: an idle one, or a new one that was not read.
+     */
     public void connectionClosedForDescriptors(boolean isNew) {
         (isNew ? connectionsRefused : connectionsClosed).incrementAndGet();
     }
 
-    /** Sets the number of requests that are open now. */
+    /** Sets the number of open requests. */
     public void inFlight(int open) {
         inFlight = open;
     }
 
-    /** Sets the numbers of backends that are listed, and of those that are avoided now. */
+    /** Sets the number of listed backends and the number of those that are currently avoided. */
     public void backends(int listed, int avoided) {
         backendsListed = listed;
         backendsAvoided = avoided;
     }
 
-    /** All figures, one a line, each line ended by a line feed. */
+    /** Returns all metrics, one per line, each ended by a line feed. */
     public String statsdLines() {
         StringBuilder text = new StringBuilder(256);
-        byClass.forEach((name, outcomes) -> {
+        outcomesByClass.forEach((name, outcomes) -> {
             for (RequestOutcome outcome : RequestOutcome.values()) {
-                count(text, outcome.metricName + "." + name, outcomes.get(outcome.ordinal()));
+                appendCounter(text, outcome.metricName + "." + name, outcomes.get(outcome.ordinal()));
             }
         });
-        count(text, "backend_calls", backendCalls.get());
-        gauge(text, "inflight", inFlight);
-        gauge(text, "hosts_listed", backendsListed);
-        gauge(text, "hosts_down", backendsAvoided);
-        count(text, "reconfig_ok", reconfigOk.get());
-        count(text, "reconfig_failed", reconfigFailed.get());
-        count(text, "connections_closed_for_descriptors", connectionsClosed.get());
-        count(text, "connections_refused_for_descriptors", connectionsRefused.get());
+        appendCounter(text, "backend_calls", backendCalls.get());
+        appendGauge(text, "inflight", inFlight);
+        appendGauge(text, "hosts_listed", backendsListed);
+        appendGauge(text, "hosts_down", backendsAvoided);
+        appendCounter(text, "reconfig_ok", reconfigOk.get());
+        appendCounter(text, "reconfig_failed", reconfigFailed.get());
+        appendCounter(text, "connections_closed_for_descriptors", connectionsClosed.get());
+        appendCounter(text, "connections_refused_for_descriptors", connectionsRefused.get());
         invariants.appendStatsd(text, PREFIX);
         systemCallFailures.appendStatsd(text, PREFIX);
         return text.toString();
     }
 
-    private static void count(StringBuilder text, String name, long value) {
+    private static void appendCounter(StringBuilder text, String name, long value) {
         text.append(PREFIX).append(name).append(':').append(value).append("|c\n");
     }
 
-    private static void gauge(StringBuilder text, String name, long value) {
+    private static void appendGauge(StringBuilder text, String name, long value) {
         text.append(PREFIX).append(name).append(':').append(value).append("|g\n");
     }
 }
--- a/gateway/src/main/java/opalcove/server/GatewayServer.java
+++ b/gateway/src/main/java/opalcove/server/GatewayServer.java
@@ -24,23 +24,23 @@
 import opalcove.resp.WarmUp;
 import org.tinylog.Logger;
 
-/** Starts the gateway: RESP2 on both sides, the endpoint list from discovery. */
+/** Starts the gateway, which speaks RESP2 to clients and backends and gets the endpoint list from discovery. */
 public final class GatewayServer {
     private GatewayServer() {}
 
     /**
-     * Starts the gateway by the environment and its configuration; returns at once, and the gateway runs on its own
-     * threads.
+     * Starts the gateway with the configuration that the environment names. It returns as soon as the warm-up is over;
+     * the gateway runs on its own threads.
      *
      * @throws InvalidConfigurationException if the configuration cannot be used
      */
     public static void start() {
         StartupTimes times = new StartupTimes();
-        // Before anything else: without a handler SIGHUP would end the process.
+        // This must come first: without a handler SIGHUP would end the process.
         ReloadSignal reloadSignal = new ReloadSignal();
         GatewayConfig config = GatewayConfig.read(System.getenv());
         times.reached(StartPhase.CONFIGURATION_READ);
-        // The admin server opens first, so that administrators see how far the start has progressed.
+        // The admin server opens early, so that administrators can see the progress of the start.
         GatewayStatus status = new GatewayStatus();
         startAdminServer(config, status);
         ReplicatedConfig replicatedConfig = createReplicatedConfig(config);
@@ -54,17 +54,17 @@
                 WarmUp.run(Application::createEventLoop, config.settings(), TimeBudget.ofMs(config.warmUpMs())));
         times.reached(StartPhase.WARMED_UP);
         Application application = new Application();
-        Parts parts = new Parts(config, status, reloadSignal, times, membership, replicatedConfig);
-        application.start(vertx -> open(vertx, application, parts));
+        Components components = new Components(config, status, reloadSignal, times, membership, replicatedConfig);
+        application.start(vertx -> open(vertx, application, components));
     }
 
     /**
-     * What exists before the event loop runs.
+     * The components that exist before the gateway's event loop runs.
      *
-     * @param membership null where the configuration has none
-     * @param replicatedConfig null where the configuration has none
+     * @param membership null if membership is off
+     * @param replicatedConfig null if the replicated configuration is off
      */
-    private record Parts(
+    private record Components(
             GatewayConfig config,
             GatewayStatus status,
             ReloadSignal reloadSignal,
@@ -84,10 +84,10 @@
                 });
     }
 
-    /** Wires the gateway on its event loop, and listens for clients once the endpoint list is known. */
-    private static void open(Vertx vertx, Application application, Parts parts) {
-        GatewayConfig config = parts.config();
-        StartupTimes times = parts.times();
+    /** Wires the gateway on its event loop and listens for clients once the endpoint list is known. */
+    private static void open(Vertx vertx, Application application, Components components) {
+        GatewayConfig config = components.config();
+        StartupTimes times = components.times();
         times.reached(StartPhase.EVENT_LOOP_UP);
         DescriptorBudget budget = DescriptorBudget.ofThisProcess(config.sockets(), config.console() != null);
         Logger.info("descriptors: {}", budget);
@@ -102,14 +102,15 @@
                 vertx, config.discovery(), config.settings(), new SplittableRandom(config.seed()), applier);
         dispatcher.endpointSource(discovery);
         application.onShutdown(dispatcher, server::drain);
-        leaveCluster(application, parts);
-        parts.status().gatewayWired(vertx, dispatcher, server, application.phases());
+        leaveCluster(application, components);
+        components.status().gatewayWired(vertx, dispatcher, server, application.phases());
         if (!config.known().isEmpty()) {
-            // An empty list would make every backend of discovery's first one look newly started, and due a slow start.
+            // After an empty list every backend of discovery's first list would look newly started and get a slow
+            // start.
             dispatcher.endpointsChanged(true, config.known(), 0);
         }
-        parts.reloadSignal().listen(() -> reload(config, vertx, discovery, dispatcher, applier));
-        whenEndpointsKnown(vertx, discovery, applier, parts).onComplete(known -> {
+        components.reloadSignal().listen(() -> reload(config, vertx, discovery, dispatcher, applier));
+        whenEndpointsKnown(vertx, discovery, applier, components).onComplete(known -> {
             times.reached(StartPhase.ENDPOINTS_KNOWN);
             application.open(() -> server.listen(config.listen()).onSuccess(port -> {
                 times.reached(StartPhase.LISTENING);
@@ -118,44 +119,48 @@
         });
     }
 
-    /** Notifies the other gateways when the process begins to end. */
-    private static void leaveCluster(Application application, Parts parts) {
+    /** Notifies the other gateways when this process starts its graceful shutdown. */
+    private static void leaveCluster(Application application, Components components) {
         application.phases().onChange(phase -> {
             if (phase != Lifecycle.Phase.LEAVING) {
                 return;
             }
-            if (parts.membership() != null) {
-                parts.membership().leave();
+            if (components.membership() != null) {
+                components.membership().leave();
             }
-            if (parts.replicatedConfig() != null) {
-                parts.replicatedConfig().leave();
+            if (components.replicatedConfig() != null) {
+                components.replicatedConfig().leave();
             }
         });
     }
 
     /**
-     * Follows discovery, and the replicated configuration where there is one; completes once requests may be accepted.
+     * Follows discovery, and the replicated configuration if there is one. The future completes once requests may be
+     * accepted.
      *
-     * <p>A list known from before may be out of date: requests must not go to a backend that a local agent may know to
-     * be removed, and only where the agent does not respond must the known list do. Where one service is polled the
-     * known list will do, for waiting for that service would only keep the gateway out of service longer.
+     * <p>A list that is known from before the start may be out of date. If a local agent pushes the list, requests must
+     * not go to a backend that the agent may know to be removed, so the known list is used only if the agent does not
+     * respond. If one service is polled, the known list is sufficient: waiting for that service would only keep the
+     * gateway out of service longer.
      */
     private static Future<?> whenEndpointsKnown(
-            Vertx vertx, DiscoveryClient discovery, ConfigurationApplier applier, Parts parts) {
-        GatewayConfig config = parts.config();
+            Vertx vertx, DiscoveryClient discovery, ConfigurationApplier applier, Components components) {
+        GatewayConfig config = components.config();
         boolean isPolled = config.settings().obligations().listOnRequest();
-        boolean knownListWillDo = isPolled && !config.known().isEmpty();
-        discovery.startFrom(knownListWillDo ? config.knownIndex() : DiscoveryClient.NO_INDEX);
-        Future<?> listed = knownListWillDo ? Future.succeededFuture() : discovery.whenReady(!isPolled);
-        if (parts.replicatedConfig() == null) {
-            return listed;
+        boolean isKnownListSufficient = isPolled && !config.known().isEmpty();
+        discovery.startFrom(isKnownListSufficient ? config.knownIndex() : DiscoveryClient.NO_INDEX);
+        Future<?> endpointsKnown = isKnownListSufficient ? Future.succeededFuture() : discovery.whenReady(!isPolled);
+        if (components.replicatedConfig() == null) {
+            return endpointsKnown;
         }
-        MembershipService membership = parts.membership();
-        return listed.eventually(() -> applier.follow(
-                vertx, parts.replicatedConfig(), membership == null ? List::of : membership::presentMembers));
+        MembershipService membership = components.membership();
+        return endpointsKnown.eventually(() -> applier.follow(
+                vertx, components.replicatedConfig(), membership == null ? List::of : membership::presentMembers));
     }
 
-    /** Joins the other gateways where membership is on; a member that cannot listen ends the process with 1. */
+    /**
+     * Joins the other gateways if membership is on; if it cannot listen for them, the process ends with exit code 1.
+     */
     private static MembershipService startMembership(GatewayConfig config, List<Member> known) {
         if (config.membership() == null) {
             return null;
@@ -172,7 +177,7 @@
         return membership;
     }
 
-    /** Creates the replicated configuration where it is on; the gateway's own jar has no provider for it. */
+    /** Creates the replicated configuration if it is on; the gateway's own jar has no provider for it. */
     private static ReplicatedConfig createReplicatedConfig(GatewayConfig config) {
         if (config.agreement() == null) {
             return null;
@@ -180,7 +185,7 @@
         return ServiceLoader.load(ReplicatedConfig.Provider.class)
                 .findFirst()
                 .orElseThrow(() -> new InvalidConfigurationException(
-                        "field agreement: this program has no part for it, opalcove.jar has"))
+                        "field agreement is not supported by this program; opalcove.jar supports it"))
                 .create(
                         Application.createEventLoop(),
                         config.name(),
@@ -190,8 +195,9 @@
     }
 
     /**
-     * Applies a configuration file that was replaced: discovery moves and new settings are in force at once (open
-     * requests keep theirs); a file that cannot be used leaves the old one in force, whole.
+     * Applies a configuration file that was replaced: a new address of discovery and new settings take effect at once,
+     * and open requests keep the settings they had. If the file is invalid, the old configuration stays in force
+     * completely.
      */
     private static void reload(
             GatewayConfig started,
--- a/gateway/src/main/java/opalcove/transport/DelegatingIoHandler.java
+++ b/gateway/src/main/java/opalcove/transport/DelegatingIoHandler.java
@@ -6,13 +6,13 @@
 import io.netty.channel.IoRegistration;
 
 /**
- * An event loop's handler that delegates to another, and the loop's context that delegates to its own: a subclass
- * overrides what it changes. It is the context itself, so that a poll of the sockets allocates nothing. Owned by its
- * event loop.
+ * An event loop's I/O handler and its context, both of which delegate to the original ones; a subclass overrides the
+ * methods it changes. One object has both roles, so that a poll of the sockets allocates nothing. Owned by its event
+ * loop.
  */
 public abstract class DelegatingIoHandler implements IoHandler, IoHandlerContext {
     private final IoHandler handler;
-    private IoHandlerContext loop;
+    private IoHandlerContext loopContext;
 
     protected DelegatingIoHandler(IoHandler handler) {
         this.handler = handler;
@@ -25,33 +25,33 @@
 
     @Override
     public int run(IoHandlerContext context) {
-        loop = context;
+        loopContext = context;
         return handler.run(this);
     }
 
     @Override
     public boolean canBlock() {
-        return loop.canBlock();
+        return loopContext.canBlock();
     }
 
     @Override
     public long delayNanos(long now) {
-        return loop.delayNanos(now);
+        return loopContext.delayNanos(now);
     }
 
     @Override
     public long deadlineNanos() {
-        return loop.deadlineNanos();
+        return loopContext.deadlineNanos();
     }
 
     @Override
     public void reportActiveIoTime(long activeNanos) {
-        loop.reportActiveIoTime(activeNanos);
+        loopContext.reportActiveIoTime(activeNanos);
     }
 
     @Override
     public boolean shouldReportActiveIoTime() {
-        return loop.shouldReportActiveIoTime();
+        return loopContext.shouldReportActiveIoTime();
     }
 
     @Override
--- a/gateway/src/test/java/opalcove/server/DescriptorLimitTest.java
+++ b/gateway/src/test/java/opalcove/server/DescriptorLimitTest.java
@@ -29,73 +29,82 @@
 import opalcove.resp.RespTestBed;
 import org.testng.annotations.Test;
 
-/** The program in a process of its own that may hold few descriptors, while idle clients take all that they can get. */
+/** Tests the program in a process with few descriptors, while idle clients take as many of them as they can. */
 public class DescriptorLimitTest {
     private static final int LIMIT = 256;
-    /** Idle connections, more than the limit and less than the kernel's backlog. */
-    private static final int CROWD = 400;
+    /** The number of idle connections; more than the limit and less than the kernel's backlog. */
+    private static final int IDLE_CONNECTIONS = 400;
 
     private static final long TIMEOUT_NANOS = TimeUnit.SECONDS.toNanos(60);
     private static final InetAddress LOOPBACK = InetAddress.getLoopbackAddress();
 
     /**
-     * Discovery goes away, the crowd comes and stays: requests are still served. Discovery comes back with another backend:
-     * it is heard, and the new backend is dialled.
+     * Discovery stops, and idle clients connect and stay: requests must still be served. Discovery returns with another
+     * backend: the gateway must receive its list and connect to the new backend.
      */
     @Test
-    public void aCrowdOfIdleClientsKeepsNeitherDiscoveryNorANewBackendAway() throws Exception {
+    public void reachesDiscoveryAndNewBackendWhileIdleClientsHoldTheirShare() throws Exception {
         try (Backend first = new Backend();
                 Backend second = new Backend();
                 Discovery discovery = new Discovery();
                 SocketChannel port = reservedPort()) {
-            discovery.list = list(1, line("first", first, "up"));
+            discovery.list = listOf(1, endpoint("first", first, "up"));
             try (GatewayProcess gateway = new GatewayProcess(port, discovery)) {
                 Client client = new Client(port);
-                until("a first request is served", gateway, client::requestsAndIsServed);
+                waitUntil("the first request is served", gateway, client::requestsAndIsServed);
                 discovery.stop();
-                try (Crowd crowd = new Crowd(port)) {
-                    until("the crowd has filled its share", gateway, () -> gateway.descriptors() > LIMIT / 3);
-                    assertTrue(crowd.thread.isAlive());
+                try (IdleClients idleClients = new IdleClients(port)) {
+                    waitUntil(
+                            "the idle clients have filled their share",
+                            gateway,
+                            () -> gateway.descriptors() > LIMIT / 3);
+                    assertTrue(idleClients.thread.isAlive());
                     for (int i = 0; i < 20; i++) {
-                        until("requests are served beside the crowd", gateway, client::requestsAndIsServed);
+                        waitUntil(
+                                "requests are served while idle clients are connected",
+                                gateway,
+                                client::requestsAndIsServed);
                     }
-                    discovery.restart(list(2, line("first", first, "draining"), line("second", second, "up")));
-                    until("discovery is reached again", gateway, () -> discovery.lists.get() > 0);
-                    until(
+                    discovery.restart(
+                            listOf(2, endpoint("first", first, "draining"), endpoint("second", second, "up")));
+                    waitUntil("discovery is reached again", gateway, () -> discovery.lists.get() > 0);
+                    waitUntil(
                             "the new backend serves",
                             gateway,
                             () -> client.requestsAndIsServed() && second.served.get() > 0);
-                    assertTrue(gateway.max <= LIMIT - DescriptorBudget.COUNTER, "descriptors: " + gateway.max);
+                    assertTrue(
+                            gateway.maxDescriptors <= LIMIT - DescriptorBudget.COUNTER_SHARE,
+                            "descriptors: " + gateway.maxDescriptors);
                     assertFalse(gateway.log().contains("Too many open files"), gateway.log());
-                    until(
-                            "idle connections were closed, and counted",
+                    waitUntil(
+                            "idle connections are closed and counted",
                             gateway,
-                            () -> client.figure("connections_closed_for_descriptors") > 0);
+                            () -> client.metric("connections_closed_for_descriptors") > 0);
                 }
             }
         }
     }
 
-    private static void until(String state, GatewayProcess gateway, Callable<Boolean> reached) throws Exception {
+    private static void waitUntil(String state, GatewayProcess gateway, Callable<Boolean> reached) throws Exception {
         long end = System.nanoTime() + TIMEOUT_NANOS;
         while (!reached.call()) {
             gateway.descriptors();
-            assertTrue(gateway.process.isAlive(), "the gateway has ended: " + gateway.log());
+            assertTrue(gateway.process.isAlive(), "the gateway has exited: " + gateway.log());
             assertTrue(System.nanoTime() < end, "not reached: " + state + "\n" + gateway.log());
             Thread.sleep(5);
         }
     }
 
-    private static String list(int index, String... lines) {
+    private static String listOf(int index, String... lines) {
         return "{\"index\":" + index + ",\"snapshot\":true,\"endpoints\":[" + String.join(",", lines) + "]}";
     }
 
-    private static String line(String name, Backend backend, String status) {
+    private static String endpoint(String name, Backend backend, String status) {
         return "{\"name\":\"" + name + "\",\"address\":\"127.0.0.1:" + backend.port() + "\",\"zone\":\"room-a\","
                 + "\"type\":\"app\",\"group\":0,\"status\":\"" + status + "\",\"weight\":1,\"since_ms\":0}";
     }
 
-    /** A port that no other process is given: it is bound here and not listened at. */
+    /** Reserves a port: it is bound here without listening, so that no other process gets it. */
     private static SocketChannel reservedPort() throws IOException {
         return SocketChannel.open()
                 .setOption(StandardSocketOptions.SO_REUSEPORT, true)
@@ -107,8 +116,8 @@
         private final Path config = Files.createTempFile("config", ".json");
         private final Path log = Files.createTempFile("gateway", ".log");
         private final Process process;
-        /** The most descriptors that it was seen to hold. */
-        private int max;
+        /** The largest number of descriptors seen so far. */
+        private int maxDescriptors;
 
         GatewayProcess(SocketChannel port, Discovery discovery) throws IOException {
             Files.writeString(
@@ -138,7 +147,7 @@
             String[] open = Path.of("/proc", Long.toString(process.pid()), "fd")
                     .toFile()
                     .list();
-            max = Math.max(max, open == null ? 0 : open.length);
+            maxDescriptors = Math.max(maxDescriptors, open == null ? 0 : open.length);
             return open == null ? 0 : open.length;
         }
 
@@ -158,17 +167,17 @@
         return "127.0.0.1:" + ((InetSocketAddress) port.getLocalAddress()).getPort();
     }
 
-    /** Serves each of its connections on a thread of its own; closing it resets them. */
+    /** A server that handles each connection on a thread of its own; closing the server resets them. */
     private abstract static class Server implements Closeable {
         private final ServerSocket server = new ServerSocket(0, 512, LOOPBACK);
         private final Set<Socket> open = ConcurrentHashMap.newKeySet();
 
         Server() throws IOException {
-            daemon(() -> {
+            startDaemon(() -> {
                 while (true) {
                     Socket socket = server.accept();
                     open.add(socket);
-                    daemon(() -> {
+                    startDaemon(() -> {
                         try (socket) {
                             serve(socket, new BufferedInputStream(socket.getInputStream()));
                         } finally {
@@ -197,16 +206,16 @@
             reset();
         }
 
-        private interface Work {
+        private interface Task {
             void run() throws Exception;
         }
 
-        private static void daemon(Work work) {
+        private static void startDaemon(Task task) {
             Thread thread = new Thread(() -> {
                 try {
-                    work.run();
-                } catch (Exception ended) {
-                    // Its connection, or the server, was closed.
+                    task.run();
+                } catch (Exception closed) {
+                    // The connection or the server was closed.
                 }
             });
             thread.setDaemon(true);
@@ -214,7 +223,7 @@
         }
     }
 
-    /** A backend that serves every request at once. */
+    /** A backend that serves every request immediately. */
     private static final class Backend extends Server {
         private final AtomicInteger served = new AtomicInteger();
 
@@ -223,8 +232,8 @@
         @Override
         void serve(Socket socket, InputStream in) throws Exception {
             while (true) {
-                for (int words = Integer.parseInt(line(in).substring(1)); words > 0; words--) {
-                    in.readNBytes(Integer.parseInt(line(in).substring(1)) + 2);
+                for (int parts = Integer.parseInt(readLine(in).substring(1)); parts > 0; parts--) {
+                    in.readNBytes(Integer.parseInt(readLine(in).substring(1)) + 2);
                 }
                 served.incrementAndGet();
                 write(socket, "*3\r\n$4\r\ndone\r\n$-1\r\n$-1\r\n");
@@ -232,11 +241,14 @@
         }
     }
 
-    /** Discovery: the whole list for each call, a watch once there is a newer one; away, it closes whatever comes. */
+    /**
+     * Discovery that responds to a call with the complete list, and to a watch once there is a newer list. While it is
+     * stopped it closes every connection.
+     */
     private static final class Discovery extends Server {
-        /** Null while it is away. */
+        /** Null while it is stopped. */
         private volatile String list;
-        /** Lists given since it came back. */
+        /** The number of lists sent since the restart. */
         private final AtomicInteger lists = new AtomicInteger();
 
         Discovery() throws IOException {}
@@ -254,25 +266,25 @@
         @Override
         void serve(Socket socket, InputStream in) throws Exception {
             while (true) {
-                String call = line(in);
-                while (!line(in).isEmpty()) {
-                    // The call's headers.
+                String call = readLine(in);
+                while (!readLine(in).isEmpty()) {
+                    // Skips the headers.
                 }
                 String known = call.replaceFirst(".*since=(\\d+).*", "\"index\":$1,");
                 while (list != null && list.contains(known)) {
                     Thread.sleep(1);
                 }
-                String answer = list;
-                if (answer == null) {
+                String response = list;
+                if (response == null) {
                     return;
                 }
-                write(socket, "HTTP/1.1 200 OK\r\nContent-Length: " + answer.length() + "\r\n\r\n" + answer);
+                write(socket, "HTTP/1.1 200 OK\r\nContent-Length: " + response.length() + "\r\n\r\n" + response);
                 lists.incrementAndGet();
             }
         }
     }
 
-    /** A client that asks on one connection for as long as that is kept, and then on another. */
+    /** A client that sends requests on one connection until that is closed, and then on a new one. */
     private static final class Client {
         private final SocketChannel port;
         private Socket socket;
@@ -282,13 +294,13 @@
             this.port = port;
         }
 
-        /** Whether the connection was kept, or made, and the request served on it. */
+        /** Sends a request, on a new connection if necessary; returns whether it was served. */
         boolean requestsAndIsServed() throws IOException {
-            return "done".equals(answer(RespTestBed.query(++number, 4000)));
+            return "done".equals(response(RespTestBed.query(++number, 4000)));
         }
 
-        int figure(String name) throws IOException {
-            String lines = answer(RespTestBed.words("INFO"));
+        int metric(String name) throws IOException {
+            String lines = response(RespTestBed.words("INFO"));
             return lines == null
                     ? 0
                     : lines.lines()
@@ -297,7 +309,7 @@
                             .sum();
         }
 
-        private String answer(String command) throws IOException {
+        private String response(String command) throws IOException {
             try {
                 if (socket == null) {
                     socket = new Socket();
@@ -314,34 +326,34 @@
         }
     }
 
-    /** Connections that are opened and never used, and opened again when they were closed. */
-    private static final class Crowd implements Closeable {
-        private static final long AGAIN_MS = 100;
+    /** Idle connections that are opened again whenever they are closed. */
+    private static final class IdleClients implements Closeable {
+        private static final long RECONNECT_DELAY_MS = 100;
         private final List<SocketChannel> idle = new ArrayList<>();
         private final Thread thread;
 
-        Crowd(SocketChannel port) {
+        IdleClients(SocketChannel port) {
             thread = new Thread(() -> {
                 try {
                     while (true) {
-                        stay(port);
-                        Thread.sleep(AGAIN_MS);
+                        replaceClosedConnections(port);
+                        Thread.sleep(RECONNECT_DELAY_MS);
                     }
-                } catch (IOException | InterruptedException over) {
-                    // The test is over.
+                } catch (IOException | InterruptedException closed) {
+                    // The idle clients were closed at the end of the test.
                 }
             });
             thread.start();
         }
 
-        private void stay(SocketChannel port) throws IOException {
+        private void replaceClosedConnections(SocketChannel port) throws IOException {
             for (SocketChannel each : List.copyOf(idle)) {
                 if (hasEnded(each)) {
                     each.close();
                     idle.remove(each);
                 }
             }
-            while (idle.size() < CROWD) {
+            while (idle.size() < IDLE_CONNECTIONS) {
                 SocketChannel next = SocketChannel.open();
                 next.configureBlocking(false);
                 next.connect(port.getLocalAddress());
@@ -375,7 +387,7 @@
         socket.getOutputStream().write(text.getBytes(StandardCharsets.ISO_8859_1));
     }
 
-    private static String line(InputStream in) throws IOException {
+    private static String readLine(InputStream in) throws IOException {
         StringBuilder line = new StringBuilder();
         for (int each = in.read(); each != '\n'; each = in.read()) {
             if (each < 0) {
--- a/replication/src/main/java/opalcove/replication/ReplicationMessage.java
+++ b/replication/src/main/java/opalcove/replication/ReplicationMessage.java
@@ -141,7 +141,8 @@
         }
         JsonObject body = Json.parse(text).asObject();
         body.remove("f").remove("k").remove("s");
-        return new ReplicationMessage(name, fields.object("f").text("a"), Kind.read(fields), fields.serial("s"), body);
+        return new ReplicationMessage(
+                name, fields.object("f").text("a"), Kind.read(fields), fields.longInteger("s"), body);
     }
 
     /** Returns this request as forwarded by another gateway; the origin is the sender of this message. */
