--- a/membership/src/main/java/opalcove/membership/FailureDetector.java
+++ b/membership/src/main/java/opalcove/membership/FailureDetector.java
@@ -45,12 +45,12 @@
     private long nextRejoinMs;
     private long nextSyncMs;
     private long lastTickMs;
-    private long probed;
-    private long acked;
-    private long helped;
+    private long ownProbes;
+    private long acks;
+    private long requestedProbes;
     private long suspicions;
-    private long confirmed;
-    private long refuted;
+    private long confirmedDeaths;
+    private long refutations;
     private long pauses;
 
     /**
@@ -119,7 +119,7 @@
 
     /** How often each event of the protocol has occurred since the start. */
     public ProtocolCounts counts() {
-        return new ProtocolCounts(probed, acked, helped, suspicions, confirmed, refuted, pauses);
+        return new ProtocolCounts(ownProbes, acks, requestedProbes, suspicions, confirmedDeaths, refutations, pauses);
     }
 
     /** When {@link #tick} is next to be called at the latest, in ms. */
@@ -163,7 +163,7 @@
             members.pick(1, peer -> true).forEach(peer -> sender.sendState(Kind.SYNC, peer.address(), 0));
         }
         gossipIfDue(nowMs);
-        members.forgetDeparted(nowMs, config.retentionMs());
+        members.removeExpired(nowMs, config.retentionMs());
     }
 
     /**
@@ -183,7 +183,7 @@
         if (target == null || probes.hasOwnProbeOf(target.name())) {
             return;
         }
-        probed++;
+        ownProbes++;
         long sequence = probes.add(Probe.own(target.name(), nowMs));
         sender.send(target.address(), Kind.PING, sequence, target.name(), "");
     }
@@ -216,9 +216,9 @@
         }
         probes.remove(sequence);
         sender.send(probe.requesterAddress(), Kind.NACK, probe.requesterSequence(), probe.target(), "");
-        target.markSilent(nowMs);
+        target.recordMissedAck(nowMs);
         if (target.state() == State.SUSPECT) {
-            confirmIfSilent(nowMs, target);
+            confirmIfAckMissed(nowMs, target);
         }
     }
 
@@ -239,7 +239,7 @@
             }
             double elapsed = peer.suspicion().elapsedFraction(nowMs, config, memberCount);
             if (elapsed >= 1) {
-                confirmed++;
+                confirmedDeaths++;
                 update(nowMs, peer, peer.member().withState(State.DEAD), "");
             } else if (peer.suspicion().takeLastPing(elapsed)) {
                 // Gossip of a refutation does not reach every member: the few that still suspect ping the suspect
@@ -261,9 +261,9 @@
     }
 
     /** Confirms a suspicion if this member is healthy and itself found the suspect silent in the last two periods. */
-    private void confirmIfSilent(long nowMs, Peer peer) {
+    private void confirmIfAckMissed(long nowMs, Peer peer) {
         if (health.isHealthy()
-                && peer.wasSilentWithin(2 * config.probePeriodMs(), nowMs)
+                && peer.hasMissedAckWithin(2 * config.probePeriodMs(), nowMs)
                 && !peer.suspicion().isAccusedBy(self().name())) {
             suspect(nowMs, peer, self().name());
         }
@@ -277,7 +277,7 @@
         members.recordChange();
         gossip.enqueue(new GossipEntry(next, accuser));
         if (next.state() == State.SUSPECT) {
-            confirmIfSilent(nowMs, peer);
+            confirmIfAckMissed(nowMs, peer);
         }
         if (!next.equals(before)) {
             host.memberChanged(before, next);
@@ -329,21 +329,21 @@
     private void probeOnRequest(long nowMs, SwimMessage request) {
         Peer target = members.get(request.target());
         if (target != null && target.isPresent()) {
-            helped++;
+            requestedProbes++;
             Probe probe = Probe.requestedBy(request.from().address(), request.sequence(), target.name(), nowMs);
             sender.send(target.address(), Kind.PING, probes.add(probe), target.name(), "");
         }
     }
 
     private void onAck(SwimMessage message) {
-        Probe probe = probes.removeAnswered(message.sequence(), message.target());
+        Probe probe = probes.removeAcknowledged(message.sequence(), message.target());
         if (probe == null) {
             return;
         }
         if (probe.isRequested()) {
             sender.send(probe.requesterAddress(), Kind.ACK, probe.requesterSequence(), probe.target(), "");
         } else {
-            acked++;
+            acks++;
             health.adjust(-1);
         }
     }
@@ -382,7 +382,7 @@
                 || reported.incarnation() == self().incarnation() && reported.state() == State.ALIVE) {
             return;
         }
-        refuted++;
+        refutations++;
         health.adjust(1);
         members.refuteUpTo(reported.incarnation());
         gossip.enqueue(GossipEntry.of(self()));
--- a/membership/src/main/java/opalcove/membership/MemberTable.java
+++ b/membership/src/main/java/opalcove/membership/MemberTable.java
@@ -87,9 +87,9 @@
     }
 
     /** Removes the peers that have been gone for longer than that. */
-    void forgetDeparted(long nowMs, long retentionMs) {
+    void removeExpired(long nowMs, long retentionMs) {
         if (peers.size() > present().size()) {
-            peers.values().removeIf(peer -> peer.isForgettable(nowMs, retentionMs));
+            peers.values().removeIf(peer -> peer.isExpired(nowMs, retentionMs));
         }
     }
 
--- a/membership/src/main/java/opalcove/membership/Peer.java
+++ b/membership/src/main/java/opalcove/membership/Peer.java
@@ -9,7 +9,7 @@
     private final SuspicionTimer suspicion = new SuspicionTimer();
     private Member member;
     private long departedAtMs;
-    private long silentAtMs = NEVER;
+    private long missedAckAtMs = NEVER;
 
     /** A peer in that state; null for one of which a first state is about to be set. */
     Peer(Member member) {
@@ -47,7 +47,7 @@
             suspicion.start(nowMs, accuser);
         } else {
             suspicion.cancel();
-            silentAtMs = NEVER;
+            missedAckAtMs = NEVER;
         }
         if (!next.isPresent()) {
             departedAtMs = nowMs;
@@ -55,15 +55,15 @@
     }
 
     /** Notes that this member, on the request of another one, got no answer from the peer. */
-    void markSilent(long nowMs) {
-        silentAtMs = nowMs;
+    void recordMissedAck(long nowMs) {
+        missedAckAtMs = nowMs;
     }
 
-    boolean wasSilentWithin(long windowMs, long nowMs) {
-        return nowMs - silentAtMs < windowMs;
+    boolean hasMissedAckWithin(long windowMs, long nowMs) {
+        return nowMs - missedAckAtMs < windowMs;
     }
 
-    boolean isForgettable(long nowMs, long retentionMs) {
+    boolean isExpired(long nowMs, long retentionMs) {
         return !isPresent() && nowMs - departedAtMs > retentionMs;
     }
 }
--- a/membership/src/main/java/opalcove/membership/ProbeTable.java
+++ b/membership/src/main/java/opalcove/membership/ProbeTable.java
@@ -55,7 +55,7 @@
     /**
      * Removes the probe that an ACK answers and returns it; null if there is none of that sequence number and target.
      */
-    Probe removeAnswered(long sequence, String target) {
+    Probe removeAcknowledged(long sequence, String target) {
         Probe probe = probes.get(sequence);
         if (probe == null || !probe.target().equals(target)) {
             return null;
