--- a/membership/src/main/java/opalcove/membership/Broadcast.java
+++ b/membership/src/main/java/opalcove/membership/Broadcast.java
@@ -1,6 +1,6 @@
 package opalcove.membership;
 
-/** A gossip entry in the queue, and how often it has been sent. Owned by its {@link GossipQueue}. */
+/** A queued gossip entry and the number of times it has been sent. Owned by its {@link GossipQueue}. */
 final class Broadcast {
     private final GossipEntry entry;
     private int transmissions;
--- a/membership/src/main/java/opalcove/membership/FailureDetector.java
+++ b/membership/src/main/java/opalcove/membership/FailureDetector.java
@@ -7,28 +7,31 @@
 import opalcove.membership.SwimMessage.Kind;
 
 /**
- * One member's part of the SWIM protocol (Das, Gupta and Motivala, 2002) with the Lifeguard refinements (Dadgar,
- * Phillips and Currey, 2018): whom to probe, when to suspect a member and when to declare it dead, and what gossip to
- * send to whom. It does no I/O and reads no clock: the host passes the time in, in ms of a monotonic clock, and sends
- * the messages. Not thread-safe; owned by one thread of its host.
+ * Runs the SWIM protocol (Das, Gupta and Motivala, 2002) with the Lifeguard refinements (Dadgar, Phillips and Currey,
+ * 2018) for one member. It decides which members to probe, when to suspect a member, when to declare it dead, and which
+ * gossip to send to which member. It does no I/O and reads no clock: the host passes the time in, in ms of a monotonic
+ * clock, and sends the messages. Not thread-safe; owned by one thread of its host.
  *
- * <p>Beside a member in random order, each member probes the next one on a ring of all names, so that a crash is
- * detected within one period whatever the random order is. Members that probed a suspect on request, without an answer,
- * confirm the suspicion.
+ * <p>In each probe period a member probes one member in random order and the next one on a ring of all names. The ring
+ * ensures that a crash is detected within one period, whatever the random order is. A member that probed a suspect on
+ * request and received no ACK confirms the suspicion.
  */
 public final class FailureDetector {
-    /** The effects of the protocol, on the thread that calls the detector. */
+    /** Receives the effects of the protocol, on the thread that calls the detector. */
     public interface Host {
         /** Sends a message, without any guarantee of delivery. */
         void send(String address, SwimMessage message);
 
         /**
-         * The state of a member has changed; before is null for one that was not known. Called once for each change.
+         * Called once for each change of a member's state.
+         *
+         * @param before the previous state; null for a member that was not known
+         * @param after the new state
          */
         void memberChanged(Member before, Member after);
     }
 
-    /** Up to that fleet size the SYNC period is as configured; beyond it, it grows with the fleet. */
+    /** Fleet size up to which the SYNC period is as configured; in a larger fleet the period grows with its size. */
     private static final int SYNC_PERIOD_MEMBERS = 24;
 
     private final SwimConfig config;
@@ -54,8 +57,12 @@
     private long pauses;
 
     /**
-     * A member that starts at the time given. Its incarnation must be higher than that of any earlier process of its
-     * name; the time of the start meets that.
+     * Creates the detector of a member that starts at the given time.
+     *
+     * @param nowMs the time of the start, in ms of the host's monotonic clock
+     * @param incarnation must be higher than that of any earlier process of the same name; the wall-clock time of the
+     *     start satisfies this
+     * @param seeds addresses to contact while no member is known at them; this member's own address is ignored
      */
     public FailureDetector(
             long nowMs,
@@ -75,8 +82,8 @@
         gossip = new GossipQueue(config);
         sender = new MessageSender(config, members, gossip, host);
         lastTickMs = nowMs;
-        // Guards the network against members that were started at the same instant and would all probe at the same
-        // instant.
+        // The first probe, gossip and SYNC are at random times: otherwise members started at the same instant would all
+        // send at the same instant.
         nextProbeMs = nowMs + random.nextLong(config.probePeriodMs());
         nextGossipMs = nowMs + random.nextLong(config.gossipPeriodMs());
         nextRejoinMs = nowMs;
@@ -85,44 +92,44 @@
     }
 
     /**
-     * Adds members known from before, for example from a snapshot: taken as alive until a probe fails, and not
-     * gossiped, since they are no news. Members that are known already stay as they are.
+     * Adds members known from an earlier run, for example from a snapshot. They count as alive until a probe fails, and
+     * are not gossiped, since the fleet knows them already. The state of a member in the table is not changed.
      */
     public void addKnown(Collection<Member> known) {
         members.addKnown(known);
     }
 
-    /** This member, as it announces itself. */
+    /** Returns this member in the state that it announces. */
     public Member self() {
         return members.self();
     }
 
-    /** All other members that are known, whatever their state, by name. */
+    /** Returns all other known members in any state, sorted by name. */
     public List<Member> peers() {
         return members.peers().stream().map(Peer::member).toList();
     }
 
-    /** The members that are part of the fleet, this one included, by name. */
+    /** Returns the members that are alive or suspected, including this one, sorted by name. */
     public Collection<Member> presentMembers() {
         return members.presentMembers();
     }
 
-    /** Grows with every change of what is known. */
+    /** Returns a number that increases with every change of the member table. */
     public long version() {
         return members.version();
     }
 
-    /** The local health score, from 0 for healthy: how slow this member itself seems to be. */
+    /** Returns the local health score: 0 if this member is healthy, higher the slower it seems to be. */
     public int healthScore() {
         return health.score();
     }
 
-    /** How often each event of the protocol has occurred since the start. */
+    /** Returns how often each event of the protocol has occurred since the start. */
     public ProtocolCounts counts() {
         return new ProtocolCounts(ownProbes, acks, requestedProbes, suspicions, confirmedDeaths, refutations, pauses);
     }
 
-    /** When {@link #tick} is next to be called at the latest, in ms. */
+    /** Returns the time in ms by which {@link #tick} must be called next. */
     public long nextTickMs() {
         if (isLeaving()) {
             return nextGossipMs;
@@ -135,7 +142,7 @@
         return members.self().state() == State.LEFT;
     }
 
-    /** Does what is due. */
+    /** Runs each step of the protocol that is due at the given time. */
     public void tick(long nowMs) {
         long gapMs = nowMs - lastTickMs;
         lastTickMs = nowMs;
@@ -158,7 +165,8 @@
             rejoin();
         }
         if (nowMs >= nextSyncMs) {
-            // Longer in a large fleet, whose SYNC is larger: the bytes that a member sends stay the same.
+            // The period grows with the size of a SYNC in a large fleet, so that the bytes sent per second stay the
+            // same.
             nextSyncMs = nowMs + config.syncPeriodMs() * Math.max(1, members.memberCount() / SYNC_PERIOD_MEMBERS);
             members.pick(1, peer -> true).forEach(peer -> sender.sendState(Kind.SYNC, peer.address(), 0));
         }
@@ -167,9 +175,9 @@
     }
 
     /**
-     * This process itself stood still. Answers that are missing say nothing about the others, who may have answered
-     * meanwhile: pending probes are void and suspects get the time again. Guards the fleet against a member that wakes
-     * up and accuses all others.
+     * Recovers from a pause of this process. A missing ACK proves nothing about its sender, since it may have arrived
+     * during the pause, so pending probes are discarded and each suspicion is extended by the pause. Otherwise a member
+     * that resumes would suspect all others.
      */
     private void recoverFromPause(long nowMs, long pauseMs) {
         pauses++;
@@ -188,11 +196,11 @@
         sender.send(target.address(), Kind.PING, sequence, target.name(), "");
     }
 
-    /** Probes that timed out: indirect ones are requested, and when these fail too, the target becomes a suspect. */
+    /** Requests indirect probes for each probe that timed out, and suspects the target when these have failed as well. */
     private void checkProbes(long nowMs) {
         probes.forEach((sequence, probe) -> {
             Peer target = members.get(probe.target());
-            // Read for each probe: one that failed makes the timeout of the next ones longer.
+            // Computed for each probe, since a failed probe lengthens the timeout of the next ones.
             long ackTimeoutMs = health.scaleMs(config.ackTimeoutMs());
             if (target == null || !target.isPresent()) {
                 probes.remove(sequence);
@@ -202,14 +210,17 @@
                 requestIndirectProbes(sequence, probe, target);
             } else if (probe.isIndirect() && probe.elapsedMs(nowMs) >= 2 * ackTimeoutMs) {
                 probes.remove(sequence);
-                // Without even a NACK from the helpers, it may be this member that cannot be reached.
+                // If the requested members sent not even a NACK, this member itself may be unreachable.
                 health.adjust(probe.healthPenalty());
                 suspect(nowMs, target, self().name());
             }
         });
     }
 
-    /** A NACK in time tells the requester that this helper is there; the missing answer can confirm a suspicion. */
+    /**
+     * Sends a NACK before the requester's timeout, which shows that this member is reachable. The missing ACK can confirm
+     * a suspicion.
+     */
     private void checkRequestedProbe(long nowMs, long sequence, Probe probe, Peer target) {
         if (probe.elapsedMs(nowMs) < config.ackTimeoutMs() * 4 / 5) {
             return;
@@ -224,10 +235,10 @@
 
     private void requestIndirectProbes(long sequence, Probe probe, Peer target) {
         probe.becomeIndirect();
-        for (Peer helper :
+        for (Peer prober :
                 members.pick(config.indirectProbes(), peer -> peer.state() == State.ALIVE && peer != target)) {
             probe.expectNack();
-            sender.send(helper.address(), Kind.PING_REQ, sequence, probe.target(), target.address());
+            sender.send(prober.address(), Kind.PING_REQ, sequence, probe.target(), target.address());
         }
     }
 
@@ -242,8 +253,8 @@
                 confirmedDeaths++;
                 update(nowMs, peer, peer.member().withState(State.DEAD), "");
             } else if (peer.suspicion().takeLastPing(elapsed)) {
-                // Gossip of a refutation does not reach every member: the few that still suspect ping the suspect
-                // itself.
+                // Gossip of a refutation does not reach every member, so the few that still suspect the peer ping it
+                // directly.
                 sender.send(peer.address(), Kind.PING, probes.nextSequence(), peer.name(), "");
             }
         }
@@ -260,7 +271,7 @@
         }
     }
 
-    /** Confirms a suspicion if this member is healthy and itself found the suspect silent in the last two periods. */
+    /** Confirms a suspicion if this member is healthy and missed an ACK of the suspect in the last two probe periods. */
     private void confirmIfAckMissed(long nowMs, Peer peer) {
         if (health.isHealthy()
                 && peer.hasMissedAckWithin(2 * config.probePeriodMs(), nowMs)
@@ -269,7 +280,7 @@
         }
     }
 
-    /** Takes on a newer state of a peer, and gossips it. */
+    /** Applies a newer state of a peer and gossips it. */
     private void update(long nowMs, Peer peer, Member next, String accuser) {
         Member before = peer.member();
         peer.update(nowMs, next, accuser);
@@ -285,8 +296,8 @@
     }
 
     /**
-     * Contacts one seed that is not known, or one dead member, at a time: so a fleet finds itself again after a
-     * partition.
+     * Sends a SYNC to one random address of an unknown seed or a dead member, so that the parts of a fleet rejoin after
+     * a partition.
      */
     private void rejoin() {
         List<String> candidates = members.rejoinCandidates(seeds);
@@ -302,7 +313,7 @@
         }
     }
 
-    /** Handles a message from another member. */
+    /** Handles a message from another member, received at the given time in ms. */
     public void receive(long nowMs, SwimMessage message) {
         if (isLeaving()) {
             return;
@@ -313,7 +324,8 @@
         String senderAddress = message.from().address();
         switch (message.kind()) {
             case PING -> {
-                // Guards against answering for another process that had this address before.
+                // A PING to another member, whose process had this address before, must not be acknowledged on its
+                // behalf.
                 if (members.isSelf(message.target())) {
                     sender.send(senderAddress, Kind.ACK, message.sequence(), self().name(), "");
                 }
@@ -388,7 +400,10 @@
         gossip.enqueue(GossipEntry.of(self()));
     }
 
-    /** Announces that this member leaves; the host keeps ticking for a few gossip periods before the process ends. */
+    /**
+     * Announces that this member leaves. The host must continue to call {@link #tick} for a few gossip periods before the
+     * process ends.
+     */
     public void leave(long nowMs) {
         members.leave();
         gossip.clear();
--- a/membership/src/main/java/opalcove/membership/GossipQueue.java
+++ b/membership/src/main/java/opalcove/membership/GossipQueue.java
@@ -7,12 +7,12 @@
 import java.util.Map;
 
 /**
- * The gossip that this member has still to spread. Each entry is sent a number of times that grows with the logarithm
- * of the fleet's size; a newer entry about a member replaces the older ones. Owned by the thread of its {@link
- * FailureDetector}.
+ * Queue of the gossip entries that this member still has to send. Each entry is sent a number of times that grows with
+ * the logarithm of the fleet's size; a newer entry about a member replaces the older ones. Owned by the thread of its
+ * {@link FailureDetector}.
  */
 final class GossipQueue {
-    /** Entries sent fewest times first; names break ties, so that the order does not depend on hashing. */
+    /** Sorts entries by number of transmissions; names break ties, so that the order does not depend on hashing. */
     private static final Comparator<Broadcast> FEWEST_SENT_FIRST = Comparator.comparingInt(Broadcast::transmissions)
             .thenComparing(each -> each.entry().member().name())
             .thenComparing(each -> each.entry().accuser());
@@ -24,12 +24,12 @@
         this.config = config;
     }
 
-    /** Queues an entry, in place of one about the same member by the same accuser. */
+    /** Queues an entry; it replaces a queued one about the same member with the same accuser. */
     void enqueue(GossipEntry entry) {
         broadcasts.put(entry.member().name() + " " + entry.accuser(), new Broadcast(entry));
     }
 
-    /** Discards all entries about a member: they are out of date. */
+    /** Discards all entries about a member, which are out of date. */
     void discardAbout(String memberName) {
         broadcasts.keySet().removeIf(key -> key.startsWith(memberName + " "));
     }
@@ -43,8 +43,8 @@
     }
 
     /**
-     * Appends the entries that go with a message, those sent least often first, up to the maximum number of entries;
-     * those about the receiver are not among them. Entries that have been sent often enough are discarded.
+     * Appends entries for one message, least often sent first, up to the maximum number of entries per message. Entries
+     * about the receiver are skipped. Entries that have reached the transmit limit are discarded afterwards.
      */
     void drainTo(List<GossipEntry> entries, String receiver, int memberCount) {
         List<Broadcast> order = new ArrayList<>(broadcasts.values());
@@ -62,7 +62,7 @@
         broadcasts.values().removeIf(each -> each.transmissions() >= limit);
     }
 
-    /** How often each entry is sent in a fleet of that size. */
+    /** Returns how often each entry is sent in a fleet of the given size. */
     static int transmitLimit(SwimConfig config, int memberCount) {
         return (int) Math.ceil(config.retransmitFactor() * Math.log10(memberCount + 1.0));
     }
--- a/membership/src/main/java/opalcove/membership/LocalHealth.java
+++ b/membership/src/main/java/opalcove/membership/LocalHealth.java
@@ -1,9 +1,9 @@
 package opalcove.membership;
 
 /**
- * How well this member itself seems to keep up, as a score from 0 (healthy) upwards (Lifeguard's local health
- * multiplier). Missed answers raise it, answers lower it; a member in poor health probes less often and waits longer,
- * so that it does not accuse others of its own slowness. Owned by the thread of its {@link FailureDetector}.
+ * Local health score of this member, from 0 for healthy upwards (Lifeguard's local health multiplier). Missed ACKs raise
+ * the score and received ACKs lower it. A member in poor health probes less often and waits longer for ACKs, so that it
+ * does not suspect others because it is slow itself. Owned by the thread of its {@link FailureDetector}.
  */
 final class LocalHealth {
     private final int maxScore;
@@ -21,12 +21,12 @@
         return score == 0;
     }
 
-    /** Changes the score within its bounds; a positive change means poorer health. */
+    /** Adds the change to the score and limits the result to 0 to maxScore; a positive change means poorer health. */
     void adjust(int change) {
         score = Math.max(0, Math.min(maxScore, score + change));
     }
 
-    /** A time in ms, stretched by the score. */
+    /** Returns a time in ms multiplied by the score plus one. */
     long scaleMs(long timeMs) {
         return timeMs * (score + 1);
     }
--- a/membership/src/main/java/opalcove/membership/Member.java
+++ b/membership/src/main/java/opalcove/membership/Member.java
@@ -1,25 +1,25 @@
 package opalcove.membership;
 
 /**
- * The state of one gateway, as another one knows it.
+ * A gateway and its state as known to another gateway.
  *
- * @param name its unique name
- * @param address host and port of its datagram socket
- * @param incarnation orders its states, the higher one is newer; only the member itself raises it
- * @param state its state in that incarnation
+ * @param name the gateway's unique name
+ * @param address the host and port of its datagram socket
+ * @param incarnation orders the member's states, a higher one being newer; only the member itself raises it
+ * @param state the member's state in this incarnation
  */
 public record Member(String name, String address, long incarnation, State state) {
     /**
-     * The states; of two at the same incarnation, the later one in this order overrides. The constants' names are also
-     * their names in datagrams and events and, in lower case, in the reply to MEMBERS.
+     * The state of a member. Of two states with the same incarnation, the one declared later overrides the other. The
+     * constants' names are also their names in datagrams and events and, in lower case, in the reply to MEMBERS.
      */
     public enum State {
         ALIVE,
-        /** Did not answer in time, neither directly nor through other members; it may refute that. */
+        /** Sent no ACK in time to a direct or an indirect probe; the member may refute the suspicion. */
         SUSPECT,
-        /** Was a suspect for the whole suspicion timeout. */
+        /** Was suspected until the suspicion timeout expired. */
         DEAD,
-        /** Announced that it leaves. */
+        /** Announced a graceful shutdown. */
         LEFT
     }
 
@@ -30,7 +30,7 @@
                 : state.ordinal() > known.state.ordinal();
     }
 
-    /** Whether the member is part of the fleet: alive, or only suspected. */
+    /** Whether the member is part of the fleet, that is, alive or suspected. */
     public boolean isPresent() {
         return state == State.ALIVE || state == State.SUSPECT;
     }
--- a/membership/src/main/java/opalcove/membership/MemberTable.java
+++ b/membership/src/main/java/opalcove/membership/MemberTable.java
@@ -13,17 +13,17 @@
 import opalcove.membership.Member.State;
 
 /**
- * This member and all peers that it knows, by name, and the choice among them: the next one to probe, and random ones
- * to send gossip to. Owned by the thread of its {@link FailureDetector}.
+ * Table of this member and its known peers by name. It selects the next peer to probe and random peers, for example to
+ * send gossip to. Owned by the thread of its {@link FailureDetector}.
  */
 final class MemberTable {
-    /** Random draws for each peer that is picked: enough that a small fleet yields those that it has. */
+    /** Maximum number of random draws for each requested peer; enough to find the eligible peers of a small fleet. */
     private static final int DRAWS_PER_PICK = 8;
 
     private final RandomGenerator random;
     private final TreeMap<String, Peer> peers = new TreeMap<>();
     private final List<String> probeOrder = new ArrayList<>();
-    /** The peers that are present; null after a change, until they are needed again. */
+    /** Cached list of the present peers; null from a change until the list is next needed. */
     private List<Peer> present;
 
     private Member self;
@@ -38,7 +38,7 @@
         return self;
     }
 
-    /** Raises this member's incarnation above the given one. */
+    /** Sets this member to alive, with an incarnation one above the given one. */
     void refuteUpTo(long incarnation) {
         self = new Member(self.name(), self.address(), incarnation + 1, State.ALIVE);
         version++;
@@ -53,24 +53,24 @@
         return name.equals(self.name());
     }
 
-    /** Grows with every change. */
+    /** Increases with every change. */
     long version() {
         return version;
     }
 
-    /** The peer of that name; null if there is none. */
+    /** Returns the peer with this name; null if there is none. */
     Peer get(String name) {
         return peers.get(name);
     }
 
-    /** Adds a peer of which a first state is about to be set. */
+    /** Adds a peer without a state; the caller must set its first state at once. */
     Peer add(String name) {
         Peer peer = new Peer(null);
         peers.put(name, peer);
         return peer;
     }
 
-    /** Adds members known from before as alive; those that are in the table stay as they are. */
+    /** Adds members known from an earlier run as alive; does not change members that are in the table. */
     void addKnown(Collection<Member> members) {
         for (Member each : members) {
             if (each.isPresent() && !isSelf(each.name()) && !peers.containsKey(each.name())) {
@@ -80,13 +80,13 @@
         recordChange();
     }
 
-    /** To be called after each change of a peer's state. */
+    /** Must be called after each change of a peer's state. */
     void recordChange() {
         present = null;
         version++;
     }
 
-    /** Removes the peers that have been gone for longer than that. */
+    /** Removes the peers that have been dead, or have left, for longer than the retention time in ms. */
     void removeExpired(long nowMs, long retentionMs) {
         if (peers.size() > present().size()) {
             peers.values().removeIf(peer -> peer.isExpired(nowMs, retentionMs));
@@ -97,7 +97,7 @@
         return peers.values();
     }
 
-    /** The peers that are part of the fleet, by name. */
+    /** Returns the peers that are part of the fleet, sorted by name. */
     List<Peer> present() {
         if (present == null) {
             present = peers.values().stream().filter(Peer::isPresent).toList();
@@ -105,12 +105,12 @@
         return present;
     }
 
-    /** The size of the fleet, this member included. */
+    /** Returns the size of the fleet, including this member. */
     int memberCount() {
         return 1 + present().size();
     }
 
-    /** The members that are part of the fleet, this one included, by name. */
+    /** Returns the members that are part of the fleet, including this one, sorted by name. */
     Collection<Member> presentMembers() {
         TreeMap<String, Member> members = new TreeMap<>();
         members.put(self.name(), self);
@@ -118,7 +118,7 @@
         return members.values();
     }
 
-    /** The name of the present peer at that address; empty if there is none. */
+    /** Returns the name of the present peer at this address; empty if there is none. */
     String nameAt(String address) {
         for (Peer peer : present()) {
             if (peer.address().equals(address)) {
@@ -129,8 +129,8 @@
     }
 
     /**
-     * Addresses to contact after a partition: seeds that are not the address of a present peer, then those of dead
-     * peers.
+     * Returns the addresses to contact after a partition: first the seeds at which no peer is present, then the addresses
+     * of dead peers.
      */
     List<String> rejoinCandidates(List<String> seeds) {
         Set<String> known = new HashSet<>();
@@ -145,7 +145,7 @@
         return candidates;
     }
 
-    /** The present peer that follows this member on the ring of all names; null if there is none. */
+    /** Returns the present peer that follows this member on the ring of all names; null if there is none. */
     Peer nextOnRing() {
         for (Peer peer : peers.tailMap(self.name(), false).values()) {
             if (peer.isPresent()) {
@@ -160,7 +160,10 @@
         return null;
     }
 
-    /** Each present peer once a round, in random order: the time between two probes of one peer is bounded. */
+    /**
+     * Returns the next peer to probe; null if none is present. Each present peer is returned once per round in random
+     * order, which bounds the time between two probes of the same peer.
+     */
     Peer nextInProbeOrder() {
         for (int round = 0; round < 2; round++) {
             while (!probeOrder.isEmpty()) {
@@ -181,7 +184,7 @@
         }
     }
 
-    /** Up to that many different random peers that are present and eligible; fewer where few are eligible. */
+    /** Returns up to maxPeers different random peers that are present and eligible. */
     List<Peer> pick(int maxPeers, Predicate<Peer> eligible) {
         List<Peer> candidates = present();
         Set<Peer> picked = new LinkedHashSet<>();
--- a/membership/src/main/java/opalcove/membership/MessageSender.java
+++ b/membership/src/main/java/opalcove/membership/MessageSender.java
@@ -6,10 +6,10 @@
 import opalcove.membership.SwimMessage.Kind;
 
 /**
- * Sends this member's messages, each with gossip for its receiver. Owned by the thread of its {@link FailureDetector}.
+ * Sends this member's messages and adds gossip for the receiver to each. Owned by the thread of its {@link FailureDetector}.
  */
 final class MessageSender {
-    /** Maximum number of entries in one message of a SYNC, so that it fits into a datagram. */
+    /** Maximum number of entries in one message of a SYNC or SYNC_ACK, so that it fits into a datagram. */
     private static final int MAX_SYNC_ENTRIES = 128;
 
     private final SwimConfig config;
@@ -24,14 +24,14 @@
         this.host = host;
     }
 
-    /** Sends a message about a probe; for a PING the target is the intended receiver. */
+    /** Sends a message of a probe; the target of a PING is its intended receiver. */
     void send(String address, Kind kind, long sequence, String target, String targetAddress) {
         String receiver = kind == Kind.PING ? target : members.nameAt(address);
         host.send(
                 address, new SwimMessage(kind, members.self(), sequence, target, targetAddress, entriesFor(receiver)));
     }
 
-    /** Sends the complete state, in as many messages as it needs. */
+    /** Sends the complete state, split into as many messages as necessary. */
     void sendState(Kind kind, String address, long sequence) {
         List<GossipEntry> state = new ArrayList<>();
         state.add(GossipEntry.of(members.self()));
@@ -42,7 +42,7 @@
         }
         for (int from = 0; from < state.size(); from += MAX_SYNC_ENTRIES) {
             List<GossipEntry> part = state.subList(from, Math.min(state.size(), from + MAX_SYNC_ENTRIES));
-            // Only the first part requests the receiver's state.
+            // Only the first part may be a SYNC, so that the receiver's state is requested once.
             host.send(
                     address, new SwimMessage(from == 0 ? kind : Kind.SYNC_ACK, members.self(), sequence, "", "", part));
         }
@@ -62,8 +62,8 @@
     }
 
     /**
-     * The gossip for a receiver; first of all what it is accused of, so that it can refute that (Lifeguard's buddy
-     * system).
+     * Returns the gossip for a receiver. If the receiver is suspected or dead, that entry is the first, so that the
+     * receiver can refute it (Lifeguard's buddy system).
      */
     private List<GossipEntry> entriesFor(String receiver) {
         List<GossipEntry> entries = new ArrayList<>();
--- a/membership/src/main/java/opalcove/membership/Peer.java
+++ b/membership/src/main/java/opalcove/membership/Peer.java
@@ -2,7 +2,7 @@
 
 import opalcove.membership.Member.State;
 
-/** What this member knows of one other member. Owned by the thread of its {@link FailureDetector}. */
+/** State of one other member as known to this member. Owned by the thread of its {@link FailureDetector}. */
 final class Peer {
     private static final long NEVER = Long.MIN_VALUE / 2;
 
@@ -11,7 +11,7 @@
     private long departedAtMs;
     private long missedAckAtMs = NEVER;
 
-    /** A peer in that state; null for one of which a first state is about to be set. */
+    /** Creates a peer in the given state; null if its first state is set later by {@link #update}. */
     Peer(Member member) {
         this.member = member;
     }
@@ -40,7 +40,7 @@
         return suspicion;
     }
 
-    /** Takes on a newer state. */
+    /** Applies a newer state. */
     void update(long nowMs, Member next, String accuser) {
         member = next;
         if (next.state() == State.SUSPECT) {
@@ -54,7 +54,7 @@
         }
     }
 
-    /** Notes that this member, on the request of another one, got no answer from the peer. */
+    /** Records that a probe of the peer, which another member had requested from this one, received no ACK. */
     void recordMissedAck(long nowMs) {
         missedAckAtMs = nowMs;
     }
--- a/membership/src/main/java/opalcove/membership/Probe.java
+++ b/membership/src/main/java/opalcove/membership/Probe.java
@@ -1,8 +1,8 @@
 package opalcove.membership;
 
 /**
- * A probe without an answer so far: of this member's own, or one that another member requested by PING_REQ. Owned by
- * the thread of its {@link FailureDetector}.
+ * A probe that has not been acknowledged: either this member's own or one that another member requested by PING_REQ.
+ * Owned by the thread of its {@link FailureDetector}.
  */
 final class Probe {
     private final String target;
@@ -20,12 +20,12 @@
         this.requesterSequence = requesterSequence;
     }
 
-    /** A probe of this member's own. */
+    /** Creates a probe of this member's own. */
     static Probe own(String target, long nowMs) {
         return new Probe(target, nowMs, null, 0);
     }
 
-    /** A probe that another member requested, under a sequence number of that one's. */
+    /** Creates a probe that another member requested; the sequence number is the requester's. */
     static Probe requestedBy(String requesterAddress, long requesterSequence, String target, long nowMs) {
         return new Probe(target, nowMs, requesterAddress, requesterSequence);
     }
@@ -38,7 +38,7 @@
         return requesterAddress != null;
     }
 
-    /** The address of the member that requested this probe; null for one of this member's own. */
+    /** Returns the address of the member that requested this probe; null for this member's own probe. */
     String requesterAddress() {
         return requesterAddress;
     }
@@ -47,7 +47,7 @@
         return requesterSequence;
     }
 
-    /** Whether indirect probes were requested after the direct one was not answered. */
+    /** Whether indirect probes were requested because the direct one received no ACK in time. */
     boolean isIndirect() {
         return isIndirect;
     }
@@ -68,14 +68,14 @@
         return nowMs - startedAtMs;
     }
 
-    /** When the current step of the probe times out, for a timeout of a direct answer. */
+    /** Returns when the current step of the probe times out, in ms, given the timeout of a direct ACK. */
     long timeoutAtMs(long ackTimeoutMs) {
         return startedAtMs + (isIndirect ? 2 : 1) * ackTimeoutMs;
     }
 
     /**
-     * How much worse this member's health is after the probe failed: helpers that sent not even a NACK count against
-     * it.
+     * Returns by how much the health score rises after the probe failed: the number of requested members that sent no
+     * NACK, or 1 if none was requested.
      */
     int healthPenalty() {
         return expectedNacks > 0 ? expectedNacks - receivedNacks : 1;
--- a/membership/src/main/java/opalcove/membership/ProbeTable.java
+++ b/membership/src/main/java/opalcove/membership/ProbeTable.java
@@ -6,21 +6,21 @@
 import java.util.function.BiConsumer;
 
 /**
- * The probes without an answer so far, by sequence number, oldest first. Owned by the thread of its {@link
- * FailureDetector}.
+ * Table of the probes that have not been acknowledged, by sequence number, oldest first. Owned by the thread of its
+ * {@link FailureDetector}.
  */
 final class ProbeTable {
     private final Map<Long, Probe> probes = new LinkedHashMap<>();
     private long lastSequence;
 
-    /** Adds a probe under a new sequence number, which is returned. */
+    /** Adds a probe under a new sequence number and returns that number. */
     long add(Probe probe) {
         long sequence = nextSequence();
         probes.put(sequence, probe);
         return sequence;
     }
 
-    /** A sequence number for a PING whose answer is not awaited. */
+    /** Returns a new sequence number; alone, it serves a PING whose ACK is ignored. */
     long nextSequence() {
         return ++lastSequence;
     }
@@ -31,7 +31,8 @@
     }
 
     /**
-     * When the first of the probes times out, in ms, for a timeout of a direct answer; Long.MAX_VALUE without probes.
+     * Returns when the first of the probes times out, in ms, given the timeout of a direct ACK; Long.MAX_VALUE if there
+     * are no probes.
      */
     long nextTimeoutMs(long ackTimeoutMs) {
         long nextMs = Long.MAX_VALUE;
@@ -41,7 +42,7 @@
         return nextMs;
     }
 
-    /** Calls the action for each of the probes there are now; it may remove them. */
+    /** Calls the action for each probe in the table at the time of the call; the action may remove probes. */
     void forEach(BiConsumer<Long, Probe> action) {
         for (Map.Entry<Long, Probe> each : List.copyOf(probes.entrySet())) {
             action.accept(each.getKey(), each.getValue());
@@ -53,7 +54,7 @@
     }
 
     /**
-     * Removes the probe that an ACK answers and returns it; null if there is none of that sequence number and target.
+     * Removes and returns the probe that an ACK belongs to; null if no probe has this sequence number and target.
      */
     Probe removeAcknowledged(long sequence, String target) {
         Probe probe = probes.get(sequence);
--- a/membership/src/main/java/opalcove/membership/SwimConfig.java
+++ b/membership/src/main/java/opalcove/membership/SwimConfig.java
@@ -1,22 +1,21 @@
 package opalcove.membership;
 
 /**
- * Times and limits of the protocol; all times in ms.
+ * Times and limits of the protocol; all times are in ms.
  *
- * @param probePeriodMs in each period two members are probed: the next one on the ring and one in random order
- * @param ackTimeoutMs how long a direct ACK may take before indirect probes are requested, and how long these may take
- *     then
- * @param indirectProbes how many other members are requested to probe a member that does not answer
+ * @param probePeriodMs period in which two members are probed: the next one on the ring and one in random order
+ * @param ackTimeoutMs timeout of a direct ACK, after which indirect probes are requested, and timeout of these
+ * @param indirectProbes number of other members that are requested to probe a member that sent no ACK
  * @param suspicionPeriods minimum suspicion timeout in probe periods, to which the propagation time of gossip is added
  * @param suspicionSpread ratio of the maximum suspicion timeout, which applies without confirmations, to the minimum
- * @param gossipPeriodMs how often pending gossip is sent in messages of its own
- * @param gossipFanout number of members that these messages go to
+ * @param gossipPeriodMs period in which pending gossip is sent in separate messages
+ * @param gossipFanout number of members that receive these messages
  * @param retransmitFactor transmissions of each gossip entry for each power of ten of the fleet's size
  * @param maxGossipEntries maximum number of gossip entries in a message other than SYNC and SYNC_ACK
  * @param maxHealthScore maximum of the local health score
- * @param rejoinPeriodMs in each period one dead member, or one seed that is not known, is contacted
- * @param syncPeriodMs in each period the complete state is exchanged with one member
- * @param retentionMs how long members that are dead or have left are remembered
+ * @param rejoinPeriodMs period in which one dead member or one unknown seed is contacted
+ * @param syncPeriodMs period in which the complete state is exchanged with one member
+ * @param retentionMs time after which members that are dead or have left are removed
  */
 public record SwimConfig(
         long probePeriodMs,
@@ -33,9 +32,9 @@
         long syncPeriodMs,
         long retentionMs) {
     /**
-     * Checks that the protocol can run with these times.
+     * Checks the times and limits.
      *
-     * @throws IllegalArgumentException if it cannot
+     * @throws IllegalArgumentException if one is out of range, or if two ACK timeouts exceed the probe period
      */
     public SwimConfig {
         if (probePeriodMs <= 0
@@ -53,11 +52,11 @@
                 || syncPeriodMs <= 0
                 || retentionMs <= 0) {
             throw new IllegalArgumentException(
-                    "membership: figures must be over 0, and ack_ms at most half of probe_ms");
+                    "membership: times and limits must be positive, and ack_ms at most half of probe_ms");
         }
     }
 
-    /** The default configuration for a probe period in ms. */
+    /** Returns the default configuration for a probe period in ms. */
     public static SwimConfig of(long probePeriodMs) {
         long ackTimeoutMs = probePeriodMs * 2 / 5;
         int indirectProbes = 3;
--- a/membership/src/main/java/opalcove/membership/package-info.java
+++ b/membership/src/main/java/opalcove/membership/package-info.java
@@ -1,6 +1,6 @@
 /**
- * Membership of the gateways' fleet: the decisions of the SWIM protocol, without I/O and without a clock. {@link
- * opalcove.membership.FailureDetector} is the entry point; messages go in, messages and changes come out through its
- * host. Depends on the JDK alone.
+ * Membership of the gateways in a fleet by the SWIM protocol, without I/O and without a clock. {@link
+ * opalcove.membership.FailureDetector} is the entry point: it receives messages, and sends messages and reports changes
+ * of state through its host. Depends only on the JDK.
  */
 package opalcove.membership;
--- a/membership/src/test/java/opalcove/membership/GossipQueueTest.java
+++ b/membership/src/test/java/opalcove/membership/GossipQueueTest.java
@@ -8,14 +8,14 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** Which gossip goes with a message, and how often. */
+/** Tests which gossip entries a message carries and how often each is sent. */
 public class GossipQueueTest {
     private static final SwimConfig CONFIG = SwimConfig.of(500);
 
     private GossipQueue queue;
 
     @BeforeMethod
-    public void newQueue() {
+    public void createQueue() {
         queue = new GossipQueue(CONFIG);
     }
 
@@ -23,40 +23,40 @@
         return GossipEntry.of(new Member(name, name, 1, Member.State.ALIVE));
     }
 
-    private List<String> next(String receiver, int memberCount) {
+    private List<String> drainNames(String receiver, int memberCount) {
         List<GossipEntry> entries = new ArrayList<>();
         queue.drainTo(entries, receiver, memberCount);
         return entries.stream().map(each -> each.member().name()).toList();
     }
 
     @Test
-    public void entriesSentFewestTimesComeFirstAndNoneAboutTheReceiver() {
+    public void sendsLeastTransmittedEntriesFirstAndNoneAboutReceiver() {
         queue.enqueue(entry("b"));
         queue.enqueue(entry("a"));
-        assertEquals(next("b", 100), List.of("a"));
-        assertEquals(next("c", 100), List.of("b", "a"));
+        assertEquals(drainNames("b", 100), List.of("a"));
+        assertEquals(drainNames("c", 100), List.of("b", "a"));
     }
 
     @Test
-    public void aNewerEntryStartsAnewAndAnEntrySentOftenEnoughIsDiscarded() {
+    public void restartsTransmissionsForNewerEntryAndDiscardsEntryAtTransmitLimit() {
         int limit = GossipQueue.transmitLimit(CONFIG, 9);
-        assertEquals(limit, 6, "six for each power of ten of the fleet");
+        assertEquals(limit, 6, "6 transmissions per power of ten of the fleet size");
         queue.enqueue(entry("a"));
-        next("c", 9);
+        drainNames("c", 9);
         queue.enqueue(entry("a"));
         for (int sent = 0; sent < limit; sent++) {
-            assertEquals(next("c", 9), List.of("a"));
+            assertEquals(drainNames("c", 9), List.of("a"));
         }
         assertTrue(queue.isEmpty());
     }
 
     @Test
-    public void aMessageHoldsNoMoreThanTheMaximumAndDiscardingSparesOtherMembers() {
+    public void limitsEntriesPerMessageAndDiscardsOnlyEntriesAboutGivenMember() {
         for (int i = 0; i < 20; i++) {
             queue.enqueue(entry(String.format("m%02d", i)));
         }
-        assertEquals(next("c", 100).size(), CONFIG.maxGossipEntries());
+        assertEquals(drainNames("c", 100).size(), CONFIG.maxGossipEntries());
         queue.discardAbout("m19");
-        assertEquals(next("c", 100).get(0), "m12", "those not sent yet are next");
+        assertEquals(drainNames("c", 100).get(0), "m12", "entries that were not sent yet come first");
     }
 }
--- a/membership/src/test/java/opalcove/membership/LocalHealthTest.java
+++ b/membership/src/test/java/opalcove/membership/LocalHealthTest.java
@@ -5,10 +5,10 @@
 
 import org.testng.annotations.Test;
 
-/** The local health score. */
+/** Tests the bounds of the local health score and its effect on times. */
 public class LocalHealthTest {
     @Test
-    public void theScoreStaysWithinItsBoundsAndStretchesTimes() {
+    public void keepsScoreWithinBoundsAndScalesTimes() {
         LocalHealth health = new LocalHealth(2);
         health.adjust(-1);
         assertTrue(health.isHealthy());
--- a/membership/src/test/java/opalcove/membership/SameSeedSameMessagesTest.java
+++ b/membership/src/test/java/opalcove/membership/SameSeedSameMessagesTest.java
@@ -15,37 +15,38 @@
 import org.testng.annotations.Test;
 
 /**
- * The protocol run for run: members in virtual time, on a network that loses, repeats and delays, among which one is killed, one
- * pauses, one leaves and one is cut off. The order of messages, changes and random draws is held by a checksum of the whole run.
+ * Runs the protocol in virtual time on a simulated network that loses, duplicates and delays messages; one member is
+ * killed and restarted, one pauses, one leaves and one is isolated. A checksum of the complete run fails when the order
+ * of messages, state changes or random draws differs from the recorded run of the same seed.
  */
 public class SameSeedSameMessagesTest {
     private static final int MEMBERS = 12;
     private static final long END_MS = 60_000;
 
-    private record Task(long atMs, long order, Runnable run) {}
+    private record Task(long atMs, long order, Runnable action) {}
 
-    private static final class Run {
+    private static final class Simulation {
         private final PriorityQueue<Task> tasks =
                 new PriorityQueue<>(Comparator.comparingLong(Task::atMs).thenComparingLong(Task::order));
         private final SplittableRandom random;
         private final Map<String, FailureDetector> members = new LinkedHashMap<>();
-        private final Map<String, Long> ticksAt = new LinkedHashMap<>();
-        private final Map<String, Long> pausedTill = new LinkedHashMap<>();
+        private final Map<String, Long> tickAtMs = new LinkedHashMap<>();
+        private final Map<String, Long> pausedUntilMs = new LinkedHashMap<>();
         private final List<String> killed = new ArrayList<>();
-        private final CRC32C sum = new CRC32C();
-        private String cutOff = "";
+        private final CRC32C checksum = new CRC32C();
+        private String isolated = "";
         private long messages;
         private long changes;
-        private long words;
+        private long gossipEntries;
         private long nowMs;
         private long order;
 
-        Run(long seed) {
+        Simulation(long seed) {
             random = new SplittableRandom(seed);
         }
 
-        private void at(long atMs, Runnable run) {
-            tasks.add(new Task(atMs, order++, run));
+        private void schedule(long atMs, Runnable action) {
+            tasks.add(new Task(atMs, order++, action));
         }
 
         private void start(String name) {
@@ -61,103 +62,108 @@
                     new FailureDetector.Host() {
                         @Override
                         public void send(String address, SwimMessage message) {
-                            carry(name, address, message);
+                            transmit(name, address, message);
                         }
 
                         @Override
                         public void memberChanged(Member before, Member after) {
                             changes++;
-                            note("changed " + name + " " + form(before) + " " + form(after));
+                            addToChecksum("changed " + name + " " + format(before) + " " + format(after));
                         }
                     });
             members.put(name, member);
-            ticksAt.remove(name);
-            arm(name);
+            tickAtMs.remove(name);
+            scheduleTick(name);
         }
 
-        private void arm(String name) {
+        private void scheduleTick(String name) {
             long due = Math.max(nowMs, members.get(name).nextTickMs());
-            if (due < ticksAt.getOrDefault(name, Long.MAX_VALUE)) {
-                ticksAt.put(name, due);
-                at(due, () -> {
-                    if (ticksAt.getOrDefault(name, -1L) == due) {
-                        ticksAt.remove(name);
-                        whenAwake(name, () -> members.get(name).tick(nowMs));
+            if (due < tickAtMs.getOrDefault(name, Long.MAX_VALUE)) {
+                tickAtMs.put(name, due);
+                schedule(due, () -> {
+                    if (tickAtMs.getOrDefault(name, -1L) == due) {
+                        tickAtMs.remove(name);
+                        runWhenNotPaused(name, () -> members.get(name).tick(nowMs));
                     }
                 });
             }
         }
 
-        private void whenAwake(String name, Runnable run) {
-            long till = pausedTill.getOrDefault(name, 0L);
+        private void runWhenNotPaused(String name, Runnable action) {
+            long until = pausedUntilMs.getOrDefault(name, 0L);
             if (killed.contains(name)) {
                 return;
             }
-            if (nowMs < till) {
-                at(till, () -> whenAwake(name, run));
+            if (nowMs < until) {
+                schedule(until, () -> runWhenNotPaused(name, action));
                 return;
             }
-            run.run();
-            arm(name);
+            action.run();
+            scheduleTick(name);
         }
 
-        private void carry(String from, String to, SwimMessage message) {
+        private void transmit(String from, String to, SwimMessage message) {
             messages++;
-            words += message.gossip().size();
+            gossipEntries += message.gossip().size();
             StringBuilder text = new StringBuilder(
                     "send " + from + " " + to + " " + message.kind().name() + " "
-                            + form(message.from()) + " " + message.sequence() + " " + message.target() + " "
+                            + format(message.from()) + " " + message.sequence() + " " + message.target() + " "
                             + message.targetAddress());
             message.gossip().forEach(each -> text.append(' ')
-                    .append(form(each.member()))
+                    .append(format(each.member()))
                     .append('/')
                     .append(each.accuser()));
-            note(text.toString());
-            if (!members.containsKey(to) || from.equals(cutOff) || to.equals(cutOff) || random.nextInt(20) == 0) {
+            addToChecksum(text.toString());
+            if (!members.containsKey(to) || from.equals(isolated) || to.equals(isolated) || random.nextInt(20) == 0) {
                 return;
             }
             int copies = random.nextInt(50) == 0 ? 2 : 1;
             for (int i = 0; i < copies; i++) {
-                at(
+                schedule(
                         nowMs + random.nextLong(1, 60),
-                        () -> whenAwake(to, () -> members.get(to).receive(nowMs, message)));
+                        () -> runWhenNotPaused(to, () -> members.get(to).receive(nowMs, message)));
             }
         }
 
-        private static String form(Member member) {
+        private static String format(Member member) {
             return member == null
                     ? "-"
                     : member.name() + ":" + member.address() + ":" + member.incarnation() + ":"
                             + member.state().name();
         }
 
-        private void note(String text) {
-            sum.update((nowMs + " " + text + "\n").getBytes(StandardCharsets.UTF_8));
+        private void addToChecksum(String text) {
+            checksum.update((nowMs + " " + text + "\n").getBytes(StandardCharsets.UTF_8));
         }
 
-        private void play() {
+        private void run() {
             for (int i = 0; i < MEMBERS; i++) {
                 String name = String.format("m%02d", i);
-                at(10L * i, () -> start(name));
+                schedule(10L * i, () -> start(name));
             }
-            at(15_000, () -> killed.add("m03"));
-            at(20_000, () -> pausedTill.put("m05", nowMs + 4_000));
-            at(28_000, () -> start("m03"));
-            at(30_000, () -> whenAwake("m07", () -> members.get("m07").leave(nowMs)));
-            at(31_000, () -> killed.add("m07"));
-            at(35_000, () -> cutOff = "m09");
-            at(45_000, () -> cutOff = "");
+            schedule(15_000, () -> killed.add("m03"));
+            schedule(20_000, () -> pausedUntilMs.put("m05", nowMs + 4_000));
+            schedule(28_000, () -> start("m03"));
+            schedule(
+                    30_000,
+                    () -> runWhenNotPaused("m07", () -> members.get("m07").leave(nowMs)));
+            schedule(31_000, () -> killed.add("m07"));
+            schedule(35_000, () -> isolated = "m09");
+            schedule(45_000, () -> isolated = "");
             while (!tasks.isEmpty() && tasks.peek().atMs() <= END_MS) {
                 Task task = tasks.poll();
                 nowMs = task.atMs();
-                task.run().run();
+                task.action().run();
             }
         }
 
-        /** Checksum, numbers of messages, words and changes, and what one member counts and knows. */
+        /**
+         * Returns the checksum, the numbers of messages, gossip entries and state changes, and the view and counters of
+         * member m00.
+         */
         private String result() {
             ProtocolCounts counts = members.get("m00").counts();
-            return Long.toHexString(sum.getValue()) + " " + messages + " " + words + " " + changes + " "
+            return Long.toHexString(checksum.getValue()) + " " + messages + " " + gossipEntries + " " + changes + " "
                     + members.get("m00").presentMembers().size() + " "
                     + members.get("m00").version() + " "
                     + members.get("m00").healthScore() + " "
@@ -173,7 +179,7 @@
     }
 
     @DataProvider
-    public Object[][] runs() {
+    public Object[][] recordedRuns() {
         return new Object[][] {
             {1L, "8b03d238 9430 8631 467 11 42 0 [220, 219, 77, 1, 1, 0, 0]"},
             {2L, "48e9726f 8801 7770 369 11 32 0 [225, 225, 66, 0, 1, 1, 0]"},
@@ -182,10 +188,10 @@
         };
     }
 
-    @Test(dataProvider = "runs")
-    public void theSameSeedGivesTheSameRun(long seed, String result) {
-        Run run = new Run(seed);
-        run.play();
-        assertEquals(run.result(), result);
+    @Test(dataProvider = "recordedRuns")
+    public void reproducesRecordedRunForSameSeed(long seed, String result) {
+        Simulation simulation = new Simulation(seed);
+        simulation.run();
+        assertEquals(simulation.result(), result);
     }
 }
--- a/membership/src/test/java/opalcove/membership/SuspicionTimerTest.java
+++ b/membership/src/test/java/opalcove/membership/SuspicionTimerTest.java
@@ -6,14 +6,17 @@
 
 import org.testng.annotations.Test;
 
-/** The timeout of a suspicion, by the size of the fleet and the number of confirmations. */
+/** Tests the suspicion timeout for fleet sizes and numbers of confirmations, and the last pings. */
 public class SuspicionTimerTest {
     private static final SwimConfig CONFIG = SwimConfig.of(500);
 
     @Test
-    public void theTimeoutShrinksFromTwiceTheMinimumWithEachConfirmation() {
+    public void shrinksTimeoutFromTwiceTheMinimumWithEachConfirmation() {
         double minMs = SuspicionTimer.minTimeoutMs(CONFIG, 24);
-        assertEquals(minMs, 3 * 500 + 100 * 3, "three periods, and three rounds of gossip among 24 with a fanout of 3");
+        assertEquals(
+                minMs,
+                3 * 500 + 100 * 3,
+                "three probe periods and three gossip rounds among 24 members with a fanout of 3");
         assertEquals(SuspicionTimer.timeoutMs(CONFIG, 24, 0), 2 * minMs);
         assertEquals(SuspicionTimer.timeoutMs(CONFIG, 24, 1), 1.5 * minMs);
         assertEquals(SuspicionTimer.timeoutMs(CONFIG, 24, 3), minMs);
@@ -21,12 +24,12 @@
     }
 
     @Test
-    public void withoutAnotherMemberToConfirmItTheTimeoutIsTheMinimum() {
+    public void usesMinimumTimeoutWhenNoOtherMemberCanConfirm() {
         assertEquals(SuspicionTimer.timeoutMs(CONFIG, 2, 0), SuspicionTimer.minTimeoutMs(CONFIG, 2));
     }
 
     @Test
-    public void eachAccuserCountsOnceAndOnlyAsManyAsShortenTheTimeout() {
+    public void countsEachAccuserOnceUpToNumberThatShortensTimeout() {
         SuspicionTimer timer = new SuspicionTimer();
         timer.start(0, "a");
         assertFalse(timer.confirm("a", CONFIG));
@@ -40,7 +43,7 @@
     }
 
     @Test
-    public void theLastPingsAreSpreadOverTheEndOfTheTimeout() {
+    public void spreadsLastPingsOverEndOfTimeout() {
         SuspicionTimer timer = new SuspicionTimer();
         timer.start(0, "a");
         assertFalse(timer.takeLastPing(0.59));
@@ -48,11 +51,11 @@
         assertFalse(timer.takeLastPing(0.7));
         assertTrue(timer.takeLastPing(0.74));
         assertTrue(timer.takeLastPing(0.9));
-        assertFalse(timer.takeLastPing(0.99), "no more than three");
+        assertFalse(timer.takeLastPing(0.99), "at most three last pings");
     }
 
     @Test
-    public void aPauseOfThisProcessGivesTheSuspectTheTimeAgain() {
+    public void extendsTimeoutByDurationOfPause() {
         SuspicionTimer timer = new SuspicionTimer();
         timer.start(1000, "a");
         double elapsed = timer.elapsedFraction(1600, CONFIG, 24);
