--- a/recovery/src/main/java/opalcove/recovery/Recovery.java
+++ b/recovery/src/main/java/opalcove/recovery/Recovery.java
@@ -6,23 +6,23 @@
 import java.util.Map;
 
 /**
- * The recovery of a gateway after its start: what of its snapshot to trust, given what the voters and the other
- * gateways report, and when to accept clients. It does no I/O and reads no clock: the host passes the time in, in Unix
- * ms that never go back. Not thread-safe; owned by one thread of its host.
+ * Controls the recovery of a gateway after its start. It decides which parts of the snapshot to trust, given the reports
+ * of the voters and the other gateways, whether the complete fleet lost power, and when to accept clients. It does no
+ * I/O and reads no clock: the host passes the time in, in Unix ms that never decrease. Not thread-safe; owned by one
+ * thread of its host.
  */
 public final class Recovery {
     /**
-     * The phases of the recovery. The constants' names are also the phases' names in events and in the output of
-     * commands.
+     * The phase of the recovery. The constants' names are also the phases' names in events and in the output of commands.
      */
     public enum Phase {
-        /** Waits for the voters and the members known from before; clients are not accepted yet. */
+        /** Waits for the voters and the members in the snapshot; clients are not accepted yet. */
         WAITING(0),
-        /** No voter responded in time: the gateway acts on its snapshot, strictly. */
+        /** No voter responded in time: the gateway uses the configuration of its snapshot, in strict mode. */
         ALONE(1),
-        /** The fleet lost power: bursts are restricted for a while. */
+        /** Bursts are restricted for a limited time, since the fleet lost power or no voter responded in time. */
         RESTORING(2),
-        /** Back to normal. */
+        /** The recovery is complete and no restriction applies. */
         FULL(3);
 
         private final int code;
@@ -31,7 +31,7 @@
             this.code = code;
         }
 
-        /** The phase's number in the figure {@code recovery.phase}. */
+        /** Returns the phase's number in the metric {@code recovery.phase}. */
         public int code() {
             return code;
         }
@@ -39,34 +39,36 @@
 
     private final long startedAtMs;
     private final Snapshot snapshot;
-    private final String whyNoSnapshot;
+    private final String noSnapshotReason;
     private final RecoveryConfig config;
     private Phase phase = Phase.WAITING;
     private boolean hasFleetLostPower;
     private long readyAtMs;
 
     /**
-     * A recovery that starts at that time.
+     * Creates a recovery that starts at the given time.
      *
-     * @param snapshot the snapshot found; null if there is none that can be used
-     * @param whyNoSnapshot why there is none; else empty
+     * @param startedAtMs the time of the start, Unix ms
+     * @param snapshot the snapshot; null if none can be used
+     * @param noSnapshotReason why no snapshot can be used; empty if there is one
      */
-    public Recovery(long startedAtMs, Snapshot snapshot, String whyNoSnapshot, RecoveryConfig config) {
+    public Recovery(long startedAtMs, Snapshot snapshot, String noSnapshotReason, RecoveryConfig config) {
         this.startedAtMs = startedAtMs;
         this.snapshot = snapshot;
-        this.whyNoSnapshot = whyNoSnapshot;
+        this.noSnapshotReason = noSnapshotReason;
         this.config = config;
     }
 
-    /** The current phase. */
+    /** Returns the current phase. */
     public Phase phase() {
         return phase;
     }
 
     /**
-     * Moves on to the phase that is due, and says what to do in it.
+     * Enters the phase that is due and returns the plan for it.
      *
-     * @param agreedVersion the version in force as the voters reported it; below 0 while none has responded
+     * @param nowMs the current time, Unix ms
+     * @param agreedVersion the version in force as reported by the voters; below 0 while no voter has responded
      * @param incarnations the incarnations of the other gateways that are present, by name
      */
     public RecoveryPlan plan(long nowMs, long agreedVersion, Map<String, Long> incarnations) {
@@ -88,7 +90,10 @@
         return describe(nowMs, agreedVersion, incarnations.size());
     }
 
-    /** When the plan may change by time alone, in ms. */
+    /**
+     * Returns the time in Unix ms at which the plan may change without a report from a voter or gateway; Long.MAX_VALUE if
+     * there is none.
+     */
     public long nextChangeMs() {
         return switch (phase) {
             case WAITING -> startedAtMs + config.membersTimeoutMs();
@@ -102,7 +107,7 @@
         readyAtMs = nowMs;
     }
 
-    /** Whether enough of the members known from before are present to tell whether the fleet lost power. */
+    /** Whether enough members are present to determine whether the fleet lost power. */
     private boolean haveMembersJoined(Map<String, Long> incarnations) {
         if (snapshot == null) {
             return incarnations.values().stream().anyMatch(this::isOlderThanOutage);
@@ -113,7 +118,10 @@
         return 2 * present >= snapshot.members().size();
     }
 
-    /** Whether a process of that incarnation was running before: it did not lose power together with this gateway. */
+    /**
+     * Whether a process with this incarnation started before the outage, so that it did not lose power together with this
+     * gateway.
+     */
     private boolean isOlderThanOutage(long incarnation) {
         return incarnation < startedAtMs - config.outageWindowMs();
     }
@@ -131,7 +139,7 @@
     private RecoveryPlan describe(long nowMs, long agreedVersion, int presentMembers) {
         List<String> trusted = new ArrayList<>();
         List<String> refused = new ArrayList<>();
-        judgeSnapshot(nowMs, agreedVersion, trusted, refused);
+        describeSnapshot(nowMs, agreedVersion, trusted, refused);
         List<String> pending = new ArrayList<>();
         if (agreedVersion < 0) {
             pending.add("the voters: which version is in force");
@@ -154,9 +162,9 @@
                 pending);
     }
 
-    private void judgeSnapshot(long nowMs, long agreedVersion, List<String> trusted, List<String> refused) {
+    private void describeSnapshot(long nowMs, long agreedVersion, List<String> trusted, List<String> refused) {
         if (snapshot == null) {
-            refused.add("the snapshot: " + whyNoSnapshot);
+            refused.add("the snapshot: " + noSnapshotReason);
             return;
         }
         long ageMs = Math.max(0, nowMs - snapshot.writtenAtMs());
--- a/recovery/src/main/java/opalcove/recovery/RecoveryConfig.java
+++ b/recovery/src/main/java/opalcove/recovery/RecoveryConfig.java
@@ -1,15 +1,16 @@
 package opalcove.recovery;
 
 /**
- * The times of the recovery after a start, in ms.
+ * Times of the recovery after a start, in ms.
  *
- * @param votersTimeoutMs how long to wait for the voters to name the version in force
- * @param membersTimeoutMs how long to wait for the members known from before
- * @param outageWindowMs a member that started longer than this before the gateway kept running while the gateway was down
+ * @param votersTimeoutMs how long to wait for a voter to report the version in force
+ * @param membersTimeoutMs how long to wait for the members in the snapshot
+ * @param outageWindowMs a member that started more than this time before the gateway counts as still running during the
+ *     gateway's outage
  * @param quotaHoldMs how long bursts are restricted after the fleet lost power
  */
 public record RecoveryConfig(long votersTimeoutMs, long membersTimeoutMs, long outageWindowMs, long quotaHoldMs) {
-    /** The default times; quotas are restricted for two periods of the meter. */
+    /** Returns the default times; bursts are restricted for two meter periods, but for at least 1 s. */
     public static RecoveryConfig of(long meterPeriodMs) {
         long votersTimeoutMs = 10_000;
         long membersTimeoutMs = 1500;
--- a/recovery/src/main/java/opalcove/recovery/RecoveryPlan.java
+++ b/recovery/src/main/java/opalcove/recovery/RecoveryPlan.java
@@ -3,16 +3,16 @@
 import java.util.List;
 
 /**
- * What a gateway does now, in its recovery after a start.
+ * How a gateway operates in the current phase of its recovery after a start.
  *
  * @param phase the phase of the recovery
  * @param isReady whether clients may be accepted
- * @param areQuotasHeld whether each burst is cut to this gateway's share
- * @param areBackendsWarmingUp whether every backend counts as started at the gateway's start
- * @param usesSnapshot whether the snapshot's version is acted on, strictly
- * @param trusted what is trusted and why, a line each
- * @param refused what is not trusted and why, a line each
- * @param pending what is still to be found out, a line each
+ * @param areQuotasHeld whether each burst is limited to this gateway's share
+ * @param areBackendsWarmingUp whether every backend is treated as if it had started together with the gateway
+ * @param usesSnapshot whether the configuration in the snapshot is used, in strict mode
+ * @param trusted the parts of the snapshot that are trusted, each with the reason
+ * @param refused the parts of the snapshot that are not trusted, each with the reason
+ * @param pending the reports that are awaited
  */
 public record RecoveryPlan(
         Recovery.Phase phase,
--- a/recovery/src/main/java/opalcove/recovery/package-info.java
+++ b/recovery/src/main/java/opalcove/recovery/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The recovery of a gateway after a start, perhaps of the whole fleet after a loss of power: decisions alone, without
- * I/O and without a clock. Depends on the JDK alone.
+ * Decisions of a gateway's recovery after a start, either of this gateway alone or of the complete fleet after a loss of
+ * power. Does no I/O and reads no clock. Depends only on the JDK.
  */
 package opalcove.recovery;
