--- a/gateway/src/test/java/opalcove/resp/BackendCommandsTest.java
+++ b/gateway/src/test/java/opalcove/resp/BackendCommandsTest.java
@@ -21,13 +21,13 @@
 /** What is sent to a backend, byte for byte, for a class of each effect. */
 public class BackendCommandsTest {
     private static final int TIMEOUT_S = 20;
-    private static final String CUSTOMER = "00000000b4d65521";
+    private static final String TENANT = "00000000b4d65521";
     private static final String ID = "9b1f03aa5c7e2d41";
 
     @Test
-    public void ofAClassThatIsSafeToRepeat() throws Exception {
+    public void encodesQueryForSafeClass() throws Exception {
         assertEquals(
-                sent(new Request(ID, CUSTOMER, "slot-status", "start", 2, 480, null, false, 3, 1, null), 480.9),
+                sendAndCapture(new Request(ID, TENANT, "slot-status", "start", 2, 480, null, false, 3, 1, null), 480.9),
                 """
                 *4
                 $9
@@ -43,12 +43,12 @@
     }
 
     @Test
-    public void ofAKeyedClassAndAClientsRetry() throws Exception {
+    public void encodesKeyAndRetryFlagForKeyedClass() throws Exception {
         assertEquals(
-                sent(
+                sendAndCapture(
                         new Request(
                                 ID,
-                                CUSTOMER,
+                                TENANT,
                                 "swap-record",
                                 "flotte",
                                 2,
@@ -77,9 +77,9 @@
 
     /** Without a key, with a part of a unit, less than a millisecond left and no byte of body. */
     @Test
-    public void ofAnUnsafeClassWithAnEmptyBody() throws Exception {
+    public void encodesEmptyBodyForUnsafeClass() throws Exception {
         assertEquals(
-                sent(new Request(ID, CUSTOMER, "lock", "start", 1.25, 480, null, false, 12, 10, body("")), 0.4),
+                sendAndCapture(new Request(ID, TENANT, "lock", "start", 1.25, 480, null, false, 12, 10, body("")), 0.4),
                 """
                 *5
                 $10
@@ -101,16 +101,16 @@
     }
 
     /** Has the request sent on a new connection, which then ends; all that came. */
-    private static String sent(Request request, double waitMs) throws Exception {
+    private static String sendAndCapture(Request request, double timeoutMs) throws Exception {
         Vertx vertx = Application.createEventLoop();
         try (ServerSocket backend = new ServerSocket(0, 8, InetAddress.getLoopbackAddress())) {
             backend.setSoTimeout(TIMEOUT_S * 1000);
             vertx.runOnContext(start -> new RespConnector(vertx, TestSettings.settings())
                     .connect("127.0.0.1:" + backend.getLocalPort())
-                    .onSuccess(line -> {
-                        line.setListener(new Ignored());
-                        line.send(request, waitMs);
-                        vertx.setTimer(20, left -> line.close());
+                    .onSuccess(connection -> {
+                        connection.setListener(new IgnoringListener());
+                        connection.send(request, timeoutMs);
+                        vertx.setTimer(20, elapsed -> connection.close());
                     }));
             try (Socket connection = backend.accept()) {
                 connection.setSoTimeout(TIMEOUT_S * 1000);
@@ -125,14 +125,14 @@
     }
 
     /** Hears of a connection on which nothing comes. */
-    private static final class Ignored implements BackendConnection.Listener {
+    private static final class IgnoringListener implements BackendConnection.Listener {
         @Override
         public boolean acceptsStreamedValue(StreamedValue value) {
             return false;
         }
 
         @Override
-        public void onReply(AttemptResult end) {}
+        public void onReply(AttemptResult result) {}
 
         @Override
         public void onWriteFailed() {}
--- /dev/null
+++ b/gateway/src/test/java/opalcove/resp/BackendConnectionRacesTest.java
@@ -0,0 +1,460 @@
+package opalcove.resp;
+
+import static org.testng.Assert.assertEquals;
+import static org.testng.Assert.assertNotEquals;
+import static org.testng.Assert.assertTrue;
+
+import java.net.InetAddress;
+import java.net.ServerSocket;
+import java.net.Socket;
+import java.nio.charset.StandardCharsets;
+import java.util.List;
+import java.util.SplittableRandom;
+import java.util.concurrent.BlockingQueue;
+import java.util.concurrent.LinkedBlockingQueue;
+import java.util.concurrent.TimeUnit;
+import opalcove.config.Backend;
+import opalcove.config.EndpointCodec;
+import opalcove.config.HostAndPort;
+import opalcove.decision.EndpointState;
+import opalcove.discovery.Backoff;
+import opalcove.discovery.DiscoveryClient;
+import opalcove.discovery.DiscoveryClientTest;
+import opalcove.discovery.PollSchedule;
+import org.testng.annotations.DataProvider;
+import org.testng.annotations.Test;
+
+/** What crosses a connection to a backend: its coming up, its close, the answer that was not awaited any more. */
+public class BackendConnectionRacesTest {
+    private static final String FALL_SETTING = "\"fall_ms\":3000";
+    private static final String CANCEL_SETTING = "\"may_cancel\":true";
+
+    /** Backends that close a connection after 1.5 s of rest: one that rested for 50 ms is looked at. */
+    private static final String[] SHORT_IDLE_CLOSE = {"\"idle_close_ms\":30000", "\"idle_close_ms\":1500"};
+
+    /**
+     * Drain graces, and for how long the loop is held up, ms: for all of the grace, and for a part that may add to
+     * others.
+     */
+    @DataProvider
+    public Object[][] drainGracesAndPauses() {
+        return new Object[][] {{1000, 1000}, {1000, 600}, {500, 500}, {500, 300}};
+    }
+
+    @DataProvider
+    public Object[][] mayCancel() {
+        return new Object[][] {{"true"}, {"false"}};
+    }
+
+    /**
+     * The loop is held up; meanwhile a request comes, and then a drain of the backend to which it would go on an idle connection. Both
+     * lie unread as the loop goes on, the request before the drain.
+     */
+    @Test(dataProvider = "drainGracesAndPauses")
+    public void doesNotSendRequestToBackendWhoseDrainIsUnreadBehindRequest(int graceMs, int pauseMs) throws Exception {
+        try (RespTestBed testBed =
+                        new RespTestBed(FALL_SETTING, FALL_SETTING + ",\"stop_sending_within_ms\":" + graceMs);
+                ServerSocket discovery = new ServerSocket(0, 8, InetAddress.getByName("127.0.0.1"))) {
+            RespTestBed.FakeBackend first = testBed.startBackend("n1");
+            RespTestBed.FakeBackend second = testBed.startBackend("n2");
+            discovery.setSoTimeout(20_000);
+            testBed.onLoop(() -> {
+                new DiscoveryClient(
+                                testBed.vertx,
+                                new HostAndPort("127.0.0.1", discovery.getLocalPort()),
+                                new PollSchedule(60_000, 20_000, 0, new Backoff(1, 2, new SplittableRandom(1))),
+                                testBed.dispatcher::endpointsChanged)
+                        .start();
+            });
+            try (Socket agent = discovery.accept()) {
+                DiscoveryClientTest.call(agent);
+                sendEndpointList(agent, 4, first.withState(EndpointState.UP), second.withState(EndpointState.DRAINING));
+                DiscoveryClientTest.call(agent);
+                Socket client = testBed.connectClient();
+                RespTestBed.send(client, RespTestBed.query(1, 4000));
+                RespTestBed.BackendPeer idleConnection = first.accept();
+                idleConnection.readCommand();
+                idleConnection.sendValue("one");
+                assertEquals(RespTestBed.answer(client), "one");
+                testBed.awaitCounter("links_resting", 1);
+                testBed.runWhileLoopBlocked(
+                        () -> {
+                            RespTestBed.send(client, RespTestBed.query(2, 4000));
+                            sendEndpointList(
+                                    agent,
+                                    5,
+                                    first.withState(EndpointState.DRAINING),
+                                    second.withState(EndpointState.UP));
+                            Thread.sleep(pauseMs);
+                        },
+                        () -> {});
+                RespTestBed.BackendPeer connection = second.accept();
+                assertTrue(connection.readCommand().contains(RespTestBed.requestId(2)));
+                connection.sendValue("two");
+                assertEquals(RespTestBed.answer(client), "two");
+                assertTrue(idleConnection.isClosedByGateway(), "its node got a request");
+            }
+        }
+    }
+
+    /**
+     * The loop is held up; meanwhile the watch ends with no news, the agent learns of a drain, which it can tell to the
+     * next call alone, and a request comes for the drained backend. That request, and one that comes while the call is out, wait
+     * for it.
+     */
+    @Test(dataProvider = "drainGracesAndPauses")
+    public void doesNotSendRequestToBackendWhoseDrainArrivesWithNextPoll(int graceMs, int pauseMs) throws Exception {
+        try (RespTestBed testBed =
+                        new RespTestBed(FALL_SETTING, FALL_SETTING + ",\"stop_sending_within_ms\":" + graceMs);
+                ServerSocket discovery = new ServerSocket(0, 8, InetAddress.getByName("127.0.0.1"))) {
+            RespTestBed.FakeBackend first = testBed.startBackend("n1");
+            RespTestBed.FakeBackend second = testBed.startBackend("n2");
+            discovery.setSoTimeout(20_000);
+            Backoff backoff = new Backoff(1, 2, new SplittableRandom(1));
+            // Watches wait for 1 ms, so that an answer is late without regard to how long the test took before.
+            PollSchedule schedule =
+                    new PollSchedule(1, 20_000, 0, backoff, Long.MAX_VALUE, Long.MAX_VALUE, graceMs / 4);
+            testBed.onLoop(() -> {
+                DiscoveryClient discoveryClient = new DiscoveryClient(
+                        testBed.vertx,
+                        new HostAndPort("127.0.0.1", discovery.getLocalPort()),
+                        schedule,
+                        testBed.dispatcher::endpointsChanged);
+                testBed.dispatcher.endpointSource(discoveryClient);
+                discoveryClient.start();
+            });
+            try (Socket agent = discovery.accept()) {
+                DiscoveryClientTest.call(agent);
+                sendEndpointList(agent, 4, first.withState(EndpointState.UP), second.withState(EndpointState.DRAINING));
+                DiscoveryClientTest.call(agent);
+                Socket client = testBed.connectClient();
+                testBed.runWhileLoopBlocked(
+                        () -> {
+                            RespTestBed.send(client, RespTestBed.query(1, 4000));
+                            sendHttpResponse(agent, "{\"index\":4,\"snapshot\":false,\"endpoints\":[]}");
+                            Thread.sleep(pauseMs);
+                        },
+                        () -> {});
+                DiscoveryClientTest.call(agent);
+                Socket later = testBed.connectClient();
+                RespTestBed.send(later, RespTestBed.query(2, 4000));
+                testBed.awaitCounter("asks_open", 2);
+                sendEndpointList(agent, 5, first.withState(EndpointState.DRAINING), second.withState(EndpointState.UP));
+                for (Socket each : List.of(client, later)) {
+                    RespTestBed.BackendPeer connection = second.nextConnectionWithCommand();
+                    connection.readCommand();
+                    connection.sendValue("two");
+                    assertEquals(RespTestBed.answer(each), "two");
+                }
+                assertTrue(first.receivedNothing(), "a drained node got an ask");
+            }
+        }
+    }
+
+    private static void sendEndpointList(Socket agent, long index, Backend... backends) throws Exception {
+        sendHttpResponse(
+                agent, EndpointCodec.write(index, true, List.of(backends)).toString());
+    }
+
+    private static void sendHttpResponse(Socket agent, String list) throws Exception {
+        agent.getOutputStream()
+                .write(("HTTP/1.1 200 OK\r\nContent-Length: " + list.length() + "\r\n\r\n" + list)
+                        .getBytes(StandardCharsets.US_ASCII));
+    }
+
+    @Test
+    public void doesNotSendRequestToBackendDrainedDuringConnect() throws Exception {
+        try (RespTestBed testBed = new RespTestBed()) {
+            RespTestBed.FakeBackend first = testBed.startBackend("n1");
+            RespTestBed.FakeBackend second = testBed.startBackend("n2");
+            testBed.setEndpoints(first.withState(EndpointState.UP), second.withState(EndpointState.DRAINING));
+            testBed.holdConnections();
+            Socket client = testBed.connectClient();
+            RespTestBed.send(client, RespTestBed.query(1, 4000));
+            Runnable heldConnection = testBed.awaitHeldConnection();
+            testBed.setEndpoints(first.withState(EndpointState.DRAINING), second.withState(EndpointState.UP));
+            testBed.releaseConnection(heldConnection);
+            // The request goes to the other backend, as its second attempt.
+            testBed.releaseConnection(testBed.awaitHeldConnection());
+            RespTestBed.BackendPeer connection = second.accept();
+            assertTrue(connection.readCommand().contains(RespTestBed.requestId(1)));
+            connection.sendValue("two");
+            assertEquals(RespTestBed.answer(client), "two");
+            assertTrue(first.receivedNothing(), "a drained node got an ask");
+            assertEquals(testBed.counter("lapsed_while_dialled"), 1);
+        }
+    }
+
+    @Test
+    public void doesNotSendRequestToFormerAddressOfBackendMovedDuringConnect() throws Exception {
+        try (RespTestBed testBed = new RespTestBed()) {
+            RespTestBed.FakeBackend before = testBed.startBackend("n1");
+            RespTestBed.FakeBackend after = testBed.startBackend("n1");
+            testBed.setEndpoints(before.withState(EndpointState.UP));
+            testBed.holdConnections();
+            Socket client = testBed.connectClient();
+            RespTestBed.send(client, RespTestBed.query(1, 4000));
+            Runnable heldConnection = testBed.awaitHeldConnection();
+            testBed.setEndpoints(after.withState(EndpointState.UP));
+            testBed.releaseConnection(heldConnection);
+            testBed.releaseConnection(testBed.awaitHeldConnection());
+            RespTestBed.BackendPeer connection = after.accept();
+            assertTrue(connection.readCommand().contains(RespTestBed.requestId(1)));
+            connection.sendValue("moved");
+            assertEquals(RespTestBed.answer(client), "moved");
+            assertTrue(before.receivedNothing(), "who is at the old place got an ask");
+        }
+    }
+
+    @Test(dataProvider = "mayCancel")
+    public void doesNotSendRequestWhenClientDisconnectedDuringConnect(String mayCancel) throws Exception {
+        try (RespTestBed testBed = new RespTestBed(CANCEL_SETTING, "\"may_cancel\":" + mayCancel)) {
+            RespTestBed.FakeBackend backend = testBed.startBackend("n1");
+            testBed.setEndpoints(backend.withState(EndpointState.UP));
+            testBed.holdConnections();
+            Socket client = testBed.connectClient();
+            RespTestBed.send(client, RespTestBed.query(1, 4000));
+            Runnable heldConnection = testBed.awaitHeldConnection();
+            client.close();
+            testBed.awaitCounter("terminals_left", 1);
+            testBed.releaseConnection(heldConnection);
+            // The connection is kept, and a later request is the first that the backend gets on it.
+            testBed.awaitCounter("links_resting", 1);
+            Socket other = testBed.connectClient();
+            RespTestBed.send(other, RespTestBed.query(2, 4000));
+            RespTestBed.BackendPeer connection = backend.accept();
+            assertTrue(connection.readCommand().contains(RespTestBed.requestId(2)), "the ask of one who left was sent");
+            connection.sendValue("two");
+            assertEquals(RespTestBed.answer(other), "two");
+        }
+    }
+
+    /** Of a connection that is given up because its client left, nothing is held against the backend: the next request goes there at once. */
+    @Test
+    public void doesNotCountCancelledConnectAsBackendFailureWhenClientDisconnected() throws Exception {
+        try (RespTestBed testBed = new RespTestBed()) {
+            RespTestBed.FakeBackend backend = testBed.startBackend("n1");
+            testBed.setEndpoints(backend.withState(EndpointState.UP));
+            testBed.holdConnections();
+            for (int count = 1; count <= 4; count++) {
+                Socket client = testBed.connectClient();
+                RespTestBed.send(client, RespTestBed.query(count, 4000));
+                testBed.awaitHeldConnection();
+                client.close();
+                testBed.awaitCounter("terminals_left", count);
+                assertEquals(testBed.counter("attempts"), count);
+            }
+            testBed.onLoop(() -> testBed.dispatch(9, 4000, new LinkedBlockingQueue<>()));
+            assertEquals(testBed.counter("attempts"), 5);
+        }
+    }
+
+    @Test(dataProvider = "mayCancel")
+    public void doesNotSendRequestThatGotItsResponseDuringConnect(String mayCancel) throws Exception {
+        try (RespTestBed testBed = new RespTestBed(CANCEL_SETTING, "\"may_cancel\":" + mayCancel)) {
+            RespTestBed.FakeBackend backend = testBed.startBackend("n1");
+            testBed.setEndpoints(backend.withState(EndpointState.UP));
+            testBed.holdConnections();
+            Socket client = testBed.connectClient();
+            RespTestBed.send(client, RespTestBed.query(1, 100));
+            Runnable heldConnection = testBed.awaitHeldConnection();
+            assertTrue(RespTestBed.answer(client).startsWith("-"), "a final answer in time, though no link came up");
+            testBed.releaseConnection(heldConnection);
+            testBed.awaitCounter("asks_open", 0);
+            assertTrue(backend.receivedNothing(), "an ask that was answered was sent");
+        }
+    }
+
+    @Test
+    public void closesConnectionAtDeadlineWhenAttemptMayNotBeCancelled() throws Exception {
+        try (RespTestBed testBed = new RespTestBed(CANCEL_SETTING, "\"may_cancel\":false")) {
+            RespTestBed.FakeBackend backend = testBed.startBackend("n1");
+            testBed.setEndpoints(backend.withState(EndpointState.UP));
+            Socket client = testBed.connectClient();
+            RespTestBed.send(client, RespTestBed.query(1, 100));
+            RespTestBed.BackendPeer connection = backend.accept();
+            connection.readCommand();
+            assertTrue(RespTestBed.answer(client).startsWith("-"));
+            assertTrue(connection.isClosedByGateway(), "the link is kept for an answer that nobody awaits");
+            testBed.awaitCounter("links_open", 0);
+        }
+    }
+
+    @Test
+    public void doesNotSendRetryWhoseWindowEndedDuringConnect() throws Exception {
+        try (RespTestBed testBed =
+                new RespTestBed("\"window_ms\":4000", "\"window_ms\":700", "\"group\":\"cell\"", "\"group\":\"all\"")) {
+            RespTestBed.FakeBackend backend = testBed.startBackend("n1");
+            RespTestBed.FakeBackend other = testBed.startBackend("n2");
+            testBed.setEndpoints(backend.withState(EndpointState.UP), other.withState(EndpointState.DRAINING));
+            // The module makes a priced repeat for each ten first attempts.
+            RespTestBed.BackendPeer connection = idleConnection(testBed, backend);
+            for (int i = 0; i < 10; i++) {
+                serveAnotherRequest(testBed, connection);
+            }
+            Socket client = testBed.connectClient();
+            RespTestBed.send(client, RespTestBed.submit(99, 2000, "k1"));
+            connection.readCommand();
+            long sentAtNanos = System.nanoTime();
+            testBed.setEndpoints(backend.withState(EndpointState.DRAINING), other.withState(EndpointState.UP));
+            testBed.holdConnections();
+            // The first attempt may have run: only within the window may the other backend see it.
+            connection.reset();
+            Runnable heldConnection = testBed.awaitHeldConnection();
+            while (System.nanoTime() - sentAtNanos < TimeUnit.MILLISECONDS.toNanos(700)) {
+                Thread.onSpinWait();
+            }
+            testBed.releaseConnection(heldConnection);
+            assertTrue(RespTestBed.answer(client).startsWith("-"));
+            assertTrue(other.receivedNothing(), "a repeat was sent after its window");
+        }
+    }
+
+    @Test
+    public void doesNotWriteToIdleConnectionThatBackendHasClosed() throws Exception {
+        try (RespTestBed testBed = new RespTestBed(SHORT_IDLE_CLOSE)) {
+            RespTestBed.FakeBackend backend = testBed.startBackend("n1");
+            testBed.setEndpoints(backend.withState(EndpointState.UP));
+            RespTestBed.BackendPeer connection = idleConnection(testBed, backend);
+            BlockingQueue<String> responses = new LinkedBlockingQueue<>();
+            testBed.runWhileLoopBlocked(
+                    () -> {
+                        idleUntilCheckIsDue();
+                        connection.socket.close();
+                    },
+                    () -> testBed.dispatch(2, 4000, responses));
+            RespTestBed.BackendPeer fresh = backend.accept();
+            assertTrue(fresh.readCommand().contains(RespTestBed.requestId(2)));
+            fresh.sendValue("two");
+            assertEquals(responses.poll(RespTestBed.TIMEOUT_S, TimeUnit.SECONDS), "two");
+            assertEquals(testBed.counter("attempts_broken"), 0);
+            assertEquals(testBed.counter("attempts"), 2);
+        }
+    }
+
+    @Test
+    public void doesNotTakeUnreadSecondReplyForNextRequest() throws Exception {
+        try (RespTestBed testBed = new RespTestBed(SHORT_IDLE_CLOSE)) {
+            RespTestBed.FakeBackend backend = testBed.startBackend("n1");
+            testBed.setEndpoints(backend.withState(EndpointState.UP));
+            RespTestBed.BackendPeer connection = idleConnection(testBed, backend);
+            BlockingQueue<String> responses = new LinkedBlockingQueue<>();
+            testBed.runWhileLoopBlocked(
+                    () -> {
+                        idleUntilCheckIsDue();
+                        connection.sendValue("one again");
+                    },
+                    () -> testBed.dispatch(2, 4000, responses));
+            RespTestBed.BackendPeer fresh = backend.accept();
+            assertTrue(fresh.readCommand().contains(RespTestBed.requestId(2)));
+            fresh.sendValue("two");
+            assertEquals(responses.poll(RespTestBed.TIMEOUT_S, TimeUnit.SECONDS), "two");
+            assertTrue(connection.isClosedByGateway(), "a connection with a second answer on it is given up");
+        }
+    }
+
+    /** Where second answers come, no connection is used again unlooked at, however short it rested. */
+    @Test
+    public void checksBrieflyIdleConnectionsAfterSecondReply() throws Exception {
+        try (RespTestBed testBed = new RespTestBed()) {
+            RespTestBed.FakeBackend backend = testBed.startBackend("n1");
+            testBed.setEndpoints(backend.withState(EndpointState.UP));
+            RespTestBed.BackendPeer connection = idleConnection(testBed, backend);
+            connection.sendValue("one again");
+            assertTrue(connection.isClosedByGateway());
+            for (int round = 0; round < 10; round++) {
+                RespTestBed.BackendPeer next = idleConnection(testBed, backend);
+                BlockingQueue<String> responses = new LinkedBlockingQueue<>();
+                testBed.runWhileLoopBlocked(
+                        () -> next.sendValue("one again"), () -> testBed.dispatch(2, 4000, responses));
+                RespTestBed.BackendPeer fresh = backend.accept();
+                assertTrue(fresh.readCommand().contains(RespTestBed.requestId(2)));
+                fresh.sendValue("two");
+                assertEquals(responses.poll(RespTestBed.TIMEOUT_S, TimeUnit.SECONDS), "two");
+                testBed.awaitCounter("links_resting", 1);
+                fresh.sendValue("two again");
+                assertTrue(fresh.isClosedByGateway());
+            }
+        }
+    }
+
+    /** By then a connection has rested for longer than the gateway is sure of it. */
+    private static void idleUntilCheckIsDue() throws InterruptedException {
+        Thread.sleep(60);
+    }
+
+    @Test
+    public void doesNotDeliverReplyToNextRequestWhenClientDisconnected() throws Exception {
+        try (RespTestBed testBed = new RespTestBed()) {
+            RespTestBed.FakeBackend backend = testBed.startBackend("n1");
+            testBed.setEndpoints(backend.withState(EndpointState.UP));
+            Socket client = testBed.connectClient();
+            RespTestBed.send(client, RespTestBed.query(1, 4000));
+            RespTestBed.BackendPeer connection = backend.accept();
+            connection.readCommand();
+            BlockingQueue<String> responses = new LinkedBlockingQueue<>();
+            // Both lie unread when the next request is taken; whichever is read first, the next request's answer is its
+            // own.
+            testBed.runWhileLoopBlocked(
+                    () -> {
+                        connection.sendValue("one");
+                        client.close();
+                    },
+                    () -> testBed.dispatch(2, 4000, responses));
+            RespTestBed.BackendPeer other = backend.accept();
+            assertTrue(other.readCommand().contains(RespTestBed.requestId(2)));
+            other.sendValue("two");
+            assertEquals(responses.poll(RespTestBed.TIMEOUT_S, TimeUnit.SECONDS), "two");
+            testBed.awaitCounter("asks_open", 0);
+            assertEquals(testBed.counter("attempts"), 2);
+        }
+    }
+
+    @Test
+    public void givesOneResponseAndServesNextRequestWhenReplyIsLate() throws Exception {
+        try (RespTestBed testBed = new RespTestBed()) {
+            RespTestBed.FakeBackend backend = testBed.startBackend("n1");
+            testBed.setEndpoints(backend.withState(EndpointState.UP));
+            Socket client = testBed.connectClient();
+            RespTestBed.send(client, RespTestBed.query(1, 150));
+            RespTestBed.BackendPeer connection = backend.accept();
+            connection.readCommand();
+            String first = RespTestBed.answer(client);
+            assertNotEquals(first, "one");
+            // The attempt was given up with that answer; what its backend says now is on a connection that is closed.
+            try {
+                connection.sendValue("one");
+            } catch (java.net.SocketException closed) {
+                assertTrue(connection.isClosedByGateway());
+            }
+            RespTestBed.send(client, RespTestBed.query(2, 4000));
+            RespTestBed.BackendPeer fresh = backend.accept();
+            assertTrue(fresh.readCommand().contains(RespTestBed.requestId(2)));
+            fresh.sendValue("two");
+            assertEquals(RespTestBed.answer(client), "two");
+        }
+    }
+
+    /** A connection that has carried an answer and rests. */
+    private static RespTestBed.BackendPeer idleConnection(RespTestBed testBed, RespTestBed.FakeBackend backend)
+            throws Exception {
+        Socket client = testBed.connectClient();
+        RespTestBed.send(client, RespTestBed.query(1, 4000));
+        RespTestBed.BackendPeer connection = backend.accept();
+        connection.readCommand();
+        connection.sendValue("one");
+        assertEquals(RespTestBed.answer(client), "one");
+        testBed.awaitCounter("links_resting", 1);
+        return connection;
+    }
+
+    /** One more request on an idle connection. */
+    private static void serveAnotherRequest(RespTestBed testBed, RespTestBed.BackendPeer connection) throws Exception {
+        BlockingQueue<String> responses = new LinkedBlockingQueue<>();
+        testBed.onLoop(() -> testBed.dispatch(50, 4000, responses));
+        connection.readCommand();
+        connection.sendValue("again");
+        assertEquals(responses.poll(RespTestBed.TIMEOUT_S, TimeUnit.SECONDS), "again");
+        testBed.awaitCounter("links_resting", 1);
+    }
+}
--- /dev/null
+++ b/gateway/src/test/java/opalcove/resp/DisconnectedClientTest.java
@@ -0,0 +1,180 @@
+package opalcove.resp;
+
+import static org.testng.Assert.assertEquals;
+import static org.testng.Assert.assertTrue;
+
+import java.net.Socket;
+import opalcove.decision.EndpointState;
+import org.testng.annotations.Test;
+
+/**
+ * A client leaves while its request waits: nothing of it reaches a backend afterwards, wherever it waited. In each case
+ * the leaving is noticed first; then what the request waited for happens, and the next request is the first that the backend gets.
+ */
+public class DisconnectedClientTest {
+    /** Requests that may wait for as long as a test does. */
+    private static final String[] LONG_DEADLINES = {
+        "\"aim_ms\":2000,\"deadline_ms\":4000", "\"aim_ms\":90000,\"deadline_ms\":90000"
+    };
+
+    private static final int TIMEOUT_MS = 90_000;
+    /** Commands of one connection after which it is not read on. */
+    private static final int MAX_PIPELINED = 256;
+
+    @Test
+    public void sendsNothingAfterDisconnectWhenNoBackendWasAvailable() throws Exception {
+        try (RespTestBed testBed = new RespTestBed(LONG_DEADLINES)) {
+            RespTestBed.FakeBackend backend = testBed.startBackend("n1");
+            testBed.setEndpoints(backend.withState(EndpointState.DRAINING));
+            Socket client = testBed.connectClient();
+            RespTestBed.send(client, RespTestBed.query(1, TIMEOUT_MS));
+            testBed.awaitCounter("asks_open", 1);
+            client.close();
+            testBed.awaitCounter("terminals_left", 1);
+            testBed.setEndpoints(backend.withState(EndpointState.UP));
+            assertNextRequestIsFirstAtBackend(testBed, backend);
+        }
+    }
+
+    @Test
+    public void sendsNothingAfterDisconnectWhenRequestWaitedForRetry() throws Exception {
+        try (RespTestBed testBed = new RespTestBed(LONG_DEADLINES)) {
+            RespTestBed.FakeBackend backend = testBed.startBackend("n1");
+            testBed.setEndpoints(backend.withState(EndpointState.UP));
+            Socket client = testBed.connectClient();
+            RespTestBed.send(client, RespTestBed.query(1, TIMEOUT_MS));
+            RespTestBed.BackendPeer connection = backend.accept();
+            assertTrue(connection.readCommand().contains(RespTestBed.requestId(1)));
+            testBed.setEndpoints(backend.withState(EndpointState.DRAINING));
+            connection.send("-BUSY\r\n");
+            testBed.awaitCounter("attempts_turned_away", 1);
+            client.close();
+            testBed.awaitCounter("terminals_left", 1);
+            testBed.setEndpoints(backend.withState(EndpointState.UP));
+            assertNextRequestIsFirstAtBackend(testBed, backend);
+        }
+    }
+
+    @Test
+    public void sendsNothingAfterDisconnectWhenRequestsWerePipelined() throws Exception {
+        try (RespTestBed testBed = new RespTestBed(LONG_DEADLINES)) {
+            RespTestBed.FakeBackend backend = testBed.startBackend("n1");
+            testBed.setEndpoints(backend.withState(EndpointState.UP));
+            testBed.holdConnections();
+            Socket client = testBed.connectClient();
+            RespTestBed.send(
+                    client, RespTestBed.query(1, TIMEOUT_MS) + RespTestBed.PING + RespTestBed.query(2, TIMEOUT_MS));
+            Runnable first = testBed.awaitHeldConnection();
+            Runnable second = testBed.awaitHeldConnection();
+            client.close();
+            testBed.awaitCounter("terminals_left", 2);
+            testBed.releaseConnection(first);
+            testBed.releaseConnection(second);
+            testBed.awaitCounter("links_resting", 2);
+            assertNextRequestIsFirstAtBackend(testBed, backend);
+        }
+    }
+
+    @Test
+    public void sendsNothingAfterDisconnectWhenFullPipelinePausedReads() throws Exception {
+        assertNothingSentWithUnreadBytes(RespTestBed.PING.repeat(10));
+    }
+
+    @Test
+    public void sendsNothingAfterDisconnectWhenManyBytesWereUnread() throws Exception {
+        assertNothingSentWithUnreadBytes(RespTestBed.PING.repeat(5000));
+    }
+
+    private static void assertNothingSentWithUnreadBytes(String unreadCommands) throws Exception {
+        try (RespTestBed testBed = new RespTestBed(LONG_DEADLINES)) {
+            RespTestBed.FakeBackend backend = testBed.startBackend("n1");
+            testBed.setEndpoints(backend.withState(EndpointState.UP));
+            testBed.holdConnections();
+            Socket client = testBed.connectClient();
+            RespTestBed.send(client, fullPipeline());
+            testBed.awaitCounter("taken", 2);
+            Runnable first = testBed.awaitHeldConnection();
+            Runnable second = testBed.awaitHeldConnection();
+            RespTestBed.send(client, unreadCommands);
+            client.close();
+            testBed.awaitCounter("terminals_left", 2);
+            testBed.releaseConnection(first);
+            testBed.releaseConnection(second);
+            testBed.awaitCounter("links_resting", 2);
+            assertNextRequestIsFirstAtBackend(testBed, backend);
+        }
+    }
+
+    @Test
+    public void sendsNothingAfterDisconnectWhenInvalidInputPausedReads() throws Exception {
+        try (RespTestBed testBed = new RespTestBed(LONG_DEADLINES)) {
+            RespTestBed.FakeBackend backend = testBed.startBackend("n1");
+            testBed.setEndpoints(backend.withState(EndpointState.UP));
+            testBed.holdConnections();
+            Socket client = testBed.connectClient();
+            RespTestBed.send(client, RespTestBed.query(1, TIMEOUT_MS) + "no command\r\n" + "x".repeat(300_000));
+            Runnable heldConnection = testBed.awaitHeldConnection();
+            client.close();
+            testBed.awaitCounter("terminals_left", 1);
+            testBed.releaseConnection(heldConnection);
+            testBed.awaitCounter("links_resting", 1);
+            assertNextRequestIsFirstAtBackend(testBed, backend);
+        }
+    }
+
+    /** What is looked at to see a client leave is not lost for one that stays: each command has its answer, in order. */
+    @Test
+    public void respondsInOrderToCommandsReadByPollsWhenClientStays() throws Exception {
+        try (RespTestBed testBed = new RespTestBed(LONG_DEADLINES)) {
+            RespTestBed.FakeBackend backend = testBed.startBackend("n1");
+            testBed.setEndpoints(backend.withState(EndpointState.UP));
+            testBed.holdConnections();
+            Socket client = testBed.connectClient();
+            RespTestBed.send(client, fullPipeline());
+            testBed.awaitCounter("taken", 2);
+            Runnable first = testBed.awaitHeldConnection();
+            Runnable second = testBed.awaitHeldConnection();
+            RespTestBed.send(
+                    client, RespTestBed.words("PING", "behind").repeat(3000) + RespTestBed.query(3, TIMEOUT_MS));
+            // Another client's leaving is noticed by the same look that reads what lies behind here.
+            Socket other = testBed.connectClient();
+            RespTestBed.send(other, RespTestBed.query(4, TIMEOUT_MS) + "no command\r\n");
+            Runnable otherConnection = testBed.awaitHeldConnection();
+            other.close();
+            testBed.awaitCounter("terminals_left", 1);
+            testBed.releaseConnection(otherConnection);
+            testBed.releaseConnection(first);
+            testBed.releaseConnection(second);
+            for (int served = 0; served < 2; served++) {
+                RespTestBed.BackendPeer connection = backend.nextConnectionWithCommand();
+                connection.sendValue("value");
+            }
+            assertEquals(RespTestBed.answer(client), "value");
+            for (int i = 0; i < MAX_PIPELINED - 1; i++) {
+                assertEquals(RespTestBed.answer(client), "+PONG");
+            }
+            assertEquals(RespTestBed.answer(client), "value");
+            for (int i = 0; i < 3000; i++) {
+                assertEquals(RespTestBed.answer(client), "behind");
+            }
+            testBed.awaitCounter("taken", 4);
+        }
+    }
+
+    /** A request, and as many commands and another request that the connection is not read after them. */
+    private static String fullPipeline() {
+        return RespTestBed.query(1, TIMEOUT_MS)
+                + RespTestBed.PING.repeat(MAX_PIPELINED - 1)
+                + RespTestBed.query(2, TIMEOUT_MS);
+    }
+
+    private static void assertNextRequestIsFirstAtBackend(RespTestBed testBed, RespTestBed.FakeBackend backend)
+            throws Exception {
+        Socket next = testBed.connectClient();
+        RespTestBed.send(next, RespTestBed.query(9, TIMEOUT_MS));
+        RespTestBed.BackendPeer connection = backend.nextConnectionWithCommand();
+        assertTrue(connection.readCommand().contains(RespTestBed.requestId(9)), "the ask of one who left was sent on");
+        connection.sendValue("nine");
+        assertEquals(RespTestBed.answer(next), "nine");
+    }
+}
--- a/gateway/src/test/java/opalcove/resp/DrainingServerTest.java
+++ b/gateway/src/test/java/opalcove/resp/DrainingServerTest.java
@@ -27,51 +27,51 @@
     private static final int CONNECTIONS = 60;
 
     @Test
-    public void connectionsMadeWhileTheLoopWasHeldUpBeforeItsDrainAreServed() throws Exception {
+    public void servesConnectionsEstablishedWhileLoopWasBlockedBeforeDrain() throws Exception {
         DecisionSettings settings = TestSettings.settings();
         Vertx vertx = Application.createEventLoop();
-        List<Socket> made = new ArrayList<>();
+        List<Socket> clients = new ArrayList<>();
         try {
-            Lifecycle phases = new Lifecycle();
-            CompletableFuture<RespServer> opened = new CompletableFuture<>();
+            Lifecycle lifecycle = new Lifecycle();
+            CompletableFuture<RespServer> serverStarted = new CompletableFuture<>();
             CompletableFuture<Integer> listening = new CompletableFuture<>();
             vertx.runOnContext(start -> {
-                RequestDispatcher gateway = new RequestDispatcher(
+                RequestDispatcher dispatcher = new RequestDispatcher(
                         vertx,
                         new Clock(),
                         settings,
                         1,
                         new ConnectionPool(vertx, settings, new RespConnector(vertx, settings), 8));
-                phases.enter(Lifecycle.Phase.SERVING);
-                RespServer front = new RespServer(vertx, gateway, phases, 2 * CONNECTIONS);
-                front.listen(new HostAndPort("127.0.0.1", 0)).onSuccess(listening::complete);
-                opened.complete(front);
+                lifecycle.enter(Lifecycle.Phase.SERVING);
+                RespServer server = new RespServer(vertx, dispatcher, lifecycle, 2 * CONNECTIONS);
+                server.listen(new HostAndPort("127.0.0.1", 0)).onSuccess(listening::complete);
+                serverStarted.complete(server);
             });
             int port = listening.get(10, TimeUnit.SECONDS);
-            RespServer front = opened.get(10, TimeUnit.SECONDS);
-            CountDownLatch heldUp = new CountDownLatch(1);
-            CountDownLatch goOn = new CountDownLatch(1);
-            vertx.runOnContext(held -> {
-                heldUp.countDown();
+            RespServer server = serverStarted.get(10, TimeUnit.SECONDS);
+            CountDownLatch loopBlocked = new CountDownLatch(1);
+            CountDownLatch unblockLoop = new CountDownLatch(1);
+            vertx.runOnContext(run -> {
+                loopBlocked.countDown();
                 try {
-                    goOn.await();
+                    unblockLoop.await();
                 } catch (InterruptedException e) {
                     Thread.currentThread().interrupt();
                 }
-                phases.enter(Lifecycle.Phase.DRAINING);
-                front.drain(() -> {});
+                lifecycle.enter(Lifecycle.Phase.DRAINING);
+                server.drain(() -> {});
             });
-            heldUp.await();
+            loopBlocked.await();
             for (int i = 0; i < CONNECTIONS; i++) {
                 Socket socket = new Socket(InetAddress.getLoopbackAddress(), port);
                 socket.setSoTimeout(20_000);
                 socket.getOutputStream().write("*1\r\n$4\r\nPING\r\n".getBytes(StandardCharsets.US_ASCII));
-                made.add(socket);
+                clients.add(socket);
             }
-            goOn.countDown();
-            assertEquals(served(made), CONNECTIONS);
+            unblockLoop.countDown();
+            assertEquals(countServed(clients), CONNECTIONS);
         } finally {
-            for (Socket socket : made) {
+            for (Socket socket : clients) {
                 socket.close();
             }
             vertx.close();
@@ -79,7 +79,7 @@
     }
 
     /** How many of the connections got the reply to their command. */
-    private static int served(List<Socket> connections) throws IOException {
+    private static int countServed(List<Socket> connections) throws IOException {
         int served = 0;
         for (Socket socket : connections) {
             try {
--- a/gateway/src/test/java/opalcove/resp/FullServerTest.java
+++ b/gateway/src/test/java/opalcove/resp/FullServerTest.java
@@ -15,132 +15,132 @@
 
 /** A server that has no room for another connection: which of them are closed, and that they are counted. */
 public class FullServerTest {
-    /** As many as the stage's server takes. */
-    private static final int MAX = 64;
+    /** As many as the test bed's server takes. */
+    private static final int MAX_CONNECTIONS = 64;
 
-    private static final String CLOSED = "connections_closed_for_descriptors";
-    private static final String REFUSED = "connections_refused_for_descriptors";
+    private static final String CLOSED_COUNTER = "connections_closed_for_descriptors";
+    private static final String REJECTED_COUNTER = "connections_refused_for_descriptors";
     /** Half a command, of which a byte follows for each of the other connections. */
-    private static final String HALF = "*2\r\n$4\r\nPING\r\n$" + MAX + "\r\n";
+    private static final String HALF_COMMAND = "*2\r\n$4\r\nPING\r\n$" + MAX_CONNECTIONS + "\r\n";
 
     /** A receive buffer that holds a few answers, bytes; and far more answers than that and the gateway's kernel takes. */
-    private static final int MIN_BUFFER_BYTES = 1024;
+    private static final int RECEIVE_BUFFER_BYTES = 1024;
 
-    private static final int UNREAD_ANSWERS = 8000;
+    private static final int UNREAD_RESPONSES = 8000;
 
     /** Longer than any machine takes for the test, so that no request ends before it is answered, ms. */
     private static final int DEADLINE_MS = 60_000;
 
     /** Closed are those that carry nothing, the longest at rest first; one with an open request gets its answer. */
     @Test
-    public void idleConnectionsGiveWayAndOneWithAnOpenRequestStays() throws Exception {
-        try (RespTestBed stage = stage()) {
-            RespTestBed.Node backend = stage.backend("h1");
-            stage.setEndpoints(backend.is(EndpointState.UP));
-            Socket busy = stage.client();
-            RespTestBed.say(busy, RespTestBed.query(1, DEADLINE_MS));
-            RespTestBed.BackendPeer line = backend.withCommand();
-            Socket idle = answered(stage);
-            for (int i = 0; i < MAX; i++) {
-                answered(stage);
+    public void closesIdleConnectionsButNotOneWithOpenRequestWhenFull() throws Exception {
+        try (RespTestBed testBed = startTestBed()) {
+            RespTestBed.FakeBackend backend = testBed.startBackend("h1");
+            testBed.setEndpoints(backend.withState(EndpointState.UP));
+            Socket busy = testBed.connectClient();
+            RespTestBed.send(busy, RespTestBed.query(1, DEADLINE_MS));
+            RespTestBed.BackendPeer connection = backend.nextConnectionWithCommand();
+            Socket idle = connectAndPing(testBed);
+            for (int i = 0; i < MAX_CONNECTIONS; i++) {
+                connectAndPing(testBed);
             }
             assertEquals(idle.getInputStream().read(), -1);
-            assertTrue(stage.figure(CLOSED) > 0);
-            assertEquals(stage.figure(REFUSED), 0);
-            assertTrue(stage.gateway
+            assertTrue(testBed.counter(CLOSED_COUNTER) > 0);
+            assertEquals(testBed.counter(REJECTED_COUNTER), 0);
+            assertTrue(testBed.dispatcher
                     .metrics()
                     .statsdLines()
-                    .contains("gateway." + CLOSED + ":" + stage.figure(CLOSED) + "|c"));
-            line.serve("value");
+                    .contains("gateway." + CLOSED_COUNTER + ":" + testBed.counter(CLOSED_COUNTER) + "|c"));
+            connection.sendValue("value");
             assertEquals(RespTestBed.answer(busy), "value");
         }
     }
 
     /** Where all carry a request the new connection is closed unread. */
     @Test
-    public void aNewConnectionIsRefusedWhereAllAreInUse() throws Exception {
-        try (RespTestBed stage = stage()) {
-            RespTestBed.Node backend = stage.backend("h1");
-            stage.setEndpoints(backend.is(EndpointState.UP));
+    public void rejectsNewConnectionWhenAllAreInUse() throws Exception {
+        try (RespTestBed testBed = startTestBed()) {
+            RespTestBed.FakeBackend backend = testBed.startBackend("h1");
+            testBed.setEndpoints(backend.withState(EndpointState.UP));
             List<Socket> busy = new ArrayList<>();
-            for (int i = 0; i < MAX; i++) {
-                busy.add(stage.client());
-                RespTestBed.say(busy.get(i), RespTestBed.query(i, DEADLINE_MS));
+            for (int i = 0; i < MAX_CONNECTIONS; i++) {
+                busy.add(testBed.connectClient());
+                RespTestBed.send(busy.get(i), RespTestBed.query(i, DEADLINE_MS));
             }
-            stage.until("asks_open", MAX);
-            assertEquals(stage.client().getInputStream().read(), -1);
-            assertEquals(stage.figure(REFUSED), 1);
-            assertEquals(stage.figure(CLOSED), 0);
+            testBed.awaitCounter("asks_open", MAX_CONNECTIONS);
+            assertEquals(testBed.connectClient().getInputStream().read(), -1);
+            assertEquals(testBed.counter(REJECTED_COUNTER), 1);
+            assertEquals(testBed.counter(CLOSED_COUNTER), 0);
         }
     }
 
     /** One that has sent half a command is passed over, and does not keep the others from being looked at. */
     @Test
-    public void aConnectionWithHalfACommandDoesNotHideThoseAtRest() throws Exception {
-        try (RespTestBed stage = new RespTestBed()) {
-            Socket half = stage.client();
-            RespTestBed.say(half, HALF);
-            Socket idle = answered(stage);
+    public void closesIdleConnectionWhenOldestHasHalfACommand() throws Exception {
+        try (RespTestBed testBed = new RespTestBed()) {
+            Socket half = testBed.connectClient();
+            RespTestBed.send(half, HALF_COMMAND);
+            Socket idle = connectAndPing(testBed);
             List<Socket> others = new ArrayList<>();
-            for (int i = 0; i < MAX - 1; i++) {
-                others.add(stage.client());
-                RespTestBed.say(half, "x");
+            for (int i = 0; i < MAX_CONNECTIONS - 1; i++) {
+                others.add(testBed.connectClient());
+                RespTestBed.send(half, "x");
             }
-            assertEquals(RespTestBed.answer(said(others.get(MAX - 2))), "+PONG");
+            assertEquals(RespTestBed.answer(sendPing(others.get(MAX_CONNECTIONS - 2))), "+PONG");
             assertEquals(idle.getInputStream().read(), -1);
-            assertEquals(stage.figure(REFUSED), 0);
-            RespTestBed.say(half, "x\r\n");
-            assertEquals(RespTestBed.answer(half), "x".repeat(MAX));
+            assertEquals(testBed.counter(REJECTED_COUNTER), 0);
+            RespTestBed.send(half, "x\r\n");
+            assertEquals(RespTestBed.answer(half), "x".repeat(MAX_CONNECTIONS));
         }
     }
 
     /** Connections whose clients read nothing are not kept half open beyond the limit on those. */
     @Test
-    public void clientsThatReadNothingHoldNoMoreThanTheHalfOpenShare() throws Exception {
-        int maxHalfOpen = MAX / 8;
-        List<Socket> silent = new ArrayList<>();
-        try (RespTestBed stage = stage()) {
-            int port = stage.client().getPort();
+    public void limitsHalfOpenConnectionsWhenClientsReadNothing() throws Exception {
+        int maxHalfOpen = MAX_CONNECTIONS / 8;
+        List<Socket> nonReadingClients = new ArrayList<>();
+        try (RespTestBed testBed = startTestBed()) {
+            int port = testBed.connectClient().getPort();
             for (int i = 0; i < maxHalfOpen + 4; i++) {
                 Socket client = new Socket();
-                silent.add(client);
-                client.setReceiveBufferSize(MIN_BUFFER_BYTES);
+                nonReadingClients.add(client);
+                client.setReceiveBufferSize(RECEIVE_BUFFER_BYTES);
                 client.connect(new InetSocketAddress(InetAddress.getLoopbackAddress(), port));
-                RespTestBed.say(client, RespTestBed.words("INFO").repeat(UNREAD_ANSWERS));
+                RespTestBed.send(client, RespTestBed.words("INFO").repeat(UNREAD_RESPONSES));
             }
-            until(() -> stage.front.openCount() == silent.size() + 1, stage);
-            stage.onLoop(() -> stage.front.setDrainRequested(true));
-            until(() -> stage.front.openCount() == 0, stage);
-            until(() -> stage.front.halfOpenCount() <= maxHalfOpen, stage);
+            awaitCondition(() -> testBed.server.openCount() == nonReadingClients.size() + 1, testBed);
+            testBed.onLoop(() -> testBed.server.setDrainRequested(true));
+            awaitCondition(() -> testBed.server.openCount() == 0, testBed);
+            awaitCondition(() -> testBed.server.halfOpenCount() <= maxHalfOpen, testBed);
         } finally {
-            for (Socket each : silent) {
+            for (Socket each : nonReadingClients) {
                 each.close();
             }
         }
     }
 
-    private static void until(BooleanSupplier reached, RespTestBed stage) throws Exception {
+    private static void awaitCondition(BooleanSupplier reached, RespTestBed testBed) throws Exception {
         long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(RespTestBed.TIMEOUT_S);
-        while (!stage.onLoop(reached::getAsBoolean)) {
+        while (!testBed.onLoop(reached::getAsBoolean)) {
             assertTrue(
                     System.nanoTime() < end,
-                    stage.front.openCount() + " open, " + stage.front.halfOpenCount() + " half open");
+                    testBed.server.openCount() + " open, " + testBed.server.halfOpenCount() + " half open");
             Thread.sleep(5);
         }
     }
 
-    private static RespTestBed stage() throws Exception {
+    private static RespTestBed startTestBed() throws Exception {
         return new RespTestBed("\"deadline_ms\":4000", "\"deadline_ms\":" + DEADLINE_MS);
     }
 
-    private static Socket answered(RespTestBed stage) throws Exception {
-        Socket client = said(stage.client());
+    private static Socket connectAndPing(RespTestBed testBed) throws Exception {
+        Socket client = sendPing(testBed.connectClient());
         assertEquals(RespTestBed.answer(client), "+PONG");
         return client;
     }
 
-    private static Socket said(Socket client) throws Exception {
-        RespTestBed.say(client, RespTestBed.PING);
+    private static Socket sendPing(Socket client) throws Exception {
+        RespTestBed.send(client, RespTestBed.PING);
         return client;
     }
 }
--- a/gateway/src/test/java/opalcove/resp/RawSocketTest.java
+++ b/gateway/src/test/java/opalcove/resp/RawSocketTest.java
@@ -28,12 +28,12 @@
     private static final int TIMEOUT_S = 20;
 
     private Vertx vertx;
-    private final BlockingQueue<String> told = new LinkedBlockingQueue<>();
+    private final BlockingQueue<String> events = new LinkedBlockingQueue<>();
 
     @BeforeMethod
     public void start() {
         vertx = Vertx.vertx(new VertxOptions().setEventLoopPoolSize(1));
-        told.clear();
+        events.clear();
     }
 
     @AfterMethod
@@ -45,7 +45,7 @@
     /** Connects; at the first byte read the action is run, in that turn, with the raw socket and the Vert.x one. */
     private Socket connect(BiConsumer<RawSocket, NetSocket> action) throws Exception {
         CompletableFuture<Integer> port = new CompletableFuture<>();
-        vertx.runOnContext(go -> vertx.createNetServer()
+        vertx.runOnContext(start -> vertx.createNetServer()
                 .connectHandler(socket -> {
                     RawSocket[] raw = new RawSocket[1];
                     raw[0] = new RawSocket(socket, true, new RawSocket.Listener() {
@@ -57,10 +57,10 @@
 
                         @Override
                         public void writeFailed() {
-                            told.add("unwritten");
+                            events.add("unwritten");
                         }
                     });
-                    socket.closeHandler(closed -> told.add("closed"));
+                    socket.closeHandler(closed -> events.add("closed"));
                 })
                 .listen(0, "127.0.0.1")
                 .onSuccess(server -> port.complete(server.actualPort())));
@@ -69,22 +69,22 @@
         return socket;
     }
 
-    private static void text(ByteBuf out, String text) {
+    private static void writeText(ByteBuf out, String text) {
         out.writeCharSequence(text, StandardCharsets.US_ASCII);
     }
 
     @Test
-    public void allOfATurnIsSentInOrder() throws Exception {
+    public void sendsBytesOfOneTurnInOrder() throws Exception {
         String large = "L".repeat(100_000);
-        try (Socket socket = connect((raw, all) -> {
-            text(raw.reserve(10), "one ");
+        try (Socket socket = connect((raw, netSocket) -> {
+            writeText(raw.reserve(10), "one ");
             raw.write(Unpooled.copiedBuffer("two ", StandardCharsets.US_ASCII));
-            text(raw.reserve(10), "three ");
-            ByteBuf aside = raw.allocate(large.length());
-            text(aside, large);
-            raw.write(aside);
+            writeText(raw.reserve(10), "three ");
+            ByteBuf separateBuffer = raw.allocate(large.length());
+            writeText(separateBuffer, large);
+            raw.write(separateBuffer);
             // More than is left of the batch: what is in it goes first.
-            text(raw.reserve(600), "s".repeat(600));
+            writeText(raw.reserve(600), "s".repeat(600));
             raw.writeLineEnd();
         })) {
             socket.getOutputStream().write(1);
@@ -97,57 +97,57 @@
 
     /** What waits for the end of the turn never leaves, is reported once as unwritten for each part, and is released. */
     @Test
-    public void aCloseBetweenBatchAndFlushSendsNothing() throws Exception {
+    public void sendsNothingWhenClosedBeforeFlush() throws Exception {
         ByteBuf buffered = Unpooled.directBuffer(8).writeZero(8);
-        try (Socket socket = connect((raw, all) -> {
-            text(raw.reserve(10), "never");
+        try (Socket socket = connect((raw, netSocket) -> {
+            writeText(raw.reserve(10), "never");
             raw.write(buffered.retainedDuplicate());
-            text(raw.reserve(10), "never");
+            writeText(raw.reserve(10), "never");
             raw.closeAndDiscard();
         })) {
             socket.getOutputStream().write(1);
-            assertEquals(rest(socket.getInputStream()), "");
+            assertEquals(readRemaining(socket.getInputStream()), "");
             for (int part = 0; part < 3; part++) {
-                assertEquals(told.poll(TIMEOUT_S, TimeUnit.SECONDS), "unwritten");
+                assertEquals(events.poll(TIMEOUT_S, TimeUnit.SECONDS), "unwritten");
             }
-            assertEquals(told.poll(TIMEOUT_S, TimeUnit.SECONDS), "closed");
+            assertEquals(events.poll(TIMEOUT_S, TimeUnit.SECONDS), "closed");
         }
-        assertTrue(told.isEmpty());
+        assertTrue(events.isEmpty());
         assertEquals(buffered.refCnt(), 1);
         buffered.release();
     }
 
     /** A socket that its own side closes in the same turn lets out what was put in before, and takes no more. */
     @Test
-    public void theOutputClosesBehindWhatWasWritten() throws Exception {
-        try (Socket socket = connect((raw, all) -> {
-            text(raw.reserve(10), "last");
+    public void sendsWrittenBytesBeforeClosingOutput() throws Exception {
+        try (Socket socket = connect((raw, netSocket) -> {
+            writeText(raw.reserve(10), "last");
             raw.closeOutput();
         })) {
             socket.getOutputStream().write(1);
-            assertEquals(rest(socket.getInputStream()), "last");
+            assertEquals(readRemaining(socket.getInputStream()), "last");
         }
-        assertEquals(told.poll(TIMEOUT_S, TimeUnit.SECONDS), "closed");
+        assertEquals(events.poll(TIMEOUT_S, TimeUnit.SECONDS), "closed");
     }
 
     /** The socket has ended by the end of the turn: the batch is let go of, and told as unwritten. */
     @Test
-    public void aBatchForAClosedSocketIsReleased() throws Exception {
-        try (Socket socket = connect((raw, all) -> all.close().onComplete(closed -> {
-            text(raw.reserve(10), "too late");
-            told.add("put in");
+    public void releasesBatchWrittenAfterClose() throws Exception {
+        try (Socket socket = connect((raw, netSocket) -> netSocket.close().onComplete(closed -> {
+            writeText(raw.reserve(10), "too late");
+            events.add("put in");
         }))) {
             socket.getOutputStream().write(1);
-            assertEquals(rest(socket.getInputStream()), "");
-            Set<String> all = new HashSet<>();
+            assertEquals(readRemaining(socket.getInputStream()), "");
+            Set<String> reported = new HashSet<>();
             for (int i = 0; i < 3; i++) {
-                all.add(told.poll(TIMEOUT_S, TimeUnit.SECONDS));
+                reported.add(events.poll(TIMEOUT_S, TimeUnit.SECONDS));
             }
-            assertEquals(all, Set.of("closed", "put in", "unwritten"));
+            assertEquals(reported, Set.of("closed", "put in", "unwritten"));
         }
     }
 
-    private static String rest(InputStream in) throws Exception {
+    private static String readRemaining(InputStream in) throws Exception {
         return new String(in.readAllBytes(), StandardCharsets.US_ASCII);
     }
 }
--- a/gateway/src/test/java/opalcove/resp/RespDecoderTest.java
+++ b/gateway/src/test/java/opalcove/resp/RespDecoderTest.java
@@ -21,9 +21,9 @@
     private static final int MAX_ITEMS = 8;
 
     /** Reads the parts and writes down what was heard. */
-    private static List<String> read(List<String> parts) {
+    private static List<String> decodeAll(List<String> parts) {
         List<String> decoded = new ArrayList<>();
-        RespDecoder reader = new RespDecoder(MAX_ITEMS, new RespListener() {
+        RespDecoder decoder = new RespDecoder(MAX_ITEMS, new RespListener() {
             @Override
             public void valueDecoded(RespDecoder value) {
                 StringBuilder text = new StringBuilder().append((char) value.type());
@@ -42,29 +42,30 @@
             ByteBuf bytes = PooledByteBufAllocator.DEFAULT
                     .directBuffer(Math.max(1, each.length()))
                     .writeBytes(each.getBytes(StandardCharsets.ISO_8859_1));
-            reader.decode(bytes);
-            if (!reader.isMidValue()) {
+            decoder.decode(bytes);
+            if (!decoder.isMidValue()) {
                 assertEquals(0, bytes.refCnt(), "a buffer is held between values");
             }
         }
-        reader.stop();
+        decoder.stop();
         return decoded;
     }
 
     @Property(tries = 300, seed = "7")
-    void anyCutGivesTheSame(@ForAll("streams") String stream, @ForAll("cuts") List<Integer> cuts) {
+    void decodesSameValuesHoweverInputIsSplit(
+            @ForAll("streams") String stream, @ForAll("partLengths") List<Integer> partLengths) {
         List<String> parts = new ArrayList<>();
         int from = 0;
         for (int i = 0; from < stream.length(); i++) {
-            int to = Math.min(stream.length(), from + cuts.get(i % cuts.size()));
+            int to = Math.min(stream.length(), from + partLengths.get(i % partLengths.size()));
             parts.add(stream.substring(from, to));
             from = to;
         }
-        assertEquals(read(List.of(stream)), read(parts));
+        assertEquals(decodeAll(List.of(stream)), decodeAll(parts));
     }
 
     @Provide
-    Arbitrary<List<Integer>> cuts() {
+    Arbitrary<List<Integer>> partLengths() {
         return Arbitraries.integers().between(1, 40).list().ofMinSize(1).ofMaxSize(30);
     }
 
@@ -83,7 +84,7 @@
                 .ofMaxSize(MAX_ITEMS)
                 .map(each -> "*" + each.size() + "\r\n" + String.join("", each));
         Arbitrary<String> nested = Combinators.combine(array, item).as((inner, last) -> "*2\r\n" + inner + last);
-        Arbitrary<String> wrong = Arbitraries.of(
+        Arbitrary<String> invalid = Arbitraries.of(
                 "GET /\r\n",
                 "$3\r\nlong\r\n",
                 "$70000\r\n",
@@ -98,7 +99,7 @@
                         net.jqwik.api.Tuple.of(8, array),
                         net.jqwik.api.Tuple.of(2, line),
                         net.jqwik.api.Tuple.of(2, nested),
-                        net.jqwik.api.Tuple.of(1, wrong))
+                        net.jqwik.api.Tuple.of(1, invalid))
                 .list()
                 .ofMaxSize(12)
                 .map(each -> String.join("", each));
@@ -106,26 +107,26 @@
 
     /** A value of just the most there may be, cut at every kilobyte, is put together once. */
     @Example
-    void theLargestValueIsReadFromManyParts() {
+    void decodesLargestStringFromManyParts() {
         String value = "v".repeat(RespDecoder.MAX_STRING_BYTES);
-        String whole = "*2\r\n$" + value.length() + "\r\n" + value + "\r\n$3\r\nend\r\n+next\r\n";
+        String input = "*2\r\n$" + value.length() + "\r\n" + value + "\r\n$3\r\nend\r\n+next\r\n";
         List<String> parts = new ArrayList<>();
-        for (int from = 0; from < whole.length(); from += 1024) {
-            parts.add(whole.substring(from, Math.min(whole.length(), from + 1024)));
+        for (int from = 0; from < input.length(); from += 1024) {
+            parts.add(input.substring(from, Math.min(input.length(), from + 1024)));
         }
-        assertEquals(List.of("* " + value + " end", "+ next"), read(parts));
+        assertEquals(List.of("* " + value + " end", "+ next"), decodeAll(parts));
     }
 
     /** What is heard stops the reading amid a buffer of many values. */
     @Example
-    void nothingIsDecodedAfterStop() {
+    void decodesNothingAfterStop() {
         List<String> decoded = new ArrayList<>();
-        RespDecoder[] reader = new RespDecoder[1];
-        reader[0] = new RespDecoder(MAX_ITEMS, new RespListener() {
+        RespDecoder[] decoder = new RespDecoder[1];
+        decoder[0] = new RespDecoder(MAX_ITEMS, new RespListener() {
             @Override
             public void valueDecoded(RespDecoder value) {
                 decoded.add(value.text(0));
-                reader[0].stop();
+                decoder[0].stop();
             }
 
             @Override
@@ -136,16 +137,16 @@
         ByteBuf bytes = PooledByteBufAllocator.DEFAULT
                 .directBuffer(64)
                 .writeBytes("+one\r\n+two\r\nnonsense".getBytes(StandardCharsets.US_ASCII));
-        reader[0].decode(bytes);
+        decoder[0].decode(bytes);
         assertEquals(List.of("one"), decoded);
         assertEquals(0, bytes.refCnt());
     }
 
     /** A slip in the hearing of one value neither tells it again nor loses the next. */
     @Example
-    void aValueIsGivenOnceEvenIfItsListenerFails() {
+    void deliversEachValueOnceWhenListenerThrows() {
         List<String> decoded = new ArrayList<>();
-        RespDecoder reader = new RespDecoder(MAX_ITEMS, new RespListener() {
+        RespDecoder decoder = new RespDecoder(MAX_ITEMS, new RespListener() {
             @Override
             public void valueDecoded(RespDecoder value) {
                 decoded.add(value.text(0));
@@ -159,15 +160,15 @@
                 decoded.add(reason);
             }
         });
-        byte[] one = "+one\r\n+two\r\n".getBytes(StandardCharsets.US_ASCII);
+        byte[] input = "+one\r\n+two\r\n".getBytes(StandardCharsets.US_ASCII);
         assertThrows(
                 IllegalStateException.class,
-                () -> reader.decode(
-                        PooledByteBufAllocator.DEFAULT.directBuffer(64).writeBytes(one)));
-        reader.decode(PooledByteBufAllocator.DEFAULT
+                () -> decoder.decode(
+                        PooledByteBufAllocator.DEFAULT.directBuffer(64).writeBytes(input)));
+        decoder.decode(PooledByteBufAllocator.DEFAULT
                 .directBuffer(64)
                 .writeBytes("+three\r\n".getBytes(StandardCharsets.US_ASCII)));
         assertEquals(List.of("one", "two", "three"), decoded);
-        reader.stop();
+        decoder.stop();
     }
 }
--- a/gateway/src/test/java/opalcove/resp/RespRepliesTest.java
+++ b/gateway/src/test/java/opalcove/resp/RespRepliesTest.java
@@ -11,10 +11,10 @@
 /** The client port by its bytes: each reply that a client can get, as literal text. */
 public class RespRepliesTest {
     private static final int DEADLINE_MS = 4000;
-    private static final String CUSTOMER = "00000000000000b2";
+    private static final String TENANT = "00000000000000b2";
     private static final String ID = "0000000000000001";
     private static final String PARAMETERS = "c=slot-status,t=start,d=4000,units=1,spread=1,first=0";
-    private static final String KEYED = "c=swap-record,t=start,d=4000,units=1,spread=1,first=0";
+    private static final String KEYED_PARAMETERS = "c=swap-record,t=start,d=4000,units=1,spread=1,first=0";
 
     /** A class whose requests may not be repeated, beside those of the tests' settings. */
     private static final String UNSAFE = "{\"name\":\"lock\",\"value\":2,\"aim_ms\":2000,\"deadline_ms\":4000,"
@@ -79,57 +79,56 @@
             """;
 
     /** Sends the bytes on a new connection; whether what comes back begins with the reply. */
-    private static void exchange(RespTestBed stage, String sent, String reply) throws Exception {
-        exchange(stage.client(), sent, reply);
+    private static void assertReply(RespTestBed testBed, String sent, String reply) throws Exception {
+        assertReply(testBed.connectClient(), sent, reply);
     }
 
-    private static void exchange(Socket client, String sent, String reply) throws Exception {
-        RespTestBed.say(client, sent);
-        byte[] got = client.getInputStream().readNBytes(reply.length());
-        assertEquals(new String(got, StandardCharsets.ISO_8859_1), reply, sent);
+    private static void assertReply(Socket client, String sent, String reply) throws Exception {
+        RespTestBed.send(client, sent);
+        byte[] received = client.getInputStream().readNBytes(reply.length());
+        assertEquals(new String(received, StandardCharsets.ISO_8859_1), reply, sent);
     }
 
     @Test
-    public void commandsThatNoBackendSees() throws Exception {
-        try (RespTestBed stage = new RespTestBed()) {
-            exchange(stage, RespTestBed.PING, "+PONG\r\n");
-            exchange(stage, RespTestBed.words("ping"), "+PONG\r\n");
-            exchange(stage, RespTestBed.words("PING", "hello"), "$5\r\nhello\r\n");
-            exchange(stage, RespTestBed.words("PING", ""), "$0\r\n\r\n");
-            exchange(stage, RespTestBed.words("CLIENT", "SETNAME", "a"), "+OK\r\n");
-            exchange(stage, RespTestBed.words("SELECT", "0"), "+OK\r\n");
-            exchange(stage, RespTestBed.words("HELLO", "3"), "-ERR unknown command\r\n");
-            exchange(stage, RespTestBed.words("GET", "a"), "-ERR unknown command\r\n");
-            exchange(stage, RespTestBed.words(""), "-ERR unknown command\r\n");
-            stage.onLoop(() -> stage.front.setDrainRequested(true));
-            exchange(stage, RespTestBed.PING, "-ERR draining\r\n");
-            stage.onLoop(() -> stage.front.setDrainRequested(false));
-            exchange(stage, RespTestBed.PING, "+PONG\r\n");
+    public void repliesToCommandsThatNeedNoBackend() throws Exception {
+        try (RespTestBed testBed = new RespTestBed()) {
+            assertReply(testBed, RespTestBed.PING, "+PONG\r\n");
+            assertReply(testBed, RespTestBed.words("ping"), "+PONG\r\n");
+            assertReply(testBed, RespTestBed.words("PING", "hello"), "$5\r\nhello\r\n");
+            assertReply(testBed, RespTestBed.words("PING", ""), "$0\r\n\r\n");
+            assertReply(testBed, RespTestBed.words("CLIENT", "SETNAME", "a"), "+OK\r\n");
+            assertReply(testBed, RespTestBed.words("SELECT", "0"), "+OK\r\n");
+            assertReply(testBed, RespTestBed.words("HELLO", "3"), "-ERR unknown command\r\n");
+            assertReply(testBed, RespTestBed.words("GET", "a"), "-ERR unknown command\r\n");
+            assertReply(testBed, RespTestBed.words(""), "-ERR unknown command\r\n");
+            testBed.onLoop(() -> testBed.server.setDrainRequested(true));
+            assertReply(testBed, RespTestBed.PING, "-ERR draining\r\n");
+            testBed.onLoop(() -> testBed.server.setDrainRequested(false));
+            assertReply(testBed, RespTestBed.PING, "+PONG\r\n");
         }
     }
 
     @Test
-    public void infoOfAGatewayThatHasDoneNothing() throws Exception {
-        try (RespTestBed stage = new RespTestBed()) {
-            exchange(stage, RespTestBed.words("info"), "$" + INFO.length() + "\r\n" + INFO + "\r\n");
+    public void reportsZeroCountersInInfoBeforeFirstRequest() throws Exception {
+        try (RespTestBed testBed = new RespTestBed()) {
+            assertReply(testBed, RespTestBed.words("info"), "$" + INFO.length() + "\r\n" + INFO + "\r\n");
         }
     }
 
     private static String[][] invalidRequests() {
         return new String[][] {
-            {RespTestBed.words("SVC.QUERY", CUSTOMER, ID), "wrong number of words for SVC.QUERY"},
-            {RespTestBed.words("SVC.QUERY", CUSTOMER, ID, PARAMETERS, "body"), "wrong number of words for SVC.QUERY"},
-            {RespTestBed.words("svc.submit", CUSTOMER, ID, PARAMETERS), "wrong number of words for SVC.SUBMIT"},
-            {RespTestBed.words("SVC.QUERY", CUSTOMER, ID, ""), "expected name=value"},
-            {RespTestBed.words("SVC.QUERY", CUSTOMER, ID, "=1," + PARAMETERS), "expected name=value"},
-            {RespTestBed.words("SVC.QUERY", CUSTOMER, ID, PARAMETERS + ",d=3"), "a name comes twice"},
+            {RespTestBed.words("SVC.QUERY", TENANT, ID), "wrong number of words for SVC.QUERY"},
+            {RespTestBed.words("SVC.QUERY", TENANT, ID, PARAMETERS, "body"), "wrong number of words for SVC.QUERY"},
+            {RespTestBed.words("svc.submit", TENANT, ID, PARAMETERS), "wrong number of words for SVC.SUBMIT"},
+            {RespTestBed.words("SVC.QUERY", TENANT, ID, ""), "expected name=value"},
+            {RespTestBed.words("SVC.QUERY", TENANT, ID, "=1," + PARAMETERS), "expected name=value"},
+            {RespTestBed.words("SVC.QUERY", TENANT, ID, PARAMETERS + ",d=3"), "a name comes twice"},
             {query(PARAMETERS.replace("c=slot-status,", "")), "c is missing"},
             {query(PARAMETERS.replace("slot-status", "none")), "unknown class"},
-            {query(KEYED), "SVC.QUERY does not serve swap-record"},
-            {RespTestBed.words("SVC.SUBMIT", CUSTOMER, ID, PARAMETERS, "body"), "SVC.SUBMIT does not serve slot-status"
-            },
-            {RespTestBed.words("SVC.QUERY", CUSTOMER, "1", PARAMETERS), "the id must be 16 hex digits"},
-            {RespTestBed.words("SVC.QUERY", CUSTOMER, "000000000000000g", PARAMETERS), "the id must be 16 hex digits"},
+            {query(KEYED_PARAMETERS), "SVC.QUERY does not serve swap-record"},
+            {RespTestBed.words("SVC.SUBMIT", TENANT, ID, PARAMETERS, "body"), "SVC.SUBMIT does not serve slot-status"},
+            {RespTestBed.words("SVC.QUERY", TENANT, "1", PARAMETERS), "the id must be 16 hex digits"},
+            {RespTestBed.words("SVC.QUERY", TENANT, "000000000000000g", PARAMETERS), "the id must be 16 hex digits"},
             {RespTestBed.words("SVC.QUERY", "b2", ID, PARAMETERS), "the operator must be 16 hex digits"},
             {RespTestBed.words("SVC.QUERY", "0000000200000000", ID, PARAMETERS), "the operator is out of range"},
             {query(PARAMETERS.replace("t=start", "t=")), "t is missing"},
@@ -144,8 +143,11 @@
             {query(PARAMETERS.replace("spread=1", "spread=1.5")), "spread is not a whole number"},
             {query(PARAMETERS.replace("spread=1", "spread=2")), "the operator's gateways are out of range"},
             {query(PARAMETERS.replace("first=0", "first=1")), "the operator's gateways are out of range"},
-            {RespTestBed.words("SVC.SUBMIT", CUSTOMER, ID, KEYED, "body"), "k is missing"},
-            {RespTestBed.words("SVC.SUBMIT", CUSTOMER, ID, KEYED + ",k=a b", "body"), "the key cannot be passed on"},
+            {RespTestBed.words("SVC.SUBMIT", TENANT, ID, KEYED_PARAMETERS, "body"), "k is missing"},
+            {
+                RespTestBed.words("SVC.SUBMIT", TENANT, ID, KEYED_PARAMETERS + ",k=a b", "body"),
+                "the key cannot be passed on"
+            },
             {"*0\r\n", "expected a command"},
             {"*1\r\n:1\r\n", "expected a command"},
             {"*1\r\n$-1\r\n", "expected a command"},
@@ -154,24 +156,24 @@
     }
 
     private static String query(String parameters) {
-        return RespTestBed.words("SVC.QUERY", CUSTOMER, ID, parameters);
+        return RespTestBed.words("SVC.QUERY", TENANT, ID, parameters);
     }
 
     /** Each is an error in its own place: the connection goes on. */
     @Test
-    public void invalidRequestsAndTheConnectionAfterThem() throws Exception {
-        try (RespTestBed stage = new RespTestBed()) {
+    public void rejectsInvalidRequestAndKeepsConnectionOpen() throws Exception {
+        try (RespTestBed testBed = new RespTestBed()) {
             for (String[] each : invalidRequests()) {
-                Socket client = stage.client();
-                exchange(client, each[0], "-ERR " + each[1] + "\r\n");
-                exchange(client, RespTestBed.PING, "+PONG\r\n");
+                Socket client = testBed.connectClient();
+                assertReply(client, each[0], "-ERR " + each[1] + "\r\n");
+                assertReply(client, RespTestBed.PING, "+PONG\r\n");
             }
         }
     }
 
     /** What is not RESP2 is reported and ends the connection. */
     @Test
-    public void malformedInputEndsTheConnection() throws Exception {
+    public void reportsProtocolErrorAndClosesConnectionOnMalformedInput() throws Exception {
         String[][] cases = {
             {"PING\r\n", "expected a RESP2 value"},
             {"\r\n", "an empty line"},
@@ -184,60 +186,60 @@
             {"*1\r\n$3\r\nabcd\r\n", "a bulk string is longer than announced"},
             {"*1\r\n*1\r\n*1\r\n*1\r\n", "arrays too deep"},
         };
-        try (RespTestBed stage = new RespTestBed()) {
+        try (RespTestBed testBed = new RespTestBed()) {
             for (String[] each : cases) {
-                Socket client = stage.client();
-                exchange(client, each[0], "-ERR Protocol error: " + each[1] + "\r\n");
+                Socket client = testBed.connectClient();
+                assertReply(client, each[0], "-ERR Protocol error: " + each[1] + "\r\n");
                 assertEquals(client.getInputStream().read(), -1, each[1]);
             }
         }
     }
 
     @Test
-    public void aServedValueAndABackendsError() throws Exception {
-        try (RespTestBed stage = new RespTestBed()) {
-            RespTestBed.Node backend = stage.backend("s-1");
-            stage.setEndpoints(backend.is(EndpointState.UP));
-            Socket client = stage.client();
-            RespTestBed.say(client, RespTestBed.query(1, DEADLINE_MS));
-            RespTestBed.BackendPeer line = backend.withCommand();
-            line.command();
-            line.serve("value");
-            exchange(client, "", "$5\r\nvalue\r\n");
+    public void forwardsValueAndErrorOfBackend() throws Exception {
+        try (RespTestBed testBed = new RespTestBed()) {
+            RespTestBed.FakeBackend backend = testBed.startBackend("s-1");
+            testBed.setEndpoints(backend.withState(EndpointState.UP));
+            Socket client = testBed.connectClient();
+            RespTestBed.send(client, RespTestBed.query(1, DEADLINE_MS));
+            RespTestBed.BackendPeer connection = backend.nextConnectionWithCommand();
+            connection.readCommand();
+            connection.sendValue("value");
+            assertReply(client, "", "$5\r\nvalue\r\n");
         }
-        try (RespTestBed stage = new RespTestBed(
+        try (RespTestBed testBed = new RespTestBed(
                 "\"max_attempts\":6", "\"max_attempts\":1", "\"profiles\":[", "\"profiles\":[" + UNSAFE)) {
-            RespTestBed.Node backend = stage.backend("s-1");
-            stage.setEndpoints(backend.is(EndpointState.UP));
-            Socket client = stage.client();
+            RespTestBed.FakeBackend backend = testBed.startBackend("s-1");
+            testBed.setEndpoints(backend.withState(EndpointState.UP));
+            Socket client = testBed.connectClient();
             String parameters = PARAMETERS.replace("slot-status", "lock");
             // In one write, so that the second is read before the first can be answered.
-            String command = RespTestBed.words("SVC.SUBMIT", CUSTOMER, ID, parameters, "body");
-            RespTestBed.say(client, command + command);
-            RespTestBed.BackendPeer line = backend.withCommand();
-            line.command();
-            line.say("-ERR failed\r\n");
-            exchange(client, "", "-ERR failed\r\n-ERR this id is under way\r\n");
+            String command = RespTestBed.words("SVC.SUBMIT", TENANT, ID, parameters, "body");
+            RespTestBed.send(client, command + command);
+            RespTestBed.BackendPeer connection = backend.nextConnectionWithCommand();
+            connection.readCommand();
+            connection.send("-ERR failed\r\n");
+            assertReply(client, "", "-ERR failed\r\n-ERR this id is under way\r\n");
         }
     }
 
     /** The two forms of a refusal: with advice on when to come again, and without. */
     @Test
-    public void aRefusalWithAdviceAndWithout() throws Exception {
-        for (boolean advice : new boolean[] {true, false}) {
+    public void repliesBusyWithRetryDelayOnlyIfOneIsAllowed() throws Exception {
+        for (boolean hasRetryDelay : new boolean[] {true, false}) {
             String max = "\"max_retry_after_ms\":2000";
-            try (RespTestBed stage = new RespTestBed(
-                    "\"max_open\":1000", "\"max_open\":1", max, advice ? max : "\"max_retry_after_ms\":0")) {
-                RespTestBed.Node backend = stage.backend("s-1");
-                stage.setEndpoints(backend.is(EndpointState.UP));
-                Socket first = stage.client();
-                RespTestBed.say(first, RespTestBed.query(1, DEADLINE_MS));
-                RespTestBed.BackendPeer line = backend.withCommand();
-                exchange(stage, RespTestBed.query(2, DEADLINE_MS), advice ? "-BUSY 2000\r\n" : "-BUSY\r\n");
-                line.command();
-                line.serve("value");
+            try (RespTestBed testBed = new RespTestBed(
+                    "\"max_open\":1000", "\"max_open\":1", max, hasRetryDelay ? max : "\"max_retry_after_ms\":0")) {
+                RespTestBed.FakeBackend backend = testBed.startBackend("s-1");
+                testBed.setEndpoints(backend.withState(EndpointState.UP));
+                Socket first = testBed.connectClient();
+                RespTestBed.send(first, RespTestBed.query(1, DEADLINE_MS));
+                RespTestBed.BackendPeer connection = backend.nextConnectionWithCommand();
+                assertReply(testBed, RespTestBed.query(2, DEADLINE_MS), hasRetryDelay ? "-BUSY 2000\r\n" : "-BUSY\r\n");
+                connection.readCommand();
+                connection.sendValue("value");
                 assertEquals(RespTestBed.answer(first), "value");
-                assertTrue(stage.figure("refused.too_many_open") == 1);
+                assertTrue(testBed.counter("refused.too_many_open") == 1);
             }
         }
     }
--- a/gateway/src/test/java/opalcove/resp/RespTestBed.java
+++ b/gateway/src/test/java/opalcove/resp/RespTestBed.java
@@ -52,11 +52,11 @@
     static final String PING = "*1\r\n$4\r\nPING\r\n";
 
     final Vertx vertx = Application.createEventLoop();
-    final Lifecycle phases = new Lifecycle();
-    final RequestDispatcher gateway;
-    final RespServer front;
+    final Lifecycle lifecycle = new Lifecycle();
+    final RequestDispatcher dispatcher;
+    final RespServer server;
     private final int port;
-    private final List<Closeable> open = new ArrayList<>();
+    private final List<Closeable> resources = new ArrayList<>();
     /** Connections that are up and not handed over yet; null where connections are handed over at once. */
     private BlockingQueue<Runnable> heldConnections;
 
@@ -71,42 +71,43 @@
         CompletableFuture<Integer> listening = new CompletableFuture<>();
         CompletableFuture<Object[]> parts = new CompletableFuture<>();
         vertx.runOnContext(start -> {
-            Connector sockets = new RespConnector(vertx, settings);
-            ConnectionPool links = new ConnectionPool(vertx, settings, address -> hold(sockets.connect(address)), 64);
-            RequestDispatcher core = new RequestDispatcher(vertx, new Clock(), settings, 1, links);
-            phases.enter(Lifecycle.Phase.SERVING);
-            RespServer resp = new RespServer(vertx, core, phases, 64);
-            parts.complete(new Object[] {core, resp});
-            resp.listen(new HostAndPort("127.0.0.1", 0)).onSuccess(listening::complete);
+            Connector connector = new RespConnector(vertx, settings);
+            ConnectionPool connections =
+                    new ConnectionPool(vertx, settings, address -> holdIfRequested(connector.connect(address)), 64);
+            RequestDispatcher requestDispatcher = new RequestDispatcher(vertx, new Clock(), settings, 1, connections);
+            lifecycle.enter(Lifecycle.Phase.SERVING);
+            RespServer respServer = new RespServer(vertx, requestDispatcher, lifecycle, 64);
+            parts.complete(new Object[] {requestDispatcher, respServer});
+            respServer.listen(new HostAndPort("127.0.0.1", 0)).onSuccess(listening::complete);
         });
-        Object[] made = parts.get(TIMEOUT_S, TimeUnit.SECONDS);
-        gateway = (RequestDispatcher) made[0];
-        front = (RespServer) made[1];
+        Object[] started = parts.get(TIMEOUT_S, TimeUnit.SECONDS);
+        dispatcher = (RequestDispatcher) started[0];
+        server = (RespServer) started[1];
         port = listening.get(TIMEOUT_S, TimeUnit.SECONDS);
     }
 
     @Override
     public void close() throws IOException {
-        for (Closeable each : open) {
+        for (Closeable each : resources) {
             each.close();
         }
         vertx.close();
         // Late answers are the machine's where a test holds the event loop up.
         for (Invariant rule : EnumSet.complementOf(EnumSet.of(Invariant.ANSWER_IN_TIME))) {
-            assertEquals(gateway.invariants().violated(rule), 0, "the gateway has broken " + rule);
+            assertEquals(dispatcher.invariants().violated(rule), 0, "the gateway has broken " + rule);
         }
     }
 
     // Connections that come up late.
 
-    private Future<BackendConnection> hold(Future<BackendConnection> line) {
+    private Future<BackendConnection> holdIfRequested(Future<BackendConnection> connecting) {
         if (heldConnections == null) {
-            return line;
+            return connecting;
         }
-        Promise<BackendConnection> handed = Promise.promise();
+        Promise<BackendConnection> released = Promise.promise();
         BlockingQueue<Runnable> queue = heldConnections;
-        line.onComplete(up -> queue.add(() -> line.onComplete(handed)));
-        return handed.future();
+        connecting.onComplete(up -> queue.add(() -> connecting.onComplete(released)));
+        return released.future();
     }
 
     /** From now on connections come up when the test lets them. */
@@ -115,20 +116,20 @@
     }
 
     /** Connections that are opened from now on are handed over at once. */
-    void holdNoMore() throws Exception {
+    void stopHoldingConnections() throws Exception {
         onLoop(() -> heldConnections = null);
     }
 
-    /** Waits for a connection that is up and was not handed over; it is handed over by {@link #handOver}. */
-    Runnable connectionUp() throws Exception {
-        Runnable link = heldConnections.poll(TIMEOUT_S, TimeUnit.SECONDS);
-        assertNotNull(link, "no link was dialled");
-        return link;
+    /** Waits for a connection that is up and was not handed over; it is handed over by {@link #releaseConnection}. */
+    Runnable awaitHeldConnection() throws Exception {
+        Runnable heldConnection = heldConnections.poll(TIMEOUT_S, TimeUnit.SECONDS);
+        assertNotNull(heldConnection, "the gateway opened no connection to a backend");
+        return heldConnection;
     }
 
     /** Hands a link over; what is written to it has left when this returns. */
-    void handOver(Runnable link) throws Exception {
-        onLoop(link);
+    void releaseConnection(Runnable heldConnection) throws Exception {
+        onLoop(heldConnection);
         onLoop(() -> {});
     }
 
@@ -162,29 +163,29 @@
      * Holds the loop up while the test does something to its sockets, and has the loop do the other thing before it reads
      * any socket again: so the second is done by a gateway that has not read the first, though the kernel has it.
      */
-    void unread(Action first, Runnable second) throws Exception {
-        CountDownLatch held = new CountDownLatch(1);
-        CountDownLatch goOn = new CountDownLatch(1);
+    void runWhileLoopBlocked(Action whileBlocked, Runnable beforeNextRead) throws Exception {
+        CountDownLatch blocked = new CountDownLatch(1);
+        CountDownLatch unblock = new CountDownLatch(1);
         CompletableFuture<Void> done = new CompletableFuture<>();
-        vertx.runOnContext(hold -> {
-            held.countDown();
+        vertx.runOnContext(run -> {
+            blocked.countDown();
             try {
-                goOn.await(TIMEOUT_S, TimeUnit.SECONDS);
-                second.run();
+                unblock.await(TIMEOUT_S, TimeUnit.SECONDS);
+                beforeNextRead.run();
                 done.complete(null);
             } catch (Throwable e) {
                 done.completeExceptionally(e);
             }
         });
-        assertTrue(held.await(TIMEOUT_S, TimeUnit.SECONDS));
-        first.run();
-        goOn.countDown();
+        assertTrue(blocked.await(TIMEOUT_S, TimeUnit.SECONDS));
+        whileBlocked.run();
+        unblock.countDown();
         done.get(TIMEOUT_S, TimeUnit.SECONDS);
     }
 
     /** A figure of the gateway's. */
-    int figure(String name) throws Exception {
-        String lines = onLoop(gateway::infoLines);
+    int counter(String name) throws Exception {
+        String lines = onLoop(dispatcher::infoLines);
         return Integer.parseInt(lines.lines()
                 .filter(line -> line.startsWith(name + "="))
                 .findFirst()
@@ -193,44 +194,44 @@
     }
 
     /** Waits till a figure is this. */
-    void until(String name, int figure) throws Exception {
+    void awaitCounter(String name, int expected) throws Exception {
         long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(TIMEOUT_S);
-        int now = figure(name);
-        while (now != figure && System.nanoTime() < end) {
+        int now = counter(name);
+        while (now != expected && System.nanoTime() < end) {
             Thread.sleep(1);
-            now = figure(name);
+            now = counter(name);
         }
-        assertEquals(now, figure, name);
+        assertEquals(now, expected, name);
     }
 
     // Backends.
 
-    Node backend(String name) throws Exception {
-        Node backend = new Node(name);
-        open.add(backend);
+    FakeBackend startBackend(String name) throws Exception {
+        FakeBackend backend = new FakeBackend(name);
+        resources.add(backend);
         return backend;
     }
 
-    void setEndpoints(Backend... lines) throws Exception {
-        onLoop(() -> gateway.endpointsChanged(true, List.of(lines)));
+    void setEndpoints(Backend... backends) throws Exception {
+        onLoop(() -> dispatcher.endpointsChanged(true, List.of(backends)));
     }
 
     /** A backend. What its connections bring waits until the test looks; what they send is what the test says. */
-    static final class Node implements Closeable {
+    static final class FakeBackend implements Closeable {
         final String name;
-        private final List<BackendPeer> quiet = new ArrayList<>();
+        private final List<BackendPeer> connectionsWithoutCommand = new ArrayList<>();
         private final ServerSocket server = new ServerSocket(0, 64, InetAddress.getLoopbackAddress());
 
-        Node(String name) throws Exception {
+        FakeBackend(String name) throws Exception {
             this.name = name;
             server.setSoTimeout(TIMEOUT_S * 1000);
         }
 
-        Backend is(EndpointState state) {
-            return is(state, 0);
+        Backend withState(EndpointState state) {
+            return withState(state, 0);
         }
 
-        Backend is(EndpointState state, int cell) {
+        Backend withState(EndpointState state, int cell) {
             return new Backend(
                     new Endpoint(name, "room-a", "app", cell, state, 1, 0), "127.0.0.1:" + server.getLocalPort());
         }
@@ -240,19 +241,19 @@
         }
 
         /** The line on which a command comes next, of all those that were not told by this call before. */
-        BackendPeer withCommand() throws Exception {
+        BackendPeer nextConnectionWithCommand() throws Exception {
             long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(TIMEOUT_S);
             server.setSoTimeout(1);
             try {
                 while (System.nanoTime() < end) {
-                    for (BackendPeer each : quiet) {
+                    for (BackendPeer each : connectionsWithoutCommand) {
                         if (each.socket.getInputStream().available() > 0) {
-                            quiet.remove(each);
+                            connectionsWithoutCommand.remove(each);
                             return each;
                         }
                     }
                     try {
-                        quiet.add(accept());
+                        connectionsWithoutCommand.add(accept());
                     } catch (java.net.SocketTimeoutException none) {
                         continue;
                     }
@@ -264,11 +265,11 @@
         }
 
         /**
-         * Whether no line brings a byte, of those that wait to be accepted and those that {@link #withCommand} accepted and
+         * Whether no line brings a byte, of those that wait to be accepted and those that {@link #nextConnectionWithCommand} accepted and
          * did not give; lines that end without one are passed over.
          */
-        boolean gotNothing() throws Exception {
-            for (BackendPeer each : quiet) {
+        boolean receivedNothing() throws Exception {
+            for (BackendPeer each : connectionsWithoutCommand) {
                 if (each.socket.getInputStream().available() > 0) {
                     return false;
                 }
@@ -276,9 +277,9 @@
             server.setSoTimeout(1);
             try {
                 while (true) {
-                    try (Socket line = server.accept()) {
-                        line.setSoTimeout(200);
-                        if (line.getInputStream().read() >= 0) {
+                    try (Socket connection = server.accept()) {
+                        connection.setSoTimeout(200);
+                        if (connection.getInputStream().read() >= 0) {
                             return false;
                         }
                     }
@@ -308,12 +309,12 @@
         }
 
         /** The next command, its words with spaces between. */
-        String command() throws Exception {
-            String head = line(in);
-            assertTrue(head.startsWith("*"), head);
+        String readCommand() throws Exception {
+            String header = readLine(in);
+            assertTrue(header.startsWith("*"), header);
             StringBuilder words = new StringBuilder();
-            for (int i = Integer.parseInt(head.substring(1)); i > 0; i--) {
-                int length = Integer.parseInt(line(in).substring(1));
+            for (int i = Integer.parseInt(header.substring(1)); i > 0; i--) {
+                int length = Integer.parseInt(readLine(in).substring(1));
                 words.append(new String(in.readNBytes(length), StandardCharsets.ISO_8859_1))
                         .append(' ');
                 in.readNBytes(2);
@@ -321,16 +322,16 @@
             return words.toString().strip();
         }
 
-        void serve(String value) throws Exception {
-            say("*3\r\n$" + value.length() + "\r\n" + value + "\r\n$-1\r\n$-1\r\n");
+        void sendValue(String value) throws Exception {
+            send("*3\r\n$" + value.length() + "\r\n" + value + "\r\n$-1\r\n$-1\r\n");
         }
 
-        void say(String bytes) throws Exception {
+        void send(String bytes) throws Exception {
             socket.getOutputStream().write(bytes.getBytes(StandardCharsets.ISO_8859_1));
         }
 
         /** Whether the gateway has ended the line with nothing more on it. */
-        boolean ended() throws Exception {
+        boolean isClosedByGateway() throws Exception {
             try {
                 return in.read() < 0;
             } catch (java.net.SocketException reset) {
@@ -346,20 +347,20 @@
 
     // Clients.
 
-    Socket client() throws Exception {
+    Socket connectClient() throws Exception {
         Socket client = new Socket(InetAddress.getLoopbackAddress(), port);
         client.setSoTimeout(TIMEOUT_S * 1000);
-        open.add(client);
+        resources.add(client);
         return client;
     }
 
-    static void say(Socket client, String bytes) throws Exception {
+    static void send(Socket client, String bytes) throws Exception {
         client.getOutputStream().write(bytes.getBytes(StandardCharsets.ISO_8859_1));
     }
 
     /** The next answer: a line, or a string's value. */
     public static String answer(Socket client) throws Exception {
-        String line = line(client.getInputStream());
+        String line = readLine(client.getInputStream());
         if (!line.startsWith("$")) {
             return line;
         }
@@ -369,7 +370,7 @@
         return value;
     }
 
-    private static String line(InputStream in) throws Exception {
+    private static String readLine(InputStream in) throws Exception {
         StringBuilder line = new StringBuilder();
         for (int each = in.read(); each != '\n'; each = in.read()) {
             if (each < 0) {
@@ -380,26 +381,26 @@
         return line.substring(0, line.length() - 1);
     }
 
-    static String id(int number) {
+    static String requestId(int number) {
         return String.format("%016x", number);
     }
 
     /** A request that may be repeated. */
-    public static String query(int number, int waitMs) {
+    public static String query(int number, int timeoutMs) {
         return words(
                 "SVC.QUERY",
                 "00000000000000b2",
-                id(number),
-                "c=slot-status,t=start,d=" + waitMs + ",units=1,spread=1,first=0");
+                requestId(number),
+                "c=slot-status,t=start,d=" + timeoutMs + ",units=1,spread=1,first=0");
     }
 
     /** A request with an effect, with a key where its class has one. */
-    static String submit(int number, int waitMs, String key) {
+    static String submit(int number, int timeoutMs, String key) {
         return words(
                 "SVC.SUBMIT",
                 "00000000000000b2",
-                id(number),
-                "c=swap-record,t=start,d=" + waitMs + (key == null ? "" : ",k=" + key) + ",units=1,spread=1,first=0",
+                requestId(number),
+                "c=swap-record,t=start,d=" + timeoutMs + (key == null ? "" : ",k=" + key) + ",units=1,spread=1,first=0",
                 "body");
     }
 
@@ -416,12 +417,23 @@
     }
 
     /** Has the gateway serve a request from within the loop; the answer's text is added to the list. */
-    void serve(int number, int waitMs, BlockingQueue<String> answers) {
-        gateway.dispatch(
-                new Request(id(number), "00000000000000b2", "slot-status", "start", 1, waitMs, null, false, 1, 0, null),
-                answer -> {
-                    ByteBuf value = answer instanceof Response.Served served ? served.value() : null;
-                    answers.add(value == null ? answer.toString() : value.toString(StandardCharsets.ISO_8859_1));
+    void dispatch(int number, int timeoutMs, BlockingQueue<String> responses) {
+        dispatcher.dispatch(
+                new Request(
+                        requestId(number),
+                        "00000000000000b2",
+                        "slot-status",
+                        "start",
+                        1,
+                        timeoutMs,
+                        null,
+                        false,
+                        1,
+                        0,
+                        null),
+                response -> {
+                    ByteBuf value = response instanceof Response.Served served ? served.value() : null;
+                    responses.add(value == null ? response.toString() : value.toString(StandardCharsets.ISO_8859_1));
                 });
     }
 }
--- /dev/null
+++ b/gateway/src/test/java/opalcove/resp/ShutdownRacesTest.java
@@ -0,0 +1,207 @@
+package opalcove.resp;
+
+import static org.testng.Assert.assertEquals;
+import static org.testng.Assert.assertFalse;
+import static org.testng.Assert.assertTrue;
+
+import io.vertx.core.Promise;
+import java.net.Socket;
+import java.util.concurrent.CompletableFuture;
+import java.util.concurrent.TimeUnit;
+import java.util.concurrent.atomic.AtomicBoolean;
+import opalcove.TestSettings;
+import opalcove.config.JsonFields;
+import opalcove.config.SettingsReader;
+import opalcove.decision.EndpointState;
+import opalcove.lifecycle.Application;
+import opalcove.lifecycle.Lifecycle;
+import opalcove.server.GatewayStatus;
+import org.testng.annotations.Test;
+
+/** The end of the process crossing requests, new settings and its own start. */
+public class ShutdownRacesTest {
+    private static final int TIMEOUT_MS = 4000;
+    /** A request that would wait for longer than the test does. */
+    private static final int LONG_TIMEOUT_MS = 90_000;
+
+    private static final String[] LONG_DEADLINES = {
+        "\"aim_ms\":2000,\"deadline_ms\":4000", "\"aim_ms\":2000,\"deadline_ms\":90000"
+    };
+
+    /** Taken late in the end from a backend that never answers: its answer does not wait for its own time, which is over after the end. */
+    @Test
+    public void respondsBeforeKillToRequestReceivedLateInShutdown() throws Exception {
+        try (RespTestBed testBed = new RespTestBed(LONG_DEADLINES)) {
+            RespTestBed.FakeBackend backend = testBed.startBackend("n1");
+            testBed.setEndpoints(backend.withState(EndpointState.UP));
+            Socket client = testBed.connectClient();
+            sendFirstHalf(testBed, client, RespTestBed.query(1, LONG_TIMEOUT_MS));
+            beginShutdown(testBed, 300);
+            RespTestBed.send(client, secondHalf(RespTestBed.query(1, LONG_TIMEOUT_MS)));
+            RespTestBed.BackendPeer connection = backend.accept();
+            // Its backend is given the time that it is waited for.
+            assertTrue(connection.readCommand().matches(".*,d=[0-3]?[0-9]?[0-9](\\.[0-9]+)?,.*"));
+            assertTrue(RespTestBed.answer(client).startsWith("-"));
+            assertTrue(connection.isClosedByGateway(), "its attempt is given up");
+            assertEquals(testBed.counter("ended_by_deadline_guard"), 0);
+        }
+    }
+
+    /** Its answer has to come behind that of a request which was taken before and may wait longer. */
+    @Test
+    public void endsEarlierRequestInTimeWhenAnotherArrivesBehindItInShutdown() throws Exception {
+        try (RespTestBed testBed = new RespTestBed(LONG_DEADLINES)) {
+            RespTestBed.FakeBackend backend = testBed.startBackend("n1");
+            testBed.setEndpoints(backend.withState(EndpointState.UP));
+            Socket client = testBed.connectClient();
+            RespTestBed.send(client, RespTestBed.query(1, LONG_TIMEOUT_MS));
+            RespTestBed.BackendPeer first = backend.accept();
+            first.readCommand();
+            beginShutdown(testBed, 300);
+            RespTestBed.send(client, RespTestBed.query(2, LONG_TIMEOUT_MS));
+            RespTestBed.BackendPeer second = backend.accept();
+            second.readCommand();
+            second.sendValue("two");
+            assertTrue(RespTestBed.answer(client).startsWith("-"));
+            assertEquals(RespTestBed.answer(client), "two");
+        }
+    }
+
+    @Test
+    public void shedsRequestAndClosesConnectionWhenNoShutdownTimeRemains() throws Exception {
+        try (RespTestBed testBed = new RespTestBed()) {
+            RespTestBed.FakeBackend backend = testBed.startBackend("n1");
+            testBed.setEndpoints(backend.withState(EndpointState.UP));
+            Socket client = testBed.connectClient();
+            sendFirstHalf(testBed, client, RespTestBed.query(1, TIMEOUT_MS));
+            beginShutdown(testBed, 0);
+            RespTestBed.send(client, secondHalf(RespTestBed.query(1, TIMEOUT_MS)));
+            assertEquals(RespTestBed.answer(client), "-BUSY");
+            assertEquals(client.getInputStream().read(), -1);
+            assertTrue(backend.receivedNothing());
+        }
+    }
+
+    /** From SIGTERM to the last answers: within what the platform leaves a process before it is killed. */
+    @Test
+    public void endsBeforeKillForEachLongestDeadline() {
+        for (long longestDeadlineMs : new long[] {200, 450, 1400, 3000, 7500, 60_000}) {
+            long shutdownMs = 500 + Application.shutdownBudgetMs(longestDeadlineMs);
+            assertTrue(shutdownMs < Math.min(longestDeadlineMs, 3000) + 700, longestDeadlineMs + ": " + shutdownMs);
+            assertTrue(
+                    Application.shutdownBudgetMs(longestDeadlineMs) >= Math.min(longestDeadlineMs, 3000) - 100,
+                    longestDeadlineMs + ": " + shutdownMs);
+        }
+    }
+
+    /** New settings with shorter deadlines crossing the end: requests that were taken under the old ones still get their answer. */
+    @Test
+    public void waitsForRequestsOfOlderSettingsInShutdown() throws Exception {
+        try (RespTestBed testBed = new RespTestBed()) {
+            RespTestBed.FakeBackend backend = testBed.startBackend("n1");
+            testBed.setEndpoints(backend.withState(EndpointState.UP));
+            Socket client = testBed.connectClient();
+            RespTestBed.send(client, RespTestBed.query(1, TIMEOUT_MS));
+            RespTestBed.BackendPeer connection = backend.accept();
+            connection.readCommand();
+            testBed.onLoop(() -> testBed.dispatcher.applySettings(SettingsReader.read(
+                    JsonFields.parse(TestSettings.JSON.replaceAll("\"deadline_ms\":\\d+", "\"deadline_ms\":300")))));
+            assertEquals((long) testBed.onLoop(() -> testBed.dispatcher.maxDeadlineMs()), 7500);
+            CompletableFuture<Void> idle = new CompletableFuture<>();
+            testBed.onLoop(() -> testBed.dispatcher.whenIdle(() -> idle.complete(null)));
+            assertFalse(idle.isDone());
+            connection.sendValue("one");
+            assertEquals(RespTestBed.answer(client), "one");
+            idle.get(RespTestBed.TIMEOUT_S, TimeUnit.SECONDS);
+            assertEquals((long) testBed.onLoop(() -> testBed.dispatcher.maxDeadlineMs()), 300);
+        }
+    }
+
+    @Test
+    public void respondsToUnreadCommandWhenShutdownClosesIdleConnections() throws Exception {
+        try (RespTestBed testBed = new RespTestBed()) {
+            Socket client = testBed.connectClient();
+            RespTestBed.send(client, RespTestBed.PING);
+            assertEquals(RespTestBed.answer(client), "+PONG");
+            testBed.runWhileLoopBlocked(() -> RespTestBed.send(client, RespTestBed.PING), () -> {
+                testBed.lifecycle.enter(Lifecycle.Phase.DRAINING);
+                testBed.server.drain(() -> {});
+            });
+            assertEquals(RespTestBed.answer(client), "+PONG");
+            assertEquals(client.getInputStream().read(), -1);
+        }
+    }
+
+    @Test
+    public void keepsConnectionOpenWhenDrainStartsAndEndsInOneTurn() throws Exception {
+        try (RespTestBed testBed = new RespTestBed()) {
+            Socket client = testBed.connectClient();
+            RespTestBed.send(client, RespTestBed.PING);
+            assertEquals(RespTestBed.answer(client), "+PONG");
+            testBed.runWhileLoopBlocked(() -> RespTestBed.send(client, RespTestBed.PING), () -> {
+                testBed.server.setDrainRequested(true);
+                testBed.server.setDrainRequested(false);
+            });
+            assertEquals(RespTestBed.answer(client), "+PONG");
+            RespTestBed.send(client, RespTestBed.PING);
+            assertEquals(RespTestBed.answer(client), "+PONG");
+        }
+    }
+
+    /** The console address is open before there is a server: what was requested last applies once there is one. */
+    @Test
+    public void appliesDrainThatWasRequestedBeforeServerExists() throws Exception {
+        for (boolean isWithdrawn : new boolean[] {false, true}) {
+            try (RespTestBed testBed = new RespTestBed()) {
+                GatewayStatus status = new GatewayStatus();
+                status.setDrainRequested(true);
+                if (isWithdrawn) {
+                    status.setDrainRequested(false);
+                }
+                testBed.onLoop(() ->
+                        status.gatewayWired(testBed.vertx, testBed.dispatcher, testBed.server, testBed.lifecycle));
+                Socket client = testBed.connectClient();
+                RespTestBed.send(client, RespTestBed.PING);
+                assertEquals(RespTestBed.answer(client), isWithdrawn ? "+PONG" : "-ERR draining");
+                status.setDrainRequested(false);
+                testBed.onLoop(() -> {});
+                Socket next = testBed.connectClient();
+                RespTestBed.send(next, RespTestBed.PING);
+                assertEquals(RespTestBed.answer(next), "+PONG");
+            }
+        }
+    }
+
+    /** Ended before its list was there: a server that opened then would take requests that the process's end cuts off. */
+    @Test
+    public void doesNotListenWhenShutdownBeginsDuringStart() {
+        Application application = new Application();
+        AtomicBoolean opened = new AtomicBoolean();
+        application.phases().enter(Lifecycle.Phase.LEAVING);
+        application.open(() -> {
+            opened.set(true);
+            return Promise.<Integer>promise().future();
+        });
+        assertFalse(opened.get());
+        assertEquals(application.phases().current(), Lifecycle.Phase.LEAVING);
+    }
+
+    /** Brings the first half of a command, and sees that the gateway has read what was sent before it. */
+    private static void sendFirstHalf(RespTestBed testBed, Socket client, String command) throws Exception {
+        RespTestBed.send(client, RespTestBed.PING + command.substring(0, command.length() / 2));
+        assertEquals(RespTestBed.answer(client), "+PONG");
+    }
+
+    private static String secondHalf(String command) {
+        return command.substring(command.length() / 2);
+    }
+
+    /** The process drains, and will be killed so many ms from now. */
+    private static void beginShutdown(RespTestBed testBed, int ms) throws Exception {
+        testBed.onLoop(() -> {
+            testBed.lifecycle.enter(Lifecycle.Phase.DRAINING);
+            testBed.dispatcher.beginShutdown(ms);
+            testBed.server.drain(() -> {});
+        });
+    }
+}
--- a/gateway/src/test/java/opalcove/resp/StalledClientTest.java
+++ b/gateway/src/test/java/opalcove/resp/StalledClientTest.java
@@ -14,36 +14,36 @@
     private static final int STALLED_MS = 3500;
 
     @Test
-    public void oneThatStopsBehindAnAnswerIsClosed() throws Exception {
-        try (RespTestBed stage = new RespTestBed()) {
-            Socket client = stage.client();
-            RespTestBed.say(client, RespTestBed.PING + RespTestBed.PING.substring(0, 8));
+    public void closesConnectionWhenCommandStallsAfterResponse() throws Exception {
+        try (RespTestBed testBed = new RespTestBed()) {
+            Socket client = testBed.connectClient();
+            RespTestBed.send(client, RespTestBed.PING + RespTestBed.PING.substring(0, 8));
             assertEquals(RespTestBed.answer(client), "+PONG");
             assertEquals(client.getInputStream().read(), -1);
-            assertEquals(stage.figure("connections_ended.stalled"), 1);
+            assertEquals(testBed.counter("connections_ended.stalled"), 1);
         }
     }
 
     @Test
-    public void oneThatStopsBehindAnOpenRequestIsClosedRightAfterItsAnswer() throws Exception {
-        try (RespTestBed stage = new RespTestBed()) {
-            RespTestBed.Node backend = stage.backend("n1");
-            stage.setEndpoints(backend.is(EndpointState.UP));
-            Socket client = stage.client();
-            RespTestBed.say(
+    public void closesConnectionAfterResponseWhenNextCommandStalls() throws Exception {
+        try (RespTestBed testBed = new RespTestBed()) {
+            RespTestBed.FakeBackend backend = testBed.startBackend("n1");
+            testBed.setEndpoints(backend.withState(EndpointState.UP));
+            Socket client = testBed.connectClient();
+            RespTestBed.send(
                     client,
                     RespTestBed.submit(1, 7000, "key")
                             + RespTestBed.query(2, 4000).substring(0, 40));
-            RespTestBed.BackendPeer line = backend.withCommand();
-            line.command();
+            RespTestBed.BackendPeer connection = backend.nextConnectionWithCommand();
+            connection.readCommand();
             // Well after the time for which half a command may stand still, and before its request's time is over.
             TimeUnit.MILLISECONDS.sleep(STALLED_MS);
-            line.serve("first");
+            connection.sendValue("first");
             assertEquals(RespTestBed.answer(client), "first");
             // Its error and the end, or the end alone on a machine so slow that the answer came first.
             String rest = new String(client.getInputStream().readAllBytes(), StandardCharsets.US_ASCII);
             assertTrue(rest.isEmpty() || rest.equals("-ERR Protocol error: half a command\r\n"), rest);
-            assertEquals(stage.figure("connections_ended.stalled"), 1);
+            assertEquals(testBed.counter("connections_ended.stalled"), 1);
         }
     }
 }
--- a/gateway/src/test/java/opalcove/resp/StreamedValueTest.java
+++ b/gateway/src/test/java/opalcove/resp/StreamedValueTest.java
@@ -37,19 +37,19 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** Long values on the platform's server: forwarded while they come, held back for a slow client, cut with their line. */
+/** Long values on the platform's server: forwarded while they come, held back for a slow client, cut with their connection. */
 public class StreamedValueTest {
     private static final int LENGTH = 1 << 20;
-    private static final String HEAD = "$" + LENGTH + "\r\n";
+    private static final String VALUE_HEADER = "$" + LENGTH + "\r\n";
     private static final String PARAMETERS = "c=slot-status,t=start,d=4000,units=1,spread=1,first=0";
 
     private Vertx vertx;
-    private HeldConnections held;
+    private HeldAttempts heldAttempts;
 
     @BeforeMethod
     public void open() {
         vertx = Vertx.vertx();
-        held = new HeldConnections();
+        heldAttempts = new HeldAttempts();
     }
 
     @AfterMethod
@@ -58,108 +58,109 @@
     }
 
     @Test
-    public void itsFirstBytesArriveBeforeItsBackendHasSentTheRestAndItArrivesWhole() throws Exception {
+    public void forwardsFirstBytesBeforeBackendSendsTheRest() throws Exception {
         byte[] value = new byte[LENGTH];
         for (int i = 0; i < LENGTH; i++) {
             value[i] = (byte) ('a' + i % 23);
         }
-        CountDownLatch begunAtClient = new CountDownLatch(1);
+        CountDownLatch firstBytesReceived = new CountDownLatch(1);
         try (ServerSocket backend = new ServerSocket(0, 8, InetAddress.getLoopbackAddress())) {
-            CompletableFuture<Void> given = CompletableFuture.runAsync(() -> give(backend, value, begunAtClient));
+            CompletableFuture<Void> backendDone =
+                    CompletableFuture.runAsync(() -> serveInTwoParts(backend, value, firstBytesReceived));
             DecisionSettings settings = TestSettings.settings();
-            int port = front(
+            int port = startServer(
                     "127.0.0.1:" + backend.getLocalPort(),
                     new ConnectionPool(vertx, settings, new RespConnector(vertx, settings), 8));
-            try (Socket client = request(port)) {
+            try (Socket client = sendRequest(port)) {
                 InputStream in = client.getInputStream();
-                assertEquals(text(in, HEAD.length()), HEAD);
-                byte[] got = Arrays.copyOf(in.readNBytes(1000), LENGTH);
-                begunAtClient.countDown();
-                assertEquals(in.readNBytes(got, 1000, LENGTH - 1000), LENGTH - 1000);
-                assertTrue(Arrays.equals(got, value), "the value as its node gave it");
-                assertEquals(text(in, 2), "\r\n");
-                say(client, "*1\r\n$4\r\nPING\r\n");
-                assertEquals(text(in, 7), "+PONG\r\n");
+                assertEquals(readText(in, VALUE_HEADER.length()), VALUE_HEADER);
+                byte[] received = Arrays.copyOf(in.readNBytes(1000), LENGTH);
+                firstBytesReceived.countDown();
+                assertEquals(in.readNBytes(received, 1000, LENGTH - 1000), LENGTH - 1000);
+                assertTrue(Arrays.equals(received, value), "the value as its node gave it");
+                assertEquals(readText(in, 2), "\r\n");
+                send(client, "*1\r\n$4\r\nPING\r\n");
+                assertEquals(readText(in, 7), "+PONG\r\n");
             }
-            given.get(10, TimeUnit.SECONDS);
+            backendDone.get(10, TimeUnit.SECONDS);
         }
     }
 
     @Test
-    public void aSlowClientHoldsItsValueBackAtTheBackendUntilItReads() throws Exception {
-        try (Socket client = request(front("127.0.0.1:1", held))) {
+    public void pausesBackendUntilSlowClientReads() throws Exception {
+        try (Socket client = sendRequest(startServer("127.0.0.1:1", heldAttempts))) {
             FakeValue value = new FakeValue();
-            BackendTransport.AttemptListener attempt = held.startAttempt.get(10, TimeUnit.SECONDS);
+            BackendTransport.AttemptListener attempt = heldAttempts.started.get(10, TimeUnit.SECONDS);
             onLoop(() -> {
                 assertTrue(attempt.acceptsStreamedValue(value));
-                assertTrue(value.setReading);
+                assertTrue(value.isReading);
                 // Nothing leaves within this turn: as at a client that does not read.
                 value.sink.onPart(Unpooled.wrappedBuffer(new byte[RespBackendConnection.READ_LIMIT_BYTES]));
-                assertTrue(value.setReading);
+                assertTrue(value.isReading);
                 value.sink.onPart(Unpooled.wrappedBuffer(new byte[2 * RespBackendConnection.READ_LIMIT_BYTES]));
-                assertFalse(value.setReading, "no more is read while that much waits to leave");
+                assertFalse(value.isReading, "no more is read while that much waits to leave");
             });
             InputStream in = client.getInputStream();
-            assertEquals(text(in, HEAD.length()), HEAD);
+            assertEquals(readText(in, VALUE_HEADER.length()), VALUE_HEADER);
             assertEquals(
                     in.readNBytes(3 * RespBackendConnection.READ_LIMIT_BYTES).length,
                     3 * RespBackendConnection.READ_LIMIT_BYTES);
-            value.readOn.get(10, TimeUnit.SECONDS);
+            value.resumed.get(10, TimeUnit.SECONDS);
         }
     }
 
     @Test
-    public void aValueCutOffByItsBackendEndsTheConnectionAndCountsAsFailed() throws Exception {
-        try (Socket client = request(front("127.0.0.1:1", held))) {
+    public void closesConnectionAndCountsFailureWhenBackendTruncatesValue() throws Exception {
+        try (Socket client = sendRequest(startServer("127.0.0.1:1", heldAttempts))) {
             FakeValue value = new FakeValue();
-            BackendTransport.AttemptListener attempt = held.startAttempt.get(10, TimeUnit.SECONDS);
+            BackendTransport.AttemptListener attempt = heldAttempts.started.get(10, TimeUnit.SECONDS);
             onLoop(() -> {
                 attempt.acceptsStreamedValue(value);
                 value.sink.onPart(Unpooled.wrappedBuffer(new byte[100]));
-                assertTrue(gateway.metrics().statsdLines().contains("gateway.inflight:1|g"), "not ended yet");
+                assertTrue(dispatcher.metrics().statsdLines().contains("gateway.inflight:1|g"), "not ended yet");
                 value.sink.onTruncated();
                 attempt.onResult(AttemptResult.withoutReport(AttemptStatus.BROKEN));
             });
-            assertEquals(client.getInputStream().readAllBytes().length, HEAD.length() + 100);
-            assertTrue(gateway.metrics().statsdLines().contains("gateway.failure.slot-status:1|c"));
-            assertTrue(gateway.metrics().statsdLines().contains("gateway.inflight:0|g"));
+            assertEquals(client.getInputStream().readAllBytes().length, VALUE_HEADER.length() + 100);
+            assertTrue(dispatcher.metrics().statsdLines().contains("gateway.failure.slot-status:1|c"));
+            assertTrue(dispatcher.metrics().statsdLines().contains("gateway.inflight:0|g"));
         }
     }
 
     @Test
-    public void aClientThatDisconnectsAmidItsValueAbandonsItsAttempt() throws Exception {
-        try (Socket client = request(front("127.0.0.1:1", held))) {
+    public void cancelsAttemptWhenClientDisconnectsDuringValue() throws Exception {
+        try (Socket client = sendRequest(startServer("127.0.0.1:1", heldAttempts))) {
             FakeValue value = new FakeValue();
-            BackendTransport.AttemptListener attempt = held.startAttempt.get(10, TimeUnit.SECONDS);
+            BackendTransport.AttemptListener attempt = heldAttempts.started.get(10, TimeUnit.SECONDS);
             onLoop(() -> attempt.acceptsStreamedValue(value));
             client.setSoLinger(true, 0);
         }
-        held.givenUp.get(10, TimeUnit.SECONDS);
+        heldAttempts.cancelled.get(10, TimeUnit.SECONDS);
     }
 
     /** Two requests that were written one behind the other, and the connections that carry them. */
     private record Pipelined(Socket client, RespTestBed.BackendPeer first, RespTestBed.BackendPeer second) {
         /** The first of them waits so long. */
-        static Pipelined on(RespTestBed stage, int firstWaitMs) throws Exception {
-            RespTestBed.Node backend = stage.backend("n1");
-            stage.setEndpoints(backend.is(EndpointState.UP));
-            Socket client = stage.client();
-            RespTestBed.say(client, RespTestBed.query(1, firstWaitMs) + RespTestBed.query(2, 4000));
-            RespTestBed.BackendPeer first = backend.withCommand();
-            RespTestBed.BackendPeer second = backend.withCommand();
-            assertTrue(first.command().contains(RespTestBed.id(1)));
-            assertTrue(second.command().contains(RespTestBed.id(2)));
+        static Pipelined start(RespTestBed testBed, int firstTimeoutMs) throws Exception {
+            RespTestBed.FakeBackend backend = testBed.startBackend("n1");
+            testBed.setEndpoints(backend.withState(EndpointState.UP));
+            Socket client = testBed.connectClient();
+            RespTestBed.send(client, RespTestBed.query(1, firstTimeoutMs) + RespTestBed.query(2, 4000));
+            RespTestBed.BackendPeer first = backend.nextConnectionWithCommand();
+            RespTestBed.BackendPeer second = backend.nextConnectionWithCommand();
+            assertTrue(first.readCommand().contains(RespTestBed.requestId(1)));
+            assertTrue(second.readCommand().contains(RespTestBed.requestId(2)));
             return new Pipelined(client, first, second);
         }
     }
 
     @Test
-    public void aValueThatIsCutLosesNoRequestThatCameBehindIt() throws Exception {
-        try (RespTestBed stage = new RespTestBed()) {
-            Pipelined requests = Pipelined.on(stage, 4000);
-            requests.first().say("*3\r\n" + HEAD + "v".repeat(100_000));
-            requests.second().serve("second");
-            stage.until("attempts_served", 1);
+    public void respondsToPipelinedRequestWhenBackendTruncatesValue() throws Exception {
+        try (RespTestBed testBed = new RespTestBed()) {
+            Pipelined requests = Pipelined.start(testBed, 4000);
+            requests.first().send("*3\r\n" + VALUE_HEADER + "v".repeat(100_000));
+            requests.second().sendValue("second");
+            testBed.awaitCounter("attempts_served", 1);
             requests.first().reset();
             assertTrue(RespTestBed.answer(requests.client()).startsWith("-ERR"), "the value that was cut has failed");
             assertEquals(RespTestBed.answer(requests.client()), "second");
@@ -167,59 +168,59 @@
     }
 
     @Test
-    public void aRequestThatArrivesWhileAValueIsStreamedIsNotReadBeforeItsEnd() throws Exception {
-        try (RespTestBed stage = new RespTestBed()) {
-            RespTestBed.Node backend = stage.backend("n1");
-            stage.setEndpoints(backend.is(EndpointState.UP));
-            Socket client = stage.client();
-            RespTestBed.say(client, RespTestBed.query(1, 4000));
-            RespTestBed.BackendPeer line = backend.withCommand();
-            line.command();
-            line.say("*3\r\n" + HEAD + "v".repeat(100_000));
-            assertEquals(text(client.getInputStream(), HEAD.length()), HEAD);
-            RespTestBed.say(client, RespTestBed.query(2, 4000));
+    public void doesNotReadNextRequestUntilStreamedValueIsComplete() throws Exception {
+        try (RespTestBed testBed = new RespTestBed()) {
+            RespTestBed.FakeBackend backend = testBed.startBackend("n1");
+            testBed.setEndpoints(backend.withState(EndpointState.UP));
+            Socket client = testBed.connectClient();
+            RespTestBed.send(client, RespTestBed.query(1, 4000));
+            RespTestBed.BackendPeer connection = backend.nextConnectionWithCommand();
+            connection.readCommand();
+            connection.send("*3\r\n" + VALUE_HEADER + "v".repeat(100_000));
+            assertEquals(readText(client.getInputStream(), VALUE_HEADER.length()), VALUE_HEADER);
+            RespTestBed.send(client, RespTestBed.query(2, 4000));
             // A round trip on another connection: the event loop has been to its sockets since.
-            Socket other = stage.client();
+            Socket other = testBed.connectClient();
             for (int i = 0; i < 10; i++) {
-                RespTestBed.say(other, RespTestBed.PING);
+                RespTestBed.send(other, RespTestBed.PING);
                 assertEquals(RespTestBed.answer(other), "+PONG");
             }
-            assertEquals(stage.figure("taken"), 1, "read behind a value that may still be cut");
-            line.say("v".repeat(LENGTH - 100_000) + "\r\n$-1\r\n$-1\r\n");
+            assertEquals(testBed.counter("taken"), 1, "read behind a value that may still be cut");
+            connection.send("v".repeat(LENGTH - 100_000) + "\r\n$-1\r\n$-1\r\n");
             assertEquals(client.getInputStream().readNBytes(LENGTH + 2).length, LENGTH + 2);
-            backend.withCommand().serve("second");
+            backend.nextConnectionWithCommand().sendValue("second");
             assertEquals(RespTestBed.answer(client), "second");
         }
     }
 
     @Test
-    public void aValueWithARequestBehindItComesWhole() throws Exception {
-        try (RespTestBed stage = new RespTestBed()) {
-            Pipelined requests = Pipelined.on(stage, 4000);
+    public void deliversCompleteValueWhenRequestIsPipelinedBehindIt() throws Exception {
+        try (RespTestBed testBed = new RespTestBed()) {
+            Pipelined requests = Pipelined.start(testBed, 4000);
             String value = "v".repeat(LENGTH);
-            requests.first().say("*3\r\n" + HEAD + value.substring(0, 100_000));
-            requests.second().serve("second");
-            requests.first().say(value.substring(100_000) + "\r\n$-1\r\n$-1\r\n");
+            requests.first().send("*3\r\n" + VALUE_HEADER + value.substring(0, 100_000));
+            requests.second().sendValue("second");
+            requests.first().send(value.substring(100_000) + "\r\n$-1\r\n$-1\r\n");
             assertEquals(RespTestBed.answer(requests.client()), value);
             assertEquals(RespTestBed.answer(requests.client()), "second");
         }
     }
 
     @Test
-    public void aGatheredValueOfAnyLengthEndsOnce() throws Exception {
-        try (RespTestBed stage = new RespTestBed()) {
-            RespTestBed.Node backend = stage.backend("n1");
-            stage.setEndpoints(backend.is(EndpointState.UP));
-            Socket client = stage.client();
+    public void completesBufferedValueOnceForEachLength() throws Exception {
+        try (RespTestBed testBed = new RespTestBed()) {
+            RespTestBed.FakeBackend backend = testBed.startBackend("n1");
+            testBed.setEndpoints(backend.withState(EndpointState.UP));
+            Socket client = testBed.connectClient();
             for (int length = 70_000; length < 170_000; length += 5_000) {
-                RespTestBed.say(client, RespTestBed.query(length, 4000) + RespTestBed.query(length + 1, 4000));
-                RespTestBed.BackendPeer first = backend.withCommand();
-                RespTestBed.BackendPeer second = backend.withCommand();
-                first.command();
-                second.command();
+                RespTestBed.send(client, RespTestBed.query(length, 4000) + RespTestBed.query(length + 1, 4000));
+                RespTestBed.BackendPeer first = backend.nextConnectionWithCommand();
+                RespTestBed.BackendPeer second = backend.nextConnectionWithCommand();
+                first.readCommand();
+                second.readCommand();
                 String value = "v".repeat(length);
-                first.say("*3\r\n$" + length + "\r\n" + value + "\r\n$-1\r\n$-1\r\n");
-                second.serve("second");
+                first.send("*3\r\n$" + length + "\r\n" + value + "\r\n$-1\r\n$-1\r\n");
+                second.sendValue("second");
                 assertEquals(RespTestBed.answer(client), value);
                 assertEquals(RespTestBed.answer(client), "second");
                 first.reset();
@@ -229,79 +230,81 @@
     }
 
     @Test
-    public void aGatheredValueThatStandsStillIsAnsweredOtherwiseOnceItsTimeIsOver() throws Exception {
-        try (RespTestBed stage = new RespTestBed()) {
-            Pipelined requests = Pipelined.on(stage, 600);
-            requests.first().say("*3\r\n" + HEAD + "v".repeat(100_000));
-            requests.second().serve("second");
+    public void failsStalledBufferedValueAfterItsDeadline() throws Exception {
+        try (RespTestBed testBed = new RespTestBed()) {
+            Pipelined requests = Pipelined.start(testBed, 600);
+            requests.first().send("*3\r\n" + VALUE_HEADER + "v".repeat(100_000));
+            requests.second().sendValue("second");
             assertTrue(RespTestBed.answer(requests.client()).startsWith("-ERR"));
             assertEquals(RespTestBed.answer(requests.client()), "second");
-            assertTrue(requests.first().ended(), "its node is not read on");
-            assertTrue(stage.figure("attempts_cancelled") > 0, "given up by the gateway, not ended as one that broke");
+            assertTrue(requests.first().isClosedByGateway(), "its node is not read on");
+            assertTrue(
+                    testBed.counter("attempts_cancelled") > 0,
+                    "given up by the dispatcher, not ended as one that broke");
         }
     }
 
     @Test
-    public void aValueTooLongToBeGatheredFailsAloneWhereRequestsAreBehindIt() throws Exception {
-        try (RespTestBed stage = new RespTestBed()) {
-            Pipelined requests = Pipelined.on(stage, 4000);
-            requests.first().say("*3\r\n$" + (BufferBudget.MAX_BYTES + 1) + "\r\n" + "v".repeat(100_000));
-            requests.second().serve("second");
+    public void failsOnlyValueLargerThanBudgetWhenRequestsArePipelinedBehindIt() throws Exception {
+        try (RespTestBed testBed = new RespTestBed()) {
+            Pipelined requests = Pipelined.start(testBed, 4000);
+            requests.first().send("*3\r\n$" + (BufferBudget.MAX_BYTES + 1) + "\r\n" + "v".repeat(100_000));
+            requests.second().sendValue("second");
             assertTrue(RespTestBed.answer(requests.client()).startsWith("-ERR"));
             assertEquals(RespTestBed.answer(requests.client()), "second");
-            assertTrue(requests.first().ended(), "its node is not read on");
+            assertTrue(requests.first().isClosedByGateway(), "its node is not read on");
         }
     }
 
-    private RequestDispatcher gateway;
+    private RequestDispatcher dispatcher;
 
     /** A server whose only backend is at the address; gives the server's port. */
-    private int front(String backend, BackendTransport links) throws Exception {
+    private int startServer(String backend, BackendTransport transport) throws Exception {
         CompletableFuture<Integer> listening = new CompletableFuture<>();
         vertx.runOnContext(start -> {
-            gateway = new RequestDispatcher(vertx, new Clock(), TestSettings.settings(), 1, links);
-            gateway.endpointsChanged(
+            dispatcher = new RequestDispatcher(vertx, new Clock(), TestSettings.settings(), 1, transport);
+            dispatcher.endpointsChanged(
                     true,
                     List.of(new Backend(new Endpoint("n1", "room-a", "app", 0, EndpointState.UP, 1, 0), backend)));
             Lifecycle phases = new Lifecycle();
             phases.enter(Lifecycle.Phase.SERVING);
-            new RespServer(vertx, gateway, phases, 64)
+            new RespServer(vertx, dispatcher, phases, 64)
                     .listen(new HostAndPort("127.0.0.1", 0))
                     .onSuccess(listening::complete);
         });
         return listening.get(10, TimeUnit.SECONDS);
     }
 
-    private static Socket request(int port) throws Exception {
+    private static Socket sendRequest(int port) throws Exception {
         Socket client = new Socket("127.0.0.1", port);
         client.setSoTimeout(20_000);
-        say(
+        send(
                 client,
                 "*4\r\n$9\r\nSVC.QUERY\r\n$16\r\n00000000000000a1\r\n$16\r\n00000000000000b2\r\n$" + PARAMETERS.length()
                         + "\r\n" + PARAMETERS + "\r\n");
         return client;
     }
 
-    private static void say(Socket client, String bytes) throws Exception {
+    private static void send(Socket client, String bytes) throws Exception {
         client.getOutputStream().write(bytes.getBytes(StandardCharsets.US_ASCII));
     }
 
-    private static String text(InputStream in, int length) throws Exception {
+    private static String readText(InputStream in, int length) throws Exception {
         return new String(in.readNBytes(length), StandardCharsets.US_ASCII);
     }
 
     /** A backend that gives the value's first part, and the rest once the client has some of it. */
-    private static void give(ServerSocket backend, byte[] value, CountDownLatch goOn) {
-        try (Socket line = backend.accept()) {
-            InputStream in = line.getInputStream();
+    private static void serveInTwoParts(ServerSocket backend, byte[] value, CountDownLatch firstBytesReceived) {
+        try (Socket connection = backend.accept()) {
+            InputStream in = connection.getInputStream();
             StringBuilder command = new StringBuilder();
             while (command.indexOf("first=0\r\n") < 0) {
                 command.append((char) in.read());
             }
-            OutputStream out = line.getOutputStream();
-            out.write(("*3\r\n" + HEAD).getBytes(StandardCharsets.US_ASCII));
+            OutputStream out = connection.getOutputStream();
+            out.write(("*3\r\n" + VALUE_HEADER).getBytes(StandardCharsets.US_ASCII));
             out.write(value, 0, 70_000);
-            goOn.await();
+            firstBytesReceived.await();
             out.write(value, 70_000, LENGTH - 70_000);
             out.write("\r\n$13\r\nused=1,cost=1\r\n$-1\r\n".getBytes(StandardCharsets.US_ASCII));
         } catch (Exception e) {
@@ -324,10 +327,10 @@
 
     /** A value of which the test gives the parts. */
     private static final class FakeValue implements StreamedValue {
-        final CompletableFuture<Void> readOn = new CompletableFuture<>();
+        final CompletableFuture<Void> resumed = new CompletableFuture<>();
         Sink sink;
-        boolean setReading;
-        private boolean stopped;
+        boolean isReading;
+        private boolean wasPaused;
 
         @Override
         public int length() {
@@ -335,16 +338,16 @@
         }
 
         @Override
-        public void deliverTo(Sink taker) {
-            sink = taker;
+        public void deliverTo(Sink newSink) {
+            sink = newSink;
         }
 
         @Override
-        public void setReading(boolean yes) {
-            setReading = yes;
-            stopped |= !yes;
-            if (yes && stopped) {
-                readOn.complete(null);
+        public void setReading(boolean enabled) {
+            isReading = enabled;
+            wasPaused |= !enabled;
+            if (enabled && wasPaused) {
+                resumed.complete(null);
             }
         }
 
@@ -355,14 +358,14 @@
     }
 
     /** Connections whose attempt the test ends. */
-    private static final class HeldConnections extends NoOpBackendTransport {
-        final CompletableFuture<AttemptListener> startAttempt = new CompletableFuture<>();
-        final CompletableFuture<Void> givenUp = new CompletableFuture<>();
+    private static final class HeldAttempts extends NoOpBackendTransport {
+        final CompletableFuture<AttemptListener> started = new CompletableFuture<>();
+        final CompletableFuture<Void> cancelled = new CompletableFuture<>();
 
         @Override
-        public Attempt startAttempt(Backend backend, Request request, double waitMs, AttemptListener ended) {
-            startAttempt.complete(ended);
-            return () -> givenUp.complete(null);
+        public Attempt startAttempt(Backend backend, Request request, double timeoutMs, AttemptListener listener) {
+            started.complete(listener);
+            return () -> cancelled.complete(null);
         }
     }
 }
--- a/gateway/src/test/java/opalcove/resp/UnreadTimeTest.java
+++ b/gateway/src/test/java/opalcove/resp/UnreadTimeTest.java
@@ -15,7 +15,7 @@
  * unread: each test has a request wait for at least so long, and looks at what its backend is given.
  */
 public class UnreadTimeTest {
-    private static final int WAIT_MS = 4000;
+    private static final int TIMEOUT_MS = 4000;
     private static final int UNREAD_MS = 700;
     private static final int SLACK_MS = 150;
     /** Errors after which the reads of a connection were paused for a second by the next. */
@@ -24,24 +24,24 @@
     private static final String UNKNOWN_CLASS = RespTestBed.words(
             "SVC.QUERY", "00000000000000b2", "00000000000000ff", "c=none,t=start,d=100,units=1,spread=1,first=0");
 
-    private RespTestBed stage;
-    private RespTestBed.Node backend;
+    private RespTestBed testBed;
+    private RespTestBed.FakeBackend backend;
 
     @BeforeMethod
     public void open() throws Exception {
-        stage = new RespTestBed();
-        backend = stage.backend("n1");
-        stage.setEndpoints(backend.is(EndpointState.UP));
+        testBed = new RespTestBed();
+        backend = testBed.startBackend("n1");
+        testBed.setEndpoints(backend.withState(EndpointState.UP));
     }
 
     @AfterMethod
     public void close() throws Exception {
-        stage.close();
+        testBed.close();
     }
 
     /** Has the time pass with the event loop held up: nothing is read meanwhile. */
-    private void pass(RespTestBed.Action first) throws Exception {
-        stage.unread(
+    private void runAndLeaveUnread(RespTestBed.Action first) throws Exception {
+        testBed.runWhileLoopBlocked(
                 () -> {
                     first.run();
                     TimeUnit.MILLISECONDS.sleep(UNREAD_MS);
@@ -50,38 +50,38 @@
     }
 
     private void assertDeadlineWithinRemaining() throws Exception {
-        String command = backend.withCommand().command();
-        int told = Integer.parseInt(command.replaceAll(".*,d=(\\d+).*", "$1"));
-        assertTrue(told <= WAIT_MS - UNREAD_MS + SLACK_MS, command);
+        String command = backend.nextConnectionWithCommand().readCommand();
+        int deadlineMs = Integer.parseInt(command.replaceAll(".*,d=(\\d+).*", "$1"));
+        assertTrue(deadlineMs <= TIMEOUT_MS - UNREAD_MS + SLACK_MS, command);
     }
 
     @Test
-    public void whileTheEventLoopIsHeldUp() throws Exception {
-        Socket client = stage.client();
-        RespTestBed.say(client, RespTestBed.PING);
+    public void subtractsUnreadTimeFromDeadlineWhenLoopIsBlocked() throws Exception {
+        Socket client = testBed.connectClient();
+        RespTestBed.send(client, RespTestBed.PING);
         assertEquals(RespTestBed.answer(client), "+PONG");
-        pass(() -> RespTestBed.say(client, RespTestBed.query(1, WAIT_MS)));
+        runAndLeaveUnread(() -> RespTestBed.send(client, RespTestBed.query(1, TIMEOUT_MS)));
         assertDeadlineWithinRemaining();
     }
 
     @Test
-    public void onAConnectionThatIsNewWhileTheEventLoopIsHeldUp() throws Exception {
-        pass(() -> RespTestBed.say(stage.client(), RespTestBed.query(1, WAIT_MS)));
+    public void subtractsUnreadTimeFromDeadlineOfNewConnectionWhenLoopIsBlocked() throws Exception {
+        runAndLeaveUnread(() -> RespTestBed.send(testBed.connectClient(), RespTestBed.query(1, TIMEOUT_MS)));
         assertDeadlineWithinRemaining();
     }
 
     @Test
-    public void whileTheEventLoopIsHeldUpBetweenTheDecisionAndTheWrite() throws Exception {
-        stage.holdConnections();
-        RespTestBed.say(stage.client(), RespTestBed.query(1, WAIT_MS));
-        Runnable link = stage.connectionUp();
-        stage.holdNoMore();
+    public void subtractsDelayFromDeadlineWhenLoopIsBlockedBetweenDecisionAndWrite() throws Exception {
+        testBed.holdConnections();
+        RespTestBed.send(testBed.connectClient(), RespTestBed.query(1, TIMEOUT_MS));
+        Runnable heldConnection = testBed.awaitHeldConnection();
+        testBed.stopHoldingConnections();
         // The request's bytes wait for the end of this turn, which comes late.
-        stage.onLoop(() -> {
-            link.run();
+        testBed.onLoop(() -> {
+            heldConnection.run();
             sleep();
         });
-        assertEquals(stage.figure("lapsed_while_dialled"), 1);
+        assertEquals(testBed.counter("lapsed_while_dialled"), 1);
         assertDeadlineWithinRemaining();
     }
 
@@ -94,27 +94,27 @@
     }
 
     @Test
-    public void aRequestWhoseTimeWasOverBeforeItWasReadIsRefusedAndNotSent() throws Exception {
-        Socket client = stage.client();
-        RespTestBed.say(client, RespTestBed.PING);
+    public void shedsRequestAndSendsNothingWhenDeadlinePassedBeforeRead() throws Exception {
+        Socket client = testBed.connectClient();
+        RespTestBed.send(client, RespTestBed.PING);
         assertEquals(RespTestBed.answer(client), "+PONG");
-        pass(() -> RespTestBed.say(client, RespTestBed.query(1, UNREAD_MS / 2)));
+        runAndLeaveUnread(() -> RespTestBed.send(client, RespTestBed.query(1, UNREAD_MS / 2)));
         assertEquals(RespTestBed.answer(client), "-BUSY");
-        assertEquals(stage.figure("attempts"), 0);
-        assertEquals(stage.figure("refused.unread_in_time"), 1);
+        assertEquals(testBed.counter("attempts"), 0);
+        assertEquals(testBed.counter("refused.unread_in_time"), 1);
     }
 
     @Test
-    public void whileTheReadsOfItsConnectionArePausedAfterErrors() throws Exception {
-        Socket client = stage.client();
-        RespTestBed.say(client, UNKNOWN_CLASS.repeat(ERRORS));
+    public void subtractsUnreadTimeFromDeadlineWhenReadsArePausedAfterErrors() throws Exception {
+        Socket client = testBed.connectClient();
+        RespTestBed.send(client, UNKNOWN_CLASS.repeat(ERRORS));
         for (int i = 0; i < ERRORS; i++) {
             assertEquals(RespTestBed.answer(client), "-ERR unknown class");
         }
         // One more, after the pause for those, and the request right behind its answer.
-        RespTestBed.say(client, UNKNOWN_CLASS);
+        RespTestBed.send(client, UNKNOWN_CLASS);
         assertEquals(RespTestBed.answer(client), "-ERR unknown class");
-        pass(() -> RespTestBed.say(client, RespTestBed.query(1, WAIT_MS)));
+        runAndLeaveUnread(() -> RespTestBed.send(client, RespTestBed.query(1, TIMEOUT_MS)));
         assertDeadlineWithinRemaining();
     }
 }
--- a/gateway/src/test/java/opalcove/resp/WarmUpTest.java
+++ b/gateway/src/test/java/opalcove/resp/WarmUpTest.java
@@ -18,14 +18,14 @@
 
 public class WarmUpTest {
     @Test
-    public void allItsRequestsAreAnsweredAndNoFileRemains() throws Exception {
-        long before = folders();
+    public void answersAllRequestsAndLeavesNoFiles() throws Exception {
+        long before = countWarmUpFolders();
         assertEquals(WarmUp.run(Vertx::vertx, TestSettings.settings(), TimeBudget.ofMs(60_000)), WarmUp.REQUESTS);
-        assertEquals(folders(), before);
+        assertEquals(countWarmUpFolders(), before);
     }
 
     @Test
-    public void aBudgetThatIsOverPlaysNothing() {
+    public void sendsNoRequestWhenBudgetIsExhausted() {
         assertEquals(
                 WarmUp.run(
                         () -> {
@@ -37,11 +37,11 @@
     }
 
     @Test
-    public void allWaitsOfAPlayThatStandsStillShareOneBudget() throws Exception {
+    public void sharesOneBudgetBetweenAllWaitsWhenLoopIsBlocked() throws Exception {
         // Each look at the clock finds 10 ms gone, whatever the wait was: after three looks the budget is over.
-        AtomicLong looks = new AtomicLong();
-        TimeBudget budget = new TimeBudget(30, () -> TimeUnit.MILLISECONDS.toNanos(10 * looks.getAndIncrement()));
-        CountDownLatch heldUp = new CountDownLatch(1);
+        AtomicLong clockReads = new AtomicLong();
+        TimeBudget budget = new TimeBudget(30, () -> TimeUnit.MILLISECONDS.toNanos(10 * clockReads.getAndIncrement()));
+        CountDownLatch loopBlocker = new CountDownLatch(1);
         Vertx vertx = Vertx.vertx(new VertxOptions().setEventLoopPoolSize(1));
         try {
             assertEquals(
@@ -49,37 +49,37 @@
                             () -> {
                                 // The loop that the play is to run on is held up till after its end: no request can be
                                 // answered.
-                                vertx.runOnContext(held -> hold(heldUp));
+                                vertx.runOnContext(blocked -> awaitLatch(loopBlocker));
                                 return vertx;
                             },
                             TestSettings.settings(),
                             budget),
                     0);
         } finally {
-            heldUp.countDown();
+            loopBlocker.countDown();
         }
         assertEquals(budget.remainingMs(), 0);
     }
 
-    private static void hold(CountDownLatch until) {
+    private static void awaitLatch(CountDownLatch latch) {
         try {
-            until.await();
+            latch.await();
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
     }
 
     @Test
-    public void whereNoSocketCanBeMadeThereIsNoPlay() throws Exception {
+    public void detectsWhetherUnixSocketCanBeConnectedTo() throws Exception {
         Path tooLong = Path.of(System.getProperty("java.io.tmpdir"), "x".repeat(200));
         assertFalse(WarmUp.canConnectAt(tooLong));
-        Path fit = Files.createTempDirectory("reached").resolve("at");
-        assertTrue(WarmUp.canConnectAt(fit));
-        assertFalse(Files.exists(fit));
-        Files.delete(fit.getParent());
+        Path usable = Files.createTempDirectory("reached").resolve("at");
+        assertTrue(WarmUp.canConnectAt(usable));
+        assertFalse(Files.exists(usable));
+        Files.delete(usable.getParent());
     }
 
-    private static long folders() throws Exception {
+    private static long countWarmUpFolders() throws Exception {
         try (Stream<Path> all = Files.list(Path.of(System.getProperty("java.io.tmpdir")))) {
             return all.filter(each -> each.getFileName().toString().startsWith(WarmUp.FOLDER_PREFIX))
                     .count();
