--- a/gateway/src/test/java/opalcove/resp/BackendConnectionRacesTest.java
+++ b/gateway/src/test/java/opalcove/resp/BackendConnectionRacesTest.java
@@ -75,7 +75,7 @@
                 RespTestBed.BackendPeer idleConnection = first.accept();
                 idleConnection.readCommand();
                 idleConnection.sendValue("one");
-                assertEquals(RespTestBed.answer(client), "one");
+                assertEquals(RespTestBed.readReply(client), "one");
                 testBed.awaitCounter("links_resting", 1);
                 testBed.runWhileLoopBlocked(
                         () -> {
@@ -91,7 +91,7 @@
                 RespTestBed.BackendPeer connection = second.accept();
                 assertTrue(connection.readCommand().contains(RespTestBed.requestId(2)));
                 connection.sendValue("two");
-                assertEquals(RespTestBed.answer(client), "two");
+                assertEquals(RespTestBed.readReply(client), "two");
                 assertTrue(idleConnection.isClosedByGateway(), "its node got a request");
             }
         }
@@ -144,7 +144,7 @@
                     RespTestBed.BackendPeer connection = second.nextConnectionWithCommand();
                     connection.readCommand();
                     connection.sendValue("two");
-                    assertEquals(RespTestBed.answer(each), "two");
+                    assertEquals(RespTestBed.readReply(each), "two");
                 }
                 assertTrue(first.receivedNothing(), "a drained node got an ask");
             }
@@ -179,7 +179,7 @@
             RespTestBed.BackendPeer connection = second.accept();
             assertTrue(connection.readCommand().contains(RespTestBed.requestId(1)));
             connection.sendValue("two");
-            assertEquals(RespTestBed.answer(client), "two");
+            assertEquals(RespTestBed.readReply(client), "two");
             assertTrue(first.receivedNothing(), "a drained node got an ask");
             assertEquals(testBed.counter("lapsed_while_dialled"), 1);
         }
@@ -201,7 +201,7 @@
             RespTestBed.BackendPeer connection = after.accept();
             assertTrue(connection.readCommand().contains(RespTestBed.requestId(1)));
             connection.sendValue("moved");
-            assertEquals(RespTestBed.answer(client), "moved");
+            assertEquals(RespTestBed.readReply(client), "moved");
             assertTrue(before.receivedNothing(), "who is at the old place got an ask");
         }
     }
@@ -225,7 +225,7 @@
             RespTestBed.BackendPeer connection = backend.accept();
             assertTrue(connection.readCommand().contains(RespTestBed.requestId(2)), "the ask of one who left was sent");
             connection.sendValue("two");
-            assertEquals(RespTestBed.answer(other), "two");
+            assertEquals(RespTestBed.readReply(other), "two");
         }
     }
 
@@ -258,7 +258,7 @@
             Socket client = testBed.connectClient();
             RespTestBed.send(client, RespTestBed.query(1, 100));
             Runnable heldConnection = testBed.awaitHeldConnection();
-            assertTrue(RespTestBed.answer(client).startsWith("-"), "a final answer in time, though no link came up");
+            assertTrue(RespTestBed.readReply(client).startsWith("-"), "a final answer in time, though no link came up");
             testBed.releaseConnection(heldConnection);
             testBed.awaitCounter("asks_open", 0);
             assertTrue(backend.receivedNothing(), "an ask that was answered was sent");
@@ -274,7 +274,7 @@
             RespTestBed.send(client, RespTestBed.query(1, 100));
             RespTestBed.BackendPeer connection = backend.accept();
             connection.readCommand();
-            assertTrue(RespTestBed.answer(client).startsWith("-"));
+            assertTrue(RespTestBed.readReply(client).startsWith("-"));
             assertTrue(connection.isClosedByGateway(), "the link is kept for an answer that nobody awaits");
             testBed.awaitCounter("links_open", 0);
         }
@@ -305,7 +305,7 @@
                 Thread.onSpinWait();
             }
             testBed.releaseConnection(heldConnection);
-            assertTrue(RespTestBed.answer(client).startsWith("-"));
+            assertTrue(RespTestBed.readReply(client).startsWith("-"));
             assertTrue(other.receivedNothing(), "a repeat was sent after its window");
         }
     }
@@ -419,7 +419,7 @@
             RespTestBed.send(client, RespTestBed.query(1, 150));
             RespTestBed.BackendPeer connection = backend.accept();
             connection.readCommand();
-            String first = RespTestBed.answer(client);
+            String first = RespTestBed.readReply(client);
             assertNotEquals(first, "one");
             // The attempt was given up with that answer; what its backend says now is on a connection that is closed.
             try {
@@ -431,7 +431,7 @@
             RespTestBed.BackendPeer fresh = backend.accept();
             assertTrue(fresh.readCommand().contains(RespTestBed.requestId(2)));
             fresh.sendValue("two");
-            assertEquals(RespTestBed.answer(client), "two");
+            assertEquals(RespTestBed.readReply(client), "two");
         }
     }
 
@@ -443,7 +443,7 @@
         RespTestBed.BackendPeer connection = backend.accept();
         connection.readCommand();
         connection.sendValue("one");
-        assertEquals(RespTestBed.answer(client), "one");
+        assertEquals(RespTestBed.readReply(client), "one");
         testBed.awaitCounter("links_resting", 1);
         return connection;
     }
--- a/gateway/src/test/java/opalcove/resp/DisconnectedClientTest.java
+++ b/gateway/src/test/java/opalcove/resp/DisconnectedClientTest.java
@@ -135,7 +135,8 @@
             Runnable first = testBed.awaitHeldConnection();
             Runnable second = testBed.awaitHeldConnection();
             RespTestBed.send(
-                    client, RespTestBed.words("PING", "behind").repeat(3000) + RespTestBed.query(3, TIMEOUT_MS));
+                    client,
+                    RespTestBed.encodeCommand("PING", "behind").repeat(3000) + RespTestBed.query(3, TIMEOUT_MS));
             // Another client's leaving is noticed by the same look that reads what lies behind here.
             Socket other = testBed.connectClient();
             RespTestBed.send(other, RespTestBed.query(4, TIMEOUT_MS) + "no command\r\n");
@@ -149,13 +150,13 @@
                 RespTestBed.BackendPeer connection = backend.nextConnectionWithCommand();
                 connection.sendValue("value");
             }
-            assertEquals(RespTestBed.answer(client), "value");
+            assertEquals(RespTestBed.readReply(client), "value");
             for (int i = 0; i < MAX_PIPELINED - 1; i++) {
-                assertEquals(RespTestBed.answer(client), "+PONG");
+                assertEquals(RespTestBed.readReply(client), "+PONG");
             }
-            assertEquals(RespTestBed.answer(client), "value");
+            assertEquals(RespTestBed.readReply(client), "value");
             for (int i = 0; i < 3000; i++) {
-                assertEquals(RespTestBed.answer(client), "behind");
+                assertEquals(RespTestBed.readReply(client), "behind");
             }
             testBed.awaitCounter("taken", 4);
         }
@@ -175,6 +176,6 @@
         RespTestBed.BackendPeer connection = backend.nextConnectionWithCommand();
         assertTrue(connection.readCommand().contains(RespTestBed.requestId(9)), "the ask of one who left was sent on");
         connection.sendValue("nine");
-        assertEquals(RespTestBed.answer(next), "nine");
+        assertEquals(RespTestBed.readReply(next), "nine");
     }
 }
--- a/gateway/src/test/java/opalcove/resp/FullServerTest.java
+++ b/gateway/src/test/java/opalcove/resp/FullServerTest.java
@@ -52,7 +52,7 @@
                     .statsdLines()
                     .contains("gateway." + CLOSED_COUNTER + ":" + testBed.counter(CLOSED_COUNTER) + "|c"));
             connection.sendValue("value");
-            assertEquals(RespTestBed.answer(busy), "value");
+            assertEquals(RespTestBed.readReply(busy), "value");
         }
     }
 
@@ -86,11 +86,11 @@
                 others.add(testBed.connectClient());
                 RespTestBed.send(half, "x");
             }
-            assertEquals(RespTestBed.answer(sendPing(others.get(MAX_CONNECTIONS - 2))), "+PONG");
+            assertEquals(RespTestBed.readReply(sendPing(others.get(MAX_CONNECTIONS - 2))), "+PONG");
             assertEquals(idle.getInputStream().read(), -1);
             assertEquals(testBed.counter(REJECTED_COUNTER), 0);
             RespTestBed.send(half, "x\r\n");
-            assertEquals(RespTestBed.answer(half), "x".repeat(MAX_CONNECTIONS));
+            assertEquals(RespTestBed.readReply(half), "x".repeat(MAX_CONNECTIONS));
         }
     }
 
@@ -106,7 +106,7 @@
                 nonReadingClients.add(client);
                 client.setReceiveBufferSize(RECEIVE_BUFFER_BYTES);
                 client.connect(new InetSocketAddress(InetAddress.getLoopbackAddress(), port));
-                RespTestBed.send(client, RespTestBed.words("INFO").repeat(UNREAD_RESPONSES));
+                RespTestBed.send(client, RespTestBed.encodeCommand("INFO").repeat(UNREAD_RESPONSES));
             }
             awaitCondition(() -> testBed.server.openCount() == nonReadingClients.size() + 1, testBed);
             testBed.onLoop(() -> testBed.server.setDrainRequested(true));
@@ -135,7 +135,7 @@
 
     private static Socket connectAndPing(RespTestBed testBed) throws Exception {
         Socket client = sendPing(testBed.connectClient());
-        assertEquals(RespTestBed.answer(client), "+PONG");
+        assertEquals(RespTestBed.readReply(client), "+PONG");
         return client;
     }
 
--- a/gateway/src/test/java/opalcove/resp/RespRepliesTest.java
+++ b/gateway/src/test/java/opalcove/resp/RespRepliesTest.java
@@ -93,14 +93,14 @@
     public void repliesToCommandsThatNeedNoBackend() throws Exception {
         try (RespTestBed testBed = new RespTestBed()) {
             assertReply(testBed, RespTestBed.PING, "+PONG\r\n");
-            assertReply(testBed, RespTestBed.words("ping"), "+PONG\r\n");
-            assertReply(testBed, RespTestBed.words("PING", "hello"), "$5\r\nhello\r\n");
-            assertReply(testBed, RespTestBed.words("PING", ""), "$0\r\n\r\n");
-            assertReply(testBed, RespTestBed.words("CLIENT", "SETNAME", "a"), "+OK\r\n");
-            assertReply(testBed, RespTestBed.words("SELECT", "0"), "+OK\r\n");
-            assertReply(testBed, RespTestBed.words("HELLO", "3"), "-ERR unknown command\r\n");
-            assertReply(testBed, RespTestBed.words("GET", "a"), "-ERR unknown command\r\n");
-            assertReply(testBed, RespTestBed.words(""), "-ERR unknown command\r\n");
+            assertReply(testBed, RespTestBed.encodeCommand("ping"), "+PONG\r\n");
+            assertReply(testBed, RespTestBed.encodeCommand("PING", "hello"), "$5\r\nhello\r\n");
+            assertReply(testBed, RespTestBed.encodeCommand("PING", ""), "$0\r\n\r\n");
+            assertReply(testBed, RespTestBed.encodeCommand("CLIENT", "SETNAME", "a"), "+OK\r\n");
+            assertReply(testBed, RespTestBed.encodeCommand("SELECT", "0"), "+OK\r\n");
+            assertReply(testBed, RespTestBed.encodeCommand("HELLO", "3"), "-ERR unknown command\r\n");
+            assertReply(testBed, RespTestBed.encodeCommand("GET", "a"), "-ERR unknown command\r\n");
+            assertReply(testBed, RespTestBed.encodeCommand(""), "-ERR unknown command\r\n");
             testBed.onLoop(() -> testBed.server.setDrainRequested(true));
             assertReply(testBed, RespTestBed.PING, "-ERR draining\r\n");
             testBed.onLoop(() -> testBed.server.setDrainRequested(false));
@@ -111,26 +111,36 @@
     @Test
     public void reportsZeroCountersInInfoBeforeFirstRequest() throws Exception {
         try (RespTestBed testBed = new RespTestBed()) {
-            assertReply(testBed, RespTestBed.words("info"), "$" + INFO.length() + "\r\n" + INFO + "\r\n");
+            assertReply(testBed, RespTestBed.encodeCommand("info"), "$" + INFO.length() + "\r\n" + INFO + "\r\n");
         }
     }
 
     private static String[][] invalidRequests() {
         return new String[][] {
-            {RespTestBed.words("SVC.QUERY", TENANT, ID), "wrong number of words for SVC.QUERY"},
-            {RespTestBed.words("SVC.QUERY", TENANT, ID, PARAMETERS, "body"), "wrong number of words for SVC.QUERY"},
-            {RespTestBed.words("svc.submit", TENANT, ID, PARAMETERS), "wrong number of words for SVC.SUBMIT"},
-            {RespTestBed.words("SVC.QUERY", TENANT, ID, ""), "expected name=value"},
-            {RespTestBed.words("SVC.QUERY", TENANT, ID, "=1," + PARAMETERS), "expected name=value"},
-            {RespTestBed.words("SVC.QUERY", TENANT, ID, PARAMETERS + ",d=3"), "a name comes twice"},
+            {RespTestBed.encodeCommand("SVC.QUERY", TENANT, ID), "wrong number of words for SVC.QUERY"},
+            {
+                RespTestBed.encodeCommand("SVC.QUERY", TENANT, ID, PARAMETERS, "body"),
+                "wrong number of words for SVC.QUERY"
+            },
+            {RespTestBed.encodeCommand("svc.submit", TENANT, ID, PARAMETERS), "wrong number of words for SVC.SUBMIT"},
+            {RespTestBed.encodeCommand("SVC.QUERY", TENANT, ID, ""), "expected name=value"},
+            {RespTestBed.encodeCommand("SVC.QUERY", TENANT, ID, "=1," + PARAMETERS), "expected name=value"},
+            {RespTestBed.encodeCommand("SVC.QUERY", TENANT, ID, PARAMETERS + ",d=3"), "a name comes twice"},
             {query(PARAMETERS.replace("c=slot-status,", "")), "c is missing"},
             {query(PARAMETERS.replace("slot-status", "none")), "unknown class"},
             {query(KEYED_PARAMETERS), "SVC.QUERY does not serve swap-record"},
-            {RespTestBed.words("SVC.SUBMIT", TENANT, ID, PARAMETERS, "body"), "SVC.SUBMIT does not serve slot-status"},
-            {RespTestBed.words("SVC.QUERY", TENANT, "1", PARAMETERS), "the id must be 16 hex digits"},
-            {RespTestBed.words("SVC.QUERY", TENANT, "000000000000000g", PARAMETERS), "the id must be 16 hex digits"},
-            {RespTestBed.words("SVC.QUERY", "b2", ID, PARAMETERS), "the operator must be 16 hex digits"},
-            {RespTestBed.words("SVC.QUERY", "0000000200000000", ID, PARAMETERS), "the operator is out of range"},
+            {
+                RespTestBed.encodeCommand("SVC.SUBMIT", TENANT, ID, PARAMETERS, "body"),
+                "SVC.SUBMIT does not serve slot-status"
+            },
+            {RespTestBed.encodeCommand("SVC.QUERY", TENANT, "1", PARAMETERS), "the id must be 16 hex digits"},
+            {
+                RespTestBed.encodeCommand("SVC.QUERY", TENANT, "000000000000000g", PARAMETERS),
+                "the id must be 16 hex digits"
+            },
+            {RespTestBed.encodeCommand("SVC.QUERY", "b2", ID, PARAMETERS), "the operator must be 16 hex digits"},
+            {RespTestBed.encodeCommand("SVC.QUERY", "0000000200000000", ID, PARAMETERS), "the operator is out of range"
+            },
             {query(PARAMETERS.replace("t=start", "t=")), "t is missing"},
             {query(PARAMETERS.replace("t=start", "t=none")), "unknown plan"},
             {query(PARAMETERS.replace(",units=1", "")), "units is missing"},
@@ -143,9 +153,9 @@
             {query(PARAMETERS.replace("spread=1", "spread=1.5")), "spread is not a whole number"},
             {query(PARAMETERS.replace("spread=1", "spread=2")), "the operator's gateways are out of range"},
             {query(PARAMETERS.replace("first=0", "first=1")), "the operator's gateways are out of range"},
-            {RespTestBed.words("SVC.SUBMIT", TENANT, ID, KEYED_PARAMETERS, "body"), "k is missing"},
+            {RespTestBed.encodeCommand("SVC.SUBMIT", TENANT, ID, KEYED_PARAMETERS, "body"), "k is missing"},
             {
-                RespTestBed.words("SVC.SUBMIT", TENANT, ID, KEYED_PARAMETERS + ",k=a b", "body"),
+                RespTestBed.encodeCommand("SVC.SUBMIT", TENANT, ID, KEYED_PARAMETERS + ",k=a b", "body"),
                 "the key cannot be passed on"
             },
             {"*0\r\n", "expected a command"},
@@ -156,7 +166,7 @@
     }
 
     private static String query(String parameters) {
-        return RespTestBed.words("SVC.QUERY", TENANT, ID, parameters);
+        return RespTestBed.encodeCommand("SVC.QUERY", TENANT, ID, parameters);
     }
 
     /** Each is an error in its own place: the connection goes on. */
@@ -214,7 +224,7 @@
             Socket client = testBed.connectClient();
             String parameters = PARAMETERS.replace("slot-status", "lock");
             // In one write, so that the second is read before the first can be answered.
-            String command = RespTestBed.words("SVC.SUBMIT", TENANT, ID, parameters, "body");
+            String command = RespTestBed.encodeCommand("SVC.SUBMIT", TENANT, ID, parameters, "body");
             RespTestBed.send(client, command + command);
             RespTestBed.BackendPeer connection = backend.nextConnectionWithCommand();
             connection.readCommand();
@@ -238,7 +248,7 @@
                 assertReply(testBed, RespTestBed.query(2, DEADLINE_MS), hasRetryDelay ? "-BUSY 2000\r\n" : "-BUSY\r\n");
                 connection.readCommand();
                 connection.sendValue("value");
-                assertEquals(RespTestBed.answer(first), "value");
+                assertEquals(RespTestBed.readReply(first), "value");
                 assertTrue(testBed.counter("refused.too_many_open") == 1);
             }
         }
--- a/gateway/src/test/java/opalcove/resp/RespTestBed.java
+++ b/gateway/src/test/java/opalcove/resp/RespTestBed.java
@@ -359,7 +359,7 @@
     }
 
     /** The next answer: a line, or a string's value. */
-    public static String answer(Socket client) throws Exception {
+    public static String readReply(Socket client) throws Exception {
         String line = readLine(client.getInputStream());
         if (!line.startsWith("$")) {
             return line;
@@ -387,7 +387,7 @@
 
     /** A request that may be repeated. */
     public static String query(int number, int timeoutMs) {
-        return words(
+        return encodeCommand(
                 "SVC.QUERY",
                 "00000000000000b2",
                 requestId(number),
@@ -396,7 +396,7 @@
 
     /** A request with an effect, with a key where its class has one. */
     static String submit(int number, int timeoutMs, String key) {
-        return words(
+        return encodeCommand(
                 "SVC.SUBMIT",
                 "00000000000000b2",
                 requestId(number),
@@ -404,7 +404,7 @@
                 "body");
     }
 
-    public static String words(String... words) {
+    public static String encodeCommand(String... words) {
         StringBuilder command = new StringBuilder("*" + words.length + "\r\n");
         for (String word : words) {
             command.append('$')
--- a/gateway/src/test/java/opalcove/resp/ShutdownRacesTest.java
+++ b/gateway/src/test/java/opalcove/resp/ShutdownRacesTest.java
@@ -41,7 +41,7 @@
             RespTestBed.BackendPeer connection = backend.accept();
             // Its backend is given the time that it is waited for.
             assertTrue(connection.readCommand().matches(".*,d=[0-3]?[0-9]?[0-9](\\.[0-9]+)?,.*"));
-            assertTrue(RespTestBed.answer(client).startsWith("-"));
+            assertTrue(RespTestBed.readReply(client).startsWith("-"));
             assertTrue(connection.isClosedByGateway(), "its attempt is given up");
             assertEquals(testBed.counter("ended_by_deadline_guard"), 0);
         }
@@ -62,8 +62,8 @@
             RespTestBed.BackendPeer second = backend.accept();
             second.readCommand();
             second.sendValue("two");
-            assertTrue(RespTestBed.answer(client).startsWith("-"));
-            assertEquals(RespTestBed.answer(client), "two");
+            assertTrue(RespTestBed.readReply(client).startsWith("-"));
+            assertEquals(RespTestBed.readReply(client), "two");
         }
     }
 
@@ -76,7 +76,7 @@
             sendFirstHalf(testBed, client, RespTestBed.query(1, TIMEOUT_MS));
             beginShutdown(testBed, 0);
             RespTestBed.send(client, secondHalf(RespTestBed.query(1, TIMEOUT_MS)));
-            assertEquals(RespTestBed.answer(client), "-BUSY");
+            assertEquals(RespTestBed.readReply(client), "-BUSY");
             assertEquals(client.getInputStream().read(), -1);
             assertTrue(backend.receivedNothing());
         }
@@ -111,7 +111,7 @@
             testBed.onLoop(() -> testBed.dispatcher.whenIdle(() -> idle.complete(null)));
             assertFalse(idle.isDone());
             connection.sendValue("one");
-            assertEquals(RespTestBed.answer(client), "one");
+            assertEquals(RespTestBed.readReply(client), "one");
             idle.get(RespTestBed.TIMEOUT_S, TimeUnit.SECONDS);
             assertEquals((long) testBed.onLoop(() -> testBed.dispatcher.maxDeadlineMs()), 300);
         }
@@ -122,12 +122,12 @@
         try (RespTestBed testBed = new RespTestBed()) {
             Socket client = testBed.connectClient();
             RespTestBed.send(client, RespTestBed.PING);
-            assertEquals(RespTestBed.answer(client), "+PONG");
+            assertEquals(RespTestBed.readReply(client), "+PONG");
             testBed.runWhileLoopBlocked(() -> RespTestBed.send(client, RespTestBed.PING), () -> {
                 testBed.lifecycle.enter(Lifecycle.Phase.DRAINING);
                 testBed.server.drain(() -> {});
             });
-            assertEquals(RespTestBed.answer(client), "+PONG");
+            assertEquals(RespTestBed.readReply(client), "+PONG");
             assertEquals(client.getInputStream().read(), -1);
         }
     }
@@ -137,14 +137,14 @@
         try (RespTestBed testBed = new RespTestBed()) {
             Socket client = testBed.connectClient();
             RespTestBed.send(client, RespTestBed.PING);
-            assertEquals(RespTestBed.answer(client), "+PONG");
+            assertEquals(RespTestBed.readReply(client), "+PONG");
             testBed.runWhileLoopBlocked(() -> RespTestBed.send(client, RespTestBed.PING), () -> {
                 testBed.server.setDrainRequested(true);
                 testBed.server.setDrainRequested(false);
             });
-            assertEquals(RespTestBed.answer(client), "+PONG");
+            assertEquals(RespTestBed.readReply(client), "+PONG");
             RespTestBed.send(client, RespTestBed.PING);
-            assertEquals(RespTestBed.answer(client), "+PONG");
+            assertEquals(RespTestBed.readReply(client), "+PONG");
         }
     }
 
@@ -162,12 +162,12 @@
                         status.gatewayWired(testBed.vertx, testBed.dispatcher, testBed.server, testBed.lifecycle));
                 Socket client = testBed.connectClient();
                 RespTestBed.send(client, RespTestBed.PING);
-                assertEquals(RespTestBed.answer(client), isWithdrawn ? "+PONG" : "-ERR draining");
+                assertEquals(RespTestBed.readReply(client), isWithdrawn ? "+PONG" : "-ERR draining");
                 status.setDrainRequested(false);
                 testBed.onLoop(() -> {});
                 Socket next = testBed.connectClient();
                 RespTestBed.send(next, RespTestBed.PING);
-                assertEquals(RespTestBed.answer(next), "+PONG");
+                assertEquals(RespTestBed.readReply(next), "+PONG");
             }
         }
     }
@@ -189,7 +189,7 @@
     /** Brings the first half of a command, and sees that the gateway has read what was sent before it. */
     private static void sendFirstHalf(RespTestBed testBed, Socket client, String command) throws Exception {
         RespTestBed.send(client, RespTestBed.PING + command.substring(0, command.length() / 2));
-        assertEquals(RespTestBed.answer(client), "+PONG");
+        assertEquals(RespTestBed.readReply(client), "+PONG");
     }
 
     private static String secondHalf(String command) {
--- a/gateway/src/test/java/opalcove/resp/StalledClientTest.java
+++ b/gateway/src/test/java/opalcove/resp/StalledClientTest.java
@@ -18,7 +18,7 @@
         try (RespTestBed testBed = new RespTestBed()) {
             Socket client = testBed.connectClient();
             RespTestBed.send(client, RespTestBed.PING + RespTestBed.PING.substring(0, 8));
-            assertEquals(RespTestBed.answer(client), "+PONG");
+            assertEquals(RespTestBed.readReply(client), "+PONG");
             assertEquals(client.getInputStream().read(), -1);
             assertEquals(testBed.counter("connections_ended.stalled"), 1);
         }
@@ -39,7 +39,7 @@
             // Well after the time for which half a command may stand still, and before its request's time is over.
             TimeUnit.MILLISECONDS.sleep(STALLED_MS);
             connection.sendValue("first");
-            assertEquals(RespTestBed.answer(client), "first");
+            assertEquals(RespTestBed.readReply(client), "first");
             // Its error and the end, or the end alone on a machine so slow that the answer came first.
             String rest = new String(client.getInputStream().readAllBytes(), StandardCharsets.US_ASCII);
             assertTrue(rest.isEmpty() || rest.equals("-ERR Protocol error: half a command\r\n"), rest);
--- a/gateway/src/test/java/opalcove/resp/StreamedValueTest.java
+++ b/gateway/src/test/java/opalcove/resp/StreamedValueTest.java
@@ -162,8 +162,9 @@
             requests.second().sendValue("second");
             testBed.awaitCounter("attempts_served", 1);
             requests.first().reset();
-            assertTrue(RespTestBed.answer(requests.client()).startsWith("-ERR"), "the value that was cut has failed");
-            assertEquals(RespTestBed.answer(requests.client()), "second");
+            assertTrue(
+                    RespTestBed.readReply(requests.client()).startsWith("-ERR"), "the value that was cut has failed");
+            assertEquals(RespTestBed.readReply(requests.client()), "second");
         }
     }
 
@@ -183,13 +184,13 @@
             Socket other = testBed.connectClient();
             for (int i = 0; i < 10; i++) {
                 RespTestBed.send(other, RespTestBed.PING);
-                assertEquals(RespTestBed.answer(other), "+PONG");
+                assertEquals(RespTestBed.readReply(other), "+PONG");
             }
             assertEquals(testBed.counter("taken"), 1, "read behind a value that may still be cut");
             connection.send("v".repeat(LENGTH - 100_000) + "\r\n$-1\r\n$-1\r\n");
             assertEquals(client.getInputStream().readNBytes(LENGTH + 2).length, LENGTH + 2);
             backend.nextConnectionWithCommand().sendValue("second");
-            assertEquals(RespTestBed.answer(client), "second");
+            assertEquals(RespTestBed.readReply(client), "second");
         }
     }
 
@@ -201,8 +202,8 @@
             requests.first().send("*3\r\n" + VALUE_HEADER + value.substring(0, 100_000));
             requests.second().sendValue("second");
             requests.first().send(value.substring(100_000) + "\r\n$-1\r\n$-1\r\n");
-            assertEquals(RespTestBed.answer(requests.client()), value);
-            assertEquals(RespTestBed.answer(requests.client()), "second");
+            assertEquals(RespTestBed.readReply(requests.client()), value);
+            assertEquals(RespTestBed.readReply(requests.client()), "second");
         }
     }
 
@@ -221,8 +222,8 @@
                 String value = "v".repeat(length);
                 first.send("*3\r\n$" + length + "\r\n" + value + "\r\n$-1\r\n$-1\r\n");
                 second.sendValue("second");
-                assertEquals(RespTestBed.answer(client), value);
-                assertEquals(RespTestBed.answer(client), "second");
+                assertEquals(RespTestBed.readReply(client), value);
+                assertEquals(RespTestBed.readReply(client), "second");
                 first.reset();
                 second.reset();
             }
@@ -235,8 +236,8 @@
             Pipelined requests = Pipelined.start(testBed, 600);
             requests.first().send("*3\r\n" + VALUE_HEADER + "v".repeat(100_000));
             requests.second().sendValue("second");
-            assertTrue(RespTestBed.answer(requests.client()).startsWith("-ERR"));
-            assertEquals(RespTestBed.answer(requests.client()), "second");
+            assertTrue(RespTestBed.readReply(requests.client()).startsWith("-ERR"));
+            assertEquals(RespTestBed.readReply(requests.client()), "second");
             assertTrue(requests.first().isClosedByGateway(), "its node is not read on");
             assertTrue(
                     testBed.counter("attempts_cancelled") > 0,
@@ -250,8 +251,8 @@
             Pipelined requests = Pipelined.start(testBed, 4000);
             requests.first().send("*3\r\n$" + (BufferBudget.MAX_BYTES + 1) + "\r\n" + "v".repeat(100_000));
             requests.second().sendValue("second");
-            assertTrue(RespTestBed.answer(requests.client()).startsWith("-ERR"));
-            assertEquals(RespTestBed.answer(requests.client()), "second");
+            assertTrue(RespTestBed.readReply(requests.client()).startsWith("-ERR"));
+            assertEquals(RespTestBed.readReply(requests.client()), "second");
             assertTrue(requests.first().isClosedByGateway(), "its node is not read on");
         }
     }
--- a/gateway/src/test/java/opalcove/resp/UnreadDisconnectTest.java
+++ b/gateway/src/test/java/opalcove/resp/UnreadDisconnectTest.java
@@ -96,7 +96,7 @@
             RespTestBed.BackendPeer connection = backend.accept();
             connection.readCommand();
             connection.sendValue("one");
-            assertEquals(RespTestBed.answer(client), "one");
+            assertEquals(RespTestBed.readReply(client), "one");
             testBed.awaitCounter("links_resting", 1);
             testBed.runWhileLoopBlocked(
                     () -> {
@@ -139,7 +139,9 @@
     @Test(dataProvider = "disconnects")
     public void sendsNothingWhenClientDisconnectedWhileErrorPausedReads(Disconnect disconnect) throws Exception {
         assertNothingSentWhenDisconnectedDuringConnect(
-                disconnect, RespTestBed.query(1, TIMEOUT_MS) + RespTestBed.words("UNKNOWN") + "+no command\r\n", 1);
+                disconnect,
+                RespTestBed.query(1, TIMEOUT_MS) + RespTestBed.encodeCommand("UNKNOWN") + "+no command\r\n",
+                1);
     }
 
     @Test(dataProvider = "disconnects")
@@ -236,7 +238,7 @@
             RespTestBed.send(client, RespTestBed.query(1, TIMEOUT_MS));
             Runnable first = testBed.awaitHeldConnection();
             // Looked at with a command and a half unread, though the connection is read.
-            String next = RespTestBed.words("PING", "two");
+            String next = RespTestBed.encodeCommand("PING", "two");
             testBed.runWhileLoopBlocked(
                     () -> {
                         RespTestBed.send(client, next + next.substring(0, 9));
@@ -248,7 +250,7 @@
             assertTrue(connection.readCommand().contains(RespTestBed.requestId(1)));
             connection.sendValue("one");
             for (String reply : List.of("one", "two", "two", "+PONG")) {
-                assertEquals(RespTestBed.answer(client), reply);
+                assertEquals(RespTestBed.readReply(client), reply);
             }
         }
     }
@@ -298,7 +300,7 @@
                 connection.readCommand().contains(RespTestBed.requestId(99)),
                 "a request of a client that had left was sent on");
         connection.sendValue("next");
-        assertEquals(RespTestBed.answer(next), "next");
+        assertEquals(RespTestBed.readReply(next), "next");
         assertTrue(backend.receivedNothing(), "a request of a client that had left was sent on");
     }
 
--- a/gateway/src/test/java/opalcove/resp/UnreadTimeTest.java
+++ b/gateway/src/test/java/opalcove/resp/UnreadTimeTest.java
@@ -21,7 +21,7 @@
     /** Errors after which the reads of a connection were paused for a second by the next. */
     private static final int ERRORS = 20;
 
-    private static final String UNKNOWN_CLASS = RespTestBed.words(
+    private static final String UNKNOWN_CLASS = RespTestBed.encodeCommand(
             "SVC.QUERY", "00000000000000b2", "00000000000000ff", "c=none,t=start,d=100,units=1,spread=1,first=0");
 
     private RespTestBed testBed;
@@ -59,7 +59,7 @@
     public void subtractsUnreadTimeFromDeadlineWhenLoopIsBlocked() throws Exception {
         Socket client = testBed.connectClient();
         RespTestBed.send(client, RespTestBed.PING);
-        assertEquals(RespTestBed.answer(client), "+PONG");
+        assertEquals(RespTestBed.readReply(client), "+PONG");
         runAndLeaveUnread(() -> RespTestBed.send(client, RespTestBed.query(1, TIMEOUT_MS)));
         assertDeadlineWithinRemaining();
     }
@@ -97,9 +97,9 @@
     public void shedsRequestAndSendsNothingWhenDeadlinePassedBeforeRead() throws Exception {
         Socket client = testBed.connectClient();
         RespTestBed.send(client, RespTestBed.PING);
-        assertEquals(RespTestBed.answer(client), "+PONG");
+        assertEquals(RespTestBed.readReply(client), "+PONG");
         runAndLeaveUnread(() -> RespTestBed.send(client, RespTestBed.query(1, UNREAD_MS / 2)));
-        assertEquals(RespTestBed.answer(client), "-BUSY");
+        assertEquals(RespTestBed.readReply(client), "-BUSY");
         assertEquals(testBed.counter("attempts"), 0);
         assertEquals(testBed.counter("refused.unread_in_time"), 1);
     }
@@ -109,11 +109,11 @@
         Socket client = testBed.connectClient();
         RespTestBed.send(client, UNKNOWN_CLASS.repeat(ERRORS));
         for (int i = 0; i < ERRORS; i++) {
-            assertEquals(RespTestBed.answer(client), "-ERR unknown class");
+            assertEquals(RespTestBed.readReply(client), "-ERR unknown class");
         }
         // One more, after the pause for those, and the request right behind its answer.
         RespTestBed.send(client, UNKNOWN_CLASS);
-        assertEquals(RespTestBed.answer(client), "-ERR unknown class");
+        assertEquals(RespTestBed.readReply(client), "-ERR unknown class");
         runAndLeaveUnread(() -> RespTestBed.send(client, RespTestBed.query(1, TIMEOUT_MS)));
         assertDeadlineWithinRemaining();
     }
--- a/gateway/src/test/java/opalcove/server/DescriptorLimitTest.java
+++ b/gateway/src/test/java/opalcove/server/DescriptorLimitTest.java
@@ -288,7 +288,7 @@
         }
 
         int figure(String name) throws IOException {
-            String lines = answer(RespTestBed.words("INFO"));
+            String lines = answer(RespTestBed.encodeCommand("INFO"));
             return lines == null
                     ? 0
                     : lines.lines()
@@ -305,7 +305,7 @@
                     socket.setSoTimeout(10_000);
                 }
                 write(socket, command);
-                return RespTestBed.answer(socket);
+                return RespTestBed.readReply(socket);
             } catch (Exception closed) {
                 socket.close();
                 socket = null;
