--- a/gateway/src/test/java/opalcove/resp/AdminDrainTest.java
+++ b/gateway/src/test/java/opalcove/resp/AdminDrainTest.java
@@ -23,14 +23,14 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** An administrator's drain on the client port, by the bytes that a client sends and gets. */
+/** Checks how the client port behaves during a drain, by the bytes that a client sends and receives. */
 public class AdminDrainTest {
-    /** PINGs that may come before the event loop has taken the administrator's word. */
+    /** The maximum number of PINGs sent before the event loop has processed the administrator's request. */
     private static final int MAX_PINGS = 10_000;
 
     private static final String PING = "*1\r\n$4\r\nPING\r\n";
     private static final String PARAMETERS = "c=battery-update-ii,t=basis,d=100,units=1,spread=1,first=0";
-    /** A request of a class that the settings do not name. */
+    /** A request of a class that is not in the settings. */
     private static final String UNKNOWN_CLASS = "*4\r\n$9\r\nSVC.QUERY\r\n$16\r\n00000000000000a1\r\n$16\r\n"
             + "00000000000000b2\r\n$" + PARAMETERS.length() + "\r\n" + PARAMETERS + "\r\n";
 
@@ -65,14 +65,14 @@
             assertEquals(exchange(idle, PING, 7), "+PONG\r\n");
             vertx.runOnContext(run -> server.setDrainRequested(true));
             try (Socket other = connect()) {
-                pingUntilReply(other, "-ERR draining\r\n", "+PONG\r\n", "the drain never took");
+                pingUntilReply(other, "-ERR draining\r\n", "+PONG\r\n", "the drain never took effect");
             }
-            // The kept connection owes nothing, so the gateway closes it: the client reads its end.
+            // No response is due on the idle connection, so the gateway closes it: the client reads its end.
             assertEquals(idle.getInputStream().read(), -1);
         }
         vertx.runOnContext(run -> server.setDrainRequested(false));
         try (Socket again = connect()) {
-            pingUntilReply(again, "+PONG\r\n", "-ERR draining\r\n", "the undrain never took");
+            pingUntilReply(again, "+PONG\r\n", "-ERR draining\r\n", "the end of the drain never took effect");
         }
     }
 
@@ -90,7 +90,8 @@
     public void respondsToCommandUnreadBehindErrorBeforeDrainClosesConnection() throws Exception {
         try (Socket client = connect()) {
             assertEquals(exchange(client, UNKNOWN_CLASS, 64), "-ERR unknown class\r\n");
-            // The error pauses the connection's reads: this PING lies unread when the drain looks at the connection.
+            // The error pauses the connection's reads, so this PING is still unread when the drain examines the
+            // connection.
             client.getOutputStream().write(PING.getBytes(StandardCharsets.US_ASCII));
             client.getOutputStream().flush();
             vertx.runOnContext(run -> {
@@ -124,8 +125,8 @@
     }
 
     /**
-     * PINGs until the answer is the one wanted. The administrator's word reaches the event loop a moment after it was given,
-     * so until then the answer may be the one from before, and nothing else.
+     * Sends PINGs until the reply is the expected one. The administrator's request reaches the event loop with a delay,
+     * so until then the reply may be the previous one, and no other.
      */
     private static void pingUntilReply(Socket socket, String expected, String before, String failureMessage)
             throws Exception {
@@ -156,7 +157,7 @@
         return received.toString(StandardCharsets.US_ASCII);
     }
 
-    /** No backend is asked in this test. */
+    /** Fails the test if an attempt is made: no request of this test reaches a backend. */
     private static final class NoTransport extends NoOpBackendTransport {
         @Override
         public Attempt startAttempt(Backend backend, Request request, double timeoutMs, AttemptListener listener) {
--- a/gateway/src/test/java/opalcove/resp/BackendCommandsTest.java
+++ b/gateway/src/test/java/opalcove/resp/BackendCommandsTest.java
@@ -18,7 +18,7 @@
 import opalcove.lifecycle.Application;
 import org.testng.annotations.Test;
 
-/** What is sent to a backend, byte for byte, for a class of each effect. */
+/** Checks the commands sent to a backend, byte for byte, for a class of each idempotency. */
 public class BackendCommandsTest {
     private static final int TIMEOUT_S = 20;
     private static final String TENANT = "00000000b4d65521";
@@ -75,7 +75,7 @@
                         .replace("\n", "\r\n"));
     }
 
-    /** Without a key, with a part of a unit, less than a millisecond left and no byte of body. */
+    /** The request has no key, a fraction of a unit, less than a millisecond left and an empty body. */
     @Test
     public void encodesEmptyBodyForUnsafeClass() throws Exception {
         assertEquals(
@@ -100,7 +100,7 @@
         return Unpooled.copiedBuffer(text, StandardCharsets.US_ASCII);
     }
 
-    /** Has the request sent on a new connection, which then ends; all that came. */
+    /** Sends the request on a new connection, closes it after 20 ms and returns all bytes that were received. */
     private static String sendAndCapture(Request request, double timeoutMs) throws Exception {
         Vertx vertx = Application.createEventLoop();
         try (ServerSocket backend = new ServerSocket(0, 8, InetAddress.getLoopbackAddress())) {
@@ -124,7 +124,7 @@
         }
     }
 
-    /** Hears of a connection on which nothing comes. */
+    /** Ignores the events of a connection on which nothing arrives. */
     private static final class IgnoringListener implements BackendConnection.Listener {
         @Override
         public boolean acceptsStreamedValue(StreamedValue value) {
--- a/gateway/src/test/java/opalcove/resp/BackendConnectionRacesTest.java
+++ b/gateway/src/test/java/opalcove/resp/BackendConnectionRacesTest.java
@@ -24,17 +24,17 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** What crosses a connection to a backend: its coming up, its close, the answer that was not awaited any more. */
+/** Checks races on a connection to a backend: its establishment, its close, and replies that are no longer awaited. */
 public class BackendConnectionRacesTest {
     private static final String FALL_SETTING = "\"fall_ms\":3000";
     private static final String CANCEL_SETTING = "\"may_cancel\":true";
 
-    /** Backends that close a connection after 1.5 s of rest: one that rested for 50 ms is looked at. */
+    /** Backends close a connection after 1.5 s without use: a connection idle for 50 ms is checked before its reuse. */
     private static final String[] SHORT_IDLE_CLOSE = {"\"idle_close_ms\":30000", "\"idle_close_ms\":1500"};
 
     /**
-     * Drain graces, and for how long the loop is held up, ms: for all of the grace, and for a part that may add to
-     * others.
+     * Drain grace periods and how long the event loop is blocked, ms: for the complete grace period, and for a part of
+     * it that may add to other delays.
      */
     @DataProvider
     public Object[][] drainGracesAndPauses() {
@@ -47,8 +47,8 @@
     }
 
     /**
-     * The loop is held up; meanwhile a request comes, and then a drain of the backend to which it would go on an idle connection. Both
-     * lie unread as the loop goes on, the request before the drain.
+     * While the event loop is blocked, a request arrives, and then a drain of the backend to which it would be sent on
+     * an idle connection. Both are unread when the loop continues, the request before the drain.
      */
     @Test(dataProvider = "drainGracesAndPauses")
     public void doesNotSendRequestToBackendWhoseDrainIsUnreadBehindRequest(int graceMs, int pauseMs) throws Exception {
@@ -92,15 +92,15 @@
                 assertTrue(connection.readCommand().contains(RespTestBed.requestId(2)));
                 connection.sendValue("two");
                 assertEquals(RespTestBed.readReply(client), "two");
-                assertTrue(idleConnection.isClosedByGateway(), "its node got a request");
+                assertTrue(idleConnection.isClosedByGateway(), "the draining backend received a request");
             }
         }
     }
 
     /**
-     * The loop is held up; meanwhile the watch ends with no news, the agent learns of a drain, which it can tell to the
-     * next call alone, and a request comes for the drained backend. That request, and one that comes while the call is out, wait
-     * for it.
+     * While the event loop is blocked, the discovery poll ends without changes, the discovery agent learns of a drain,
+     * which it can report only in reply to the next poll, and a request arrives for the draining backend. That request,
+     * and one that arrives while the next poll is pending, wait for the reply to that poll.
      */
     @Test(dataProvider = "drainGracesAndPauses")
     public void doesNotSendRequestToBackendWhoseDrainArrivesWithNextPoll(int graceMs, int pauseMs) throws Exception {
@@ -111,7 +111,7 @@
             RespTestBed.FakeBackend second = testBed.startBackend("n2");
             discovery.setSoTimeout(20_000);
             Backoff backoff = new Backoff(1, 2, new SplittableRandom(1));
-            // Watches wait for 1 ms, so that an answer is late without regard to how long the test took before.
+            // Polls wait for 1 ms, so that a reply is late regardless of how long the test took before.
             PollSchedule schedule =
                     new PollSchedule(1, 20_000, 0, backoff, Long.MAX_VALUE, Long.MAX_VALUE, graceMs / 4);
             testBed.onLoop(() -> {
@@ -146,7 +146,7 @@
                     connection.sendValue("two");
                     assertEquals(RespTestBed.readReply(each), "two");
                 }
-                assertTrue(first.receivedNothing(), "a drained node got an ask");
+                assertTrue(first.receivedNothing(), "a draining backend received a request");
             }
         }
     }
@@ -174,13 +174,13 @@
             Runnable heldConnection = testBed.awaitHeldConnection();
             testBed.setEndpoints(first.withState(EndpointState.DRAINING), second.withState(EndpointState.UP));
             testBed.releaseConnection(heldConnection);
-            // The request goes to the other backend, as its second attempt.
+            // The second attempt of the request goes to the other backend.
             testBed.releaseConnection(testBed.awaitHeldConnection());
             RespTestBed.BackendPeer connection = second.accept();
             assertTrue(connection.readCommand().contains(RespTestBed.requestId(1)));
             connection.sendValue("two");
             assertEquals(RespTestBed.readReply(client), "two");
-            assertTrue(first.receivedNothing(), "a drained node got an ask");
+            assertTrue(first.receivedNothing(), "a draining backend received a request");
             assertEquals(testBed.counter("lapsed_while_dialled"), 1);
         }
     }
@@ -202,7 +202,7 @@
             assertTrue(connection.readCommand().contains(RespTestBed.requestId(1)));
             connection.sendValue("moved");
             assertEquals(RespTestBed.readReply(client), "moved");
-            assertTrue(before.receivedNothing(), "who is at the old place got an ask");
+            assertTrue(before.receivedNothing(), "the former address received a request");
         }
     }
 
@@ -218,18 +218,23 @@
             client.close();
             testBed.awaitCounter("terminals_left", 1);
             testBed.releaseConnection(heldConnection);
-            // The connection is kept, and a later request is the first that the backend gets on it.
+            // The connection stays open, and a later request is the first that the backend receives on it.
             testBed.awaitCounter("links_resting", 1);
             Socket other = testBed.connectClient();
             RespTestBed.send(other, RespTestBed.query(2, 4000));
             RespTestBed.BackendPeer connection = backend.accept();
-            assertTrue(connection.readCommand().contains(RespTestBed.requestId(2)), "the ask of one who left was sent");
+            assertTrue(
+                    connection.readCommand().contains(RespTestBed.requestId(2)),
+                    "the request of a disconnected client was sent");
             connection.sendValue("two");
             assertEquals(RespTestBed.readReply(other), "two");
         }
     }
 
-    /** Of a connection that is given up because its client left, nothing is held against the backend: the next request goes there at once. */
+    /**
+     * A connect that is cancelled because its client disconnected does not count as a failure of the backend: the next
+     * request is sent there at once.
+     */
     @Test
     public void doesNotCountCancelledConnectAsBackendFailureWhenClientDisconnected() throws Exception {
         try (RespTestBed testBed = new RespTestBed()) {
@@ -258,10 +263,12 @@
             Socket client = testBed.connectClient();
             RespTestBed.send(client, RespTestBed.query(1, 100));
             Runnable heldConnection = testBed.awaitHeldConnection();
-            assertTrue(RespTestBed.readReply(client).startsWith("-"), "a final answer in time, though no link came up");
+            assertTrue(
+                    RespTestBed.readReply(client).startsWith("-"),
+                    "expected a final response in time, though no connection was established");
             testBed.releaseConnection(heldConnection);
             testBed.awaitCounter("asks_open", 0);
-            assertTrue(backend.receivedNothing(), "an ask that was answered was sent");
+            assertTrue(backend.receivedNothing(), "a request that already had its response was sent");
         }
     }
 
@@ -275,7 +282,8 @@
             RespTestBed.BackendPeer connection = backend.accept();
             connection.readCommand();
             assertTrue(RespTestBed.readReply(client).startsWith("-"));
-            assertTrue(connection.isClosedByGateway(), "the link is kept for an answer that nobody awaits");
+            assertTrue(
+                    connection.isClosedByGateway(), "the connection stays open for a reply that is no longer awaited");
             testBed.awaitCounter("links_open", 0);
         }
     }
@@ -287,7 +295,7 @@
             RespTestBed.FakeBackend backend = testBed.startBackend("n1");
             RespTestBed.FakeBackend other = testBed.startBackend("n2");
             testBed.setEndpoints(backend.withState(EndpointState.UP), other.withState(EndpointState.DRAINING));
-            // The module makes a priced repeat for each ten first attempts.
+            // The decision module makes one priced retry for every ten first attempts.
             RespTestBed.BackendPeer connection = idleConnection(testBed, backend);
             for (int i = 0; i < 10; i++) {
                 serveAnotherRequest(testBed, connection);
@@ -298,7 +306,8 @@
             long sentAtNanos = System.nanoTime();
             testBed.setEndpoints(backend.withState(EndpointState.DRAINING), other.withState(EndpointState.UP));
             testBed.holdConnections();
-            // The first attempt may have run: only within the window may the other backend see it.
+            // The first attempt may have run, so the other backend may receive the request only within the retry
+            // window.
             connection.reset();
             Runnable heldConnection = testBed.awaitHeldConnection();
             while (System.nanoTime() - sentAtNanos < TimeUnit.MILLISECONDS.toNanos(700)) {
@@ -306,7 +315,7 @@
             }
             testBed.releaseConnection(heldConnection);
             assertTrue(RespTestBed.readReply(client).startsWith("-"));
-            assertTrue(other.receivedNothing(), "a repeat was sent after its window");
+            assertTrue(other.receivedNothing(), "a retry was sent after its window");
         }
     }
 
@@ -349,11 +358,11 @@
             assertTrue(fresh.readCommand().contains(RespTestBed.requestId(2)));
             fresh.sendValue("two");
             assertEquals(responses.poll(RespTestBed.TIMEOUT_S, TimeUnit.SECONDS), "two");
-            assertTrue(connection.isClosedByGateway(), "a connection with a second answer on it is given up");
+            assertTrue(connection.isClosedByGateway(), "the connection with a second reply was not closed");
         }
     }
 
-    /** Where second answers come, no connection is used again unlooked at, however short it rested. */
+    /** After second replies, no connection is reused without a check, however short it was idle. */
     @Test
     public void checksBrieflyIdleConnectionsAfterSecondReply() throws Exception {
         try (RespTestBed testBed = new RespTestBed()) {
@@ -378,7 +387,7 @@
         }
     }
 
-    /** By then a connection has rested for longer than the gateway is sure of it. */
+    /** Waits until a connection has been idle for longer than the gateway reuses it without a check. */
     private static void idleUntilCheckIsDue() throws InterruptedException {
         Thread.sleep(60);
     }
@@ -393,8 +402,8 @@
             RespTestBed.BackendPeer connection = backend.accept();
             connection.readCommand();
             BlockingQueue<String> responses = new LinkedBlockingQueue<>();
-            // Both lie unread when the next request is taken; whichever is read first, the next request's answer is its
-            // own.
+            // Both are unread when the next request is dispatched. Whichever is read first, the next request must get
+            // its own response.
             testBed.runWhileLoopBlocked(
                     () -> {
                         connection.sendValue("one");
@@ -421,7 +430,7 @@
             connection.readCommand();
             String first = RespTestBed.readReply(client);
             assertNotEquals(first, "one");
-            // The attempt was given up with that answer; what its backend says now is on a connection that is closed.
+            // The attempt was cancelled with that response; its backend now replies on a closed connection.
             try {
                 connection.sendValue("one");
             } catch (java.net.SocketException closed) {
@@ -435,7 +444,7 @@
         }
     }
 
-    /** A connection that has carried an answer and rests. */
+    /** Returns a connection that has carried one reply and is idle. */
     private static RespTestBed.BackendPeer idleConnection(RespTestBed testBed, RespTestBed.FakeBackend backend)
             throws Exception {
         Socket client = testBed.connectClient();
@@ -448,7 +457,7 @@
         return connection;
     }
 
-    /** One more request on an idle connection. */
+    /** Serves one more request on an idle connection. */
     private static void serveAnotherRequest(RespTestBed testBed, RespTestBed.BackendPeer connection) throws Exception {
         BlockingQueue<String> responses = new LinkedBlockingQueue<>();
         testBed.onLoop(() -> testBed.dispatch(50, 4000, responses));
--- a/gateway/src/test/java/opalcove/resp/DisconnectedClientTest.java
+++ b/gateway/src/test/java/opalcove/resp/DisconnectedClientTest.java
@@ -8,17 +8,18 @@
 import org.testng.annotations.Test;
 
 /**
- * A client leaves while its request waits: nothing of it reaches a backend afterwards, wherever it waited. In each case
- * the leaving is noticed first; then what the request waited for happens, and the next request is the first that the backend gets.
+ * Checks that nothing is sent to a backend for a client that disconnected while its request waited, whatever it waited
+ * for. In each test the gateway detects the disconnect first; then the event that the request waited for occurs, and
+ * the next request must be the first that the backend receives.
  */
 public class DisconnectedClientTest {
-    /** Requests that may wait for as long as a test does. */
+    /** Settings with deadlines longer than a test. */
     private static final String[] LONG_DEADLINES = {
         "\"aim_ms\":2000,\"deadline_ms\":4000", "\"aim_ms\":90000,\"deadline_ms\":90000"
     };
 
     private static final int TIMEOUT_MS = 90_000;
-    /** Commands of one connection after which it is not read on. */
+    /** The number of pipelined commands after which a connection is no longer read. */
     private static final int MAX_PIPELINED = 256;
 
     @Test
@@ -122,7 +123,7 @@
         }
     }
 
-    /** What is looked at to see a client leave is not lost for one that stays: each command has its answer, in order. */
+    /** Commands that were read by polls for a disconnect are not lost: each gets its response, in order. */
     @Test
     public void respondsInOrderToCommandsReadByPollsWhenClientStays() throws Exception {
         try (RespTestBed testBed = new RespTestBed(LONG_DEADLINES)) {
@@ -137,7 +138,7 @@
             RespTestBed.send(
                     client,
                     RespTestBed.encodeCommand("PING", "behind").repeat(3000) + RespTestBed.query(3, TIMEOUT_MS));
-            // Another client's leaving is noticed by the same look that reads what lies behind here.
+            // The poll that detects this other client's disconnect also reads the unread commands of the first client.
             Socket other = testBed.connectClient();
             RespTestBed.send(other, RespTestBed.query(4, TIMEOUT_MS) + "no command\r\n");
             Runnable otherConnection = testBed.awaitHeldConnection();
@@ -162,7 +163,7 @@
         }
     }
 
-    /** A request, and as many commands and another request that the connection is not read after them. */
+    /** Two requests with PINGs between them, so many commands that the connection is not read after them. */
     private static String fullPipeline() {
         return RespTestBed.query(1, TIMEOUT_MS)
                 + RespTestBed.PING.repeat(MAX_PIPELINED - 1)
@@ -174,7 +175,9 @@
         Socket next = testBed.connectClient();
         RespTestBed.send(next, RespTestBed.query(9, TIMEOUT_MS));
         RespTestBed.BackendPeer connection = backend.nextConnectionWithCommand();
-        assertTrue(connection.readCommand().contains(RespTestBed.requestId(9)), "the ask of one who left was sent on");
+        assertTrue(
+                connection.readCommand().contains(RespTestBed.requestId(9)),
+                "the backend received the request of a disconnected client");
         connection.sendValue("nine");
         assertEquals(RespTestBed.readReply(next), "nine");
     }
--- a/gateway/src/test/java/opalcove/resp/DrainingServerTest.java
+++ b/gateway/src/test/java/opalcove/resp/DrainingServerTest.java
@@ -22,7 +22,7 @@
 import opalcove.lifecycle.Lifecycle;
 import org.testng.annotations.Test;
 
-/** A server that stops taking connections: those that were established before are served. */
+/** Checks that a server that stops accepting connections serves those that were established before. */
 public class DrainingServerTest {
     private static final int CONNECTIONS = 60;
 
@@ -78,7 +78,7 @@
         }
     }
 
-    /** How many of the connections got the reply to their command. */
+    /** Returns how many of the connections got the reply to their command. */
     private static int countServed(List<Socket> connections) throws IOException {
         int served = 0;
         for (Socket socket : connections) {
--- a/gateway/src/test/java/opalcove/resp/FullServerTest.java
+++ b/gateway/src/test/java/opalcove/resp/FullServerTest.java
@@ -13,25 +13,26 @@
 import opalcove.decision.EndpointState;
 import org.testng.annotations.Test;
 
-/** A server that has no room for another connection: which of them are closed, and that they are counted. */
+/** Checks which connections a server at its connection limit closes or rejects, and that it counts them. */
 public class FullServerTest {
-    /** As many as the test bed's server takes. */
+    /** The connection limit of the test bed's server. */
     private static final int MAX_CONNECTIONS = 64;
 
     private static final String CLOSED_COUNTER = "connections_closed_for_descriptors";
     private static final String REJECTED_COUNTER = "connections_refused_for_descriptors";
-    /** Half a command, of which a byte follows for each of the other connections. */
+    /** The first half of a command; one more byte of it is sent for each of the other connections. */
     private static final String HALF_COMMAND = "*2\r\n$4\r\nPING\r\n$" + MAX_CONNECTIONS + "\r\n";
 
-    /** A receive buffer that holds a few answers, bytes; and far more answers than that and the gateway's kernel takes. */
+    /** The client's receive buffer, bytes: it holds a few responses. */
     private static final int RECEIVE_BUFFER_BYTES = 1024;
 
+    /** Far more responses than fit into the buffers of the client and of the gateway's kernel. */
     private static final int UNREAD_RESPONSES = 8000;
 
-    /** Longer than any machine takes for the test, so that no request ends before it is answered, ms. */
+    /** Longer than the test takes on any machine, so that no request times out before its response, ms. */
     private static final int DEADLINE_MS = 60_000;
 
-    /** Closed are those that carry nothing, the longest at rest first; one with an open request gets its answer. */
+    /** Connections without an open request are closed, the longest idle first; a busy one still gets its response. */
     @Test
     public void closesIdleConnectionsButNotOneWithOpenRequestWhenFull() throws Exception {
         try (RespTestBed testBed = startTestBed()) {
@@ -56,7 +57,7 @@
         }
     }
 
-    /** Where all carry a request the new connection is closed unread. */
+    /** If every connection has an open request, the new connection is closed without being read. */
     @Test
     public void rejectsNewConnectionWhenAllAreInUse() throws Exception {
         try (RespTestBed testBed = startTestBed()) {
@@ -74,7 +75,7 @@
         }
     }
 
-    /** One that has sent half a command is passed over, and does not keep the others from being looked at. */
+    /** A connection that has sent half a command is skipped, and the other connections are still considered. */
     @Test
     public void closesIdleConnectionWhenOldestHasHalfACommand() throws Exception {
         try (RespTestBed testBed = new RespTestBed()) {
@@ -94,7 +95,7 @@
         }
     }
 
-    /** Connections whose clients read nothing are not kept half open beyond the limit on those. */
+    /** Connections whose clients read nothing do not exceed the limit on half-open connections. */
     @Test
     public void limitsHalfOpenConnectionsWhenClientsReadNothing() throws Exception {
         int maxHalfOpen = MAX_CONNECTIONS / 8;
--- a/gateway/src/test/java/opalcove/resp/RawSocketTest.java
+++ b/gateway/src/test/java/opalcove/resp/RawSocketTest.java
@@ -23,7 +23,10 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** Each assumption on which bytes wait for the end of a turn: their order, a close before it, whose buffers they are. */
+/**
+ * Checks the guarantees for bytes that are flushed at the end of a turn: their order, the effect of an earlier close,
+ * and the release of their buffers.
+ */
 public class RawSocketTest {
     private static final int TIMEOUT_S = 20;
 
@@ -42,7 +45,9 @@
         assertEquals(LeakCounter.found(), 0);
     }
 
-    /** Connects; at the first byte read the action is run, in that turn, with the raw socket and the Vert.x one. */
+    /**
+     * Connects to a new server, which runs the action with the raw and the Vert.x socket in the turn of its first read.
+     */
     private Socket connect(BiConsumer<RawSocket, NetSocket> action) throws Exception {
         CompletableFuture<Integer> port = new CompletableFuture<>();
         vertx.runOnContext(start -> vertx.createNetServer()
@@ -57,7 +62,7 @@
 
                         @Override
                         public void writeFailed() {
-                            events.add("unwritten");
+                            events.add("write failed");
                         }
                     });
                     socket.closeHandler(closed -> events.add("closed"));
@@ -83,7 +88,7 @@
             ByteBuf separateBuffer = raw.allocate(large.length());
             writeText(separateBuffer, large);
             raw.write(separateBuffer);
-            // More than is left of the batch: what is in it goes first.
+            // More bytes than remain in the batch, whose contents are sent first.
             writeText(raw.reserve(600), "s".repeat(600));
             raw.writeLineEnd();
         })) {
@@ -95,7 +100,7 @@
         }
     }
 
-    /** What waits for the end of the turn never leaves, is reported once as unwritten for each part, and is released. */
+    /** Bytes that wait for the end of the turn are never sent, reported as failed once per part, and released. */
     @Test
     public void sendsNothingWhenClosedBeforeFlush() throws Exception {
         ByteBuf buffered = Unpooled.directBuffer(8).writeZero(8);
@@ -108,7 +113,7 @@
             socket.getOutputStream().write(1);
             assertEquals(readRemaining(socket.getInputStream()), "");
             for (int part = 0; part < 3; part++) {
-                assertEquals(events.poll(TIMEOUT_S, TimeUnit.SECONDS), "unwritten");
+                assertEquals(events.poll(TIMEOUT_S, TimeUnit.SECONDS), "write failed");
             }
             assertEquals(events.poll(TIMEOUT_S, TimeUnit.SECONDS), "closed");
         }
@@ -117,7 +122,7 @@
         buffered.release();
     }
 
-    /** A socket that its own side closes in the same turn lets out what was put in before, and takes no more. */
+    /** A socket whose output is closed in the same turn sends what was written before, and nothing after it. */
     @Test
     public void sendsWrittenBytesBeforeClosingOutput() throws Exception {
         try (Socket socket = connect((raw, netSocket) -> {
@@ -130,12 +135,12 @@
         assertEquals(events.poll(TIMEOUT_S, TimeUnit.SECONDS), "closed");
     }
 
-    /** The socket has ended by the end of the turn: the batch is let go of, and told as unwritten. */
+    /** The socket is closed before the end of the turn: the batch is released and reported as failed. */
     @Test
     public void releasesBatchWrittenAfterClose() throws Exception {
         try (Socket socket = connect((raw, netSocket) -> netSocket.close().onComplete(closed -> {
             writeText(raw.reserve(10), "too late");
-            events.add("put in");
+            events.add("written");
         }))) {
             socket.getOutputStream().write(1);
             assertEquals(readRemaining(socket.getInputStream()), "");
@@ -143,7 +148,7 @@
             for (int i = 0; i < 3; i++) {
                 reported.add(events.poll(TIMEOUT_S, TimeUnit.SECONDS));
             }
-            assertEquals(reported, Set.of("closed", "put in", "unwritten"));
+            assertEquals(reported, Set.of("closed", "written", "write failed"));
         }
     }
 
--- a/gateway/src/test/java/opalcove/resp/RespDecoderTest.java
+++ b/gateway/src/test/java/opalcove/resp/RespDecoderTest.java
@@ -16,11 +16,11 @@
 import net.jqwik.api.Property;
 import net.jqwik.api.Provide;
 
-/** What is read does not hang on where the network cuts the bytes, and every buffer is let go of. */
+/** Checks that decoded values do not depend on how the network splits the bytes, and that every buffer is released. */
 class RespDecoderTest {
     private static final int MAX_ITEMS = 8;
 
-    /** Reads the parts and writes down what was heard. */
+    /** Decodes the parts and returns a description of each value or error that the listener was notified of. */
     private static List<String> decodeAll(List<String> parts) {
         List<String> decoded = new ArrayList<>();
         RespDecoder decoder = new RespDecoder(MAX_ITEMS, new RespListener() {
@@ -35,7 +35,7 @@
 
             @Override
             public void decodingFailed(String reason) {
-                decoded.add("broken: " + reason);
+                decoded.add("error: " + reason);
             }
         });
         for (String each : parts) {
@@ -44,7 +44,7 @@
                     .writeBytes(each.getBytes(StandardCharsets.ISO_8859_1));
             decoder.decode(bytes);
             if (!decoder.isMidValue()) {
-                assertEquals(0, bytes.refCnt(), "a buffer is held between values");
+                assertEquals(0, bytes.refCnt(), "a buffer is retained between values");
             }
         }
         decoder.stop();
@@ -69,7 +69,7 @@
         return Arbitraries.integers().between(1, 40).list().ofMinSize(1).ofMaxSize(30);
     }
 
-    /** Values of every kind, and now and then what is none. */
+    /** Streams of values of every type, sometimes with invalid input. */
     @Provide
     Arbitrary<String> streams() {
         Arbitrary<String> text =
@@ -105,7 +105,7 @@
                 .map(each -> String.join("", each));
     }
 
-    /** A value of just the most there may be, cut at every kilobyte, is put together once. */
+    /** A string of exactly the maximum length that is split at every kilobyte is decoded once. */
     @Example
     void decodesLargestStringFromManyParts() {
         String value = "v".repeat(RespDecoder.MAX_STRING_BYTES);
@@ -117,7 +117,7 @@
         assertEquals(List.of("* " + value + " end", "+ next"), decodeAll(parts));
     }
 
-    /** What is heard stops the reading amid a buffer of many values. */
+    /** The listener stops the decoder in the middle of a buffer with several values. */
     @Example
     void decodesNothingAfterStop() {
         List<String> decoded = new ArrayList<>();
@@ -142,7 +142,7 @@
         assertEquals(0, bytes.refCnt());
     }
 
-    /** A slip in the hearing of one value neither tells it again nor loses the next. */
+    /** If the listener throws for a value, that value is not delivered again and the next one is not lost. */
     @Example
     void deliversEachValueOnceWhenListenerThrows() {
         List<String> decoded = new ArrayList<>();
@@ -151,7 +151,7 @@
             public void valueDecoded(RespDecoder value) {
                 decoded.add(value.text(0));
                 if (decoded.size() == 1) {
-                    throw new IllegalStateException("a slip");
+                    throw new IllegalStateException("a listener failed");
                 }
             }
 
--- a/gateway/src/test/java/opalcove/resp/RespRepliesTest.java
+++ b/gateway/src/test/java/opalcove/resp/RespRepliesTest.java
@@ -8,7 +8,7 @@
 import opalcove.decision.EndpointState;
 import org.testng.annotations.Test;
 
-/** The client port by its bytes: each reply that a client can get, as literal text. */
+/** Checks each reply that a client can receive, byte for byte, as literal text. */
 public class RespRepliesTest {
     private static final int DEADLINE_MS = 4000;
     private static final String TENANT = "00000000000000b2";
@@ -16,7 +16,7 @@
     private static final String PARAMETERS = "c=slot-status,t=start,d=4000,units=1,spread=1,first=0";
     private static final String KEYED_PARAMETERS = "c=swap-record,t=start,d=4000,units=1,spread=1,first=0";
 
-    /** A class whose requests may not be repeated, beside those of the tests' settings. */
+    /** A class whose requests must not be retried, in addition to those of the test settings. */
     private static final String UNSAFE = "{\"name\":\"lock\",\"value\":2,\"aim_ms\":2000,\"deadline_ms\":4000,"
             + "\"idempotency\":\"unsafe\",\"group\":\"all\"},";
 
@@ -78,7 +78,7 @@
             links_resting=0
             """;
 
-    /** Sends the bytes on a new connection; whether what comes back begins with the reply. */
+    /** Sends the bytes on a new connection and checks that the received bytes begin with the reply. */
     private static void assertReply(RespTestBed testBed, String sent, String reply) throws Exception {
         assertReply(testBed.connectClient(), sent, reply);
     }
@@ -169,7 +169,7 @@
         return RespTestBed.encodeCommand("SVC.QUERY", TENANT, ID, parameters);
     }
 
-    /** Each is an error in its own place: the connection goes on. */
+    /** Each invalid request gets its own error, and the connection stays usable. */
     @Test
     public void rejectsInvalidRequestAndKeepsConnectionOpen() throws Exception {
         try (RespTestBed testBed = new RespTestBed()) {
@@ -181,7 +181,7 @@
         }
     }
 
-    /** What is not RESP2 is reported and ends the connection. */
+    /** Input that is not RESP2 is reported, and the connection is closed. */
     @Test
     public void reportsProtocolErrorAndClosesConnectionOnMalformedInput() throws Exception {
         String[][] cases = {
@@ -223,7 +223,7 @@
             testBed.setEndpoints(backend.withState(EndpointState.UP));
             Socket client = testBed.connectClient();
             String parameters = PARAMETERS.replace("slot-status", "lock");
-            // In one write, so that the second is read before the first can be answered.
+            // Both are sent in one write, so that the second is read before the first can get its response.
             String command = RespTestBed.encodeCommand("SVC.SUBMIT", TENANT, ID, parameters, "body");
             RespTestBed.send(client, command + command);
             RespTestBed.BackendPeer connection = backend.nextConnectionWithCommand();
@@ -233,7 +233,7 @@
         }
     }
 
-    /** The two forms of a refusal: with advice on when to come again, and without. */
+    /** Checks both forms of a rejection: with a retry delay, and without one. */
     @Test
     public void repliesBusyWithRetryDelayOnlyIfOneIsAllowed() throws Exception {
         for (boolean hasRetryDelay : new boolean[] {true, false}) {
--- a/gateway/src/test/java/opalcove/resp/RespTestBed.java
+++ b/gateway/src/test/java/opalcove/resp/RespTestBed.java
@@ -44,8 +44,8 @@
 import opalcove.metrics.Invariant;
 
 /**
- * A gateway on loopback sockets between clients and backends of a test, which hold and release bytes, connections and the
- * event loop itself on command: so the order in which two events meet is the test's, every time.
+ * Runs a gateway on loopback sockets between the clients and backends of a test. The test can hold back and release
+ * bytes, backend connections and the event loop itself, so it determines the order of racing events on every run.
  */
 public final class RespTestBed implements Closeable {
     static final int TIMEOUT_S = 20;
@@ -57,10 +57,14 @@
     final RespServer server;
     private final int port;
     private final List<Closeable> resources = new ArrayList<>();
-    /** Connections that are up and not handed over yet; null where connections are handed over at once. */
+    /** Established backend connections that the test holds back; null if connections are not held back. */
     private BlockingQueue<Runnable> heldConnections;
 
-    /** Starts with the settings of the tests, changed by pairs of a text and what is in its place. */
+    /**
+     * Starts a gateway with the settings of the tests.
+     *
+     * @param changes pairs of a text in the settings and its replacement
+     */
     RespTestBed(String... changes) throws Exception {
         String json = TestSettings.JSON.replace("\"max_open\":4", "\"max_open\":1000");
         for (int i = 0; i < changes.length; i += 2) {
@@ -92,13 +96,13 @@
             each.close();
         }
         vertx.close();
-        // Late answers are the machine's where a test holds the event loop up.
+        // A test that blocks the event loop can cause late responses, so this invariant is not checked.
         for (Invariant rule : EnumSet.complementOf(EnumSet.of(Invariant.ANSWER_IN_TIME))) {
             assertEquals(dispatcher.invariants().violated(rule), 0, "the gateway has broken " + rule);
         }
     }
 
-    // Connections that come up late.
+    // Backend connections that are held back.
 
     private Future<BackendConnection> holdIfRequested(Future<BackendConnection> connecting) {
         if (heldConnections == null) {
@@ -110,30 +114,30 @@
         return released.future();
     }
 
-    /** From now on connections come up when the test lets them. */
+    /** Holds back each backend connection that is opened from now on, until the test releases it. */
     void holdConnections() throws Exception {
         onLoop(() -> heldConnections = new LinkedBlockingQueue<>());
     }
 
-    /** Connections that are opened from now on are handed over at once. */
+    /** Passes backend connections that are opened from now on to the gateway at once. */
     void stopHoldingConnections() throws Exception {
         onLoop(() -> heldConnections = null);
     }
 
-    /** Waits for a connection that is up and was not handed over; it is handed over by {@link #releaseConnection}. */
+    /** Waits for a backend connection that is established and held back; {@link #releaseConnection} releases it. */
     Runnable awaitHeldConnection() throws Exception {
         Runnable heldConnection = heldConnections.poll(TIMEOUT_S, TimeUnit.SECONDS);
         assertNotNull(heldConnection, "the gateway opened no connection to a backend");
         return heldConnection;
     }
 
-    /** Hands a link over; what is written to it has left when this returns. */
+    /** Passes a held connection to the gateway; what the gateway writes to it is flushed when this returns. */
     void releaseConnection(Runnable heldConnection) throws Exception {
         onLoop(heldConnection);
         onLoop(() -> {});
     }
 
-    // The loop.
+    // The event loop.
 
     <T> T onLoop(Supplier<T> work) throws Exception {
         CompletableFuture<T> done = new CompletableFuture<>();
@@ -154,14 +158,14 @@
         });
     }
 
-    /** What a test does to sockets. */
+    /** An action of a test on its sockets. */
     interface Action {
         void run() throws Exception;
     }
 
     /**
-     * Holds the loop up while the test does something to its sockets, and has the loop do the other thing before it reads
-     * any socket again: so the second is done by a gateway that has not read the first, though the kernel has it.
+     * Blocks the event loop while the first action runs, and then runs the second one on the loop before it reads any
+     * socket again. The gateway has not read the effects of the first action by then, though the kernel has them.
      */
     void runWhileLoopBlocked(Action whileBlocked, Runnable beforeNextRead) throws Exception {
         CountDownLatch blocked = new CountDownLatch(1);
@@ -183,7 +187,7 @@
         done.get(TIMEOUT_S, TimeUnit.SECONDS);
     }
 
-    /** A figure of the gateway's. */
+    /** Returns the value of a counter or gauge that the gateway reports in INFO. */
     int counter(String name) throws Exception {
         String lines = onLoop(dispatcher::infoLines);
         return Integer.parseInt(lines.lines()
@@ -193,7 +197,7 @@
                 .substring(name.length() + 1));
     }
 
-    /** Waits till a figure is this. */
+    /** Waits until a counter or gauge has the expected value. */
     void awaitCounter(String name, int expected) throws Exception {
         long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(TIMEOUT_S);
         int now = counter(name);
@@ -216,7 +220,7 @@
         onLoop(() -> dispatcher.endpointsChanged(true, List.of(backends)));
     }
 
-    /** A backend. What its connections bring waits until the test looks; what they send is what the test says. */
+    /** A backend whose connections are read and written by the test. */
     static final class FakeBackend implements Closeable {
         final String name;
         private final List<BackendPeer> connectionsWithoutCommand = new ArrayList<>();
@@ -240,7 +244,7 @@
             return new BackendPeer(server.accept());
         }
 
-        /** The line on which a command comes next, of all those that were not told by this call before. */
+        /** Returns the next connection on which a command arrives, among those not returned by this method before. */
         BackendPeer nextConnectionWithCommand() throws Exception {
             long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(TIMEOUT_S);
             server.setSoTimeout(1);
@@ -261,12 +265,12 @@
             } finally {
                 server.setSoTimeout(TIMEOUT_S * 1000);
             }
-            throw new AssertionError(name + " got no command");
+            throw new AssertionError(name + " received no command");
         }
 
         /**
-         * Whether no line brings a byte, of those that wait to be accepted and those that {@link #nextConnectionWithCommand} accepted and
-         * did not give; lines that end without one are passed over.
+         * Whether no connection has delivered a byte, among those that wait to be accepted and those that {@link
+         * #nextConnectionWithCommand} accepted and did not return. A connection that ends without a byte is ignored.
          */
         boolean receivedNothing() throws Exception {
             for (BackendPeer each : connectionsWithoutCommand) {
@@ -297,7 +301,7 @@
         }
     }
 
-    /** A backend's end of a connection. */
+    /** The backend's end of a connection. */
     static final class BackendPeer {
         final Socket socket;
         private final InputStream in;
@@ -308,7 +312,7 @@
             in = socket.getInputStream();
         }
 
-        /** The next command, its words with spaces between. */
+        /** Reads the next command and returns its arguments separated by spaces. */
         String readCommand() throws Exception {
             String header = readLine(in);
             assertTrue(header.startsWith("*"), header);
@@ -330,7 +334,7 @@
             socket.getOutputStream().write(bytes.getBytes(StandardCharsets.ISO_8859_1));
         }
 
-        /** Whether the gateway has ended the line with nothing more on it. */
+        /** Whether the gateway has closed the connection without sending another byte. */
         boolean isClosedByGateway() throws Exception {
             try {
                 return in.read() < 0;
@@ -358,7 +362,7 @@
         client.getOutputStream().write(bytes.getBytes(StandardCharsets.ISO_8859_1));
     }
 
-    /** The next answer: a line, or a string's value. */
+    /** Reads the next reply and returns its line, or the value of a bulk string. */
     public static String readReply(Socket client) throws Exception {
         String line = readLine(client.getInputStream());
         if (!line.startsWith("$")) {
@@ -385,7 +389,7 @@
         return String.format("%016x", number);
     }
 
-    /** A request that may be repeated. */
+    /** Encodes a request that is safe to retry. */
     public static String query(int number, int timeoutMs) {
         return encodeCommand(
                 "SVC.QUERY",
@@ -394,7 +398,7 @@
                 "c=slot-status,t=start,d=" + timeoutMs + ",units=1,spread=1,first=0");
     }
 
-    /** A request with an effect, with a key where its class has one. */
+    /** Encodes a request with side effects, and with an idempotency key unless it is null. */
     static String submit(int number, int timeoutMs, String key) {
         return encodeCommand(
                 "SVC.SUBMIT",
@@ -416,7 +420,7 @@
         return command.toString();
     }
 
-    /** Has the gateway serve a request from within the loop; the answer's text is added to the list. */
+    /** Dispatches a request directly, on the event loop; the text of its response is added to the queue. */
     void dispatch(int number, int timeoutMs, BlockingQueue<String> responses) {
         dispatcher.dispatch(
                 new Request(
--- a/gateway/src/test/java/opalcove/resp/ShutdownRacesTest.java
+++ b/gateway/src/test/java/opalcove/resp/ShutdownRacesTest.java
@@ -18,17 +18,19 @@
 import opalcove.server.GatewayStatus;
 import org.testng.annotations.Test;
 
-/** The end of the process crossing requests, new settings and its own start. */
+/** Checks races between the shutdown of the process and requests, new settings, drains and its own start. */
 public class ShutdownRacesTest {
     private static final int TIMEOUT_MS = 4000;
-    /** A request that would wait for longer than the test does. */
+    /** A request timeout longer than the test. */
     private static final int LONG_TIMEOUT_MS = 90_000;
 
     private static final String[] LONG_DEADLINES = {
         "\"aim_ms\":2000,\"deadline_ms\":4000", "\"aim_ms\":2000,\"deadline_ms\":90000"
     };
 
-    /** Taken late in the end from a backend that never answers: its answer does not wait for its own time, which is over after the end. */
+    /**
+     * The backend never replies and the request's deadline is after the shutdown: its response does not wait for that.
+     */
     @Test
     public void respondsBeforeKillToRequestReceivedLateInShutdown() throws Exception {
         try (RespTestBed testBed = new RespTestBed(LONG_DEADLINES)) {
@@ -39,15 +41,15 @@
             beginShutdown(testBed, 300);
             RespTestBed.send(client, secondHalf(RespTestBed.query(1, LONG_TIMEOUT_MS)));
             RespTestBed.BackendPeer connection = backend.accept();
-            // Its backend is given the time that it is waited for.
+            // The backend receives the time for which the gateway will wait for its reply.
             assertTrue(connection.readCommand().matches(".*,d=[0-3]?[0-9]?[0-9](\\.[0-9]+)?,.*"));
             assertTrue(RespTestBed.readReply(client).startsWith("-"));
-            assertTrue(connection.isClosedByGateway(), "its attempt is given up");
+            assertTrue(connection.isClosedByGateway(), "the attempt was not cancelled");
             assertEquals(testBed.counter("ended_by_deadline_guard"), 0);
         }
     }
 
-    /** Its answer has to come behind that of a request which was taken before and may wait longer. */
+    /** The response must follow that of an earlier request, which may wait longer. */
     @Test
     public void endsEarlierRequestInTimeWhenAnotherArrivesBehindItInShutdown() throws Exception {
         try (RespTestBed testBed = new RespTestBed(LONG_DEADLINES)) {
@@ -82,7 +84,9 @@
         }
     }
 
-    /** From SIGTERM to the last answers: within what the platform leaves a process before it is killed. */
+    /**
+     * The time from SIGTERM to the last responses stays within what the platform allows before it kills the process.
+     */
     @Test
     public void endsBeforeKillForEachLongestDeadline() {
         for (long longestDeadlineMs : new long[] {200, 450, 1400, 3000, 7500, 60_000}) {
@@ -94,7 +98,9 @@
         }
     }
 
-    /** New settings with shorter deadlines crossing the end: requests that were taken under the old ones still get their answer. */
+    /**
+     * Settings with shorter deadlines arrive before the shutdown: requests under the old ones still get their response.
+     */
     @Test
     public void waitsForRequestsOfOlderSettingsInShutdown() throws Exception {
         try (RespTestBed testBed = new RespTestBed()) {
@@ -148,7 +154,7 @@
         }
     }
 
-    /** The console address is open before there is a server: what was requested last applies once there is one. */
+    /** The admin console opens before the server exists: its last drain request applies once the server exists. */
     @Test
     public void appliesDrainThatWasRequestedBeforeServerExists() throws Exception {
         for (boolean isWithdrawn : new boolean[] {false, true}) {
@@ -172,7 +178,10 @@
         }
     }
 
-    /** Ended before its list was there: a server that opened then would take requests that the process's end cuts off. */
+    /**
+     * The process is shut down before it has an endpoint list. A server that opened then would accept requests that the
+     * end of the process cuts off.
+     */
     @Test
     public void doesNotListenWhenShutdownBeginsDuringStart() {
         Application application = new Application();
@@ -186,7 +195,9 @@
         assertEquals(application.phases().current(), Lifecycle.Phase.LEAVING);
     }
 
-    /** Brings the first half of a command, and sees that the gateway has read what was sent before it. */
+    /**
+     * Sends a PING and the first half of a command, and waits for the PING's reply: the gateway has read up to there.
+     */
     private static void sendFirstHalf(RespTestBed testBed, Socket client, String command) throws Exception {
         RespTestBed.send(client, RespTestBed.PING + command.substring(0, command.length() / 2));
         assertEquals(RespTestBed.readReply(client), "+PONG");
@@ -196,7 +207,7 @@
         return command.substring(command.length() / 2);
     }
 
-    /** The process drains, and will be killed so many ms from now. */
+    /** Begins the shutdown of a process that will be killed after this time, ms. */
     private static void beginShutdown(RespTestBed testBed, int ms) throws Exception {
         testBed.onLoop(() -> {
             testBed.lifecycle.enter(Lifecycle.Phase.DRAINING);
--- a/gateway/src/test/java/opalcove/resp/StalledClientTest.java
+++ b/gateway/src/test/java/opalcove/resp/StalledClientTest.java
@@ -9,7 +9,7 @@
 import opalcove.decision.EndpointState;
 import org.testng.annotations.Test;
 
-/** Clients that stop in the middle of a request and stay get their error, or their connection closed, soon. */
+/** Checks that a client that stops in the middle of a request soon gets an error, or its connection closed. */
 public class StalledClientTest {
     private static final int STALLED_MS = 3500;
 
@@ -36,11 +36,12 @@
                             + RespTestBed.query(2, 4000).substring(0, 40));
             RespTestBed.BackendPeer connection = backend.nextConnectionWithCommand();
             connection.readCommand();
-            // Well after the time for which half a command may stand still, and before its request's time is over.
+            // Well past the time for which half a command may make no progress, and before the request's deadline.
             TimeUnit.MILLISECONDS.sleep(STALLED_MS);
             connection.sendValue("first");
             assertEquals(RespTestBed.readReply(client), "first");
-            // Its error and the end, or the end alone on a machine so slow that the answer came first.
+            // The error and the end of the connection, or only its end on a machine so slow that the response was
+            // first.
             String rest = new String(client.getInputStream().readAllBytes(), StandardCharsets.US_ASCII);
             assertTrue(rest.isEmpty() || rest.equals("-ERR Protocol error: half a command\r\n"), rest);
             assertEquals(testBed.counter("connections_ended.stalled"), 1);
--- a/gateway/src/test/java/opalcove/resp/StreamedValueTest.java
+++ b/gateway/src/test/java/opalcove/resp/StreamedValueTest.java
@@ -37,7 +37,10 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** Long values on the platform's server: forwarded while they come, held back for a slow client, cut with their connection. */
+/**
+ * Checks long values at the RESP server: forwarding while they arrive, backpressure from a slow client, and truncation
+ * by the backend's connection.
+ */
 public class StreamedValueTest {
     private static final int LENGTH = 1 << 20;
     private static final String VALUE_HEADER = "$" + LENGTH + "\r\n";
@@ -77,7 +80,7 @@
                 byte[] received = Arrays.copyOf(in.readNBytes(1000), LENGTH);
                 firstBytesReceived.countDown();
                 assertEquals(in.readNBytes(received, 1000, LENGTH - 1000), LENGTH - 1000);
-                assertTrue(Arrays.equals(received, value), "the value as its node gave it");
+                assertTrue(Arrays.equals(received, value), "the client received another value than the backend sent");
                 assertEquals(readText(in, 2), "\r\n");
                 send(client, "*1\r\n$4\r\nPING\r\n");
                 assertEquals(readText(in, 7), "+PONG\r\n");
@@ -94,11 +97,11 @@
             onLoop(() -> {
                 assertTrue(attempt.acceptsStreamedValue(value));
                 assertTrue(value.isReading);
-                // Nothing leaves within this turn: as at a client that does not read.
+                // Nothing is sent within this turn, as with a client that does not read.
                 value.sink.onPart(Unpooled.wrappedBuffer(new byte[RespBackendConnection.READ_LIMIT_BYTES]));
                 assertTrue(value.isReading);
                 value.sink.onPart(Unpooled.wrappedBuffer(new byte[2 * RespBackendConnection.READ_LIMIT_BYTES]));
-                assertFalse(value.isReading, "no more is read while that much waits to leave");
+                assertFalse(value.isReading, "reading continues while that many bytes wait to be sent");
             });
             InputStream in = client.getInputStream();
             assertEquals(readText(in, VALUE_HEADER.length()), VALUE_HEADER);
@@ -117,7 +120,9 @@
             onLoop(() -> {
                 attempt.acceptsStreamedValue(value);
                 value.sink.onPart(Unpooled.wrappedBuffer(new byte[100]));
-                assertTrue(dispatcher.metrics().statsdLines().contains("gateway.inflight:1|g"), "not ended yet");
+                assertTrue(
+                        dispatcher.metrics().statsdLines().contains("gateway.inflight:1|g"),
+                        "the request ended too early");
                 value.sink.onTruncated();
                 attempt.onResult(AttemptResult.withoutReport(AttemptStatus.BROKEN));
             });
@@ -138,9 +143,9 @@
         heldAttempts.cancelled.get(10, TimeUnit.SECONDS);
     }
 
-    /** Two requests that were written one behind the other, and the connections that carry them. */
+    /** Two pipelined requests, and the backend connections that carry them. */
     private record Pipelined(Socket client, RespTestBed.BackendPeer first, RespTestBed.BackendPeer second) {
-        /** The first of them waits so long. */
+        /** Sends both requests; the first has this timeout, ms. */
         static Pipelined start(RespTestBed testBed, int firstTimeoutMs) throws Exception {
             RespTestBed.FakeBackend backend = testBed.startBackend("n1");
             testBed.setEndpoints(backend.withState(EndpointState.UP));
@@ -163,7 +168,8 @@
             testBed.awaitCounter("attempts_served", 1);
             requests.first().reset();
             assertTrue(
-                    RespTestBed.readReply(requests.client()).startsWith("-ERR"), "the value that was cut has failed");
+                    RespTestBed.readReply(requests.client()).startsWith("-ERR"),
+                    "expected an error for the truncated value");
             assertEquals(RespTestBed.readReply(requests.client()), "second");
         }
     }
@@ -180,13 +186,13 @@
             connection.send("*3\r\n" + VALUE_HEADER + "v".repeat(100_000));
             assertEquals(readText(client.getInputStream(), VALUE_HEADER.length()), VALUE_HEADER);
             RespTestBed.send(client, RespTestBed.query(2, 4000));
-            // A round trip on another connection: the event loop has been to its sockets since.
+            // After round trips on another connection, the event loop has read its sockets since.
             Socket other = testBed.connectClient();
             for (int i = 0; i < 10; i++) {
                 RespTestBed.send(other, RespTestBed.PING);
                 assertEquals(RespTestBed.readReply(other), "+PONG");
             }
-            assertEquals(testBed.counter("taken"), 1, "read behind a value that may still be cut");
+            assertEquals(testBed.counter("taken"), 1, "a request was read behind a value that may still be truncated");
             connection.send("v".repeat(LENGTH - 100_000) + "\r\n$-1\r\n$-1\r\n");
             assertEquals(client.getInputStream().readNBytes(LENGTH + 2).length, LENGTH + 2);
             backend.nextConnectionWithCommand().sendValue("second");
@@ -238,10 +244,9 @@
             requests.second().sendValue("second");
             assertTrue(RespTestBed.readReply(requests.client()).startsWith("-ERR"));
             assertEquals(RespTestBed.readReply(requests.client()), "second");
-            assertTrue(requests.first().isClosedByGateway(), "its node is not read on");
+            assertTrue(requests.first().isClosedByGateway(), "the backend connection was not closed");
             assertTrue(
-                    testBed.counter("attempts_cancelled") > 0,
-                    "given up by the dispatcher, not ended as one that broke");
+                    testBed.counter("attempts_cancelled") > 0, "the attempt did not count as cancelled by the gateway");
         }
     }
 
@@ -253,13 +258,13 @@
             requests.second().sendValue("second");
             assertTrue(RespTestBed.readReply(requests.client()).startsWith("-ERR"));
             assertEquals(RespTestBed.readReply(requests.client()), "second");
-            assertTrue(requests.first().isClosedByGateway(), "its node is not read on");
+            assertTrue(requests.first().isClosedByGateway(), "the backend connection was not closed");
         }
     }
 
     private RequestDispatcher dispatcher;
 
-    /** A server whose only backend is at the address; gives the server's port. */
+    /** Starts a server whose only backend has this address, and returns the server's port. */
     private int startServer(String backend, BackendTransport transport) throws Exception {
         CompletableFuture<Integer> listening = new CompletableFuture<>();
         vertx.runOnContext(start -> {
@@ -294,7 +299,7 @@
         return new String(in.readNBytes(length), StandardCharsets.US_ASCII);
     }
 
-    /** A backend that gives the value's first part, and the rest once the client has some of it. */
+    /** Serves one request: sends the first part of the value, and the rest once the client has received some of it. */
     private static void serveInTwoParts(ServerSocket backend, byte[] value, CountDownLatch firstBytesReceived) {
         try (Socket connection = backend.accept()) {
             InputStream in = connection.getInputStream();
@@ -326,7 +331,7 @@
         done.get(10, TimeUnit.SECONDS);
     }
 
-    /** A value of which the test gives the parts. */
+    /** A streamed value whose parts are delivered by the test. */
     private static final class FakeValue implements StreamedValue {
         final CompletableFuture<Void> resumed = new CompletableFuture<>();
         Sink sink;
@@ -358,7 +363,7 @@
         }
     }
 
-    /** Connections whose attempt the test ends. */
+    /** A transport whose only attempt is ended by the test. */
     private static final class HeldAttempts extends NoOpBackendTransport {
         final CompletableFuture<AttemptListener> started = new CompletableFuture<>();
         final CompletableFuture<Void> cancelled = new CompletableFuture<>();
--- a/gateway/src/test/java/opalcove/resp/UnreadDisconnectTest.java
+++ b/gateway/src/test/java/opalcove/resp/UnreadDisconnectTest.java
@@ -13,23 +13,23 @@
 import org.testng.annotations.Test;
 
 /**
- * A client leaves, by a close or by a reset, and the gateway has not read that yet when an attempt for it would be made:
- * nothing is sent. In each case the event loop is held up while the client leaves, and goes on with what makes the attempt
- * before it reads any socket again.
+ * Checks that nothing is sent for a client that has closed or reset its connection, although the gateway has not read
+ * that yet when an attempt would be made. In each test the event loop is blocked while the client disconnects, and then
+ * runs what makes the attempt before it reads any socket again.
  */
 public class UnreadDisconnectTest {
-    /** Requests that may wait for as long as a test does. */
+    /** Settings with deadlines longer than a test. */
     private static final String[] LONG_DEADLINES = {
         "\"aim_ms\":2000,\"deadline_ms\":4000", "\"aim_ms\":90000,\"deadline_ms\":90000"
     };
 
     private static final int TIMEOUT_MS = 90_000;
-    /** Commands of one connection after which it is not read on. */
+    /** The number of pipelined commands after which a connection is no longer read. */
     private static final int MAX_PIPELINED = 256;
-    /** Longer than what was known of a connection counts as known still, ms; a longer sleep is as good. */
+    /** Longer than the result of the last read or poll of a connection stays valid, ms; a longer sleep does no harm. */
     private static final int POLL_AGE_MS = 60;
 
-    /** How a client leaves. */
+    /** How a client disconnects. */
     private enum Disconnect {
         CLOSE,
         RESET;
@@ -62,7 +62,7 @@
         }
     }
 
-    /** The backend's refusal and the client's leaving come while the loop is held up, the refusal first. */
+    /** The backend's rejection and the client's disconnect arrive while the loop is blocked, the rejection first. */
     @Test(dataProvider = "disconnects")
     public void sendsNothingWhenClientDisconnectedBetweenAttempts(Disconnect disconnect) throws Exception {
         try (RespTestBed testBed = new RespTestBed(LONG_DEADLINES)) {
@@ -85,7 +85,7 @@
         }
     }
 
-    /** The request is read after its client has left; a connection is at rest, so that it would be sent on at once. */
+    /** The request is read after its client disconnected; an idle connection would let it be forwarded at once. */
     @Test(dataProvider = "disconnects")
     public void sendsNothingWhenClientDisconnectedBeforeRequestWasRead(Disconnect disconnect) throws Exception {
         try (RespTestBed testBed = new RespTestBed(LONG_DEADLINES)) {
@@ -109,8 +109,8 @@
             RespTestBed.send(next, RespTestBed.query(99, TIMEOUT_MS));
             assertTrue(
                     connection.readCommand().contains(RespTestBed.requestId(99)),
-                    "a request of a client that had left was sent on");
-            assertTrue(backend.receivedNothing(), "a request of a client that had left was sent on");
+                    "the request of a disconnected client was sent");
+            assertTrue(backend.receivedNothing(), "the request of a disconnected client was sent");
         }
     }
 
@@ -130,7 +130,7 @@
         assertNothingSentWhenDisconnectedDuringConnect(disconnect, fullPipeline() + RespTestBed.PING.repeat(10), 2);
     }
 
-    /** So much lies unread that the end does not show in the first read of it. */
+    /** So many bytes are unread that the first read does not reach the end of the input. */
     @Test(dataProvider = "disconnects")
     public void sendsNothingWhenClientDisconnectedBehindManyUnreadBytes(Disconnect disconnect) throws Exception {
         assertNothingSentWhenDisconnectedDuringConnect(disconnect, fullPipeline() + RespTestBed.PING.repeat(3000), 2);
@@ -150,7 +150,7 @@
                 disconnect, RespTestBed.query(1, TIMEOUT_MS) + "no command\r\n" + "x".repeat(100_000), 1);
     }
 
-    /** One read of the connection brings what came before the client left, and ends before the end that lies behind it. */
+    /** One read returns the bytes sent before the disconnect, and does not reach the end of the input behind them. */
     @Test(dataProvider = "disconnects")
     public void sendsNothingWhenDisconnectIsUnreadBehindBytesOfSameTurn(Disconnect disconnect) throws Exception {
         try (RespTestBed testBed = new RespTestBed(LONG_DEADLINES)) {
@@ -167,14 +167,14 @@
                     },
                     () -> {
                         testBed.vertx.setTimer(1, read -> heldConnection.run());
-                        // So that it is due in the next turn, once that has read its sockets.
+                        // Makes the timer due in the next turn, after that turn has read its sockets.
                         sleep(5);
                     });
             assertNothingSent(testBed, backend, 1);
         }
     }
 
-    /** Each of the clients that leave together leaves room for the requests of the others. */
+    /** Several clients disconnect together: each cancelled request frees capacity for the requests of the others. */
     @Test(dataProvider = "disconnects")
     public void sendsNothingWhenManyClientsDisconnectTogether(Disconnect disconnect) throws Exception {
         int clients = 12;
@@ -203,7 +203,7 @@
         }
     }
 
-    /** The attempt is made while the client is there, in a turn of the event loop in which the client then leaves. */
+    /** The attempt is made while the client is connected, and the client disconnects later in the same turn. */
     @Test(dataProvider = "disconnects")
     public void sendsNothingWhenClientDisconnectsInTurnOfAttempt(Disconnect disconnect) throws Exception {
         try (RespTestBed testBed = new RespTestBed(LONG_DEADLINES)) {
@@ -227,7 +227,7 @@
         }
     }
 
-    /** A client that stays loses nothing by the looks: what they read is served in its order. */
+    /** Commands that are read by polls for a disconnect are served in order if the client stays connected. */
     @Test
     public void respondsInOrderToCommandsReadByPollsWhenClientStays() throws Exception {
         try (RespTestBed testBed = new RespTestBed(LONG_DEADLINES)) {
@@ -237,7 +237,7 @@
             Socket client = testBed.connectClient();
             RespTestBed.send(client, RespTestBed.query(1, TIMEOUT_MS));
             Runnable first = testBed.awaitHeldConnection();
-            // Looked at with a command and a half unread, though the connection is read.
+            // Polled with one and a half commands unread, though reading is not paused.
             String next = RespTestBed.encodeCommand("PING", "two");
             testBed.runWhileLoopBlocked(
                     () -> {
@@ -287,7 +287,7 @@
         Thread.sleep(POLL_AGE_MS);
     }
 
-    /** The client's requests have ended, and the next client's request is the first that the backend gets after that. */
+    /** Checks that the client's requests have ended and that the next client's request is the first at the backend. */
     private static void assertNothingSent(RespTestBed testBed, RespTestBed.FakeBackend backend, int requests)
             throws Exception {
         testBed.awaitCounter("terminals_left", requests);
@@ -298,13 +298,13 @@
         RespTestBed.BackendPeer connection = backend.nextConnectionWithCommand();
         assertTrue(
                 connection.readCommand().contains(RespTestBed.requestId(99)),
-                "a request of a client that had left was sent on");
+                "the request of a disconnected client was sent");
         connection.sendValue("next");
         assertEquals(RespTestBed.readReply(next), "next");
-        assertTrue(backend.receivedNothing(), "a request of a client that had left was sent on");
+        assertTrue(backend.receivedNothing(), "the request of a disconnected client was sent");
     }
 
-    /** A request, and as many commands and another request that the connection is not read after them. */
+    /** Two requests with PINGs between them, so many commands that the connection is not read after them. */
     private static String fullPipeline() {
         return RespTestBed.query(1, TIMEOUT_MS)
                 + RespTestBed.PING.repeat(MAX_PIPELINED - 1)
--- a/gateway/src/test/java/opalcove/resp/UnreadTimeTest.java
+++ b/gateway/src/test/java/opalcove/resp/UnreadTimeTest.java
@@ -11,14 +11,15 @@
 import org.testng.annotations.Test;
 
 /**
- * The deadline that a backend is given is at most what the client has left, with 0.15 s of slack, however long the request lay
- * unread: each test has a request wait for at least so long, and looks at what its backend is given.
+ * Checks that the deadline sent to a backend is at most the client's remaining time plus 0.15 s of slack, however long
+ * the request was unread. Each test leaves a request unread for {@link #UNREAD_MS} and checks the deadline that its
+ * backend receives.
  */
 public class UnreadTimeTest {
     private static final int TIMEOUT_MS = 4000;
     private static final int UNREAD_MS = 700;
     private static final int SLACK_MS = 150;
-    /** Errors after which the reads of a connection were paused for a second by the next. */
+    /** The number of errors after which the next one paused the reads of a connection for a second. */
     private static final int ERRORS = 20;
 
     private static final String UNKNOWN_CLASS = RespTestBed.encodeCommand(
@@ -39,7 +40,7 @@
         testBed.close();
     }
 
-    /** Has the time pass with the event loop held up: nothing is read meanwhile. */
+    /** Runs the action, then keeps the event loop blocked for {@link #UNREAD_MS}, so that nothing is read meanwhile. */
     private void runAndLeaveUnread(RespTestBed.Action first) throws Exception {
         testBed.runWhileLoopBlocked(
                 () -> {
@@ -76,7 +77,7 @@
         RespTestBed.send(testBed.connectClient(), RespTestBed.query(1, TIMEOUT_MS));
         Runnable heldConnection = testBed.awaitHeldConnection();
         testBed.stopHoldingConnections();
-        // The request's bytes wait for the end of this turn, which comes late.
+        // The request's bytes are flushed at the end of this turn, which is delayed.
         testBed.onLoop(() -> {
             heldConnection.run();
             sleep();
@@ -111,7 +112,7 @@
         for (int i = 0; i < ERRORS; i++) {
             assertEquals(RespTestBed.readReply(client), "-ERR unknown class");
         }
-        // One more, after the pause for those, and the request right behind its answer.
+        // One more error, after the pause for the others, and the request right after its reply.
         RespTestBed.send(client, UNKNOWN_CLASS);
         assertEquals(RespTestBed.readReply(client), "-ERR unknown class");
         runAndLeaveUnread(() -> RespTestBed.send(client, RespTestBed.query(1, TIMEOUT_MS)));
--- a/gateway/src/test/java/opalcove/resp/WarmUpTest.java
+++ b/gateway/src/test/java/opalcove/resp/WarmUpTest.java
@@ -29,7 +29,7 @@
         assertEquals(
                 WarmUp.run(
                         () -> {
-                            throw new AssertionError("no event loop is made for no play");
+                            throw new AssertionError("no event loop may be created without a warm-up");
                         },
                         TestSettings.settings(),
                         new TimeBudget(0, () -> 7)),
@@ -38,7 +38,7 @@
 
     @Test
     public void sharesOneBudgetBetweenAllWaitsWhenLoopIsBlocked() throws Exception {
-        // Each look at the clock finds 10 ms gone, whatever the wait was: after three looks the budget is over.
+        // Each read of the clock returns 10 ms more, whatever the wait was: the budget is used up after three reads.
         AtomicLong clockReads = new AtomicLong();
         TimeBudget budget = new TimeBudget(30, () -> TimeUnit.MILLISECONDS.toNanos(10 * clockReads.getAndIncrement()));
         CountDownLatch loopBlocker = new CountDownLatch(1);
@@ -47,8 +47,8 @@
             assertEquals(
                     WarmUp.run(
                             () -> {
-                                // The loop that the play is to run on is held up till after its end: no request can be
-                                // answered.
+                                // The event loop of the warm-up is blocked until after its end: no request can get a
+                                // response.
                                 vertx.runOnContext(blocked -> awaitLatch(loopBlocker));
                                 return vertx;
                             },
