--- a/gateway/src/main/java/opalcove/resp/BackendReplyDecoder.java
+++ b/gateway/src/main/java/opalcove/resp/BackendReplyDecoder.java
@@ -84,7 +84,7 @@
             if (equals > from && equals < to) {
                 double value = ParameterDecoder.decimal(reply, part, equals + 1, to);
                 if (value < 0) {
-                    value = parseUnusual(reply.text(part, equals + 1, to));
+                    value = parseOtherFormat(reply.text(part, equals + 1, to));
                 }
                 setFigure(reply, part, from, equals, value);
             }
@@ -93,7 +93,7 @@
     }
 
     /** A figure of another form, such as 1e2; NaN where it is none. */
-    private static double parseUnusual(String text) {
+    private static double parseOtherFormat(String text) {
         try {
             return Double.parseDouble(text);
         } catch (NumberFormatException e) {
--- a/gateway/src/main/java/opalcove/resp/CommandHandler.java
+++ b/gateway/src/main/java/opalcove/resp/CommandHandler.java
@@ -25,11 +25,11 @@
 
     /** Whether the value has the form of a command: an array of strings that is not empty. */
     static boolean isCommand(RespDecoder value) {
-        boolean strings = value.type() == '*' && value.itemCount() > 0;
-        for (int i = 0; strings && i < value.itemCount(); i++) {
-            strings = value.isString(i);
+        boolean hasOnlyStrings = value.type() == '*' && value.itemCount() > 0;
+        for (int i = 0; hasOnlyStrings && i < value.itemCount(); i++) {
+            hasOnlyStrings = value.isString(i);
         }
-        return strings;
+        return hasOnlyStrings;
     }
 
     /** Executes one command; its response may be given at once or later. */
@@ -57,7 +57,7 @@
         slot.setRequest(dispatcher.dispatch(request, slot, connection.input().unreadMs()));
         if (drain.isProcessEnding()) {
             // Its response comes behind those of the requests before it, which may wait longer than this process lasts.
-            connection.pipeline().hurryAll();
+            connection.pipeline().expediteAll();
         }
     }
 
--- a/gateway/src/main/java/opalcove/resp/ConnectionInput.java
+++ b/gateway/src/main/java/opalcove/resp/ConnectionInput.java
@@ -15,7 +15,7 @@
      */
     private static final long MAX_AGE_NANOS = TimeUnit.MILLISECONDS.toNanos(25);
     /** What may have lain unread for longer than this counts as old: less is covered by the slack on deadlines. */
-    private static final long OLD_NANOS = TimeUnit.MILLISECONDS.toNanos(100);
+    private static final long STALE_NANOS = TimeUnit.MILLISECONDS.toNanos(100);
     /** Most bytes that polls may buffer until this connection is read again. */
     private static final int MAX_BUFFERED_BYTES = 256 * 1024;
     /** Most reads of one poll. They grow to 64 KiB, so that fewer bring as much as may be buffered. */
@@ -43,7 +43,7 @@
     /** When bytes were read last, and up to when the loop had read this connection to its end before that. */
     private long bytesReadAt = polledAt;
 
-    private long readToEndBefore = polledAt;
+    private long previousReadToEnd = polledAt;
     /** While not every turn of the loop reads this connection: up to when it was known to be read to its end. */
     private long emptyUpTo;
     /** When the loop began to read this connection again: what it reads first may be from {@link #emptyUpTo} on. */
@@ -53,9 +53,9 @@
 
     private long bufferedSince;
     /** What is read until the end of this turn is as old as what was read before it. */
-    private boolean isReadingOldToEnd;
+    private boolean isReadingStaleInput;
 
-    private long oldSince;
+    private long staleSince;
 
     ConnectionInput(
             DisconnectDetector detector, RawSocket socket, RespDecoder decoder, BooleanSupplier hasOpenRequests) {
@@ -74,10 +74,10 @@
     void bytesRead(ByteBuf bytes) {
         bytesReadCount += bytes.readableBytes();
         // What arrived now was not there when the loop last read all: nor was the end, which comes behind it.
-        readToEndBefore = detector.readUpToNanos();
+        previousReadToEnd = detector.readUpToNanos();
         bytesReadAt = System.nanoTime();
         long since = unreadSinceNow();
-        readToEndIfOld(since);
+        readToEndIfStale(since);
         if (!isDecoding && (!isPaused || decodesAll || isEnded)) {
             unreadSince = since;
             decode(bytes);
@@ -94,10 +94,10 @@
 
     /** Since when what is read now may have lain unread. */
     private long unreadSinceNow() {
-        if (isReadingOldToEnd) {
-            return oldSince;
+        if (isReadingStaleInput) {
+            return staleSince;
         }
-        boolean isReadEachTurn = !isPaused && !isSuspended && readToEndBefore - resumedAt >= 0;
+        boolean isReadEachTurn = !isPaused && !isSuspended && previousReadToEnd - resumedAt >= 0;
         return isReadEachTurn ? detector.unreadSinceNanos() : emptyUpTo;
     }
 
@@ -105,13 +105,13 @@
      * Where what was read may be old, what lies behind it may be as old: it is read in this turn, too. Guards against
      * reads that bring less than there is, after which the next turn would take the rest for new.
      */
-    private void readToEndIfOld(long since) {
-        if (!isReadingOldToEnd && !isPaused && !isSuspended && System.nanoTime() - since > OLD_NANOS) {
-            isReadingOldToEnd = true;
-            oldSince = since;
+    private void readToEndIfStale(long since) {
+        if (!isReadingStaleInput && !isPaused && !isSuspended && System.nanoTime() - since > STALE_NANOS) {
+            isReadingStaleInput = true;
+            staleSince = since;
             detector.vertx().runOnContext(turnEnds -> {
                 poll();
-                isReadingOldToEnd = false;
+                isReadingStaleInput = false;
             });
         }
     }
@@ -265,7 +265,7 @@
         }
         // Where this turn of the loop brought bytes, the end may lie unread behind them.
         boolean endMayLieBehind = bytesReadAt - loopReadUpTo >= 0;
-        long readToEnd = endMayLieBehind ? readToEndBefore : loopReadUpTo;
+        long readToEnd = endMayLieBehind ? previousReadToEnd : loopReadUpTo;
         long known = polledAt - readToEnd >= 0 ? polledAt : readToEnd;
         return System.nanoTime() - known < MAX_AGE_NANOS;
     }
--- a/gateway/src/main/java/opalcove/resp/DrainState.java
+++ b/gateway/src/main/java/opalcove/resp/DrainState.java
@@ -7,11 +7,11 @@
  * process is ending. Owned by the server's event loop.
  */
 final class DrainState {
-    private final Lifecycle phases;
+    private final Lifecycle lifecycle;
     private boolean isRequested;
 
-    DrainState(Lifecycle phases) {
-        this.phases = phases;
+    DrainState(Lifecycle lifecycle) {
+        this.lifecycle = lifecycle;
     }
 
     /** Sets whether an administrator requests a drain. */
@@ -28,7 +28,7 @@
 
     /** Whether the process is past taking new connections. */
     boolean isProcessEnding() {
-        return phases.current().ordinal() >= Lifecycle.Phase.DRAINING.ordinal();
+        return lifecycle.current().ordinal() >= Lifecycle.Phase.DRAINING.ordinal();
     }
 
     /** Whether connections are closed once no response is due on them. */
--- a/gateway/src/main/java/opalcove/resp/HalfOpenConnections.java
+++ b/gateway/src/main/java/opalcove/resp/HalfOpenConnections.java
@@ -23,11 +23,11 @@
 
     /** Holds as many as go with this number of open connections. */
     HalfOpenConnections(int maxOpenConnections) {
-        maxConnections = maxWith(maxOpenConnections);
+        maxConnections = maxFor(maxOpenConnections);
     }
 
     /** How many connections may be half open beside so many open ones. */
-    static int maxWith(int maxOpenConnections) {
+    static int maxFor(int maxOpenConnections) {
         return Math.max(1, maxOpenConnections / OPEN_PER_HALF_OPEN);
     }
 
--- a/gateway/src/main/java/opalcove/resp/PipelineSlot.java
+++ b/gateway/src/main/java/opalcove/resp/PipelineSlot.java
@@ -40,7 +40,7 @@
         request = handle;
     }
 
-    void forgetRequest() {
+    void clearRequest() {
         request = null;
     }
 
--- a/gateway/src/main/java/opalcove/resp/RawSocket.java
+++ b/gateway/src/main/java/opalcove/resp/RawSocket.java
@@ -232,9 +232,9 @@
     /** Closes the output once all that was written has been sent; the input stays open. */
     void closeOutput() {
         writeBatch();
-        Channel whole = channel.channel();
+        Channel nettyChannel = channel.channel();
         channel.writeAndFlush(Unpooled.EMPTY_BUFFER).addListener(flushed -> {
-            if (flushed.isSuccess() && whole instanceof DuplexChannel duplex && whole.isActive()) {
+            if (flushed.isSuccess() && nettyChannel instanceof DuplexChannel duplex && nettyChannel.isActive()) {
                 duplex.shutdownOutput();
             }
         });
--- a/gateway/src/main/java/opalcove/resp/RequestDecoder.java
+++ b/gateway/src/main/java/opalcove/resp/RequestDecoder.java
@@ -16,7 +16,7 @@
     static final String QUERY = "SVC.QUERY";
     static final String SUBMIT = "SVC.SUBMIT";
 
-    private static final int CUSTOMER = 1;
+    private static final int TENANT = 1;
     private static final int ID = 2;
     private static final int PARAMETERS = 3;
     private static final int BODY = 4;
@@ -63,9 +63,9 @@
         if (command.itemCount() != (isSubmit ? 5 : 4)) {
             throw new InvalidRequestException("wrong number of words for " + (isSubmit ? SUBMIT : QUERY));
         }
-        Request request = decodeUsual(command, isSubmit);
+        Request request = decodeCommonForm(command, isSubmit);
         if (request == null) {
-            request = decodeUnusual(command, isSubmit);
+            request = decodeAnyForm(command, isSubmit);
         }
         if (!isSubmit) {
             return request;
@@ -86,7 +86,7 @@
     }
 
     /** Decodes a request as clients send it, in one pass over its bytes; null where anything about it is unusual. */
-    private Request decodeUsual(RespDecoder command, boolean isSubmit) throws InvalidRequestException {
+    private Request decodeCommonForm(RespDecoder command, boolean isSubmit) throws InvalidRequestException {
         if (!parameters.decode(command) || !parameters.isComplete()) {
             return null;
         }
@@ -98,7 +98,7 @@
         }
         return validator.validate(new Request(
                 RequestParameters.hexId(command.text(ID), "the id"),
-                command.text(CUSTOMER),
+                command.text(TENANT),
                 parameters.requestClass(),
                 parameters.plan(),
                 parameters.units(),
@@ -111,7 +111,7 @@
     }
 
     /** Decodes a request of any form, to report what is wrong with it. */
-    private Request decodeUnusual(RespDecoder command, boolean isSubmit) throws InvalidRequestException {
+    private Request decodeAnyForm(RespDecoder command, boolean isSubmit) throws InvalidRequestException {
         RequestParameters values = new RequestParameters(splitParameters(command.text(PARAMETERS)));
         String className = values.required("c");
         try {
@@ -123,7 +123,7 @@
             boolean isKeyed = requestClass.idempotency() == Idempotency.KEYED;
             return validator.validate(new Request(
                     RequestParameters.hexId(command.text(ID), "the id"),
-                    command.text(CUSTOMER),
+                    command.text(TENANT),
                     requestClass.name(),
                     values.required("t"),
                     values.number("units"),
--- a/gateway/src/main/java/opalcove/resp/RequestEncoder.java
+++ b/gateway/src/main/java/opalcove/resp/RequestEncoder.java
@@ -20,8 +20,8 @@
     /** Writes the command that forwards a request; timeoutMs is how long this gateway will wait for the response. */
     static void encode(Request request, double timeoutMs, RawSocket socket) {
         long timeout = (long) timeoutMs;
-        boolean isWhole = request.units() == Math.rint(request.units());
-        String units = isWhole ? null : request.unitsText();
+        boolean hasIntegerUnits = request.units() == Math.rint(request.units());
+        String units = hasIntegerUnits ? null : request.unitsText();
         int length = parametersLength(request, timeout, units);
         ByteBuf out = socket.reserve(6 * RespWriter.MAX_HEADER_BYTES
                 + request.tenant().length()
--- a/gateway/src/main/java/opalcove/resp/RespServer.java
+++ b/gateway/src/main/java/opalcove/resp/RespServer.java
@@ -24,7 +24,7 @@
     /** How often the event loop wakes up at least: it cannot detect a pause of the process shorter than its sleep. */
     private static final long HEARTBEAT_MS = 100;
     /** Connections that may be accepted and not handled yet, beside a full server. */
-    private static final int ACCEPTED_AHEAD = 2 * Application.ACCEPTS_AT_ONCE;
+    private static final int MAX_ACCEPTED_UNHANDLED = 2 * Application.ACCEPTS_AT_ONCE;
 
     private final Vertx vertx;
     private final RequestDispatcher dispatcher;
@@ -44,10 +44,10 @@
      *
      * @param maxConnections how many client connections may be open at once
      */
-    public RespServer(Vertx vertx, RequestDispatcher dispatcher, Lifecycle phases, int maxConnections) {
+    public RespServer(Vertx vertx, RequestDispatcher dispatcher, Lifecycle lifecycle, int maxConnections) {
         this.vertx = vertx;
         this.dispatcher = dispatcher;
-        drain = new DrainState(phases);
+        drain = new DrainState(lifecycle);
         open = new OpenConnections(maxConnections, drain, dispatcher);
         halfOpen = new HalfOpenConnections(maxConnections);
         context = new ServerContext(
@@ -80,7 +80,7 @@
     public static int maxConnectionsWithin(int descriptors) {
         int connections = Math.max(
                 1,
-                (descriptors - ACCEPTED_AHEAD)
+                (descriptors - MAX_ACCEPTED_UNHANDLED)
                         * HalfOpenConnections.OPEN_PER_HALF_OPEN
                         / (HalfOpenConnections.OPEN_PER_HALF_OPEN + 1));
         return maxDescriptors(connections) > descriptors && connections > 1 ? connections - 1 : connections;
@@ -88,7 +88,7 @@
 
     /** The descriptors that a server of so many connections holds at most: open, half open and accepted ahead. */
     public static int maxDescriptors(int maxConnections) {
-        return maxConnections + HalfOpenConnections.maxWith(maxConnections) + ACCEPTED_AHEAD;
+        return maxConnections + HalfOpenConnections.maxFor(maxConnections) + MAX_ACCEPTED_UNHANDLED;
     }
 
     private void closeIdle() {
--- a/gateway/src/main/java/opalcove/resp/ResponsePipeline.java
+++ b/gateway/src/main/java/opalcove/resp/ResponsePipeline.java
@@ -126,7 +126,7 @@
     }
 
     /** Asks all open requests to end before the process does. */
-    void hurryAll() {
+    void expediteAll() {
         slots.forEach(slot -> {
             if (slot.request() != null) {
                 slot.request().expedite();
--- a/gateway/src/main/java/opalcove/resp/ResponseStream.java
+++ b/gateway/src/main/java/opalcove/resp/ResponseStream.java
@@ -26,7 +26,7 @@
     /** Whether its header was written. */
     private boolean isWriting;
     /** Whether nothing of it is written before it is complete. */
-    private boolean isBufferedWhole;
+    private boolean isFullyBuffered;
     /** It is the first in order, and a timer bounds how long it is waited for. */
     private boolean hasTimeout;
     /** Whether its slot has another response, and what arrives of it is dropped. */
@@ -81,16 +81,16 @@
         if (value.isComplete()) {
             return true;
         }
-        if (!pending.isEmpty() && !isBufferedWhole && !connection.isOnlyCommandRead(slot)) {
+        if (!pending.isEmpty() && !isFullyBuffered && !connection.isOnlyCommandRead(slot)) {
             if (!connection.server().streamBudget().reserve(value.length())) {
                 abandon("requests are behind it, and the buffer budget is used up");
                 return false;
             }
-            isBufferedWhole = true;
+            isFullyBuffered = true;
             reservedBytes = value.length();
         }
         value.setReading(true);
-        boolean begins = !pending.isEmpty() && !isBufferedWhole;
+        boolean begins = !pending.isEmpty() && !isFullyBuffered;
         if (!begins) {
             setTimeout();
         }
@@ -170,7 +170,7 @@
 
     @Override
     public void onTruncated() {
-        slot.forgetRequest();
+        slot.clearRequest();
         if (connection.isClosing() || isAbandoned) {
             return;
         }
--- a/gateway/src/main/java/opalcove/resp/WarmUp.java
+++ b/gateway/src/main/java/opalcove/resp/WarmUp.java
@@ -49,7 +49,7 @@
     /** The prefix of the private folder's name. */
     static final String FOLDER_PREFIX = "warm-up-";
     /** Requests in flight at a time. */
-    private static final int WINDOW = 2;
+    private static final int MAX_IN_FLIGHT = 2;
 
     private static final int BACKENDS = 3;
     private static final int MAX_CONNECTIONS = 64;
@@ -58,7 +58,7 @@
     private final DecisionSettings settings;
     private final Promise<Void> done = Promise.promise();
     private int sentCount;
-    private volatile int answeredCount;
+    private volatile int responseCount;
     private volatile int maxRequests = REQUESTS;
 
     private WarmUp(DecisionSettings settings) {
@@ -107,7 +107,7 @@
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
-        return warmUp.answeredCount;
+        return warmUp.responseCount;
     }
 
     /**
@@ -168,7 +168,7 @@
         return vertx.createNetServer()
                 .connectHandler(WarmUp::emulateBackend)
                 .listen(backend)
-                .compose(listening -> new RespServer(vertx, dispatcher, new Lifecycle(), WINDOW).listen(server))
+                .compose(listening -> new RespServer(vertx, dispatcher, new Lifecycle(), MAX_IN_FLIGHT).listen(server))
                 .compose(listening -> vertx.createNetClient().connect(server))
                 .onSuccess(this::sendRequests);
     }
@@ -225,15 +225,15 @@
         Peer client = new Peer(
                 netSocket,
                 (response, socket) -> {
-                    answeredCount++;
+                    responseCount++;
                     if (sentCount < maxRequests) {
                         sendNext(socket);
-                    } else if (answeredCount == sentCount) {
+                    } else if (responseCount == sentCount) {
                         done.tryComplete();
                     }
                 },
                 done::tryFail);
-        while (sentCount < WINDOW) {
+        while (sentCount < MAX_IN_FLIGHT) {
             sendNext(client.socket);
         }
     }
