--- a/gateway/src/main/java/opalcove/resp/BackendReplyDecoder.java
+++ b/gateway/src/main/java/opalcove/resp/BackendReplyDecoder.java
@@ -9,18 +9,20 @@
 import org.tinylog.Logger;
 
 /**
- * Decodes the replies of backends, by the protocol's table of outcomes. One object serves all connections of a
- * connector; owned by their event loop.
+ * Decodes replies of backends into the results of attempts, as the protocol defines them. One instance serves all
+ * connections of a connector and is owned by their event loop.
  */
 final class BackendReplyDecoder {
-    /** The parts of a reply: the value, the usage figures and the load report. */
+    /** The number of parts of a reply: the value, the usage figures and the load report. */
     static final int PARTS = 3;
-    /** Percent of a quota; a larger figure is not a usage. */
+    /** The largest valid usage of a quota, percent; a larger figure is ignored. */
     private static final double MAX_USED_PERCENT = 100_000;
 
     private final List<LoadMetric> gauges;
     private final double maxUnits;
-    /** The name of the gauge that was decoded last, and its column: backends report the same ones over and over. */
+    /**
+     * The name of the last decoded gauge. It is cached with its column, because backends report the same gauges again.
+     */
     private String gaugeName = "";
 
     private int gaugeColumn = -1;
@@ -35,8 +37,8 @@
     }
 
     /**
-     * The result of an attempt, or null where the reply has a form that no backend sends: the attempt may have run. The
-     * result's value is not retained: valid during the notification of the reply.
+     * Returns the result of an attempt, or null if the reply has an unknown form; the attempt may have run then. The
+     * result's value is not retained: it is valid only while the listener is notified of the reply.
      */
     AttemptResult decode(RespDecoder reply) {
         usedPercent = -1;
@@ -67,7 +69,7 @@
         return new AttemptResult(isBusy ? AttemptStatus.REJECTED : AttemptStatus.ERROR, null, usedPercent, cost, load);
     }
 
-    /** The next index of this character, or the end. */
+    /** Returns the next index of the character, or the end if there is none. */
     private static int indexOf(RespDecoder reply, int part, int from, int end, char wanted) {
         int at = from;
         while (at < end && reply.byteAt(part, at) != wanted) {
@@ -76,7 +78,7 @@
         return at;
     }
 
-    /** The usage figures or the load report, each a list of name=figure. */
+    /** Decodes the usage figures or the load report, each a comma-separated list of name=figure. */
     private void decodeFigures(RespDecoder reply, int part, int start, int end) {
         for (int from = start; from < end; ) {
             int to = indexOf(reply, part, from, end, ',');
@@ -92,18 +94,19 @@
         }
     }
 
-    /** A figure of another form, such as 1e2; NaN where it is none. */
+    /** Parses a figure in another format, such as 1e2; returns NaN if it is not a number. */
     private static double parseOtherFormat(String text) {
         try {
             return Double.parseDouble(text);
         } catch (NumberFormatException e) {
-            Logger.debug("a backend reported a figure that is no number: {}", text);
+            Logger.debug("backend reported a figure that is not a number: {}", text);
             return Double.NaN;
         }
     }
 
     /**
-     * Guards the decision module's accounts against impossible figures: what is out of range counts as not reported.
+     * Stores one figure. Guards the decision module's quota accounts against impossible figures: a figure out of range
+     * counts as not reported.
      */
     private void setFigure(RespDecoder reply, int part, int from, int to, double value) {
         boolean isCost = reply.regionEquals(part, from, to, "cost");
--- a/gateway/src/main/java/opalcove/resp/BufferBudget.java
+++ b/gateway/src/main/java/opalcove/resp/BufferBudget.java
@@ -1,15 +1,15 @@
 package opalcove.resp;
 
 /**
- * The memory that values buffered whole before they are written may take, of all connections of a server together.
- * Owned by the server's event loop.
+ * Limits the memory of values that are fully buffered before they are written, in total over all connections of a
+ * server. Owned by the server's event loop.
  */
 final class BufferBudget {
     static final int MAX_BYTES = 6 * 1024 * 1024;
 
     private int reservedBytes;
 
-    /** Reserves so many bytes; false, and nothing reserved, where they would exceed the budget. */
+    /** Reserves this many bytes; returns false and reserves nothing if they would exceed the budget. */
     boolean reserve(int bytes) {
         if (bytes > MAX_BYTES - reservedBytes) {
             return false;
--- a/gateway/src/main/java/opalcove/resp/ClientConnection.java
+++ b/gateway/src/main/java/opalcove/resp/ClientConnection.java
@@ -8,19 +8,19 @@
 import org.tinylog.Logger;
 
 /**
- * One client connection: its commands are read and executed in order, and it is ended when its client disconnects, when
- * what it sends cannot be decoded, or while it is idle. Owned by the server's event loop.
+ * A client connection. Its commands are read and executed in order. It is closed when its client disconnects, when its
+ * input cannot be decoded, or when it is idle. Owned by the server's event loop.
  */
 final class ClientConnection implements RawSocket.Listener, RespListener {
-    /** Commands that may await responses before no more is read. */
+    /** The number of commands that await responses at which reading is paused. */
     private static final int MAX_PIPELINED = 256;
 
     private static final int MAX_COMMAND_ITEMS = 8;
-    /** How long nothing is read after an invalid command; multiplied by the number of such commands so far. */
+    /** How long reading is paused after an invalid command, multiplied by the number of invalid commands so far, ms. */
     private static final long ERROR_PAUSE_MS = 50;
     /**
-     * Guards valid requests behind an invalid one on a connection that many clients share: one that waits longer than
-     * half a second for its response is lost, however short its own deadline.
+     * The limit of that multiplier. Guards valid requests behind an invalid one on a connection that many clients
+     * share: a request that waits longer than 0.5 s for its response is lost, however short its own deadline.
      */
     private static final int MAX_ERROR_PAUSES = 4;
 
@@ -33,25 +33,25 @@
     private final ResponsePipeline pipeline;
     private final ConnectionInput input;
     private long lastUsedNanos = System.nanoTime();
-    /** When bytes last arrived, for half a command that is in flight. */
+    /** When bytes last arrived, by {@link System#nanoTime}; tells whether a partially received command progresses. */
     private long lastReadNanos = lastUsedNanos;
 
     private int errorCount;
     private boolean isPausedForError;
     private boolean isClosing;
-    /** Why it is ended once no response is due, where it is closing. */
+    /** The reason to report when a closing connection is closed, once no response is due. */
     private ConnectionCloseReason closeReason = ConnectionCloseReason.PROTOCOL;
 
     private long halfOpenSinceNanos;
 
-    /** Made in the handler that gets the socket, on its context. */
+    /** To be called in the connect handler of the socket, on its context. */
     ClientConnection(NetSocket netSocket, ServerContext server) {
         this.netSocket = netSocket;
         this.server = server;
         socket = new RawSocket(netSocket, false, this);
         pipeline = new ResponsePipeline(this, socket);
         input = server.disconnects().input(socket, decoder, this::hasOpenCommands);
-        netSocket.exceptionHandler(e -> Logger.debug("a client connection failed: {}", e.getMessage()));
+        netSocket.exceptionHandler(e -> Logger.debug("client connection failed: {}", e.getMessage()));
         netSocket.closeHandler(closed -> connectionClosed());
     }
 
@@ -76,17 +76,17 @@
         return lastUsedNanos;
     }
 
-    /** When its output was closed, by {@link System#nanoTime}. */
+    /** When the output of this connection was closed, by {@link System#nanoTime}. */
     long halfOpenSinceNanos() {
         return halfOpenSinceNanos;
     }
 
-    /** Whether responses are due. */
+    /** Whether commands on this connection await their responses. */
     boolean hasOpenCommands() {
         return !pipeline.isEmpty();
     }
 
-    /** Whether nothing that arrives is executed any more. */
+    /** Whether input that arrives from now on is no longer executed. */
     boolean isClosing() {
         return isClosing;
     }
@@ -99,17 +99,17 @@
         return socket.hasPendingWrites();
     }
 
-    /** Whether no other command was read on this connection that awaits its response, or execution. */
+    /** Whether no other command that was read on this connection awaits execution or its response. */
     boolean isOnlyCommandRead(PipelineSlot slot) {
         return pipeline.isOnly(slot) && !input.hasBuffered();
     }
 
-    /** Closes the connection once all responses are written. */
+    /** Closes the connection after all responses have been written. */
     void close() {
         netSocket.close();
     }
 
-    /** Closes the connection at once; responses not yet written are discarded. */
+    /** Closes the connection at once and discards responses that have not been written. */
     void closeAndDiscard() {
         socket.closeAndDiscard();
     }
@@ -130,14 +130,14 @@
         }
         server.commands().execute(command, slot);
         if (pipeline.size() >= MAX_PIPELINED || !socket.isWritable()) {
-            // Guards memory against a client that keeps sending commands and reads no responses.
+            // Guards memory against a client that keeps sending commands and does not read the responses.
             input.pause();
         }
     }
 
     /**
-     * Responds to an invalid command with an error. Guards the processor against a client that sends the same again as
-     * soon as it is rejected: for a while nothing more is read from it.
+     * Responds to an invalid command with an error and pauses reading for a while. Guards the processor against a
+     * client that sends the same command again as soon as it is rejected.
      */
     void reject(PipelineSlot slot, String reason) {
         pipeline.writeLine(slot, "-ERR " + reason);
@@ -152,7 +152,7 @@
         }
     }
 
-    /** The response of the first slot has been written, and those held back behind it. */
+    /** Called when the response of the first slot and the deferred responses behind it have been written. */
     void responsesWritten(PipelineSlot first) {
         lastUsedNanos = System.nanoTime();
         if (first.stream() != null) {
@@ -177,7 +177,7 @@
         }
     }
 
-    /** Ends the connection in the middle of a value: that is how its client can tell that the value is incomplete. */
+    /** Closes the connection in the middle of a value, so that its client detects that the value is incomplete. */
     void endInIncompleteValue() {
         int behind = pipeline.removeFirst();
         if (behind > 0) {
@@ -190,9 +190,11 @@
     }
 
     /**
-     * Ends a connection on which half a command has not progressed for the idle timeout, once no response is due; tells
-     * whether it did. Guards against half a command behind others, which would be examined only once they are answered,
-     * and would then time out anew.
+     * Closes a connection on which a partially received command has not progressed for the idle timeout, once no
+     * response is due. Guards against such a command behind open ones: the idle check would examine it only after their
+     * responses, and its timeout would start anew then.
+     *
+     * @return whether the connection is closed, now or once no response is due
      */
     boolean endIfStalled() {
         boolean isStalled = System.nanoTime() - lastReadNanos > STALL_NANOS;
@@ -212,12 +214,12 @@
         return true;
     }
 
-    /** What cannot be decoded ends this connection after the responses that are due. */
+    /** Reports a protocol error and closes the connection after the responses that are due. */
     @Override
     public void decodingFailed(String reason) {
         isClosing = true;
         input.discardFurther();
-        // Guards the processor against the rest of what is not a command, which may be 60 MB.
+        // Guards the processor against the rest of the invalid input, which may be 60 MB.
         input.pause();
         pipeline.writeLine(pipeline.add(), "-ERR Protocol error: " + reason);
     }
@@ -226,23 +228,25 @@
         if (pipeline.isEmpty() && isClosing) {
             beginHalfClose(closeReason);
         } else if (pipeline.isEmpty() && server.drain().isActive()) {
-            // Not within the reading of this very connection, in which it cannot be read once more.
+            // Deferred, because this may run within a read of this connection, in which it cannot be read again.
             server.vertx().runOnContext(read -> closeIfIdle(ConnectionCloseReason.DRAINED));
         }
     }
 
     /**
-     * Ends the connection if it is still idle after a further read of what may lie unread; tells whether it did. Guards
-     * a request that arrived while the event loop was held up (by a lack of processor time, or a long turn): a timer
-     * can be due before the loop has read what arrived meanwhile, and to its client such a request is taken. Paused
-     * reads (after an error, or a full pipeline) do not exempt it: what lies behind them is taken too.
+     * Reads what may be unread and closes the connection if it is still idle after that. Guards a request that arrived
+     * while the event loop was delayed (by a lack of processor time, or a long turn): a timer can be due before the
+     * loop has read what arrived meanwhile, and the client regards such a request as accepted. The same holds for input
+     * that is unread because reading is paused after an error or by a full pipeline, so that is read as well.
+     *
+     * @return whether the connection is closed
      */
     boolean closeIfIdle(ConnectionCloseReason reason) {
         if (!isClosing) {
             input.decodeUnread();
         }
-        // Half a command whose bytes still arrive is a request in flight; one that does not progress is a stalled
-        // client.
+        // A partially received command is a request in flight while its bytes arrive. If it does not progress, the
+        // client has stalled.
         boolean isArriving = decoder.isMidValue() && System.nanoTime() - lastReadNanos < STALL_NANOS;
         boolean isIdle = pipeline.isEmpty() && !isClosing && !isArriving;
         if (isIdle) {
@@ -252,9 +256,9 @@
     }
 
     /**
-     * Closes the output of the connection, on which no response is due. Guards what was read from it and not executed
-     * against being forwarded later: its response would have nowhere to go, and the client, which saw the connection
-     * end first, may have sent it again elsewhere.
+     * Closes the output of the connection, on which no response is due, and drops input that was read and not executed.
+     * Guards against forwarding such input later: its response could not be sent, and the client, which saw the end of
+     * the connection first, may have sent it again elsewhere.
      */
     private void beginHalfClose(ConnectionCloseReason reason) {
         server.dispatcher().clientConnectionClosed(reason);
@@ -264,7 +268,7 @@
         socket.closeOutput();
     }
 
-    /** From now on nothing that arrives is executed. */
+    /** Stops the input: nothing that arrives from now on is executed. */
     private void stopReading() {
         isClosing = true;
         input.close();
--- a/gateway/src/main/java/opalcove/resp/CommandHandler.java
+++ b/gateway/src/main/java/opalcove/resp/CommandHandler.java
@@ -9,8 +9,8 @@
 import opalcove.metrics.Metrics;
 
 /**
- * Executes the commands of a server's connections: requests are dispatched, the others are answered here. Owned by the
- * server's event loop.
+ * Executes the commands of all connections of a server. It dispatches requests, and responds to all other commands
+ * itself. Owned by the server's event loop.
  */
 final class CommandHandler {
     private final RequestDispatcher dispatcher;
@@ -23,7 +23,7 @@
         requests = new RequestDecoder(dispatcher::requestValidator);
     }
 
-    /** Whether the value has the form of a command: an array of strings that is not empty. */
+    /** Whether the value has the form of a command: a non-empty array of strings. */
     static boolean isCommand(RespDecoder value) {
         boolean hasOnlyStrings = value.type() == '*' && value.itemCount() > 0;
         for (int i = 0; hasOnlyStrings && i < value.itemCount(); i++) {
@@ -32,7 +32,7 @@
         return hasOnlyStrings;
     }
 
-    /** Executes one command; its response may be given at once or later. */
+    /** Executes one command; its response may be written at once or later. */
     void execute(RespDecoder command, PipelineSlot slot) {
         if (RequestDecoder.isRequest(command)) {
             dispatch(command, slot);
@@ -56,7 +56,8 @@
         slot.setBody(request.body());
         slot.setRequest(dispatcher.dispatch(request, slot, connection.input().unreadMs()));
         if (drain.isProcessEnding()) {
-            // Its response comes behind those of the requests before it, which may wait longer than this process lasts.
+            // Its response follows those of earlier requests, which could otherwise wait until after the process has
+            // ended.
             connection.pipeline().expediteAll();
         }
     }
--- a/gateway/src/main/java/opalcove/resp/ConnectionInput.java
+++ b/gateway/src/main/java/opalcove/resp/ConnectionInput.java
@@ -5,56 +5,60 @@
 import java.util.function.BooleanSupplier;
 
 /**
- * The input of one client connection: decodes what is read, or buffers it while decoding is paused, and knows how long
- * it may have lain unread. All times are by {@link System#nanoTime}. Owned by the connection's event loop.
+ * The input of one client connection. It decodes what is read, or buffers it while decoding is paused, and computes how
+ * long the input may have been unread. All times are by {@link System#nanoTime}. Owned by the connection's event loop.
  */
 final class ConnectionInput {
     /**
-     * How old the knowledge that a client is connected may be when an attempt is made for it: a quarter of the 0.1 s
-     * after which an attempt for a disconnected client breaks a rule.
+     * The maximum age of the last check that a client is connected when an attempt is made for it: a quarter of the
+     * 100 ms after which an attempt for a disconnected client violates an invariant.
      */
     private static final long MAX_AGE_NANOS = TimeUnit.MILLISECONDS.toNanos(25);
-    /** What may have lain unread for longer than this counts as old: less is covered by the slack on deadlines. */
+    /**
+     * Input that may have been unread for longer than this is stale; a shorter time is within the slack on deadlines.
+     */
     private static final long STALE_NANOS = TimeUnit.MILLISECONDS.toNanos(100);
-    /** Most bytes that polls may buffer until this connection is read again. */
+    /** The maximum number of bytes that polls buffer until this connection is read again. */
     private static final int MAX_BUFFERED_BYTES = 256 * 1024;
-    /** Most reads of one poll. They grow to 64 KiB, so that fewer bring as much as may be buffered. */
+    /** The maximum number of reads of one poll. Reads grow to 64 KiB, so fewer reach the buffer limit. */
     private static final int MAX_READS = 16;
 
     private final DisconnectDetector detector;
     private final RawSocket socket;
     private final RespDecoder decoder;
     private final BooleanSupplier hasOpenRequests;
-    /** What was read and not decoded while paused; null for nothing. */
+    /** Bytes that were read and not decoded, because decoding is paused; null if there are none. */
     private ByteBuf buffered;
 
     private boolean isPaused;
-    /** Nothing is read at all, not even by a poll: what arrives stays with the kernel. */
+    /** Nothing is read at all, not even by a poll: bytes that arrive stay in the kernel. */
     private boolean isSuspended;
-    /** Bytes are decoded, paused or not; after the end the decoder drops them. */
+    /** Bytes are decoded even while paused; after the end the decoder drops them. */
     private boolean decodesAll;
 
     private boolean isEnded;
-    /** Bytes are being decoded at this moment: the decoder cannot take further ones, which are buffered. */
+    /** The decoder is running: it is not reentrant, so bytes that are read meanwhile are buffered. */
     private boolean isDecoding;
 
     private long bytesReadCount;
     private long polledAt = System.nanoTime();
-    /** When bytes were read last, and up to when the loop had read this connection to its end before that. */
+    /** When bytes were last read. */
     private long bytesReadAt = polledAt;
-
+    /** Up to when the event loop had read this connection to its end before that. */
     private long previousReadToEnd = polledAt;
-    /** While not every turn of the loop reads this connection: up to when it was known to be read to its end. */
+    /** Up to when this connection was known to be read to its end, while not every turn of the event loop reads it. */
     private long emptyUpTo;
-    /** When the loop began to read this connection again: what it reads first may be from {@link #emptyUpTo} on. */
+    /**
+     * When the event loop resumed reading this connection: the first bytes may have arrived since {@link #emptyUpTo}.
+     */
     private long resumedAt = polledAt;
-    /** Since when what is being decoded may have lain unread, and what is buffered. */
+    /** Since when the bytes that are being decoded may have been unread. */
     private long unreadSince = polledAt;
-
+    /** Since when the buffered bytes may have been unread. */
     private long bufferedSince;
-    /** What is read until the end of this turn is as old as what was read before it. */
+    /** Bytes read until the end of this turn may be as old as those read before them. */
     private boolean isReadingStaleInput;
-
+    /** Since when those bytes may have been unread. */
     private long staleSince;
 
     ConnectionInput(
@@ -70,10 +74,10 @@
         return hasOpenRequests.getAsBoolean();
     }
 
-    /** Takes what was read of the socket; the bytes are released here. */
+    /** Decodes or buffers bytes that were read from the socket, and releases them. */
     void bytesRead(ByteBuf bytes) {
         bytesReadCount += bytes.readableBytes();
-        // What arrived now was not there when the loop last read all: nor was the end, which comes behind it.
+        // These bytes had not arrived when the loop last read to the end, so neither had a disconnect behind them.
         previousReadToEnd = detector.readUpToNanos();
         bytesReadAt = System.nanoTime();
         long since = unreadSinceNow();
@@ -92,7 +96,7 @@
         bytes.release();
     }
 
-    /** Since when what is read now may have lain unread. */
+    /** Returns since when bytes that are read now may have been unread. */
     private long unreadSinceNow() {
         if (isReadingStaleInput) {
             return staleSince;
@@ -102,8 +106,9 @@
     }
 
     /**
-     * Where what was read may be old, what lies behind it may be as old: it is read in this turn, too. Guards against
-     * reads that bring less than there is, after which the next turn would take the rest for new.
+     * Reads the rest of the input in this turn if the bytes just read may be stale, because the rest may be as old.
+     * Guards against reads that return only a part of the input, after which the next turn would regard the rest as
+     * new.
      */
     private void readToEndIfStale(long since) {
         if (!isReadingStaleInput && !isPaused && !isSuspended && System.nanoTime() - since > STALE_NANOS) {
@@ -116,7 +121,7 @@
         }
     }
 
-    /** Decodes bytes, and then those that polls for an attempt of theirs have brought. */
+    /** Decodes the bytes, and then those that polls read for an attempt that the bytes caused. */
     private void decode(ByteBuf bytes) {
         isDecoding = true;
         try {
@@ -143,19 +148,20 @@
         return isPaused;
     }
 
-    /** How long what is being decoded may have lain unread, ms: an upper bound, as far as it can be known. */
+    /** How long the bytes being decoded may have been unread, ms: an upper bound, as far as it can be determined. */
     double unreadMs() {
         return Math.max(0, System.nanoTime() - unreadSince) / 1e6;
     }
 
-    /** Whether something was read and not decoded. */
+    /** Whether bytes were read and not decoded. */
     boolean hasBuffered() {
         return buffered != null;
     }
 
     /**
-     * Leaves all that arrives with the kernel until {@link #resumeSuspended}. Guards what arrives against being read by
-     * a gateway that may have to end the connection: its client sends again what was not read.
+     * Stops all reads until {@link #resumeSuspended}, so that bytes that arrive stay in the kernel. Guards requests
+     * against being read on a connection that the gateway may have to close: the client retries requests that were not
+     * read.
      */
     void suspend() {
         if (!isSuspended) {
@@ -168,7 +174,7 @@
         return isSuspended;
     }
 
-    /** Reads again after {@link #suspend}, unless paused. */
+    /** Resumes reading after {@link #suspend}, unless paused. */
     void resumeSuspended() {
         if (isSuspended) {
             isSuspended = false;
@@ -192,7 +198,7 @@
         }
     }
 
-    /** Decodes nothing for now; the connection is polled for a disconnect. */
+    /** Pauses decoding; meanwhile the connection is polled for a disconnect. */
     void pause() {
         if (!isPaused) {
             stopReading();
@@ -202,8 +208,8 @@
     }
 
     /**
-     * Decodes again, what was buffered first. Guards what was buffered of a client that has disconnected meanwhile
-     * against being served: it is dropped with the connection.
+     * Resumes decoding, beginning with the buffered bytes. Guards against serving buffered commands of a client that
+     * has disconnected meanwhile: they are dropped with the connection.
      */
     void resume() {
         if (buffered != null && !isConnected()) {
@@ -212,13 +218,13 @@
         isPaused = false;
         detector.removePaused(this);
         decodeBuffered();
-        // What was buffered may have paused it again.
+        // A buffered command may have paused decoding again.
         if (!isPaused) {
             readAgain();
         }
     }
 
-    /** Decodes all that lies unread now, paused or not. Not to be called while this connection is being read. */
+    /** Decodes all input that is unread now, even while paused. Must not be called within a read of this connection. */
     void decodeUnread() {
         decodesAll = true;
         decodeBuffered();
@@ -228,12 +234,12 @@
         decodesAll = false;
     }
 
-    /** From now on all that arrives is dropped, by a decoder that has stopped. */
+    /** Drops all bytes that arrive from now on; the decoder has stopped. */
     void discardFurther() {
         isEnded = true;
     }
 
-    /** Ends decoding and polling, and releases what was buffered. */
+    /** Ends decoding and polling, and releases the buffered bytes. */
     void close() {
         isEnded = true;
         decoder.stop();
@@ -246,10 +252,10 @@
     }
 
     /**
-     * Whether the client is still connected. Polls the socket where the last poll is too old, at most once a turn of
-     * the event loop, and once more in each {@link #MAX_AGE_NANOS} of a long turn; a connection that is read costs no
-     * poll of its own while the loop reads its sockets that often. Not known, and so assumed to be connected, where
-     * more lies unread than may be buffered.
+     * Whether the client is still connected. Polls the socket if the last check is too old: at most once per turn of
+     * the event loop, and once more for each {@link #MAX_AGE_NANOS} of a long turn. A connection that is not paused
+     * needs no poll while the loop reads its sockets that often. If more bytes are unread than may be buffered, the
+     * state is unknown and the client is assumed to be connected.
      */
     boolean isConnected() {
         if (socket.isOpen() && !isSuspended && !isKnown()) {
@@ -263,7 +269,7 @@
         if (isPaused && polledAt - loopReadUpTo < 0) {
             return false;
         }
-        // Where this turn of the loop brought bytes, the end may lie unread behind them.
+        // If bytes were read in this turn of the loop, a disconnect may be unread behind them.
         boolean endMayLieBehind = bytesReadAt - loopReadUpTo >= 0;
         long readToEnd = endMayLieBehind ? previousReadToEnd : loopReadUpTo;
         long known = polledAt - readToEnd >= 0 ? polledAt : readToEnd;
@@ -271,8 +277,8 @@
     }
 
     /**
-     * Reads until nothing more arrives, for the end shows only then; a single read of a paused socket brings no more
-     * than one buffer, and ends before the end that lies behind it.
+     * Reads until no more bytes arrive, because a disconnect is detected only then. A single read of a paused socket
+     * returns at most one buffer, and does not reach a disconnect behind it.
      */
     void poll() {
         if (isSuspended) {
--- a/gateway/src/main/java/opalcove/resp/DisconnectDetector.java
+++ b/gateway/src/main/java/opalcove/resp/DisconnectDetector.java
@@ -9,15 +9,17 @@
 import opalcove.lifecycle.Application;
 
 /**
- * Detects that clients have disconnected. A close or a reset shows only in a read, and only behind all that was sent
- * before it. A connection that is read shows it within a turn of the event loop. One whose reading is paused is polled:
- * it is read from time to time, and right before an attempt is made for it, with its bytes buffered for later. Owned by
- * the event loop of the connections.
+ * Detects that clients have disconnected. A close or a reset is detected only by a read, and only after all bytes sent
+ * before it have been read. On a connection that is being read this takes at most a turn of the event loop. A
+ * connection whose reading is paused is polled: it is read periodically and right before an attempt is made for it, and
+ * its bytes are buffered for later. Owned by the event loop of the connections.
  */
 final class DisconnectDetector {
-    /** How often paused connections with open requests are polled: the requests of a disconnected client are ended. */
+    /**
+     * The interval at which paused connections with open requests are polled, to cancel those of disconnected clients.
+     */
     private static final long POLL_MS = 100;
-    /** Most bytes that polls may buffer until the connections are read again, of all together. */
+    /** The maximum number of bytes that polls buffer until the connections are read again, over all connections. */
     private static final int MAX_BUFFERED_BYTES = 2 * 1024 * 1024;
 
     private final Vertx vertx;
@@ -27,7 +29,7 @@
     private boolean isPollScheduled;
     private int bufferedBytes;
 
-    /** Made on the event loop of the connections. */
+    /** To be called on the event loop of the connections. */
     DisconnectDetector(Vertx vertx) {
         this.vertx = vertx;
         readUpTo = Application.readUpTo(vertx);
@@ -35,10 +37,10 @@
     }
 
     /**
-     * The input of one connection.
+     * Creates the input of one connection.
      *
-     * @param hasOpenRequests a paused connection is polled only while this holds: nothing waits for its client
-     *     otherwise
+     * @param hasOpenRequests whether requests of the client are open; a paused connection is polled only while this is
+     *     true, because nothing waits for the client otherwise
      */
     ConnectionInput input(RawSocket socket, RespDecoder decoder, BooleanSupplier hasOpenRequests) {
         return new ConnectionInput(this, socket, decoder, hasOpenRequests);
@@ -48,17 +50,19 @@
         return vertx;
     }
 
-    /** Up to when the event loop has read the connections that are not paused, by {@link System#nanoTime}. */
+    /** Returns up to when the event loop has read the connections that are not paused, by {@link System#nanoTime}. */
     long readUpToNanos() {
         return readUpTo.getAsLong();
     }
 
-    /** Since when what the event loop reads in this turn may have lain unread, by {@link System#nanoTime}. */
+    /**
+     * Returns since when bytes read in this turn of the event loop may have been unread, by {@link System#nanoTime}.
+     */
     long unreadSinceNanos() {
         return unreadSince.getAsLong();
     }
 
-    /** Polls this connection from now on. */
+    /** Starts polling this connection. */
     void addPaused(ConnectionInput input) {
         paused.add(input);
         if (!isPollScheduled) {
--- a/gateway/src/main/java/opalcove/resp/DrainState.java
+++ b/gateway/src/main/java/opalcove/resp/DrainState.java
@@ -3,8 +3,8 @@
 import opalcove.lifecycle.Lifecycle;
 
 /**
- * Whether a server closes each connection once no response is due on it: an administrator has requested a drain, or the
- * process is ending. Owned by the server's event loop.
+ * Tells whether a server closes each connection once no response is due on it, because an administrator has requested a
+ * drain or the process is shutting down. Owned by the server's event loop.
  */
 final class DrainState {
     private final Lifecycle lifecycle;
@@ -20,13 +20,14 @@
     }
 
     /**
-     * Whether an administrator has requested a drain: PING then reports it, so that no new connections are sent here.
+     * Whether an administrator has requested a drain. PING then reports it, so that no new connections are sent to this
+     * gateway.
      */
     boolean isRequested() {
         return isRequested;
     }
 
-    /** Whether the process is past taking new connections. */
+    /** Whether the process is shutting down and accepts no new connections. */
     boolean isProcessEnding() {
         return lifecycle.current().ordinal() >= Lifecycle.Phase.DRAINING.ordinal();
     }
--- a/gateway/src/main/java/opalcove/resp/HalfOpenConnections.java
+++ b/gateway/src/main/java/opalcove/resp/HalfOpenConnections.java
@@ -6,27 +6,27 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Connections whose output was closed here and which their clients have not closed yet, oldest first. Owned by the
- * server's event loop.
+ * The connections whose output the gateway has closed and which their clients have not closed yet, oldest first. Owned
+ * by the server's event loop.
  */
 final class HalfOpenConnections {
     /**
-     * How long a connection stays half open, for its client to read what was written and close it. Guards the last
-     * response: a socket closed with input unread is reset, and what was in flight to the client is dropped with it.
+     * How long a connection stays half open, so that its client can read the responses and close it. Guards the last
+     * response: a socket that is closed with unread input is reset, and bytes in flight to the client are lost.
      */
     private static final long TIMEOUT_MS = 250;
-    /** Guards the descriptors: one half-open connection is allowed for so many open ones. */
+    /** The number of open connections per allowed half-open one. Limits the descriptors of half-open connections. */
     static final int OPEN_PER_HALF_OPEN = 8;
 
     private final Set<ClientConnection> connections = new LinkedHashSet<>();
     private final int maxConnections;
 
-    /** Holds as many as go with this number of open connections. */
+    /** Creates a set whose limit is derived from the maximum number of open connections. */
     HalfOpenConnections(int maxOpenConnections) {
         maxConnections = maxFor(maxOpenConnections);
     }
 
-    /** How many connections may be half open beside so many open ones. */
+    /** Returns how many connections may be half open in addition to this number of open ones. */
     static int maxFor(int maxOpenConnections) {
         return Math.max(1, maxOpenConnections / OPEN_PER_HALF_OPEN);
     }
@@ -39,7 +39,7 @@
         return connections.isEmpty();
     }
 
-    /** Adds a connection whose output is about to be closed; another is closed where there are too many. */
+    /** Adds a connection whose output is about to be closed, and closes another one if the limit is reached. */
     void add(ClientConnection connection) {
         if (connections.size() >= maxConnections) {
             closeOldest();
@@ -61,11 +61,11 @@
     }
 
     /**
-     * Closes the oldest connection, of those that have sent all their responses if there is one. Guards the descriptors
-     * against a client that reads nothing, for which a close that waits for the responses would never come.
+     * Closes the oldest connection that has sent all its responses, or the oldest of all if there is none. Guards the
+     * descriptors against clients that read nothing: a close that waits for their responses would never happen.
      */
     private void closeOldest() {
-        // One that was closed in this turn is still among them until its close is reported.
+        // A connection that was closed in this turn remains in the set until its close is reported.
         List<ClientConnection> candidates =
                 connections.stream().filter(ClientConnection::isOpen).toList();
         candidates.stream()
--- a/gateway/src/main/java/opalcove/resp/OpenConnections.java
+++ b/gateway/src/main/java/opalcove/resp/OpenConnections.java
@@ -8,15 +8,15 @@
 import opalcove.metrics.ConnectionCloseReason;
 
 /**
- * The open connections of one server, and which of them are closed because no request is open on them. Owned by the
- * server's event loop.
+ * The open connections of one server. Closes connections without an open request when they are idle for too long or
+ * their descriptors are needed. Owned by the server's event loop.
  */
 final class OpenConnections {
-    /** A connection without an open request is closed after this, whether new, idle or in the middle of a command. */
+    /** The idle timeout of a connection without an open request, whether new, idle or in the middle of a command. */
     static final long IDLE_TIMEOUT_MS = 2000;
-    /** The same during a drain: time for a new connection to bring its first command. */
+    /** The same timeout during a drain: it leaves a new connection time to send its first command. */
     private static final long DRAIN_IDLE_TIMEOUT_MS = 200;
-    /** Connections that may turn out to be in use before a new one is rejected because the server is full. */
+    /** How many connections are examined and found in use before a new one is rejected because the server is full. */
     private static final int MAX_CANDIDATES = 16;
 
     private final Set<ClientConnection> connections = new HashSet<>();
@@ -24,7 +24,7 @@
     private final DrainState drain;
     private final RequestDispatcher dispatcher;
 
-    /** Holds up to so many connections. */
+    /** Creates a set of up to maxConnections connections. */
     OpenConnections(int maxConnections, DrainState drain, RequestDispatcher dispatcher) {
         this.maxConnections = maxConnections;
         this.drain = drain;
@@ -52,8 +52,8 @@
     }
 
     /**
-     * Closes the connections that have been idle for too long. Guards memory and descriptors against clients that send
-     * one request, or never complete a command, and stay.
+     * Closes the connections that have been idle for too long. Guards memory and descriptors against clients that stay
+     * connected after one request, or without ever completing a command.
      */
     void closeIdle() {
         long timeoutMs = drain.isActive() ? DRAIN_IDLE_TIMEOUT_MS : IDLE_TIMEOUT_MS;
@@ -66,9 +66,11 @@
     }
 
     /**
-     * Closes the connection that has been idle longest, to free its descriptor; false where all are in use. Guards the
-     * descriptors that connections to backends need, and the server against being filled by connections whose clients
-     * have vanished: between requests a connection may be closed.
+     * Closes the connection that has been idle longest, to free its descriptor; a connection may be closed between
+     * requests. Guards the descriptors that connections to backends need, and prevents connections whose clients have
+     * vanished from filling the server.
+     *
+     * @return false if all connections are in use
      */
     boolean closeLongestIdle() {
         Set<ClientConnection> examined = new HashSet<>();
@@ -88,7 +90,7 @@
                 dispatcher.clientConnectionClosedForDescriptors(false);
                 return true;
             }
-            // It stays, because half a command or an unread request was found on it, and must not hide the others.
+            // It stays open, because half a command or an unread request was found on it. The others are examined next.
             examined.add(longestIdle);
         }
         return false;
--- a/gateway/src/main/java/opalcove/resp/ParameterDecoder.java
+++ b/gateway/src/main/java/opalcove/resp/ParameterDecoder.java
@@ -3,8 +3,8 @@
 import java.util.List;
 
 /**
- * Decodes the names and values of one request in one pass. One object serves all requests of a server, so that decoding
- * allocates nothing for names and numbers. Owned by the server's event loop.
+ * Decodes the parameters of a request, a list of name=value, in one pass. One instance serves all requests of a server,
+ * so that decoding allocates nothing for names and numbers. Owned by the server's event loop.
  */
 final class ParameterDecoder {
     private static final int REQUEST_CLASS = 1;
@@ -31,31 +31,31 @@
     private double waitMs;
     private double spread;
     private double first;
-    /** The names that were found, as bits. */
+    /** The names found in this request, as a bit set. */
     private int found;
 
-    /** Decodes this item of a command. */
+    /** Creates a decoder for this item of a command. */
     ParameterDecoder(int item) {
         this.item = item;
     }
 
-    /** Sets the names that a request may give for its class and its plan. */
+    /** Sets the valid names of request classes and plans. */
     void setNames(List<String> classes, List<String> plans) {
         classNames = classes;
         planNames = plans;
     }
 
-    /** The class, or null where it is absent or unknown. */
+    /** Returns the request class, or null if it is absent or unknown. */
     String requestClass() {
         return requestClass;
     }
 
-    /** The plan, or null where it is absent or unknown. */
+    /** Returns the plan class, or null if it is absent or unknown. */
     String plan() {
         return plan;
     }
 
-    /** The idempotency key, or null. */
+    /** Returns the idempotency key, or null if there is none. */
     String key() {
         return key;
     }
@@ -92,7 +92,7 @@
         found = 0;
     }
 
-    /** Decodes all parameters; false where one has an unknown name, has no value or comes twice. */
+    /** Decodes all parameters; returns false if one has an unknown name, has no value or appears twice. */
     boolean decode(RespDecoder command) {
         clear();
         int end = command.length(item);
@@ -153,7 +153,7 @@
         }
     }
 
-    /** Whether all that each request needs is there, in the form that it needs. */
+    /** Whether all required parameters are present and well formed. */
     boolean isComplete() {
         boolean hasNames = requestClass != null && plan != null;
         boolean hasNumbers = units >= 0 && waitMs >= 0 && spread >= 0 && first >= 0;
@@ -169,7 +169,7 @@
         return null;
     }
 
-    /** A plain number of few digits, perhaps with a point; negative where the region holds none. */
+    /** Parses an unsigned decimal number of few digits, with an optional fraction; returns -1 for anything else. */
     static double decimal(RespDecoder value, int item, int from, int to) {
         long digits = 0;
         double scale = 0;
@@ -187,7 +187,7 @@
                 scale *= 10;
             }
         }
-        // Both are exact, so the quotient is the number that is nearest to the decimal one.
+        // Both operands are exact, so the quotient is the double that is nearest to the decimal number.
         return scale == 0 ? digits : digits / scale;
     }
 }
--- a/gateway/src/main/java/opalcove/resp/PipelineSlot.java
+++ b/gateway/src/main/java/opalcove/resp/PipelineSlot.java
@@ -6,18 +6,18 @@
 import opalcove.core.ResponseHandler;
 import opalcove.core.StreamedValue;
 
-/** One command of a connection, and the place of its response in the pipeline. Owned by the connection's event loop. */
+/** A command of a connection and its position in the response pipeline. Owned by the connection's event loop. */
 final class PipelineSlot implements ResponseHandler {
     private final ClientConnection connection;
-    /** The open request of this command; null for another command, or once the request is over. */
+    /** The open request of this command; null if the command is not a request, or the request has ended. */
     private RequestHandle request;
-    /** The request's body, which is held until the request is settled; null for none. */
+    /** The request's body, which is retained until the request releases it; null if there is none. */
     private ByteBuf body;
 
     private boolean isComplete;
-    /** The bytes of a response whose turn has not come; null for none. */
+    /** The encoded response while earlier responses are due; null if there is none. */
     private ByteBuf deferred;
-    /** The streamed value that is the response; null for none. */
+    /** The response if it is a streamed value; null otherwise. */
     private ResponseStream stream;
 
     PipelineSlot(ClientConnection connection) {
@@ -48,18 +48,18 @@
         return isComplete;
     }
 
-    /** The response is written, or held back in full until its turn. */
+    /** Marks the response as written, or as completely deferred until the earlier ones are written. */
     void complete() {
         isComplete = true;
         request = null;
     }
 
-    /** Holds back a response until its turn; the bytes are the slot's to release. */
+    /** Defers an encoded response until the earlier ones are written; the slot takes ownership of the buffer. */
     void defer(ByteBuf response) {
         deferred = response;
     }
 
-    /** Gives the response that was held back; it is the caller's to release. */
+    /** Returns the deferred response and passes the ownership of its buffer to the caller. */
     ByteBuf takeDeferred() {
         ByteBuf response = deferred;
         deferred = null;
@@ -82,7 +82,7 @@
         }
         stream = new ResponseStream(this, value);
         value.deliverTo(stream);
-        // Before its turn a value waits at its backend.
+        // The backend connection is not read while earlier responses are due.
         value.setReading(connection.pipeline().isFirst(this));
         stream.advance();
         return true;
@@ -93,7 +93,7 @@
         return connection.input().isConnected();
     }
 
-    /** Releases the bytes of a response that will not be written. */
+    /** Releases the buffers of a response that will not be written. */
     void discard() {
         if (deferred != null) {
             deferred.release();
--- a/gateway/src/main/java/opalcove/resp/RawSocket.java
+++ b/gateway/src/main/java/opalcove/resp/RawSocket.java
@@ -19,35 +19,36 @@
 import opalcove.lifecycle.Application;
 
 /**
- * The bytes of one Vert.x socket without the copies and objects that its streams make: what is read is handed over in
- * the buffer that it was read into, and what is written in one turn of the event loop is flushed in one call at its
- * end. All else of the socket (its opening, its close, errors) stays with Vert.x. Owned by the socket's event loop.
+ * Reads and writes the bytes of a Vert.x socket without the copies and allocations of its streams. Bytes are passed on
+ * in the buffer that they were read into, and the bytes written in one turn of the event loop are flushed in one call
+ * at its end. Everything else (opening, closing, errors) is handled by Vert.x. Owned by the socket's event loop.
  *
- * <p>Invariants: bytes are sent in the order of the calls; what waits for the end of the turn when the socket is closed
- * by {@link #closeAndDiscard} is never sent; every buffer that was handed over here is released, sent or not.
+ * <p>Invariants: bytes are sent in the order of the calls; bytes that wait for the end of the turn when the socket is
+ * closed by {@link #closeAndDiscard} are never sent; every buffer passed to a write method is released, sent or not.
  */
 final class RawSocket extends ChannelInboundHandlerAdapter implements Runnable, ChannelFutureListener {
     private static final int MIN_BATCH_BYTES = 512;
     private static final ByteBuf CRLF = Unpooled.unreleasableBuffer(
             Unpooled.directBuffer(2).writeByte('\r').writeByte('\n').asReadOnly());
 
-    /** Notified of what happens to a socket, on its event loop. */
+    /** Receives the events of a socket, on its event loop. */
     interface Listener {
-        /** Bytes were read; they are the listener's to release. */
+        /** Called when bytes were read; the listener must release them. */
         void bytesRead(ByteBuf bytes);
 
-        /** The socket has become writable, or has ceased to be. */
+        /** Called when the socket has become writable or unwritable. */
         default void writabilityChanged() {}
 
         /**
-         * Called at the end of a turn, right before what was written in it is flushed: whether it still may be. Where
-         * not, the socket is closed and nothing of that turn is sent.
+         * Called at the end of a turn, right before the bytes written in it are flushed.
+         *
+         * @return whether they may still be sent; if not, the socket is closed and no byte of this turn is sent
          */
         default boolean mayFlush() {
             return true;
         }
 
-        /** Something that was written was not sent and never will be. */
+        /** Called when written bytes were not sent and never will be. */
         default void writeFailed() {}
     }
 
@@ -61,8 +62,9 @@
     private boolean isFlushScheduled;
 
     /**
-     * Made in the handler that gets the socket, on its context. Failed writes are reported only where that is asked
-     * for.
+     * To be called in the connect handler of the socket, on its context.
+     *
+     * @param reportsWriteFailures whether the listener is notified of failed writes
      */
     RawSocket(NetSocket socket, boolean reportsWriteFailures, Listener listener) {
         this.reportsWriteFailures = reportsWriteFailures;
@@ -76,8 +78,8 @@
     }
 
     /**
-     * Since when this connection may have waited to be accepted, by {@link System#nanoTime}; when it was made here, for
-     * one that was not accepted.
+     * Returns since when this connection may have waited to be accepted, by {@link System#nanoTime}. For a connection
+     * that the gateway opened, returns when it was opened.
      */
     long waitingSince() {
         return waitingSince;
@@ -110,12 +112,12 @@
         channel.channel().config().setRecvByteBufAllocator(allocator);
     }
 
-    /** Sets whether the socket is read. What has been read already is handed over all the same. */
+    /** Sets whether the socket is read. Bytes that have been read already are still passed to the listener. */
     void setAutoRead(boolean autoRead) {
         channel.channel().config().setAutoRead(autoRead);
     }
 
-    /** Reads now what lies unread, in a turn that is not one of reading this socket. */
+    /** Reads the unread bytes now. Must not be called within a read of this socket. */
     void readNow() {
         if (channel.channel().unsafe() instanceof AbstractNioChannel.NioUnsafe nio) {
             nio.read();
@@ -130,13 +132,13 @@
         return channel.channel().isWritable();
     }
 
-    /** Whether something that was written has not been sent yet. */
+    /** Whether written bytes have not been sent yet. */
     boolean hasPendingWrites() {
         var pending = channel.channel().unsafe().outboundBuffer();
         return batch != null || pending != null && !pending.isEmpty();
     }
 
-    /** A buffer to write that many bytes to, which are flushed at the end of this turn. */
+    /** Returns a buffer with space for this many bytes, which are flushed at the end of this turn. */
     ByteBuf reserve(int bytes) {
         if (batch != null && batch.writableBytes() < bytes) {
             writeBatch();
@@ -148,7 +150,7 @@
         return batch;
     }
 
-    /** Writes a buffer as it is, flushed at the end of this turn; it is released then. */
+    /** Writes a buffer without copying it. It is flushed at the end of this turn and released after that. */
     void write(ByteBuf bytes) {
         writeBatch();
         channel.write(bytes, promise());
@@ -159,7 +161,7 @@
         write(CRLF.duplicate());
     }
 
-    /** Allocates a buffer for bytes that are not to be written yet. */
+    /** Allocates a buffer for bytes that are written later. */
     ByteBuf allocate(int bytes) {
         return channel.alloc().directBuffer(bytes);
     }
@@ -167,12 +169,13 @@
     private void scheduleFlush() {
         if (!isFlushScheduled) {
             isFlushScheduled = true;
-            // Runs once this turn's reading is done, so that what it brings for this socket is flushed together.
+            // Runs after the reads of this turn, so that all writes that they cause on this socket are flushed
+            // together.
             channel.executor().execute(this);
         }
     }
 
-    /** Flushes at the end of the turn. */
+    /** Flushes the bytes of this turn, at its end. */
     @Override
     public void run() {
         isFlushScheduled = false;
@@ -205,7 +208,7 @@
         return reportsWriteFailures ? channel.newPromise().addListener(this) : channel.voidPromise();
     }
 
-    /** A write has completed. */
+    /** Called when a write has completed. */
     @Override
     public void operationComplete(ChannelFuture write) {
         if (!write.isSuccess()) {
@@ -213,7 +216,7 @@
         }
     }
 
-    /** Releases what waits for the end of this turn, and reports it as failed. */
+    /** Releases the bytes that wait for the end of this turn, and reports them as failed. */
     void discardUnflushed() {
         if (batch != null) {
             releaseBatch();
@@ -223,13 +226,13 @@
         }
     }
 
-    /** Closes the socket; what waits for the end of this turn is never sent, and counts as failed. */
+    /** Closes the socket. Bytes that wait for the end of this turn are never sent and count as failed. */
     void closeAndDiscard() {
         discardUnflushed();
         channel.close();
     }
 
-    /** Closes the output once all that was written has been sent; the input stays open. */
+    /** Closes the output after all written bytes have been sent; the input stays open. */
     void closeOutput() {
         writeBatch();
         Channel nettyChannel = channel.channel();
--- a/gateway/src/main/java/opalcove/resp/ReadBufferAllocator.java
+++ b/gateway/src/main/java/opalcove/resp/ReadBufferAllocator.java
@@ -5,13 +5,13 @@
 import io.netty.channel.AdaptiveRecvByteBufAllocator;
 
 /**
- * Allocates the buffers that a socket is read into: as large as recent reads suggest, or no larger than a limit while
+ * Allocates the buffers that a socket is read into. Their size adapts to recent reads and does not exceed the limit, if
  * one is set. Owned by the socket's event loop.
  */
 final class ReadBufferAllocator extends AdaptiveRecvByteBufAllocator {
     private int maxBytes = Integer.MAX_VALUE;
 
-    /** Limits a read's size. Guards memory while values are streamed. */
+    /** Limits the size of a read, bytes. Guards memory while values are streamed. */
     void limit(int bytes) {
         maxBytes = bytes;
     }
@@ -21,7 +21,7 @@
     }
 
     @Override
-    @SuppressWarnings("deprecation") // the handle's interface, whose successor has no delegating form
+    @SuppressWarnings("deprecation") // the successor of this handle interface has no delegating class
     public Handle newHandle() {
         return new DelegatingHandle(super.newHandle()) {
             @Override
--- a/gateway/src/main/java/opalcove/resp/RequestDecoder.java
+++ b/gateway/src/main/java/opalcove/resp/RequestDecoder.java
@@ -11,7 +11,7 @@
 import opalcove.decision.DecisionSettings;
 import opalcove.decision.Idempotency;
 
-/** Decodes requests from the commands of clients. Owned by the server's event loop. */
+/** Decodes requests from commands of clients. Owned by the server's event loop. */
 final class RequestDecoder {
     static final String QUERY = "SVC.QUERY";
     static final String SUBMIT = "SVC.SUBMIT";
@@ -25,7 +25,11 @@
     private final ParameterDecoder parameters = new ParameterDecoder(PARAMETERS);
     private RequestValidator validator;
 
-    /** Decodes requests by the rules in force, which new settings may replace at any time. */
+    /**
+     * Creates a decoder.
+     *
+     * @param newestValidator returns the validator of the settings in force, which may be replaced at any time
+     */
     RequestDecoder(Supplier<RequestValidator> newestValidator) {
         this.newestValidator = newestValidator;
         useNewestValidator();
@@ -36,7 +40,7 @@
         parameters.setNames(validator.classNames(), validator.planNames());
     }
 
-    /** Whether this is the command of a request, in letters of either case. */
+    /** Whether the command is a request; its name is compared case-insensitively. */
     static boolean isRequest(RespDecoder command) {
         return isNamed(command, QUERY) || isNamed(command, SUBMIT);
     }
@@ -50,10 +54,10 @@
     }
 
     /**
-     * Decodes the request of a command. Its body, where it has one, is copied to a buffer that the socket allocates; it
-     * is the caller's to release once the request is settled.
+     * Decodes the request of a command. The body, if there is one, is copied to a buffer that the socket allocates, and
+     * the caller must release it once the request no longer needs it.
      *
-     * @throws InvalidRequestException if the request cannot be served; the message is for its client
+     * @throws InvalidRequestException if the request is invalid; the message is sent to the client
      */
     Request decode(RespDecoder command, RawSocket socket) throws InvalidRequestException {
         if (newestValidator.get() != validator) {
@@ -85,7 +89,7 @@
                 body);
     }
 
-    /** Decodes a request as clients send it, in one pass over its bytes; null where anything about it is unusual. */
+    /** Decodes a request of the common form in one pass over its bytes; returns null if it has any other form. */
     private Request decodeCommonForm(RespDecoder command, boolean isSubmit) throws InvalidRequestException {
         if (!parameters.decode(command) || !parameters.isComplete()) {
             return null;
@@ -110,7 +114,7 @@
                 null));
     }
 
-    /** Decodes a request of any form, to report what is wrong with it. */
+    /** Decodes a request of any form, and reports what is wrong with an invalid one. */
     private Request decodeAnyForm(RespDecoder command, boolean isSubmit) throws InvalidRequestException {
         RequestParameters values = new RequestParameters(splitParameters(command.text(PARAMETERS)));
         String className = values.required("c");
@@ -134,7 +138,7 @@
                     values.integer("first"),
                     null));
         } catch (InvalidRequestException e) {
-            // The metrics count the failure in the class that the request names, known or not.
+            // The metrics count the failure in the class that the request names, even if that class is unknown.
             throw new InvalidRequestException(e.getMessage(), className);
         }
     }
--- a/gateway/src/main/java/opalcove/resp/RequestEncoder.java
+++ b/gateway/src/main/java/opalcove/resp/RequestEncoder.java
@@ -17,7 +17,11 @@
 
     private RequestEncoder() {}
 
-    /** Writes the command that forwards a request; timeoutMs is how long this gateway will wait for the response. */
+    /**
+     * Writes the command that forwards a request to a backend.
+     *
+     * @param timeoutMs how long this gateway will wait for the reply, ms
+     */
     static void encode(Request request, double timeoutMs, RawSocket socket) {
         long timeout = (long) timeoutMs;
         boolean hasIntegerUnits = request.units() == Math.rint(request.units());
@@ -39,7 +43,7 @@
         }
     }
 
-    /** The length of the parameters; units is null where they are whole. */
+    /** Returns the length of the encoded parameters, bytes; units is null if the number of units is an integer. */
     private static int parametersLength(Request request, long timeoutMs, String units) {
         return CLASS.length()
                 + request.requestClass().length()
@@ -88,7 +92,7 @@
         RespWriter.writeNumber(out, value);
     }
 
-    /** The body is written from the buffer that the request holds until it is settled. */
+    /** Writes the body without copying it, from the buffer that the request retains. */
     private static void writeBody(ByteBuf header, ByteBuf body, RawSocket socket) {
         RespWriter.writeHeader(header, '$', body.readableBytes());
         if (body.isReadable()) {
--- a/gateway/src/main/java/opalcove/resp/RespBackendConnection.java
+++ b/gateway/src/main/java/opalcove/resp/RespBackendConnection.java
@@ -10,17 +10,17 @@
 import org.tinylog.Logger;
 
 /**
- * One RESP2 connection to a backend: sends attempts, and decodes their replies in order. It is also the streamed value
- * that is arriving on it. Owned by the event loop of its pool.
+ * A RESP2 connection to a backend. It sends attempts and decodes their replies in order, and it also represents the
+ * streamed value that is arriving on it. Owned by the event loop of its pool.
  */
 final class RespBackendConnection implements BackendConnection, RawSocket.Listener, RespListener, StreamedValue {
-    /** How much of a streamed value is read at a time. */
+    /** The maximum number of bytes of a streamed value that one read returns. */
     static final int READ_LIMIT_BYTES = 16 * 1024;
-    /** How long a reply may stand still once it has begun. */
+    /** How long a partially received reply may make no progress. */
     private static final long STALL_MS = 300;
-    /** How long a streamed value may stand still while it is read. */
+    /** How long a streamed value may make no progress while it is read. */
     private static final long STREAM_STALL_MS = 5000;
-    /** The same while its reading is paused, because its client reads nothing. */
+    /** How long a streamed value may make no progress while its reading is paused because its client reads nothing. */
     private static final long PAUSED_STREAM_STALL_MS = 30_000;
 
     private static final long NO_TIMER = -1;
@@ -33,14 +33,14 @@
     private final RespDecoder decoder = new RespDecoder(BackendReplyDecoder.PARTS, this);
     private Listener listener;
     private long stallTimer = NO_TIMER;
-    /** Takes the streamed value that is arriving; null for none. */
+    /** Receives the streamed value that is arriving; null if there is none. */
     private Sink sink;
 
     private int streamLength;
     private boolean isStreamComplete;
     private boolean isPaused;
 
-    /** Made in the handler that gets the socket, on its context. */
+    /** To be called in the connect handler of the socket, on its context. */
     RespBackendConnection(Vertx vertx, NetSocket netSocket, BackendReplyDecoder replyDecoder) {
         this.vertx = vertx;
         this.netSocket = netSocket;
@@ -56,7 +56,7 @@
         netSocket.closeHandler(closed -> {
             decoder.stop();
             cancelStallTimer();
-            // An attempt that still waited for the end of this turn was not sent, whoever closed the connection.
+            // An attempt that still waited for the end of this turn was not sent, whichever side closed the connection.
             socket.discardUnflushed();
             if (sink != null && !isStreamComplete) {
                 sink.onTruncated();
@@ -93,8 +93,8 @@
     }
 
     /**
-     * Guards the attempt against a reply that is shorter than it announces: backends write a reply at once, so one that
-     * stands still half way will not be completed.
+     * Guards the attempt against a reply that is shorter than announced: backends write a reply at once, so a partially
+     * received reply that makes no progress will not be completed.
      */
     private void restartStallTimer() {
         cancelStallTimer();
@@ -145,7 +145,7 @@
         isStreamComplete = true;
         readBuffers.removeLimit();
         sink.onComplete();
-        // What follows the value is read whatever its client does.
+        // The rest of the reply is read even if the client of the value reads nothing.
         applyReading(true);
     }
 
@@ -169,7 +169,7 @@
         }
     }
 
-    /** What cannot be decoded ends the connection, and with it the attempt, as a reset; nothing after it is decoded. */
+    /** Closes the connection. The attempt fails as after a reset, and no further input is decoded. */
     @Override
     public void decodingFailed(String reason) {
         Logger.debug("closing a backend connection: {}", reason);
--- a/gateway/src/main/java/opalcove/resp/RespConnector.java
+++ b/gateway/src/main/java/opalcove/resp/RespConnector.java
@@ -11,14 +11,14 @@
 import opalcove.config.HostAndPort;
 import opalcove.decision.DecisionSettings;
 
-/** Opens RESP2 connections to backends. Owned by the event loop it is made on. */
+/** Opens RESP2 connections to backends. Owned by the event loop on which it is created. */
 public final class RespConnector implements Connector {
     private final Vertx vertx;
     private final Function<String, SocketAddress> addressResolver;
     private final NetClient client;
     private final BackendReplyDecoder replyDecoder;
 
-    /** Opens connections to backends with the time limits of the settings. */
+    /** Creates a connector with the connect timeout of the settings. */
     public RespConnector(Vertx vertx, DecisionSettings settings) {
         this(vertx, settings, address -> {
             HostAndPort backend = HostAndPort.parse(address, "address");
@@ -26,7 +26,7 @@
         });
     }
 
-    /** Connects to the socket address that the resolver gives for an address of the endpoint list. */
+    /** Creates a connector; the resolver returns the socket address for an address of the endpoint list. */
     RespConnector(Vertx vertx, DecisionSettings settings, Function<String, SocketAddress> addressResolver) {
         this.vertx = vertx;
         this.addressResolver = addressResolver;
--- a/gateway/src/main/java/opalcove/resp/RespDecoder.java
+++ b/gateway/src/main/java/opalcove/resp/RespDecoder.java
@@ -4,16 +4,16 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * Decodes RESP2 values from bytes that may be split anywhere, in the buffers that they were read into: a value is
- * examined in place while its listener is notified, and nothing is allocated for it. A value that is split over several
- * reads is put together in one buffer, each byte copied once. After the first error it decodes nothing more. Used by
- * one thread.
+ * Decodes RESP2 values from bytes that may be split anywhere. Values are decoded in the buffers that they were read
+ * into: a listener examines a value in place while it is notified, and nothing is allocated for the value. A value that
+ * is split over several reads is assembled in one buffer, and each of its bytes is copied once. After the first error
+ * the decoder stops. Used by one thread.
  *
- * <p>A value is a line ({@code + - :}), a bulk string or an array. The items of an array are available where all of
- * them are lines or strings; of an array that holds arrays, only that it arrived.
+ * <p>A value is a line ({@code + - :}), a bulk string or an array. The items of an array are available if all of them
+ * are lines or strings; for an array that contains arrays, only its arrival is reported.
  */
 final class RespDecoder {
-    /** The longest string that is buffered; a longer one is streamed, where its listener accepts it. */
+    /** The longest string that is buffered; a longer one is streamed if the listener accepts it. */
     static final int MAX_STRING_BYTES = 64 * 1024;
     /** The longest string that is streamed. */
     static final int MAX_STREAMED_BYTES = 64 * 1024 * 1024;
@@ -27,19 +27,19 @@
     private final int[] starts;
     private final int[] lengths;
     private final byte[] types;
-    /** Items still to come of each open array, the outermost first. */
+    /** The number of items still missing in each open array, the outermost first. */
     private final int[] remainingItems = new int[MAX_DEPTH];
 
     private int depth;
-    /** From the first byte of the value that is being decoded; null between values. */
+    /** The bytes from the start of the value that is being decoded; null between values. */
     private ByteBuf buffer;
-    /** The next byte of that value to be examined. */
+    /** The index of the next byte of that value to be examined. */
     private int position;
-    /** Where the search for the end of a line continues. */
+    /** The index at which the search for the end of a line continues. */
     private int searchFrom;
     /** The length of the string that is being decoded, or -1. */
     private int bulkLength = -1;
-    /** Bytes still to come of a string that is streamed, or -1. While there are some, nothing else is buffered. */
+    /** The number of missing bytes of the streamed string, or -1. Until all have arrived, nothing else is buffered. */
     private int streamedRemaining = -1;
 
     private byte type;
@@ -48,7 +48,7 @@
     private boolean isParsing;
     private boolean isStopped;
 
-    /** Arrays of more than maxItems are errors, as are lines, values and depths beyond the limits above. */
+    /** Creates a decoder. An array of more than maxItems items, and anything beyond the limits above, is an error. */
     RespDecoder(int maxItems, RespListener listener) {
         this.maxItems = maxItems;
         this.listener = listener;
@@ -57,7 +57,7 @@
         types = new byte[maxItems];
     }
 
-    /** Decodes further bytes, which are released here. */
+    /** Decodes further bytes and releases them. */
     void decode(ByteBuf bytes) {
         if (isStopped) {
             bytes.release();
@@ -84,18 +84,18 @@
             if (isStopped) {
                 release();
             } else if (buffer == bytes) {
-                // Guards memory against half a value that retains the whole buffer of a read.
+                // Guards memory against a partial value that retains the complete buffer of a read.
                 moveTo(bytes, neededCapacity(0));
             }
         }
     }
 
-    /** Whether a value has begun and its end has not arrived. */
+    /** Whether a value has been received only in part. */
     boolean isMidValue() {
         return buffer != null;
     }
 
-    /** Decodes nothing more, and releases what was buffered. */
+    /** Stops decoding and releases the buffered bytes. */
     void stop() {
         isStopped = true;
         if (!isParsing) {
@@ -103,17 +103,19 @@
         }
     }
 
-    /** The type of the value: {@code *} an array, {@code $} a bulk string, or the first byte of a line. */
+    /**
+     * Returns the type of the value: {@code *} for an array, {@code $} for a bulk string, or the first byte of a line.
+     */
     byte type() {
         return type;
     }
 
-    /** The items of an array, 0 for one that holds arrays; 1 for a line or a string. */
+    /** Returns the number of items of an array, 0 if it contains arrays, or 1 for a line or a string. */
     int itemCount() {
         return isFlat ? count : 0;
     }
 
-    /** Whether this item is a string and not the null one. */
+    /** Whether this item is a non-null string. */
     boolean isString(int item) {
         return types[item] == '$' && lengths[item] >= 0;
     }
@@ -126,7 +128,7 @@
         return buffer.getByte(starts[item] + index);
     }
 
-    /** The item's bytes in place, not retained: valid during the notification. */
+    /** Returns the item's bytes in place. The slice is not retained: it is valid only during the notification. */
     ByteBuf slice(int item) {
         return buffer.slice(starts[item], lengths[item]);
     }
@@ -159,7 +161,7 @@
         }
     }
 
-    /** How many bytes the value that is being decoded is known to need, or what it has and as many more. */
+    /** Returns the capacity, bytes, that the current value is known to need, or at least its size and moreBytes. */
     private int neededCapacity(int moreBytes) {
         int known = bulkLength >= 0 ? position - buffer.readerIndex() + bulkLength + 2 : 0;
         return Math.max(known, buffer.readableBytes() + moreBytes + SPARE_BYTES);
@@ -173,7 +175,7 @@
         bytes.release();
     }
 
-    /** Puts what there is of the value into a buffer of its own. */
+    /** Copies the received bytes of the value into a separate buffer. */
     private void moveTo(ByteBuf from, int capacity) {
         int shift = from.readerIndex();
         buffer = from.alloc().directBuffer(capacity).writeBytes(from, shift, from.readableBytes());
@@ -185,7 +187,7 @@
         }
     }
 
-    /** Gives the listener what this buffer has of the streamed string, from its reader index on. */
+    /** Passes the bytes of the streamed string in this buffer, from its reader index on, to the listener. */
     private void stream(ByteBuf from) {
         int part = Math.min(streamedRemaining, from.readableBytes());
         streamedRemaining -= part;
@@ -219,7 +221,7 @@
         }
     }
 
-    /** The index of the line's end, which is \r\n, or -1. */
+    /** Returns the index of the line's end, which is \r\n, or -1 if it has not arrived. */
     private int findLineEnd() {
         int end = buffer.writerIndex();
         for (int lineFeed = buffer.indexOf(searchFrom, end, (byte) '\n');
@@ -233,7 +235,7 @@
         return -1;
     }
 
-    /** Continues a streamed string; false where more of it has to arrive. */
+    /** Continues a streamed string; returns false if more of it has to arrive, or decoding has stopped. */
     private boolean continueStream() {
         if (streamedRemaining > 0) {
             buffer.readerIndex(position);
@@ -313,7 +315,7 @@
         }
     }
 
-    /** A length, -1 for null; anything else than from 0 to the maximum is an error. */
+    /** Parses a length, -1 for null; any other value outside the range from 0 to max is an error. */
     private int parseLength(int from, int to, int max) {
         if (to - from == 2 && buffer.getByte(from) == '-' && buffer.getByte(from + 1) == '1') {
             return -1;
@@ -348,7 +350,7 @@
         }
     }
 
-    /** An item of the innermost open array is complete, and with it perhaps that array, and so on. */
+    /** Called when an item of the innermost open array is complete, which may complete that array and outer ones. */
     private void itemComplete() {
         while (--remainingItems[depth - 1] == 0) {
             if (--depth == 0) {
@@ -363,7 +365,7 @@
         try {
             listener.valueDecoded(this);
         } finally {
-            // Guards the next values against an exception of the listener: this one is not given to it again.
+            // Guards the next values against an exception of the listener: this value is not passed to it again.
             count = 0;
             isFlat = true;
             if (!isStopped) {
--- a/gateway/src/main/java/opalcove/resp/RespListener.java
+++ b/gateway/src/main/java/opalcove/resp/RespListener.java
@@ -2,28 +2,30 @@
 
 import io.netty.buffer.ByteBuf;
 
-/** Notified of the values that a {@link RespDecoder} decodes, on the thread that feeds it. */
+/** Receives the values that a {@link RespDecoder} decodes, on the thread that calls the decoder. */
 interface RespListener {
-    /** A value is complete; it can be examined during this call. */
+    /** Called when a value is complete; it may be examined only during this call. */
     void valueDecoded(RespDecoder value);
 
     /**
-     * A string of that many bytes, too long to be buffered, begins as the first item of an array; tells whether its
-     * parts are accepted. Once they have all been given the array is decoded as any other, with an empty string in that
-     * place.
+     * Called when a string that is too long to be buffered begins as the first item of an array. After all its parts
+     * have been delivered, the array is decoded like any other, with an empty string in place of this one.
+     *
+     * @param length the length of the string, bytes
+     * @return whether its parts are accepted
      */
     default boolean streamStarted(int length) {
         return false;
     }
 
-    /** The next bytes of such a string; they are the listener's to release. */
+    /** Called with the next bytes of a streamed string; the listener must release them. */
     default void streamPart(ByteBuf bytes) {
         bytes.release();
     }
 
-    /** All bytes of such a string have been given. */
+    /** Called when all bytes of a streamed string have been delivered. */
     default void streamEnded() {}
 
-    /** The input is not RESP2, or exceeds a limit; called once, and nothing after it. */
+    /** Called once if the input is not RESP2 or exceeds a limit; no other method is called after this one. */
     void decodingFailed(String reason);
 }
--- a/gateway/src/main/java/opalcove/resp/RespServer.java
+++ b/gateway/src/main/java/opalcove/resp/RespServer.java
@@ -17,13 +17,17 @@
 import opalcove.metrics.SystemCall;
 import org.tinylog.Logger;
 
-/** Accepts the connections of RESP2 clients, up to a limit, and drains them. Owned by the event loop it is made on. */
+/**
+ * Accepts connections of RESP2 clients, up to a limit, and drains them. Owned by the event loop on which it is created.
+ */
 public final class RespServer {
     private static final int BACKLOG = 512;
     private static final long SWEEP_MS = 250;
-    /** How often the event loop wakes up at least: it cannot detect a pause of the process shorter than its sleep. */
+    /**
+     * The longest time the event loop sleeps: it cannot detect a pause of the process that is shorter than its sleep.
+     */
     private static final long HEARTBEAT_MS = 100;
-    /** Connections that may be accepted and not handled yet, beside a full server. */
+    /** How many connections may be accepted and not handled yet, in addition to the connections of a full server. */
     private static final int MAX_ACCEPTED_UNHANDLED = 2 * Application.ACCEPTS_AT_ONCE;
 
     private final Vertx vertx;
@@ -32,17 +36,17 @@
     private final OpenConnections open;
     private final HalfOpenConnections halfOpen;
     private final ServerContext context;
-    /** Of the last attempt to listen. */
+    /** The listener of the last attempt to listen. */
     private NetServer listener;
 
     private Runnable whenDrained = () -> {};
-    /** Draining, and connections that were established before may still be handed over. */
+    /** Whether connections that were established before the drain may still arrive from the accept backlog. */
     private boolean isEmptyingBacklog;
 
     /**
-     * Serves RESP2 clients from this dispatcher.
+     * Creates a server that dispatches the requests of RESP2 clients to this dispatcher.
      *
-     * @param maxConnections how many client connections may be open at once
+     * @param maxConnections the maximum number of open client connections
      */
     public RespServer(Vertx vertx, RequestDispatcher dispatcher, Lifecycle lifecycle, int maxConnections) {
         this.vertx = vertx;
@@ -62,13 +66,13 @@
                 this::notifyIfDrained);
         Application.limitAccepted(vertx, maxDescriptors(maxConnections));
         Context eventLoop = vertx.getOrCreateContext();
-        // Reported on the acceptor's thread, whose own context is not this one.
+        // Failures are reported on the acceptor's thread, which has another context.
         Application.whenAcceptRefused(vertx, failure -> eventLoop.runOnContext(run -> acceptFailed(failure)));
         vertx.setPeriodic(SWEEP_MS, sweep -> closeIdle());
         vertx.setPeriodic(HEARTBEAT_MS, beat -> {});
     }
 
-    /** Frees a descriptor where it is descriptors that the system is short of. */
+    /** Counts the failure, and frees a descriptor if the cause is a lack of descriptors. */
     private void acceptFailed(IOException failure) {
         dispatcher.systemCallFailed(SystemCall.ACCEPT, failure);
         if (Errno.of(failure).isShortOfDescriptors()) {
@@ -76,7 +80,7 @@
         }
     }
 
-    /** How many open connections a server may have that holds no more than so many descriptors in all. */
+    /** Returns the maximum number of open connections of a server that may use this many descriptors in total. */
     public static int maxConnectionsWithin(int descriptors) {
         int connections = Math.max(
                 1,
@@ -86,7 +90,7 @@
         return maxDescriptors(connections) > descriptors && connections > 1 ? connections - 1 : connections;
     }
 
-    /** The descriptors that a server of so many connections holds at most: open, half open and accepted ahead. */
+    /** Returns the maximum number of descriptors of a server: for open, half-open and not yet handled connections. */
     public static int maxDescriptors(int maxConnections) {
         return maxConnections + HalfOpenConnections.maxFor(maxConnections) + MAX_ACCEPTED_UNHANDLED;
     }
@@ -96,17 +100,17 @@
         halfOpen.closeExpired();
     }
 
-    /** The number of open connections, in use or idle. */
+    /** Returns the number of open connections, in use or idle. */
     int openCount() {
         return open.size();
     }
 
-    /** The number of connections whose output was closed here and which are not closed yet. */
+    /** Returns the number of connections whose output is closed and whose clients have not closed them yet. */
     int halfOpenCount() {
         return halfOpen.size();
     }
 
-    /** Listens at the endpoint; gives the port. */
+    /** Listens at the endpoint and returns the actual port. */
     public Future<Integer> listen(HostAndPort endpoint) {
         return listen(SocketAddress.inetSocketAddress(endpoint.port(), endpoint.address()))
                 .map(NetServer::actualPort);
@@ -124,7 +128,7 @@
 
     private void connectionAccepted(NetSocket socket) {
         if (open.isFull() && !open.closeLongestIdle()) {
-            Logger.debug("closing a new client connection: {} are open and in use", open.size());
+            Logger.debug("rejecting a new client connection: all {} connections are in use", open.size());
             dispatcher.clientConnectionClosedForDescriptors(true);
             socket.close();
             return;
@@ -133,8 +137,8 @@
     }
 
     /**
-     * Begins or ends a drain that an administrator requests. During it PING reports the drain, so that no new
-     * connections are sent here, and every connection is closed once no response is due on it. All responses are given.
+     * Starts or ends a drain that an administrator requests. During a drain PING reports it, so that no new connections
+     * are sent to this gateway, and each connection is closed once no response is due on it. All responses are written.
      */
     public void setDrainRequested(boolean requested) {
         drain.request(requested);
@@ -143,7 +147,7 @@
         }
     }
 
-    /** Takes no new connections, closes each on which no response is due, and runs the action once none is open. */
+    /** Stops listening, closes each connection on which no response is due, and runs the action once none is open. */
     public void drain(Runnable whenNoneOpen) {
         whenDrained = whenNoneOpen;
         isEmptyingBacklog = Application.stopListening(vertx, () -> {
@@ -152,10 +156,10 @@
             notifyIfDrained();
         });
         if (!isEmptyingBacklog && listener != null) {
-            // Not close(), which would cut the connections on which responses are still due.
+            // close() would cut the connections on which responses are still due.
             listener.shutdown(1, TimeUnit.HOURS);
         }
-        // One that was established or used just now may have its next command in flight: later sweeps close it.
+        // A connection that was just established or used may have a command in flight, so later sweeps close it.
         closeIdle();
         notifyIfDrained();
     }
--- a/gateway/src/main/java/opalcove/resp/RespWriter.java
+++ b/gateway/src/main/java/opalcove/resp/RespWriter.java
@@ -3,18 +3,19 @@
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.ByteBufUtil;
 
-/** Writes RESP2 into buffers. Stateless. */
+/** Encodes RESP2 into buffers. Stateless. */
 final class RespWriter {
     /**
-     * A value of this size or more is forwarded in the buffer that it was read into; a smaller one is cheaper to copy.
+     * The minimum size of a value that is forwarded in the buffer that it was read into. Copying a smaller value is
+     * cheaper.
      */
     static final int MIN_FORWARDED_BYTES = 4096;
-    /** The largest size of the header of a bulk string or array, or of an integer. */
+    /** The maximum size of an integer, or of the header of a bulk string or array. */
     static final int MAX_HEADER_BYTES = 24;
 
     private RespWriter() {}
 
-    /** The header of a bulk string or an array: its type, length and line end. */
+    /** Writes the header of a bulk string or an array: its type, length and line end. */
     static void writeHeader(ByteBuf out, char type, long length) {
         out.writeByte(type);
         writeNumber(out, length);
@@ -25,20 +26,20 @@
         out.writeByte('\r').writeByte('\n');
     }
 
-    /** A bulk string of ASCII text. */
+    /** Writes a bulk string of ASCII text. */
     static void writeBulkString(ByteBuf out, String text) {
         writeHeader(out, '$', text.length());
         ByteBufUtil.writeAscii(out, text);
         writeLineEnd(out);
     }
 
-    /** A line of ASCII text that begins with its type. */
+    /** Writes a line of ASCII text that begins with its type. */
     static void writeLine(ByteBuf out, String text) {
         ByteBufUtil.writeAscii(out, text);
         writeLineEnd(out);
     }
 
-    /** An integer that is not negative, in decimal digits. */
+    /** Writes a non-negative integer in decimal digits. */
     static void writeNumber(ByteBuf out, long number) {
         int digits = digitCount(number);
         int end = out.writerIndex() + digits;
--- a/gateway/src/main/java/opalcove/resp/ResponsePipeline.java
+++ b/gateway/src/main/java/opalcove/resp/ResponsePipeline.java
@@ -6,8 +6,8 @@
 import opalcove.core.Response;
 
 /**
- * The commands of one connection whose responses are due. Writes the responses in the order of the commands, and holds
- * back those that are ready early. Owned by the connection's event loop.
+ * The commands of one connection that await their responses. Writes the responses in the order of the commands, and
+ * defers those that are ready early. Owned by the connection's event loop.
  */
 final class ResponsePipeline {
     private final Deque<PipelineSlot> slots = new ArrayDeque<>(4);
@@ -19,7 +19,7 @@
         this.socket = socket;
     }
 
-    /** Adds a command behind all others. */
+    /** Adds a command at the end. */
     PipelineSlot add() {
         PipelineSlot slot = new PipelineSlot(connection);
         slots.add(slot);
@@ -38,12 +38,12 @@
         return slots.peek() == slot;
     }
 
-    /** Whether this is the only command whose response is due. */
+    /** Whether this is the only command that awaits its response. */
     boolean isOnly(PipelineSlot slot) {
         return slots.size() == 1 && slots.peek() == slot;
     }
 
-    /** Writes the final response; its value is shared for the time of this call. */
+    /** Writes the final response of a request; its value is valid only during this call. */
     void respond(PipelineSlot slot, Response response) {
         if (response instanceof Response.Served served) {
             writeValue(slot, served.value());
@@ -54,7 +54,7 @@
         }
     }
 
-    /** Writes a value, or holds it back until its turn. */
+    /** Writes a value, or defers it until the earlier responses are written. */
     void writeValue(PipelineSlot slot, ByteBuf value) {
         int length = value.readableBytes();
         if (!isFirst(slot)) {
@@ -77,7 +77,7 @@
         RespWriter.writeLineEnd(out);
     }
 
-    /** Writes a line that begins with its type, or holds it back until its turn. */
+    /** Writes a line that begins with its type, or defers it until the earlier responses are written. */
     void writeLine(PipelineSlot slot, String text) {
         if (isFirst(slot)) {
             RespWriter.writeLine(socket.reserve(text.length() + 2), text);
@@ -89,13 +89,13 @@
         complete(slot);
     }
 
-    /** The streamed value of the first slot has been written but for its line end. */
+    /** Completes the streamed value of the first slot, of which only the line end is not written yet. */
     void streamEnded(PipelineSlot slot) {
         socket.writeLineEnd();
         complete(slot);
     }
 
-    /** Writes what is next in order: this response if it is the first, and those held back behind it. */
+    /** Marks the response as complete; if it is the first, writes the deferred responses behind it. */
     private void complete(PipelineSlot slot) {
         slot.complete();
         if (!isFirst(slot)) {
@@ -108,7 +108,7 @@
         connection.responsesWritten(slot);
     }
 
-    /** Continues the streamed value of the first slot, if it has one. */
+    /** Continues the streamed value of the first slot, if there is one. */
     void advanceFirstStream() {
         PipelineSlot first = slots.peek();
         ResponseStream stream = first == null ? null : first.stream();
@@ -117,7 +117,7 @@
         }
     }
 
-    /** Continues the streamed value of the first slot, if it has one of which bytes have been written. */
+    /** Continues the streamed value of the first slot, if there is one whose header has been written. */
     void continueFirstStream() {
         PipelineSlot first = slots.peek();
         if (first != null && first.stream() != null && first.stream().isWriting()) {
@@ -125,7 +125,7 @@
         }
     }
 
-    /** Asks all open requests to end before the process does. */
+    /** Makes all open requests end before the process does. */
     void expediteAll() {
         slots.forEach(slot -> {
             if (slot.request() != null) {
@@ -134,13 +134,13 @@
         });
     }
 
-    /** Removes the first slot, whose response cannot be completed; gives how many commands were behind it. */
+    /** Removes the first slot, whose response cannot be completed, and returns the number of commands behind it. */
     int removeFirst() {
         slots.poll().discard();
         return slots.size();
     }
 
-    /** Removes all slots, and ends their requests as those of a client that has disconnected. */
+    /** Removes all slots and cancels their requests, as the client has disconnected. */
     void cancelAll() {
         for (PipelineSlot slot = slots.poll(); slot != null; slot = slots.poll()) {
             slot.discard();
--- a/gateway/src/main/java/opalcove/resp/ResponseStream.java
+++ b/gateway/src/main/java/opalcove/resp/ResponseStream.java
@@ -10,30 +10,32 @@
 /**
  * A streamed value that is written to its client while its backend sends it. Owned by the connection's event loop.
  *
- * <p>A value that its backend cuts off while it is written ends the connection, for nothing else tells the client that
- * it is incomplete. Guards the requests behind it, which would be lost with the connection: where some were read, the
- * value is buffered whole before any of it is written; where none was, none is read until the value has been written.
+ * <p>If the backend cuts off a value while it is written, the client's connection is closed, because the client cannot
+ * detect in any other way that the value is incomplete. The requests behind the value would be lost with the
+ * connection. Therefore, if requests behind it were read, the value is fully buffered before any of it is written;
+ * otherwise no request is read until the value has been written.
  */
 final class ResponseStream implements StreamedValue.Sink {
     /**
-     * How long after its request's deadline a value is waited for that has begun to arrive and is not being written.
+     * How long after the request's deadline the gateway waits for a value that has begun to arrive and is not being
+     * written.
      */
     private static final long GRACE_MS = 200;
 
     private final PipelineSlot slot;
     private final ClientConnection connection;
     private final StreamedValue value;
-    /** Whether its header was written. */
+    /** Whether the header of the value was written. */
     private boolean isWriting;
-    /** Whether nothing of it is written before it is complete. */
+    /** Whether the value is written only once it is complete. */
     private boolean isFullyBuffered;
-    /** It is the first in order, and a timer bounds how long it is waited for. */
+    /** Whether a timer limits the time until the value is complete; set when its response is the first in order. */
     private boolean hasTimeout;
-    /** Whether its slot has another response, and what arrives of it is dropped. */
+    /** Whether the slot has another response, so that further parts of the value are dropped. */
     private boolean isAbandoned;
-    /** Its parts that arrived and are not written. */
+    /** Parts of the value that have arrived and are not written yet. */
     private final Deque<ByteBuf> pending = new ArrayDeque<>(4);
-    /** Bytes that it holds of the server's budget. */
+    /** The number of bytes reserved for the value in the server's buffer budget. */
     private int reservedBytes;
 
     ResponseStream(PipelineSlot slot, StreamedValue value) {
@@ -63,7 +65,7 @@
         }
     }
 
-    /** Continues if it is the first in order: writes what has arrived, or waits for more of it. */
+    /** If this response is the first in order, writes the parts that have arrived or waits for more. */
     void advance() {
         if (isAbandoned || !connection.pipeline().isFirst(slot)) {
             return;
@@ -98,8 +100,8 @@
     }
 
     /**
-     * Guards the response against a backend that sends the rest of a value late: unless it is being written it is due
-     * in time.
+     * Guards the response against a backend that sends the rest of a value late: unless the value is being written, the
+     * request must get a response in time.
      */
     private void setTimeout() {
         if (hasTimeout || slot.request() == null) {
@@ -130,7 +132,8 @@
             releaseBudget(part.readableBytes());
             socket.write(part);
         }
-        // A write may have made the socket unwritable, which is reported at once and re-enters here: it has ended then.
+        // A write may make the socket unwritable, which is reported at once and re-enters this method. That call may
+        // have completed the response.
         if (slot.isComplete()) {
             return;
         }
@@ -142,7 +145,7 @@
     }
 
     /**
-     * Fails this request alone: nothing of the value was written, so the connection and the requests behind it go on.
+     * Fails only this request: nothing of the value was written, so the connection and the requests behind it continue.
      */
     private void abandon(String cause) {
         Logger.warn("abandoning a streamed value of {} bytes: {}", value.length(), cause);
@@ -161,7 +164,7 @@
         connection.server().streamBudget().release(released);
     }
 
-    /** Releases what has not been written. */
+    /** Releases the parts that have not been written. */
     void discard() {
         pending.forEach(ByteBuf::release);
         pending.clear();
--- a/gateway/src/main/java/opalcove/resp/ServerContext.java
+++ b/gateway/src/main/java/opalcove/resp/ServerContext.java
@@ -4,10 +4,10 @@
 import opalcove.core.RequestDispatcher;
 
 /**
- * What the connections of one server share. All of it is owned by the server's event loop.
+ * The objects that the connections of one server share. All of them are owned by the server's event loop.
  *
  * @param commands executes the commands of all connections
- * @param connectionClosed runs each time a connection has been closed and removed
+ * @param connectionClosed is run each time a connection has been closed and removed
  */
 record ServerContext(
         Vertx vertx,
--- a/gateway/src/main/java/opalcove/resp/WarmUp.java
+++ b/gateway/src/main/java/opalcove/resp/WarmUp.java
@@ -39,16 +39,16 @@
 import org.tinylog.Logger;
 
 /**
- * Runs requests through the program before it opens: a server, a dispatcher and connections of their own, and an
- * emulated backend, over UNIX sockets in a private folder. Guards the first clients against a program whose classes are
- * not loaded and whose code is not compiled: on a part of a core their requests waited for up to a second. Called from
- * the starting thread; all else runs on the event loop that is made for it.
+ * Runs requests through the process before it accepts clients. The warm-up uses its own server, dispatcher and
+ * connections and an emulated backend, over UNIX sockets in a private folder. Guards the first clients against a
+ * process whose classes are not loaded and whose code is not compiled: with a fraction of a core, their requests waited
+ * for up to a second. Called from the starting thread; the rest runs on an event loop that is created for the warm-up.
  */
 public final class WarmUp {
     static final int REQUESTS = 500;
-    /** The prefix of the private folder's name. */
+    /** The name prefix of the private folder. */
     static final String FOLDER_PREFIX = "warm-up-";
-    /** Requests in flight at a time. */
+    /** The number of requests in flight at the same time. */
     private static final int MAX_IN_FLIGHT = 2;
 
     private static final int BACKENDS = 3;
@@ -66,10 +66,10 @@
     }
 
     /**
-     * Runs the warm-up and closes its Vert.x instance, which is made only if there is a run, all within the budget;
-     * what has not closed in time closes by itself. A failure costs nothing but time.
+     * Runs the warm-up and closes its Vert.x instance, all within the budget. The instance is created only if the
+     * warm-up runs, and continues to close on its own if it has not closed in time. A failure only costs time.
      *
-     * @return the number of requests that were answered
+     * @return the number of requests that got a response
      */
     public static int run(Supplier<Vertx> eventLoop, DecisionSettings settings, TimeBudget budget) {
         WarmUp warmUp = new WarmUp(settings);
@@ -79,7 +79,7 @@
             Path server = folder.resolve("front");
             if (budget.remainingMs() == 0 || !canConnectAt(backend)) {
                 Files.delete(folder);
-                Logger.info("no warm-up: UNIX sockets cannot be connected to here, or there is no time");
+                Logger.info("warm-up skipped: UNIX sockets cannot be connected to, or no time remains");
                 return 0;
             }
             Vertx vertx = eventLoop.get();
@@ -101,9 +101,9 @@
                 }
             }
         } catch (TimeoutException e) {
-            Logger.info("the warm-up did not end in its time");
+            Logger.info("warm-up did not finish within its time budget");
         } catch (IOException | ExecutionException e) {
-            Logger.warn("no warm-up: {}", e.getMessage());
+            Logger.warn("warm-up failed: {}", e.getMessage());
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
@@ -111,8 +111,8 @@
     }
 
     /**
-     * Creates a folder that only this user may enter and that must not exist. Not by Files.createTempDirectory, whose
-     * names are drawn by a SecureRandom: its initialization takes 20 ms of a start on a whole core.
+     * Creates a new folder that only this user may enter. Files.createTempDirectory is not used, because it draws names
+     * from a SecureRandom, whose initialization takes 20 ms of the start on a full core.
      */
     private static Path createPrivateFolder() throws IOException {
         String name = FOLDER_PREFIX + ProcessHandle.current().pid() + "-" + Long.toHexString(System.nanoTime());
@@ -122,9 +122,9 @@
     }
 
     /**
-     * Whether a UNIX socket at this path can be connected to. Guards the start on platforms that allow to listen there
-     * and not to connect: an event loop, a server and connections were set up for nothing, a quarter of the start's
-     * processor time.
+     * Whether a UNIX socket at this path can be connected to. Guards the start on platforms that allow listening there
+     * but not connecting: an event loop, a server and connections were set up for nothing, which took a quarter of the
+     * start's processor time.
      */
     static boolean canConnectAt(Path path) throws IOException {
         UnixDomainSocketAddress address = UnixDomainSocketAddress.of(path);
@@ -141,8 +141,8 @@
     }
 
     /**
-     * Waits for the end, or brings it about when three quarters of the remaining time are over: sends no more requests,
-     * and waits for those in flight. Guards the log and the close against connections that are still being opened to a
+     * Waits for the warm-up to end. After three quarters of the remaining time no more requests are sent, and only
+     * those in flight are awaited. Guards the log and the close against connections that are still being opened to a
      * backend that closes.
      */
     private void awaitEnd(TimeBudget budget) throws ExecutionException, InterruptedException, TimeoutException {
@@ -150,7 +150,7 @@
         try {
             end.get(budget.remainingMs() * 3 / 4, TimeUnit.MILLISECONDS);
         } catch (TimeoutException e) {
-            Logger.debug("ending the warm-up early");
+            Logger.debug("warm-up ends early: sending no more requests");
             maxRequests = 0;
             end.get(budget.remainingMs() / 2, TimeUnit.MILLISECONDS);
         }
@@ -173,7 +173,7 @@
                 .onSuccess(this::sendRequests);
     }
 
-    /** One end of a connection: is given values, and writes at the end of each turn. */
+    /** One end of a connection: passes decoded values to a handler, which may write to the socket. */
     private static final class Peer implements RawSocket.Listener, RespListener {
         private final RawSocket socket;
         private final RespDecoder decoder = new RespDecoder(MAX_ITEMS, this);
@@ -184,9 +184,9 @@
             this.valueHandler = valueHandler;
             this.errorHandler = errorHandler;
             socket = new RawSocket(netSocket, false, this);
-            // Otherwise Vert.x logs a connection that fails at the end of the warm-up as an error that does not name
-            // it.
-            netSocket.exceptionHandler(e -> Logger.debug("a connection of the warm-up failed: {}", e.getMessage()));
+            // Without this handler, Vert.x logs the failure of a connection at the end of the warm-up as an error that
+            // does not mention the warm-up.
+            netSocket.exceptionHandler(e -> Logger.debug("warm-up connection failed: {}", e.getMessage()));
             netSocket.closeHandler(closed -> decoder.stop());
         }
 
@@ -238,7 +238,7 @@
         }
     }
 
-    /** Each request is of another tenant, so that no quota ends the warm-up; classes and plans alternate. */
+    /** Sends a request. Each one has another tenant, so that no quota ends the warm-up; classes and plans alternate. */
     private void sendNext(RawSocket socket) {
         DecisionSettings.RequestClass requestClass =
                 settings.classes().get(sentCount % settings.classes().size());
