--- a/gateway/src/main/java/opalcove/resp/DrainState.java
+++ b/gateway/src/main/java/opalcove/resp/DrainState.java
@@ -3,15 +3,15 @@
 import opalcove.lifecycle.Lifecycle;
 
 /**
- * Whether a server closes each connection once no response is due on it: an administrator has requested a drain, or the
- * process is ending. Owned by the server's event loop.
+ * Tells whether a server closes each connection once no response is due on it, because an administrator has requested a
+ * drain or the process is shutting down. Owned by the server's event loop.
  */
 final class DrainState {
-    private final Lifecycle phases;
+    private final Lifecycle lifecycle;
     private boolean isRequested;
 
-    DrainState(Lifecycle phases) {
-        this.phases = phases;
+    DrainState(Lifecycle lifecycle) {
+        this.lifecycle = lifecycle;
     }
 
     /** Sets whether an administrator requests a drain. */
@@ -20,15 +20,16 @@
     }
 
     /**
-     * Whether an administrator has requested a drain: PING then reports it, so that no new connections are sent here.
+     * Whether an administrator has requested a drain. PING then reports it, so that no new connections are sent to this
+     * gateway.
      */
     boolean isRequested() {
         return isRequested;
     }
 
-    /** Whether the process is past taking new connections. */
+    /** Whether the process is shutting down and accepts no new connections. */
     boolean isProcessEnding() {
-        return phases.current().ordinal() >= Lifecycle.Phase.DRAINING.ordinal();
+        return lifecycle.current().ordinal() >= Lifecycle.Phase.DRAINING.ordinal();
     }
 
     /** Whether connections are closed once no response is due on them. */
--- a/gateway/src/test/java/opalcove/resp/RawSocketTest.java
+++ b/gateway/src/test/java/opalcove/resp/RawSocketTest.java
@@ -23,17 +23,20 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** Each assumption on which bytes wait for the end of a turn: their order, a close before it, whose buffers they are. */
+/**
+ * Checks the guarantees for bytes that are flushed at the end of a turn: their order, the effect of an earlier close,
+ * and the release of their buffers.
+ */
 public class RawSocketTest {
     private static final int TIMEOUT_S = 20;
 
     private Vertx vertx;
-    private final BlockingQueue<String> told = new LinkedBlockingQueue<>();
+    private final BlockingQueue<String> events = new LinkedBlockingQueue<>();
 
     @BeforeMethod
     public void start() {
         vertx = Vertx.vertx(new VertxOptions().setEventLoopPoolSize(1));
-        told.clear();
+        events.clear();
     }
 
     @AfterMethod
@@ -42,10 +45,12 @@
         assertEquals(LeakCounter.countLeaks(), 0);
     }
 
-    /** Connects; at the first byte read the action is run, in that turn, with the raw socket and the Vert.x one. */
+    /**
+     * Connects to a new server, which runs the action with the raw and the Vert.x socket in the turn of its first read.
+     */
     private Socket connect(BiConsumer<RawSocket, NetSocket> action) throws Exception {
         CompletableFuture<Integer> port = new CompletableFuture<>();
-        vertx.runOnContext(go -> vertx.createNetServer()
+        vertx.runOnContext(start -> vertx.createNetServer()
                 .connectHandler(socket -> {
                     RawSocket[] raw = new RawSocket[1];
                     raw[0] = new RawSocket(socket, true, new RawSocket.Listener() {
@@ -57,10 +62,10 @@
 
                         @Override
                         public void writeFailed() {
-                            told.add("unwritten");
+                            events.add("write failed");
                         }
                     });
-                    socket.closeHandler(closed -> told.add("closed"));
+                    socket.closeHandler(closed -> events.add("closed"));
                 })
                 .listen(0, "127.0.0.1")
                 .onSuccess(server -> port.complete(server.actualPort())));
@@ -69,22 +74,22 @@
         return socket;
     }
 
-    private static void text(ByteBuf out, String text) {
+    private static void writeText(ByteBuf out, String text) {
         out.writeCharSequence(text, StandardCharsets.US_ASCII);
     }
 
     @Test
-    public void allOfATurnIsSentInOrder() throws Exception {
+    public void sendsBytesOfOneTurnInOrder() throws Exception {
         String large = "L".repeat(100_000);
-        try (Socket socket = connect((raw, all) -> {
-            text(raw.reserve(10), "one ");
+        try (Socket socket = connect((raw, netSocket) -> {
+            writeText(raw.reserve(10), "one ");
             raw.write(Unpooled.copiedBuffer("two ", StandardCharsets.US_ASCII));
-            text(raw.reserve(10), "three ");
-            ByteBuf aside = raw.allocate(large.length());
-            text(aside, large);
-            raw.write(aside);
-            // More than is left of the batch: what is in it goes first.
-            text(raw.reserve(600), "s".repeat(600));
+            writeText(raw.reserve(10), "three ");
+            ByteBuf separateBuffer = raw.allocate(large.length());
+            writeText(separateBuffer, large);
+            raw.write(separateBuffer);
+            // More bytes than remain in the batch, whose contents are sent first.
+            writeText(raw.reserve(600), "s".repeat(600));
             raw.writeLineEnd();
         })) {
             socket.getOutputStream().write(1);
@@ -95,59 +100,59 @@
         }
     }
 
-    /** What waits for the end of the turn never leaves, is reported once as unwritten for each part, and is released. */
+    /** Bytes that wait for the end of the turn are never sent, reported as failed once per part, and released. */
     @Test
-    public void aCloseBetweenBatchAndFlushSendsNothing() throws Exception {
+    public void sendsNothingWhenClosedBeforeFlush() throws Exception {
         ByteBuf buffered = Unpooled.directBuffer(8).writeZero(8);
-        try (Socket socket = connect((raw, all) -> {
-            text(raw.reserve(10), "never");
+        try (Socket socket = connect((raw, netSocket) -> {
+            writeText(raw.reserve(10), "never");
             raw.write(buffered.retainedDuplicate());
-            text(raw.reserve(10), "never");
+            writeText(raw.reserve(10), "never");
             raw.closeAndDiscard();
         })) {
             socket.getOutputStream().write(1);
-            assertEquals(rest(socket.getInputStream()), "");
+            assertEquals(readRemaining(socket.getInputStream()), "");
             for (int part = 0; part < 3; part++) {
-                assertEquals(told.poll(TIMEOUT_S, TimeUnit.SECONDS), "unwritten");
+                assertEquals(events.poll(TIMEOUT_S, TimeUnit.SECONDS), "write failed");
             }
-            assertEquals(told.poll(TIMEOUT_S, TimeUnit.SECONDS), "closed");
+            assertEquals(events.poll(TIMEOUT_S, TimeUnit.SECONDS), "closed");
         }
-        assertTrue(told.isEmpty());
+        assertTrue(events.isEmpty());
         assertEquals(buffered.refCnt(), 1);
         buffered.release();
     }
 
-    /** A socket that its own side closes in the same turn lets out what was put in before, and takes no more. */
+    /** A socket whose output is closed in the same turn sends what was written before, and nothing after it. */
     @Test
-    public void theOutputClosesBehindWhatWasWritten() throws Exception {
-        try (Socket socket = connect((raw, all) -> {
-            text(raw.reserve(10), "last");
+    public void sendsWrittenBytesBeforeClosingOutput() throws Exception {
+        try (Socket socket = connect((raw, netSocket) -> {
+            writeText(raw.reserve(10), "last");
             raw.closeOutput();
         })) {
             socket.getOutputStream().write(1);
-            assertEquals(rest(socket.getInputStream()), "last");
+            assertEquals(readRemaining(socket.getInputStream()), "last");
         }
-        assertEquals(told.poll(TIMEOUT_S, TimeUnit.SECONDS), "closed");
+        assertEquals(events.poll(TIMEOUT_S, TimeUnit.SECONDS), "closed");
     }
 
-    /** The socket has ended by the end of the turn: the batch is let go of, and told as unwritten. */
+    /** The socket is closed before the end of the turn: the batch is released and reported as failed. */
     @Test
-    public void aBatchForAClosedSocketIsReleased() throws Exception {
-        try (Socket socket = connect((raw, all) -> all.close().onComplete(closed -> {
-            text(raw.reserve(10), "too late");
-            told.add("put in");
+    public void releasesBatchWrittenAfterClose() throws Exception {
+        try (Socket socket = connect((raw, netSocket) -> netSocket.close().onComplete(closed -> {
+            writeText(raw.reserve(10), "too late");
+            events.add("written");
         }))) {
             socket.getOutputStream().write(1);
-            assertEquals(rest(socket.getInputStream()), "");
-            Set<String> all = new HashSet<>();
+            assertEquals(readRemaining(socket.getInputStream()), "");
+            Set<String> reported = new HashSet<>();
             for (int i = 0; i < 3; i++) {
-                all.add(told.poll(TIMEOUT_S, TimeUnit.SECONDS));
+                reported.add(events.poll(TIMEOUT_S, TimeUnit.SECONDS));
             }
-            assertEquals(all, Set.of("closed", "put in", "unwritten"));
+            assertEquals(reported, Set.of("closed", "written", "write failed"));
         }
     }
 
-    private static String rest(InputStream in) throws Exception {
+    private static String readRemaining(InputStream in) throws Exception {
         return new String(in.readAllBytes(), StandardCharsets.US_ASCII);
     }
 }
--- a/gateway/src/test/java/opalcove/server/DescriptorLimitTest.java
+++ b/gateway/src/test/java/opalcove/server/DescriptorLimitTest.java
@@ -300,7 +300,7 @@
         }
 
         int metric(String name) throws IOException {
-            String lines = response(RespTestBed.words("INFO"));
+            String lines = response(RespTestBed.encodeCommand("INFO"));
             return lines == null
                     ? 0
                     : lines.lines()
@@ -317,7 +317,7 @@
                     socket.setSoTimeout(10_000);
                 }
                 write(socket, command);
-                return RespTestBed.answer(socket);
+                return RespTestBed.readReply(socket);
             } catch (Exception closed) {
                 socket.close();
                 socket = null;
