--- a/control/src/main/java/opalcove/control/cluster/ClusterState.java
+++ b/control/src/main/java/opalcove/control/cluster/ClusterState.java
@@ -18,17 +18,17 @@
 import opalcove.decision.DecisionSettings;
 
 /**
- * Decides what proxies see of the backends. Free of I/O: endpoint list, load reports and time go in, a snapshot for each zone
- * comes out. Which backend takes new work, and how much of its capacity, is decided by the decision module alone; this turns it
- * into weights and priorities.
+ * Computes what proxies see of the backends, without I/O: it takes the endpoint list, load reports and the time, and
+ * returns a snapshot for each zone. The decision module alone decides which backend takes new requests and for which
+ * share of its capacity; this class converts the shares into weights and priorities.
  *
- * <p>A starting backend has a weight that is a part of a warm one's. Each proxy sends it that part of what it sends anyhow, so
- * the sum is independent of how many proxies there are, and of who joins.
+ * <p>The weight of a backend in slow start is a fraction of its full weight. Each proxy sends it that fraction of its
+ * own requests, so the total load does not depend on the number of proxies or on proxies that join.
  *
  * <p>Times are milliseconds of one monotonic clock. Owned by the thread that calls it.
  */
 public final class ClusterState {
-    /** The zone under which proxies of a zone without backends have their snapshot. */
+    /** The key of the snapshot for proxies in a zone without backends. */
     private static final String NO_ZONE = "";
 
     private final AdmissionController module;
@@ -41,15 +41,15 @@
     private final Map<String, ConfigSnapshot> snapshots = new TreeMap<>();
     private final Set<String> zones = new TreeSet<>();
     private final DrainTracker drains = new DrainTracker();
-    /** What all proxies see whatever the backends do: routing, and the clusters without their endpoints. */
+    /** The resources that do not depend on the backends: routing, and the clusters without their endpoints. */
     private final List<Resource> staticResources;
 
     /**
      * Starts without backends.
      *
-     * @param seed of the decision module's random draws
-     * @param maxShrink the share of the backends that a complete list may lack at once, 0 to 1
-     * @param routing listeners and routes that all proxies see beside the clusters
+     * @param seed seed of the decision module's random numbers
+     * @param maxShrink the share of the backends that one complete list may omit, 0 to 1
+     * @param routing listeners and routes that all proxies receive in addition to the clusters
      */
     public ClusterState(
             double nowMs,
@@ -84,12 +84,14 @@
         updateDrains();
     }
 
-    /** The source of the endpoint list failed; what is known stays. */
+    /** Reports a failure of the source of the endpoint list; the known backends stay. */
     public void onSourceFailed(double timeMs) {
         module.endpointListFailed(timers.advance(timeMs));
     }
 
-    /** Applies a proxy's report of one endpoint; one whose address is not in the list has no effect. */
+    /**
+     * Applies a proxy's load report for one endpoint. A report for an address that is not in the list has no effect.
+     */
     public void onLoadReport(double timeMs, String proxyId, EndpointLoad load) {
         double nowMs = timers.advance(timeMs);
         String backend = backendByAddress.get(load.address());
@@ -99,7 +101,7 @@
         }
     }
 
-    /** Runs the timers due by now and updates the snapshots. Returns whether a snapshot has changed. */
+    /** Runs the timers that are due and updates the snapshots. Returns whether a snapshot has changed. */
     public boolean advance(double timeMs) {
         double nowMs = timers.advance(timeMs);
         boolean anyDue = false;
@@ -115,32 +117,32 @@
         return changed;
     }
 
-    /** When {@link #advance} has something to do next; positive infinity: not before something else happens. */
+    /** Returns when the next timer of {@link #advance} is due, ms; positive infinity if there is none. */
     public double nextTimerMs() {
         return timers.nextDueMs();
     }
 
-    /** The drains under way, oldest first. */
+    /** Returns the drains in progress, oldest first. */
     public List<DrainTracker.Drain> drains() {
         return drains.all();
     }
 
-    /** The zone under which proxies of this zone have their snapshot. */
+    /** Returns the key of the snapshot for proxies in this zone. */
     public String snapshotZone(String zone) {
         return zones.contains(zone) ? zone : NO_ZONE;
     }
 
-    /** What a proxy in this zone sees. In a zone without backends it sees all others at one priority. */
+    /** Returns the snapshot for proxies in a zone. In a zone without backends all backends have the same priority. */
     public ConfigSnapshot snapshot(String zone) {
         return snapshots.computeIfAbsent(snapshotZone(zone), this::firstSnapshot);
     }
 
-    /** The names of the backends that the last complete list lacked and that stay nonetheless. */
+    /** Returns the names of the backends that the last complete list lacked and that were not removed. */
     public Set<String> missingBackendNames() {
         return validator.missing();
     }
 
-    /** The names of all backends of the list, as far as it is trusted. */
+    /** Returns the names of all backends in the validated list. */
     public Set<String> backendNames() {
         return new HashSet<>(backends.keySet());
     }
@@ -182,12 +184,12 @@
         return resources;
     }
 
-    /** A cluster's endpoints as a proxy in this zone sees them: its own zone first, the others after it. */
+    /** Builds the endpoints of a cluster for proxies in a zone: endpoints in this zone first, then all others. */
     private Resource endpoints(ClusterDefinition cluster, String zone) {
         Map<String, List<ResourceFactory.WeightedEndpoint>> byZone = new TreeMap<>();
         for (Backend backend : backends.values()) {
             if (cluster.includes(backend.endpoint())) {
-                byZone.computeIfAbsent(backend.endpoint().zone(), any -> new ArrayList<>())
+                byZone.computeIfAbsent(backend.endpoint().zone(), key -> new ArrayList<>())
                         .add(weights.weighted(backend));
             }
         }
--- a/control/src/main/java/opalcove/control/cluster/DecisionTimers.java
+++ b/control/src/main/java/opalcove/control/cluster/DecisionTimers.java
@@ -4,8 +4,8 @@
 import opalcove.decision.DecisionActions;
 
 /**
- * The timers of the decision module, and the time as it knows it. Of the module's actions only timers can occur here, as it is
- * given no requests.
+ * The timers and the current time of the decision module. No other actions of the module occur here, because the
+ * control service gives it no requests.
  *
  * <p>Owned by the thread of its {@link ClusterState}.
  */
@@ -20,7 +20,7 @@
         this.nowMs = nowMs;
     }
 
-    /** Moves the time forward; it never goes back. Returns the time after it. */
+    /** Advances the time; an earlier time has no effect. Returns the current time, ms. */
     double advance(double timeMs) {
         nowMs = Math.max(nowMs, timeMs);
         return nowMs;
@@ -30,17 +30,17 @@
         return nowMs;
     }
 
-    /** Whether a timer is due by now. */
+    /** Whether a timer is due. */
     boolean isDue() {
         return !timers.isEmpty() && timers.peek().dueMs <= nowMs;
     }
 
-    /** Removes the timer that is due next and returns its token. */
+    /** Removes the timer with the earliest due time and returns its token. */
     long poll() {
         return timers.poll().token;
     }
 
-    /** When the next timer is due; positive infinity if there is none. */
+    /** Returns when the next timer is due, ms; positive infinity if there is none. */
     double nextDueMs() {
         return timers.isEmpty() ? Double.POSITIVE_INFINITY : timers.peek().dueMs;
     }
@@ -71,21 +71,22 @@
     }
 
     private static IllegalStateException noRequest() {
-        return new IllegalStateException("no request was given to the module");
+        return new IllegalStateException(
+                "the decision module acts on a request, but the control service gives it none");
     }
 
     @Override
     public void checkHealth(String backend) {
-        // Does not occur: the settings of a control service do not allow health checks.
+        // Never called: the settings of a control service do not allow health checks.
     }
 
     @Override
     public void subscribeToEndpoints() {
-        // The owner of the endpoint source follows it from the start.
+        // Nothing to do: the endpoint file is watched from the start.
     }
 
     @Override
     public void log(String line) {
-        // The module logs single requests only.
+        // Nothing to do: the module logs only individual requests.
     }
 }
--- a/control/src/main/java/opalcove/control/cluster/DrainTracker.java
+++ b/control/src/main/java/opalcove/control/cluster/DrainTracker.java
@@ -7,35 +7,38 @@
 import opalcove.decision.EndpointState;
 
 /**
- * The drains under way: since when each backend drains, and what proxies have reported of it since. A drain is kept for a while
- * after its backend has left the list, and ends at once if the backend takes new work again.
+ * The drains in progress: when the drain of each backend began, and the load that proxies have reported for it since
+ * then. A drain whose backend was removed from the list is retained for {@link #RETENTION_MS} after its start; a drain
+ * ends at once when its backend takes new requests again.
  *
  * <p>Owned by the thread of its {@link ClusterState}.
  */
 public final class DrainTracker {
-    /** How long a drain is kept after it began if its backend has left the list. */
+    /** How long a drain whose backend was removed from the list is retained after the drain began, ms. */
     private static final double RETENTION_MS = 60_000;
-    /** Beyond this many proxies for one drain the report of the oldest is dropped. */
+    /** Maximum number of proxies per drain; beyond it the entry of the proxy that reported first is discarded. */
     private static final int MAX_CLIENTS = 10_000;
 
     /**
-     * What a proxy reported of a draining backend.
+     * The load that a proxy reported for a draining backend.
      *
-     * @param lastIssuedMs when it last reported new work there; negative infinity: never since the drain began
-     * @param inProgress requests in flight there at its last report
+     * @param lastIssuedMs when the proxy last reported new requests to the backend, ms; negative infinity: never since
+     *     the drain began
+     * @param inProgress the proxy's requests in flight at the backend in its last report
      */
     public record ClientUse(double lastIssuedMs, long inProgress) {}
 
     /**
-     * A backend that takes no new work.
+     * The drain of a backend, which takes no new requests.
      *
-     * @param backend its name
-     * @param sinceMs when the drain began
-     * @param revisions by zone, the revision of the first snapshot that shows the drain; a zone that is not there: 1
-     * @param uses by the identifier of the proxy
+     * @param backend name of the backend
+     * @param sinceMs when the drain began, ms
+     * @param revisions revision of the first snapshot that shows the drain, by zone; 1 for a zone that is not in the
+     *     map
+     * @param uses reported load, by proxy identifier
      */
     public record Drain(String backend, double sinceMs, Map<String, Long> revisions, Map<String, ClientUse> uses) {
-        /** The snapshot revision that a proxy of this zone must have acknowledged to know of the drain. */
+        /** Returns the lowest snapshot revision that shows the drain to proxies of this zone. */
         public long requiredRevision(String zone) {
             return revisions.getOrDefault(zone, 1L);
         }
@@ -43,15 +46,15 @@
 
     private final Map<String, Drain> drains = new LinkedHashMap<>();
 
-    /** All drains, oldest first. */
+    /** Returns all drains, oldest first. */
     List<Drain> all() {
         return List.copyOf(drains.values());
     }
 
     /**
-     * Applies the endpoint list as it is now.
+     * Starts and ends drains according to the current endpoint list.
      *
-     * @param backends by name
+     * @param backends the backends of the list, by name
      * @param revisions the revisions of the snapshots that show this list, by zone
      */
     void update(double nowMs, Map<String, Backend> backends, Map<String, Long> revisions) {
@@ -76,7 +79,7 @@
         };
     }
 
-    /** Applies a proxy's report of a backend; without a drain of that backend it has no effect. */
+    /** Applies a proxy's load report for a backend. A report for a backend without a drain has no effect. */
     void onLoadReport(double nowMs, String proxyId, String backend, EndpointLoad load) {
         Drain drain = drains.get(backend);
         if (drain != null) {
--- a/control/src/main/java/opalcove/control/cluster/EndpointListValidator.java
+++ b/control/src/main/java/opalcove/control/cluster/EndpointListValidator.java
@@ -11,10 +11,10 @@
 import opalcove.decision.EndpointState;
 
 /**
- * The endpoint list as far as it is trusted. Guards proxies against a source that is empty, torn or new: a complete list that
- * lacks more than a set share of the backends at once is applied as far as it adds and changes, and what it lacks stays until
- * the operators override this, or the list has it again. What a list says of a backend by name (draining, removed, moved) is
- * always applied.
+ * Validates updates of the endpoint list. Guards proxies against a source that is empty, truncated or newly started: if
+ * a complete list lacks more than a configured share of the backends, its additions and changes are applied, but the
+ * missing backends stay until an operator overrides the limit or a list contains them again. Changes to a backend that
+ * a list names (draining, removed, moved) are always applied.
  *
  * <p>Owned by the thread of its {@link ClusterState}.
  */
@@ -26,16 +26,16 @@
     /**
      * Starts with an empty list.
      *
-     * @param maxShrink the share of the backends that a complete list may lack at once, 0 to 1
+     * @param maxShrink the share of the backends that one complete list may omit, 0 to 1
      */
     EndpointListValidator(double maxShrink) {
         if (!(maxShrink >= 0 && maxShrink <= 1)) {
-            throw new IllegalArgumentException("the share " + maxShrink + " is not from 0 to 1");
+            throw new IllegalArgumentException("maxShrink " + maxShrink + " is not from 0 to 1");
         }
         this.maxShrink = maxShrink;
     }
 
-    /** Applies an update and returns the list after it. */
+    /** Applies an update and returns the resulting list. */
     List<Backend> apply(EndpointUpdate update) {
         Set<String> named = update.backends().stream().map(Backend::name).collect(Collectors.toSet());
         if (update.complete()) {
@@ -60,7 +60,8 @@
     private void dropMissing(Set<String> named, boolean overridesShrinkLimit) {
         Set<String> lacking = new HashSet<>(backends.keySet());
         lacking.removeAll(named);
-        // One backend of a few may always leave, but never the last.
+        // One missing backend is within the limit even if it exceeds the share of a small list, but not the last
+        // backend.
         double maxLacking = Math.max(Math.min(1, backends.size() - 1), maxShrink * backends.size());
         if (overridesShrinkLimit || lacking.size() <= maxLacking) {
             backends.keySet().removeAll(lacking);
@@ -70,7 +71,9 @@
         }
     }
 
-    /** The backends that the last complete list lacked and that stay nonetheless, for the operators to look at. */
+    /**
+     * Returns the backends that the last complete list lacked and that were not removed, for inspection by operators.
+     */
     Set<String> missing() {
         return missing;
     }
--- a/control/src/main/java/opalcove/control/cluster/EndpointWeights.java
+++ b/control/src/main/java/opalcove/control/cluster/EndpointWeights.java
@@ -10,27 +10,27 @@
 import opalcove.decision.EndpointState;
 
 /**
- * The weights of the backends, from the capacity shares that the decision module allows. A share that moved by less than a tenth
- * keeps its former value, so that slow start changes what proxies see some twenty times, and noise in reports does not at all.
- * A growing share is never ahead of what the module allows.
+ * Computes the weights of the backends from the capacity shares that the decision module allows. A share that changes
+ * by less than a tenth of its value is ignored, so that proxies receive about twenty updates during a slow start and
+ * none for noise in load reports. A growing share never exceeds the share that the module allows.
  *
  * <p>Owned by the thread of its {@link ClusterState}.
  */
 final class EndpointWeights {
-    /** The weight of a warm backend of size 1; weights are whole numbers. */
+    /** The weight of a backend of size 1 after its slow start; weights are integers. */
     private static final int FULL_WEIGHT = 100;
-    /** A share that moved by less than this part of it keeps its value. */
+    /** A share that changes by no more than this fraction of its value is left unchanged. */
     private static final double MIN_RELATIVE_CHANGE = 0.1;
-    /** From this share on it counts as all. */
+    /** A share of at least this value is rounded up to 1. */
     private static final double FULL_SHARE = 0.99;
 
-    /** By backend, as proxies see them. */
+    /** The shares that proxies currently see, by backend name. */
     private final Map<String, Double> shares = new HashMap<>();
 
     /**
-     * Applies the shares that the module allows now and returns whether a share has changed.
+     * Applies the shares that the module currently allows and returns whether a share that proxies see has changed.
      *
-     * @param backends the names of all backends; the shares of others are forgotten
+     * @param backends the names of all backends; the shares of other backends are removed
      */
     boolean update(List<CapacityShare> allowed, Set<String> backends) {
         boolean changed = false;
@@ -47,7 +47,10 @@
         return changed;
     }
 
-    /** The backend as proxies are to see it. One that takes nothing new is draining, with the least weight there is. */
+    /**
+     * Returns the backend as an endpoint for proxies. A backend that takes no new requests is draining and has weight
+     * 1.
+     */
     ResourceFactory.WeightedEndpoint weighted(Backend backend) {
         double share = shares.getOrDefault(backend.name(), 0.0);
         boolean takesNewWork = share > 0 && backend.endpoint().state() == EndpointState.UP;
--- a/control/src/main/java/opalcove/control/cluster/package-info.java
+++ b/control/src/main/java/opalcove/control/cluster/package-info.java
@@ -1,5 +1,5 @@
 /**
- * What proxies are to see of the backends, decided without I/O, threads or clocks: the endpoint list as far as it is trusted, the
- * weights that the decision module allows, drains, and from these a snapshot for each zone.
+ * Computes what proxies see of the backends, without I/O, threads or clocks: the validated endpoint list, the weights
+ * that the decision module allows, drains, and a snapshot for each zone built from these.
  */
 package opalcove.control.cluster;
--- a/control/src/main/java/opalcove/control/server/ConnectedProxy.java
+++ b/control/src/main/java/opalcove/control/server/ConnectedProxy.java
@@ -8,6 +8,6 @@
  * A proxy on an open stream.
  *
  * @param identity the proxy
- * @param versions what it has, by type; without the types that it never requested on the stream
+ * @param versions sent and acknowledged state, by type; without the types that the proxy never requested on the stream
  */
 record ConnectedProxy(ProxyIdentity identity, Map<ResourceType, ClientVersions> versions) {}
--- a/control/src/main/java/opalcove/control/server/ControlConfig.java
+++ b/control/src/main/java/opalcove/control/server/ControlConfig.java
@@ -18,15 +18,16 @@
 /**
  * The settings file of the control service, checked completely before anything opens.
  *
- * @param name names the service in its log and status
- * @param listen where proxies connect
- * @param status where the status page is served; a loopback address
- * @param endpointFile the file with the endpoint list, in discovery's form; in the settings file relative to its folder
- * @param maxShrink share of the backends that a complete list may lack at once, 0 to 1
- * @param admittedClusters the clusters of proxies that are admitted; empty: all
- * @param clusters what proxies may send to
- * @param listeners what proxyless clients may request by name
- * @param settings the decision module's
+ * @param name name of the service in its log and status
+ * @param listen address that proxies connect to
+ * @param status address of the status page; a loopback address
+ * @param endpointFile file with the endpoint list in the JSON form of the discovery module; relative paths are
+ *     resolved against the folder of the settings file
+ * @param maxShrink the share of the backends that one complete list may omit, 0 to 1
+ * @param admittedClusters the proxy clusters that are admitted; empty: all
+ * @param clusters the backend clusters that proxies may send requests to
+ * @param listeners the listeners that proxyless clients may request by name
+ * @param settings the settings of the decision module
  */
 public record ControlConfig(
         String name,
@@ -41,13 +42,13 @@
     /**
      * A listener for proxyless clients.
      *
-     * @param name the name that they request
-     * @param cluster where all its requests go
+     * @param name the name that clients request
+     * @param cluster the cluster that receives all its requests
      */
     public record Listener(String name, String cluster) {}
 
     private static final double DEFAULT_MAX_SHRINK = 0.5;
-    /** A lease that is renewed three times in its lifetime needs some time for each. */
+    /** Minimum lifetime of a lease, ms; a lease is renewed three times in its lifetime, and each renewal takes time. */
     private static final long MIN_LEASE_MS = 1000;
 
     private static final Set<String> KEYS =
@@ -56,7 +57,7 @@
     /**
      * Reads and checks the file.
      *
-     * @throws InvalidConfigurationException with every problem found, each by file, key and reason
+     * @throws InvalidConfigurationException with every problem found, each with file, key and reason
      */
     public static ControlConfig read(Path file) {
         ConfigValidator validator = new ConfigValidator(file);
--- a/control/src/main/java/opalcove/control/server/ControlServer.java
+++ b/control/src/main/java/opalcove/control/server/ControlServer.java
@@ -9,13 +9,13 @@
 
 /** The gRPC server that proxies connect to. */
 final class ControlServer implements AutoCloseable {
-    /** A request names resources and versions: 2,000 of them take some 100 KB. */
+    /** A request holds names and versions of resources; 2,000 of them take about 100 KB. */
     private static final int MAX_REQUEST_BYTES = 4 * 1024 * 1024;
-    /** A peer that is silent for so long is pinged, so that a half-open stream ends. */
+    /** Idle time after which a peer is pinged, so that a half-open stream ends. */
     private static final long KEEPALIVE_SECONDS = 10;
 
     private static final long KEEPALIVE_TIMEOUT_SECONDS = 5;
-    /** The aggregated stream and the single ones in both variants, and load reports. */
+    /** Enough for the aggregated stream and the per-type streams in both variants, and for load reports. */
     private static final int MAX_STREAMS_PER_CONNECTION = 32;
 
     private static final long TERMINATION_TIMEOUT_SECONDS = 5;
@@ -25,7 +25,7 @@
     /**
      * Opens the server.
      *
-     * @param otherServices services beside those of the sessions
+     * @param otherServices services in addition to those of the session registry
      * @throws IOException if the address cannot be bound
      */
     ControlServer(InetSocketAddress address, SessionRegistry sessions, BindableService... otherServices)
@@ -37,7 +37,7 @@
                 .keepAliveTimeout(KEEPALIVE_TIMEOUT_SECONDS, TimeUnit.SECONDS)
                 .permitKeepAliveTime(KEEPALIVE_SECONDS, TimeUnit.SECONDS)
                 .permitKeepAliveWithoutCalls(true)
-                .directExecutor(); // callbacks are passed to the serial executor at once
+                .directExecutor(); // callbacks only submit tasks to the serial executor
         sessions.services().forEach(builder::addService);
         for (BindableService each : otherServices) {
             builder.addService(each);
@@ -45,12 +45,12 @@
         server = builder.build().start();
     }
 
-    /** The port that the server listens on. */
+    /** Returns the port that the server listens on. */
     int port() {
         return server.getPort();
     }
 
-    /** Ends all streams; proxies keep what they have and connect to another instance. */
+    /** Ends all streams; proxies continue with their present configuration and connect to another instance. */
     @Override
     public void close() {
         server.shutdownNow();
--- a/control/src/main/java/opalcove/control/server/ControlService.java
+++ b/control/src/main/java/opalcove/control/server/ControlService.java
@@ -24,13 +24,13 @@
 import org.tinylog.Logger;
 
 /**
- * The control service: reads the endpoint list, sends proxies what changes, and serves its status.
+ * The control service: reads the endpoint list, sends changes to proxies, and serves its status over HTTP.
  *
  * <p>Its state is owned by the thread of its {@link SerialExecutor}; the public methods may be called from any thread.
  */
 public final class ControlService implements AutoCloseable {
     private static final long STATUS_TIMEOUT_SECONDS = 5;
-    /** How often lifetimes are renewed in the shortest of them: two renewals may be late or lost. */
+    /** Number of renewals per shortest lifetime; with three, two consecutive renewals may be late or lost. */
     private static final long RENEWALS_PER_LEASE = 3;
 
     private final SerialExecutor executor = new SerialExecutor();
@@ -45,7 +45,7 @@
     private String sourceProblem = "";
 
     /**
-     * Opens the service. An endpoint list that cannot be read yet is waited for.
+     * Opens the service. If the endpoint list cannot be read yet, the service waits for it.
      *
      * @throws IOException if an address is in use, or the folder of the endpoint list cannot be watched
      */
@@ -110,12 +110,12 @@
         return new InetSocketAddress(address.address(), address.port());
     }
 
-    /** The port of the xDS server. */
+    /** Returns the port of the xDS server. */
     public int port() {
         return server.port();
     }
 
-    /** The port of the HTTP status page. */
+    /** Returns the port of the HTTP status page. */
     public int statusPort() {
         return statusServer.getAddress().getPort();
     }
@@ -125,7 +125,7 @@
         cluster.onEndpoints(clock.now(), update);
         if (!cluster.missingBackendNames().isEmpty()) {
             Logger.warn(
-                    "the endpoint list lacks {} of {} backends at once; they stay until it has them again or overrides the limit",
+                    "the endpoint list lacks {} of {} backends; they stay until a list contains them or overrides the limit",
                     cluster.missingBackendNames().size(),
                     cluster.backendNames().size());
         }
@@ -134,12 +134,12 @@
     }
 
     private void noteSourceFailure(String problem) {
-        Logger.warn("the endpoint list cannot be read, the one known stays: {}", problem);
+        Logger.warn("the endpoint list cannot be read, the last known list stays in force: {}", problem);
         sourceProblem = problem;
         cluster.onSourceFailed(clock.now());
     }
 
-    /** Runs the decision module's timers that are due, and schedules the next. */
+    /** Runs the due timers of the decision module and schedules the next. */
     private void runTimers() {
         if (cluster.advance(clock.now())) {
             sessions.pushAll();
@@ -164,7 +164,7 @@
     }
 
     /**
-     * The status, as docs/control.md has it.
+     * Returns the status in the JSON form that docs/control.md describes.
      *
      * @throws IOException if the service does not respond in time
      */
@@ -179,7 +179,8 @@
             Thread.currentThread().interrupt();
             throw new IOException(e);
         } catch (ExecutionException | TimeoutException e) {
-            throw new IOException("no status in time", e);
+            throw new IOException(
+                    "the control service did not report its status within " + STATUS_TIMEOUT_SECONDS + " s", e);
         }
     }
 
--- a/control/src/main/java/opalcove/control/server/EndpointFile.java
+++ b/control/src/main/java/opalcove/control/server/EndpointFile.java
@@ -17,18 +17,19 @@
 import org.tinylog.Logger;
 
 /**
- * The endpoint list in a file, in discovery's form. It is read whenever the file is written or replaced; one that is torn, empty
- * or gone is reported as a failure. A field {@code override} set to true lifts the shrink limit for that list.
+ * A file with the endpoint list in the JSON form of the discovery module. The file is read whenever it is written or
+ * replaced; a file that is truncated, empty or missing is reported as a failure. If the field {@code override} is true,
+ * the shrink limit does not apply to that list.
  *
- * <p>Has a thread of its own, which reads the file and calls the listener.
+ * <p>A separate thread reads the file and calls the listener.
  */
 final class EndpointFile implements AutoCloseable {
-    /** Receives what was read, on the thread of the file. */
+    /** Receives endpoint lists and failures, on the thread that reads the file. */
     interface Listener {
         /** Called with each complete list that differs from the one before. */
         void onEndpoints(EndpointUpdate update);
 
-        /** Called if the file cannot be read, with its name and the reason. */
+        /** Called if the file cannot be read, with its path and the reason. */
         void onFailure(String problem);
     }
 
@@ -38,7 +39,7 @@
     private String lastText = "";
 
     /**
-     * Reads the file, and watches it from then on.
+     * Starts the thread that reads the file and watches it for changes.
      *
      * @throws IOException if its folder cannot be watched
      */
--- a/control/src/main/java/opalcove/control/server/LoadReportService.java
+++ b/control/src/main/java/opalcove/control/server/LoadReportService.java
@@ -16,18 +16,18 @@
 import org.tinylog.Logger;
 
 /**
- * Receives the load that proxies report (LRS, load_stats/v3). Each is requested to report its clusters at an interval, endpoint by
- * endpoint; a client that can only report sums by zone reports nothing of single backends.
+ * Receives the load reports of proxies (LRS, load_stats/v3). The service requests a report per endpoint of its clusters
+ * at a fixed interval; a client that can only report sums per zone gives no load of individual backends.
  *
- * <p>Owned by the thread of its {@link SerialExecutor}; gRPC's callbacks are passed to it.
+ * <p>Owned by the thread of its {@link SerialExecutor}; gRPC callbacks submit tasks to it.
  */
 final class LoadReportService extends LoadReportingServiceGrpc.LoadReportingServiceImplBase {
-    /** How often a proxy reports: a drain is confirmed by the reports after it. */
+    /** Interval between the reports of a proxy, ms; the reports after the start of a drain confirm it. */
     private static final long INTERVAL_MS = 500;
 
     /** Receives reports, on the thread of the service's executor. */
     interface Listener {
-        /** Called for each endpoint of a proxy's report. */
+        /** Called for each endpoint in a report. */
         void onLoadReport(ProxyIdentity proxy, EndpointLoad load);
     }
 
@@ -37,9 +37,9 @@
     private final Listener listener;
 
     /**
-     * Makes the service.
+     * Creates the service.
      *
-     * @param snapshots knows which proxies are admitted
+     * @param snapshots determines which proxies are admitted
      * @param clusters the clusters whose load is to be reported
      */
     LoadReportService(SerialExecutor executor, SnapshotSource snapshots, List<String> clusters, Listener listener) {
@@ -54,7 +54,7 @@
         return new ReportStream((ServerCallStreamObserver<LoadStatsResponse>) responses);
     }
 
-    /** One proxy's stream. */
+    /** The report stream of one proxy. */
     private final class ReportStream implements StreamObserver<LoadStatsRequest> {
         private final ServerCallStreamObserver<LoadStatsResponse> responses;
         private ProxyIdentity proxy;
--- a/control/src/main/java/opalcove/control/server/ProxyIdentity.java
+++ b/control/src/main/java/opalcove/control/server/ProxyIdentity.java
@@ -4,15 +4,18 @@
 import java.util.Set;
 
 /**
- * How a proxy identifies itself in the first request of a stream (xDS protocol, "node"); later ones may leave that out.
+ * The identity that a proxy states in the first request of a stream (xDS protocol, "node"); later requests may omit it.
  *
- * @param proxyId identifies one proxy; empty if it gives none
- * @param cluster the group of proxies that it belongs to
- * @param zone the zone that it runs in
- * @param features the client features that it supports
+ * @param proxyId identifier of the proxy; empty if it states none
+ * @param cluster the group of proxies that the proxy belongs to
+ * @param zone the zone that the proxy runs in
+ * @param features the client features that the proxy supports
  */
 record ProxyIdentity(String proxyId, String cluster, String zone, Set<String> features) {
-    /** It takes resources of state-of-the-world responses in an envelope with a lifetime. */
+    /**
+     * Feature of clients that accept state-of-the-world resources wrapped in a Resource message, which carries a
+     * lifetime.
+     */
     private static final String RESOURCE_IN_SOTW = "xds.config.resource-in-sotw";
 
     static ProxyIdentity from(Node node) {
--- a/control/src/main/java/opalcove/control/server/SerialExecutor.java
+++ b/control/src/main/java/opalcove/control/server/SerialExecutor.java
@@ -7,7 +7,7 @@
 import java.util.concurrent.TimeUnit;
 import org.tinylog.Logger;
 
-/** The one thread that owns streams, snapshots and decisions, and its clock. May be called from any thread. */
+/** A single thread that owns streams, snapshots and decisions, and its clock. Methods may be called from any thread. */
 final class SerialExecutor implements Executor, AutoCloseable {
     private final ScheduledThreadPoolExecutor executor = new ScheduledThreadPoolExecutor(1, task -> {
         Thread thread = new Thread(task, "control");
@@ -16,17 +16,22 @@
     });
     private final long startedNs = System.nanoTime();
 
-    /** Starts the thread with the first task; cancelled timers leave the queue at once. */
+    /**
+     * Creates the executor; the first task starts the thread, and cancelled timers are removed from the queue at once.
+     */
     SerialExecutor() {
         executor.setRemoveOnCancelPolicy(true);
     }
 
-    /** The time in milliseconds since the start, on a monotonic clock. */
+    /** Returns the time since the start on a monotonic clock, ms. */
     double nowMs() {
         return (System.nanoTime() - startedNs) / 1e6;
     }
 
-    /** Runs a task after those before it. After the close it is dropped: nobody is left whom it concerns. */
+    /**
+     * Runs a task after all earlier tasks. A task submitted after the close is dropped, because the state it acts on is
+     * closed.
+     */
     @Override
     public void execute(Runnable task) {
         try {
@@ -36,12 +41,12 @@
         }
     }
 
-    /** Runs a task after a delay; a delay below 0 counts as 0, and an infinite one as never. */
+    /** Runs a task after a delay in ms. A negative delay counts as 0; a task with an infinite delay never runs. */
     ScheduledFuture<?> schedule(double delayMs, Runnable task) {
         return executor.schedule(() -> run(task), (long) Math.ceil(Math.max(0, delayMs) * 1000), TimeUnit.MICROSECONDS);
     }
 
-    /** Guards all other streams against one whose task fails. */
+    /** Logs the exception of a failed task, so that a failure on one stream does not affect the others. */
     private static void run(Runnable task) {
         try {
             task.run();
--- a/control/src/main/java/opalcove/control/server/SessionRegistry.java
+++ b/control/src/main/java/opalcove/control/server/SessionRegistry.java
@@ -28,7 +28,10 @@
     private final SerialExecutor executor;
     private final SnapshotSource snapshots;
     private final Set<XdsSession<?, ?>> sessions = new LinkedHashSet<>();
-    /** Guards against a nonce of an earlier instance of the service: none of ours may look like it. */
+    /**
+     * Part of each nonce, so that a nonce of an earlier instance of the service is not mistaken for one of this
+     * instance.
+     */
     private final String incarnation = UUID.randomUUID().toString().substring(0, 8);
 
     private long streamCount;
@@ -42,12 +45,12 @@
         return executor;
     }
 
-    /** The latest snapshot for this proxy, as {@link SnapshotSource} gives it. */
+    /** Returns the latest snapshot for a proxy; see {@link SnapshotSource#snapshotFor}. */
     ConfigSnapshot snapshotFor(ProxyIdentity proxy) {
         return snapshots.snapshotFor(proxy);
     }
 
-    /** A prefix that no other stream's nonces have. */
+    /** Returns a nonce prefix that no other stream has. */
     String nextNoncePrefix() {
         return incarnation + "." + ++streamCount + ".";
     }
@@ -60,22 +63,22 @@
         sessions.remove(session);
     }
 
-    /** The snapshots have changed: sends each proxy what is due. */
+    /** Sends the due responses on all streams after the snapshots have changed. */
     void pushAll() {
         List.copyOf(sessions).forEach(XdsSession::push);
     }
 
-    /** Renews the lifetimes of all resources that have one. */
+    /** Renews the lifetimes of resources on all streams. */
     void renewAll() {
         List.copyOf(sessions).forEach(XdsSession::renew);
     }
 
-    /** All proxies on open streams; one with several streams is there several times. */
+    /** Returns the proxies on open streams; a proxy with several streams occurs several times. */
     List<ConnectedProxy> connectedProxies() {
         return sessions.stream().map(XdsSession::connectedProxy).toList();
     }
 
-    /** The gRPC services: the aggregated one, and one for each type, state of the world and incremental. */
+    /** Returns the gRPC services: the aggregated one and one per type, each state-of-the-world and incremental. */
     List<ServerServiceDefinition> services() {
         return List.of(
                 service(
--- a/control/src/main/java/opalcove/control/server/SnapshotSource.java
+++ b/control/src/main/java/opalcove/control/server/SnapshotSource.java
@@ -2,12 +2,13 @@
 
 import opalcove.control.xds.ConfigSnapshot;
 
-/** What each proxy may see. Called on the thread of the service's {@link SerialExecutor} alone. */
+/** Supplies the snapshots for proxies. Called only on the thread of the service's {@link SerialExecutor}. */
 interface SnapshotSource {
     /**
-     * The latest snapshot for this proxy.
+     * Returns the latest snapshot for a proxy.
      *
-     * @return null if the proxy is not admitted; {@link ConfigSnapshot#EMPTY} if nothing is known yet and nothing may be sent
+     * @return null if the proxy is not admitted; {@link ConfigSnapshot#EMPTY} if no endpoint list is known yet and
+     *     nothing may be sent
      */
     ConfigSnapshot snapshotFor(ProxyIdentity proxy);
 }
--- a/control/src/main/java/opalcove/control/server/StatusReport.java
+++ b/control/src/main/java/opalcove/control/server/StatusReport.java
@@ -13,14 +13,14 @@
  * The status of the service as JSON.
  *
  * @param name the service's name
- * @param nowMs the time on the clock of the cluster's state
- * @param cluster what proxies are to see
- * @param sourceProblem why the endpoint list could not be read last; empty if it could
+ * @param nowMs current time on the clock of the cluster state, ms
+ * @param cluster the state that proxies see
+ * @param sourceProblem why the last read of the endpoint list failed; empty if it succeeded
  * @param proxies the proxies on open streams
  */
 record StatusReport(
         String name, double nowMs, ClusterState cluster, String sourceProblem, List<ConnectedProxy> proxies) {
-    /** As a value of last_new_ms: no new work was reported since the drain began. */
+    /** Value of last_new_ms if no new requests were reported since the drain began. */
     private static final long NEVER = -1;
 
     JsonObject toJson() {
@@ -70,7 +70,10 @@
                 .add("used_by", uses(drain));
     }
 
-    /** Proxies that reported new work at a draining backend since the drain began, or have requests in flight there. */
+    /**
+     * Lists the proxies that sent new requests to a draining backend since the drain began or have requests in flight
+     * there.
+     */
     private static JsonArray uses(DrainTracker.Drain drain) {
         JsonArray uses = new JsonArray();
         drain.uses().forEach((proxyId, use) -> {
--- a/control/src/main/java/opalcove/control/server/XdsSession.java
+++ b/control/src/main/java/opalcove/control/server/XdsSession.java
@@ -13,10 +13,10 @@
 import org.tinylog.Logger;
 
 /**
- * One open stream of a proxy. The latest state is sent whenever its transport is ready for more; while it is not, changes
- * accumulate in the snapshot, and nothing is queued.
+ * An open stream of a proxy. The latest state is sent whenever the transport is ready; while it is not ready, changes
+ * accumulate in the snapshot and no responses are queued.
  *
- * <p>Owned by the thread of the registry's {@link SerialExecutor}; gRPC's callbacks are passed to it.
+ * <p>Owned by the thread of the registry's {@link SerialExecutor}; gRPC callbacks submit tasks to it.
  */
 final class XdsSession<RequestT, ResponseT> implements StreamObserver<RequestT> {
     private final SessionRegistry registry;
@@ -32,7 +32,7 @@
     /**
      * Opens the session.
      *
-     * @param onlyType the type that this stream serves, or null for all
+     * @param onlyType the only type that this stream serves, or null if it serves all
      */
     XdsSession(
             SessionRegistry registry,
@@ -73,7 +73,7 @@
             return;
         }
         if (type == null) {
-            // Not rejected: the proxy's other types would be lost with the stream.
+            // The stream is not rejected, because the proxy's other types would be lost with it.
             Logger.info("proxy {} requests type {}, which is not served", proxy.proxyId(), typeUrl);
             return;
         }
@@ -87,7 +87,7 @@
         end();
     }
 
-    /** Sends what is due, if the transport is ready for it. */
+    /** Sends the responses that are due if the transport is ready. */
     void push() {
         if (ended || stream == null || !responses.isReady()) {
             return;
@@ -98,7 +98,8 @@
             return;
         }
         if (snapshot == ConfigSnapshot.EMPTY) {
-            // Guards proxies against a service that knows nothing yet: a response would take away what they have.
+            // Guards proxies against a service without an endpoint list: a response would remove the resources they
+            // have.
             return;
         }
         double nowMs = executor.nowMs();
@@ -116,14 +117,14 @@
         }
     }
 
-    /** Renews lifetimes; not while the transport is not ready, as the proxy would not receive changes either. */
+    /** Renews lifetimes if the transport is ready; otherwise the proxy would not receive changes either. */
     void renew() {
         if (!ended && stream != null && responses.isReady()) {
             stream.nextRenewals(registry.snapshotFor(proxy), executor.nowMs()).forEach(responses::onNext);
         }
     }
 
-    /** The proxy and what it has, by type; without the types that it never requested. */
+    /** Returns the proxy and its state by type, without the types that it never requested. */
     ConnectedProxy connectedProxy() {
         Map<ResourceType, ClientVersions> versions = new EnumMap<>(ResourceType.class);
         for (ResourceType type : ResourceType.values()) {
--- a/control/src/main/java/opalcove/control/server/XdsVariant.java
+++ b/control/src/main/java/opalcove/control/server/XdsVariant.java
@@ -10,13 +10,13 @@
 import opalcove.control.xds.XdsStream;
 
 /**
- * A variant of the protocol.
+ * A variant of the xDS protocol: state of the world or incremental.
  *
- * @param typeUrl reads the type URL of a request
- * @param node reads the node of a request
- * @param streamFactory makes a stream's state from a nonce prefix and the proxy
- * @param <RequestT> requests of this variant
- * @param <ResponseT> responses of this variant
+ * @param typeUrl returns the type URL of a request
+ * @param node returns the node of a request
+ * @param streamFactory creates the state of a stream from a nonce prefix and the proxy
+ * @param <RequestT> request type of this variant
+ * @param <ResponseT> response type of this variant
  */
 record XdsVariant<RequestT, ResponseT>(
         Function<RequestT, String> typeUrl,
--- a/control/src/main/java/opalcove/control/xds/ClientVersions.java
+++ b/control/src/main/java/opalcove/control/xds/ClientVersions.java
@@ -1,15 +1,16 @@
 package opalcove.control.xds;
 
 /**
- * What the client of a stream has of one resource type, as far as it was sent and acknowledged.
+ * The sent and acknowledged state of one resource type on a stream.
  *
- * @param sentRevision the last snapshot revision that it was sent completely; -1: none
- * @param acknowledgedRevision the last snapshot revision all of whose changes it has accepted or rejected; -1: none
- * @param oldestPendingMs for how long the oldest acknowledgement has been outstanding, ms; 0: none is
- * @param acceptedCount responses that it accepted
- * @param rejectedCount responses that it rejected
- * @param rejectionReason why it rejected the last response; empty if it accepted the last one
- * @param withheldCount resources that are withheld since it rejects them in the version they have
+ * @param sentRevision the last snapshot revision that was sent completely to the client; -1: none
+ * @param acknowledgedRevision the last snapshot revision whose changes the client has all accepted or rejected; -1:
+ *     none
+ * @param oldestPendingMs age of the oldest outstanding acknowledgement, ms; 0: none is outstanding
+ * @param acceptedCount number of responses that the client accepted
+ * @param rejectedCount number of responses that the client rejected
+ * @param rejectionReason why the client rejected the last response; empty if it accepted that response
+ * @param withheldCount number of resources that are withheld because the client rejected their current version
  */
 public record ClientVersions(
         long sentRevision,
--- a/control/src/main/java/opalcove/control/xds/ConfigSnapshot.java
+++ b/control/src/main/java/opalcove/control/xds/ConfigSnapshot.java
@@ -11,21 +11,22 @@
 import java.util.Set;
 
 /**
- * All resources that one kind of proxy is to have, as of one revision. Immutable; the next snapshot is made of this one and what
- * changed. It remembers the names that its last changes touched, so the cost of an update to a proxy is that of the changes.
+ * All resources for one group of proxies at one revision. Immutable; the next snapshot is built from this one and the
+ * changes. A snapshot records the resource names that its most recent changes affected, so that the cost of an update
+ * to a proxy depends on the number of changes and not on the number of resources.
  */
 public final class ConfigSnapshot {
-    /** How many changes of a type are remembered; a stream that is further behind compares all resources. */
+    /** Number of recorded changes per type; a stream that is further behind compares all resources. */
     private static final int MAX_REMEMBERED_CHANGES = 128;
     /** The snapshot before any change. */
     public static final ConfigSnapshot EMPTY = new ConfigSnapshot(null, 0, Map.of());
 
     /**
-     * One type.
+     * The resources of one type and their recent changes.
      *
      * @param resources by name
-     * @param recent the last changes, oldest first
-     * @param comparableSince the revision from which on {@code recent} is complete
+     * @param recent the most recent changes, oldest first
+     * @param comparableSince the lowest revision since which {@code recent} holds all changes
      */
     private record TypeState(Map<String, Resource> resources, List<Change> recent, long comparableSince) {
         static final TypeState NONE = new TypeState(Map.of(), List.of(), 0);
@@ -43,22 +44,25 @@
         this.types = types;
     }
 
-    /** The number of changes that led here; comparable within one {@link #lineage} alone, and never sent to proxies. */
+    /**
+     * Returns the number of changes since the empty snapshot. Comparable only within one {@link #lineage}; not sent to
+     * proxies.
+     */
     public long revision() {
         return revision;
     }
 
-    /** The same object for all snapshots made of one another. */
+    /** Returns an object that all snapshots built from one another share. */
     Object lineage() {
         return lineage;
     }
 
-    /** The resource of this name, or null. */
+    /** Returns the resource with this name, or null if there is none. */
     public Resource resource(ResourceType type, String name) {
         return state(type).resources.get(name);
     }
 
-    /** All resources of a type, by name. */
+    /** Returns all resources of a type, by name. */
     public Map<String, Resource> resources(ResourceType type) {
         return state(type).resources;
     }
@@ -67,7 +71,10 @@
         return types.getOrDefault(type, TypeState.NONE);
     }
 
-    /** The names of a type that changed after this revision, or null if that is too many changes ago. */
+    /**
+     * Returns the names of a type that changed after a revision, or null if the recorded changes do not reach back that
+     * far.
+     */
     Set<String> namesChangedSince(ResourceType type, long since) {
         TypeState state = state(type);
         if (since < state.comparableSince) {
@@ -92,8 +99,8 @@
     /**
      * Returns the next snapshot, or this one if nothing changes.
      *
-     * @param set resources that are added or replace those of their type and name
-     * @param removed names of removed resources, by type
+     * @param set resources to add; each replaces the resource of the same type and name, if any
+     * @param removed names of the resources to remove, by type
      */
     public ConfigSnapshot with(Collection<Resource> set, Map<ResourceType, ? extends Collection<String>> removed) {
         Map<ResourceType, Set<String>> changedNames = new EnumMap<>(ResourceType.class);
@@ -120,11 +127,11 @@
     }
 
     private Map<String, Resource> copy(Map<ResourceType, Map<String, Resource>> changed, ResourceType type) {
-        return changed.computeIfAbsent(type, any -> new HashMap<>(resources(any)));
+        return changed.computeIfAbsent(type, key -> new HashMap<>(resources(key)));
     }
 
     private static Set<String> names(Map<ResourceType, Set<String>> changedNames, ResourceType type) {
-        return changedNames.computeIfAbsent(type, any -> new LinkedHashSet<>());
+        return changedNames.computeIfAbsent(type, key -> new LinkedHashSet<>());
     }
 
     private Map<ResourceType, TypeState> copyOfTypes() {
@@ -144,7 +151,10 @@
         return new TypeState(Collections.unmodifiableMap(resources), List.copyOf(recent), comparableSince);
     }
 
-    /** This snapshot with the resources of a type that an earlier one has besides; this one if there are none. */
+    /**
+     * Returns this snapshot plus the resources of a type that only the earlier snapshot has; this snapshot if there are
+     * none.
+     */
     ConfigSnapshot withRetained(ConfigSnapshot earlier, ResourceType type) {
         TypeState now = state(type);
         if (earlier.state(type) == now
--- a/control/src/main/java/opalcove/control/xds/DeltaSubscription.java
+++ b/control/src/main/java/opalcove/control/xds/DeltaSubscription.java
@@ -7,16 +7,17 @@
 import java.util.Set;
 
 /**
- * The incremental variant: only changes are sent, with a version for each resource, and removed resources by name.
+ * The incremental variant of the protocol: a response holds only changed resources, each with its own version, and the
+ * names of removed resources.
  *
- * <p>Owned by the thread of its {@link XdsStream}.
+ * <p>Owned by the thread that calls its {@link XdsStream}.
  */
 final class DeltaSubscription extends ResourceSubscription<DeltaDiscoveryRequest, DeltaDiscoveryResponse> {
     DeltaSubscription(ResourceType type, String noncePrefix) {
         super(type, noncePrefix);
     }
 
-    /** Each response has an acknowledgement of its own (xDS protocol, "Incremental xDS"). */
+    /** Returns false: each response is acknowledged separately (xDS protocol, "Incremental xDS"). */
     @Override
     boolean acknowledgesCumulatively() {
         return false;
@@ -35,7 +36,7 @@
         boolean first = !isOpened();
         if (first) {
             open();
-            // What the client kept from an earlier stream is not sent again in the version it has.
+            // A resource that the client retained from an earlier stream is not sent again in the same version.
             request.getInitialResourceVersionsMap().forEach(this::onInitialVersion);
             if (request.getResourceNamesSubscribeCount() == 0 && type.isCompleteInSotw()) {
                 setWildcard(true);
--- a/control/src/main/java/opalcove/control/xds/PendingAcks.java
+++ b/control/src/main/java/opalcove/control/xds/PendingAcks.java
@@ -4,9 +4,11 @@
 import java.util.Deque;
 import java.util.Map;
 
-/** The responses of one type on one stream that the client has not acknowledged yet, oldest first. */
+/** The responses of one type on one stream that the client has not acknowledged yet, in the order of sending. */
 final class PendingAcks {
-    /** Beyond this the oldest is forgotten: a client that never acknowledges must not cost memory. */
+    /**
+     * Beyond this number the oldest entry is discarded, which bounds the memory for a client that never acknowledges.
+     */
     private static final int MAX_PENDING = 64;
 
     private final Deque<PendingAck> pending = new ArrayDeque<>();
@@ -30,7 +32,7 @@
     /**
      * Removes and returns the response with this nonce, or null if none with it is pending.
      *
-     * @param cumulative whether the acknowledgement covers all earlier responses too
+     * @param cumulative whether the acknowledgement also covers all earlier responses
      */
     PendingAck remove(String nonce, boolean cumulative) {
         PendingAck acknowledged = pending.stream()
@@ -46,7 +48,7 @@
         return acknowledged;
     }
 
-    /** Whether this is the nonce of the latest response sent. */
+    /** Whether this is the nonce of the response that was sent last. */
     boolean isLatest(String nonce) {
         return nonce.equals(noncePrefix + lastNonce);
     }
@@ -55,7 +57,7 @@
         return pending.isEmpty();
     }
 
-    /** The oldest one, or null. */
+    /** Returns the oldest pending response, or null if there is none. */
     PendingAck oldest() {
         return pending.peekFirst();
     }
--- a/control/src/main/java/opalcove/control/xds/RejectionIsolator.java
+++ b/control/src/main/java/opalcove/control/xds/RejectionIsolator.java
@@ -8,24 +8,25 @@
 import java.util.Map;
 
 /**
- * Finds the resource for which a client rejects a response of several. The resources of the rejected response are sent again in
- * halves; one that is rejected alone is withheld until it has another version.
+ * Finds the resource that makes a client reject a response with several resources, by bisection. The resources of the
+ * rejected response are sent again in two halves; a resource that is rejected alone is withheld until its version
+ * changes.
  */
 final class RejectionIsolator {
-    /** Versions rejected in a response of their own, by resource name. */
+    /** Versions that were rejected in a response with no other resource, by resource name. */
     private final Map<String, String> withheld = new HashMap<>();
 
     private final Deque<List<String>> halves = new ArrayDeque<>();
 
     /**
-     * Splits what a rejected response carried.
+     * Splits the resources of a rejected response, or withholds its only resource.
      *
-     * @param latest the versions sent last, by resource name
+     * @param latest the most recently sent versions, by resource name
      */
     void onRejected(PendingAck rejected, Map<String, String> latest) {
         List<String> suspects = new ArrayList<>();
         rejected.versions().forEach((name, version) -> {
-            // A version that was sent since has an acknowledgement of its own to come.
+            // A version that was sent later is acknowledged or rejected with its own response.
             if (!version.equals(ResourceSubscription.ABSENT) && version.equals(latest.get(name))) {
                 suspects.add(name);
             }
@@ -38,19 +39,19 @@
         }
     }
 
-    /** The client has accepted these versions. */
+    /** Ends the withholding of the versions that the client has accepted. */
     void onAccepted(PendingAck accepted) {
         accepted.versions().forEach(withheld::remove);
     }
 
-    /** This version of the resource is about to be sent: another version of it is no longer withheld. */
+    /** Called before a version of a resource is sent; ends the withholding of any other version of it. */
     void onSent(String name, String version) {
         if (!version.equals(withheld.get(name))) {
             withheld.remove(name);
         }
     }
 
-    /** The resource is gone, or the client has subscribed to it anew. */
+    /** Called when the resource was removed or the client has subscribed to it again. */
     void forget(String name) {
         withheld.remove(name);
     }
@@ -63,7 +64,7 @@
         return withheld.size();
     }
 
-    /** Removes and returns the names to send next in a response of their own, or null if there are none. */
+    /** Removes and returns the names to send in the next separate response, or null if there are none. */
     List<String> pollHalf() {
         return halves.pollFirst();
     }
--- a/control/src/main/java/opalcove/control/xds/Resource.java
+++ b/control/src/main/java/opalcove/control/xds/Resource.java
@@ -13,20 +13,20 @@
 import java.util.HexFormat;
 
 /**
- * A resource as all proxies receive it: encoded once, with a version that comes from its content alone, so that instances and
- * restarts agree on it.
+ * A resource, encoded once for all proxies. Its version depends only on its content, so that all instances of the
+ * service compute the same version, also after a restart.
  *
  * @param type its type
  * @param name its name, unique within the type
  * @param version 16 hexadecimal digits
- * @param ttlMs its lifetime unless it is renewed, ms; 0: unlimited
+ * @param ttlMs lifetime without renewal, ms; 0: unlimited
  * @param body the encoded message
  */
 public record Resource(ResourceType type, String name, String version, long ttlMs, Any body) {
     /**
-     * Encodes a message. Its maps are encoded in the order of their keys, so equal content has equal bytes.
+     * Encodes a message. Maps are encoded in the order of their keys, so that equal content has equal bytes.
      *
-     * @param ttlMs its lifetime unless it is renewed, ms; 0: unlimited
+     * @param ttlMs lifetime without renewal, ms; 0: unlimited
      */
     public static Resource of(ResourceType type, String name, long ttlMs, Message message) {
         ByteString.Output buffer = ByteString.newOutput(message.getSerializedSize());
@@ -58,7 +58,7 @@
         }
     }
 
-    /** The lifetime as a protocol message. */
+    /** Returns the lifetime as a protocol message. */
     Duration ttl() {
         return Duration.newBuilder()
                 .setSeconds(ttlMs / 1000)
@@ -66,7 +66,7 @@
                 .build();
     }
 
-    /** The version as a number; the version of a set of resources is the sum of theirs. */
+    /** Returns the version as a number; the version of a set of resources is the sum of these numbers. */
     long versionNumber() {
         return Long.parseUnsignedLong(version, 16);
     }
--- a/control/src/main/java/opalcove/control/xds/ResourceFactory.java
+++ b/control/src/main/java/opalcove/control/xds/ResourceFactory.java
@@ -28,17 +28,17 @@
 import io.envoyproxy.envoy.extensions.filters.network.http_connection_manager.v3.Rds;
 import java.util.List;
 
-/** Builds the resources for proxies, in the form that both Envoy and a proxyless gRPC client accept. */
+/** Builds the resources for proxies in a form that both Envoy and proxyless gRPC clients accept. */
 public final class ResourceFactory {
     private static final long CONNECT_TIMEOUT_SECONDS = 1;
 
     /**
-     * An endpoint as a proxy is to see it.
+     * An endpoint in the form that proxies receive.
      *
      * @param address its IP address
      * @param port its port
-     * @param weight its share of the load beside others of its locality, above 0
-     * @param draining proxies finish what they have in flight there and send nothing new
+     * @param weight load relative to the other endpoints of the locality, above 0
+     * @param draining whether proxies only finish their requests in flight there and send no new ones
      */
     public record WeightedEndpoint(String address, int port, int weight, boolean draining) {}
 
@@ -46,9 +46,9 @@
      * The endpoints of one zone.
      *
      * @param zone its name
-     * @param priority 0 is used first
-     * @param weight its share of the load beside other localities of its priority, above 0
-     * @param endpoints those in the zone; a locality without any is left out of the resource
+     * @param priority priority of the locality; 0 is used first
+     * @param weight load relative to the other localities of the same priority, above 0
+     * @param endpoints the endpoints in the zone; a locality without endpoints is omitted from the resource
      */
     public record Locality(String zone, int priority, int weight, List<WeightedEndpoint> endpoints) {}
 
@@ -61,7 +61,10 @@
                 .build();
     }
 
-    /** A cluster whose endpoints come over the aggregated stream, and whose load is reported to the server that sent it. */
+    /**
+     * Builds a cluster whose endpoints come over the aggregated stream and whose load is reported to the server that
+     * sent it.
+     */
     public static Resource cluster(String name) {
         return Resource.of(
                 ResourceType.CLUSTER,
@@ -81,9 +84,9 @@
     }
 
     /**
-     * The endpoints of a cluster.
+     * Builds the endpoints of a cluster.
      *
-     * @param ttlMs their lifetime unless it is renewed, ms; 0: unlimited
+     * @param ttlMs lifetime without renewal, ms; 0: unlimited
      */
     public static Resource endpoints(String cluster, long ttlMs, List<Locality> localities) {
         ClusterLoadAssignment.Builder assignment =
@@ -112,7 +115,7 @@
         return Resource.of(ResourceType.ENDPOINTS, cluster, ttlMs, assignment.build());
     }
 
-    /** A listener for proxyless clients whose routes come over the aggregated stream. */
+    /** Builds a listener for proxyless clients; its routes come over the aggregated stream. */
     public static Resource apiListener(String name, String routes) {
         HttpConnectionManager manager = HttpConnectionManager.newBuilder()
                 .setStatPrefix(name)
@@ -130,7 +133,7 @@
                         .build());
     }
 
-    /** Routes that send all requests of all host names to one cluster. */
+    /** Builds routes that send all requests for all host names to one cluster. */
     public static Resource routes(String name, String cluster) {
         return Resource.of(
                 ResourceType.ROUTES,
--- a/control/src/main/java/opalcove/control/xds/ResourceSubscription.java
+++ b/control/src/main/java/opalcove/control/xds/ResourceSubscription.java
@@ -11,32 +11,34 @@
 import java.util.Set;
 
 /**
- * One resource type on one stream: what the client subscribes to, what it was sent and what it acknowledged. Free of I/O. Only
- * the latest state is sent, however many snapshots went by, and changes are sent without waiting for acknowledgements.
+ * The state of one resource type on one stream: the client's subscriptions, the versions sent and the acknowledgements
+ * received. Does no I/O. Only the latest state is sent, regardless of the number of snapshots since the last response,
+ * and changes are sent without waiting for acknowledgements.
  *
- * <p>A rejected response (NACK) leaves the client with its last good state. Of a response with several resources one may be at
- * fault and hold up the others: {@link RejectionIsolator} finds it, so that it alone is withheld until it has changed.
+ * <p>After a rejected response (NACK) the client continues with the last state that it accepted. One invalid resource
+ * in a response with several blocks the others: {@link RejectionIsolator} finds it, so that only this resource is
+ * withheld until it changes.
  *
- * <p>Owned by the thread of its {@link XdsStream}.
+ * <p>Owned by the thread that calls its {@link XdsStream}.
  *
  * @param <RequestT> requests of this variant of the protocol
  * @param <ResponseT> responses of this variant
  */
 abstract class ResourceSubscription<RequestT, ResponseT> {
-    /** Stands for a version where the client was sent that there is no such resource. */
+    /** Recorded in place of a version after the client was informed that the resource does not exist. */
     static final String ABSENT = "";
 
     private static final String WILDCARD = "*";
-    /** The reason of a rejection is the client's own text and is cut here, in characters. */
+    /** Maximum length of a rejection reason in characters; the text comes from the client and is truncated. */
     private static final int MAX_REASON_LENGTH = 500;
 
     private static final long NEVER = -1;
 
     final ResourceType type;
     private final Set<String> names = new LinkedHashSet<>();
-    /** Versions sent, by resource name. */
+    /** The most recently sent versions, by resource name. */
     private final Map<String, String> sent = new HashMap<>();
-    /** To be sent whatever was sent before. */
+    /** Names to send even if the same version was sent before. */
     private final Set<String> forced = new LinkedHashSet<>();
 
     private final PendingAcks pendingAcks;
@@ -57,23 +59,23 @@
         pendingAcks = new PendingAcks(noncePrefix);
     }
 
-    /** Applies a request: its subscriptions, and its acknowledgement of an earlier response. */
+    /** Applies the subscriptions of a request and its acknowledgement of an earlier response. */
     abstract void onRequest(RequestT request);
 
-    /** Builds a response of these resources; names without a resource are reported as absent, where this variant can. */
+    /** Builds a response with these resources; it reports the absent names if this variant of the protocol can. */
     abstract ResponseT response(
             String nonce, ConfigSnapshot snapshot, Map<String, Resource> resources, Set<String> absent);
 
-    /** Builds a response that has the client keep these resources for another lifetime. */
+    /** Builds a response that renews the lifetime of these resources. */
     abstract ResponseT renewal(String nonce, ConfigSnapshot snapshot, List<Resource> resources);
 
-    /** Whether each response of this variant for this type holds all resources subscribed to. */
+    /** Whether each response of this variant for this type holds all subscribed resources. */
     abstract boolean sendsCompleteState();
 
-    /** Whether a response of these resources and absent names says anything in this variant. */
+    /** Whether a response with these resources and absent names carries information in this variant. */
     abstract boolean isMeaningful(Map<String, Resource> resources, Set<String> absent);
 
-    /** Whether an acknowledgement covers the responses before the one that it names. */
+    /** Whether an acknowledgement also covers all responses before the one whose nonce it holds. */
     abstract boolean acknowledgesCumulatively();
 
     final boolean isOpened() {
@@ -96,14 +98,16 @@
         return wildcard || names.contains(name);
     }
 
-    /** Adds a name, which is sent even if it was sent before (xDS protocol, "unsubscribing and resubscribing"). */
+    /**
+     * Adds a name; its resource is sent even if it was sent before (xDS protocol, "unsubscribing and resubscribing").
+     */
     final void subscribe(String name) {
         names.add(name);
         forced.add(name);
         rejections.forget(name);
     }
 
-    /** Adds a name whose resource the client has from an earlier stream. */
+    /** Adds a name whose resource the client already has from an earlier stream. */
     final void resume(String name) {
         names.add(name);
     }
@@ -112,7 +116,7 @@
         names.remove(name);
         forced.remove(name);
         if (wildcard) {
-            forced.add(name); // the wildcard may still cover it: the client is sent whether it does
+            forced.add(name); // the wildcard may still cover the name: the response says whether it does
         } else {
             sent.remove(name);
         }
@@ -128,12 +132,12 @@
         sentRevision = NEVER;
     }
 
-    /** Notes a version that the client says it has. */
+    /** Records a version that the client reports to have from an earlier stream. */
     final void onInitialVersion(String name, String version) {
         sent.put(name, version);
     }
 
-    /** The first request of a type gets a response, even where there is nothing to send. */
+    /** Marks a response as due: the first request of a type gets a response even if there is nothing to send. */
     final void open() {
         opened = true;
         responseDue = true;
@@ -144,9 +148,9 @@
     }
 
     /**
-     * Applies an acknowledgement; one for a response that is not pending has no effect.
+     * Applies an acknowledgement. An acknowledgement of a response that is not pending has no effect.
      *
-     * @param error why the client rejects the response; null if it accepts it
+     * @param error why the client rejected the response; null if it accepted the response
      */
     final void onAcknowledged(String nonce, Status error) {
         PendingAck acknowledged = pendingAcks.remove(nonce, acknowledgesCumulatively());
@@ -168,13 +172,15 @@
                 : Math.max(acknowledgedRevision, pendingAcks.oldest().revisionBefore());
     }
 
-    /** The response to send now, or null if none is due. */
+    /** Returns the response to send now, or null if none is due. */
     final ResponseT nextResponse(ConfigSnapshot snapshot, double nowMs) {
         if (!opened) {
             return null;
         }
         if (snapshot.lineage() != lineage) {
-            // Guards a client that moves to another lineage of snapshots: its revisions say nothing of what was sent.
+            // Guards a client that moves to another lineage of snapshots: revisions of one lineage cannot be compared
+            // with those of
+            // another, so changes would not be sent.
             lineage = snapshot.lineage();
             sentRevision = acknowledgedRevision = NEVER;
         }
@@ -198,7 +204,7 @@
         return response;
     }
 
-    /** This snapshot has nothing new for the client. */
+    /** Records that the client needs no response for this snapshot. */
     private void coverWithoutResponse(ConfigSnapshot snapshot) {
         if (pendingAcks.isEmpty() && acknowledgedRevision == sentRevision) {
             acknowledgedRevision = snapshot.revision();
@@ -206,7 +212,9 @@
         sentRevision = snapshot.revision();
     }
 
-    /** The names to send: subscribed to anew, or sent in another version than they have. */
+    /**
+     * Returns the names to send: newly subscribed names, and names whose version differs from the one that was sent.
+     */
     private Set<String> changedNames(ConfigSnapshot snapshot) {
         Set<String> changed = new LinkedHashSet<>();
         forced.stream().filter(this::isSubscribed).forEach(changed::add);
@@ -218,7 +226,10 @@
         return changed;
     }
 
-    /** All names that may differ from what was sent: those changed since, or all where that is not known. */
+    /**
+     * Returns the names whose resources may differ from those sent: the names changed since, or all if these are not
+     * known.
+     */
     private Set<String> candidates(ConfigSnapshot snapshot) {
         boolean comparable = sentRevision != NEVER && snapshot.lineage() == lineage;
         Set<String> changed = comparable ? snapshot.namesChangedSince(type, sentRevision) : null;
@@ -283,7 +294,10 @@
         return pendingAcks.add(versions, !sendsCompleteState(), sentRevision, nowMs);
     }
 
-    /** Half of the resources of a rejected response, as far as the client still wants them; null if there is none. */
+    /**
+     * Returns a response with half of the resources of a rejected one, if the client is still subscribed to any; else
+     * null.
+     */
     private ResponseT nextHalf(ConfigSnapshot snapshot, double nowMs) {
         for (List<String> half = rejections.pollHalf(); half != null; half = rejections.pollHalf()) {
             Map<String, Resource> resources = new LinkedHashMap<>();
@@ -300,7 +314,10 @@
         return null;
     }
 
-    /** Renews the lifetime of all resources that have one and that the client has in this version; null if there are none. */
+    /**
+     * Returns a response that renews each resource with a lifetime whose latest version the client has; null if there
+     * is none.
+     */
     final ResponseT nextRenewal(ConfigSnapshot snapshot, double nowMs) {
         List<Resource> renewed = new ArrayList<>();
         sent.forEach((name, version) -> {
@@ -315,12 +332,12 @@
         return renewed.isEmpty() ? null : renewal(awaitAck(Map.of(), nowMs), snapshot, renewed);
     }
 
-    /** Whether an acknowledgement is outstanding after a response with names that the client did not have. */
+    /** Whether the last response held resources that are new to the client and an acknowledgement is outstanding. */
     final boolean awaitsAckOfNewNames() {
         return lastResponseHadNewNames && !pendingAcks.isEmpty();
     }
 
-    /** Whether the client was sent all of this snapshot and has acknowledged it. */
+    /** Whether all of this snapshot was sent to the client and acknowledged. */
     final boolean isUpToDate(ConfigSnapshot snapshot) {
         return !opened
                 || pendingAcks.isEmpty()
@@ -338,7 +355,7 @@
         sentRevision = NEVER;
     }
 
-    /** What the client of this stream has of the type. */
+    /** Returns the sent and acknowledged state of the type on this stream. */
     final ClientVersions clientVersions(double nowMs) {
         return new ClientVersions(
                 sentRevision,
--- a/control/src/main/java/opalcove/control/xds/ResourceType.java
+++ b/control/src/main/java/opalcove/control/xds/ResourceType.java
@@ -6,8 +6,9 @@
 import java.util.stream.Stream;
 
 /**
- * The resource types that are served, in the order in which a client is to receive them, so that no resource names another that
- * the client does not have yet (xDS protocol, "Eventual consistency considerations": clusters, endpoints, listeners, routes).
+ * The resource types that are served, in the order in which they are sent, so that no resource refers to another that
+ * the client does not have yet (xDS protocol, "Eventual consistency considerations": clusters, endpoints, listeners,
+ * routes).
  */
 public enum ResourceType {
     /** Clusters (CDS). */
@@ -31,22 +32,24 @@
         this.completeInSotw = completeInSotw;
     }
 
-    /** The type's key in the status JSON. */
+    /** Returns the key of the type in the status JSON. */
     public String key() {
         return key;
     }
 
-    /** The type URL, as in a request. */
+    /** Returns the type URL as it appears in requests. */
     public String url() {
         return url;
     }
 
-    /** Whether a state-of-the-world response holds all resources subscribed to, so that what it lacks is removed. */
+    /**
+     * Whether a state-of-the-world response holds all subscribed resources, so that the client removes those it lacks.
+     */
     boolean isCompleteInSotw() {
         return completeInSotw;
     }
 
-    /** The type with this URL, or null if it is not served. */
+    /** Returns the type with this URL, or null if it is not served. */
     public static ResourceType forUrl(String url) {
         return BY_URL.get(url);
     }
--- a/control/src/main/java/opalcove/control/xds/SotwSubscription.java
+++ b/control/src/main/java/opalcove/control/xds/SotwSubscription.java
@@ -9,19 +9,21 @@
 import java.util.Set;
 
 /**
- * The state-of-the-world variant. The first response on a stream holds all resources subscribed to, whatever version the
- * request names: that is the version the client accepted last, which does not say what it has kept since.
+ * The state-of-the-world variant of the protocol. The first response on a stream holds all subscribed resources,
+ * regardless of the version in the request: this is the version that the client accepted last, which does not show the
+ * resources it still has.
  *
- * <p>Owned by the thread of its {@link XdsStream}.
+ * <p>Owned by the thread that calls its {@link XdsStream}.
  */
 final class SotwSubscription extends ResourceSubscription<DiscoveryRequest, DiscoveryResponse> {
     private final boolean enveloped;
     private boolean everNamed;
 
     /**
-     * Opens a subscription.
+     * Creates the state of one type.
      *
-     * @param enveloped whether the client takes resources in an envelope that carries their lifetime
+     * @param enveloped whether the client accepts resources wrapped in a Resource message, which carries their
+     *     lifetime
      */
     SotwSubscription(ResourceType type, String noncePrefix, boolean enveloped) {
         super(type, noncePrefix);
@@ -33,7 +35,7 @@
         return type.isCompleteInSotw() || !resources.isEmpty();
     }
 
-    /** A client handles responses in order, so one that acknowledges only the last would have rejected an earlier one. */
+    /** Returns true: a client handles responses in order, and it would have rejected an earlier response separately. */
     @Override
     boolean acknowledgesCumulatively() {
         return true;
@@ -51,13 +53,13 @@
             boolean latest = isLatestNonce(nonce);
             onAcknowledged(nonce, request.hasErrorDetail() ? request.getErrorDetail() : null);
             if (!latest) {
-                // Stale: a request for the latest response is on its way (xDS protocol, "ACK and resource updates").
+                // Stale: another request, for the latest response, follows (xDS protocol, "ACK and resource updates").
                 return;
             }
         }
         List<String> requested = request.getResourceNamesList();
-        // No names mean all, but only as long as the stream never named any (xDS protocol, "How the client specifies
-        // what resources to return").
+        // An empty list of names subscribes to all resources only if no earlier request of the stream held a name (xDS
+        // protocol, "How the client specifies what resources to return").
         everNamed |= !requested.isEmpty();
         boolean all = requested.stream().anyMatch(ResourceSubscription::isWildcardName)
                 || type.isCompleteInSotw() && !everNamed;
@@ -113,7 +115,7 @@
                 .setTtl(resource.ttl());
     }
 
-    /** A version of the set subscribed to, from the versions of the resources in it alone. */
+    /** Returns a version of the set of subscribed resources that depends only on the versions of these resources. */
     private String version(ConfigSnapshot snapshot) {
         long sum = 0;
         if (isWildcard()) {
--- a/control/src/main/java/opalcove/control/xds/XdsStream.java
+++ b/control/src/main/java/opalcove/control/xds/XdsStream.java
@@ -11,14 +11,16 @@
 import java.util.function.Function;
 
 /**
- * The protocol state of one stream over all its types. Free of I/O and of threads: requests go in, the responses that are due
- * come out, in the order in which the client can use them. Nothing is queued here; what is due is the latest state.
+ * The protocol state of one stream with all its resource types. Does no I/O and starts no threads: it takes requests
+ * and returns the responses that are due, in the order in which the client can apply them. It queues nothing; a
+ * response holds the latest state.
  *
- * <p>Make before break (xDS protocol, "Eventual consistency considerations"): clusters and endpoints go first, listeners and
- * routes after the client has acknowledged clusters that are new to it, and clusters that nothing names any more are removed
- * once it has accepted listeners and routes. A client that does not acknowledge is not waited for beyond {@link #ACK_TIMEOUT_MS};
- * one that rejects its routes keeps the clusters of those it has for {@link #REJECTED_ROUTES_HOLD_MS}. Endpoints are never held
- * back: whoever makes snapshots leaves the endpoints of a removed cluster in them for as long, and up to date, drains included.
+ * <p>Updates are make-before-break (xDS protocol, "Eventual consistency considerations"): clusters and endpoints are
+ * sent first, listeners and routes after the client has acknowledged the new clusters and endpoints, and removed
+ * clusters are deleted once the client has accepted listeners and routes. The stream waits for an acknowledgement for
+ * at most {@link #ACK_TIMEOUT_MS}. For a client that rejects its listeners or routes, the clusters of the previous ones
+ * are retained for {@link #REJECTED_ROUTES_HOLD_MS}. Endpoints are never delayed: the creator of the snapshots
+ * leaves the endpoints of a removed cluster in them for the same time and up to date, including drains.
  *
  * <p>Times are milliseconds of one monotonic clock. Owned by the thread that calls it.
  *
@@ -26,21 +28,21 @@
  * @param <ResponseT> responses of this variant
  */
 public final class XdsStream<RequestT, ResponseT> {
-    /** How long another type's acknowledgement is waited for. */
+    /** Maximum time to wait for the acknowledgement of another type, ms. */
     static final double ACK_TIMEOUT_MS = 1000;
 
-    /** How long a removed cluster is retained for a client that rejects the routes without it. */
+    /** How long a removed cluster is retained for a client that rejects the routes that no longer use it, ms. */
     static final double REJECTED_ROUTES_HOLD_MS = 60_000;
 
     private final Map<ResourceType, ResourceSubscription<RequestT, ResponseT>> subscriptions =
             new EnumMap<>(ResourceType.class);
     private final Function<ResourceType, ResourceSubscription<RequestT, ResponseT>> subscriptionFactory;
-    /** The last snapshot all of whose clusters the client still has. */
+    /** The last snapshot of which the client still has all clusters. */
     private ConfigSnapshot retained = ConfigSnapshot.EMPTY;
 
-    /** NaN while listeners and routes are not held back. */
+    /** When the delay of listeners and routes began, ms; NaN if they are not delayed. */
     private double routesHeldSinceMs = Double.NaN;
-    /** NaN while no removed cluster is retained. */
+    /** When the retention of removed clusters began, ms; NaN if none is retained. */
     private double clustersRetainedSinceMs = Double.NaN;
 
     private XdsStream(Function<ResourceType, ResourceSubscription<RequestT, ResponseT>> subscriptionFactory) {
@@ -50,8 +52,9 @@
     /**
      * Opens a state-of-the-world stream.
      *
-     * @param noncePrefix begins its nonces; no other stream has it
-     * @param enveloped whether the client takes resources in an envelope that carries their lifetime
+     * @param noncePrefix prefix of the nonces of this stream; unique among all streams
+     * @param enveloped whether the client accepts resources wrapped in a Resource message, which carries their
+     *     lifetime
      */
     public static XdsStream<DiscoveryRequest, DiscoveryResponse> sotw(String noncePrefix, boolean enveloped) {
         return new XdsStream<>(type -> new SotwSubscription(type, noncePrefix, enveloped));
@@ -60,18 +63,18 @@
     /**
      * Opens an incremental stream.
      *
-     * @param noncePrefix begins its nonces; no other stream has it
+     * @param noncePrefix prefix of the nonces of this stream; unique among all streams
      */
     public static XdsStream<DeltaDiscoveryRequest, DeltaDiscoveryResponse> delta(String noncePrefix) {
         return new XdsStream<>(type -> new DeltaSubscription(type, noncePrefix));
     }
 
-    /** Applies a request for a type: subscriptions, or an acknowledgement, or both. */
+    /** Applies a request for a type, which holds subscriptions, an acknowledgement, or both. */
     public void onRequest(ResourceType type, RequestT request) {
         subscriptions.computeIfAbsent(type, subscriptionFactory).onRequest(request);
     }
 
-    /** The responses to send by now, in order. Calling it again with nothing new returns none. */
+    /** Returns the responses that are due, in the order of sending. A second call without changes returns none. */
     public List<ResponseT> nextResponses(ConfigSnapshot snapshot, double nowMs) {
         List<ResponseT> responses = new ArrayList<>();
         ConfigSnapshot withRetained = withRetainedClusters(snapshot, nowMs);
@@ -100,7 +103,9 @@
         }
     }
 
-    /** The snapshot with the clusters it no longer has, as long as the client's listeners or routes may name them. */
+    /**
+     * Returns the snapshot plus removed clusters, for as long as the client's listeners or routes may refer to them.
+     */
     private ConfigSnapshot withRetainedClusters(ConfigSnapshot snapshot, double nowMs) {
         ConfigSnapshot shown = snapshot == retained ? snapshot : snapshot.withRetained(retained, ResourceType.CLUSTER);
         if (shown != snapshot && Double.isNaN(clustersRetainedSinceMs)) {
@@ -137,7 +142,8 @@
     }
 
     private boolean holdsRoutes(double nowMs) {
-        // Without clusters on this stream its client has them from elsewhere, and nothing is held back.
+        // A client that does not subscribe to clusters on this stream has them from another source, so nothing is
+        // delayed.
         if (!subscriptions.containsKey(ResourceType.CLUSTER)
                 || !awaitsAckOfNewNames(ResourceType.CLUSTER) && !awaitsAckOfNewNames(ResourceType.ENDPOINTS)) {
             routesHeldSinceMs = Double.NaN;
@@ -149,7 +155,7 @@
         return nowMs - routesHeldSinceMs < ACK_TIMEOUT_MS;
     }
 
-    /** Renews the lifetimes of the resources that have one. */
+    /** Returns responses that renew the lifetimes of the resources that have one. */
     public List<ResponseT> nextRenewals(ConfigSnapshot snapshot, double nowMs) {
         List<ResponseT> renewals = new ArrayList<>();
         subscriptions.values().forEach(subscription -> {
@@ -162,8 +168,8 @@
     }
 
     /**
-     * When {@link #nextResponses} is to be called again although no request came and nothing changed; positive infinity: not
-     * before either happens.
+     * Returns when to call {@link #nextResponses} again if no request arrives and no snapshot changes until then, ms;
+     * positive infinity if no such call is needed.
      */
     public double nextCheckAtMs() {
         double held = Double.isNaN(routesHeldSinceMs) ? Double.POSITIVE_INFINITY : routesHeldSinceMs + ACK_TIMEOUT_MS;
@@ -173,7 +179,9 @@
         return Math.min(held, retainedUntil);
     }
 
-    /** What the client has of a type on this stream, or null if it never requested it. */
+    /**
+     * Returns the sent and acknowledged state of a type on this stream, or null if the client never requested the type.
+     */
     public ClientVersions clientVersions(ResourceType type, double nowMs) {
         ResourceSubscription<RequestT, ResponseT> subscription = subscriptions.get(type);
         return subscription == null ? null : subscription.clientVersions(nowMs);
--- a/control/src/main/java/opalcove/control/xds/package-info.java
+++ b/control/src/main/java/opalcove/control/xds/package-info.java
@@ -1,5 +1,6 @@
 /**
- * The xDS protocol (API v3) as state without I/O, threads or clocks: resources and their versions, immutable snapshots of them,
- * and for each stream what its client subscribes to, was sent and has acknowledged.
+ * The state of the xDS protocol (API v3), without I/O, threads or clocks: resources and their versions, immutable
+ * snapshots of resources, and for each stream the client's subscriptions, the versions sent and the acknowledgements
+ * received.
  */
 package opalcove.control.xds;
--- a/control/src/test/java/opalcove/control/LayersTest.java
+++ b/control/src/test/java/opalcove/control/LayersTest.java
@@ -7,7 +7,7 @@
 import org.testng.annotations.Test;
 
 public class LayersTest {
-    /** The state of streams and the decisions are free of sockets, threads, files and clocks. */
+    /** Checks that the stream and cluster state uses no sockets, threads, files or clocks. */
     @Test
     public void theStateOfStreamsIsFreeOfIo() {
         noClasses()
--- a/control/src/test/java/opalcove/control/cluster/ClusterStateTest.java
+++ b/control/src/test/java/opalcove/control/cluster/ClusterStateTest.java
@@ -26,7 +26,7 @@
 import org.testng.annotations.Test;
 
 public class ClusterStateTest {
-    /** Long after the start of the backends that the lists begin with. */
+    /** Start of the test, ms; long after the slow start of the initial backends. */
     private static final double START = 1_000_000;
 
     private ClusterState cluster;
@@ -79,7 +79,7 @@
                 backend(4, "room-b", 2, EndpointState.UP, 1000)));
     }
 
-    /** A line for each locality: {@code ZONE pPRIORITY: PORT*WEIGHT ...}, with ~ for a draining endpoint. */
+    /** Formats each locality as a line {@code ZONE pPRIORITY: PORT*WEIGHT ...}, with ~ for a draining endpoint. */
     private static String seen(ConfigSnapshot snapshot, String cluster) throws Exception {
         ClusterLoadAssignment all =
                 snapshot.resource(ResourceType.ENDPOINTS, cluster).body().unpack(ClusterLoadAssignment.class);
@@ -109,7 +109,7 @@
     public void aServiceWithoutAListSendsNothing() {
         assertSame(cluster.snapshot("room-a"), ConfigSnapshot.EMPTY);
         cluster.onEndpoints(START, complete(List.of()));
-        assertSame(cluster.snapshot("room-a"), ConfigSnapshot.EMPTY, "an empty first list is no list");
+        assertSame(cluster.snapshot("room-a"), ConfigSnapshot.EMPTY, "an empty first list has no effect");
         cluster.onEndpoints(START + 10, complete(four()));
         assertTrue(cluster.snapshot("room-a").revision() > 0);
     }
@@ -140,10 +140,13 @@
                         .resource(ResourceType.ENDPOINTS, "all")
                         .version(),
                 before.resource(ResourceType.ENDPOINTS, "all").version(),
-                "a drain called off is the state before it");
+                "a cancelled drain restores the previous version");
     }
 
-    /** What the slow-start rule allows a backend, against what its weight brings it beside three warm ones. */
+    /**
+     * Compares the weight of a new backend with the share that the slow-start rule allows, beside backends with full
+     * weight.
+     */
     @Test
     public void aBackendInSlowStartGetsLessThanTheRuleAtEachMoment() throws Exception {
         List<Backend> list = four();
@@ -161,12 +164,12 @@
             int weight = Integer.parseInt(line.substring(line.indexOf("7005*") + 5));
             double allowed = Math.min(1, 0.17 + 0.83 * (now - START - 100) / 18_000);
             assertTrue(weight <= 100 * Math.min(1, allowed), "weight " + weight + " at " + (now - START));
-            assertTrue(weight >= last, "it only grows");
+            assertTrue(weight >= last, "the weight must not decrease");
             steps += weight > last ? 1 : 0;
             last = weight;
         }
         assertEquals(last, 100);
-        assertTrue(steps < 30, steps + " changes are sent");
+        assertTrue(steps < 30, steps + " weight changes are sent, expected fewer than 30");
     }
 
     @Test
@@ -201,7 +204,7 @@
                         backend(3, "room-b", 1, EndpointState.REMOVED, 1000))));
         assertEquals(cluster.backendNames(), Set.of("node-4"));
         cluster.onEndpoints(START + 20, complete(List.of()));
-        assertEquals(cluster.backendNames(), Set.of("node-4"), "the last one is never lost by a list that lacks it");
+        assertEquals(cluster.backendNames(), Set.of("node-4"), "a list without the last backend does not remove it");
         cluster.onEndpoints(START + 30, overriding(List.of()));
         assertEquals(cluster.backendNames(), Set.of());
     }
--- a/control/src/test/java/opalcove/control/server/ControlConfigFormTest.java
+++ b/control/src/test/java/opalcove/control/server/ControlConfigFormTest.java
@@ -12,10 +12,10 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** The keys of the control service's settings file, their defaults, and the refusals of wrong ones as literal text. */
+/** Tests the keys of the settings file, their defaults, and the literal error messages for invalid values. */
 public class ControlConfigFormTest {
     private static final Path GOOD = Path.of("deploy/control.json");
-    /** Follows a problem of the clusters: none of them is known then, and the listener names one. */
+    /** Reported after any invalid cluster: no cluster is known then, so the cluster of the listener is not found. */
     private static final String NO_SUCH_CLUSTER = "\nfield listeners[0].cluster is not among the clusters: swaps";
 
     @DataProvider
@@ -67,12 +67,12 @@
     }
 
     @Test(dataProvider = "wrongs")
-    public void aWrongFileIsRefusedWithFileKeyAndReason(String good, String wrong, String problem) throws Exception {
+    public void aWrongFileIsRefusedWithFileKeyAndReason(String valid, String invalid, String problem) throws Exception {
         String text = Files.readString(GOOD);
-        assertEquals(text.contains(good), true, good);
+        assertEquals(text.contains(valid), true, valid);
         Path file = Files.createTempFile("control", ".json");
         try {
-            Files.writeString(file, text.replace(good, wrong));
+            Files.writeString(file, text.replace(valid, invalid));
             assertEquals(
                     expectThrows(InvalidConfigurationException.class, () -> ControlConfig.read(file))
                             .getMessage()
--- a/control/src/test/java/opalcove/control/server/ControlServiceTest.java
+++ b/control/src/test/java/opalcove/control/server/ControlServiceTest.java
@@ -45,7 +45,7 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** The service as it is started, with a proxy that acknowledges on command. */
+/** Tests the running service with a proxy whose acknowledgements the test controls. */
 public class ControlServiceTest {
     private static final String TYPE = ResourceType.ENDPOINTS.url();
 
@@ -106,7 +106,7 @@
         Files.move(folder.resolve("next"), folder.resolve("control-nodes.json"), StandardCopyOption.ATOMIC_MOVE);
     }
 
-    /** A proxy that subscribes to the endpoints of swaps; the responses and the end of its stream are queued. */
+    /** A proxy that subscribes to the endpoints of swaps and queues the responses and the end of its stream. */
     private final class Proxy implements StreamObserver<DiscoveryResponse> {
         final BlockingQueue<Object> received = new LinkedBlockingQueue<>();
         final StreamObserver<DiscoveryRequest> out =
@@ -123,7 +123,7 @@
                     .build());
         }
 
-        /** The next state of the endpoints: {@code port: up or draining}. */
+        /** Waits for the next response and formats its endpoints as {@code port=up} or {@code port=draining}. */
         String next() throws Exception {
             ClusterLoadAssignment all = response().getResources(0).unpack(ClusterLoadAssignment.class);
             Map<Integer, String> backends = new TreeMap<>();
@@ -166,7 +166,7 @@
         }
     }
 
-    /** The status once this holds of it. */
+    /** Waits until the status fulfils a condition and returns it. */
     private JsonObject statusOnce(java.util.function.Predicate<JsonObject> holds) throws Exception {
         long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(20);
         JsonObject status = service.status();
@@ -195,14 +195,13 @@
         one.acknowledge();
         list("up", "draining", "up");
         assertEquals(one.next(), "{7201=up, 7202=draining, 7203=up}");
-        assertEquals(
-                late.next(), "{7201=up, 7202=draining, 7203=up}", "though it never acknowledged the first response");
+        assertEquals(late.next(), "{7201=up, 7202=draining, 7203=up}", "proxy-2 never acknowledged the first response");
         one.acknowledge();
         assertEquals(waiting(statusOnce(status -> waiting(status).equals("app-2[\"proxy-2\"]"))), "app-2[\"proxy-2\"]");
         late.acknowledge();
         assertEquals(waiting(statusOnce(status -> waiting(status).equals("app-2[]"))), "app-2[]");
         list("up", "up", "up");
-        assertEquals(one.next(), "{7201=up, 7202=up, 7203=up}", "called off");
+        assertEquals(one.next(), "{7201=up, 7202=up, 7203=up}", "the drain was cancelled");
         assertEquals(waiting(service.status()), "");
     }
 
@@ -317,7 +316,7 @@
                         .getInt("nodes", 0),
                 3);
         list("up", "up", "draining");
-        assertEquals(proxy.next(), "{7201=up, 7202=up, 7203=draining}", "nothing was received in between");
+        assertEquals(proxy.next(), "{7201=up, 7202=up, 7203=draining}", "no response was sent for the empty list");
         write(
                 "{\"index\":3,\"snapshot\":true,\"override\":true,\"endpoints\":[{\"name\":\"app-1\",\"address\":\"127.0.0.1:7201\"}]}");
         assertEquals(proxy.next(), "{7201=up}");
--- a/control/src/test/java/opalcove/control/server/GrpcClientTest.java
+++ b/control/src/test/java/opalcove/control/server/GrpcClientTest.java
@@ -34,7 +34,7 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** The xDS implementation of a proxyless gRPC client against the control service, and backends that respond with their names. */
+/** Tests a proxyless gRPC client with its own xDS implementation; the backends respond with their names. */
 public class GrpcClientTest {
     private static final MethodDescriptor<StringValue, StringValue> NAME =
             MethodDescriptor.<StringValue, StringValue>newBuilder()
@@ -131,12 +131,12 @@
                 .getValue();
     }
 
-    /** Calls until the last calls went to these backends alone, and to each of them. */
+    /** Repeats series of 20 calls until one series is served by exactly these backends. */
     private void untilServedBy(Set<String> expected) {
         long until = System.nanoTime() + TIMEOUT_NS;
         Set<String> last = Set.of();
         while (!last.equals(expected)) {
-            assertTrue(System.nanoTime() < until, "served by " + last + " and not by " + expected);
+            assertTrue(System.nanoTime() < until, "served by " + last + ", expected " + expected);
             last = new HashSet<>();
             for (int i = 0; i < 20; i++) {
                 last.add(call());
@@ -158,7 +158,7 @@
     @Test
     public void aRejectionIsReportedWithItsReasonAndTheClientKeepsWhatItHas() throws Exception {
         untilServedBy(Set.of("backend-a", "backend-b"));
-        // A cluster of a kind that this client does not know.
+        // The client does not support this type of cluster.
         send(Resource.of(
                 ResourceType.CLUSTER,
                 "std",
@@ -170,7 +170,7 @@
         long until = System.nanoTime() + TIMEOUT_NS;
         String reason = "";
         while (reason.isEmpty()) {
-            assertTrue(System.nanoTime() < until, "no rejection came");
+            assertTrue(System.nanoTime() < until, "no rejection arrived");
             CompletableFuture<String> rejection = new CompletableFuture<>();
             executor.execute(() -> rejection.complete(sessions.connectedProxies().stream()
                     .map(each -> each.versions().get(ResourceType.CLUSTER))
--- a/control/src/test/java/opalcove/control/server/StatusFormTest.java
+++ b/control/src/test/java/opalcove/control/server/StatusFormTest.java
@@ -41,7 +41,7 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** The forms that operators and proxies see of a running service, as literal text. */
+/** Compares the status page, rejections, nonces and services of a running service with literal texts. */
 public class StatusFormTest {
     private static final String PREFIX = "type.googleapis.com/envoy.config.";
     private static final String CLUSTER = PREFIX + "cluster.v3.Cluster";
@@ -92,7 +92,10 @@
         Files.move(folder.resolve("next"), folder.resolve("control-nodes.json"), StandardCopyOption.ATOMIC_MOVE);
     }
 
-    /** A proxy on one aggregated stream that accepts what it receives, except a type that it rejects and those it does not acknowledge. */
+    /**
+     * A proxy on an aggregated stream that accepts all responses except for one rejected type and for unacknowledged
+     * types.
+     */
     private final class Proxy implements StreamObserver<DiscoveryResponse> {
         final BlockingQueue<Object> received = new LinkedBlockingQueue<>();
         final Set<String> silent = ConcurrentHashMap.newKeySet();
@@ -154,7 +157,7 @@
                         HttpResponse.BodyHandlers.ofString());
     }
 
-    /** Waits until the status page is this text; spans of time count as N. */
+    /** Waits until the status page equals a text in which N stands for durations. */
     private void assertStatus(String expected) throws Exception {
         String wanted = expected.replace("\n", "");
         long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(20);
--- a/control/src/test/java/opalcove/control/xds/DeltaTest.java
+++ b/control/src/test/java/opalcove/control/xds/DeltaTest.java
@@ -50,7 +50,10 @@
         proxy.subscribe(CLUSTER, "*", "a", "none");
         assertEquals(proxy.deltaResponses(), "CLUSTER n1: a -none");
         proxy.unsubscribe(CLUSTER, "a", "none");
-        assertEquals(proxy.deltaResponses(), "CLUSTER n2: a -none", "the wildcard holds the one, and not the other");
+        assertEquals(
+                proxy.deltaResponses(),
+                "CLUSTER n2: a -none",
+                "the wildcard covers a; the resource none does not exist");
         proxy.unsubscribe(CLUSTER, "*");
         proxy.set(CLUSTER, 2, "a");
         assertEquals(proxy.deltaResponses(), "");
@@ -108,7 +111,7 @@
                 responses.toString().lines().filter(line -> line.endsWith(" b")).count(), 1, responses.toString());
         assertEquals(proxy.delta.clientVersions(CLUSTER, 0).withheldCount(), 1);
         assertEquals(proxy.delta.clientVersions(CLUSTER, 0).acknowledgedRevision(), proxy.snapshot.revision());
-        assertFalse(responses.toString().contains("n8"), "few enough responses: " + responses);
+        assertFalse(responses.toString().contains("n8"), "no response after n7 is expected: " + responses);
     }
 
     @Test
@@ -146,7 +149,7 @@
         assertEquals(
                 proxy.delta.clientVersions(ENDPOINTS, 1000).oldestPendingMs(),
                 63.0,
-                "64 acknowledgements are waited for");
+                "64 pending responses are retained");
         proxy.acceptDelta(ENDPOINTS, "n1000");
         assertEquals(proxy.delta.clientVersions(ENDPOINTS, 1000).acceptedCount(), 1);
     }
--- a/control/src/test/java/opalcove/control/xds/OrderTest.java
+++ b/control/src/test/java/opalcove/control/xds/OrderTest.java
@@ -7,7 +7,7 @@
 
 import org.testng.annotations.Test;
 
-/** Make before break, over the types of one stream. */
+/** Tests the make-before-break order of the types on one stream. */
 public class OrderTest {
     private static Proxy running() {
         Proxy proxy =
@@ -41,7 +41,7 @@
         assertEquals(proxy.sotwResponses(), "ENDPOINTS n2: new");
         proxy.requestSotw(ENDPOINTS, "n2", "old", "new");
         assertEquals(proxy.sotwResponses(), "ROUTES n2: r");
-        assertEquals(proxy.sotwResponses(), "", "the old cluster stays until the routes are accepted");
+        assertEquals(proxy.sotwResponses(), "", "the old cluster is retained until the routes are accepted");
         proxy.requestSotw(ROUTES, "n2", "r");
         assertEquals(proxy.sotwResponses(), "CLUSTER n3: new");
         proxy.requestSotw(CLUSTER, "n3");
@@ -76,7 +76,7 @@
         assertEquals(proxy.sotwResponses(), "ROUTES n2: r");
         proxy.rejectSotw(ROUTES, "n2", "no", "r");
         proxy.nowMs = 59_999;
-        assertEquals(proxy.sotwResponses(), "", "it goes on with the routes that name the old cluster");
+        assertEquals(proxy.sotwResponses(), "", "the proxy still uses the routes to the old cluster");
         proxy.nowMs = 60_000;
         assertEquals(proxy.sotwResponses(), "CLUSTER n2:");
     }
--- a/control/src/test/java/opalcove/control/xds/Proxy.java
+++ b/control/src/test/java/opalcove/control/xds/Proxy.java
@@ -15,7 +15,7 @@
 import java.util.Map;
 import java.util.TreeSet;
 
-/** A scripted proxy on a stream, and the snapshot for it. The responses it receives are written as lines. */
+/** A scripted proxy on one stream of each variant, and its snapshot. Received responses are formatted as lines. */
 final class Proxy {
     ConfigSnapshot snapshot = ConfigSnapshot.EMPTY;
     double nowMs;
@@ -69,7 +69,7 @@
         return this;
     }
 
-    /** Subscribes to names on the state-of-the-world stream, and acknowledges the response with this nonce. */
+    /** Subscribes to names on the state-of-the-world stream and acknowledges the response with the nonce. */
     void requestSotw(ResourceType type, String nonce, String... names) {
         sotw.onRequest(
                 type,
@@ -91,7 +91,7 @@
                         .build());
     }
 
-    /** The responses due now, a line each: {@code TYPE nonce: names}. */
+    /** Returns the due responses on the state-of-the-world stream, one per line: {@code TYPE nonce: names}. */
     String sotwResponses() {
         StringBuilder text = new StringBuilder();
         for (DiscoveryResponse each : sotw.nextResponses(snapshot, nowMs)) {
@@ -133,7 +133,7 @@
                         .build());
     }
 
-    /** The responses due now on the incremental stream, a line each: {@code TYPE nonce: names -removed}. */
+    /** Returns the due responses on the incremental stream, one per line: {@code TYPE nonce: names -removed}. */
     String deltaResponses() {
         StringBuilder text = new StringBuilder();
         for (DeltaDiscoveryResponse each : delta.nextResponses(snapshot, nowMs)) {
--- a/control/src/test/java/opalcove/control/xds/ResourceFormTest.java
+++ b/control/src/test/java/opalcove/control/xds/ResourceFormTest.java
@@ -17,7 +17,7 @@
 import java.util.Map;
 import org.testng.annotations.Test;
 
-/** Resources and responses as proxies get them: literal text and versions; a version covers each byte of a resource. */
+/** Compares resources and responses with literal texts and versions; a version covers each byte of a resource. */
 public class ResourceFormTest {
     private static final Resource SWAPS = ResourceFactory.endpoints(
             "swaps",
--- a/control/src/test/java/opalcove/control/xds/SotwTest.java
+++ b/control/src/test/java/opalcove/control/xds/SotwTest.java
@@ -21,7 +21,7 @@
         assertEquals(
                 proxy.sotwResponses(),
                 "CLUSTER n2: a b",
-                "clusters are sent completely, so that what is lacking is gone");
+                "each response holds all clusters, and the client removes those it lacks");
         proxy.requestSotw(CLUSTER, "n2");
         proxy.remove(CLUSTER, "a");
         assertEquals(proxy.sotwResponses(), "CLUSTER n3: b");
@@ -42,12 +42,12 @@
         assertEquals(proxy.sotwResponses(), "LISTENER n1: a");
         proxy.requestSotw(LISTENER, "n1");
         proxy.set(LISTENER, 2, "a", "b");
-        assertEquals(proxy.sotwResponses(), "", "it unsubscribed from its last name, and that is no wildcard");
+        assertEquals(proxy.sotwResponses(), "", "an empty list after the last name is no wildcard");
         proxy.requestSotw(LISTENER, "n1", "*");
         assertEquals(proxy.sotwResponses(), "LISTENER n2: a b");
         proxy.requestSotw(LISTENER, "n2");
         proxy.set(LISTENER, 3, "a");
-        assertEquals(proxy.sotwResponses(), "", "the wildcard that was named was unsubscribed from by an empty list");
+        assertEquals(proxy.sotwResponses(), "", "an empty list unsubscribes from the named wildcard");
     }
 
     @Test
@@ -59,7 +59,7 @@
         proxy.set(ENDPOINTS, 2, "b", "c");
         assertEquals(proxy.sotwResponses(), "ENDPOINTS n2: b");
         proxy.requestSotw(ENDPOINTS, "n2", "a", "b", "c");
-        assertEquals(proxy.sotwResponses(), "ENDPOINTS n3: c", "an added name is sent, and what the client has is not");
+        assertEquals(proxy.sotwResponses(), "ENDPOINTS n3: c", "only the added name is sent");
     }
 
     @Test
@@ -79,7 +79,7 @@
         proxy.requestSotw(ROUTES, "n1", "b");
         assertEquals(proxy.sotwResponses(), "");
         proxy.requestSotw(ROUTES, "n1", "a", "b");
-        assertEquals(proxy.sotwResponses(), "ROUTES n2: a", "it may have forgotten it in between");
+        assertEquals(proxy.sotwResponses(), "ROUTES n2: a", "the client may have discarded it after unsubscribing");
     }
 
     @Test
@@ -90,8 +90,8 @@
         proxy.set(ENDPOINTS, 2, "a");
         assertEquals(proxy.sotwResponses(), "ENDPOINTS n2: a");
         proxy.requestSotw(ENDPOINTS, "n1", "a", "b");
-        assertEquals(proxy.sotwResponses(), "", "it was written before n2 was read; another follows");
-        assertEquals(proxy.sotw.clientVersions(ENDPOINTS, 0).acceptedCount(), 1, "as an acknowledgement it counts");
+        assertEquals(proxy.sotwResponses(), "", "the request was sent before n2 was read; another follows");
+        assertEquals(proxy.sotw.clientVersions(ENDPOINTS, 0).acceptedCount(), 1, "the request still acknowledges n1");
         proxy.requestSotw(ENDPOINTS, "n2", "a", "b");
         assertEquals(proxy.sotwResponses(), "ENDPOINTS n3: b");
     }
@@ -135,7 +135,7 @@
         assertEquals(proxy.sotwResponses(), "");
         assertEquals(proxy.sotw.clientVersions(ENDPOINTS, 0).withheldCount(), 1);
         proxy.set(ENDPOINTS, 2, "d");
-        assertEquals(proxy.sotwResponses(), "ENDPOINTS n6: d", "the bad one is not sent again as it is");
+        assertEquals(proxy.sotwResponses(), "ENDPOINTS n6: d", "the rejected version of c is not sent again");
         proxy.set(ENDPOINTS, 2, "c");
         assertEquals(proxy.sotwResponses(), "ENDPOINTS n7: c");
         proxy.requestSotw(ENDPOINTS, "n6", "a", "b", "c", "d");
@@ -152,7 +152,7 @@
         one.sotwResponses();
         other.sotwResponses();
         String version = one.responses.get(0).getVersionInfo();
-        assertEquals(version, other.responses.get(0).getVersionInfo(), "two instances agree");
+        assertEquals(version, other.responses.get(0).getVersionInfo(), "two instances compute the same version");
         other.set(CLUSTER, 2, "a").sotwResponses();
         assertNotEquals(other.responses.get(1).getVersionInfo(), version);
         other.set(CLUSTER, 1, "a").sotwResponses();
@@ -167,7 +167,10 @@
         assertEquals(proxy.sotwResponses(), "ENDPOINTS n1: a b");
         proxy.snapshot = ConfigSnapshot.EMPTY;
         proxy.set(ENDPOINTS, 1, "a", "b");
-        assertEquals(proxy.sotwResponses(), "ENDPOINTS n2: a", "its revision is lower than the one sent");
+        assertEquals(
+                proxy.sotwResponses(),
+                "ENDPOINTS n2: a",
+                "only a differs, though the revision is lower than the one sent");
         proxy.requestSotw(ENDPOINTS, "n2", "a", "b");
         assertEquals(proxy.sotw.clientVersions(ENDPOINTS, 0).acknowledgedRevision(), 1L);
     }
@@ -198,7 +201,7 @@
         assertEquals(
                 proxy.sotw.clientVersions(ENDPOINTS, 3000).acknowledgedRevision(),
                 1L,
-                "what n2 carried is not acknowledged");
+                "the changes in n2 are not acknowledged");
         proxy.requestSotw(ENDPOINTS, "n2", "a");
         assertEquals(proxy.sotw.clientVersions(ENDPOINTS, 3000).acknowledgedRevision(), 499L);
     }
