--- a/plan/src/main/java/opalcove/plan/EndpointPlan.java
+++ b/plan/src/main/java/opalcove/plan/EndpointPlan.java
@@ -15,14 +15,16 @@
 import opalcove.decision.EndpointState;
 
 /**
- * The changes that make a running gateway's endpoint list what a settings file says. Its file has discovery's form for changes.
+ * The changes that bring the endpoint list of a running gateway to the state in a settings file. A plan file has the
+ * JSON form of endpoint changes from the discovery module.
  *
- * @param control where the gateway accepts the plan
- * @param index the index of the list on which the plan builds, so that a plan of an older list is rejected
- * @param changes new, changed and removed backends
+ * @param control address at which the gateway accepts the plan
+ * @param index index of the endpoint list from which the plan was made; the gateway rejects a plan made from an older
+ *     list
+ * @param changes added, changed and removed backends
  */
 record EndpointPlan(HostAndPort control, long index, List<Backend> changes) {
-    /** The changes that lead from one list to the other. */
+    /** Returns the changes that turn the running list into the wanted one. */
     static List<Backend> changes(List<Backend> running, List<Backend> wanted) {
         Map<String, Backend> unwanted = new LinkedHashMap<>();
         running.forEach(backend -> unwanted.put(backend.name(), backend));
@@ -53,7 +55,7 @@
     /**
      * Reads a plan from a file or a request.
      *
-     * @throws InvalidConfigurationException if it is not a plan, with field and reason
+     * @throws InvalidConfigurationException if the text is not a plan, with field and reason
      */
     static EndpointPlan read(String text) {
         JsonFields fields = JsonFields.parse(text);
--- a/plan/src/main/java/opalcove/plan/PlanControlService.java
+++ b/plan/src/main/java/opalcove/plan/PlanControlService.java
@@ -14,8 +14,8 @@
 import org.tinylog.Logger;
 
 /**
- * The HTTP service at which a running gateway shows its endpoint list and accepts plans: GET and POST of /v1/endpoints, GET of
- * /v1/counters. It is on a loopback address, and off unless the settings file names it.
+ * The HTTP service of a running gateway that serves its endpoint list and accepts plans: GET and POST of /v1/endpoints,
+ * GET of /v1/counters. It listens on a loopback address, and only if the settings file contains one.
  *
  * <p>Owned by the event loop of its gateway.
  */
@@ -29,14 +29,14 @@
     private final HttpServer server;
     private long index = 1;
 
-    /** Makes the service for the endpoint list of this dispatcher. */
+    /** Creates the service for the endpoint list of a dispatcher. */
     public PlanControlService(Vertx vertx, RequestDispatcher dispatcher) {
         this.dispatcher = dispatcher;
         server = vertx.createHttpServer(new HttpServerOptions().setIdleTimeout(IDLE_TIMEOUT_SECONDS));
         server.requestHandler(this::handle);
     }
 
-    /** Opens the service. The future has its port, or fails if the address cannot be bound. */
+    /** Opens the service. The future completes with the port, or fails if the address cannot be bound. */
     public Future<Integer> listen(HostAndPort address) {
         return server.listen(address.port(), address.address()).map(HttpServer::actualPort);
     }
@@ -57,7 +57,7 @@
     private void readPlan(HttpServerRequest request) {
         Buffer body = Buffer.buffer();
         request.handler(part -> {
-            // Guards memory against a body that never ends.
+            // Bounds the memory for a request body that never ends.
             if (body.length() + part.length() > MAX_BODY_BYTES) {
                 request.connection().close();
             } else {
@@ -76,7 +76,7 @@
             return;
         }
         if (plan.index() != index) {
-            // Guards against a plan that was made of another list: what it shows is not what it would do.
+            // Guards against a plan made from another list: its effect would differ from its description.
             respond(request, 409, "the plan is of index " + plan.index() + ", the node list has " + index + "\n");
             return;
         }
@@ -85,7 +85,7 @@
             dispatcher.endpointsChanged(false, plan.changes());
         }
         Logger.info(
-                "plan of {} changes applied, the endpoint list has index {}",
+                "plan with {} changes applied, the endpoint list now has index {}",
                 plan.changes().size(),
                 index);
         respond(request, 200, "index " + index + "\n");
--- a/plan/src/main/java/opalcove/plan/PlanDescription.java
+++ b/plan/src/main/java/opalcove/plan/PlanDescription.java
@@ -8,7 +8,7 @@
 import opalcove.config.EndpointCodec;
 import opalcove.decision.EndpointState;
 
-/** What a plan would do, as text for the operators to read before they apply it: a line for each change. */
+/** Describes a plan for operators to review before they apply it, with one line per change. */
 final class PlanDescription {
     private PlanDescription() {}
 
--- a/plan/src/main/java/opalcove/plan/Planner.java
+++ b/plan/src/main/java/opalcove/plan/Planner.java
@@ -22,8 +22,8 @@
 import opalcove.config.JsonFields;
 
 /**
- * The operators' commands: makes a plan of what a settings file changes in a running gateway, and applies it. Its methods block
- * the calling thread, which must not be the event loop.
+ * Implements the operator commands that make a plan of the changes from a settings file to a running gateway and apply
+ * it. The methods block the calling thread, which must not be the event loop.
  */
 public final class Planner {
     private static final int RESPONSE_TIMEOUT_MS = 10_000;
@@ -31,16 +31,16 @@
     private final Vertx vertx;
     private final HttpClient client;
 
-    /** Makes a planner that calls running gateways on the event loop of this instance. */
+    /** Creates a planner that calls running gateways on an event loop of this Vert.x instance. */
     public Planner(Vertx vertx) {
         this.vertx = vertx;
         client = vertx.createHttpClient();
     }
 
     /**
-     * Compares the running gateway with the wanted backends and writes the plan's file.
+     * Compares the endpoint list of a running gateway with the wanted backends and writes the plan file.
      *
-     * @return what the plan would do, a line for each change
+     * @return a description of the plan with one line per change
      * @throws InvalidConfigurationException if the gateway cannot be reached or does not respond in time
      * @throws IOException if the file cannot be written
      */
@@ -53,11 +53,11 @@
     }
 
     /**
-     * Sends a plan's file to the gateway of which it was made.
+     * Sends a plan file to the gateway for which it was made.
      *
-     * @return the gateway's response, with the list's new index
-     * @throws InvalidConfigurationException if the file is not a plan, or the gateway rejects it as out of date, cannot be
-     *     reached or does not respond in time
+     * @return the gateway's response, with the new index of the list
+     * @throws InvalidConfigurationException if the file is not a plan, or the gateway rejects it as out of date, cannot
+     *     be reached or does not respond in time
      * @throws IOException if the file cannot be read
      */
     public String apply(Path planFile) throws IOException {
@@ -72,7 +72,7 @@
 
     private String call(HostAndPort control, HttpMethod method, String requestBody) {
         CompletableFuture<String> body = new CompletableFuture<>();
-        // On the event loop, or the body may arrive before this thread has set a handler for it.
+        // Runs on the event loop; otherwise the body may arrive before this thread has set its handler.
         vertx.runOnContext(start -> client.request(new RequestOptions()
                         .setMethod(method)
                         .setHost(control.address())
--- a/plan/src/main/java/opalcove/plan/package-info.java
+++ b/plan/src/main/java/opalcove/plan/package-info.java
@@ -1,5 +1,6 @@
 /**
- * Plans of a running gateway's endpoint list: what a settings file would change, written to a file for the operators to read, and
- * applied through an HTTP service of the gateway on a loopback address. docs/plan.md has the commands.
+ * Plans for the endpoint list of a running gateway: the changes from a settings file are written to a file for
+ * operators to review and applied through an HTTP service of the gateway on a loopback address. docs/plan.md describes
+ * the commands.
  */
 package opalcove.plan;
--- a/plan/src/test/java/opalcove/plan/PlanFormTest.java
+++ b/plan/src/test/java/opalcove/plan/PlanFormTest.java
@@ -30,7 +30,7 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** Plan files, their descriptions and the replies of the HTTP service that takes them, as literal text. */
+/** Compares plan files, their descriptions and the responses of the HTTP service with literal texts. */
 public class PlanFormTest {
     private Vertx vertx;
     private RequestDispatcher dispatcher;
@@ -83,10 +83,10 @@
     }
 
     private void assertReply(String method, String path, String body, int status, String text) throws Exception {
-        HttpResponse<String> reply = call(method, path, body);
-        assertEquals(reply.statusCode(), status, reply.body());
-        assertEquals(reply.body(), text);
-        assertEquals(reply.headers().map().keySet().toString(), "[content-length]");
+        HttpResponse<String> response = call(method, path, body);
+        assertEquals(response.statusCode(), status, response.body());
+        assertEquals(response.body(), text);
+        assertEquals(response.headers().map().keySet().toString(), "[content-length]");
     }
 
     private static final String CHANGE = "{\"control\":\"127.0.0.1:1\",\"index\":1,\"snapshot\":false,\"endpoints\":["
@@ -123,17 +123,17 @@
 
     @Test
     public void theServiceShowsTheCounters() throws Exception {
-        HttpResponse<String> reply = call("GET", "/v1/counters", "");
-        assertEquals(reply.statusCode(), 200);
-        assertEquals(reply.headers().map().keySet().toString(), "[content-length]");
-        List<String> lines = reply.body().lines().toList();
+        HttpResponse<String> response = call("GET", "/v1/counters", "");
+        assertEquals(response.statusCode(), 200);
+        assertEquals(response.headers().map().keySet().toString(), "[content-length]");
+        List<String> lines = response.body().lines().toList();
         assertEquals(lines.get(0), "taken=0");
         assertEquals(
                 lines.subList(lines.size() - 3, lines.size()),
                 List.of("asks_open=0", "links_open=0", "links_resting=0"));
         CompletableFuture<String> counters = new CompletableFuture<>();
         vertx.runOnContext(start -> counters.complete(dispatcher.infoLines()));
-        assertEquals(reply.body(), counters.get(20, TimeUnit.SECONDS));
+        assertEquals(response.body(), counters.get(20, TimeUnit.SECONDS));
     }
 
     @Test
@@ -162,8 +162,8 @@
     }
 
     @Test(dataProvider = "wrongs")
-    public void aWrongPlanIsRefused(String good, String wrong, String problem) throws Exception {
-        String plan = CHANGE.replace(good, wrong);
+    public void aWrongPlanIsRefused(String valid, String invalid, String problem) throws Exception {
+        String plan = CHANGE.replace(valid, invalid);
         assertReply("POST", "/v1/endpoints", plan, 400, problem + "\n");
         Files.writeString(file, plan);
         assertEquals(
--- a/plan/src/test/java/opalcove/plan/PlanTest.java
+++ b/plan/src/test/java/opalcove/plan/PlanTest.java
@@ -25,7 +25,7 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** Plans made of a running gateway and applied to it; the connector notes which backend a request went to. */
+/** Makes plans for a running gateway and applies them; the connector records the backend that receives a request. */
 public class PlanTest {
     private final CompletableFuture<String> connectedTo = new CompletableFuture<>();
     private Vertx vertx;
@@ -89,7 +89,7 @@
         assertEquals(planner.apply(file), "index 2\n");
         String first = Files.readString(file);
         assertEquals(planner.plan(control, wanted, file), "no changes\n");
-        // The core uses the new list at once: of the three, only app-3 takes new work.
+        // The dispatcher uses the new list at once: of its three backends only app-3 takes new requests.
         vertx.runOnContext(start -> dispatcher.dispatch(
                 new Request(
                         "00000000000000a1",
@@ -115,16 +115,16 @@
     @Test
     public void aWrongPlanChangesNothing() throws Exception {
         planner.plan(control, List.of(backend("app-1", EndpointState.UP, 1)), file);
-        String good = Files.readString(file);
-        for (String[] wrong : new String[][] {
+        String valid = Files.readString(file);
+        for (String[] replacement : new String[][] {
             {"\"removed\"", "\"away\"", "status has an unknown value away"},
             {"\"snapshot\": false", "\"snapshot\": true", "field snapshot must be false"},
             {"\"index\"", "\"indices\"", "field index is missing"}
         }) {
-            Files.writeString(file, good.replace(wrong[0], wrong[1]));
+            Files.writeString(file, valid.replace(replacement[0], replacement[1]));
             String message = expectThrows(InvalidConfigurationException.class, () -> planner.apply(file))
                     .getMessage();
-            assertTrue(message.startsWith(file + ": ") && message.contains(wrong[2]), message);
+            assertTrue(message.startsWith(file + ": ") && message.contains(replacement[2]), message);
         }
         assertEquals(
                 planner.plan(
