--- a/control/src/main/java/opalcove/control/cluster/ClusterState.java
+++ b/control/src/main/java/opalcove/control/cluster/ClusterState.java
@@ -31,7 +31,7 @@
     /** The key of the snapshot for proxies in a zone without backends. */
     private static final String NO_ZONE = "";
 
-    private final AdmissionController module;
+    private final AdmissionController admissionController;
     private final DecisionTimers timers;
     private final List<ClusterDefinition> clusters;
     private final EndpointListValidator validator;
@@ -64,21 +64,21 @@
         staticResources = List.copyOf(resources);
         validator = new EndpointListValidator(maxShrink);
         timers = new DecisionTimers(nowMs);
-        module = new AdmissionController(nowMs, settings, seed, timers);
+        admissionController = new AdmissionController(nowMs, settings, seed, timers);
     }
 
     /** Applies an update of the endpoint list. */
     public void onEndpoints(double timeMs, EndpointUpdate update) {
         double nowMs = timers.advance(timeMs);
-        List<Backend> trusted = validator.apply(update);
+        List<Backend> validated = validator.apply(update);
         backends.clear();
         backendByAddress.clear();
-        trusted.forEach(backend -> {
+        validated.forEach(backend -> {
             backends.put(backend.name(), backend);
             backendByAddress.put(backend.address(), backend.name());
         });
-        module.endpointsChanged(
-                nowMs, true, trusted.stream().map(Backend::endpoint).toList());
+        admissionController.endpointsChanged(
+                nowMs, true, validated.stream().map(Backend::endpoint).toList());
         updateWeights();
         updateSnapshots();
         updateDrains();
@@ -86,7 +86,7 @@
 
     /** Reports a failure of the source of the endpoint list; the known backends stay. */
     public void onSourceFailed(double timeMs) {
-        module.endpointListFailed(timers.advance(timeMs));
+        admissionController.endpointListFailed(timers.advance(timeMs));
     }
 
     /**
@@ -96,7 +96,7 @@
         double nowMs = timers.advance(timeMs);
         String backend = backendByAddress.get(load.address());
         if (backend != null) {
-            module.loadReported(nowMs, backend, load.succeeded(), load.failed(), -1);
+            admissionController.loadReported(nowMs, backend, load.succeeded(), load.failed(), -1);
             drains.onLoadReport(nowMs, proxyId, backend, load);
         }
     }
@@ -106,7 +106,7 @@
         double nowMs = timers.advance(timeMs);
         boolean anyDue = false;
         while (timers.isDue()) {
-            module.timerExpired(nowMs, timers.poll());
+            admissionController.timerExpired(nowMs, timers.poll());
             anyDue = true;
         }
         if (!anyDue) {
@@ -148,7 +148,7 @@
     }
 
     private boolean updateWeights() {
-        return weights.update(module.capacityShares(timers.nowMs()), backends.keySet());
+        return weights.update(admissionController.capacityShares(timers.nowMs()), backends.keySet());
     }
 
     private boolean updateSnapshots() {
--- a/control/src/main/java/opalcove/control/cluster/DecisionTimers.java
+++ b/control/src/main/java/opalcove/control/cluster/DecisionTimers.java
@@ -52,25 +52,25 @@
 
     @Override
     public void startAttempt(String requestId, String backend, double timeoutMs) {
-        throw noRequest();
+        throw unexpectedRequest();
     }
 
     @Override
     public void shed(String requestId, double retryAfterMs) {
-        throw noRequest();
+        throw unexpectedRequest();
     }
 
     @Override
     public void fail(String requestId) {
-        throw noRequest();
+        throw unexpectedRequest();
     }
 
     @Override
     public void cancelAttempt(String requestId, int attempt) {
-        throw noRequest();
+        throw unexpectedRequest();
     }
 
-    private static IllegalStateException noRequest() {
+    private static IllegalStateException unexpectedRequest() {
         return new IllegalStateException(
                 "the decision module acts on a request, but the control service gives it none");
     }
--- a/control/src/main/java/opalcove/control/cluster/EndpointListValidator.java
+++ b/control/src/main/java/opalcove/control/cluster/EndpointListValidator.java
@@ -39,7 +39,7 @@
     List<Backend> apply(EndpointUpdate update) {
         Set<String> named = update.backends().stream().map(Backend::name).collect(Collectors.toSet());
         if (update.complete()) {
-            dropMissing(named, update.overridesShrinkLimit());
+            removeMissing(named, update.overridesShrinkLimit());
         }
         for (Backend backend : update.backends()) {
             if (backend.endpoint().state() == EndpointState.REMOVED) {
@@ -57,7 +57,7 @@
         return new ArrayList<>(backends.values());
     }
 
-    private void dropMissing(Set<String> named, boolean overridesShrinkLimit) {
+    private void removeMissing(Set<String> named, boolean overridesShrinkLimit) {
         Set<String> lacking = new HashSet<>(backends.keySet());
         lacking.removeAll(named);
         // One missing backend is within the limit even if it exceeds the share of a small list, but not the last
--- a/control/src/main/java/opalcove/control/cluster/EndpointWeights.java
+++ b/control/src/main/java/opalcove/control/cluster/EndpointWeights.java
@@ -38,8 +38,9 @@
         for (CapacityShare each : allowed) {
             double share = each.share() >= FULL_SHARE ? 1 : each.share();
             double before = shares.getOrDefault(each.backend(), 0.0);
-            boolean moved = share != before && (Math.abs(share - before) > MIN_RELATIVE_CHANGE * before || share == 1);
-            if (backends.contains(each.backend()) && moved) {
+            boolean shareChanged =
+                    share != before && (Math.abs(share - before) > MIN_RELATIVE_CHANGE * before || share == 1);
+            if (backends.contains(each.backend()) && shareChanged) {
                 shares.put(each.backend(), share);
                 changed = true;
             }
@@ -53,15 +54,15 @@
      */
     ResourceFactory.WeightedEndpoint weighted(Backend backend) {
         double share = shares.getOrDefault(backend.name(), 0.0);
-        boolean takesNewWork = share > 0 && backend.endpoint().state() == EndpointState.UP;
+        boolean takesNewRequests = share > 0 && backend.endpoint().state() == EndpointState.UP;
         int colon = backend.address().lastIndexOf(':');
         return new ResourceFactory.WeightedEndpoint(
                 backend.address().substring(0, colon),
                 Integer.parseInt(backend.address().substring(colon + 1)),
-                takesNewWork
+                takesNewRequests
                         ? Math.max(1, (int)
                                 (FULL_WEIGHT * share * backend.endpoint().size()))
                         : 1,
-                !takesNewWork);
+                !takesNewRequests);
     }
 }
--- a/control/src/main/java/opalcove/control/server/ControlService.java
+++ b/control/src/main/java/opalcove/control/server/ControlService.java
@@ -71,7 +71,7 @@
 
             @Override
             public void onFailure(String problem) {
-                executor.execute(() -> noteSourceFailure(problem));
+                executor.execute(() -> onSourceFailure(problem));
             }
         });
         executor.execute(this::runTimers);
@@ -133,7 +133,7 @@
         runTimers();
     }
 
-    private void noteSourceFailure(String problem) {
+    private void onSourceFailure(String problem) {
         Logger.warn("the endpoint list cannot be read, the last known list stays in force: {}", problem);
         sourceProblem = problem;
         cluster.onSourceFailed(clock.now());
--- a/control/src/main/java/opalcove/control/server/ProxyIdentity.java
+++ b/control/src/main/java/opalcove/control/server/ProxyIdentity.java
@@ -26,7 +26,7 @@
                 Set.copyOf(node.getClientFeaturesList()));
     }
 
-    boolean takesEnvelopes() {
+    boolean supportsWrappedResources() {
         return features.contains(RESOURCE_IN_SOTW);
     }
 }
--- a/control/src/main/java/opalcove/control/server/StatusReport.java
+++ b/control/src/main/java/opalcove/control/server/StatusReport.java
@@ -77,12 +77,14 @@
     private static JsonArray uses(DrainTracker.Drain drain) {
         JsonArray uses = new JsonArray();
         drain.uses().forEach((proxyId, use) -> {
-            boolean sentNewWork = Double.isFinite(use.lastIssuedMs());
-            if (sentNewWork || use.inProgress() > 0) {
+            boolean sentNewRequests = Double.isFinite(use.lastIssuedMs());
+            if (sentNewRequests || use.inProgress() > 0) {
                 uses.add(Json.object()
                         .add("proxy", proxyId)
                         .add("in_hand", use.inProgress())
-                        .add("last_new_ms", sentNewWork ? Math.round(use.lastIssuedMs() - drain.sinceMs()) : NEVER));
+                        .add(
+                                "last_new_ms",
+                                sentNewRequests ? Math.round(use.lastIssuedMs() - drain.sinceMs()) : NEVER));
             }
         });
         return uses;
--- a/control/src/main/java/opalcove/control/server/XdsVariant.java
+++ b/control/src/main/java/opalcove/control/server/XdsVariant.java
@@ -25,7 +25,7 @@
     static final XdsVariant<DiscoveryRequest, DiscoveryResponse> SOTW = new XdsVariant<>(
             DiscoveryRequest::getTypeUrl,
             DiscoveryRequest::getNode,
-            (noncePrefix, proxy) -> XdsStream.sotw(noncePrefix, proxy.takesEnvelopes()));
+            (noncePrefix, proxy) -> XdsStream.sotw(noncePrefix, proxy.supportsWrappedResources()));
     static final XdsVariant<DeltaDiscoveryRequest, DeltaDiscoveryResponse> DELTA = new XdsVariant<>(
             DeltaDiscoveryRequest::getTypeUrl,
             DeltaDiscoveryRequest::getNode,
--- a/control/src/main/java/opalcove/control/xds/ConfigSnapshot.java
+++ b/control/src/main/java/opalcove/control/xds/ConfigSnapshot.java
@@ -17,7 +17,7 @@
  */
 public final class ConfigSnapshot {
     /** Number of recorded changes per type; a stream that is further behind compares all resources. */
-    private static final int MAX_REMEMBERED_CHANGES = 128;
+    private static final int MAX_RECORDED_CHANGES = 128;
     /** The snapshot before any change. */
     public static final ConfigSnapshot EMPTY = new ConfigSnapshot(null, 0, Map.of());
 
@@ -108,29 +108,30 @@
         for (Resource each : set) {
             Resource before = resource(each.type(), each.name());
             if (before == null || !before.version().equals(each.version())) {
-                copy(changed, each.type()).put(each.name(), each);
-                names(changedNames, each.type()).add(each.name());
+                copyOnFirstChange(changed, each.type()).put(each.name(), each);
+                namesOfType(changedNames, each.type()).add(each.name());
             }
         }
         removed.forEach((type, names) -> names.forEach(name -> {
             if (resource(type, name) != null) {
-                copy(changed, type).remove(name);
-                names(changedNames, type).add(name);
+                copyOnFirstChange(changed, type).remove(name);
+                namesOfType(changedNames, type).add(name);
             }
         }));
         if (changed.isEmpty()) {
             return this;
         }
         Map<ResourceType, TypeState> next = copyOfTypes();
-        changed.forEach((type, resources) -> next.put(type, changed(type, resources, changedNames.get(type))));
+        changed.forEach((type, resources) -> next.put(type, stateAfterChange(type, resources, changedNames.get(type))));
         return new ConfigSnapshot(lineage == null ? new Object() : lineage, revision + 1, next);
     }
 
-    private Map<String, Resource> copy(Map<ResourceType, Map<String, Resource>> changed, ResourceType type) {
+    private Map<String, Resource> copyOnFirstChange(
+            Map<ResourceType, Map<String, Resource>> changed, ResourceType type) {
         return changed.computeIfAbsent(type, key -> new HashMap<>(resources(key)));
     }
 
-    private static Set<String> names(Map<ResourceType, Set<String>> changedNames, ResourceType type) {
+    private static Set<String> namesOfType(Map<ResourceType, Set<String>> changedNames, ResourceType type) {
         return changedNames.computeIfAbsent(type, key -> new LinkedHashSet<>());
     }
 
@@ -140,11 +141,11 @@
         return copy;
     }
 
-    private TypeState changed(ResourceType type, Map<String, Resource> resources, Set<String> names) {
+    private TypeState stateAfterChange(ResourceType type, Map<String, Resource> resources, Set<String> names) {
         TypeState before = state(type);
         List<Change> recent = new ArrayList<>(before.recent);
         long comparableSince = before.comparableSince;
-        if (recent.size() == MAX_REMEMBERED_CHANGES) {
+        if (recent.size() == MAX_RECORDED_CHANGES) {
             comparableSince = recent.remove(0).revision;
         }
         recent.add(new Change(revision + 1, Collections.unmodifiableSet(names)));
--- a/control/src/main/java/opalcove/control/xds/DeltaSubscription.java
+++ b/control/src/main/java/opalcove/control/xds/DeltaSubscription.java
@@ -68,7 +68,7 @@
     @Override
     DeltaDiscoveryResponse renewal(String nonce, ConfigSnapshot snapshot, List<Resource> resources) {
         DeltaDiscoveryResponse.Builder response = builder(nonce);
-        resources.forEach(each -> envelope(response, each).setTtl(each.ttl()));
+        resources.forEach(each -> addWrapper(response, each).setTtl(each.ttl()));
         return response.build();
     }
 
@@ -78,7 +78,7 @@
         DeltaDiscoveryResponse.Builder response = builder(nonce).addAllRemovedResources(absent);
         for (Resource each : resources.values()) {
             io.envoyproxy.envoy.service.discovery.v3.Resource.Builder resource =
-                    envelope(response, each).setResource(each.body());
+                    addWrapper(response, each).setResource(each.body());
             if (each.ttlMs() > 0) {
                 resource.setTtl(each.ttl());
             }
@@ -90,7 +90,7 @@
         return DeltaDiscoveryResponse.newBuilder().setTypeUrl(type.url()).setNonce(nonce);
     }
 
-    private static io.envoyproxy.envoy.service.discovery.v3.Resource.Builder envelope(
+    private static io.envoyproxy.envoy.service.discovery.v3.Resource.Builder addWrapper(
             DeltaDiscoveryResponse.Builder response, Resource resource) {
         return response.addResourcesBuilder().setName(resource.name()).setVersion(resource.version());
     }
--- a/control/src/main/java/opalcove/control/xds/ResourceSubscription.java
+++ b/control/src/main/java/opalcove/control/xds/ResourceSubscription.java
@@ -193,13 +193,13 @@
         forced.clear();
         Map<String, Resource> resources = new LinkedHashMap<>();
         Set<String> absent = new LinkedHashSet<>();
-        collect(snapshot, changed, resources, absent);
+        collectResources(snapshot, changed, resources, absent);
         if (!isMeaningful(resources, absent)) {
-            absent.forEach(this::noteAbsent);
+            absent.forEach(this::recordAbsent);
             coverWithoutResponse(snapshot);
             return null;
         }
-        ResponseT response = prepare(snapshot, resources, absent, nowMs);
+        ResponseT response = prepareResponse(snapshot, resources, absent, nowMs);
         sentRevision = snapshot.revision();
         return response;
     }
@@ -247,7 +247,7 @@
                 : !resource.version().equals(before);
     }
 
-    private void collect(
+    private void collectResources(
             ConfigSnapshot snapshot, Set<String> changed, Map<String, Resource> resources, Set<String> absent) {
         Set<String> included = changed;
         if (sendsCompleteState()) {
@@ -264,7 +264,7 @@
         changed.stream().filter(name -> snapshot.resource(type, name) == null).forEach(absent::add);
     }
 
-    private void noteAbsent(String name) {
+    private void recordAbsent(String name) {
         rejections.forget(name);
         if (names.contains(name)) {
             sent.put(name, ABSENT);
@@ -273,7 +273,7 @@
         }
     }
 
-    private ResponseT prepare(
+    private ResponseT prepareResponse(
             ConfigSnapshot snapshot, Map<String, Resource> resources, Set<String> absent, double nowMs) {
         Map<String, String> versions = new LinkedHashMap<>();
         lastResponseHadNewNames = false;
@@ -285,12 +285,12 @@
         });
         for (String name : absent) {
             versions.put(name, ABSENT);
-            noteAbsent(name);
+            recordAbsent(name);
         }
-        return response(awaitAck(versions, nowMs), snapshot, resources, absent);
+        return response(addPendingAck(versions, nowMs), snapshot, resources, absent);
     }
 
-    private String awaitAck(Map<String, String> versions, double nowMs) {
+    private String addPendingAck(Map<String, String> versions, double nowMs) {
         return pendingAcks.add(versions, !sendsCompleteState(), sentRevision, nowMs);
     }
 
@@ -308,7 +308,7 @@
                 }
             }
             if (!resources.isEmpty()) {
-                return prepare(snapshot, resources, Set.of(), nowMs);
+                return prepareResponse(snapshot, resources, Set.of(), nowMs);
             }
         }
         return null;
@@ -329,7 +329,7 @@
                 renewed.add(resource);
             }
         });
-        return renewed.isEmpty() ? null : renewal(awaitAck(Map.of(), nowMs), snapshot, renewed);
+        return renewed.isEmpty() ? null : renewal(addPendingAck(Map.of(), nowMs), snapshot, renewed);
     }
 
     /** Whether the last response held resources that are new to the client and an acknowledgement is outstanding. */
--- a/control/src/main/java/opalcove/control/xds/SotwSubscription.java
+++ b/control/src/main/java/opalcove/control/xds/SotwSubscription.java
@@ -16,18 +16,18 @@
  * <p>Owned by the thread that calls its {@link XdsStream}.
  */
 final class SotwSubscription extends ResourceSubscription<DiscoveryRequest, DiscoveryResponse> {
-    private final boolean enveloped;
-    private boolean everNamed;
+    private final boolean wrapsResources;
+    private boolean hasSubscribedByName;
 
     /**
      * Creates the state of one type.
      *
-     * @param enveloped whether the client accepts resources wrapped in a Resource message, which carries their
+     * @param wrapsResources whether the client accepts resources wrapped in a Resource message, which carries their
      *     lifetime
      */
-    SotwSubscription(ResourceType type, String noncePrefix, boolean enveloped) {
+    SotwSubscription(ResourceType type, String noncePrefix, boolean wrapsResources) {
         super(type, noncePrefix);
-        this.enveloped = enveloped;
+        this.wrapsResources = wrapsResources;
     }
 
     @Override
@@ -60,9 +60,9 @@
         List<String> requested = request.getResourceNamesList();
         // An empty list of names subscribes to all resources only if no earlier request of the stream held a name (xDS
         // protocol, "How the client specifies what resources to return").
-        everNamed |= !requested.isEmpty();
+        hasSubscribedByName |= !requested.isEmpty();
         boolean all = requested.stream().anyMatch(ResourceSubscription::isWildcardName)
-                || type.isCompleteInSotw() && !everNamed;
+                || type.isCompleteInSotw() && !hasSubscribedByName;
         if (!isOpened()) {
             open();
         }
@@ -83,8 +83,8 @@
         DiscoveryResponse.Builder response = builder(nonce, snapshot);
         for (Resource each : resources.values()) {
             response.addResources(
-                    enveloped && each.ttlMs() > 0
-                            ? Any.pack(envelope(each, response.getVersionInfo())
+                    wrapsResources && each.ttlMs() > 0
+                            ? Any.pack(wrapper(each, response.getVersionInfo())
                                     .setResource(each.body())
                                     .build())
                             : each.body());
@@ -96,7 +96,7 @@
     DiscoveryResponse renewal(String nonce, ConfigSnapshot snapshot, List<Resource> resources) {
         DiscoveryResponse.Builder response = builder(nonce, snapshot);
         resources.forEach(each -> response.addResources(
-                Any.pack(envelope(each, response.getVersionInfo()).build())));
+                Any.pack(wrapper(each, response.getVersionInfo()).build())));
         return response.build();
     }
 
@@ -107,7 +107,7 @@
                 .setVersionInfo(version(snapshot));
     }
 
-    private static io.envoyproxy.envoy.service.discovery.v3.Resource.Builder envelope(
+    private static io.envoyproxy.envoy.service.discovery.v3.Resource.Builder wrapper(
             Resource resource, String version) {
         return io.envoyproxy.envoy.service.discovery.v3.Resource.newBuilder()
                 .setName(resource.name())
--- a/control/src/main/java/opalcove/control/xds/XdsStream.java
+++ b/control/src/main/java/opalcove/control/xds/XdsStream.java
@@ -19,7 +19,7 @@
  * sent first, listeners and routes after the client has acknowledged the new clusters and endpoints, and removed
  * clusters are deleted once the client has accepted listeners and routes. The stream waits for an acknowledgement for
  * at most {@link #ACK_TIMEOUT_MS}. For a client that rejects its listeners or routes, the clusters of the previous ones
- * are retained for {@link #REJECTED_ROUTES_HOLD_MS}. Endpoints are never delayed: the creator of the snapshots
+ * are retained for {@link #REJECTED_ROUTES_RETENTION_MS}. Endpoints are never delayed: the creator of the snapshots
  * leaves the endpoints of a removed cluster in them for the same time and up to date, including drains.
  *
  * <p>Times are milliseconds of one monotonic clock. Owned by the thread that calls it.
@@ -32,7 +32,7 @@
     static final double ACK_TIMEOUT_MS = 1000;
 
     /** How long a removed cluster is retained for a client that rejects the routes that no longer use it, ms. */
-    static final double REJECTED_ROUTES_HOLD_MS = 60_000;
+    static final double REJECTED_ROUTES_RETENTION_MS = 60_000;
 
     private final Map<ResourceType, ResourceSubscription<RequestT, ResponseT>> subscriptions =
             new EnumMap<>(ResourceType.class);
@@ -41,7 +41,7 @@
     private ConfigSnapshot retained = ConfigSnapshot.EMPTY;
 
     /** When the delay of listeners and routes began, ms; NaN if they are not delayed. */
-    private double routesHeldSinceMs = Double.NaN;
+    private double routesDelayedSinceMs = Double.NaN;
     /** When the retention of removed clusters began, ms; NaN if none is retained. */
     private double clustersRetainedSinceMs = Double.NaN;
 
@@ -53,11 +53,11 @@
      * Opens a state-of-the-world stream.
      *
      * @param noncePrefix prefix of the nonces of this stream; unique among all streams
-     * @param enveloped whether the client accepts resources wrapped in a Resource message, which carries their
+     * @param wrapsResources whether the client accepts resources wrapped in a Resource message, which carries their
      *     lifetime
      */
-    public static XdsStream<DiscoveryRequest, DiscoveryResponse> sotw(String noncePrefix, boolean enveloped) {
-        return new XdsStream<>(type -> new SotwSubscription(type, noncePrefix, enveloped));
+    public static XdsStream<DiscoveryRequest, DiscoveryResponse> sotw(String noncePrefix, boolean wrapsResources) {
+        return new XdsStream<>(type -> new SotwSubscription(type, noncePrefix, wrapsResources));
     }
 
     /**
@@ -80,7 +80,7 @@
         ConfigSnapshot withRetained = withRetainedClusters(snapshot, nowMs);
         addNext(ResourceType.CLUSTER, withRetained, nowMs, responses);
         addNext(ResourceType.ENDPOINTS, snapshot, nowMs, responses);
-        if (!holdsRoutes(nowMs)) {
+        if (!delaysRoutes(nowMs)) {
             addNext(ResourceType.LISTENER, snapshot, nowMs, responses);
             addNext(ResourceType.ROUTES, snapshot, nowMs, responses);
         }
@@ -122,7 +122,7 @@
     private boolean mustRetainClusters(ConfigSnapshot snapshot, double nowMs) {
         double retainedMs = nowMs - clustersRetainedSinceMs;
         boolean upToDate = isUpToDate(ResourceType.LISTENER, snapshot) && isUpToDate(ResourceType.ROUTES, snapshot);
-        return rejectsRoutes() ? retainedMs < REJECTED_ROUTES_HOLD_MS : !upToDate && retainedMs < ACK_TIMEOUT_MS;
+        return rejectsRoutes() ? retainedMs < REJECTED_ROUTES_RETENTION_MS : !upToDate && retainedMs < ACK_TIMEOUT_MS;
     }
 
     private boolean rejectsRoutes() {
@@ -141,18 +141,18 @@
         return subscriptions.containsKey(type) && subscriptions.get(type).awaitsAckOfNewNames();
     }
 
-    private boolean holdsRoutes(double nowMs) {
+    private boolean delaysRoutes(double nowMs) {
         // A client that does not subscribe to clusters on this stream has them from another source, so nothing is
         // delayed.
         if (!subscriptions.containsKey(ResourceType.CLUSTER)
                 || !awaitsAckOfNewNames(ResourceType.CLUSTER) && !awaitsAckOfNewNames(ResourceType.ENDPOINTS)) {
-            routesHeldSinceMs = Double.NaN;
+            routesDelayedSinceMs = Double.NaN;
             return false;
         }
-        if (Double.isNaN(routesHeldSinceMs)) {
-            routesHeldSinceMs = nowMs;
+        if (Double.isNaN(routesDelayedSinceMs)) {
+            routesDelayedSinceMs = nowMs;
         }
-        return nowMs - routesHeldSinceMs < ACK_TIMEOUT_MS;
+        return nowMs - routesDelayedSinceMs < ACK_TIMEOUT_MS;
     }
 
     /** Returns responses that renew the lifetimes of the resources that have one. */
@@ -172,11 +172,12 @@
      * positive infinity if no such call is needed.
      */
     public double nextCheckAtMs() {
-        double held = Double.isNaN(routesHeldSinceMs) ? Double.POSITIVE_INFINITY : routesHeldSinceMs + ACK_TIMEOUT_MS;
-        double retainedUntil = Double.isNaN(clustersRetainedSinceMs)
+        double delayedUntilMs =
+                Double.isNaN(routesDelayedSinceMs) ? Double.POSITIVE_INFINITY : routesDelayedSinceMs + ACK_TIMEOUT_MS;
+        double retainedUntilMs = Double.isNaN(clustersRetainedSinceMs)
                 ? Double.POSITIVE_INFINITY
-                : clustersRetainedSinceMs + (rejectsRoutes() ? REJECTED_ROUTES_HOLD_MS : ACK_TIMEOUT_MS);
-        return Math.min(held, retainedUntil);
+                : clustersRetainedSinceMs + (rejectsRoutes() ? REJECTED_ROUTES_RETENTION_MS : ACK_TIMEOUT_MS);
+        return Math.min(delayedUntilMs, retainedUntilMs);
     }
 
     /**
--- a/control/src/test/java/opalcove/control/LayersTest.java
+++ b/control/src/test/java/opalcove/control/LayersTest.java
@@ -9,7 +9,7 @@
 public class LayersTest {
     /** Checks that the stream and cluster state uses no sockets, threads, files or clocks. */
     @Test
-    public void theStateOfStreamsIsFreeOfIo() {
+    public void xdsAndClusterPackagesDependOnNoIo() {
         noClasses()
                 .that()
                 .resideInAnyPackage("opalcove.control.xds..", "opalcove.control.cluster..")
--- a/control/src/test/java/opalcove/control/cluster/ClusterStateTest.java
+++ b/control/src/test/java/opalcove/control/cluster/ClusterStateTest.java
@@ -27,14 +27,14 @@
 
 public class ClusterStateTest {
     /** Start of the test, ms; long after the slow start of the initial backends. */
-    private static final double START = 1_000_000;
+    private static final double START_MS = 1_000_000;
 
     private ClusterState cluster;
 
     @BeforeMethod
     public void open() {
         cluster = new ClusterState(
-                START,
+                START_MS,
                 settings(),
                 1,
                 0.5,
@@ -71,7 +71,7 @@
                 "127.0.0.1:" + (7000 + number));
     }
 
-    private static List<Backend> four() {
+    private static List<Backend> fourBackends() {
         return new ArrayList<>(List.of(
                 backend(1, "room-a", 1, EndpointState.UP, 1000),
                 backend(2, "room-a", 2, EndpointState.UP, 1000),
@@ -80,7 +80,7 @@
     }
 
     /** Formats each locality as a line {@code ZONE pPRIORITY: PORT*WEIGHT ...}, with ~ for a draining endpoint. */
-    private static String seen(ConfigSnapshot snapshot, String cluster) throws Exception {
+    private static String endpointLines(ConfigSnapshot snapshot, String cluster) throws Exception {
         ClusterLoadAssignment all =
                 snapshot.resource(ResourceType.ENDPOINTS, cluster).body().unpack(ClusterLoadAssignment.class);
         StringBuilder text = new StringBuilder();
@@ -106,35 +106,38 @@
     }
 
     @Test
-    public void aServiceWithoutAListSendsNothing() {
+    public void hasEmptySnapshotUntilFirstNonEmptyList() {
         assertSame(cluster.snapshot("room-a"), ConfigSnapshot.EMPTY);
-        cluster.onEndpoints(START, complete(List.of()));
+        cluster.onEndpoints(START_MS, complete(List.of()));
         assertSame(cluster.snapshot("room-a"), ConfigSnapshot.EMPTY, "an empty first list has no effect");
-        cluster.onEndpoints(START + 10, complete(four()));
+        cluster.onEndpoints(START_MS + 10, complete(fourBackends()));
         assertTrue(cluster.snapshot("room-a").revision() > 0);
     }
 
     @Test
-    public void aProxyUsesItsOwnZoneFirst() throws Exception {
-        cluster.onEndpoints(START, complete(four()));
+    public void prefersEndpointsInZoneOfProxy() throws Exception {
+        cluster.onEndpoints(START_MS, complete(fourBackends()));
         assertEquals(
-                seen(cluster.snapshot("room-a"), "all"), "room-a p0: 7001*100 7002*100\nroom-b p1: 7003*100 7004*100");
+                endpointLines(cluster.snapshot("room-a"), "all"),
+                "room-a p0: 7001*100 7002*100\nroom-b p1: 7003*100 7004*100");
         assertEquals(
-                seen(cluster.snapshot("room-b"), "all"), "room-b p0: 7003*100 7004*100\nroom-a p1: 7001*100 7002*100");
+                endpointLines(cluster.snapshot("room-b"), "all"),
+                "room-b p0: 7003*100 7004*100\nroom-a p1: 7001*100 7002*100");
         assertEquals(
-                seen(cluster.snapshot("room-z"), "all"), "room-a p0: 7001*100 7002*100\nroom-b p0: 7003*100 7004*100");
-        assertEquals(seen(cluster.snapshot("room-a"), "pod-1"), "room-a p0: 7001*100\nroom-b p1: 7003*100");
+                endpointLines(cluster.snapshot("room-z"), "all"),
+                "room-a p0: 7001*100 7002*100\nroom-b p0: 7003*100 7004*100");
+        assertEquals(endpointLines(cluster.snapshot("room-a"), "pod-1"), "room-a p0: 7001*100\nroom-b p1: 7003*100");
     }
 
     @Test
-    public void aDrainingBackendTakesNothingNewAtOnceAndOnlyWhatChangedIsSent() throws Exception {
-        cluster.onEndpoints(START, complete(four()));
+    public void changesOnlyClustersOfBackendAtOnceAfterDrain() throws Exception {
+        cluster.onEndpoints(START_MS, complete(fourBackends()));
         ConfigSnapshot before = cluster.snapshot("room-a");
-        cluster.onEndpoints(START + 10, changes(List.of(backend(2, "room-a", 2, EndpointState.DRAINING, 1000))));
+        cluster.onEndpoints(START_MS + 10, changes(List.of(backend(2, "room-a", 2, EndpointState.DRAINING, 1000))));
         ConfigSnapshot after = cluster.snapshot("room-a");
-        assertEquals(seen(after, "all"), "room-a p0: 7001*100 7002~\nroom-b p1: 7003*100 7004*100");
+        assertEquals(endpointLines(after, "all"), "room-a p0: 7001*100 7002~\nroom-b p1: 7003*100 7004*100");
         assertSame(after.resource(ResourceType.ENDPOINTS, "pod-1"), before.resource(ResourceType.ENDPOINTS, "pod-1"));
-        cluster.onEndpoints(START + 20, changes(List.of(backend(2, "room-a", 2, EndpointState.UP, 1000))));
+        cluster.onEndpoints(START_MS + 20, changes(List.of(backend(2, "room-a", 2, EndpointState.UP, 1000))));
         assertEquals(
                 cluster.snapshot("room-a")
                         .resource(ResourceType.ENDPOINTS, "all")
@@ -148,22 +151,22 @@
      * weight.
      */
     @Test
-    public void aBackendInSlowStartGetsLessThanTheRuleAtEachMoment() throws Exception {
-        List<Backend> list = four();
-        cluster.onEndpoints(START, complete(list));
-        list.add(backend(5, "room-a", 1, EndpointState.UP, START + 100));
-        cluster.onEndpoints(START + 100, complete(list));
+    public void limitsWeightToSlowStartRuleAtAllTimes() throws Exception {
+        List<Backend> list = fourBackends();
+        cluster.onEndpoints(START_MS, complete(list));
+        list.add(backend(5, "room-a", 1, EndpointState.UP, START_MS + 100));
+        cluster.onEndpoints(START_MS + 100, complete(list));
         int last = 0;
         int steps = 0;
-        for (double now = START + 100; now <= START + 20_000; now += 50) {
+        for (double now = START_MS + 100; now <= START_MS + 20_000; now += 50) {
             cluster.advance(now);
-            String line = seen(cluster.snapshot("room-a"), "pod-1")
+            String line = endpointLines(cluster.snapshot("room-a"), "pod-1")
                     .lines()
                     .findFirst()
                     .orElseThrow();
             int weight = Integer.parseInt(line.substring(line.indexOf("7005*") + 5));
-            double allowed = Math.min(1, 0.17 + 0.83 * (now - START - 100) / 18_000);
-            assertTrue(weight <= 100 * Math.min(1, allowed), "weight " + weight + " at " + (now - START));
+            double allowed = Math.min(1, 0.17 + 0.83 * (now - START_MS - 100) / 18_000);
+            assertTrue(weight <= 100 * Math.min(1, allowed), "weight " + weight + " at " + (now - START_MS));
             assertTrue(weight >= last, "the weight must not decrease");
             steps += weight > last ? 1 : 0;
             last = weight;
@@ -173,56 +176,59 @@
     }
 
     @Test
-    public void aBackendRestartedAtItsAddressIsInSlowStart() throws Exception {
-        cluster.onEndpoints(START, complete(four()));
-        cluster.onEndpoints(START + 10, changes(List.of(backend(1, "room-a", 1, EndpointState.UP, START + 5))));
-        assertEquals(seen(cluster.snapshot("room-a"), "pod-1"), "room-a p0: 7001*15\nroom-b p1: 7003*100");
+    public void appliesSlowStartToBackendRestartedAtSameAddress() throws Exception {
+        cluster.onEndpoints(START_MS, complete(fourBackends()));
+        cluster.onEndpoints(START_MS + 10, changes(List.of(backend(1, "room-a", 1, EndpointState.UP, START_MS + 5))));
+        assertEquals(endpointLines(cluster.snapshot("room-a"), "pod-1"), "room-a p0: 7001*15\nroom-b p1: 7003*100");
     }
 
     @Test
-    public void aTornListRemovesNoBackendsButDrainsInItAreApplied() throws Exception {
-        cluster.onEndpoints(START, complete(four()));
-        cluster.onEndpoints(START + 10, complete(List.of()));
+    public void appliesDrainsInTruncatedListWithoutRemovingBackends() throws Exception {
+        cluster.onEndpoints(START_MS, complete(fourBackends()));
+        cluster.onEndpoints(START_MS + 10, complete(List.of()));
         assertEquals(cluster.backendNames().size(), 4);
         assertEquals(cluster.missingBackendNames().size(), 4);
-        cluster.onEndpoints(START + 20, complete(List.of(backend(2, "room-a", 2, EndpointState.DRAINING, 1000))));
+        cluster.onEndpoints(START_MS + 20, complete(List.of(backend(2, "room-a", 2, EndpointState.DRAINING, 1000))));
         assertEquals(
-                seen(cluster.snapshot("room-a"), "all"), "room-a p0: 7001*100 7002~\nroom-b p1: 7003*100 7004*100");
+                endpointLines(cluster.snapshot("room-a"), "all"),
+                "room-a p0: 7001*100 7002~\nroom-b p1: 7003*100 7004*100");
         assertEquals(cluster.missingBackendNames(), Set.of("node-1", "node-3", "node-4"));
-        cluster.onEndpoints(START + 30, complete(four()));
+        cluster.onEndpoints(START_MS + 30, complete(fourBackends()));
         assertEquals(cluster.missingBackendNames(), Set.of());
     }
 
     @Test
-    public void operatorsMayOverrideTheShrinkLimitAndNamedRemovalsAreApplied() throws Exception {
-        cluster.onEndpoints(START, complete(four()));
+    public void appliesNamedRemovalsAndOverrideOfShrinkLimit() throws Exception {
+        cluster.onEndpoints(START_MS, complete(fourBackends()));
         cluster.onEndpoints(
-                START + 10,
+                START_MS + 10,
                 changes(List.of(
                         backend(1, "room-a", 1, EndpointState.REMOVED, 1000),
                         backend(2, "room-a", 2, EndpointState.REMOVED, 1000),
                         backend(3, "room-b", 1, EndpointState.REMOVED, 1000))));
         assertEquals(cluster.backendNames(), Set.of("node-4"));
-        cluster.onEndpoints(START + 20, complete(List.of()));
+        cluster.onEndpoints(START_MS + 20, complete(List.of()));
         assertEquals(cluster.backendNames(), Set.of("node-4"), "a list without the last backend does not remove it");
-        cluster.onEndpoints(START + 30, overriding(List.of()));
+        cluster.onEndpoints(START_MS + 30, overriding(List.of()));
         assertEquals(cluster.backendNames(), Set.of());
     }
 
     @Test
-    public void errorsThatProxiesReportLowerAWeightAndFade() throws Exception {
-        cluster.onEndpoints(START, complete(four()));
+    public void lowersWeightTemporarilyAfterReportedErrors() throws Exception {
+        cluster.onEndpoints(START_MS, complete(fourBackends()));
         ConfigSnapshot before = cluster.snapshot("room-a");
-        cluster.onLoadReport(START + 10, "proxy-1", new EndpointLoad("127.0.0.1:7001", 50, 5, 45, 0));
-        assertTrue(cluster.advance(START + 250));
-        String line =
-                seen(cluster.snapshot("room-a"), "pod-1").lines().findFirst().orElseThrow();
+        cluster.onLoadReport(START_MS + 10, "proxy-1", new EndpointLoad("127.0.0.1:7001", 50, 5, 45, 0));
+        assertTrue(cluster.advance(START_MS + 250));
+        String line = endpointLines(cluster.snapshot("room-a"), "pod-1")
+                .lines()
+                .findFirst()
+                .orElseThrow();
         assertTrue(Integer.parseInt(line.substring(line.indexOf("7001*") + 5)) < 20, line);
-        for (double now = START + 250; now < START + 60_000; now += 250) {
+        for (double now = START_MS + 250; now < START_MS + 60_000; now += 250) {
             cluster.onLoadReport(now, "proxy-1", new EndpointLoad("127.0.0.1:7002", 20, 20, 0, 3));
             cluster.advance(now);
         }
-        assertEquals(seen(cluster.snapshot("room-a"), "all"), seen(before, "all"));
-        assertFalse(cluster.advance(START + 60_000), "nothing changes any more");
+        assertEquals(endpointLines(cluster.snapshot("room-a"), "all"), endpointLines(before, "all"));
+        assertFalse(cluster.advance(START_MS + 60_000), "nothing changes any more");
     }
 }
--- a/control/src/test/java/opalcove/control/server/ControlConfigFormTest.java
+++ b/control/src/test/java/opalcove/control/server/ControlConfigFormTest.java
@@ -14,12 +14,12 @@
 
 /** Tests the keys of the settings file, their defaults, and the literal error messages for invalid values. */
 public class ControlConfigFormTest {
-    private static final Path GOOD = Path.of("deploy/control.json");
+    private static final Path VALID_FILE = Path.of("deploy/control.json");
     /** Reported after any invalid cluster: no cluster is known then, so the cluster of the listener is not found. */
-    private static final String NO_SUCH_CLUSTER = "\nfield listeners[0].cluster is not among the clusters: swaps";
+    private static final String UNKNOWN_CLUSTER = "\nfield listeners[0].cluster is not among the clusters: swaps";
 
     @DataProvider
-    public Object[][] wrongs() {
+    public Object[][] invalidFiles() {
         return new Object[][] {
             {"\"listen\": \"127.0.0.1:18000\"", "\"listen\": 5", "field listen must be a text"},
             {"\"listen\": \"127.0.0.1:18000\", ", "", "field listen is missing"},
@@ -33,27 +33,27 @@
             {"\"admit\": []", "\"admit\": [1]", "field admit must hold texts"},
             {"\"admit\": []", "\"admit\": \"x\"", "field admit must be a list"},
             {"\"admit\"", "\"admits\"", "field admits is not known here"},
-            {"\"clusters\": [{\"name\": \"swaps\"}],", "", "field clusters is missing" + NO_SUCH_CLUSTER},
-            {"[{\"name\": \"swaps\"}]", "[]", "field clusters names no cluster" + NO_SUCH_CLUSTER},
+            {"\"clusters\": [{\"name\": \"swaps\"}],", "", "field clusters is missing" + UNKNOWN_CLUSTER},
+            {"[{\"name\": \"swaps\"}]", "[]", "field clusters names no cluster" + UNKNOWN_CLUSTER},
             {
                 "[{\"name\": \"swaps\"}]",
                 "[{\"name\": \"swaps\"}, {\"name\": \"\"}]",
-                "field clusters[1].name is empty or there twice: " + NO_SUCH_CLUSTER
+                "field clusters[1].name is empty or there twice: " + UNKNOWN_CLUSTER
             },
             {
                 "{\"name\": \"swaps\"}]",
                 "{\"name\": \"swaps\", \"lease_ms\": 999}]",
-                "field clusters[0].lease_ms must be 0 or at least 1000" + NO_SUCH_CLUSTER
+                "field clusters[0].lease_ms must be 0 or at least 1000" + UNKNOWN_CLUSTER
             },
             {
                 "{\"name\": \"swaps\"}]",
                 "{\"name\": \"swaps\", \"pods\": [\"x\"]}]",
-                "field clusters[0].pods must hold numbers" + NO_SUCH_CLUSTER
+                "field clusters[0].pods must hold numbers" + UNKNOWN_CLUSTER
             },
             {
                 "{\"name\": \"swaps\"}]",
                 "{\"name\": \"swaps\", \"kinds\": [1]}]",
-                "field clusters[0].kinds must hold texts" + NO_SUCH_CLUSTER
+                "field clusters[0].kinds must hold texts" + UNKNOWN_CLUSTER
             },
             {
                 "\"cluster\": \"swaps\"",
@@ -66,9 +66,9 @@
         };
     }
 
-    @Test(dataProvider = "wrongs")
-    public void aWrongFileIsRefusedWithFileKeyAndReason(String valid, String invalid, String problem) throws Exception {
-        String text = Files.readString(GOOD);
+    @Test(dataProvider = "invalidFiles")
+    public void rejectsInvalidFileWithFileKeyAndReason(String valid, String invalid, String problem) throws Exception {
+        String text = Files.readString(VALID_FILE);
         assertEquals(text.contains(valid), true, valid);
         Path file = Files.createTempFile("control", ".json");
         try {
@@ -84,7 +84,7 @@
     }
 
     @Test
-    public void aFileThatCannotBeReadIsNamed() {
+    public void namesFileThatCannotBeRead() {
         assertEquals(
                 expectThrows(InvalidConfigurationException.class, () -> ControlConfig.read(Path.of("deploy/none.json")))
                         .getMessage(),
@@ -92,12 +92,12 @@
     }
 
     @Test
-    public void whatIsAbsentHasItsDefault() throws Exception {
+    public void usesDefaultsForAbsentFields() throws Exception {
         Path file = Files.createTempFile("control", ".json");
         try {
             Files.writeString(
                     file,
-                    Files.readString(GOOD)
+                    Files.readString(VALID_FILE)
                             .replace("\"name\": \"control-1\", ", "")
                             .replace("\"most_shrink\": 0.5,", "")
                             .replace("\"admit\": [],", "")
--- a/control/src/test/java/opalcove/control/server/ControlServiceTest.java
+++ b/control/src/test/java/opalcove/control/server/ControlServiceTest.java
@@ -67,7 +67,7 @@
                                 .add(Json.object().add("name", "swaps"))
                                 .add(Json.object().add("name", "leased").add("lease_ms", 1000)));
         Files.writeString(folder.resolve("control.json"), settings.toString());
-        list("up", "up", "up");
+        writeList("up", "up", "up");
         service = new ControlService(ControlConfig.read(folder.resolve("control.json")));
         channel = Grpc.newChannelBuilder("127.0.0.1:" + service.port(), InsecureChannelCredentials.create())
                 .build();
@@ -86,7 +86,7 @@
     }
 
     /** Replaces the endpoint list atomically. */
-    private void list(String... states) throws Exception {
+    private void writeList(String... states) throws Exception {
         StringBuilder lines = new StringBuilder();
         for (int i = 0; i < states.length; i++) {
             lines.append(i == 0 ? "" : ",")
@@ -167,17 +167,17 @@
     }
 
     /** Waits until the status fulfils a condition and returns it. */
-    private JsonObject statusOnce(java.util.function.Predicate<JsonObject> holds) throws Exception {
+    private JsonObject awaitStatus(java.util.function.Predicate<JsonObject> condition) throws Exception {
         long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(20);
         JsonObject status = service.status();
-        while (!holds.test(status)) {
+        while (!condition.test(status)) {
             assertTrue(System.nanoTime() < until, status.toString());
             status = service.status();
         }
         return status;
     }
 
-    private static String waiting(JsonObject status) {
+    private static String drainsNotAcknowledged(JsonObject status) {
         StringBuilder text = new StringBuilder();
         for (JsonValue each : status.get("drains").asArray()) {
             text.append(each.asObject().getString("node", ""))
@@ -187,26 +187,32 @@
     }
 
     @Test
-    public void aDrainIsSentAtOnceAndItsStatusSaysWhoHasNotAcknowledgedIt() throws Exception {
+    public void sendsDrainAtOnceAndListsProxiesThatHaveNotAcknowledgedIt() throws Exception {
         Proxy one = new Proxy("proxy-1", "door");
         Proxy late = new Proxy("proxy-2", "door");
         assertEquals(one.next(), "{7201=up, 7202=up, 7203=up}");
         assertEquals(late.next(), "{7201=up, 7202=up, 7203=up}");
         one.acknowledge();
-        list("up", "draining", "up");
+        writeList("up", "draining", "up");
         assertEquals(one.next(), "{7201=up, 7202=draining, 7203=up}");
         assertEquals(late.next(), "{7201=up, 7202=draining, 7203=up}", "proxy-2 never acknowledged the first response");
         one.acknowledge();
-        assertEquals(waiting(statusOnce(status -> waiting(status).equals("app-2[\"proxy-2\"]"))), "app-2[\"proxy-2\"]");
+        assertEquals(
+                drainsNotAcknowledged(
+                        awaitStatus(status -> drainsNotAcknowledged(status).equals("app-2[\"proxy-2\"]"))),
+                "app-2[\"proxy-2\"]");
         late.acknowledge();
-        assertEquals(waiting(statusOnce(status -> waiting(status).equals("app-2[]"))), "app-2[]");
-        list("up", "up", "up");
+        assertEquals(
+                drainsNotAcknowledged(
+                        awaitStatus(status -> drainsNotAcknowledged(status).equals("app-2[]"))),
+                "app-2[]");
+        writeList("up", "up", "up");
         assertEquals(one.next(), "{7201=up, 7202=up, 7203=up}", "the drain was cancelled");
-        assertEquals(waiting(service.status()), "");
+        assertEquals(drainsNotAcknowledged(service.status()), "");
     }
 
     @Test
-    public void aLeaseIsRenewedBeforeItEnds() throws Exception {
+    public void renewsLeaseBeforeExpiry() throws Exception {
         BlockingQueue<DeltaDiscoveryResponse> received = new LinkedBlockingQueue<>();
         StreamObserver<DeltaDiscoveryRequest> out = AggregatedDiscoveryServiceGrpc.newStub(channel)
                 .deltaAggregatedResources(new StreamObserver<>() {
@@ -237,7 +243,7 @@
     }
 
     @Test
-    public void loadReportsSayWhoStillUsesADrainingBackend() throws Exception {
+    public void listsProxiesThatStillUseDrainingBackend() throws Exception {
         Proxy proxy = new Proxy("proxy-1", "door");
         proxy.next();
         BlockingQueue<LoadStatsResponse> reportRequests = new LinkedBlockingQueue<>();
@@ -264,10 +270,10 @@
         LoadStatsResponse response = reportRequests.poll(20, TimeUnit.SECONDS);
         assertEquals(response.getClustersList(), List.of("swaps", "leased"));
         assertTrue(response.getReportEndpointGranularity());
-        list("up", "draining", "up");
+        writeList("up", "draining", "up");
         proxy.next();
         reports.onNext(report(7202, 3, 2));
-        String used = statusOnce(status -> usedBy(status).contains("proxy-1"))
+        String used = awaitStatus(status -> usedBy(status).contains("proxy-1"))
                 .get("drains")
                 .asArray()
                 .get(0)
@@ -276,7 +282,7 @@
                 .toString();
         assertTrue(used.matches("\\[\\{\"proxy\":\"proxy-1\",\"in_hand\":2,\"last_new_ms\":\\d+}]"), used);
         reports.onNext(report(7202, 0, 0));
-        statusOnce(status -> usedBy(status).contains("\"in_hand\":0"));
+        awaitStatus(status -> usedBy(status).contains("\"in_hand\":0"));
     }
 
     private static LoadStatsRequest report(int port, long issued, long inProgress) {
@@ -302,20 +308,20 @@
     }
 
     @Test
-    public void anEmptyOrTornListRemovesNothing() throws Exception {
+    public void removesNoBackendsAfterEmptyOrTruncatedList() throws Exception {
         Proxy proxy = new Proxy("proxy-1", "door");
         assertEquals(proxy.next(), "{7201=up, 7202=up, 7203=up}");
         write("{\"index\":1,\"snapshot\":true,\"endpo");
-        String problem = statusOnce(
+        String problem = awaitStatus(
                         status -> !status.getString("source_problem", "").isEmpty())
                 .getString("source_problem", "");
         assertTrue(problem.contains("control-nodes.json: malformed JSON"), problem);
         write("{\"index\":2,\"snapshot\":true,\"endpoints\":[]}");
         assertEquals(
-                statusOnce(status -> status.get("missing").asArray().size() == 3)
+                awaitStatus(status -> status.get("missing").asArray().size() == 3)
                         .getInt("nodes", 0),
                 3);
-        list("up", "up", "draining");
+        writeList("up", "up", "draining");
         assertEquals(proxy.next(), "{7201=up, 7202=up, 7203=draining}", "no response was sent for the empty list");
         write(
                 "{\"index\":3,\"snapshot\":true,\"override\":true,\"endpoints\":[{\"name\":\"app-1\",\"address\":\"127.0.0.1:7201\"}]}");
@@ -323,16 +329,16 @@
     }
 
     @Test
-    public void aProxyOfAnotherClusterIsRejectedWithTheReason() throws Exception {
-        Proxy stranger = new Proxy("proxy-9", "kitchen");
-        Object end = stranger.received.poll(20, TimeUnit.SECONDS);
+    public void rejectsProxyWithReasonIfClusterIsNotAdmitted() throws Exception {
+        Proxy rejectedProxy = new Proxy("proxy-9", "kitchen");
+        Object end = rejectedProxy.received.poll(20, TimeUnit.SECONDS);
         assertEquals(((StatusRuntimeException) end).getStatus().getCode(), Status.Code.PERMISSION_DENIED);
         assertEquals(((StatusRuntimeException) end).getStatus().getDescription(), "proxy proxy-9 is not admitted");
         assertEquals(service.status().get("proxies").asArray().size(), 0);
     }
 
     @Test
-    public void allProblemsOfASettingsFileAreReportedAtOnce() throws Exception {
+    public void reportsAllProblemsOfSettingsFileAtOnce() throws Exception {
         Path file = folder.resolve("bad.json");
         Files.writeString(
                 file,
--- a/control/src/test/java/opalcove/control/server/GrpcClientTest.java
+++ b/control/src/test/java/opalcove/control/server/GrpcClientTest.java
@@ -132,7 +132,7 @@
     }
 
     /** Repeats series of 20 calls until one series is served by exactly these backends. */
-    private void untilServedBy(Set<String> expected) {
+    private void awaitServedBy(Set<String> expected) {
         long until = System.nanoTime() + TIMEOUT_NS;
         Set<String> last = Set.of();
         while (!last.equals(expected)) {
@@ -145,19 +145,19 @@
     }
 
     @Test
-    public void itsCallsGoWhereTheControlServiceSays() throws Exception {
-        untilServedBy(Set.of("backend-a", "backend-b"));
+    public void routesCallsToEndpointsFromControlService() throws Exception {
+        awaitServedBy(Set.of("backend-a", "backend-b"));
         send(endpoints(Set.of(), Set.of()));
-        untilServedBy(Set.of("backend-a", "backend-b", "backend-c"));
+        awaitServedBy(Set.of("backend-a", "backend-b", "backend-c"));
         send(endpoints(Set.of(1), Set.of()));
-        untilServedBy(Set.of("backend-a", "backend-c"));
+        awaitServedBy(Set.of("backend-a", "backend-c"));
         send(endpoints(Set.of(), Set.of(0, 1)));
-        untilServedBy(Set.of("backend-c"));
+        awaitServedBy(Set.of("backend-c"));
     }
 
     @Test
-    public void aRejectionIsReportedWithItsReasonAndTheClientKeepsWhatItHas() throws Exception {
-        untilServedBy(Set.of("backend-a", "backend-b"));
+    public void reportsRejectionAndClientContinuesWithLastAcceptedCluster() throws Exception {
+        awaitServedBy(Set.of("backend-a", "backend-b"));
         // The client does not support this type of cluster.
         send(Resource.of(
                 ResourceType.CLUSTER,
@@ -184,6 +184,6 @@
         assertEquals(Set.of("backend-a", "backend-b").contains(call()), true);
         send(ResourceFactory.cluster("std"));
         send(endpoints(Set.of(), Set.of(0)));
-        untilServedBy(Set.of("backend-b", "backend-c"));
+        awaitServedBy(Set.of("backend-b", "backend-c"));
     }
 }
--- a/control/src/test/java/opalcove/control/server/StatusFormTest.java
+++ b/control/src/test/java/opalcove/control/server/StatusFormTest.java
@@ -60,7 +60,7 @@
                 Json.parse(Files.readString(Path.of("deploy/control.json"))).asObject();
         settings.set("listen", "127.0.0.1:0").set("status", "127.0.0.1:0").set("admit", Json.array("door"));
         Files.writeString(folder.resolve("control.json"), settings.toString());
-        list("up", "up");
+        writeList("up", "up");
         service = new ControlService(ControlConfig.read(folder.resolve("control.json")));
         channel = Grpc.newChannelBuilder("127.0.0.1:" + service.port(), InsecureChannelCredentials.create())
                 .build();
@@ -78,7 +78,7 @@
         Files.delete(folder);
     }
 
-    private void list(String first, String second) throws Exception {
+    private void writeList(String first, String second) throws Exception {
         write(
                 """
                 {"index":1,"snapshot":true,"endpoints":[
@@ -98,7 +98,7 @@
      */
     private final class Proxy implements StreamObserver<DiscoveryResponse> {
         final BlockingQueue<Object> received = new LinkedBlockingQueue<>();
-        final Set<String> silent = ConcurrentHashMap.newKeySet();
+        final Set<String> unacknowledgedTypes = ConcurrentHashMap.newKeySet();
         private final String rejected;
         private final StreamObserver<DiscoveryRequest> out =
                 AggregatedDiscoveryServiceGrpc.newStub(channel).streamAggregatedResources(this);
@@ -122,7 +122,7 @@
         public synchronized void onNext(DiscoveryResponse response) {
             received.add(response);
             String type = response.getTypeUrl();
-            if (silent.contains(type)) {
+            if (unacknowledgedTypes.contains(type)) {
                 return;
             }
             DiscoveryRequest.Builder acknowledgement =
@@ -172,7 +172,7 @@
     }
 
     @Test
-    public void theStatusOfAServiceWithoutProxies() throws Exception {
+    public void showsStatusWithoutProxies() throws Exception {
         assertStatus(
                 """
                 {"name":"control-1","nodes":2,"missing":[],"source_problem":"","proxies":[],"drains":[]}""");
@@ -186,7 +186,7 @@
     }
 
     @Test
-    public void theStatusOfAListThatLacksBackendsOrCannotBeRead() throws Exception {
+    public void showsMissingBackendsAndSourceProblem() throws Exception {
         write("{\"index\":2,\"snapshot\":true,\"endpoints\":[]}");
         assertStatus(
                 """
@@ -209,7 +209,7 @@
     }
 
     @Test
-    public void theStatusOfAProxyAndOfADrain() throws Exception {
+    public void showsProxiesAndDrains() throws Exception {
         Proxy proxy = new Proxy(LISTENER);
         proxy.subscribe(CLUSTER);
         proxy.subscribe(ENDPOINTS, "swaps");
@@ -223,8 +223,8 @@
                 "endpoints":{"behind":0,"waiting_ms":0,"taken":1,"refused":0,"reason":""},
                 "listener":{"behind":0,"waiting_ms":0,"taken":0,"refused":1,"reason":"no such filter"},
                 "routes":{"behind":0,"waiting_ms":0,"taken":1,"refused":0,"reason":""}}}],"drains":[]}""");
-        proxy.silent.add(ENDPOINTS);
-        list("up", "draining");
+        proxy.unacknowledgedTypes.add(ENDPOINTS);
+        writeList("up", "draining");
         assertStatus(
                 """
                 {"name":"control-1","nodes":2,"missing":[],"source_problem":"","proxies":[
@@ -259,7 +259,7 @@
     }
 
     @Test
-    public void aRejectedStreamSaysWhy() throws Exception {
+    public void reportsReasonOfRejectedStream() throws Exception {
         Proxy proxy = new Proxy("");
         proxy.subscribe("", "swaps");
         assertEquals(status(proxy.received), "INVALID_ARGUMENT: type  is not served on this stream");
@@ -279,7 +279,7 @@
     }
 
     @Test
-    public void aNonceNamesServiceStreamAndResponse() throws Exception {
+    public void formsNonceFromServiceStreamAndResponse() throws Exception {
         Proxy proxy = new Proxy("");
         proxy.subscribe(CLUSTER);
         DiscoveryResponse response = (DiscoveryResponse) proxy.received.poll(20, TimeUnit.SECONDS);
@@ -336,7 +336,7 @@
     }
 
     @Test
-    public void theServicesAndTheirMethods() {
+    public void listsServicesAndMethods() {
         try (SerialExecutor executor = new SerialExecutor()) {
             List<String> methods = new SessionRegistry(executor, proxy -> null)
                     .services().stream()
--- a/control/src/test/java/opalcove/control/xds/DeltaTest.java
+++ b/control/src/test/java/opalcove/control/xds/DeltaTest.java
@@ -12,7 +12,7 @@
 
 public class DeltaTest {
     @Test
-    public void aFirstRequestWithoutNamesSubscribesToAllAndOnlyChangesFollow() {
+    public void subscribesToAllAndSendsOnlyChangesAfterRequestWithoutNames() {
         Proxy proxy = new Proxy().set(CLUSTER, 1, "a", "b");
         proxy.subscribe(CLUSTER);
         assertEquals(proxy.deltaResponses(), "CLUSTER n1: a b");
@@ -24,7 +24,7 @@
     }
 
     @Test
-    public void aNameThatDoesNotExistIsSentAsRemoved() {
+    public void sendsRemovalForNameThatDoesNotExist() {
         Proxy proxy = new Proxy();
         proxy.subscribe(ENDPOINTS, "later");
         assertEquals(proxy.deltaResponses(), "ENDPOINTS n1: -later");
@@ -33,7 +33,7 @@
     }
 
     @Test
-    public void whatIsSubscribedToAgainIsSentAgain() {
+    public void resendsResourceSubscribedToAgain() {
         Proxy proxy = new Proxy().set(ENDPOINTS, 1, "a", "b");
         proxy.subscribe(ENDPOINTS, "a", "b");
         assertEquals(proxy.deltaResponses(), "ENDPOINTS n1: a b");
@@ -45,7 +45,7 @@
     }
 
     @Test
-    public void aNameUnsubscribedUnderAWildcardIsSentOnceMore() {
+    public void resendsNameUnsubscribedUnderWildcard() {
         Proxy proxy = new Proxy().set(CLUSTER, 1, "a");
         proxy.subscribe(CLUSTER, "*", "a", "none");
         assertEquals(proxy.deltaResponses(), "CLUSTER n1: a -none");
@@ -60,7 +60,7 @@
     }
 
     @Test
-    public void aProxyThatReconnectsIsSentWhatChangedMeanwhile() {
+    public void sendsChangesSinceEarlierStreamAfterReconnect() {
         Proxy proxy = new Proxy().set(CLUSTER, 1, "same", "other", "fresh");
         proxy.delta.onRequest(
                 CLUSTER,
@@ -77,7 +77,7 @@
     }
 
     @Test
-    public void namedResourcesThatItHasAreNotSentAgainOnReconnect() {
+    public void omitsNamedResourcesThatProxyHasAfterReconnect() {
         Proxy proxy = new Proxy().set(ENDPOINTS, 1, "a", "b");
         proxy.delta.onRequest(
                 ENDPOINTS,
@@ -90,7 +90,7 @@
     }
 
     @Test
-    public void ofSeveralResourcesTheOneAtFaultIsFound() {
+    public void isolatesRejectedResourceAmongSeveral() {
         Proxy proxy = new Proxy().set(CLUSTER, 1, "a", "b", "c");
         proxy.subscribe(CLUSTER);
         proxy.deltaResponses();
@@ -115,7 +115,7 @@
     }
 
     @Test
-    public void aLifetimeIsRenewedWithoutTheResource() throws Exception {
+    public void renewsLifetimeWithoutSendingResourceBody() throws Exception {
         Proxy proxy = new Proxy();
         proxy.snapshot =
                 ConfigSnapshot.EMPTY.with(List.of(ResourceFactory.endpoints("leased", 3000, List.of())), Map.of());
@@ -138,7 +138,7 @@
     }
 
     @Test
-    public void aProxyThatNeverAcknowledgesCostsBoundedMemory() {
+    public void boundsPendingResponsesOfProxyThatNeverAcknowledges() {
         Proxy proxy = new Proxy().set(ENDPOINTS, 0, "a");
         proxy.subscribe(ENDPOINTS, "a");
         for (int i = 1; i <= 1000; i++) {
--- a/control/src/test/java/opalcove/control/xds/OrderTest.java
+++ b/control/src/test/java/opalcove/control/xds/OrderTest.java
@@ -9,7 +9,7 @@
 
 /** Tests the make-before-break order of the types on one stream. */
 public class OrderTest {
-    private static Proxy running() {
+    private static Proxy proxyWithAcceptedRoutes() {
         Proxy proxy =
                 new Proxy().set(CLUSTER, 1, "old").set(ENDPOINTS, 1, "old").set(ROUTES, 1, "r");
         proxy.requestSotw(CLUSTER, "");
@@ -24,7 +24,7 @@
         return proxy;
     }
 
-    private static void swap(Proxy proxy) {
+    private static void replaceCluster(Proxy proxy) {
         proxy.set(CLUSTER, 1, "new")
                 .set(ENDPOINTS, 1, "new")
                 .set(ROUTES, 2, "r")
@@ -32,9 +32,9 @@
     }
 
     @Test
-    public void routesFollowTheClustersTheyNameAndOldOnesGoLast() {
-        Proxy proxy = running();
-        swap(proxy);
+    public void sendsRoutesAfterTheirClustersAndRemovesOldClustersLast() {
+        Proxy proxy = proxyWithAcceptedRoutes();
+        replaceCluster(proxy);
         assertEquals(proxy.sotwResponses(), "CLUSTER n2: new old");
         proxy.requestSotw(CLUSTER, "n2");
         proxy.requestSotw(ENDPOINTS, "n1", "old", "new");
@@ -49,9 +49,9 @@
     }
 
     @Test
-    public void aProxyThatDoesNotAcknowledgeIsWaitedForASecond() {
-        Proxy proxy = running();
-        swap(proxy);
+    public void sendsRoutesAfterOneSecondWithoutAcknowledgement() {
+        Proxy proxy = proxyWithAcceptedRoutes();
+        replaceCluster(proxy);
         assertEquals(proxy.sotwResponses(), "CLUSTER n2: new old");
         proxy.nowMs = 999;
         assertEquals(proxy.sotwResponses(), "");
@@ -61,17 +61,17 @@
     }
 
     @Test
-    public void aDrainDoesNotWaitForAnotherTypesAcknowledgement() {
-        Proxy proxy = running();
-        swap(proxy);
+    public void sendsDrainWhileAnotherTypeIsUnacknowledged() {
+        Proxy proxy = proxyWithAcceptedRoutes();
+        replaceCluster(proxy);
         proxy.sotwResponses();
         proxy.set(ENDPOINTS, 2, "old");
         assertEquals(proxy.sotwResponses(), "ENDPOINTS n2: old");
     }
 
     @Test
-    public void aRejectedRouteKeepsItsCluster() {
-        Proxy proxy = running();
+    public void retainsClusterForSixtySecondsAfterRejectionOfRoutes() {
+        Proxy proxy = proxyWithAcceptedRoutes();
         proxy.set(ROUTES, 2, "r").remove(CLUSTER, "old");
         assertEquals(proxy.sotwResponses(), "ROUTES n2: r");
         proxy.rejectSotw(ROUTES, "n2", "no", "r");
--- a/control/src/test/java/opalcove/control/xds/ResourceFormTest.java
+++ b/control/src/test/java/opalcove/control/xds/ResourceFormTest.java
@@ -39,18 +39,18 @@
                 .strip();
     }
 
-    private static void assertForm(Resource resource, Class<? extends Message> form, String version, String text)
-            throws Exception {
-        assertEquals(text(resource.body().unpack(form)), text.replace("\n", " "));
+    private static void assertEncoding(
+            Resource resource, Class<? extends Message> messageType, String version, String text) throws Exception {
+        assertEquals(text(resource.body().unpack(messageType)), text.replace("\n", " "));
         assertEquals(resource.version(), version);
         assertEquals(
                 resource.body().getTypeUrl(),
-                "type.googleapis.com/" + form.getName().replace("io.envoyproxy.", ""));
+                "type.googleapis.com/" + messageType.getName().replace("io.envoyproxy.", ""));
     }
 
     @Test
-    public void aCluster() throws Exception {
-        assertForm(
+    public void encodesCluster() throws Exception {
+        assertEncoding(
                 ResourceFactory.cluster("swaps"),
                 Cluster.class,
                 "edfd337923d3bad6",
@@ -60,8 +60,8 @@
     }
 
     @Test
-    public void endpointsOfACluster() throws Exception {
-        assertForm(
+    public void encodesEndpointsOfCluster() throws Exception {
+        assertEncoding(
                 SWAPS,
                 ClusterLoadAssignment.class,
                 "f7918b1c9639b90e",
@@ -74,7 +74,7 @@
     }
 
     @Test
-    public void aListenerOfProxylessClients() throws Exception {
+    public void encodesListenerForProxylessClients() throws Exception {
         Resource listener = ResourceFactory.apiListener("swaps", "routes");
         HttpConnectionManager manager = listener.body()
                 .unpack(Listener.class)
@@ -92,8 +92,8 @@
     }
 
     @Test
-    public void routes() throws Exception {
-        assertForm(
+    public void encodesRoutes() throws Exception {
+        assertEncoding(
                 ResourceFactory.routes("routes", "swaps"),
                 RouteConfiguration.class,
                 "76fdc633d0e8ef9c",
@@ -103,7 +103,7 @@
     }
 
     @Test
-    public void theTypesAndTheirOrder() {
+    public void listsTypesInSendingOrder() {
         StringBuilder types = new StringBuilder();
         for (ResourceType each : ResourceType.values()) {
             types.append(each.url()).append('\n');
@@ -124,7 +124,7 @@
     }
 
     @Test
-    public void aStateOfTheWorldResponseAndItsRenewal() {
+    public void encodesStateOfTheWorldResponseAndRenewal() {
         XdsStream<DiscoveryRequest, DiscoveryResponse> stream = XdsStream.sotw("n.", true);
         for (ResourceType each : List.of(ResourceType.CLUSTER, ResourceType.ENDPOINTS)) {
             DiscoveryRequest.Builder request = DiscoveryRequest.newBuilder().setTypeUrl(each.url());
@@ -158,7 +158,7 @@
     }
 
     @Test
-    public void anIncrementalResponseAndItsRenewal() {
+    public void encodesIncrementalResponseAndRenewal() {
         XdsStream<DeltaDiscoveryRequest, DeltaDiscoveryResponse> stream = XdsStream.delta("n.");
         stream.onRequest(
                 ResourceType.ENDPOINTS,
--- a/control/src/test/java/opalcove/control/xds/SotwTest.java
+++ b/control/src/test/java/opalcove/control/xds/SotwTest.java
@@ -11,7 +11,7 @@
 
 public class SotwTest {
     @Test
-    public void aFirstRequestWithoutNamesSubscribesToAll() {
+    public void subscribesToAllAfterFirstRequestWithoutNames() {
         Proxy proxy = new Proxy().set(CLUSTER, 1, "a", "b");
         proxy.requestSotw(CLUSTER, "");
         assertEquals(proxy.sotwResponses(), "CLUSTER n1: a b");
@@ -28,7 +28,7 @@
     }
 
     @Test
-    public void theFirstRequestGetsAResponseEvenWhereThereIsNothing() {
+    public void respondsToFirstRequestWithoutAnyResources() {
         Proxy proxy = new Proxy();
         proxy.requestSotw(CLUSTER, "");
         assertEquals(proxy.sotwResponses(), "CLUSTER n1:");
@@ -36,7 +36,7 @@
     }
 
     @Test
-    public void afterNamesNoNamesMeanNone() {
+    public void treatsEmptyNamesAsNoneAfterNamedRequest() {
         Proxy proxy = new Proxy().set(LISTENER, 1, "a", "b");
         proxy.requestSotw(LISTENER, "", "a");
         assertEquals(proxy.sotwResponses(), "LISTENER n1: a");
@@ -51,7 +51,7 @@
     }
 
     @Test
-    public void onlyChangedEndpointsAreSent() {
+    public void sendsOnlyChangedEndpoints() {
         Proxy proxy = new Proxy().set(ENDPOINTS, 1, "a", "b", "c");
         proxy.requestSotw(ENDPOINTS, "", "a", "b");
         assertEquals(proxy.sotwResponses(), "ENDPOINTS n1: a b");
@@ -63,7 +63,7 @@
     }
 
     @Test
-    public void aResourceThatDoesNotExistYetIsSentOnceItDoes() {
+    public void sendsResourceOnceItExists() {
         Proxy proxy = new Proxy().set(ENDPOINTS, 1, "a");
         proxy.requestSotw(ENDPOINTS, "", "later");
         assertEquals(proxy.sotwResponses(), "");
@@ -72,7 +72,7 @@
     }
 
     @Test
-    public void whatIsSubscribedToAnewIsSentAgain() {
+    public void resendsResourceSubscribedToAgain() {
         Proxy proxy = new Proxy().set(ROUTES, 1, "a", "b");
         proxy.requestSotw(ROUTES, "", "a", "b");
         assertEquals(proxy.sotwResponses(), "ROUTES n1: a b");
@@ -83,7 +83,7 @@
     }
 
     @Test
-    public void aRequestWithAStaleNonceChangesNoSubscription() {
+    public void ignoresSubscriptionsOfRequestWithStaleNonce() {
         Proxy proxy = new Proxy().set(ENDPOINTS, 1, "a", "b");
         proxy.requestSotw(ENDPOINTS, "", "a");
         assertEquals(proxy.sotwResponses(), "ENDPOINTS n1: a");
@@ -97,14 +97,14 @@
     }
 
     @Test
-    public void aNonceOfAnotherStreamIsIgnored() {
+    public void ignoresNonceOfAnotherStream() {
         Proxy proxy = new Proxy().set(ENDPOINTS, 1, "a");
         proxy.requestSotw(ENDPOINTS, "m17", "a");
         assertEquals(proxy.sotwResponses(), "ENDPOINTS n1: a");
     }
 
     @Test
-    public void aRejectionIsReportedWithItsReasonAndDoesNotLoop() {
+    public void reportsRejectionReasonWithoutResendingRejectedResponse() {
         Proxy proxy = new Proxy().set(CLUSTER, 1, "a", "b");
         proxy.requestSotw(CLUSTER, "");
         proxy.sotwResponses();
@@ -119,7 +119,7 @@
     }
 
     @Test
-    public void ofSeveralResourcesTheOneAtFaultIsFoundAndTheOthersArrive() {
+    public void isolatesRejectedResourceAndDeliversOthers() {
         Proxy proxy = new Proxy().set(ENDPOINTS, 1, "a", "b", "c", "d");
         proxy.requestSotw(ENDPOINTS, "", "a", "b", "c", "d");
         assertEquals(proxy.sotwResponses(), "ENDPOINTS n1: a b c d");
@@ -144,7 +144,7 @@
     }
 
     @Test
-    public void versionsComeFromWhatIsSubscribedTo() {
+    public void derivesVersionFromSubscribedResources() {
         Proxy one = new Proxy().set(CLUSTER, 1, "a", "b", "c").remove(CLUSTER, "c");
         Proxy other = new Proxy().set(CLUSTER, 1, "b").set(CLUSTER, 1, "a");
         one.requestSotw(CLUSTER, "");
@@ -160,7 +160,7 @@
     }
 
     @Test
-    public void aProxyThatMovesToAnotherLineageIsSentWhatDiffers() {
+    public void sendsDifferencesAfterMoveToAnotherLineage() {
         Proxy proxy =
                 new Proxy().set(ENDPOINTS, 1, "a", "b").set(ENDPOINTS, 2, "a").set(ENDPOINTS, 3, "a");
         proxy.requestSotw(ENDPOINTS, "", "a", "b");
@@ -176,7 +176,7 @@
     }
 
     @Test
-    public void anAcknowledgementCoversEarlierResponses() {
+    public void acknowledgesEarlierResponsesWithLatestNonce() {
         Proxy proxy = new Proxy().set(ENDPOINTS, 1, "a");
         proxy.requestSotw(ENDPOINTS, "", "a");
         proxy.sotwResponses();
@@ -187,7 +187,7 @@
     }
 
     @Test
-    public void changesDoNotWaitForAnAcknowledgementAndManyAreOneResponse() {
+    public void combinesChangesIntoOneResponseWithoutWaitingForAcknowledgement() {
         Proxy proxy = new Proxy().set(ENDPOINTS, 1, "a");
         proxy.requestSotw(ENDPOINTS, "", "a");
         assertEquals(proxy.sotwResponses(), "ENDPOINTS n1: a");
