--- a/plan/src/main/java/opalcove/plan/EndpointPlan.java
+++ b/plan/src/main/java/opalcove/plan/EndpointPlan.java
@@ -26,15 +26,15 @@
 record EndpointPlan(HostAndPort control, long index, List<Backend> changes) {
     /** Returns the changes that turn the running list into the wanted one. */
     static List<Backend> changes(List<Backend> running, List<Backend> wanted) {
-        Map<String, Backend> unwanted = new LinkedHashMap<>();
-        running.forEach(backend -> unwanted.put(backend.name(), backend));
+        Map<String, Backend> remaining = new LinkedHashMap<>();
+        running.forEach(backend -> remaining.put(backend.name(), backend));
         List<Backend> changes = new ArrayList<>();
         for (Backend backend : wanted) {
-            if (!backend.equals(unwanted.remove(backend.name()))) {
+            if (!backend.equals(remaining.remove(backend.name()))) {
                 changes.add(backend);
             }
         }
-        unwanted.values().forEach(backend -> changes.add(removed(backend)));
+        remaining.values().forEach(backend -> changes.add(removed(backend)));
         return changes;
     }
 
--- a/plan/src/main/java/opalcove/plan/PlanDescription.java
+++ b/plan/src/main/java/opalcove/plan/PlanDescription.java
@@ -28,8 +28,8 @@
             return "+ " + change.name() + " at " + change.address() + ", " + label(state);
         }
         if (state == EndpointState.REMOVED) {
-            boolean takesWork = before.endpoint().state() == EndpointState.UP;
-            return "- " + change.name() + (takesWork ? ", which has not been drained" : "");
+            boolean isUp = before.endpoint().state() == EndpointState.UP;
+            return "- " + change.name() + (isUp ? ", which has not been drained" : "");
         }
         return "~ " + change.name() + differences(before, change);
     }
--- a/plan/src/test/java/opalcove/plan/PlanFormTest.java
+++ b/plan/src/test/java/opalcove/plan/PlanFormTest.java
@@ -82,7 +82,7 @@
                         HttpResponse.BodyHandlers.ofString());
     }
 
-    private void assertReply(String method, String path, String body, int status, String text) throws Exception {
+    private void assertResponse(String method, String path, String body, int status, String text) throws Exception {
         HttpResponse<String> response = call(method, path, body);
         assertEquals(response.statusCode(), status, response.body());
         assertEquals(response.body(), text);
@@ -93,7 +93,7 @@
             + "{\"name\":\"app-1\",\"address\":\"127.0.0.1:7201\",\"status\":\"draining\"}]}";
 
     @Test
-    public void theServiceShowsTheEndpointListAndItsIndex() throws Exception {
+    public void servesEndpointListWithIndex() throws Exception {
         String first =
                 "{\"name\":\"app-1\",\"address\":\"mqtt://127.0.0.1:11\",\"zone\":\"room-a\",\"type\":\"std-3\",\"group\":1,"
                         + "\"status\":\"up\",\"weight\":1,\"since_ms\":1234}";
@@ -102,9 +102,10 @@
                         + "\"status\":\"up\",\"weight\":1,\"since_ms\":1234},"
                         + "{\"name\":\"app-3\",\"address\":\"mqtt://127.0.0.1:13\",\"zone\":\"room-a\",\"type\":\"std-3\",\"group\":3,"
                         + "\"status\":\"draining\",\"weight\":1,\"since_ms\":1234}]}\n";
-        assertReply("GET", "/v1/endpoints", "", 200, "{\"index\":1,\"snapshot\":true,\"endpoints\":[" + first + rest);
-        assertReply("POST", "/v1/endpoints", CHANGE, 200, "index 2\n");
-        assertReply(
+        assertResponse(
+                "GET", "/v1/endpoints", "", 200, "{\"index\":1,\"snapshot\":true,\"endpoints\":[" + first + rest);
+        assertResponse("POST", "/v1/endpoints", CHANGE, 200, "index 2\n");
+        assertResponse(
                 "GET",
                 "/v1/endpoints",
                 "",
@@ -112,8 +113,8 @@
                 "{\"index\":2,\"snapshot\":true,\"endpoints\":["
                         + "{\"name\":\"app-1\",\"address\":\"127.0.0.1:7201\",\"zone\":\"\",\"type\":\"\",\"group\":0,"
                         + "\"status\":\"draining\",\"weight\":1,\"since_ms\":0}" + rest);
-        assertReply("POST", "/v1/endpoints", CHANGE, 409, "the plan is of index 1, the node list has 2\n");
-        assertReply(
+        assertResponse("POST", "/v1/endpoints", CHANGE, 409, "the plan is of index 1, the node list has 2\n");
+        assertResponse(
                 "POST",
                 "/v1/endpoints",
                 "{\"control\":\"127.0.0.1:1\",\"index\":2,\"snapshot\":false,\"endpoints\":[]}",
@@ -122,7 +123,7 @@
     }
 
     @Test
-    public void theServiceShowsTheCounters() throws Exception {
+    public void servesCounters() throws Exception {
         HttpResponse<String> response = call("GET", "/v1/counters", "");
         assertEquals(response.statusCode(), 200);
         assertEquals(response.headers().map().keySet().toString(), "[content-length]");
@@ -137,15 +138,15 @@
     }
 
     @Test
-    public void whatIsNotServedIsNotFound() throws Exception {
-        assertReply("GET", "/", "", 404, "not found\n");
-        assertReply("GET", "/v1/endpoints/", "", 404, "not found\n");
-        assertReply("PUT", "/v1/endpoints", "", 404, "not found\n");
-        assertReply("POST", "/v1/counters", "", 404, "not found\n");
+    public void respondsNotFoundToUnknownPathOrMethod() throws Exception {
+        assertResponse("GET", "/", "", 404, "not found\n");
+        assertResponse("GET", "/v1/endpoints/", "", 404, "not found\n");
+        assertResponse("PUT", "/v1/endpoints", "", 404, "not found\n");
+        assertResponse("POST", "/v1/counters", "", 404, "not found\n");
     }
 
     @DataProvider
-    public Object[][] wrongs() {
+    public Object[][] invalidPlans() {
         return new Object[][] {
             {"\"index\":1,", "", "field index is missing"},
             {"\"index\":1", "\"index\":\"x\"", "field index must be a number"},
@@ -161,10 +162,10 @@
         };
     }
 
-    @Test(dataProvider = "wrongs")
-    public void aWrongPlanIsRefused(String valid, String invalid, String problem) throws Exception {
+    @Test(dataProvider = "invalidPlans")
+    public void rejectsInvalidPlan(String valid, String invalid, String problem) throws Exception {
         String plan = CHANGE.replace(valid, invalid);
-        assertReply("POST", "/v1/endpoints", plan, 400, problem + "\n");
+        assertResponse("POST", "/v1/endpoints", plan, 400, problem + "\n");
         Files.writeString(file, plan);
         assertEquals(
                 expectThrows(InvalidConfigurationException.class, () -> new Planner(vertx).apply(file))
@@ -173,7 +174,7 @@
     }
 
     @Test
-    public void aBodyWithoutEndEndsItsConnection() {
+    public void closesConnectionAfterOversizedBody() {
         assertThrows(IOException.class, () -> call("POST", "/v1/endpoints", " ".repeat(1024 * 1024 + 1)));
     }
 
@@ -249,7 +250,7 @@
             """;
 
     @Test
-    public void aPlanFileAndItsDescription() throws Exception {
+    public void writesPlanFileAndDescription() throws Exception {
         List<Backend> wanted = List.of(
                 backend("app-1", EndpointState.UP, "room-b", "std-4", 5, 2.5),
                 backend("app-4", EndpointState.UP, "room-a", "std-3", 4, 1),
--- a/plan/src/test/java/opalcove/plan/PlanTest.java
+++ b/plan/src/test/java/opalcove/plan/PlanTest.java
@@ -74,7 +74,7 @@
     }
 
     @Test
-    public void aPlanSaysWhatItDoesAndIsAppliedOnce() throws Exception {
+    public void describesPlanAndAppliesItOnce() throws Exception {
         List<Backend> wanted = List.of(
                 backend("app-1", EndpointState.DRAINING, 1),
                 backend("app-3", EndpointState.UP, 3),
@@ -113,7 +113,7 @@
     }
 
     @Test
-    public void aWrongPlanChangesNothing() throws Exception {
+    public void changesNothingAfterInvalidPlan() throws Exception {
         planner.plan(control, List.of(backend("app-1", EndpointState.UP, 1)), file);
         String valid = Files.readString(file);
         for (String[] replacement : new String[][] {
