--- a/control/src/main/java/opalcove/control/xds/DeltaSubscription.java
+++ b/control/src/main/java/opalcove/control/xds/DeltaSubscription.java
@@ -7,16 +7,17 @@
 import java.util.Set;
 
 /**
- * The incremental variant: only changes are sent, with a version for each resource, and removed resources by name.
+ * The incremental variant of the protocol: a response holds only changed resources, each with its own version, and the
+ * names of removed resources.
  *
- * <p>Owned by the thread of its {@link XdsStream}.
+ * <p>Owned by the thread that calls its {@link XdsStream}.
  */
 final class DeltaSubscription extends ResourceSubscription<DeltaDiscoveryRequest, DeltaDiscoveryResponse> {
     DeltaSubscription(ResourceType type, String noncePrefix) {
         super(type, noncePrefix);
     }
 
-    /** Each response has an acknowledgement of its own (xDS protocol, "Incremental xDS"). */
+    /** Returns false: each response is acknowledged separately (xDS protocol, "Incremental xDS"). */
     @Override
     boolean acknowledgesCumulatively() {
         return false;
@@ -35,7 +36,7 @@
         boolean first = !isOpened();
         if (first) {
             open();
-            // What the client kept from an earlier stream is not sent again in the version it has.
+            // A resource that the client retained from an earlier stream is not sent again in the same version.
             request.getInitialResourceVersionsMap().forEach(this::onInitialVersion);
             if (request.getResourceNamesSubscribeCount() == 0 && type.isCompleteInSotw()) {
                 setWildcard(true);
@@ -67,7 +68,7 @@
     @Override
     DeltaDiscoveryResponse renewal(String nonce, ConfigSnapshot snapshot, List<Resource> resources) {
         DeltaDiscoveryResponse.Builder response = builder(nonce);
-        resources.forEach(each -> envelope(response, each).setTtl(each.ttl()));
+        resources.forEach(each -> addWrapper(response, each).setTtl(each.ttl()));
         return response.build();
     }
 
@@ -77,7 +78,7 @@
         DeltaDiscoveryResponse.Builder response = builder(nonce).addAllRemovedResources(absent);
         for (Resource each : resources.values()) {
             io.envoyproxy.envoy.service.discovery.v3.Resource.Builder resource =
-                    envelope(response, each).setResource(each.body());
+                    addWrapper(response, each).setResource(each.body());
             if (each.ttlMs() > 0) {
                 resource.setTtl(each.ttl());
             }
@@ -89,7 +90,7 @@
         return DeltaDiscoveryResponse.newBuilder().setTypeUrl(type.url()).setNonce(nonce);
     }
 
-    private static io.envoyproxy.envoy.service.discovery.v3.Resource.Builder envelope(
+    private static io.envoyproxy.envoy.service.discovery.v3.Resource.Builder addWrapper(
             DeltaDiscoveryResponse.Builder response, Resource resource) {
         return response.addResourcesBuilder().setName(resource.name()).setVersion(resource.version());
     }
--- a/control/src/test/java/opalcove/control/server/StatusFormTest.java
+++ b/control/src/test/java/opalcove/control/server/StatusFormTest.java
@@ -41,7 +41,7 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** The forms that operators and proxies see of a running service, as literal text. */
+/** Compares the status page, rejections, nonces and services of a running service with literal texts. */
 public class StatusFormTest {
     private static final String PREFIX = "type.googleapis.com/envoy.config.";
     private static final String CLUSTER = PREFIX + "cluster.v3.Cluster";
@@ -60,7 +60,7 @@
                 Json.parse(Files.readString(Path.of("deploy/control.json"))).asObject();
         settings.set("listen", "127.0.0.1:0").set("status", "127.0.0.1:0").set("admit", Json.array("door"));
         Files.writeString(folder.resolve("control.json"), settings.toString());
-        list("up", "up");
+        writeList("up", "up");
         service = new ControlService(ControlConfig.read(folder.resolve("control.json")));
         channel = Grpc.newChannelBuilder("127.0.0.1:" + service.port(), InsecureChannelCredentials.create())
                 .build();
@@ -78,7 +78,7 @@
         Files.delete(folder);
     }
 
-    private void list(String first, String second) throws Exception {
+    private void writeList(String first, String second) throws Exception {
         write(
                 """
                 {"index":1,"snapshot":true,"endpoints":[
@@ -92,10 +92,13 @@
         Files.move(folder.resolve("next"), folder.resolve("control-nodes.json"), StandardCopyOption.ATOMIC_MOVE);
     }
 
-    /** A proxy on one aggregated stream that accepts what it receives, except a type that it rejects and those it does not acknowledge. */
+    /**
+     * A proxy on an aggregated stream that accepts all responses except for one rejected type and for unacknowledged
+     * types.
+     */
     private final class Proxy implements StreamObserver<DiscoveryResponse> {
         final BlockingQueue<Object> received = new LinkedBlockingQueue<>();
-        final Set<String> silent = ConcurrentHashMap.newKeySet();
+        final Set<String> unacknowledgedTypes = ConcurrentHashMap.newKeySet();
         private final String rejected;
         private final StreamObserver<DiscoveryRequest> out =
                 AggregatedDiscoveryServiceGrpc.newStub(channel).streamAggregatedResources(this);
@@ -119,7 +122,7 @@
         public synchronized void onNext(DiscoveryResponse response) {
             received.add(response);
             String type = response.getTypeUrl();
-            if (silent.contains(type)) {
+            if (unacknowledgedTypes.contains(type)) {
                 return;
             }
             DiscoveryRequest.Builder acknowledgement =
@@ -154,7 +157,7 @@
                         HttpResponse.BodyHandlers.ofString());
     }
 
-    /** Waits until the status page is this text; spans of time count as N. */
+    /** Waits until the status page equals a text in which N stands for durations. */
     private void assertStatus(String expected) throws Exception {
         String wanted = expected.replace("\n", "");
         long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(20);
@@ -169,7 +172,7 @@
     }
 
     @Test
-    public void theStatusOfAServiceWithoutProxies() throws Exception {
+    public void showsStatusWithoutProxies() throws Exception {
         assertStatus(
                 """
                 {"name":"control-1","nodes":2,"missing":[],"source_problem":"","proxies":[],"drains":[]}""");
@@ -183,7 +186,7 @@
     }
 
     @Test
-    public void theStatusOfAListThatLacksBackendsOrCannotBeRead() throws Exception {
+    public void showsMissingBackendsAndSourceProblem() throws Exception {
         write("{\"index\":2,\"snapshot\":true,\"endpoints\":[]}");
         assertStatus(
                 """
@@ -206,7 +209,7 @@
     }
 
     @Test
-    public void theStatusOfAProxyAndOfADrain() throws Exception {
+    public void showsProxiesAndDrains() throws Exception {
         Proxy proxy = new Proxy(LISTENER);
         proxy.subscribe(CLUSTER);
         proxy.subscribe(ENDPOINTS, "swaps");
@@ -220,8 +223,8 @@
                 "endpoints":{"behind":0,"waiting_ms":0,"taken":1,"refused":0,"reason":""},
                 "listener":{"behind":0,"waiting_ms":0,"taken":0,"refused":1,"reason":"no such filter"},
                 "routes":{"behind":0,"waiting_ms":0,"taken":1,"refused":0,"reason":""}}}],"drains":[]}""");
-        proxy.silent.add(ENDPOINTS);
-        list("up", "draining");
+        proxy.unacknowledgedTypes.add(ENDPOINTS);
+        writeList("up", "draining");
         assertStatus(
                 """
                 {"name":"control-1","nodes":2,"missing":[],"source_problem":"","proxies":[
@@ -256,7 +259,7 @@
     }
 
     @Test
-    public void aRejectedStreamSaysWhy() throws Exception {
+    public void reportsReasonOfRejectedStream() throws Exception {
         Proxy proxy = new Proxy("");
         proxy.subscribe("", "swaps");
         assertEquals(status(proxy.received), "INVALID_ARGUMENT: type  is not served on this stream");
@@ -276,7 +279,7 @@
     }
 
     @Test
-    public void aNonceNamesServiceStreamAndResponse() throws Exception {
+    public void formsNonceFromServiceStreamAndResponse() throws Exception {
         Proxy proxy = new Proxy("");
         proxy.subscribe(CLUSTER);
         DiscoveryResponse response = (DiscoveryResponse) proxy.received.poll(20, TimeUnit.SECONDS);
@@ -333,7 +336,7 @@
     }
 
     @Test
-    public void theServicesAndTheirMethods() {
+    public void listsServicesAndMethods() {
         try (SerialExecutor executor = new SerialExecutor()) {
             List<String> methods = new SessionRegistry(executor, proxy -> null)
                     .services().stream()
