--- a/laboratory/src/main/java/opalcove/laboratory/soak/BackendConnection.java
+++ b/laboratory/src/main/java/opalcove/laboratory/soak/BackendConnection.java
@@ -24,11 +24,11 @@
 import opalcove.laboratory.soak.History.Request;
 
 /**
- * The fault proxy between one gateway and one backend: the gateway is told this address as the backend's. It records each
- * attempt as its bytes come, and makes the troubles of connections. Used on its event loop alone.
+ * The fault proxy between one gateway and one backend. Discovery lists its address as the backend's address for this
+ * gateway. It records each attempt as its bytes arrive, and injects the connection faults. Used only on its event loop.
  */
 final class BackendConnection {
-    /** A listener that takes no connection holds so few that further ones never come up. */
+    /** Listen backlog while cut: the listener accepts nothing, so that further connections are never established. */
     private static final int BACKLOG = 1;
 
     private static final int PIECE_BYTES = 7;
@@ -63,7 +63,10 @@
         return "127.0.0.1:" + port.number();
     }
 
-    /** Opens the address, the same at each call; connections go on to the backend's own port. */
+    /**
+     * Listens on the proxy's address, which is the same at each call, and forwards connections to the backend's own
+     * port.
+     */
     void open(int toPort) {
         backendPort = toPort;
         if (server == null) {
@@ -89,13 +92,13 @@
         server = opening.channel();
     }
 
-    /** The backend's process has died: connections are reset, and new ones refused. */
+    /** Resets all connections and refuses new ones. Called when the backend's process has been killed. */
     void close() {
         closeServer();
         Set.copyOf(connections).forEach(Connection::reset);
     }
 
-    /** Gives the port back. */
+    /** Releases the reserved port. */
     void release() throws IOException {
         port.close();
     }
@@ -107,7 +110,10 @@
         }
     }
 
-    /** Connections fall silent and new ones do not come up; once that is over all of them are reset. */
+    /**
+     * Sets whether the connections are cut. While they are, open connections transfer nothing and new ones are not
+     * established; when the cut ends, all of them are reset.
+     */
     void cut(boolean yes) {
         if (cut == yes) {
             return;
@@ -122,17 +128,20 @@
         }
     }
 
-    /** So many of the attempts have their connection reset under them. */
+    /**
+     * Sets the share of attempts, 0 to 1, whose connection is reset within {@link #RESET_WITHIN_MS} after they are
+     * sent.
+     */
     void resets(double share) {
         resetShare = share;
     }
 
-    /** Whether answers come in pieces. */
+    /** Sets whether responses are forwarded in small pieces. */
     void pieces(boolean yes) {
         pieces = yes;
     }
 
-    /** One connection of the gateway, and that to the backend which belongs to it. */
+    /** One connection from the gateway, and the connection to the backend that it is forwarded on. */
     private final class Connection extends ChannelInboundHandlerAdapter {
         private final Channel fromGateway;
         private final ByteBuf pending = Unpooled.buffer();
@@ -195,13 +204,13 @@
 
         private void attempted(List<String> command) {
             if (cut) {
-                // It never came to the backend.
+                // The attempt did not reach the backend, so it is not recorded.
                 return;
             }
             Request request = history.requests.get(command.get(2));
             if (request == null) {
                 history.processViolations.add(new SoakViolation(
-                        SoakRule.OWN_VALUE, gateway, clock.now(), "an attempt for no request: " + command));
+                        SoakRule.OWN_VALUE, gateway, clock.now(), "attempt with an unknown request id: " + command));
                 return;
             }
             int waitMs = Integer.parseInt(RespCommands.mark(command.get(3), "d"));
@@ -243,7 +252,7 @@
             context.close();
         }
 
-        /** What the backend sends goes on to the gateway. */
+        /** Forwards what the backend sends to the gateway. */
         private final class FromBackend extends ChannelInboundHandlerAdapter {
             @Override
             public void channelRead(ChannelHandlerContext context, Object message) {
--- a/laboratory/src/main/java/opalcove/laboratory/soak/BackendProcess.java
+++ b/laboratory/src/main/java/opalcove/laboratory/soak/BackendProcess.java
@@ -7,7 +7,7 @@
 import java.nio.charset.StandardCharsets;
 import java.nio.file.Path;
 
-/** A backend's process. */
+/** Starts, signals and kills the process of one {@link SoakBackend}. */
 final class BackendProcess {
     private final String name;
     private final Path log;
@@ -20,7 +20,7 @@
         this.log = log;
     }
 
-    /** Starts the process, always at the same port; gives that once it listens. */
+    /** Starts the process, always on the same port, and returns the port once the process listens. */
     int start() throws IOException {
         process = new ProcessBuilder(
                         ProcessCommands.java(SoakBackend.class.getName(), name, Integer.toString(port.number())))
@@ -31,7 +31,7 @@
                 new BufferedReader(new InputStreamReader(process.getInputStream(), StandardCharsets.US_ASCII));
         String line = notified.readLine();
         if (line == null) {
-            throw new IOException(name + " did not start, see " + log);
+            throw new IOException(name + " exited before it printed its port, see " + log);
         }
         return port();
     }
@@ -48,7 +48,7 @@
         ProcessCommands.signal(process, signalName);
     }
 
-    /** Kills the process and gives its port back. */
+    /** Kills the process and releases its port. */
     void close() throws IOException {
         kill();
         port.close();
--- a/laboratory/src/main/java/opalcove/laboratory/soak/ClientConnection.java
+++ b/laboratory/src/main/java/opalcove/laboratory/soak/ClientConnection.java
@@ -18,18 +18,18 @@
 import opalcove.laboratory.soak.History.Request;
 import opalcove.laboratory.soak.History.Stall;
 
-/** One connection of a client to a gateway. Used on its event loop alone. */
+/** One connection of a client to a gateway. Used only on its event loop. */
 final class ClientConnection extends ChannelInboundHandlerAdapter {
-    /** Whose process the connection leads to. */
+    /** The gateway process that the connection leads to. */
     interface Gateway {
-        /** Whether what ends now is the doing of a signal that the soak sent, so that nothing is owed. */
+        /** Whether the soak has killed the process, so that a connection that ends now needs no response. */
         boolean killed();
 
-        /** When the process was sent the SIGTERM that came before its kill; below 0 if none did. */
+        /** When the SIGTERM that preceded the kill was sent to the process; below 0 if there was none. */
         double terminationSentAt();
     }
 
-    /** A command that waits for its answer; the request is null for one that is no request. */
+    /** A command that waits for its response; the request is null for a command that the history doesn't record. */
     private record Waiting(Request request) {}
 
     private static final int RESPONSE_CACHED = 64;
@@ -45,7 +45,7 @@
     private boolean used;
     private Stall stall;
     private double lastAnswerAt = -1;
-    /** Bytes of a long answer still to come, and what has come of its start. */
+    /** Length of a bulk string of which only a part has arrived, bytes; 0 if there is none. */
     private int owed;
 
     private ClientConnection(int number, Gateway gateway, SoakClock clock) {
@@ -95,7 +95,7 @@
         }
     }
 
-    /** No gateway was there: nothing was sent, and nothing is owed. */
+    /** Ends the requests as killed, since no gateway was listening: nothing was sent, so no response is required. */
     private void refused() {
         open = false;
         waiting.forEach(each -> {
@@ -106,7 +106,7 @@
         waiting.clear();
     }
 
-    /** Writes a request whole, or in that many pieces with so much time between them. */
+    /** Writes a request in the given number of pieces, with {@code betweenMs} ms between them. */
     void send(Request request, String text, int pieces, int betweenMs) {
         waiting.add(new Waiting(request));
         request.onUsedConnection = used;
@@ -129,13 +129,13 @@
         }
     }
 
-    /** Writes what is no request and gets one answer all the same. */
+    /** Writes a command that the history doesn't record, but that gets one response as well. */
     void sendOther(String text) {
         waiting.add(new Waiting(null));
         write(text);
     }
 
-    /** Writes half a request and stops. */
+    /** Writes a part of a request and nothing after it. */
     void stall(Stall begun, String half) {
         stall = begun;
         write(half);
@@ -153,7 +153,7 @@
         channel.writeAndFlush(Unpooled.copiedBuffer(text, StandardCharsets.ISO_8859_1));
     }
 
-    /** The client leaves, by a close or a reset; what it had asked for is owed no more. */
+    /** Closes or resets the connection from the client's side, so that its open requests need no response any more. */
     void leave(boolean reset) {
         if (!open) {
             return;
@@ -185,7 +185,7 @@
         pending.writeBytes(bytes);
         bytes.release();
         while (takeAnswer()) {
-            // Answers come in the order of the commands.
+            // Responses arrive in the order of the commands.
         }
         pending.discardReadBytes();
     }
--- a/laboratory/src/main/java/opalcove/laboratory/soak/Coverage.java
+++ b/laboratory/src/main/java/opalcove/laboratory/soak/Coverage.java
@@ -6,15 +6,15 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** Which troubles have been made, and which pairs of them have met in time. Safe on any thread. */
+/** Counts which faults have been injected, and which pairs of them have overlapped in time. Thread-safe. */
 public final class Coverage {
-    /** With more pairs than this that never met, they are counted and not named. */
+    /** If more pairs than this have never overlapped, they are counted but not listed. */
     private static final int MAX_NAMED = 250;
 
     private final Map<FaultType, Integer> made = new EnumMap<>(FaultType.class);
     private final Map<String, Integer> met = new TreeMap<>();
 
-    /** Takes in the troubles of one run that were really made. */
+    /** Adds the faults that were actually injected in one run. */
     public synchronized void add(List<Fault> faults) {
         for (Fault first : faults) {
             made.merge(first.kind(), 1, Integer::sum);
@@ -31,9 +31,9 @@
         return inOrder ? first + " with " + second : second + " with " + first;
     }
 
-    /** The kinds with how often each was made, and the pairs that have never met. */
+    /** Returns how often each type was injected, and the pairs that have never overlapped. */
     public synchronized String text() {
-        StringBuilder text = new StringBuilder("troubles made:");
+        StringBuilder text = new StringBuilder("faults injected:");
         for (FaultType kind : FaultType.values()) {
             text.append(' ').append(kind).append('=').append(made.getOrDefault(kind, 0));
         }
@@ -48,12 +48,12 @@
                 }
             }
         }
-        text.append("\npairs that met in time: ")
+        text.append("\npairs that overlapped in time: ")
                 .append(all - never.size())
                 .append(" of ")
                 .append(all);
         if (!never.isEmpty() && never.size() <= MAX_NAMED) {
-            text.append("\nnever met: ").append(String.join(", ", never));
+            text.append("\nnever overlapped: ").append(String.join(", ", never));
         }
         return text.append('\n').toString();
     }
--- a/laboratory/src/main/java/opalcove/laboratory/soak/DiscoveryAgent.java
+++ b/laboratory/src/main/java/opalcove/laboratory/soak/DiscoveryAgent.java
@@ -29,13 +29,20 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Discovery as one gateway sees it. What it has told, and what counts as told though it did not arrive, is put down in the
- * history's changes. Used on its event loop alone.
+ * The discovery agent that one gateway polls or watches. It records in the history's changes when the gateway was
+ * notified of each change, or when it counts as notified although the notification did not arrive. Used only on its
+ * event loop.
  */
 final class DiscoveryAgent {
-    /** What a gateway misses counts as told so long after a watch fell silent, or discovery could be reached again, ms. */
+    /**
+     * How long after a watch stopped responding, or after discovery became reachable again, a gateway counts as
+     * notified of the changes that it missed, ms.
+     */
     private static final double MISSED_MS = 6000;
-    /** After SIGHUP a list that another address has counts as told so much later, ms. */
+    /**
+     * How long after a SIGHUP that changed the discovery address the gateway counts as notified of that agent's list,
+     * ms.
+     */
     private static final double MOVED_MS = 4000;
 
     private static final int MAX_REQUEST = 8192;
@@ -54,9 +61,9 @@
     private boolean silent;
     private boolean torn;
     private boolean wholeLists;
-    /** Since when a watch is hung, or below 0. */
+    /** When watches were hung; below 0 if none is. */
     private double hungAt = -1;
-    /** When the gateway was last told to follow this agent; below 0 while it is another's. */
+    /** When the gateway was last configured to use this agent; below 0 while it uses the other one. */
     private double followedAt = -1;
 
     private boolean movedTo;
@@ -104,12 +111,12 @@
         server = opening.channel();
     }
 
-    /** Gives the port back. */
+    /** Releases the reserved port. */
     void release() throws IOException {
         port.close();
     }
 
-    /** The gateway follows this agent from its start on, or from a SIGHUP on. */
+    /** Sets whether the gateway uses this agent, either from its start or, if {@code bySignal}, from a SIGHUP. */
     void followed(boolean yes, boolean bySignal) {
         followedAt = yes ? clock.now() : -1;
         movedTo = bySignal;
@@ -118,7 +125,7 @@
         }
     }
 
-    /** Takes calls and answers none, and learns nothing. */
+    /** Sets whether the agent accepts requests without responding to any, and doesn't react to changes of the list. */
     void silent(boolean yes) {
         silent = yes;
         if (!yes) {
@@ -128,9 +135,9 @@
         }
     }
 
-    /** Refuses connections, and has reset those that were open. */
+    /** Sets whether the agent refuses connections. When it starts to, it also resets those that are open. */
     void refuse(boolean yes) {
-        // Two such troubles may overlap: the first to end opens it again.
+        // Two such faults may overlap: the first to end opens the port again.
         if (yes && server != null) {
             server.close();
             server = null;
@@ -141,7 +148,7 @@
         }
     }
 
-    /** The watches that are open now are never answered. */
+    /** Drops the watches that are open now, so that they never get a response. */
     void hang() {
         if (!watches.isEmpty()) {
             hungAt = clock.now();
@@ -166,7 +173,7 @@
         }
     }
 
-    /** Whether watches are answered with whole lists, which leave out what drains. */
+    /** Sets whether watches get complete lists, which leave out draining backends, in place of changes. */
     void wholeLists(boolean yes) {
         wholeLists = yes;
     }
@@ -182,7 +189,9 @@
         }
     }
 
-    /** Puts down from when on what discovery has counts as told, where that does not wait for its arrival. */
+    /**
+     * Records when the gateway counts as notified of all changes so far, whether or not a response with them arrives.
+     */
     private void sendWholeList() {
         if (!reachable()) {
             return;
@@ -204,7 +213,7 @@
         }
     }
 
-    /** The list has been written: what it has is told. */
+    /** Records that the gateway is notified of all changes so far, since a list has been written to it. */
     private void written() {
         double now = clock.now();
         history.changes.forEach(change -> notified(change, now));
@@ -251,7 +260,7 @@
         written();
     }
 
-    /** A call that waits for news. */
+    /** A blocking request that waits for a version after {@code since} or for its timeout. */
     private final class Watch {
         private final ChannelHandlerContext context;
         private final long since;
--- a/laboratory/src/main/java/opalcove/laboratory/soak/Fault.java
+++ b/laboratory/src/main/java/opalcove/laboratory/soak/Fault.java
@@ -3,13 +3,13 @@
 import java.util.Locale;
 
 /**
- * One trouble of a plan.
+ * One fault of a plan.
  *
- * @param number its place in the plan, by which it can be left out
- * @param target the number of the gateway or backend that it befalls
- * @param startMs when it begins, from the start of the traffic
- * @param lengthMs how long it lasts
- * @param draw from 0 to 1, by which the trouble picks its size or variant
+ * @param number its number in the plan, by which it can be left out
+ * @param target the number of the gateway or backend that it affects
+ * @param startMs when it begins, ms from the start of the traffic
+ * @param lengthMs how long it lasts, ms
+ * @param draw a random value from 0 to 1 that determines the size or variant of the fault
  */
 public record Fault(int number, FaultType kind, int target, int startMs, int lengthMs, double draw) {
     int endMs() {
--- a/laboratory/src/main/java/opalcove/laboratory/soak/FaultCase.java
+++ b/laboratory/src/main/java/opalcove/laboratory/soak/FaultCase.java
@@ -11,7 +11,7 @@
 import opalcove.laboratory.soak.History.End;
 import opalcove.laboratory.soak.History.Request;
 
-/** One fault for the whole of a run, at one gateway before six backends: what the machine under a gateway may do to it. */
+/** One fault of the machine that lasts for a complete run, at one gateway with six backends. */
 public enum FaultCase {
     NONE(),
     ACCEPT_ENFILE(Call.ACCEPT, 20, Errno.ENFILE, Kind.CLIENT),
@@ -59,14 +59,15 @@
         this.kinds = List.of(kinds);
     }
 
-    /** How long requests that were served took, ms: all of them, and those that were the first on their connection. */
+    /** Response times of served requests, ms: of all of them, and of those that were the first on their connection. */
     public record Times(double p50Ms, double p99Ms, double newP99Ms) {}
 
     /**
-     * What came of a case.
+     * The result of a case.
      *
-     * @param deadlineTooLong attempts that told a deadline 150 ms and more over what their client had left
-     * @param restartedShare part of the attempts in the 3 s after two backends were started anew that went to those, or NaN
+     * @param deadlineTooLong attempts whose deadline was more than 150 ms over the time that their client had remaining
+     * @param restartedShare share of the attempts in the 3 s after the restart of two backends that went to these two,
+     *     or NaN
      */
     public record Outcome(
             FaultCase fault,
@@ -77,7 +78,7 @@
             long deadlineTooLong,
             double restartedShare,
             Set<SoakRule> broken) {
-        /** One row of a Markdown table. */
+        /** Returns the result as one row of a Markdown table. */
         public String row() {
             String share = Double.isNaN(restartedShare) ? "" : Math.round(100 * restartedShare) + "%";
             return String.format(
@@ -95,7 +96,7 @@
                     broken.isEmpty() ? "none" : broken);
         }
 
-        /** The head of that table. */
+        /** Returns the header of that table. */
         public static String head() {
             return "| fault | hits | served | p50, ms | p99, ms | p99 on new connections, ms | `d` too long | to restarted"
                     + " | rules broken |\n| --- | --- | --- | --- | --- | --- | --- | --- | --- |";
@@ -106,7 +107,7 @@
         return this == RESTARTS || this == RESTARTS_CLOCK_AHEAD || this == RESTARTS_CLOCK_BEHIND;
     }
 
-    /** Plays the case for so long. */
+    /** Runs the case with traffic for {@code lengthMs}. */
     public Outcome play(Soak soak, long seed, int lengthMs) throws Exception {
         SoakPlan.Setup setup = new SoakPlan.Setup(true, 1000, 6, false, true, "cell", 30_000);
         SoakPlan plan = new SoakPlan(seed, 1, BACKENDS, lengthMs, REQUESTS_PER_S, setup, List.of());
@@ -115,7 +116,7 @@
         return play.outcome(result.brokenRules());
     }
 
-    /** The case on one run's processes. */
+    /** Applies the case to the processes of one run. */
     private final class Play implements Soak.Setting {
         private final int lengthMs;
         private History history;
--- a/laboratory/src/main/java/opalcove/laboratory/soak/FaultInjector.java
+++ b/laboratory/src/main/java/opalcove/laboratory/soak/FaultInjector.java
@@ -14,7 +14,7 @@
 import opalcove.laboratory.soak.FaultShim.Kind;
 import opalcove.laboratory.soak.SoakBackend.Behaviour;
 
-/** Makes the troubles of a plan on the processes and connections of a run, each on a thread of its own. */
+/** Injects the faults of a plan into the processes and connections of a run, each on its own thread. */
 final class FaultInjector implements AutoCloseable {
     private static final int MAX_PAUSE_MS = 400;
     private static final long HOUR_MS = 3_600_000;
@@ -28,7 +28,7 @@
         this.rig = rig;
     }
 
-    /** Begins: each trouble comes at its time from now. */
+    /** Schedules all faults; their start times count from this call. */
     void begin(List<Fault> faults) {
         double from = rig.clock.now();
         for (Fault each : faults) {
@@ -36,7 +36,7 @@
         }
     }
 
-    /** Waits for the end of all troubles; those that were made. */
+    /** Waits for the end of all faults, and returns those that were injected. */
     List<Fault> await() {
         running.forEach(CompletableFuture::join);
         return List.copyOf(made);
@@ -197,7 +197,10 @@
         return true;
     }
 
-    /** One that does not is drained or gone for the rest of the run, which what was missed of the list has to outlast. */
+    /**
+     * Whether the backend is listed as up again at the end of the fault. If not, it stays draining or removed for the
+     * rest of the run, so that a later change of the list doesn't hide that a gateway missed this one.
+     */
     private static boolean comesBack(Fault fault) {
         return fault.draw() < 0.5;
     }
@@ -208,7 +211,7 @@
         rig.backend(fault.target()).behave(behaviour, behaviour.first);
     }
 
-    /** Gives whether the shim has hit. */
+    /** Returns whether the shim has failed at least one call or shifted at least one clock reading. */
     private boolean makeInSystem(Fault fault) throws InterruptedException {
         FaultShim shim = rig.gateway(fault.target()).shim().orElse(null);
         if (shim == null) {
--- a/laboratory/src/main/java/opalcove/laboratory/soak/FaultShim.java
+++ b/laboratory/src/main/java/opalcove/laboratory/soak/FaultShim.java
@@ -15,11 +15,11 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Commands the library {@code fault_shim.c} in one gateway process, over a file that both map. The library is built when it is
- * first wanted, by the C compiler of this machine.
+ * Controls the library {@code fault_shim.c} in one gateway process through a file that both processes map. The library
+ * is built by the machine's C compiler when a soak is created.
  */
 final class FaultShim {
-    /** The calls that can be failed, in the library's order. */
+    /** The calls that can be made to fail, in the order of the library's {@code enum call}. */
     enum Call {
         ACCEPT,
         SOCKET,
@@ -31,7 +31,7 @@
         SYNC
     }
 
-    /** Whose descriptor a call is made on, in the library's order. */
+    /** The kind of descriptor that a call uses, in the order of the library's {@code enum kind}. */
     enum Kind {
         FILE,
         CLIENT,
@@ -39,7 +39,7 @@
         DISCOVERY
     }
 
-    /** Linux's numbers for the errors that calls fail with. */
+    /** The errors that calls fail with, by their Linux numbers. */
     enum Errno {
         SHORT_TRANSFER(0),
         EINTR(4),
@@ -83,7 +83,7 @@
         control.order(ByteOrder.nativeOrder());
     }
 
-    /** Builds the library in the folder; empty where this machine has no C compiler. */
+    /** Builds the library in the folder; returns empty if the machine has no C compiler. */
     static Optional<Path> build(Path folder) throws IOException, InterruptedException {
         Path source = folder.resolve("fault_shim.c");
         Path library = folder.resolve("fault_shim.so");
@@ -107,37 +107,37 @@
         return Optional.of(library);
     }
 
-    /** Has a process load the library. */
+    /** Sets the environment that makes the process load the library. */
     void loadInto(ProcessBuilder process, Path library) {
         process.environment().put("LD_PRELOAD", library.toString());
         process.environment().put("SOAK_SHIM", file.toString());
     }
 
-    /** The ports at which connections are taken for discovery's; all others are backends'. */
+    /** Sets the ports whose connections count as discovery connections; all others count as backend connections. */
     void discoveryPorts(int... ports) {
         for (int i = 0; i < Math.min(ports.length, MAX_PORTS); i++) {
             control.putInt(PORTS_AT + 4 * i, ports[i]);
         }
     }
 
-    /** One in so many calls fails so from now on. */
+    /** From now on, one in {@code oneIn} calls, chosen at random, fails with the error. */
     void fail(Call call, Kind kind, int oneIn, Errno errno) {
         int at = at(call, kind);
         control.putInt(at + 4, errno.number);
         control.putInt(at, oneIn);
     }
 
-    /** No calls of this kind fail any more. */
+    /** Stops failing these calls. */
     void heal(Call call, Kind kind) {
         control.putInt(at(call, kind), 0);
     }
 
-    /** The wall clock is so far ahead from now on. */
+    /** Sets how far the wall clock is ahead from now on, ms. */
     void shiftClock(long ms) {
         control.putLong(0, TimeUnit.MILLISECONDS.toNanos(ms));
     }
 
-    /** How often each call was failed, and how often the shifted clock was read. */
+    /** Returns how often each call was made to fail. */
     Map<Call, Long> hits() {
         Map<Call, Long> hits = new EnumMap<>(Call.class);
         for (Call call : Call.values()) {
@@ -150,6 +150,7 @@
         return hits;
     }
 
+    /** Returns how often the shifted wall clock was read. */
     long clockHits() {
         return control.getLong(CLOCK_HITS_AT);
     }
--- a/laboratory/src/main/java/opalcove/laboratory/soak/Fleet.java
+++ b/laboratory/src/main/java/opalcove/laboratory/soak/Fleet.java
@@ -7,15 +7,15 @@
 import java.util.List;
 import java.util.function.Consumer;
 
-/** The list of backends, with its versions, as discovery has it. */
+/** The list of backends that the discovery agents serve, with its version. */
 final class Fleet {
-    /** One backend's entry, less its address, which differs from one gateway to the next. */
+    /** One backend's entry without its address, which is different for each gateway. */
     static final class Entry {
         final int number;
         final SoakBackendPlace place;
         String status = "up";
         long sinceMs;
-        /** The version that changed it last. */
+        /** The version of the list that last changed the entry. */
         long index;
 
         Entry(int number, SoakBackendPlace place) {
@@ -58,7 +58,7 @@
         watchers.forEach(watcher -> watcher.accept(entry));
     }
 
-    /** The list in discovery's form, for a gateway that reaches the backends at these addresses. */
+    /** Returns the complete list as JSON, for a gateway that reaches the backends at these addresses. */
     JsonObject whole(List<String> addresses, boolean withDraining) {
         JsonArray lines = new JsonArray();
         for (Entry each : entries) {
@@ -70,7 +70,7 @@
         return Json.object().add("index", index).add("snapshot", true).add("endpoints", lines);
     }
 
-    /** What has changed since a version. */
+    /** Returns the entries that have changed since a version as JSON. */
     JsonObject changes(long since, List<String> addresses) {
         JsonArray lines = new JsonArray();
         for (Entry each : entries) {
--- a/laboratory/src/main/java/opalcove/laboratory/soak/GatewayProcess.java
+++ b/laboratory/src/main/java/opalcove/laboratory/soak/GatewayProcess.java
@@ -17,25 +17,31 @@
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 
-/** A gateway's process, its file and its log. Used by several threads. */
+/** A gateway process with its configuration file and its log. Used by several threads. */
 final class GatewayProcess implements ClientConnection.Gateway {
-    /** Of a request's deadline so much counts for how long a process that was told to end may go on, ms. */
+    /** The part of a request's deadline that extends the time between SIGTERM and the kill is at most this long, ms. */
     private static final int MAX_COUNTED_DEADLINE_MS = 3000;
-    /** After a SIGTERM, what comes within this time is answered, and the kill is no sooner than a deadline after that, ms. */
+    /**
+     * Requests that arrive within this time after a SIGTERM get a response, and the kill comes at the earliest one
+     * deadline after this time, ms.
+     */
     static final int TERMINATION_NOTICE_MS = 700;
 
     private static final int PING_EVERY_MS = 25;
     private static final int READY_MS = 10_000;
-    /** On a machine with other work a start may take longer before it counts as none at all, ms. */
+    /**
+     * Time limit of a start, ms. It is longer than {@link #READY_MS}, since a start takes longer on a machine with
+     * other load.
+     */
     private static final int TIMEOUT_MS = 30_000;
 
     private static final int DESCRIPTORS = 256;
 
     /**
-     * What gateways are started with.
+     * The files that gateways are started from.
      *
-     * @param shimLibrary the library that fails system calls, where there is one
-     * @param gatewayClassPath where the program is
+     * @param shimLibrary the library that makes system calls fail, if the machine can build it
+     * @param gatewayClassPath the class path of the gateway program
      */
     record Means(Optional<Path> shimLibrary, String gatewayClassPath) {}
 
@@ -48,13 +54,13 @@
     private final Path folder;
     private final SoakClock clock;
     private final List<SoakViolation> violations;
-    /** This gateway's through its restarts. */
+    /** The gateway's port, which stays the same when the gateway restarts. */
     private final HeldPort port = new HeldPort();
 
     private final Optional<FaultShim> shim;
     private final Means means;
     private volatile Process process;
-    /** The process that a signal of the soak is to end, or has ended. */
+    /** The process that the soak is terminating or has terminated. */
     private volatile Process ending;
 
     private volatile boolean killed;
@@ -81,7 +87,7 @@
         return shim;
     }
 
-    /** Writes the file that the next start or SIGHUP reads. */
+    /** Replaces the configuration file, which the gateway reads at its next start or SIGHUP. */
     void configure(int discoveryPort, int maxAttempts, JsonObject known) throws IOException {
         JsonObject file = Json.object()
                 .add("name", "gateway-" + number)
@@ -103,7 +109,7 @@
         return folder.resolve("gateway-" + number + ".log");
     }
 
-    /** Starts the process and waits for its first answer to a PING. */
+    /** Starts the process and waits until it responds to a PING. */
     void start() throws IOException, InterruptedException {
         ProcessBuilder builder = new ProcessBuilder(
                         ProcessCommands.javaOf(means.gatewayClassPath(), "opalcove.Main", "serve"))
@@ -123,14 +129,14 @@
                 return;
             }
             if (clock.now() - startedAt > TIMEOUT_MS) {
-                broken(SoakRule.READY, "not ready after " + TIMEOUT_MS + " ms");
+                broken(SoakRule.READY, "no response to PING within " + TIMEOUT_MS + " ms of the start");
                 return;
             }
             Thread.sleep(PING_EVERY_MS);
         }
         double readyMs = clock.now() - startedAt;
         if (readyMs > READY_MS) {
-            broken(SoakRule.READY, "ready after " + Math.round(readyMs) + " ms");
+            broken(SoakRule.READY, "first response to PING " + Math.round(readyMs) + " ms after the start");
         }
     }
 
@@ -147,7 +153,9 @@
 
     private void exited(Process ended) {
         if (ended != ending) {
-            broken(SoakRule.NO_CRASH, "ended by itself with " + ended.exitValue() + "\n" + tail());
+            broken(
+                    SoakRule.NO_CRASH,
+                    "process exited without a signal from the soak, exit code " + ended.exitValue() + "\n" + tail());
         }
     }
 
@@ -165,7 +173,7 @@
         return terminationSentAt;
     }
 
-    /** When a process that was told to end is killed at the earliest, ms: the longest deadline and the notice. */
+    /** How long after SIGTERM a process is killed, ms: the longest deadline plus the notice. */
     private static int killAfterMs() {
         int longestMs = Arrays.stream(SoakClass.values())
                 .mapToInt(each -> each.deadlineMs)
@@ -188,7 +196,7 @@
         process.waitFor();
     }
 
-    /** Ends the process by SIGTERM, and kills it where it lasts longer than the platform lets it. */
+    /** Terminates the process by SIGTERM, and kills it if it is still running after the time that a platform grants. */
     void end() throws InterruptedException {
         Process now = process;
         ending = now;
@@ -196,9 +204,11 @@
         terminationSentAt = notifiedAt;
         ProcessCommands.signal(now, "TERM");
         if (now.waitFor(killAfterMs(), TimeUnit.MILLISECONDS)) {
-            // Before its start hook is set SIGTERM ends the JVM by itself, which is as good.
+            // If SIGTERM arrives before the shutdown hook is set, the JVM exits with 143, which is allowed as well.
             if (now.exitValue() != 0 && now.exitValue() != 143) {
-                broken(SoakRule.ENDS_WELL, "ended with " + now.exitValue() + " after SIGTERM\n" + tail());
+                broken(
+                        SoakRule.ENDS_WELL,
+                        "exit code " + now.exitValue() + " after SIGTERM, expected 0 or 143\n" + tail());
             }
         } else {
             killed = true;
@@ -206,11 +216,12 @@
             now.waitFor();
             broken(
                     SoakRule.ENDS_WELL,
-                    String.format("had to be killed %.0f ms after SIGTERM%n%s", clock.now() - notifiedAt, tail()));
+                    String.format(
+                            "still running and killed %.0f ms after SIGTERM%n%s", clock.now() - notifiedAt, tail()));
         }
     }
 
-    /** Looks at what the process holds. */
+    /** Checks how many file descriptors the process has open. */
     void sample() {
         Process now = process;
         if (now == null || !now.isAlive()) {
@@ -218,11 +229,11 @@
         }
         String[] open = new File("/proc/" + now.pid() + "/fd").list();
         if (open != null && open.length > DESCRIPTORS) {
-            broken(SoakRule.DESCRIPTORS, open.length + " descriptors of " + DESCRIPTORS);
+            broken(SoakRule.DESCRIPTORS, open.length + " open descriptors, limit " + DESCRIPTORS);
         }
     }
 
-    /** Judges what the process has logged: errors, exceptions, and violations that it counted itself. */
+    /** Checks the log of the process for errors, buffer leaks, and rule violations that the gateway counted itself. */
     void judgeLog() throws IOException {
         for (String line : Files.readAllLines(log(), StandardCharsets.ISO_8859_1)) {
             Matcher rule = COUNTED_VIOLATION.matcher(line);
@@ -231,16 +242,19 @@
                 continue;
             }
             if (rule.find()) {
-                broken(SoakRule.OWN_CHECKS, "counts " + rule.group());
+                broken(SoakRule.OWN_CHECKS, "counter " + rule.group());
             } else if (slip.find()) {
-                broken(SoakRule.OWN_CHECKS, "counts " + slip.group());
+                broken(SoakRule.OWN_CHECKS, "counter " + slip.group());
             } else if (line.contains(" ERROR ") || line.contains("LEAK")) {
-                broken(SoakRule.OWN_CHECKS, "logs " + line);
+                broken(SoakRule.OWN_CHECKS, "log line: " + line);
             }
         }
     }
 
-    /** A process that this soak has stopped gives answers late, and says so; the oracle judges by how much. */
+    /**
+     * Whether the line reports a late response of a gateway that the soak has stopped by SIGSTOP. Such reports are
+     * expected; the oracle checks how late the responses are.
+     */
     private boolean isLateBecauseOfStall(String line) {
         boolean late = line.contains("answer_in_time")
                 || line.contains(" at its deadline")
@@ -259,7 +273,7 @@
         }
     }
 
-    /** Kills the process where there is one. */
+    /** Kills the process if it has been started. */
     void destroy() {
         killed = true;
         Process now = process;
--- a/laboratory/src/main/java/opalcove/laboratory/soak/HeldPort.java
+++ b/laboratory/src/main/java/opalcove/laboratory/soak/HeldPort.java
@@ -9,12 +9,13 @@
 import java.net.StandardSocketOptions;
 
 /**
- * A loopback port that stays a run's own while nobody listens there, so that no other process is given it and no other is
- * called by who goes on calling it. The socket that holds it does not listen: connections are refused meanwhile. Who listens
- * there does so with {@link #SHARED}.
+ * A loopback port that stays reserved for a run while no process listens on it. Without the reservation the system
+ * could give the port to another process, and clients that still connect to it would reach that process. The socket
+ * that reserves the port doesn't listen, so connections are refused meanwhile. A server listens on the port with the
+ * option {@link #SHARED}.
  */
 final class HeldPort implements AutoCloseable {
-    /** The option by which a server may listen at a held port. */
+    /** The option that allows a server to listen on a reserved port. */
     static final ChannelOption<Boolean> SHARED = NioChannelOption.of(StandardSocketOptions.SO_REUSEPORT);
 
     private final Socket holder = new Socket();
--- a/laboratory/src/main/java/opalcove/laboratory/soak/History.java
+++ b/laboratory/src/main/java/opalcove/laboratory/soak/History.java
@@ -8,26 +8,26 @@
 import java.util.Map;
 
 /**
- * What clients, the connections to backends and discovery saw in one run. Times are ms from the run's start, by the monotonic
- * clock. Written by one thread.
+ * Records what clients, the fault proxies before the backends and discovery observed in one run. Times are ms from the
+ * run's start, by the monotonic clock. Written by one thread.
  */
 final class History {
-    /** How the answer to a request came out. */
+    /** How a request ended. */
     enum End {
         SERVED,
         REFUSED,
         FAILED,
-        /** Its connection ended first, by the gateway. */
+        /** The gateway closed the connection before the response. */
         CLOSED,
-        /** The client closed its connection. */
+        /** The client closed the connection before the response. */
         LEFT,
-        /** Its gateway was killed, or was being ended when it was due. */
+        /** The gateway was killed before the response, or no gateway was listening. */
         KILLED,
-        /** A long value was cut: its client can tell. */
+        /** The connection ended within a long value, so that the client can detect that the value is truncated. */
         CUT
     }
 
-    /** One request of a client. */
+    /** One request of a client, as the client observed it. */
     static final class Request {
         final String id;
         final SoakClass requestClass;
@@ -36,16 +36,19 @@
         final int gateway;
         final int connection;
         final int waitMs;
-        /** When its last byte was written; below 0 while it was not. */
+        /** When its last byte was written; below 0 until then. */
         double sentAt = -1;
-        /** Its connection was used before, so it is not one that may be shut unread for want of descriptors. */
+        /**
+         * Whether its connection was used before. Only an unused connection may be closed without being read when the
+         * gateway has no descriptors left.
+         */
         boolean onUsedConnection;
-        /** When the answer before it on its connection came: the time spent waiting for that does not count. */
+        /** When the previous response on its connection arrived. The time spent waiting for that does not count. */
         double turnAt = -1;
 
         End end;
         double endAt = -1;
-        /** When the gateway that was killed before it answered had been sent a SIGTERM; below 0 if it was not. */
+        /** When SIGTERM was sent to the gateway that was killed before the response; below 0 if it was not sent. */
         double terminationSentAt = -1;
 
         String answer = "";
@@ -76,7 +79,7 @@
         }
     }
 
-    /** One attempt, as the fault proxy saw it on the connection to the backend. */
+    /** One attempt, as the fault proxy observed it on the connection to the backend. */
     static final class Attempt {
         final Request request;
         final int gateway;
@@ -84,7 +87,9 @@
         final double firstByteAt;
         final double wholeAt;
         final int waitMs;
-        /** When the first byte of a reply was passed on, or the connection ended; below 0 while it is out. */
+        /**
+         * When the first byte of the response was forwarded, or the connection ended; below 0 while it is in flight.
+         */
         double overAt = -1;
 
         boolean rejected;
@@ -93,12 +98,12 @@
         public String toString() {
             return String.format(
                     Locale.ROOT,
-                    "[backend %d, sent %.0f, d=%d, over %.0f%s]",
+                    "[backend %d, sent %.0f, d=%d, ended %.0f%s]",
                     backend,
                     firstByteAt,
                     waitMs,
                     overAt,
-                    rejected ? ", turned away" : "");
+                    rejected ? ", rejected" : "");
         }
 
         Attempt(Request request, int gateway, int backend, double firstByteAt, double wholeAt, int waitMs) {
@@ -111,12 +116,15 @@
         }
     }
 
-    /** A time in which a backend takes no new work, or one in which it is newly started. */
+    /**
+     * A change of a backend in the list: from then on it takes no new work, or takes work, for example as newly
+     * started.
+     */
     static final class Change {
         final int backend;
         final boolean takesWork;
         final double at;
-        /** By gateway: when it counts as told; below 0 while it does not. */
+        /** When each gateway counts as notified of the change; below 0 while it does not. */
         final double[] notifiedAt;
 
         Change(int backend, boolean takesWork, double at, int gateways) {
@@ -128,11 +136,11 @@
         }
     }
 
-    /** A connection whose client stopped in the middle of a request. */
+    /** A client that stopped in the middle of a request on a connection. */
     static final class Stall {
         final int gateway;
         final double at;
-        /** The request before it on its connection, or null: its answer comes first. */
+        /** The earlier request on the same connection, whose response comes first, or null. */
         final Request before;
 
         double endedAt = -1;
@@ -144,16 +152,16 @@
         }
     }
 
-    /** A span of time in which the recording thread read nothing: what it saw then may be late by as much. */
+    /** A time span in which the recording thread was stalled. Times that it recorded then may be late by as much. */
     private record Lag(double at, double ms) {}
 
     final Map<String, Request> requests = new LinkedHashMap<>();
     final List<Attempt> attempts = new ArrayList<>();
     final List<Change> changes = new ArrayList<>();
     final List<Stall> stalls = new ArrayList<>();
-    /** By backend: when it was started anew. */
+    /** The times of the restarts of each backend. */
     final Map<Integer, List<Double>> starts = new HashMap<>();
-    /** What processes did that no process may do, as told by who watches them. */
+    /** Violations that were found by the observers of the processes rather than by the oracle. */
     final List<SoakViolation> processViolations = new ArrayList<>();
 
     private final List<Lag> lags = new ArrayList<>();
@@ -162,7 +170,7 @@
         lags.add(new Lag(at, ms));
     }
 
-    /** How late what was recorded around this time may be, ms. */
+    /** Returns how late the times recorded around {@code at} may be, ms. */
     double lagAround(double at) {
         double max = 0;
         for (Lag each : lags) {
--- a/laboratory/src/main/java/opalcove/laboratory/soak/Oracle.java
+++ b/laboratory/src/main/java/opalcove/laboratory/soak/Oracle.java
@@ -12,20 +12,22 @@
 import opalcove.laboratory.soak.History.Request;
 import opalcove.laboratory.soak.History.Stall;
 
-/** Judges the rules by a history, and by nothing that a gateway says of itself. */
+/** Checks the rules against a history, without using anything that a gateway reports about itself. */
 final class Oracle {
-    /** How much longer every time limit is on sockets, ms. */
+    /** Slack that is added to time limits for the transfer over sockets, ms. */
     private static final double SOCKET_SLACK_MS = 50;
-    /** What the recording itself may be late by when its thread is not held up, ms. */
+    /** How late recorded times may be while the recording thread is not stalled, ms. */
     private static final double RECORDING_MS = 15;
 
     private static final double LOST_AFTER_MS = 500;
     private static final double DISCONNECT_SLACK_MS = 100;
     private static final double DEADLINE_SLACK_MS = 150;
     private static final double STALL_MS = 3000;
-    /** A request that was written so long before its connection was closed has been read, ms. */
+    /**
+     * A request that was written longer than this before its connection was closed counts as read by the gateway, ms.
+     */
     private static final double CROSSING_MS = 50;
-    /** Two ends that were recorded so close to each other may have come in the other order, ms. */
+    /** Two ends that were recorded within this time of each other may have happened in the other order, ms. */
     private static final double ORDER_MS = 10;
 
     private static final double NOTIFIED_PART = 2.0 / 3;
@@ -45,7 +47,7 @@
         this.endAt = endAt;
     }
 
-    /** The rules that were broken, in the order of time. */
+    /** Returns the violations in the order of time. */
     List<SoakViolation> judge() {
         for (Request request : history.requests.values()) {
             judgeEnd(request);
@@ -79,7 +81,7 @@
         double dueAt = Math.max(request.sentAt + request.waitMs, request.turnAt) + LOST_AFTER_MS;
         if (request.end == null) {
             if (endAt > dueAt + tolerance(endAt)) {
-                broken(SoakRule.ANSWERED, request.gateway, dueAt, "%s never had an answer", describe(request));
+                broken(SoakRule.ANSWERED, request.gateway, dueAt, "%s received no response", describe(request));
             }
             return;
         }
@@ -90,7 +92,7 @@
                         SoakRule.NOT_CLOSED_UNANSWERED,
                         request.gateway,
                         request.endAt,
-                        "%s closed %.0f ms after it was written, %d attempts",
+                        "%s connection closed without a response %.0f ms after the request was written, %d attempts",
                         describe(request),
                         before,
                         request.attempts.size());
@@ -102,19 +104,33 @@
                     SoakRule.ANSWERED,
                     request.gateway,
                     request.endAt,
-                    "%s answered %.0f ms after its time",
+                    "%s received its response %.0f ms after it was due",
                     describe(request),
                     request.endAt - dueAt + LOST_AFTER_MS);
         }
         if (request.end == End.SERVED && !request.answer.startsWith(request.id + " ")) {
-            broken(SoakRule.OWN_VALUE, request.gateway, request.endAt, "%s got %s", describe(request), request.answer);
+            broken(
+                    SoakRule.OWN_VALUE,
+                    request.gateway,
+                    request.endAt,
+                    "%s received the value %s, which doesn't begin with its id",
+                    describe(request),
+                    request.answer);
         }
         if (request.end == End.REFUSED && !mayBeRefused(request)) {
-            broken(SoakRule.REFUSAL, request.gateway, request.endAt, "%s refused, and may have run", describe(request));
+            broken(
+                    SoakRule.REFUSAL,
+                    request.gateway,
+                    request.endAt,
+                    "%s rejected although an attempt may have run",
+                    describe(request));
         }
     }
 
-    /** A kill frees a gateway of what it owes only where no SIGTERM came before it, or the request came late after that. */
+    /**
+     * A kill excuses a missing response only if no SIGTERM preceded it, or if the request was sent late after the
+     * SIGTERM.
+     */
     private void judgeKilled(Request request) {
         double owedUntil = request.terminationSentAt + GatewayProcess.TERMINATION_NOTICE_MS - CROSSING_MS;
         if (request.terminationSentAt >= 0 && request.sentAt <= owedUntil) {
@@ -122,7 +138,7 @@
                     SoakRule.ANSWERED,
                     request.gateway,
                     request.endAt,
-                    "%s not answered before the kill, SIGTERM sent at %.0f",
+                    "%s received no response before the kill, SIGTERM sent at %.0f",
                     describe(request),
                     request.terminationSentAt);
         }
@@ -135,7 +151,7 @@
         return request.requestClass.safe() || shared || !ran;
     }
 
-    /** A whole command that was not turned away by then may have run. */
+    /** Whether the attempt may have run by the given time: its command was complete and had not been rejected. */
     private static boolean mayHaveRun(Attempt attempt, double by) {
         return attempt.wholeAt >= 0 && attempt.wholeAt <= by && !(attempt.rejected && attempt.overAt <= by + ORDER_MS);
     }
@@ -143,7 +159,7 @@
     private static String describe(Request request) {
         return String.format(
                 Locale.ROOT,
-                "%s %s d=%d on connection %d, written at %.0f, %s at %.0f, its turn at %.0f, attempts %s:",
+                "%s %s d=%d on connection %d, written at %.0f, %s at %.0f, previous response at %.0f, attempts %s:",
                 request.requestClass,
                 request.id,
                 request.waitMs,
@@ -158,7 +174,7 @@
     private void judgeAttempts(Request request) {
         List<Attempt> attempts = request.attempts;
         long whole = attempts.stream().filter(attempt -> attempt.wholeAt >= 0).count();
-        // A reload may have allowed one more for a while: the larger of both numbers binds.
+        // A reload may have allowed one more attempt for a while, so the larger of both limits applies.
         int max = plan.setup().maxAttempts() + 1;
         if (whole > max) {
             broken(SoakRule.ATTEMPTS, request.gateway, request.endAt, "%s had %d attempts", describe(request), whole);
@@ -180,7 +196,7 @@
                     SoakRule.NOT_FOR_CLIENTS_THAT_LEFT,
                     attempt.gateway,
                     at,
-                    "%s sent to backend %d %.0f ms after its client left",
+                    "%s sent to backend %d %.0f ms after its client disconnected",
                     describe(request),
                     attempt.backend,
                     at - request.endAt);
@@ -191,7 +207,7 @@
                     SoakRule.NOT_AFTER_THE_ANSWER,
                     attempt.gateway,
                     at,
-                    "%s sent to backend %d %.0f ms after its answer",
+                    "%s sent to backend %d %.0f ms after its final response",
                     describe(request),
                     attempt.backend,
                     at - request.endAt);
@@ -203,7 +219,7 @@
                         SoakRule.DEADLINE_PASSED_ON,
                         attempt.gateway,
                         at,
-                        "%s told backend %d d=%d with %.0f ms left",
+                        "%s sent to backend %d with deadline d=%d, %.0f ms remaining",
                         describe(request),
                         attempt.backend,
                         attempt.waitMs,
@@ -232,7 +248,7 @@
                     SoakRule.SECOND_COPY,
                     attempt.gateway,
                     at,
-                    "%s sent to backend %d with %d attempts out",
+                    "%s sent to backend %d with %d attempts in flight",
                     describe(request),
                     attempt.backend,
                     out);
@@ -243,13 +259,13 @@
         double at = attempt.firstByteAt;
         String objection = null;
         if (request.requestClass == SoakClass.PAYMENT) {
-            objection = "unsafe";
+            objection = "although its class is unsafe";
         } else if (request.requestClass == SoakClass.ORDER) {
             double sinceMs = at - earlier.firstByteAt;
             if (!plan.setup().sharesRepeats(places.get(earlier.backend), places.get(attempt.backend))) {
-                objection = "at a backend that does not know of it";
+                objection = "which does not share repeat detection with the earlier backend";
             } else if (sinceMs > request.requestClass.windowMs + SOCKET_SLACK_MS + tolerance(at)) {
-                objection = String.format(Locale.ROOT, "%.0f ms after the first", sinceMs);
+                objection = String.format(Locale.ROOT, "%.0f ms after the earlier attempt", sinceMs);
             }
         }
         if (objection != null) {
@@ -257,7 +273,7 @@
                     SoakRule.REPEAT,
                     attempt.gateway,
                     at,
-                    "%s repeated at backend %d, %s; the earlier one at backend %d at %.0f",
+                    "%s repeated at backend %d, %s; earlier attempt at backend %d at %.0f",
                     describe(request),
                     attempt.backend,
                     objection,
@@ -287,7 +303,7 @@
                         SoakRule.DRAIN,
                         attempt.gateway,
                         attempt.firstByteAt,
-                        "%s sent to backend %d %.0f ms after its drain was told; changed at %.0f",
+                        "%s sent to backend %d %.0f ms after the gateway was notified of its drain; changed at %.0f",
                         describe(attempt.request),
                         attempt.backend,
                         since,
@@ -318,7 +334,7 @@
                         SoakRule.SLOW_START,
                         since.get(last).gateway,
                         since.get(last).wholeAt,
-                        "backend %d, started at %.0f, got %d requests in 3 s, %.0f allowed",
+                        "backend %d, started at %.0f, received %d requests in 3 s, limit %.0f",
                         backend,
                         startedAt,
                         count,
@@ -363,7 +379,7 @@
             store = Math.min(Traffic.CEILING_BURST, store + (at - last) / 1000 * Traffic.CEILING_PER_S) - 1;
             last = at;
             if (store < -Traffic.CEILING_SLACK) {
-                broken(SoakRule.CEILING, -1, at, "customer %s is %.1f units below its ceiling's 0", customer, -store);
+                broken(SoakRule.CEILING, -1, at, "tenant %s exceeds its ceiling by %.1f units", customer, -store);
                 return;
             }
         }
@@ -378,9 +394,9 @@
                     SoakRule.STALLED_CLIENT,
                     stall.gateway,
                     stall.at,
-                    "a client that stopped in the middle of a request was ended after %.0f ms%s",
+                    "connection of a client that stopped in the middle of a request was closed after %.0f ms%s",
                     until - stall.at,
-                    stall.endedAt < 0 ? " at the least" : "");
+                    stall.endedAt < 0 ? " or more" : "");
         }
     }
 }
--- a/laboratory/src/main/java/opalcove/laboratory/soak/ProcessCommands.java
+++ b/laboratory/src/main/java/opalcove/laboratory/soak/ProcessCommands.java
@@ -6,18 +6,18 @@
 import java.util.List;
 import java.util.concurrent.TimeUnit;
 
-/** How the soak's processes are started and signalled. */
+/** Command lines and signals for the soak's processes. */
 final class ProcessCommands {
     private static final int SIGNAL_S = 10;
 
     private ProcessCommands() {}
 
-    /** Java with the class path of this process. */
+    /** Returns a command that runs the main class with the class path of this process. */
     static List<String> java(String mainClass, String... arguments) {
         return javaOf(System.getProperty("java.class.path"), mainClass, arguments);
     }
 
-    /** Java with that class path. */
+    /** Returns a command that runs the main class with the given class path. */
     static List<String> javaOf(String classPath, String mainClass, String... arguments) {
         List<String> command = new ArrayList<>(List.of(
                 Path.of(System.getProperty("java.home"), "bin", "java").toString(),
@@ -37,7 +37,7 @@
         return command;
     }
 
-    /** Sends a signal to a process that this one has started. */
+    /** Sends a signal to a child process, if it is still running. */
     static void signal(Process process, String name) {
         if (!process.isAlive()) {
             return;
--- a/laboratory/src/main/java/opalcove/laboratory/soak/RespCommands.java
+++ b/laboratory/src/main/java/opalcove/laboratory/soak/RespCommands.java
@@ -5,13 +5,13 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Reads RESP2 arrays of bulk strings out of bytes that come in pieces, without the gateway's own reader. */
+/** Parses RESP2 arrays of bulk strings that may arrive in pieces, independently of the gateway's parser. */
 final class RespCommands {
     private static final int HEAD_LIMIT = 32;
 
     private RespCommands() {}
 
-    /** The next whole command, which is taken out of the bytes; null where it has not come whole. */
+    /** Removes and returns the next complete command; returns null if none is complete yet. */
     static List<String> next(ByteBuf in) {
         int start = in.readerIndex();
         int fields = number(in, '*');
@@ -38,14 +38,14 @@
             return -1;
         }
         if (in.getByte(in.readerIndex()) != mark) {
-            throw new IllegalStateException("expected " + mark);
+            throw new IllegalStateException("RESP2 line doesn't begin with the expected byte " + mark);
         }
         String digits = in.toString(in.readerIndex() + 1, end - in.readerIndex() - 2, StandardCharsets.US_ASCII);
         in.readerIndex(end + 1);
         return Integer.parseInt(digits);
     }
 
-    /** The value of a mark such as {@code d=480} in a command's list of marks, or null. */
+    /** Returns the value of a parameter such as {@code d=480} in a command's list of parameters, or null. */
     static String mark(String parameters, String name) {
         for (String each : parameters.split(",")) {
             if (each.startsWith(name + "=")) {
@@ -55,7 +55,7 @@
         return null;
     }
 
-    /** A command of these words. */
+    /** Returns the command as a RESP2 array. */
     static String command(String... fields) {
         StringBuilder text = new StringBuilder("*").append(fields.length).append("\r\n");
         for (String each : fields) {
--- a/laboratory/src/main/java/opalcove/laboratory/soak/SlowStart.java
+++ b/laboratory/src/main/java/opalcove/laboratory/soak/SlowStart.java
@@ -1,6 +1,6 @@
 package opalcove.laboratory.soak;
 
-/** What a cold backend bears, as the soak's settings tell it. */
+/** The load that a newly started backend accepts according to the soak's settings. */
 final class SlowStart {
     static final double SLOW_START_SHARE = 0.2;
     static final int WARM_AFTER_MS = 8000;
@@ -9,7 +9,10 @@
 
     private SlowStart() {}
 
-    /** The most requests in {@link #FALL_MS} that a backend bears whose warm capacity is this, so long after its start. */
+    /**
+     * Returns the most requests in {@link #FALL_MS} that a backend may receive at the given time after its start, if
+     * its capacity after warm-up is {@code capacityPerS}.
+     */
     static double budget(double capacityPerS, double ageMs) {
         double share = Math.min(1, SLOW_START_SHARE + (1 - SLOW_START_SHARE) * ageMs / WARM_AFTER_MS);
         double allowed = OVERLOAD_FACTOR * share * capacityPerS * FALL_MS / 1000;
--- a/laboratory/src/main/java/opalcove/laboratory/soak/Soak.java
+++ b/laboratory/src/main/java/opalcove/laboratory/soak/Soak.java
@@ -12,52 +12,56 @@
 import java.util.concurrent.TimeUnit;
 import java.util.stream.Stream;
 
-/** Runs plans, and shrinks one that fails. */
+/** Runs soak plans, and shrinks plans that fail. */
 public final class Soak {
-    /** After the traffic, time for the last answers, ms: the longest deadline and half a second, and some more. */
+    /** Time for the last responses after the traffic stops, ms: the longest deadline plus 500 ms, with a margin. */
     private static final int REST_MS = 3600;
-    /** A plan that fails is played so often without one trouble before that one counts as needed. */
+    /** A plan is run this often without one of its faults before that fault counts as necessary for the failure. */
     private static final int ATTEMPTS = 2;
 
     private final Path folder;
     private final GatewayProcess.Means means;
 
-    /** A soak that keeps its files in the folder, which is made. */
+    /**
+     * Creates a soak of this process's gateway program that keeps its files in the folder, which is created if missing.
+     */
     public Soak(Path folder) throws IOException, InterruptedException {
         this(folder, System.getProperty("java.class.path"));
     }
 
-    /** A soak of the gateway program of that class path. */
+    /** Creates a soak of the gateway program on the given class path. */
     public Soak(Path folder, String gatewayClassPath) throws IOException, InterruptedException {
         this.folder = Files.createDirectories(folder);
         means = new GatewayProcess.Means(FaultShim.build(folder), gatewayClassPath);
     }
 
-    /** Whether system calls can be failed: a C compiler was found. */
+    /** Whether system calls can be made to fail, which needs a C compiler on this machine. */
     public boolean hasShim() {
         return means.shimLibrary().isPresent();
     }
 
-    /** What is done to a run's processes besides its troubles, such as one fault for all of its time. */
+    /**
+     * Additional actions on a run's processes besides the faults of its plan, such as one fault for the complete run.
+     */
     interface Setting {
-        /** How far the gateways' wall clocks are ahead from their start on, ms. */
+        /** Returns how far the gateways' wall clocks are ahead from their start on, ms. */
         default long clockAheadMs() {
             return 0;
         }
 
-        /** The traffic begins. */
+        /** Called when the traffic has begun. */
         default void begin(SoakCluster rig) throws Exception {}
 
-        /** The run is over; its history is whole. */
+        /** Called when the run has ended and its history is complete. */
         default void end(SoakCluster rig) {}
     }
 
-    /** Plays a plan. The files of the run stay in the folder where a rule was broken or that is asked for. */
+    /** Runs a plan. The files of the run are kept in the folder if a rule was broken or {@code keepLogs} is set. */
     public SoakResult run(SoakPlan plan, boolean keepLogs) throws Exception {
         return run(plan, keepLogs, new Setting() {});
     }
 
-    /** Plays a plan with something more done to its processes. */
+    /** Runs a plan with additional actions on its processes. */
     SoakResult run(SoakPlan plan, boolean keepLogs, Setting setting) throws Exception {
         Path own = Files.createTempDirectory(folder, "seed-" + plan.seed() + "-");
         SoakResult result = play(plan, own, setting);
@@ -97,8 +101,9 @@
     }
 
     /**
-     * What a warm backend can do, requests a second. A stand-in has no capacity of its own, so the pace of this run's busiest
-     * backend stands for it, as the settings' ramp is a share of what a warm one does.
+     * Returns the capacity of a backend after warm-up, requests per second. A {@link SoakBackend} has no capacity
+     * limit, so the rate of the run's busiest backend is used, since the ramp of the slow start is a share of a
+     * warmed-up backend's rate.
      */
     private static double capacityPerS(SoakCluster rig, double from) {
         Map<Integer, Integer> counts = new TreeMap<>();
@@ -113,7 +118,7 @@
         return ends;
     }
 
-    /** Leaves out one trouble after another while the rule is still broken; gives the shortest plan that was seen to fail. */
+    /** Leaves out each fault without which the rule is still broken, and returns the shortest plan that has failed. */
     public SoakPlan shrink(SoakPlan plan, SoakRule rule) throws Exception {
         SoakPlan shortest = plan;
         for (Fault each : plan.faults()) {
--- a/laboratory/src/main/java/opalcove/laboratory/soak/SoakBackend.java
+++ b/laboratory/src/main/java/opalcove/laboratory/soak/SoakBackend.java
@@ -26,25 +26,26 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * A backend of the soak as a process of its own: {@code SoakBackend NAME PORT}, where port 0 is any. It prints the port that it
- * listens on, reads behaviours from standard input, one {@code NAME VALUE} a line, and ends with that input.
+ * The program of a soak's backend process: {@code SoakBackend NAME PORT}, where port 0 selects any free port. It prints
+ * the port that it listens on, reads behaviours from standard input, one {@code NAME VALUE} a line, and exits at the
+ * end of that input.
  */
 public final class SoakBackend {
-    /** What a line of standard input can set. */
+    /** The behaviours that a line of standard input can set. */
     enum Behaviour {
-        /** Mean time that a request takes, ms. */
+        /** Mean processing time of a request, ms. */
         WORK(15),
-        /** Share of requests that are turned away. */
+        /** Share of requests that are rejected. */
         BUSY(0),
-        /** Share that is answered with an error. */
+        /** Share of requests that get an error response. */
         ERROR(0),
-        /** Share that is never answered. */
+        /** Share of requests that never get a response. */
         HANG(0),
-        /** Share whose answer is spoilt. */
+        /** Share of requests that get a malformed response. */
         SPOILT(0),
-        /** Share of answers after which the connection is closed. */
+        /** Share of responses after which the connection is closed. */
         CLOSES(0),
-        /** Share of answers that are long, some of which are cut. */
+        /** Share of responses with long values, some of which are truncated. */
         LONG(0);
 
         final double first;
@@ -69,7 +70,7 @@
         }
     }
 
-    /** Serves until standard input ends. */
+    /** Serves requests until the end of standard input. */
     public static void main(String[] args) throws Exception {
         SoakBackend backend = new SoakBackend(args[0]);
         EventLoopGroup loop = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
@@ -105,7 +106,7 @@
         return ThreadLocalRandom.current().nextDouble() < behaviours.get(behaviour);
     }
 
-    /** Reads the commands of one connection and answers each after its time. */
+    /** Reads the commands of one connection and responds to each after its processing time. */
     private final class Requests extends ChannelInboundHandlerAdapter {
         private ByteBuf pending;
 
--- a/laboratory/src/main/java/opalcove/laboratory/soak/SoakBackendPlace.java
+++ b/laboratory/src/main/java/opalcove/laboratory/soak/SoakBackendPlace.java
@@ -1,4 +1,4 @@
 package opalcove.laboratory.soak;
 
-/** Where a backend stands. */
+/** The zone and cell of a backend. */
 record SoakBackendPlace(String zone, int cell) {}
--- a/laboratory/src/main/java/opalcove/laboratory/soak/SoakClass.java
+++ b/laboratory/src/main/java/opalcove/laboratory/soak/SoakClass.java
@@ -3,7 +3,7 @@
 import com.eclipsesource.json.Json;
 import com.eclipsesource.json.JsonObject;
 
-/** The classes of requests in the soak's settings. */
+/** The request classes in the soak's settings. */
 enum SoakClass {
     LOOKUP("lookup", "safe", 1500, 0),
     READING("reading", "safe", 2500, 0),
--- a/laboratory/src/main/java/opalcove/laboratory/soak/SoakClock.java
+++ b/laboratory/src/main/java/opalcove/laboratory/soak/SoakClock.java
@@ -1,6 +1,6 @@
 package opalcove.laboratory.soak;
 
-/** Milliseconds since the run's start, by the monotonic clock. */
+/** Measures the time since the run's start with the monotonic clock, ms. */
 final class SoakClock {
     private final long startedAt = System.nanoTime();
 
--- a/laboratory/src/main/java/opalcove/laboratory/soak/SoakCluster.java
+++ b/laboratory/src/main/java/opalcove/laboratory/soak/SoakCluster.java
@@ -13,11 +13,11 @@
 import java.util.concurrent.ScheduledFuture;
 import java.util.concurrent.TimeUnit;
 
-/** The processes of one run, the connections between them and what stands in for discovery. */
+/** The processes of one run, the fault proxies between them and the discovery agents. */
 final class SoakCluster implements AutoCloseable {
     private static final int LAG_LOOK_MS = 5;
     private static final int SAMPLE_MS = 100;
-    /** Held up for less than this the recording counts as on time, ms. */
+    /** A stall of the recording thread of at most this long is ignored, ms. */
     private static final double MIN_LAG_MS = 3;
 
     final SoakClock clock = new SoakClock();
@@ -29,17 +29,19 @@
     private final Fleet fleet;
     private final List<BackendProcess> backends = new ArrayList<>();
     private final List<GatewayProcess> gateways = new ArrayList<>();
-    /** Guards the history against a lag that is added while the oracle reads it. */
+    /** Is cancelled at the end of the run; otherwise it would add a lag to the history while the oracle reads it. */
     private final ScheduledFuture<?> lagWatch;
 
     private final List<List<BackendConnection>> connections = new ArrayList<>();
     private final List<List<DiscoveryAgent>> agents = new ArrayList<>();
     private final List<Traffic> traffics = new ArrayList<>();
     private final int[] followed;
-    /** Guards the machine against processes that outlive a soak which is ended, or ends early, itself. */
+    /**
+     * Shutdown hook that kills the processes; without it they would outlive a soak that is terminated or exits early.
+     */
     private final Thread killing = new Thread(this::killAll, "kill-processes");
 
-    /** Starts all processes; the gateways' wall clocks are so far ahead from their start on. */
+    /** Starts all processes; the gateways' wall clocks are {@code clockAheadMs} ahead from their start on. */
     SoakCluster(SoakPlan plan, Path folder, GatewayProcess.Means means, long clockAheadMs) throws Exception {
         this.plan = plan;
         followed = new int[plan.gateways()];
@@ -125,7 +127,10 @@
         running.forEach(CompletableFuture::join);
     }
 
-    /** Writes a gateway's file; a move names the other of its two agents, and may allow more attempts. */
+    /**
+     * Writes a gateway's configuration file. If {@code move} is set, the file names the other one of the gateway's two
+     * discovery agents. {@code moreAttempts} is added to the limit of attempts.
+     */
     void configure(int gateway, boolean move, int moreAttempts) throws IOException {
         if (move) {
             followed[gateway] = 1 - followed[gateway];
@@ -164,12 +169,12 @@
         return traffics.get(gateway);
     }
 
-    /** Does it on the loop, to its end. */
+    /** Runs the action on the event loop and waits for its end. */
     void onLoop(Runnable work) {
         loop.submit(work).syncUninterruptibly();
     }
 
-    /** Changes a backend's status in discovery's list; as newly started where it is. */
+    /** Changes a backend's status in discovery's list; {@code started} also sets its start time to now. */
     void change(int backend, String status, boolean started) {
         onLoop(() -> {
             double now = clock.now();
@@ -184,7 +189,10 @@
         });
     }
 
-    /** Kills a backend and starts it again after that time: it stays in the list, and the list tells its start. */
+    /**
+     * Kills a backend and starts it again after {@code outageMs}. It stays in the list, which then shows the new start
+     * time.
+     */
     void restartBackend(int backend, int outageMs) throws IOException, InterruptedException {
         synchronized (backends.get(backend)) {
             backends.get(backend).kill();
@@ -204,7 +212,9 @@
         onLoop(() -> traffics.forEach(Traffic::stop));
     }
 
-    /** Ends all gateways by SIGTERM, judges what they have logged, and stops recording: the history does not change after it. */
+    /**
+     * Terminates all gateways by SIGTERM, checks their logs and stops recording. The history doesn't change afterwards.
+     */
     void end() throws Exception {
         forAll(gateways, GatewayProcess::end);
         for (GatewayProcess each : gateways) {
@@ -227,7 +237,7 @@
         }
     }
 
-    /** Notes when the loop, which records all times, was held up. */
+    /** Records when the event loop, whose thread records all times, was stalled. */
     private final class LagWatch implements Runnable {
         private double lastAt = clock.now();
 
@@ -247,7 +257,7 @@
         try {
             Runtime.getRuntime().removeShutdownHook(killing);
         } catch (IllegalStateException endsAlready) {
-            // The hook does the same.
+            // The JVM is shutting down, and the hook kills the processes.
         }
         for (GatewayProcess each : gateways) {
             each.close();
--- a/laboratory/src/main/java/opalcove/laboratory/soak/SoakPlan.java
+++ b/laboratory/src/main/java/opalcove/laboratory/soak/SoakPlan.java
@@ -10,24 +10,24 @@
 import java.util.SplittableRandom;
 
 /**
- * All that a seed decides: the fleet, the settings and the schedule of troubles. Troubles come in groups of two or three that
- * overlap in time by construction.
+ * Everything that a seed determines: the size of the fleet, the settings and the schedule of faults. Faults are drawn
+ * in groups of two or three that overlap in time by construction.
  */
 public record SoakPlan(
         long seed, int gateways, int backends, int lengthMs, double requestsPerS, Setup setup, List<Fault> faults) {
     private static final int FIRST_MS = 500;
     private static final int MIN_LENGTH_MS = 400;
     private static final int MORE_LENGTH_MS = 3200;
-    /** Gateways that are stopped, or whose file changes, at the same time are the same one in half of all groups. */
+    /** The probability that a fault has the common gateway or backend of its group as its target. */
     private static final double SAME_TARGET = 0.5;
 
-    /** The size of the fleet and the length of the traffic; what is 0 is drawn. */
+    /** The size of the fleet and the length of the traffic. A size of 0 is drawn, and a length of 0 stands for 12 s. */
     public record Size(int gateways, int backends, int lengthMs) {}
 
     /**
-     * The settings that are drawn.
+     * The drawn settings.
      *
-     * @param reach the backends that drop repeats of a keyed request: all, zone or cell
+     * @param reach the backends that share the detection of repeats of a keyed request: all, zone or cell
      */
     public record Setup(
             boolean pushed,
@@ -46,12 +46,12 @@
         }
     }
 
-    /** Draws a plan whose troubles are of any kind. */
+    /** Draws a plan with faults of any type. */
     public static SoakPlan of(long seed, Size size) {
         return of(seed, size, List.of(FaultType.values()));
     }
 
-    /** Draws a plan whose troubles are of these kinds. */
+    /** Draws a plan with faults of the given types. */
     public static SoakPlan of(long seed, Size size, List<FaultType> kinds) {
         SplittableRandom random = new SplittableRandom(seed);
         int gateways = size.gateways() > 0 ? size.gateways() : random.nextInt(3, 6);
@@ -94,7 +94,7 @@
         return List.copyOf(faults);
     }
 
-    /** The same plan without the troubles of these numbers. */
+    /** Returns the same plan without the faults of these numbers. */
     public SoakPlan without(Set<Integer> numbers) {
         List<Fault> left = faults.stream()
                 .filter(fault -> !numbers.contains(fault.number()))
@@ -102,12 +102,12 @@
         return new SoakPlan(seed, gateways, backends, lengthMs, requestsPerS, setup, left);
     }
 
-    /** The same fleet and settings with these troubles. */
+    /** Returns the same fleet and settings with these faults. */
     public SoakPlan with(List<Fault> chosen) {
         return new SoakPlan(seed, gateways, backends, lengthMs, requestsPerS, setup, List.copyOf(chosen));
     }
 
-    /** The settings of a gateway in the form of its file; attempts allowed differ after a reload. */
+    /** Returns a gateway's settings for its configuration file; a reload may change the limit of attempts. */
     JsonObject settings(int gateway, int maxAttempts) {
         JsonObject limits = Json.object()
                 .add("max_attempts", maxAttempts)
@@ -165,7 +165,7 @@
                 .add("tiers_of_service", plans);
     }
 
-    /** The plan as text: the fleet, the settings, and a line a trouble. */
+    /** Returns the plan as text: the fleet, the settings, and one line for each fault. */
     public String text() {
         StringBuilder text = new StringBuilder();
         text.append("seed ")
--- a/laboratory/src/main/java/opalcove/laboratory/soak/SoakResult.java
+++ b/laboratory/src/main/java/opalcove/laboratory/soak/SoakResult.java
@@ -7,11 +7,11 @@
 import java.util.TreeSet;
 
 /**
- * What came of one run.
+ * The result of one run.
  *
- * @param made the troubles that were made; a trouble of system calls is among them only if its shim has hit
- * @param ends how many requests ended in which way
- * @param maxLagMs the longest time in which the recording thread was held up, ms
+ * @param made the faults that were injected; a fault of system calls is among them only if its shim has hit
+ * @param ends the number of requests by how they ended
+ * @param maxLagMs the longest time for which the recording thread was stalled, ms
  */
 public record SoakResult(
         SoakPlan plan,
@@ -20,14 +20,14 @@
         Map<String, Integer> ends,
         int attempts,
         double maxLagMs) {
-    /** The rules that were broken. */
+    /** Returns the rules that were broken. */
     public Set<SoakRule> brokenRules() {
         Set<SoakRule> rules = new TreeSet<>();
         violations.forEach(violation -> rules.add(violation.rule()));
         return rules;
     }
 
-    /** One line on the run, and a few of the violations of each rule. */
+    /** Returns one line about the run, and up to three violations of each rule. */
     public String text() {
         StringBuilder text = new StringBuilder();
         text.append("seed ").append(plan.seed()).append(": ");
@@ -42,7 +42,7 @@
         }
         notified.forEach((rule, count) -> {
             if (count > 3) {
-                text.append("    ").append(rule).append(": ").append(count).append(" in all\n");
+                text.append("    ").append(rule).append(": ").append(count).append(" in total\n");
             }
         });
         return text.toString();
--- a/laboratory/src/main/java/opalcove/laboratory/soak/SoakRule.java
+++ b/laboratory/src/main/java/opalcove/laboratory/soak/SoakRule.java
@@ -1,42 +1,47 @@
 package opalcove.laboratory.soak;
 
-/** The rules that the soak's oracle judges. */
+/** The rules that the soak checks. */
 public enum SoakRule {
-    /** A request that was written to an open connection gets its final answer, at most 0.5 s after its time. */
+    /**
+     * A request that was written to an open connection gets its final response at most 0.5 s after its deadline, or
+     * after the previous response on the connection if that is later.
+     */
     ANSWERED,
-    /** A request that was read is not closed without an answer. */
+    /** The connection of a request that was read is not closed without a response. */
     NOT_CLOSED_UNANSWERED,
-    /** A value is what a backend gave for this request. */
+    /** A response holds the value that a backend returned for this request. */
     OWN_VALUE,
-    /** No attempt begins more than 0.1 s after its client has left. */
+    /** No attempt begins more than 0.1 s after its client has disconnected. */
     NOT_FOR_CLIENTS_THAT_LEFT,
-    /** No attempt begins once its request had its final answer. */
+    /** No attempt begins after the final response to its request. */
     NOT_AFTER_THE_ANSWER,
-    /** The deadline passed on is at most what the client has left, with 0.15 s of slack. */
+    /** The forwarded deadline is at most the client's remaining time, with a slack of 0.15 s. */
     DEADLINE_PASSED_ON,
-    /** Nothing new to a backend after the grace since its drain or removal was told. */
+    /**
+     * A backend gets no new request once the grace period after the notification of its drain or removal has passed.
+     */
     DRAIN,
-    /** A cold backend gets no more than it bears. */
+    /** A newly started backend gets no more requests than its slow start allows. */
     SLOW_START,
     /** A request is repeated only as its class allows. */
     REPEAT,
-    /** One attempt is out at a time, two where the settings allow second copies. */
+    /** At most one attempt is in flight at a time, or two if the settings allow hedged requests. */
     SECOND_COPY,
-    /** No more attempts than the settings allow. */
+    /** A request has no more attempts than the settings allow. */
     ATTEMPTS,
-    /** A refusal only where trying again is harmless. */
+    /** A request is rejected only if a retry by the client is harmless. */
     REFUSAL,
-    /** The hard ceiling of a customer holds over all gateways. */
+    /** The hard ceiling of a tenant is kept over all gateways together. */
     CEILING,
-    /** Clients that stop in the middle of a request get their error or close within 3 s. */
+    /** Clients that stop in the middle of a request get an error or a close within 3 s. */
     STALLED_CLIENT,
     /** A restarted gateway is ready within 10 s. */
     READY,
-    /** A process that is told to end does so, and well. */
+    /** A gateway that receives SIGTERM exits in time and with an allowed exit code. */
     ENDS_WELL,
-    /** No gateway ends by itself. */
+    /** No gateway process exits unless the soak terminates it. */
     NO_CRASH,
-    /** No gateway holds more descriptors than its limit. */
+    /** No gateway has more descriptors open than its limit. */
     DESCRIPTORS,
     /** No gateway counts a violation of its own rules, and none logs an error. */
     OWN_CHECKS
--- a/laboratory/src/main/java/opalcove/laboratory/soak/Traffic.java
+++ b/laboratory/src/main/java/opalcove/laboratory/soak/Traffic.java
@@ -11,7 +11,9 @@
 import opalcove.laboratory.soak.History.Request;
 import opalcove.laboratory.soak.History.Stall;
 
-/** The clients of one gateway: an open loop of requests over kept and new connections, with the bad manners that are on. */
+/**
+ * The clients of one gateway: an open loop of requests over reused and new connections, with the active client faults.
+ */
 final class Traffic {
     static final String WIDE_PLAN = "wide";
     static final String CEILING_PLAN = "ceiling";
@@ -70,7 +72,7 @@
         running = false;
     }
 
-    /** Clients have this bad manner, or have it no more. */
+    /** Starts or stops a client fault. */
     void manner(FaultType kind, boolean on) {
         if (on) {
             manners.add(kind);
@@ -127,7 +129,7 @@
         }
     }
 
-    /** Mostly one that is idle, else a new one; null where there are too many. */
+    /** Returns an idle connection in most cases, otherwise a new one; returns null if there are too many. */
     private ClientConnection connection() {
         List<ClientConnection> idle =
                 connections.stream().filter(ClientConnection::isIdle).toList();
@@ -175,7 +177,10 @@
                 : RespCommands.command("SVC.SUBMIT", request.customer, request.id, parameters, "body of " + request.id);
     }
 
-    /** Requests of a class that this gateway does not know, such as those of a configuration that it has not read yet. */
+    /**
+     * Sends requests of a class that the gateway does not know, for example one of a configuration that it has not read
+     * yet.
+     */
     private void sendErrors(ClientConnection connection) {
         int count = random.nextInt(1, 5);
         for (int i = 0; i < count; i++) {
--- a/laboratory/src/main/resources/opalcove/laboratory/soak/fault_shim.c
+++ b/laboratory/src/main/resources/opalcove/laboratory/soak/fault_shim.c
@@ -1,9 +1,9 @@
 /*
- * Fails system calls of one process on command: loaded by LD_PRELOAD into gateway processes of the soak alone.
+ * Makes system calls of one process fail on command. Only gateway processes of the soak load it, by LD_PRELOAD.
  *
- * The file that SOAK_SHIM names is mapped shared; the soak writes rules into it and reads the hits back. A rule says, for one
- * call on one kind of descriptor, that one in so many calls fails with an errno, or (errno 0) transfers one byte only. The wall
- * clock is shifted by an offset; the monotonic clock is left alone.
+ * The file that SOAK_SHIM names is mapped shared; the soak writes rules into it and reads the hit counters. A rule states, for
+ * one call on one kind of descriptor, that one in one_in calls fails with an errno, or (errno 0) transfers only one byte. The
+ * wall clock is shifted by an offset; the monotonic clock is unchanged.
  */
 #define _GNU_SOURCE
 #include <dlfcn.h>
@@ -71,7 +71,7 @@
     if (fd >= 0 && fd < MOST_DESCRIPTORS) kinds[fd] = (unsigned char)kind;
 }
 
-/* Whether this call is to fail; the rule that says so. */
+/* Returns the rule by which this call fails, or 0 if it does not fail. */
 static struct rule *hit(enum call call, int kind) {
     struct rule *rule = &control->rules[call][kind];
     int one_in = rule->one_in;
@@ -235,7 +235,7 @@
     return 0;
 }
 
-/* The virtual machine looks clock_gettime up by name in a library of its own choice. */
+/* The JVM looks up clock_gettime by name in a specific library, which would bypass the replacement above. */
 void *dlsym(void *library, const char *name) {
     static void *(*real)(void *, const char *);
     if (!real) real = dlvsym(RTLD_NEXT, "dlsym", "GLIBC_2.2.5");
--- a/laboratory/src/test/java/opalcove/laboratory/soak/OracleTest.java
+++ b/laboratory/src/test/java/opalcove/laboratory/soak/OracleTest.java
@@ -13,7 +13,7 @@
 import opalcove.laboratory.soak.History.Stall;
 import org.testng.annotations.Test;
 
-/** Each rule by a history that keeps it and one that just breaks it. */
+/** Checks each rule with a history that keeps it and one that barely breaks it. */
 public class OracleTest {
     private static final double CAPACITY_PER_S = 10;
     private static final double END_MS = 20_000;
@@ -53,7 +53,7 @@
         return request;
     }
 
-    /** One request, sent at 1000 with a second to wait, with one attempt that is over at 1050. */
+    /** Returns a request sent at 1000 ms with a deadline of 1000 ms, and one attempt that ends at 1050 ms. */
     private Request ordinary(History history, SoakClass requestClass) {
         Request request = request(history, requestClass, 1000);
         attempt(history, request, 0, 1010, 990).overAt = 1050;
@@ -136,11 +136,11 @@
         Change drain = new Change(0, false, 0, 1);
         history.changes.add(drain);
         served(ordinary(history, SoakClass.LOOKUP), 1051);
-        assertEquals(judged(history), Set.of(), "not told");
+        assertEquals(judged(history), Set.of(), "gateway not notified");
         drain.notifiedAt[0] = 0;
-        assertEquals(judged(history), Set.of(), "within the grace");
+        assertEquals(judged(history), Set.of(), "within the grace period");
         drain.notifiedAt[0] = -200;
-        assertEquals(judged(history), Set.of(), "never told before 0");
+        assertEquals(judged(history), Set.of(), "times below 0 mean not notified");
         History late = new History();
         Change early = new Change(0, false, 0, 1);
         early.notifiedAt[0] = 0;
@@ -155,8 +155,8 @@
     public void repeatsByClass() {
         assertEquals(repeated(SoakClass.LOOKUP, 2, false), Set.of());
         assertEquals(repeated(SoakClass.PAYMENT, 1, false), Set.of(SoakRule.REPEAT));
-        assertEquals(repeated(SoakClass.PAYMENT, 1, true), Set.of(), "turned away: it never ran");
-        assertEquals(repeated(SoakClass.ORDER, 1, false), Set.of(), "in the zone of the first");
+        assertEquals(repeated(SoakClass.PAYMENT, 1, true), Set.of(), "rejected by the backend, so it never ran");
+        assertEquals(repeated(SoakClass.ORDER, 1, false), Set.of(), "in the zone of the first attempt");
         assertEquals(repeated(SoakClass.ORDER, 2, false), Set.of(SoakRule.REPEAT));
     }
 
@@ -243,10 +243,10 @@
         served(before, 4480);
         behind.endedAt = 4490;
         owed.stalls.add(behind);
-        assertEquals(judged(owed), Set.of(), "closed with the answer before it");
+        assertEquals(judged(owed), Set.of(), "closed with the response to the earlier request");
     }
 
-    /** Guards against an oracle that takes every kill for an excuse. */
+    /** Guards against an oracle that accepts every kill as an excuse for a missing response. */
     @Test
     public void aKillAfterSigtermFreesOnlyWhatCameLate() {
         assertEquals(killed(1000, -1), Set.of(), "no SIGTERM");
--- a/laboratory/src/test/java/opalcove/laboratory/soak/SoakTest.java
+++ b/laboratory/src/test/java/opalcove/laboratory/soak/SoakTest.java
@@ -12,8 +12,9 @@
 import org.testng.annotations.Test;
 
 /**
- * A short soak of real processes with fixed seeds. A machine that builds may be starved, so that only the rules that know no
- * time are judged here; the others are printed. Long soaks, in which all are, are run by hand: {@code opalcove soak --help}.
+ * Runs a short soak of real processes with fixed seeds. A build machine may be overloaded, so only rules without time
+ * limits fail the test; violations of the others are printed. Long soaks, which check all rules, are run by hand:
+ * {@code opalcove soak --help}.
  */
 public class SoakTest {
     private static final Set<SoakRule> UNTIMED = EnumSet.of(
@@ -52,10 +53,10 @@
     @Test(dataProvider = "plans")
     public void noRuleIsBrokenThatKnowsNoTime(long seed, List<FaultType> kinds) throws Exception {
         Soak soak = new Soak(Files.createTempDirectory("soak-test"));
-        assertTrue(soak.hasShim(), "a C compiler (cc) is needed to fail system calls: install gcc and libc6-dev");
+        assertTrue(soak.hasShim(), "a C compiler (cc) is needed to make system calls fail: install gcc and libc6-dev");
         SoakResult result = soak.run(SoakPlan.of(seed, SHORT, kinds), false);
         System.out.print(result.plan().text() + result.text());
-        assertNotEquals(result.ends().getOrDefault("SERVED", 0), 0, "nothing was served");
+        assertNotEquals(result.ends().getOrDefault("SERVED", 0), 0, "no request was served");
         List<SoakViolation> judged = result.violations().stream()
                 .filter(violation -> UNTIMED.contains(violation.rule()))
                 .toList();
