--- a/control/src/main/java/opalcove/control/xds/ResourceSubscription.java
+++ b/control/src/main/java/opalcove/control/xds/ResourceSubscription.java
@@ -178,9 +178,8 @@
             return null;
         }
         if (snapshot.lineage() != lineage) {
-            // Guards a client that moves to another lineage of snapshots: revisions of one lineage cannot be compared
-            // with those of
-            // another, so changes would not be sent.
+            // Guards a client that moves to another lineage of snapshots: revisions of different lineages are not
+            // comparable, so changes would not be sent.
             lineage = snapshot.lineage();
             sentRevision = acknowledgedRevision = NEVER;
         }
