--- a/mqtt/src/main/java/opalcove/mqtt/MqttClientSession.java
+++ b/mqtt/src/main/java/opalcove/mqtt/MqttClientSession.java
@@ -192,7 +192,7 @@
 
     /** Disconnects during a graceful shutdown if no request of this session is open. */
     void disconnectIfDrained() {
-        if (server.isDraining() && requests.hasNone(this)) {
+        if (server.isDraining() && requests.hasNoRequests(this)) {
             disconnect(MqttDisconnectReasonCode.SERVER_SHUTTING_DOWN);
         }
     }
--- a/mqtt/src/main/java/opalcove/mqtt/OpenRequests.java
+++ b/mqtt/src/main/java/opalcove/mqtt/OpenRequests.java
@@ -49,7 +49,7 @@
         return open.values().stream().filter(each -> each.session == session).count() >= MAX_PER_CLIENT;
     }
 
-    boolean hasNone(MqttClientSession session) {
+    boolean hasNoRequests(MqttClientSession session) {
         return open.values().stream().noneMatch(each -> each.session == session);
     }
 
