--- a/mqtt/src/main/java/opalcove/mqtt/MqttBackendConnection.java
+++ b/mqtt/src/main/java/opalcove/mqtt/MqttBackendConnection.java
@@ -28,16 +28,16 @@
 import org.tinylog.Logger;
 
 /**
- * A connection to a backend that is an MQTT 5 server. It carries one attempt at a time.
+ * A connection to a backend that is an MQTT 5 server; it carries one attempt at a time.
  *
  * <p>Owned by the event loop of its gateway.
  */
 final class MqttBackendConnection implements BackendConnection {
-    /** One publication is in flight at a time, so one identifier will do. */
+    /** Packet identifier of all packets; one is enough, since at most one publication is in flight. */
     private static final int MESSAGE_ID = 1;
-    /** Reason codes from here on are errors. */
+    /** Lowest reason code that is an error. */
     private static final int FIRST_ERROR_CODE = 0x80;
-    /** From here on a publication was not delivered to anyone: 0x10 is "no matching subscribers". */
+    /** Lowest reason code of a publication that was delivered to no subscriber; 0x10 is "no matching subscribers". */
     private static final int FIRST_UNDELIVERED_CODE = 0x10;
 
     private final NetSocketInternal socket;
@@ -45,14 +45,14 @@
     private final Promise<BackendConnection> ready;
     private final List<LoadMetric> metrics;
     private Listener listener;
-    /** Of the attempt in flight; null: there is none. */
+    /** Correlation data of the attempt in flight; null if there is none. */
     private byte[] correlation;
 
     /**
-     * Connects over this socket.
+     * Sends an MQTT CONNECT over this socket.
      *
-     * @param metrics the columns of the backends' load reports
-     * @param ready completed once the connection can carry an attempt
+     * @param metrics the metrics of the backends' load reports, in the order of their columns
+     * @param ready completed once the connection can carry an attempt; failed if it is closed before
      */
     MqttBackendConnection(
             NetSocket socket, String clientId, List<LoadMetric> metrics, Promise<BackendConnection> ready) {
@@ -115,7 +115,7 @@
         try {
             if (!(received instanceof MqttMessage message)
                     || message.decoderResult().isFailure()) {
-                fail("a packet that cannot be read");
+                fail("malformed packet");
                 return;
             }
             switch (message.fixedHeader().messageType()) {
@@ -123,7 +123,8 @@
                 case SUBACK -> onSubAck((MqttSubAckMessage) message);
                 case PUBLISH -> onPublish((MqttPublishMessage) message);
                 case PUBACK -> onPubAck(message);
-                default -> fail("a packet of type " + message.fixedHeader().messageType());
+                default ->
+                    fail("unexpected packet of type " + message.fixedHeader().messageType());
             }
         } finally {
             ReferenceCountUtil.release(received);
@@ -132,7 +133,7 @@
 
     private void onConnAck(MqttConnAckMessage message) {
         if (message.variableHeader().connectReturnCode() != MqttConnectReturnCode.CONNECTION_ACCEPTED) {
-            fail("not connected: " + message.variableHeader().connectReturnCode());
+            fail("CONNECT rejected with code " + message.variableHeader().connectReturnCode());
             return;
         }
         socket.writeMessage(MqttMessageBuilders.subscribe()
@@ -143,13 +144,13 @@
 
     private void onSubAck(MqttSubAckMessage message) {
         if (message.payload().reasonCodes().stream().anyMatch(code -> code >= FIRST_ERROR_CODE)) {
-            fail("not subscribed");
+            fail("SUBSCRIBE to the response topic rejected");
         } else {
             ready.tryComplete(this);
         }
     }
 
-    /** A response; one that belongs to no attempt is acknowledged and dropped. */
+    /** Handles a response; one that does not belong to the attempt in flight is acknowledged and dropped. */
     private void onPublish(MqttPublishMessage message) {
         MqttProperties properties = message.variableHeader().properties();
         if (message.fixedHeader().qosLevel() == MqttQoS.AT_LEAST_ONCE) {
@@ -160,12 +161,15 @@
         }
         if (correlation != null
                 && Arrays.equals(correlation, PropertyReader.bytes(properties, MqttProperties.CORRELATION_DATA))) {
-            // Lent: the packet is released once this call has returned.
+            // The payload is valid only during this call, since the packet is released afterwards.
             finish(ResponseMessage.read(properties, message.payload(), metrics));
         }
     }
 
-    /** A backend that does not accept the publication, or has no subscriber for it, has not run it. */
+    /**
+     * Reports the attempt as rejected if the backend did not accept the publication or has no subscriber for it, in which
+     * case it has not run the request.
+     */
     private void onPubAck(MqttMessage message) {
         if (correlation != null
                 && message.variableHeader() instanceof MqttPubReplyMessageVariableHeader header
--- a/mqtt/src/main/java/opalcove/mqtt/MqttClientSession.java
+++ b/mqtt/src/main/java/opalcove/mqtt/MqttClientSession.java
@@ -22,12 +22,12 @@
 import org.tinylog.Logger;
 
 /**
- * One client's connection.
+ * The session of one connected client.
  *
  * <p>Owned by the event loop of its gateway.
  */
 final class MqttClientSession {
-    /** Packet identifiers are 16 bits and not 0. */
+    /** Maximum packet identifier; identifiers have 16 bits and are not 0. */
     private static final int MAX_MESSAGE_ID = 65_535;
 
     private final MqttEndpoint connection;
@@ -49,7 +49,7 @@
         return connection.clientIdentifier();
     }
 
-    /** Accepts the connection, with what this server offers. */
+    /** Accepts the connection and announces the server's limits and supported features to the client. */
     void open(int maxPacketBytes) {
         connection.publishAutoAck(false);
         connection.publishHandler(this::onPublish);
@@ -64,13 +64,13 @@
                 e instanceof TooLongFrameException
                         ? MqttDisconnectReasonCode.PACKET_TOO_LARGE
                         : MqttDisconnectReasonCode.MALFORMED_PACKET));
-        MqttProperties offer = new MqttProperties();
-        offer.add(new IntegerProperty(MqttProperties.MAXIMUM_QOS, 1));
-        offer.add(new IntegerProperty(MqttProperties.RETAIN_AVAILABLE, 0));
-        offer.add(new IntegerProperty(MqttProperties.SHARED_SUBSCRIPTION_AVAILABLE, 0));
-        offer.add(new IntegerProperty(MqttProperties.RECEIVE_MAXIMUM, OpenRequests.MAX_PER_CLIENT));
-        offer.add(new IntegerProperty(MqttProperties.MAXIMUM_PACKET_SIZE, maxPacketBytes));
-        connection.accept(false, offer);
+        MqttProperties connAckProperties = new MqttProperties();
+        connAckProperties.add(new IntegerProperty(MqttProperties.MAXIMUM_QOS, 1));
+        connAckProperties.add(new IntegerProperty(MqttProperties.RETAIN_AVAILABLE, 0));
+        connAckProperties.add(new IntegerProperty(MqttProperties.SHARED_SUBSCRIPTION_AVAILABLE, 0));
+        connAckProperties.add(new IntegerProperty(MqttProperties.RECEIVE_MAXIMUM, OpenRequests.MAX_PER_CLIENT));
+        connAckProperties.add(new IntegerProperty(MqttProperties.MAXIMUM_PACKET_SIZE, maxPacketBytes));
+        connection.accept(false, connAckProperties);
     }
 
     private void onSubscribe(MqttSubscribeMessage message) {
@@ -112,29 +112,29 @@
         String requestId = RequestMessage.id(connection.clientIdentifier(), correlation);
         OpenRequest inFlight = requests.find(requestId);
         if (inFlight != null) {
-            // Guards against a redelivery becoming a second request: it joins the one in flight.
+            // A redelivery joins the request in flight; otherwise it would be dispatched as a second request.
             inFlight.onDelivered(this, message);
             dispatcher.redeliveryJoined();
             return;
         }
-        // Without DUP it is a new request, whose client merely uses its correlation data again.
-        ResponseMessage given = message.isDup() ? requests.recentResponse(requestId) : null;
-        OpenRequest opened = new OpenRequest(requests, requestId, responseTopic, correlation);
-        opened.onDelivered(this, message);
-        if (given != null) {
+        // Without the DUP flag this is a new request, whose client reuses its correlation data.
+        ResponseMessage cached = message.isDup() ? requests.recentResponse(requestId) : null;
+        OpenRequest request = new OpenRequest(requests, requestId, responseTopic, correlation);
+        request.onDelivered(this, message);
+        if (cached != null) {
             dispatcher.redeliveryJoined();
-            respond(opened, given);
+            respond(request, cached);
         } else {
-            admit(opened, message);
+            admit(request, message);
         }
     }
 
-    private void admit(OpenRequest opened, MqttPublishMessage message) {
+    private void admit(OpenRequest openRequest, MqttPublishMessage message) {
         Request request;
         try {
             request = RequestMessage.read(
                     dispatcher.requestValidator(),
-                    opened.requestId,
+                    openRequest.requestId,
                     message.topicName(),
                     message.properties(),
                     message.payload());
@@ -143,23 +143,24 @@
                     .requestClass(request.requestClass())
                     .idempotency();
             if (message.isDup() && idempotency != Idempotency.SAFE) {
-                // Guards against a second effect: where the first delivery went, and when, is no longer known here.
+                // The backend and the time of the first delivery are no longer known here, so dispatching the request
+                // again could apply its effect twice.
                 throw new InvalidRequestException("redelivered after its time, it may have had its effect");
             }
         } catch (InvalidRequestException e) {
-            respond(opened, ResponseMessage.of(new Response.Failed(e.getMessage()), opened.correlation));
+            respond(openRequest, ResponseMessage.of(new Response.Failed(e.getMessage()), openRequest.correlation));
             return;
         }
         if (requests.hasMaxRequests(this)) {
             disconnect(MqttDisconnectReasonCode.RECEIVE_MAXIMUM_EXCEEDED);
             return;
         }
-        requests.dispatch(opened, request);
+        requests.dispatch(openRequest, request);
     }
 
     /**
-     * Publishes a response and then acknowledges its request. A client that is not connected gets the response by delivering its
-     * request again.
+     * Publishes a response and then acknowledges its request. A client that is not connected receives the response when it
+     * delivers its request again.
      */
     void respond(OpenRequest request, ResponseMessage response) {
         if (connection.isConnected()) {
@@ -180,7 +181,7 @@
         }
     }
 
-    /** Rejects a publication that cannot get a response: its acknowledgement says why. */
+    /** Rejects a publication to which no response can be sent; its acknowledgement, for QoS 1, contains the reason. */
     private void reject(MqttPublishMessage message, MqttPubAckReasonCode code, String reason) {
         Logger.debug("publication rejected: {}", reason);
         if (message.qosLevel() == MqttQoS.AT_LEAST_ONCE) {
--- a/mqtt/src/main/java/opalcove/mqtt/MqttConfig.java
+++ b/mqtt/src/main/java/opalcove/mqtt/MqttConfig.java
@@ -14,15 +14,15 @@
 import opalcove.decision.DecisionSettings;
 
 /**
- * The settings file of the MQTT gateway, checked completely before anything opens.
+ * The settings file of the MQTT gateway, which is validated completely before any port is opened.
  *
- * @param name prefix of the client identifiers at the backends
- * @param listen where clients connect
- * @param control where plans are accepted; null: nowhere
- * @param maxClients client connections at once
- * @param maxBackendConnections backend connections at once
- * @param backends the endpoint list at the start
- * @param settings the deployment's
+ * @param name the prefix of the client identifiers of backend connections
+ * @param listen the address that accepts client connections
+ * @param control the address of the plan control service; null if there is none
+ * @param maxClients the maximum number of client connections
+ * @param maxBackendConnections the maximum number of backend connections
+ * @param backends the endpoint list at the start of the gateway
+ * @param settings the settings of the deployment
  */
 public record MqttConfig(
         String name,
@@ -38,9 +38,10 @@
             Set.of("name", "listen", "max_terminals", "max_node_links", "nodes", "control", "settings");
 
     /**
-     * Reads and checks the file.
+     * Reads and validates the file.
      *
-     * @throws InvalidConfigurationException with every problem found, each by file, key and reason
+     * @throws InvalidConfigurationException if the file is invalid; its message contains each problem with file, key and
+     *     reason
      */
     public static MqttConfig read(Path file) {
         ConfigValidator validator = new ConfigValidator(file);
@@ -56,7 +57,7 @@
         return new MqttConfig(name, listen, control, maxClients, maxBackendConnections, backends, settings);
     }
 
-    /** Plans are accepted without credentials, so that address may be reached from this machine alone. */
+    /** Reads the address of the plan control service, which must be local since plans are accepted without credentials. */
     private static HostAndPort control(JsonFields fields) {
         if (!fields.has("control")) {
             return null;
@@ -84,7 +85,7 @@
             String key = "nodes[" + i + "]";
             Backend backend = backends.get(i);
             if (!names.add(backend.name())) {
-                throw new InvalidConfigurationException("field " + key + ".name is there twice: " + backend.name());
+                throw new InvalidConfigurationException("field " + key + ".name is a duplicate: " + backend.name());
             }
             String address = backend.address();
             HostAndPort.parse(
@@ -94,7 +95,7 @@
                     key + ".address");
         }
         if (backends.isEmpty()) {
-            throw new InvalidConfigurationException("field nodes names no app node");
+            throw new InvalidConfigurationException("field nodes must contain at least one backend");
         }
         return backends;
     }
--- a/mqtt/src/main/java/opalcove/mqtt/MqttConnector.java
+++ b/mqtt/src/main/java/opalcove/mqtt/MqttConnector.java
@@ -13,13 +13,14 @@
 import opalcove.decision.LoadMetric;
 
 /**
- * Opens connections to backends that are MQTT 5 servers: connected, and subscribed to the topic of their responses. It uses
- * Netty's codec, since vertx-mqtt's client speaks MQTT 3.1.1 only and sends unacknowledged messages again by itself.
+ * Opens connections to backends that are MQTT 5 servers. A connection is ready once it is subscribed to the topic of its
+ * responses. It uses Netty's codec, since the client of vertx-mqtt supports only MQTT 3.1.1 and retransmits
+ * unacknowledged messages by itself.
  *
  * <p>Owned by the event loop of its gateway.
  */
 public final class MqttConnector implements Connector {
-    /** Begins the addresses of backends that are MQTT servers. */
+    /** Prefix of the addresses of backends that are MQTT servers. */
     public static final String SCHEME = "mqtt://";
 
     private final Vertx vertx;
@@ -30,9 +31,9 @@
     private long connectionCount;
 
     /**
-     * Opens connections to backends that speak MQTT.
+     * Creates a connector.
      *
-     * @param name prefix of the client identifiers
+     * @param name the prefix of the client identifiers
      */
     public MqttConnector(Vertx vertx, DecisionSettings settings, String name) {
         this.vertx = vertx;
@@ -51,8 +52,11 @@
                 .onSuccess(socket -> {
                     String clientId = name + "-" + ++connectionCount;
                     MqttBackendConnection connection = new MqttBackendConnection(socket, clientId, metrics, ready);
-                    // Guards against a backend that accepts the connection and sends nothing.
-                    long timeout = vertx.setTimer(connectTimeoutMs, due -> connection.fail("no reply to the connect"));
+                    // Without this timeout, connecting to a backend that accepts the connection and sends nothing
+                    // would never end.
+                    long timeout = vertx.setTimer(
+                            connectTimeoutMs,
+                            due -> connection.fail("no CONNACK and SUBACK within the connect timeout"));
                     ready.future().onComplete(done -> vertx.cancelTimer(timeout));
                 })
                 .onFailure(ready::tryFail);
--- a/mqtt/src/main/java/opalcove/mqtt/MqttGateway.java
+++ b/mqtt/src/main/java/opalcove/mqtt/MqttGateway.java
@@ -9,11 +9,11 @@
 import opalcove.plan.PlanControlService;
 import opalcove.resp.RespConnector;
 
-/** The gateway for MQTT clients; its backends may be MQTT servers or speak RESP2. */
+/** The gateway for MQTT clients; its backends are MQTT 5 or RESP2 servers. */
 public final class MqttGateway {
     private MqttGateway() {}
 
-    /** Starts the gateway and returns at once; it runs until the process ends. */
+    /** Starts the gateway, which runs until the process ends, and returns immediately. */
     public static void start(MqttConfig config) {
         Application application = new Application();
         application.start(vertx -> {
--- a/mqtt/src/main/java/opalcove/mqtt/MqttRequestServer.java
+++ b/mqtt/src/main/java/opalcove/mqtt/MqttRequestServer.java
@@ -17,9 +17,9 @@
 import org.tinylog.Logger;
 
 /**
- * The MQTT 5 server. A client publishes a request with a response topic and correlation data and receives its response there. A
- * publication of QoS 1 is acknowledged once its response is published, so a client that lost its connection delivers it again:
- * it then joins the request in flight, or gets the response that was given.
+ * The MQTT 5 server. A client publishes a request with a response topic and correlation data, and the response is published
+ * to that topic. A publication of QoS 1 is acknowledged only after its response was published, so a client that lost its
+ * connection delivers it again. The redelivery then joins the request in flight or receives the cached response.
  *
  * <p>Owned by the event loop of its gateway.
  */
@@ -30,15 +30,15 @@
     private final RequestDispatcher dispatcher;
     private final OpenRequests requests;
     private final int maxClients;
-    /** By client identifier. */
+    /** The sessions by client identifier. */
     private final Map<String, MqttClientSession> sessions = new HashMap<>();
 
-    private Runnable whenDrained = () -> {};
+    private Runnable onDrained = () -> {};
 
     /**
-     * Makes a server for the clients of this dispatcher.
+     * Creates a server for the clients of this dispatcher.
      *
-     * @param maxClients how many client connections may be open at once
+     * @param maxClients the maximum number of client connections
      */
     public MqttRequestServer(
             Vertx vertx, RequestDispatcher dispatcher, Lifecycle lifecycle, Clock clock, int maxClients) {
@@ -47,22 +47,24 @@
         this.maxClients = maxClients;
         requests = new OpenRequests(dispatcher, clock, this::checkDrained);
         server = MqttServer.create(vertx, new MqttServerOptions().setMaxMessageSize(RequestMessage.MAX_PACKET_BYTES));
-        server.exceptionHandler(e -> Logger.debug("connection dropped before its MQTT connect: {}", e.getMessage()));
+        server.exceptionHandler(
+                e -> Logger.debug("client connection closed before its MQTT CONNECT: {}", e.getMessage()));
         server.endpointHandler(this::accept);
     }
 
-    /** Opens the server. The future has its port, or fails if the address cannot be bound. */
+    /** Opens the server. The future completes with the server's port, or fails if the address cannot be bound. */
     public Future<Integer> listen(HostAndPort address) {
         return server.listen(address.port(), address.address()).map(MqttServer::actualPort);
     }
 
     /**
-     * Begins the graceful shutdown: new clients are rejected, idle ones disconnected, the others once they have their responses.
+     * Begins the graceful shutdown. New clients are rejected, and each client is disconnected as soon as none of its requests
+     * is open.
      *
-     * @param action runs once no client and no request is left
+     * @param action runs once no session and no request is open
      */
     public void drain(Runnable action) {
-        whenDrained = action;
+        onDrained = action;
         List.copyOf(sessions.values()).forEach(MqttClientSession::disconnectIfDrained);
         checkDrained();
     }
@@ -70,7 +72,7 @@
     private void checkDrained() {
         if (isDraining() && sessions.isEmpty() && requests.isEmpty()) {
             server.close();
-            whenDrained.run();
+            onDrained.run();
         }
     }
 
@@ -83,16 +85,16 @@
             connection.reject(MqttConnectReturnCode.CONNECTION_REFUSED_UNACCEPTABLE_PROTOCOL_VERSION);
             return;
         }
-        MqttClientSession former = sessions.get(connection.clientIdentifier());
-        if (isDraining() || former == null && sessions.size() >= maxClients) {
+        MqttClientSession previous = sessions.get(connection.clientIdentifier());
+        if (isDraining() || previous == null && sessions.size() >= maxClients) {
             connection.reject(
                     isDraining()
                             ? MqttConnectReturnCode.CONNECTION_REFUSED_SERVER_UNAVAILABLE_5
                             : MqttConnectReturnCode.CONNECTION_REFUSED_QUOTA_EXCEEDED);
             return;
         }
-        if (former != null) {
-            former.disconnect(MqttDisconnectReasonCode.SESSION_TAKEN_OVER);
+        if (previous != null) {
+            previous.disconnect(MqttDisconnectReasonCode.SESSION_TAKEN_OVER);
         }
         MqttClientSession session = new MqttClientSession(connection, this, requests, dispatcher);
         session.open(RequestMessage.MAX_PACKET_BYTES);
--- a/mqtt/src/main/java/opalcove/mqtt/OpenRequest.java
+++ b/mqtt/src/main/java/opalcove/mqtt/OpenRequest.java
@@ -7,7 +7,7 @@
 import opalcove.core.ResponseHandler;
 
 /**
- * A request without a response yet, and the session and packet by which it was delivered last.
+ * A request that has no response yet, with the session and packet of its last delivery.
  *
  * <p>Owned by the event loop of its gateway.
  */
@@ -16,7 +16,7 @@
     final String responseTopic;
     final byte[] correlation;
     private final OpenRequests requests;
-    /** Null before it is dispatched. */
+    /** Handle of the dispatched request; null before it is dispatched. */
     RequestHandle handle;
 
     double deadlineMs;
@@ -31,7 +31,7 @@
         this.correlation = correlation;
     }
 
-    /** The response goes to the session that delivered the request last. */
+    /** Records the last delivery of the request; the response goes to the session of this delivery. */
     void onDelivered(MqttClientSession deliveredBy, MqttPublishMessage message) {
         session = deliveredBy;
         qos = message.qosLevel();
--- a/mqtt/src/main/java/opalcove/mqtt/OpenRequests.java
+++ b/mqtt/src/main/java/opalcove/mqtt/OpenRequests.java
@@ -10,12 +10,12 @@
 import opalcove.core.Response;
 
 /**
- * The requests of all clients that have no response yet, and the responses given recently.
+ * The open requests of all clients, which have no response yet, and the recent responses.
  *
  * <p>Owned by the event loop of its gateway.
  */
 final class OpenRequests {
-    /** Unacknowledged requests of one client; sent to it when it connects. */
+    /** Maximum number of unacknowledged requests of one client, which is announced to it when it connects. */
     static final int MAX_PER_CLIENT = 64;
 
     private final RequestDispatcher dispatcher;
@@ -24,7 +24,7 @@
     private final Map<String, OpenRequest> open = new HashMap<>();
     private final ResponseCache recent = new ResponseCache();
 
-    /** Makes an empty set; the action runs after each response. */
+    /** Creates an empty set; the action runs after each response. */
     OpenRequests(RequestDispatcher dispatcher, Clock clock, Runnable onCompleted) {
         this.dispatcher = dispatcher;
         this.clock = clock;
@@ -35,12 +35,12 @@
         return open.isEmpty();
     }
 
-    /** The request with this id, or null if it is not open. */
+    /** Returns the open request with this id; null if there is none. */
     OpenRequest find(String requestId) {
         return open.get(requestId);
     }
 
-    /** The response that this request got, or null if it is no longer known. */
+    /** Returns the response that was sent to this request; null if it is not cached. */
     ResponseMessage recentResponse(String requestId) {
         return recent.get(requestId, clock.now());
     }
@@ -53,14 +53,14 @@
         return open.values().stream().noneMatch(each -> each.session == session);
     }
 
-    /** Dispatches a request; its response may come before this returns. */
-    void dispatch(OpenRequest opened, Request request) {
-        open.put(opened.requestId, opened);
-        opened.deadlineMs = clock.now() + request.timeoutMs();
-        opened.handle = dispatcher.dispatch(request, opened);
+    /** Dispatches a request; its response may arrive before this method returns. */
+    void dispatch(OpenRequest openRequest, Request request) {
+        open.put(openRequest.requestId, openRequest);
+        openRequest.deadlineMs = clock.now() + request.timeoutMs();
+        openRequest.handle = dispatcher.dispatch(request, openRequest);
     }
 
-    /** Sends a request's response, and keeps it for redeliveries. */
+    /** Sends the response of a request and caches it for redeliveries. */
     void complete(OpenRequest request, Response response) {
         open.remove(request.requestId);
         ResponseMessage message = ResponseMessage.of(response, request.correlation);
@@ -69,7 +69,10 @@
         onCompleted.run();
     }
 
-    /** Requests of QoS 0 cannot come again and are given up; the others go on, for the client may come back. */
+    /**
+     * Cancels the session's requests of QoS 0, which the client cannot deliver again. Requests of QoS 1 continue, since the
+     * client may reconnect and deliver them again.
+     */
     void onClientDisconnected(MqttClientSession session) {
         for (OpenRequest each : List.copyOf(open.values())) {
             if (each.session == session && each.qos == MqttQoS.AT_MOST_ONCE) {
--- a/mqtt/src/main/java/opalcove/mqtt/PropertyReader.java
+++ b/mqtt/src/main/java/opalcove/mqtt/PropertyReader.java
@@ -10,7 +10,7 @@
 final class PropertyReader {
     private PropertyReader() {}
 
-    /** The user properties by name; of a name that comes twice, the last counts. */
+    /** Returns the user properties by name; if a name occurs more than once, its last value applies. */
     static Map<String, String> userProperties(MqttProperties properties) {
         Map<String, String> values = new HashMap<>();
         for (MqttProperty<?> each : properties.getProperties(MqttProperties.USER_PROPERTY)) {
@@ -21,19 +21,19 @@
         return values;
     }
 
-    /** A text, or null if it is absent. */
+    /** Returns a text property; null if it is absent. */
     static String text(MqttProperties properties, int propertyId) {
         MqttProperty<?> property = properties.getProperty(propertyId);
         return property == null ? null : (String) property.value();
     }
 
-    /** Binary data, or null if it is absent. */
+    /** Returns a property of binary data; null if it is absent. */
     static byte[] bytes(MqttProperties properties, int propertyId) {
         MqttProperty<?> property = properties.getProperty(propertyId);
         return property == null ? null : (byte[]) property.value();
     }
 
-    /** A number of up to 32 unsigned bits, or null if it is absent. */
+    /** Returns an integer property of up to 32 unsigned bits; null if it is absent. */
     static Integer number(MqttProperties properties, int propertyId) {
         MqttProperty<?> property = properties.getProperty(propertyId);
         return property == null ? null : (Integer) property.value();
--- a/mqtt/src/main/java/opalcove/mqtt/RequestMessage.java
+++ b/mqtt/src/main/java/opalcove/mqtt/RequestMessage.java
@@ -18,11 +18,11 @@
 import opalcove.decision.DecisionSettings;
 import opalcove.decision.Idempotency;
 
-/** A request as an MQTT 5 publication: read from clients, written to backends. docs/mqtt.md has its form. */
+/** Reads requests from publications of clients and writes them for backends. docs/mqtt.md specifies their format. */
 final class RequestMessage {
-    /** The request class follows it. */
+    /** Prefix of the topics of requests; the name of the request class follows. */
     static final String TOPIC_PREFIX = "opalcove/ask/";
-    /** A packet is a body, and topic and properties beside it. */
+    /** Maximum size of a packet, which holds a body, a topic and properties. */
     static final int MAX_PACKET_BYTES = 72 * 1024;
 
     private static final int MAX_BODY_BYTES = 64 * 1024;
@@ -30,7 +30,7 @@
 
     private RequestMessage() {}
 
-    /** The request's id: the same for each delivery of the same publication by the same client. */
+    /** Returns the id of a request, which is the same for each delivery of the same publication by the same client. */
     static String id(String clientId, byte[] correlation) {
         try {
             MessageDigest digest = MessageDigest.getInstance("SHA-256");
@@ -43,9 +43,9 @@
     }
 
     /**
-     * Reads a request.
+     * Reads a request from a publication of a client.
      *
-     * @throws InvalidRequestException if it cannot be read or is not valid, with the reason for its client
+     * @throws InvalidRequestException if the request is malformed or invalid; its message is sent to the client
      */
     static Request read(
             RequestValidator validator, String requestId, String topic, MqttProperties properties, Buffer body)
@@ -82,7 +82,7 @@
                 safe ? null : ((BufferInternal) body).getByteBuf()));
     }
 
-    /** The properties of the publication to a backend. Its expiry is in whole seconds, rounded up. */
+    /** Returns the properties of a publication to a backend. The expiry is in seconds, rounded up, and at least 1 s. */
     static MqttProperties properties(Request request, double timeoutMs, String responseTopic) {
         MqttProperties properties = new MqttProperties();
         properties.add(new IntegerProperty(
@@ -103,7 +103,7 @@
         return properties;
     }
 
-    /** The correlation data that ties a backend's response to a request. */
+    /** Returns the correlation data that identifies the backend's response to a request. */
     static byte[] correlation(Request request) {
         return request.id().getBytes(StandardCharsets.US_ASCII);
     }
--- a/mqtt/src/main/java/opalcove/mqtt/ResponseCache.java
+++ b/mqtt/src/main/java/opalcove/mqtt/ResponseCache.java
@@ -5,8 +5,9 @@
 import java.util.Map;
 
 /**
- * Recent responses, so that a publication redelivered after its response gets the same one and no second request. A response is
- * cached until its request's deadline; number and size are bounded, the oldest are evicted first.
+ * Cache of recent responses. A publication that is redelivered after its response receives the same response and is not
+ * dispatched a second time. A response is cached until the deadline of its request; the number of responses and their
+ * total size are bounded, and the oldest responses are evicted first.
  *
  * <p>Owned by the event loop of its gateway.
  */
@@ -34,7 +35,7 @@
         }
     }
 
-    /** The response to this request, or null if it is not cached. */
+    /** Returns the response to this request; null if it is not cached or its deadline has passed. */
     ResponseMessage get(String requestId, double nowMs) {
         Entry entry = responses.get(requestId);
         return entry == null || entry.deadlineMs <= nowMs ? null : entry.response;
--- a/mqtt/src/main/java/opalcove/mqtt/ResponseMessage.java
+++ b/mqtt/src/main/java/opalcove/mqtt/ResponseMessage.java
@@ -16,10 +16,10 @@
 import org.tinylog.Logger;
 
 /**
- * A response as an MQTT 5 publication: written to clients, read from backends. docs/mqtt.md has its form.
+ * A response as an MQTT 5 publication to a client; also reads responses of backends. docs/mqtt.md specifies their format.
  *
- * @param properties its properties, with the correlation data of the request
- * @param payload the value if it is served, or else empty
+ * @param properties the properties, including the correlation data of the request
+ * @param payload the value of a served response; otherwise empty
  */
 record ResponseMessage(MqttProperties properties, Buffer payload) {
     private static final String STATUS = "status";
@@ -27,14 +27,14 @@
     private static final String REFUSED = "refused";
     private static final String FAILED = "failed";
 
-    /** Makes the message of a response to the request with this correlation data. */
+    /** Creates the message of a response to the request with this correlation data. */
     static ResponseMessage of(Response response, byte[] correlation) {
         MqttProperties properties = new MqttProperties();
         properties.add(new BinaryProperty(MqttProperties.CORRELATION_DATA, correlation));
         Buffer payload = Buffer.buffer();
         if (response instanceof Response.Served served) {
             properties.add(new UserProperty(STATUS, SERVED));
-            // Copied: the value is lent, and the message is cached for redeliveries.
+            // Copied, since the value is valid only during this call and the message is cached for redeliveries.
             payload = Buffer.buffer(ByteBufUtil.getBytes(served.value()));
         } else if (response instanceof Response.Refused refused) {
             properties.add(new UserProperty(STATUS, REFUSED));
@@ -48,7 +48,10 @@
         return new ResponseMessage(properties, payload);
     }
 
-    /** The result of an attempt by its backend's response: refused is "never ran", all but served and refused "may have". */
+    /**
+     * Returns the result of an attempt from its backend's response. Status refused means that the request did not run; any
+     * other status except served means that it may have run.
+     */
     static AttemptResult read(MqttProperties properties, ByteBuf payload, List<LoadMetric> metrics) {
         Map<String, String> values = PropertyReader.userProperties(properties);
         double[] loadReport = null;
@@ -66,7 +69,8 @@
                     loadReport[column] = Double.parseDouble(each.getValue());
                 }
             } catch (NumberFormatException e) {
-                Logger.warn("a backend sent {}={}, which is no number", each.getKey(), each.getValue());
+                Logger.warn(
+                        "response of a backend: property {} must be a number, not {}", each.getKey(), each.getValue());
             }
         }
         return switch (values.getOrDefault(STATUS, "")) {
--- a/mqtt/src/main/java/opalcove/mqtt/TopicFilters.java
+++ b/mqtt/src/main/java/opalcove/mqtt/TopicFilters.java
@@ -7,7 +7,7 @@
 final class TopicFilters {
     private final Set<String> filters = new HashSet<>();
 
-    /** Whether MQTT allows this filter; shared subscriptions are not offered. */
+    /** Whether this is a valid MQTT topic filter; shared subscriptions are not supported. */
     static boolean isValid(String filter) {
         String[] levels = filter.split("/", -1);
         for (int i = 0; i < levels.length; i++) {
--- a/mqtt/src/test/java/opalcove/ExchangeTest.java
+++ b/mqtt/src/test/java/opalcove/ExchangeTest.java
@@ -47,22 +47,25 @@
 import org.testng.annotations.Test;
 
 /**
- * Plays the recorded byte exchanges in mqtt/src/test/resources/exchanges against both servers and both kinds of backend
- * connections, all on one core. A line is one of:
+ * Replays the recorded byte exchanges in mqtt/src/test/resources/exchanges against both servers and both kinds of backend
+ * connections, which share one dispatcher. A line is one of:
  *
  * <ul>
- *   <li>{@code PARTY > bytes}: the party sends; {@code PARTY >> bytes}: byte by byte; {@code PARTY close}: it closes
- *   <li>{@code PARTY < bytes}: the party receives just these; {n} stands for digits, {any} for anything
- *   <li>{@code PARTY closed}: the party sees the end of its connection
- *   <li>{@code list BACKEND STATE POD ...}; {@code node BACKEND refuses}: connections to it are refused
- *   <li>{@code discovery}: the gateway follows it from now on, as an agent's pushed list; {@code discovery asked}: as one polled
- *   <li>{@code stall MS}: from now on the event loop is held up for so long
- *   <li>{@code counters A=1 B=2}: the counters come to be so
- *   <li>{@code phase NAME}; {@code stopped}: the servers have drained
+ *   <li>{@code PARTY > bytes}: the party sends the bytes at once; {@code PARTY >> bytes}: it sends them one by one; {@code PARTY
+ *       close}: it closes its connection
+ *   <li>{@code PARTY < bytes}: the party receives exactly these bytes; {n} matches digits, {any} matches any bytes
+ *   <li>{@code PARTY closed}: the connection of the party is closed by the gateway
+ *   <li>{@code list BACKEND STATE POD ...}: the endpoints change; {@code node BACKEND refuses}: its port is closed, so that
+ *       connections to it are refused
+ *   <li>{@code discovery}: the gateway starts a discovery client for a list that an agent pushes; {@code discovery asked}: for
+ *       a list that it polls
+ *   <li>{@code stall MS}: blocks the event loop for this time in ms
+ *   <li>{@code counters A=1 B=2}: waits until the counters have these values
+ *   <li>{@code phase NAME}: enters this phase of the lifecycle and drains; {@code stopped}: waits until the servers have drained
  * </ul>
  *
  * <p>A party is {@code client/1}, {@code mqtt-client/1} or, for the first connection to a backend, {@code n1/1}; backends whose
- * names begin with m are MQTT servers. The bytes of MQTT parties are written as {@link MqttText}.
+ * names begin with m are MQTT servers. The bytes of MQTT parties are in the format of {@link MqttText}.
  */
 public class ExchangeTest {
     private static final int TIMEOUT_MS = 10_000;
@@ -78,14 +81,14 @@
     }
 
     @Test(dataProvider = "exchanges")
-    public void theGatewayRespondsAsRecorded(String file) throws Exception {
-        try (Stage stage = new Stage()) {
+    public void repliesAsRecorded(String file) throws Exception {
+        try (ExchangeRunner runner = new ExchangeRunner()) {
             int number = 0;
             for (String line : Files.readAllLines(FOLDER.resolve(file))) {
                 number++;
                 if (!line.isBlank() && !line.startsWith("#")) {
                     try {
-                        stage.play(line);
+                        runner.execute(line);
                     } catch (IOException | AssertionError e) {
                         throw new AssertionError(file + ":" + number + " " + line + ": " + e.getMessage(), e);
                     }
@@ -94,15 +97,15 @@
         }
     }
 
-    /** In none of the exchanges, closed and broken connections among them, was a buffer dropped without a release. */
+    /** Checks that no buffer was leaked in any exchange, including those with closed and broken connections. */
     @AfterClass
-    public void nothingLeaked() {
+    public void releasesAllBuffers() {
         assertEquals(LeakCounter.found(), 0);
     }
 
-    /** A dispatcher with its servers, and the parties around it. */
-    private static final class Stage implements AutoCloseable {
-        /** One event loop, as in the program: a stall holds all of it up. */
+    /** Runs a dispatcher with its servers, and the clients and backends that take part in an exchange. */
+    private static final class ExchangeRunner implements AutoCloseable {
+        /** One event loop as in the program, so that a stall blocks all connections. */
         private final Vertx vertx = Vertx.vertx(new VertxOptions().setEventLoopPoolSize(1));
 
         private final CompletableFuture<Integer> stallPort = new CompletableFuture<>();
@@ -119,9 +122,9 @@
         private RequestDispatcher dispatcher;
         private RespServer respServer;
         private MqttRequestServer mqttServer;
-        private boolean hasList;
+        private boolean hasCompleteList;
 
-        Stage() throws Exception {
+        ExchangeRunner() throws Exception {
             discovery = new HostAndPort("127.0.0.1", backend("discovery").getLocalPort());
             onLoop(() -> {
                 DecisionSettings settings = TestSettings.settings();
@@ -143,7 +146,7 @@
                 respServer = new RespServer(vertx, dispatcher, lifecycle, 4);
                 respServer.listen(new HostAndPort("127.0.0.1", 0)).onSuccess(port::complete);
                 vertx.createNetServer()
-                        .connectHandler(socket -> socket.handler(read -> stalled()))
+                        .connectHandler(socket -> socket.handler(read -> blockEventLoop()))
                         .listen(0, "127.0.0.1")
                         .onSuccess(server -> stallPort.complete(server.actualPort()));
                 lifecycle.enter(Lifecycle.Phase.SERVING);
@@ -163,10 +166,10 @@
             done.get(TIMEOUT_MS, TimeUnit.MILLISECONDS);
         }
 
-        void play(String line) throws Exception {
+        void execute(String line) throws Exception {
             String[] words = line.split(" ", 3);
             switch (words[0]) {
-                case "list" -> list(line.split(" "));
+                case "list" -> updateEndpoints(line.split(" "));
                 case "node" -> backend(words[1]).close();
                 case "discovery" ->
                     onLoop(() -> new DiscoveryClient(
@@ -186,12 +189,12 @@
                 case "stall" -> stall(Integer.parseInt(words[1]));
                 case "stopped" -> stopped.get(TIMEOUT_MS, TimeUnit.MILLISECONDS);
                 case "counters" ->
-                    counters(List.of(line.substring("counters ".length()).split(" ")));
-                default -> party(words);
+                    awaitCounters(List.of(line.substring("counters ".length()).split(" ")));
+                default -> executeParty(words);
             }
         }
 
-        /** Holds the event loop up for so long, ms, amid its reading of a connection; goes on once it does. */
+        /** Blocks the event loop for this time in ms while it reads from a connection; returns once it is blocked. */
         private void stall(int ms) throws Exception {
             Socket socket =
                     new Socket(InetAddress.getLoopbackAddress(), stallPort.get(TIMEOUT_MS, TimeUnit.MILLISECONDS));
@@ -200,7 +203,7 @@
             stalls.put(ms);
         }
 
-        private void stalled() {
+        private void blockEventLoop() {
             try {
                 Thread.sleep(stalls.take());
             } catch (InterruptedException e) {
@@ -215,13 +218,13 @@
             return backends.get(name);
         }
 
-        /** The state by its word in the recorded exchanges. */
+        /** Returns the state for its name in the recorded exchanges. */
         private static EndpointState state(String word) {
             return word.equals("gone") ? EndpointState.REMOVED : EndpointState.valueOf(word.toUpperCase(Locale.ROOT));
         }
 
-        /** The first list is the complete one, whose backends are warm; later ones are changes. */
-        private void list(String[] words) throws Exception {
+        /** Applies a list of endpoints: the first list is complete and its backends are warm, later ones are changes. */
+        private void updateEndpoints(String[] words) throws Exception {
             List<Backend> lines = new ArrayList<>();
             for (int i = 1; i < words.length; i += 3) {
                 lines.add(new Backend(
@@ -230,23 +233,23 @@
                         (words[i].startsWith("m") ? "mqtt://" : "") + "127.0.0.1:"
                                 + backend(words[i]).getLocalPort()));
             }
-            boolean complete = !hasList;
-            hasList = true;
+            boolean complete = !hasCompleteList;
+            hasCompleteList = true;
             onLoop(() -> dispatcher.endpointsChanged(complete, lines));
         }
 
-        /** The counters may come to this a little later, so they are read until they have. */
-        private void counters(List<String> expected) throws Exception {
+        /** Reads the counters until they have the expected values, since they may change with a delay. */
+        private void awaitCounters(List<String> expected) throws Exception {
             List<String> lines = new ArrayList<>();
             long until = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(TIMEOUT_MS);
             while (!lines.containsAll(expected) && System.nanoTime() < until) {
                 lines.clear();
                 onLoop(() -> lines.addAll(dispatcher.infoLines().lines().toList()));
             }
-            assertTrue(lines.containsAll(expected), "they are " + lines);
+            assertTrue(lines.containsAll(expected), "the counters are " + lines);
         }
 
-        private void party(String[] words) throws Exception {
+        private void executeParty(String[] words) throws Exception {
             Socket socket = socket(words[0]);
             MqttText packet = packets.get(words[0]);
             String text = words.length < 3 ? "" : unescape(addresses(words[2])) + (packet == null ? "" : "\n");
@@ -267,11 +270,11 @@
                     assertEquals(unread.getOrDefault(words[0], ""), "");
                     assertEquals(read(words[0], socket), "");
                 }
-                default -> fail("no such line");
+                default -> fail("unknown action of a party");
             }
         }
 
-        /** Replaces names in braces by the backends' addresses, all of them of 15 characters. */
+        /** Replaces names of backends in braces by their addresses, each of which has 15 characters. */
         private String addresses(String text) throws IOException {
             return Pattern.compile("\\{(n\\d)}").matcher(text).replaceAll(match -> {
                 try {
@@ -304,7 +307,7 @@
             return parties.get(party);
         }
 
-        /** What comes next, or nothing at the end of the connection. */
+        /** Returns the next bytes that the party receives; empty at the end of the connection. */
         private String read(String party, Socket socket) throws IOException {
             byte[] bytes = new byte[8192];
             MqttText packet = packets.get(party);
--- a/mqtt/src/test/java/opalcove/MqttBackendsTest.java
+++ b/mqtt/src/test/java/opalcove/MqttBackendsTest.java
@@ -35,8 +35,10 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** A client keeps sending requests while its MQTT backends die, drain and start anew; responses and attempts are counted by
- * request. */
+/**
+ * A client sends requests continuously while MQTT backends are killed, drained and restarted. The test counts the responses
+ * and attempts of each request.
+ */
 public class MqttBackendsTest {
     private static final long TIMEOUT_MS = 20_000;
     private static final int REQUESTS = 120;
@@ -44,15 +46,17 @@
     private final Vertx vertx = Vertx.vertx();
     private final Clock clock = new Clock();
     private final Map<String, EmulatedBackend> backends = new HashMap<>();
-    /** By request, the attempts that backends have received, and those in flight now. */
+    /** The backends that received attempts, by request number. */
     private final Map<Integer, List<String>> attempts = new HashMap<>();
 
+    /** Number of attempts in flight, by request id. */
     private final Map<String, Integer> inFlight = new HashMap<>();
-    private final Set<String> twoInFlight = new HashSet<>();
+
+    private final Set<String> concurrentAttempts = new HashSet<>();
     private RequestDispatcher dispatcher;
     private int port;
 
-    /** An MQTT server that takes some time for each request. */
+    /** An MQTT server that responds to each request after 15 ms. */
     private final class EmulatedBackend {
         private final String name;
         private final List<MqttEndpoint> connections = new ArrayList<>();
@@ -87,7 +91,7 @@
             attempts.computeIfAbsent(number(request.properties()), i -> new ArrayList<>())
                     .add(name);
             if (inFlight.merge(id, 1, Integer::sum) > 1) {
-                twoInFlight.add(id);
+                concurrentAttempts.add(id);
             }
             connection.closeHandler(closed -> inFlight.put(id, 0));
             vertx.setTimer(15, done -> {
@@ -108,7 +112,7 @@
             });
         }
 
-        /** Dies: its connections are closed, and new ones rejected. */
+        /** Closes its connections and its port, so that new connections are refused. */
         CompletableFuture<?> kill() {
             alive = false;
             List.copyOf(connections).stream().filter(MqttEndpoint::isConnected).forEach(MqttEndpoint::close);
@@ -122,7 +126,7 @@
                 (byte[]) properties.getProperty(MqttProperties.CORRELATION_DATA).value());
     }
 
-    /** The request's number, which the client sends as its tenant; backends get that unchanged. */
+    /** Returns the request's number, which the client sends as its tenant and the gateway forwards unchanged. */
     private static int number(MqttProperties properties) {
         for (MqttProperties.MqttProperty<?> each : properties.getProperties(MqttProperties.USER_PROPERTY)) {
             MqttProperties.StringPair pair = (MqttProperties.StringPair) each.value();
@@ -139,7 +143,7 @@
 
     private <T> T onLoop(java.util.function.Supplier<T> action) throws Exception {
         CompletableFuture<T> done = new CompletableFuture<>();
-        vertx.runOnContext(go -> {
+        vertx.runOnContext(ignored -> {
             try {
                 done.complete(action.get());
             } catch (RuntimeException e) {
@@ -193,7 +197,7 @@
     }
 
     @Test
-    public void everyRequestHasOneResponseAndNeverTwoAttemptsInFlight() throws Exception {
+    public void sendsOneResponsePerRequestAndNoConcurrentAttemptsWhileBackendsFail() throws Exception {
         Map<String, List<String>> responses = new HashMap<>();
         try (Socket client = new Socket(InetAddress.getLoopbackAddress(), port)) {
             client.setSoTimeout((int) TIMEOUT_MS);
@@ -229,21 +233,22 @@
             int slowStart = (int) (onLoop(() -> backends.get("m1").received) - receivedBefore);
             int warm = onLoop(() -> backends.get("m3").received) - warmReceivedBefore;
             assertTrue(
-                    slowStart < warm, "the backend in slow start had " + slowStart + " attempts, the warm one " + warm);
+                    slowStart < warm,
+                    "the backend in slow start received " + slowStart + " attempts, the warm one " + warm);
         }
         assertEquals(responses.size(), REQUESTS);
-        responses.forEach((request, given) -> assertEquals(given.size(), 1, request + " " + given));
-        assertEquals(twoInFlight, Set.of());
-        List<String> counted = onLoop(() -> dispatcher.infoLines().lines().toList());
+        responses.forEach((request, each) -> assertEquals(each.size(), 1, request + " " + each));
+        assertEquals(concurrentAttempts, Set.of());
+        List<String> counters = onLoop(() -> dispatcher.infoLines().lines().toList());
         assertTrue(
-                counted.contains("taken=" + REQUESTS)
-                        && counted.contains("stopped_by_guards=0")
-                        && counted.contains("ended_by_deadline_guard=0"),
-                counted.toString());
-        // A swap-record that one backend has received is sent again only to its pod; here all are of one, so 6 is the
-        // maximum.
+                counters.contains("taken=" + REQUESTS)
+                        && counters.contains("stopped_by_guards=0")
+                        && counters.contains("ended_by_deadline_guard=0"),
+                counters.toString());
+        // A swap-record that a backend has received is retried only in the same pod. All backends here are in
+        // one pod, so the maximum is 6 attempts.
         attempts.forEach((request, at) -> assertTrue(at.size() <= 6, request + " " + at));
-        // No request after the drain began has gone to the draining backend.
+        // No request that was sent after the drain began has reached the draining backend.
         attempts.forEach((request, at) -> assertTrue(request < REQUESTS / 2 || !at.contains("m2"), request + " " + at));
         assertTrue(attempts.values().stream().anyMatch(receivers -> receivers.contains("m2")), attempts.toString());
         assertTrue(
@@ -258,7 +263,10 @@
         client.getOutputStream().write(packets.bytes(line));
     }
 
-    /** Reads until all but four of so many requests have a response, which paces the requests by their responses. */
+    /**
+     * Reads until at most four of the sent requests have no response, which limits the requests in flight; after the last
+     * request, reads until all have a response.
+     */
     private static void read(Socket client, MqttText packets, Map<String, List<String>> responses, int sent)
             throws Exception {
         byte[] bytes = new byte[8192];
--- a/mqtt/src/test/java/opalcove/MqttBytesTest.java
+++ b/mqtt/src/test/java/opalcove/MqttBytesTest.java
@@ -28,7 +28,9 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** Each packet that the server and the backend connections write, byte by byte; the recorded exchanges show their order. */
+/**
+ * Tests the bytes of each packet that the server and the backend connections write; {@link ExchangeTest} tests their order.
+ */
 public class MqttBytesTest {
     private static final int TIMEOUT_MS = 10_000;
 
@@ -85,7 +87,7 @@
         socket.getOutputStream().write(packets.bytes(line));
     }
 
-    /** The next packet: hexadecimal digits, with runs of text in quotes. */
+    /** Reads the next packet; returns it as hexadecimal digits, with sequences of printable characters in quotes. */
     private static String read(Socket socket) throws IOException {
         DataInputStream in = new DataInputStream(socket.getInputStream());
         byte[] head = {in.readByte(), in.readByte(), 0};
@@ -122,7 +124,7 @@
             "operator=00000000b4d65521 plan=start units=2 entry-points=1 first-entry=0";
 
     @Test
-    public void whatTheServerWritesToAClient() throws Exception {
+    public void writesAcknowledgementsAndResponsesToClient() throws Exception {
         write(client, "CONNECT client=rack-7");
         assertEquals(read(client), "2011 00000e2100402401250027000120002a00");
         write(client, "SUBSCRIBE id=1 filter=a");
@@ -141,7 +143,7 @@
     }
 
     @Test
-    public void howAClientIsRejected() throws Exception {
+    public void rejectsClientAtLimitOrWithOldProtocolAndDisconnectsClientDuringDrain() throws Exception {
         write(client, "CONNECT client=rack-7");
         read(client);
         try (Socket second = connect(client.getPort())) {
@@ -164,7 +166,7 @@
     }
 
     @Test
-    public void whatAConnectionWritesToABackendAndWhatComesOfItsResponse() throws Exception {
+    public void writesRequestToBackendAndForwardsItsResponseToClient() throws Exception {
         write(client, "CONNECT client=rack-7");
         read(client);
         write(client, "SUBSCRIBE id=1 filter=a");
--- a/mqtt/src/test/java/opalcove/MqttText.java
+++ b/mqtt/src/test/java/opalcove/MqttText.java
@@ -31,7 +31,7 @@
 import java.util.TreeMap;
 
 /**
- * MQTT 5 packets as lines of text, in both directions, so that a recorded exchange can be read:
+ * Converts MQTT 5 packets to and from lines of text, so that recorded exchanges are readable:
  * {@code PUBLISH topic=a qos=1 id=7 expiry=4 response=b correlation=c plan=start payload=x}. Names other than the known
  * ones are user properties; {@code HEX 30ff} stands for raw bytes.
  */
@@ -124,7 +124,7 @@
                 Unpooled.copiedBuffer(payload, StandardCharsets.UTF_8));
     }
 
-    /** The packets that these bytes complete, a line each. */
+    /** Returns the packets that these bytes complete, one per line. */
     String text(byte[] bytes, int length) {
         StringBuilder lines = new StringBuilder();
         channel.writeInbound(Unpooled.copiedBuffer(bytes, 0, length));
--- a/mqtt/src/test/java/opalcove/mqtt/MessageFormTest.java
+++ b/mqtt/src/test/java/opalcove/mqtt/MessageFormTest.java
@@ -30,10 +30,10 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** Properties and payloads of requests and responses, and the reasons for which a request fails, as literal text. */
+/** Tests the properties and payloads of requests and responses, and the reasons of invalid requests, as literal text. */
 public class MessageFormTest {
     private Vertx vertx;
-    private RequestValidator rules;
+    private RequestValidator validator;
 
     @BeforeClass
     public void start() throws Exception {
@@ -47,7 +47,7 @@
                         new ConnectionPool(
                                 vertx, TestSettings.settings(), address -> Future.failedFuture("no backend here"), 1))
                 .requestValidator()));
-        rules = ready.get(20, TimeUnit.SECONDS);
+        validator = ready.get(20, TimeUnit.SECONDS);
     }
 
     @AfterClass
@@ -55,7 +55,7 @@
         vertx.close().toCompletionStage().toCompletableFuture().get(20, TimeUnit.SECONDS);
     }
 
-    private static MqttProperties user(String text) {
+    private static MqttProperties parse(String text) {
         MqttProperties properties = new MqttProperties();
         for (String each : text.isBlank() ? new String[0] : text.split(" ")) {
             int equals = each.indexOf('=');
@@ -70,8 +70,8 @@
         return properties;
     }
 
-    /** The properties in their order: {@code id=value}, and user properties by name. */
-    private static String text(MqttProperties properties) {
+    /** Returns the properties as text in their order: {@code id=value}, or {@code name=value} for a user property. */
+    private static String format(MqttProperties properties) {
         StringBuilder text = new StringBuilder();
         for (MqttProperties.MqttProperty<?> each : properties.listAll()) {
             if (each.propertyId() == MqttProperties.USER_PROPERTY) {
@@ -93,26 +93,26 @@
 
     private Request request(String requestClass, String properties, String body) throws InvalidRequestException {
         return RequestMessage.read(
-                rules, "0123456789abcdef", "opalcove/ask/" + requestClass, user(properties), Buffer.buffer(body));
+                validator, "0123456789abcdef", "opalcove/ask/" + requestClass, parse(properties), Buffer.buffer(body));
     }
 
     private static final String PARAMETERS =
             "operator=00000000b4d65521 plan=start units=2 entry-points=1 first-entry=0";
 
     @Test
-    public void aRequestAsItIsForwarded() throws Exception {
+    public void forwardsRequestWithItsProperties() throws Exception {
         assertEquals(
-                text(RequestMessage.properties(
+                format(RequestMessage.properties(
                         request("swap-record", PARAMETERS + " key=5c0f retry=1", "x"), 3001, "back")),
                 "8=back 9=0123456789abcdef 2=4 operator=00000000b4d65521 plan=start units=2 entry-points=1 first-entry=0"
                         + " key=5c0f retry=1");
         assertEquals(
-                text(RequestMessage.properties(request("slot-status", PARAMETERS, ""), 0, "back")),
+                format(RequestMessage.properties(request("slot-status", PARAMETERS, ""), 0, "back")),
                 "8=back 9=0123456789abcdef 2=1 operator=00000000b4d65521 plan=start units=2 entry-points=1 first-entry=0");
     }
 
     @Test
-    public void theTimeoutOfARequestIsItsExpiryOrItsClasssDeadline() throws Exception {
+    public void usesShorterOfExpiryAndClassDeadlineAsTimeout() throws Exception {
         assertEquals(request("slot-status", PARAMETERS, "").timeoutMs(), 4000.0);
         assertEquals(request("slot-status", PARAMETERS + " expiry=3", "").timeoutMs(), 3000.0);
         assertEquals(
@@ -120,7 +120,7 @@
     }
 
     @DataProvider
-    public Object[][] invalid() {
+    public Object[][] invalidRequests() {
         return new Object[][] {
             {"odd", PARAMETERS, "", "unknown class"},
             {"slot-status", PARAMETERS, "x", "slot-status carries no body"},
@@ -148,8 +148,8 @@
         };
     }
 
-    @Test(dataProvider = "invalid")
-    public void anInvalidRequestFailsWithItsReason(String requestClass, String properties, String body, String reason) {
+    @Test(dataProvider = "invalidRequests")
+    public void rejectsInvalidRequestWithReason(String requestClass, String properties, String body, String reason) {
         assertEquals(
                 expectThrows(InvalidRequestException.class, () -> request(requestClass, properties, body))
                         .getMessage(),
@@ -157,29 +157,29 @@
     }
 
     @Test
-    public void theIdOfARequestComesFromClientAndCorrelation() {
+    public void derivesRequestIdFromClientIdAndCorrelationData() {
         assertEquals(RequestMessage.id("rack-7", "c1".getBytes(StandardCharsets.US_ASCII)), "cf868f049e4a937e");
     }
 
     @Test
-    public void responsesAsTheyAreSent() {
+    public void writesStatusAndPayloadOfEachKindOfResponse() {
         byte[] correlation = "c1".getBytes(StandardCharsets.US_ASCII);
         ByteBuf value = Unpooled.copiedBuffer("done", StandardCharsets.US_ASCII);
         ResponseMessage served = ResponseMessage.of(new Response.Served(value), correlation);
-        assertEquals(text(served.properties()), "9=c1 status=served");
+        assertEquals(format(served.properties()), "9=c1 status=served");
         assertEquals(served.payload().toString(), "done");
         ResponseMessage refused = ResponseMessage.of(new Response.Refused(250), correlation);
-        assertEquals(text(refused.properties()), "9=c1 status=refused retry-after-ms=250");
+        assertEquals(format(refused.properties()), "9=c1 status=refused retry-after-ms=250");
         assertEquals(refused.payload().length(), 0);
         assertEquals(
-                text(ResponseMessage.of(new Response.Refused(0), correlation).properties()), "9=c1 status=refused");
+                format(ResponseMessage.of(new Response.Refused(0), correlation).properties()), "9=c1 status=refused");
         ResponseMessage failed = ResponseMessage.of(new Response.Failed("late"), correlation);
-        assertEquals(text(failed.properties()), "9=c1 status=failed reason=late");
+        assertEquals(format(failed.properties()), "9=c1 status=failed reason=late");
         assertEquals(failed.payload().length(), 0);
     }
 
     @DataProvider
-    public Object[][] ends() {
+    public Object[][] backendResponses() {
         return new Object[][] {
             {"status=served used=37 cost=4 svc_ms=14.5", AttemptStatus.SERVED, "37 4.0 [14.5]"},
             {"status=served", AttemptStatus.SERVED, "-1 0.0 null"},
@@ -192,12 +192,17 @@
         };
     }
 
-    @Test(dataProvider = "ends")
-    public void whatABackendsResponseMeans(String properties, AttemptStatus result, String facts) {
-        AttemptResult end = ResponseMessage.read(
-                user(properties), Unpooled.EMPTY_BUFFER, TestSettings.settings().loadMetrics());
-        assertEquals(end.status(), result);
-        assertEquals(end.quotaUsedPercent() + " " + end.actualUnits() + " " + Arrays.toString(end.loadReport()), facts);
-        assertEquals(end.value() != null, result == AttemptStatus.SERVED);
+    @Test(dataProvider = "backendResponses")
+    public void readsAttemptResultFromBackendResponse(
+            String properties, AttemptStatus expectedStatus, String expectedReport) {
+        AttemptResult result = ResponseMessage.read(
+                parse(properties),
+                Unpooled.EMPTY_BUFFER,
+                TestSettings.settings().loadMetrics());
+        assertEquals(result.status(), expectedStatus);
+        assertEquals(
+                result.quotaUsedPercent() + " " + result.actualUnits() + " " + Arrays.toString(result.loadReport()),
+                expectedReport);
+        assertEquals(result.value() != null, expectedStatus == AttemptStatus.SERVED);
     }
 }
--- a/mqtt/src/test/java/opalcove/mqtt/MqttConfigFormTest.java
+++ b/mqtt/src/test/java/opalcove/mqtt/MqttConfigFormTest.java
@@ -12,12 +12,12 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** Keys of the MQTT front's settings file that {@link MqttConfigTest} leaves out, and their defaults. */
+/** Tests the keys of the MQTT gateway's settings file that {@link MqttConfigTest} does not cover, and their defaults. */
 public class MqttConfigFormTest {
-    private static final Path GOOD = Path.of("deploy/mqtt.json");
+    private static final Path VALID_FILE = Path.of("deploy/mqtt.json");
 
     @DataProvider
-    public Object[][] wrongs() {
+    public Object[][] invalidFiles() {
         return new Object[][] {
             {"\"name\": \"opalcove-mqtt\"", "\"name\": 1", "field name must be a text"},
             {"\"listen\": \"127.0.0.1:1883\", ", "", "field listen is missing"},
@@ -26,7 +26,10 @@
             {"\"max_node_links\": 200", "\"max_node_links\": 0", "field max_node_links must be from 1 to 400"},
             {"\"max_node_links\": 200", "\"max_node_links\": 401", "field max_node_links must be from 1 to 400"},
             {"\"max_node_links\": 200", "\"max_node_links\": 1.5", "field max_node_links must be a whole number"},
-            {"\"nodes\": [", "\"nodes\": [], \"node\": [", "field node is not known here\nfield nodes names no app node"
+            {
+                "\"nodes\": [",
+                "\"nodes\": [], \"node\": [",
+                "field node is not known here\nfield nodes must contain at least one backend"
             },
             {"\"nodes\": [", "\"node\": [", "field node is not known here\nfield nodes is missing"},
             {"mqtt://127.0.0.1:1884", "mqtt://x", "field nodes[0].address must be an address and a port, not x"},
@@ -35,30 +38,31 @@
         };
     }
 
-    @Test(dataProvider = "wrongs")
-    public void aWrongFileIsRefusedWithFileKeyAndReason(String good, String wrong, String problem) throws Exception {
-        String text = Files.readString(GOOD);
-        assertTrue(text.contains(good), good);
+    @Test(dataProvider = "invalidFiles")
+    public void rejectsInvalidFileWithKeyAndReason(String validText, String invalidText, String expectedMessage)
+            throws Exception {
+        String text = Files.readString(VALID_FILE);
+        assertTrue(text.contains(validText), validText);
         Path file = Files.createTempFile("mqtt", ".json");
         try {
-            Files.writeString(file, text.replace(good, wrong));
+            Files.writeString(file, text.replace(validText, invalidText));
             assertEquals(
                     expectThrows(InvalidConfigurationException.class, () -> MqttConfig.read(file))
                             .getMessage()
                             .replace(file + ": ", ""),
-                    problem);
+                    expectedMessage);
         } finally {
             Files.delete(file);
         }
     }
 
     @Test
-    public void whatIsAbsentHasItsDefault() throws Exception {
+    public void usesDefaultsForAbsentKeys() throws Exception {
         Path file = Files.createTempFile("mqtt", ".json");
         try {
             Files.writeString(
                     file,
-                    Files.readString(GOOD)
+                    Files.readString(VALID_FILE)
                             .replace("\"name\": \"opalcove-mqtt\", ", "")
                             .replace("\"control\": \"127.0.0.1:1890\", ", "")
                             .replace("\"max_terminals\": 200, \"max_node_links\": 200,", ""));
