--- a/cli/src/main/java/opalcove/cli/RecoveryCommand.java
+++ b/cli/src/main/java/opalcove/cli/RecoveryCommand.java
@@ -95,7 +95,7 @@
                 System.out.println(Json.object()
                         .add("phase", plan.phase().name())
                         .add("ready", plan.isReady())
-                        .add("quotas_held", plan.areQuotasHeld())
+                        .add("quotas_held", plan.areBurstsRestricted())
                         .add("nodes_cold", plan.areBackendsWarmingUp())
                         .add("from_snapshot", plan.usesSnapshot())
                         .add("trusted", list(plan.trusted()))
@@ -105,7 +105,7 @@
             }
             System.out.println(plan.phase()
                     + (plan.isReady() ? ": clients are taken" : ": no clients yet")
-                    + (plan.areQuotasHeld() ? ", bursts are held" : "")
+                    + (plan.areBurstsRestricted() ? ", bursts are held" : "")
                     + (plan.areBackendsWarmingUp() ? ", all nodes are cold" : ""));
             plan.trusted().forEach(each -> System.out.println("trusted  " + each));
             plan.refused().forEach(each -> System.out.println("refused  " + each));
--- a/recovery/src/main/java/opalcove/recovery/Recovery.java
+++ b/recovery/src/main/java/opalcove/recovery/Recovery.java
@@ -84,7 +84,7 @@
         } else if (phase == Phase.ALONE && agreedVersion >= 0) {
             phase = Phase.RESTORING;
         }
-        if (phase == Phase.RESTORING && nowMs >= readyAtMs + config.quotaHoldMs()) {
+        if (phase == Phase.RESTORING && nowMs >= readyAtMs + config.burstRestrictionMs()) {
             phase = Phase.FULL;
         }
         return describe(nowMs, agreedVersion, incarnations.size());
@@ -97,7 +97,7 @@
     public long nextChangeMs() {
         return switch (phase) {
             case WAITING -> startedAtMs + config.membersTimeoutMs();
-            case RESTORING -> readyAtMs + config.quotaHoldMs();
+            case RESTORING -> readyAtMs + config.burstRestrictionMs();
             case ALONE, FULL -> Long.MAX_VALUE;
         };
     }
--- a/recovery/src/main/java/opalcove/recovery/RecoveryConfig.java
+++ b/recovery/src/main/java/opalcove/recovery/RecoveryConfig.java
@@ -7,15 +7,16 @@
  * @param membersTimeoutMs how long to wait for the members in the snapshot
  * @param outageWindowMs a member that started more than this time before the gateway counts as still running during the
  *     gateway's outage
- * @param quotaHoldMs how long bursts are restricted after the fleet lost power
+ * @param burstRestrictionMs how long bursts are restricted after the fleet lost power
  */
-public record RecoveryConfig(long votersTimeoutMs, long membersTimeoutMs, long outageWindowMs, long quotaHoldMs) {
+public record RecoveryConfig(
+        long votersTimeoutMs, long membersTimeoutMs, long outageWindowMs, long burstRestrictionMs) {
     /** Returns the default times; bursts are restricted for two meter periods, but for at least 1 s. */
     public static RecoveryConfig of(long meterPeriodMs) {
         long votersTimeoutMs = 10_000;
         long membersTimeoutMs = 1500;
         long outageWindowMs = 30_000;
-        long quotaHoldMs = Math.max(1000, 2 * meterPeriodMs);
-        return new RecoveryConfig(votersTimeoutMs, membersTimeoutMs, outageWindowMs, quotaHoldMs);
+        long burstRestrictionMs = Math.max(1000, 2 * meterPeriodMs);
+        return new RecoveryConfig(votersTimeoutMs, membersTimeoutMs, outageWindowMs, burstRestrictionMs);
     }
 }
--- a/recovery/src/main/java/opalcove/recovery/RecoveryPlan.java
+++ b/recovery/src/main/java/opalcove/recovery/RecoveryPlan.java
@@ -7,7 +7,7 @@
  *
  * @param phase the phase of the recovery
  * @param isReady whether clients may be accepted
- * @param areQuotasHeld whether each burst is limited to this gateway's share
+ * @param areBurstsRestricted whether each burst is limited to this gateway's share
  * @param areBackendsWarmingUp whether every backend is treated as if it had started together with the gateway
  * @param usesSnapshot whether the configuration in the snapshot is used, in strict mode
  * @param trusted the parts of the snapshot that are trusted, each with the reason
@@ -17,7 +17,7 @@
 public record RecoveryPlan(
         Recovery.Phase phase,
         boolean isReady,
-        boolean areQuotasHeld,
+        boolean areBurstsRestricted,
         boolean areBackendsWarmingUp,
         boolean usesSnapshot,
         List<String> trusted,
--- a/recovery/src/test/java/opalcove/recovery/RecoveryTest.java
+++ b/recovery/src/test/java/opalcove/recovery/RecoveryTest.java
@@ -31,12 +31,12 @@
         assertFalse(recovery.plan(START_MS + 500, 4, Map.of()).isReady(), "the gateway waits for the members");
         RecoveryPlan plan = recovery.plan(START_MS + 600, 4, Map.of("g2", START_MS + 200));
         assertEquals(plan.phase(), Phase.RESTORING);
-        assertTrue(plan.isReady() && plan.areQuotasHeld() && plan.areBackendsWarmingUp());
+        assertTrue(plan.isReady() && plan.areBurstsRestricted() && plan.areBackendsWarmingUp());
         assertTrue(plan.trusted().contains("the snapshot's version 4, which the voters confirm"), plan.toString());
         assertEquals(recovery.nextChangeMs(), START_MS + 600 + 4000);
         RecoveryPlan full = recovery.plan(START_MS + 4600, 4, Map.of("g2", START_MS + 200));
         assertEquals(full.phase(), Phase.FULL);
-        assertFalse(full.areQuotasHeld());
+        assertFalse(full.areBurstsRestricted());
         assertTrue(full.areBackendsWarmingUp(), "the backends' warm-up continues in phase FULL");
     }
 
@@ -45,7 +45,7 @@
         Recovery recovery = new Recovery(START_MS, SNAPSHOT, "", CONFIG);
         RecoveryPlan plan = recovery.plan(START_MS + 300, 5, Map.of("g2", 2L, "g3", 3L));
         assertEquals(plan.phase(), Phase.FULL);
-        assertFalse(plan.areQuotasHeld() || plan.areBackendsWarmingUp());
+        assertFalse(plan.areBurstsRestricted() || plan.areBackendsWarmingUp());
         assertEquals(plan.refused(), List.of("the snapshot's version 4 of 5300 ms ago: version 5 is in force"));
     }
 
@@ -79,7 +79,7 @@
                 recovery.plan(START_MS + 9999, -1, Map.of("g2", 2L, "g3", 3L)).isReady());
         RecoveryPlan alone = recovery.plan(START_MS + 10_000, -1, Map.of());
         assertEquals(alone.phase(), Phase.ALONE);
-        assertTrue(alone.usesSnapshot() && alone.areQuotasHeld() && alone.areBackendsWarmingUp());
+        assertTrue(alone.usesSnapshot() && alone.areBurstsRestricted() && alone.areBackendsWarmingUp());
         RecoveryPlan restoring = recovery.plan(START_MS + 11_000, 6, Map.of());
         assertEquals(restoring.phase(), Phase.RESTORING);
         assertFalse(restoring.usesSnapshot());
--- a/replication/src/main/java/opalcove/replication/EffectiveConfigSelector.java
+++ b/replication/src/main/java/opalcove/replication/EffectiveConfigSelector.java
@@ -52,7 +52,7 @@
             isStrict = true;
         }
         ConfigDocument strict = base.strict(previous == null ? base : previous);
-        if (plan != null && plan.areQuotasHeld()) {
+        if (plan != null && plan.areBurstsRestricted()) {
             base = base.withHeldBursts();
             strict = strict.withHeldBursts();
         }
