--- a/replication/src/main/java/opalcove/replication/EffectiveConfigSelector.java
+++ b/replication/src/main/java/opalcove/replication/EffectiveConfigSelector.java
@@ -53,7 +53,7 @@
             isStrict = true;
         }
         ConfigDocument strict = base.strict(previous == null ? base : previous);
-        if (plan != null && plan.areQuotasHeld()) {
+        if (plan != null && plan.areBurstsRestricted()) {
             base = base.withBurstShares();
             strict = strict.withBurstShares();
         }
