--- a/laboratory/src/main/java/opalcove/laboratory/soak/BackendConnection.java
+++ b/laboratory/src/main/java/opalcove/laboratory/soak/BackendFaultProxy.java
@@ -27,12 +27,12 @@
  * The fault proxy between one gateway and one backend. Discovery lists its address as the backend's address for this
  * gateway. It records each attempt as its bytes arrive, and injects the connection faults. Used only on its event loop.
  */
-final class BackendConnection {
+final class BackendFaultProxy {
     /** Listen backlog while cut: the listener accepts nothing, so that further connections are never established. */
     private static final int BACKLOG = 1;
 
-    private static final int PIECE_BYTES = 7;
-    private static final int PIECE_MS = 4;
+    private static final int CHUNK_BYTES = 7;
+    private static final int CHUNK_INTERVAL_MS = 4;
     private static final int RESET_WITHIN_MS = 120;
 
     private final int gateway;
@@ -43,13 +43,13 @@
     private final SplittableRandom random;
     private final Set<Connection> connections = new HashSet<>();
     private Channel server;
-    private final HeldPort port = new HeldPort();
+    private final ReservedPort port = new ReservedPort();
     private int backendPort;
     private boolean cut;
     private double resetShare;
-    private boolean pieces;
+    private boolean splitsResponses;
 
-    BackendConnection(int gateway, int backend, EventLoopGroup loop, SoakClock clock, History history, long seed)
+    BackendFaultProxy(int gateway, int backend, EventLoopGroup loop, SoakClock clock, History history, long seed)
             throws IOException {
         this.gateway = gateway;
         this.backend = backend;
@@ -75,11 +75,11 @@
     }
 
     private void listen() {
-        var opening = new ServerBootstrap()
+        var binding = new ServerBootstrap()
                 .group(loop)
                 .channel(NioServerSocketChannel.class)
                 .option(ChannelOption.SO_BACKLOG, cut ? BACKLOG : 256)
-                .option(HeldPort.SHARED, true)
+                .option(ReservedPort.REUSE_PORT, true)
                 .option(ChannelOption.AUTO_READ, !cut)
                 .childOption(ChannelOption.TCP_NODELAY, true)
                 .childHandler(new ChannelInitializer<>() {
@@ -89,7 +89,7 @@
                     }
                 })
                 .bind("127.0.0.1", port.number());
-        server = opening.channel();
+        server = binding.channel();
     }
 
     /** Resets all connections and refuses new ones. Called when the backend's process has been killed. */
@@ -114,11 +114,11 @@
      * Sets whether the connections are cut. While they are, open connections transfer nothing and new ones are not
      * established; when the cut ends, all of them are reset.
      */
-    void cut(boolean yes) {
-        if (cut == yes) {
+    void setCut(boolean cutNow) {
+        if (cut == cutNow) {
             return;
         }
-        cut = yes;
+        cut = cutNow;
         if (server != null) {
             closeServer();
             listen();
@@ -132,13 +132,13 @@
      * Sets the share of attempts, 0 to 1, whose connection is reset within {@link #RESET_WITHIN_MS} after they are
      * sent.
      */
-    void resets(double share) {
+    void setResetShare(double share) {
         resetShare = share;
     }
 
     /** Sets whether responses are forwarded in small pieces. */
-    void pieces(boolean yes) {
-        pieces = yes;
+    void setSplitsResponses(boolean splits) {
+        splitsResponses = splits;
     }
 
     /** One connection from the gateway, and the connection to the backend that it is forwarded on. */
@@ -146,9 +146,9 @@
         private final Channel fromGateway;
         private final ByteBuf pending = Unpooled.buffer();
         private Channel toBackend;
-        private Attempt out;
+        private Attempt attempt;
         private double firstByteAt = -1;
-        private final ByteBuf early = Unpooled.buffer();
+        private final ByteBuf bytesBeforeConnect = Unpooled.buffer();
         private boolean closed;
 
         Connection(Channel fromGateway) {
@@ -158,22 +158,22 @@
         @Override
         public void channelActive(ChannelHandlerContext context) {
             connections.add(this);
-            var dialling = new Bootstrap()
+            var connecting = new Bootstrap()
                     .group(context.channel().eventLoop())
                     .channel(NioSocketChannel.class)
                     .option(ChannelOption.TCP_NODELAY, true)
                     .handler(new FromBackend())
                     .connect("127.0.0.1", backendPort);
-            dialling.addListener(up -> {
-                if (!up.isSuccess() || closed) {
-                    dialling.channel().close();
+            connecting.addListener(result -> {
+                if (!result.isSuccess() || closed) {
+                    connecting.channel().close();
                     reset();
                     return;
                 }
-                toBackend = dialling.channel();
-                if (early.isReadable()) {
-                    toBackend.writeAndFlush(early.copy());
-                    early.clear();
+                toBackend = connecting.channel();
+                if (bytesBeforeConnect.isReadable()) {
+                    toBackend.writeAndFlush(bytesBeforeConnect.copy());
+                    bytesBeforeConnect.clear();
                 }
             });
         }
@@ -188,7 +188,7 @@
             if (cut) {
                 bytes.release();
             } else if (toBackend == null) {
-                early.writeBytes(bytes);
+                bytesBeforeConnect.writeBytes(bytes);
                 bytes.release();
             } else {
                 toBackend.writeAndFlush(bytes);
@@ -196,13 +196,13 @@
             for (List<String> command = RespCommands.next(pending);
                     command != null;
                     command = RespCommands.next(pending)) {
-                attempted(command);
+                recordAttempt(command);
                 firstByteAt = -1;
             }
             pending.discardReadBytes();
         }
 
-        private void attempted(List<String> command) {
+        private void recordAttempt(List<String> command) {
             if (cut) {
                 // The attempt did not reach the backend, so it is not recorded.
                 return;
@@ -213,21 +213,21 @@
                         SoakRule.OWN_VALUE, gateway, clock.now(), "attempt with an unknown request id: " + command));
                 return;
             }
-            int waitMs = Integer.parseInt(RespCommands.mark(command.get(3), "d"));
-            out = new Attempt(request, gateway, backend, firstByteAt, clock.now(), waitMs);
-            request.attempts.add(out);
-            history.attempts.add(out);
+            int deadlineMs = Integer.parseInt(RespCommands.parameter(command.get(3), "d"));
+            attempt = new Attempt(request, gateway, backend, firstByteAt, clock.now(), deadlineMs);
+            request.attempts.add(attempt);
+            history.attempts.add(attempt);
             if (random.nextDouble() < resetShare) {
                 fromGateway.eventLoop().schedule(this::reset, random.nextInt(RESET_WITHIN_MS), TimeUnit.MILLISECONDS);
             }
         }
 
-        private void over(boolean rejected) {
-            if (out != null && out.overAt < 0) {
-                out.overAt = clock.now();
-                out.rejected = rejected;
+        private void endAttempt(boolean rejected) {
+            if (attempt != null && attempt.endedAt < 0) {
+                attempt.endedAt = clock.now();
+                attempt.rejected = rejected;
             }
-            out = null;
+            attempt = null;
         }
 
         private void reset() {
@@ -241,7 +241,7 @@
         public void channelInactive(ChannelHandlerContext context) {
             closed = true;
             connections.remove(this);
-            over(false);
+            endAttempt(false);
             if (toBackend != null) {
                 toBackend.close();
             }
@@ -261,24 +261,24 @@
                     bytes.release();
                     return;
                 }
-                over(bytes.toString(StandardCharsets.US_ASCII).startsWith("-BUSY"));
-                if (pieces) {
-                    inPieces(bytes);
+                endAttempt(bytes.toString(StandardCharsets.US_ASCII).startsWith("-BUSY"));
+                if (splitsResponses) {
+                    writeInChunks(bytes);
                 } else {
                     fromGateway.writeAndFlush(bytes);
                 }
             }
 
-            private void inPieces(ByteBuf bytes) {
+            private void writeInChunks(ByteBuf bytes) {
                 int delayMs = 0;
                 while (bytes.isReadable()) {
-                    boolean many = bytes.readableBytes() > 20 * PIECE_BYTES;
-                    int length = many ? bytes.readableBytes() / 4 : Math.min(PIECE_BYTES, bytes.readableBytes());
-                    ByteBuf piece = bytes.readRetainedSlice(length);
+                    boolean many = bytes.readableBytes() > 20 * CHUNK_BYTES;
+                    int length = many ? bytes.readableBytes() / 4 : Math.min(CHUNK_BYTES, bytes.readableBytes());
+                    ByteBuf chunk = bytes.readRetainedSlice(length);
                     fromGateway
                             .eventLoop()
-                            .schedule(() -> fromGateway.writeAndFlush(piece), delayMs, TimeUnit.MILLISECONDS);
-                    delayMs += PIECE_MS;
+                            .schedule(() -> fromGateway.writeAndFlush(chunk), delayMs, TimeUnit.MILLISECONDS);
+                    delayMs += CHUNK_INTERVAL_MS;
                 }
                 bytes.release();
             }
@@ -286,7 +286,7 @@
             @Override
             public void channelInactive(ChannelHandlerContext context) {
                 if (!cut && !closed) {
-                    over(false);
+                    endAttempt(false);
                     fromGateway.writeAndFlush(Unpooled.EMPTY_BUFFER).addListener(ChannelFutureListener.CLOSE);
                 }
             }
--- a/laboratory/src/main/java/opalcove/laboratory/soak/BackendProcess.java
+++ b/laboratory/src/main/java/opalcove/laboratory/soak/BackendProcess.java
@@ -13,7 +13,7 @@
     private final Path log;
     private Process process;
     private PrintStream behaviours;
-    private final HeldPort port = new HeldPort();
+    private final ReservedPort port = new ReservedPort();
 
     BackendProcess(String name, Path log) throws IOException {
         this.name = name;
@@ -27,9 +27,9 @@
                 .redirectError(ProcessBuilder.Redirect.appendTo(log.toFile()))
                 .start();
         behaviours = new PrintStream(process.getOutputStream(), true, StandardCharsets.US_ASCII);
-        BufferedReader notified =
+        BufferedReader output =
                 new BufferedReader(new InputStreamReader(process.getInputStream(), StandardCharsets.US_ASCII));
-        String line = notified.readLine();
+        String line = output.readLine();
         if (line == null) {
             throw new IOException(name + " exited before it printed its port, see " + log);
         }
--- a/laboratory/src/main/java/opalcove/laboratory/soak/ClientConnection.java
+++ b/laboratory/src/main/java/opalcove/laboratory/soak/ClientConnection.java
@@ -30,23 +30,23 @@
     }
 
     /** A command that waits for its response; the request is null for a command that the history doesn't record. */
-    private record Waiting(Request request) {}
+    private record WaitingCommand(Request request) {}
 
-    private static final int RESPONSE_CACHED = 64;
+    private static final int MAX_RECORDED_CHARS = 64;
 
     private final int number;
     private final Gateway gateway;
     private final SoakClock clock;
-    private final Queue<Waiting> waiting = new ArrayDeque<>();
+    private final Queue<WaitingCommand> waiting = new ArrayDeque<>();
     private final Deque<String> writes = new ArrayDeque<>();
     private Channel channel;
     private final ByteBuf pending = Unpooled.buffer();
     private boolean open = true;
-    private boolean used;
+    private boolean usedBefore;
     private Stall stall;
-    private double lastAnswerAt = -1;
+    private double lastResponseAt = -1;
     /** Length of a bulk string of which only a part has arrived, bytes; 0 if there is none. */
-    private int owed;
+    private int incompleteValueBytes;
 
     private ClientConnection(int number, Gateway gateway, SoakClock clock) {
         this.number = number;
@@ -56,16 +56,16 @@
 
     static ClientConnection open(int number, int port, Gateway gateway, EventLoopGroup loop, SoakClock clock) {
         ClientConnection connection = new ClientConnection(number, gateway, clock);
-        var dialling = new Bootstrap()
+        var connecting = new Bootstrap()
                 .group(loop)
                 .channel(NioSocketChannel.class)
                 .option(ChannelOption.TCP_NODELAY, true)
                 .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, 3000)
                 .handler(connection)
                 .connect("127.0.0.1", port);
-        connection.channel = dialling.channel();
-        dialling.addListener(up -> {
-            if (!up.isSuccess()) {
+        connection.channel = connecting.channel();
+        connecting.addListener(result -> {
+            if (!result.isSuccess()) {
                 connection.refused();
             }
         });
@@ -108,9 +108,9 @@
 
     /** Writes a request in the given number of pieces, with {@code betweenMs} ms between them. */
     void send(Request request, String text, int pieces, int betweenMs) {
-        waiting.add(new Waiting(request));
-        request.onUsedConnection = used;
-        used = true;
+        waiting.add(new WaitingCommand(request));
+        request.onUsedConnection = usedBefore;
+        usedBefore = true;
         int length = Math.max(1, text.length() / pieces);
         for (int i = 0; i < pieces; i++) {
             int from = i * length;
@@ -131,14 +131,14 @@
 
     /** Writes a command that the history doesn't record, but that gets one response as well. */
     void sendOther(String text) {
-        waiting.add(new Waiting(null));
+        waiting.add(new WaitingCommand(null));
         write(text);
     }
 
     /** Writes a part of a request and nothing after it. */
-    void stall(Stall begun, String half) {
+    void stall(Stall begun, String part) {
         stall = begun;
-        write(half);
+        write(part);
     }
 
     private void write(String text) {
@@ -154,7 +154,7 @@
     }
 
     /** Closes or resets the connection from the client's side, so that its open requests need no response any more. */
-    void leave(boolean reset) {
+    void disconnect(boolean reset) {
         if (!open) {
             return;
         }
@@ -168,7 +168,7 @@
     private void end(End how) {
         open = false;
         double now = clock.now();
-        for (Waiting each : waiting) {
+        for (WaitingCommand each : waiting) {
             if (each.request() != null) {
                 each.request().ended(how, now);
             }
@@ -184,15 +184,15 @@
         ByteBuf bytes = (ByteBuf) message;
         pending.writeBytes(bytes);
         bytes.release();
-        while (takeAnswer()) {
+        while (takeResponse()) {
             // Responses arrive in the order of the commands.
         }
         pending.discardReadBytes();
     }
 
-    private boolean takeAnswer() {
+    private boolean takeResponse() {
         int lineEnd = pending.indexOf(pending.readerIndex(), pending.writerIndex(), (byte) '\n');
-        owed = 0;
+        incompleteValueBytes = 0;
         if (lineEnd < 0) {
             return false;
         }
@@ -200,22 +200,22 @@
         String line = pending.toString(start, lineEnd - start - 1, StandardCharsets.ISO_8859_1);
         if (!line.startsWith("$")) {
             pending.readerIndex(lineEnd + 1);
-            answered(line.startsWith("-BUSY") ? End.REFUSED : End.FAILED, line);
+            endRequest(line.startsWith("-BUSY") ? End.REFUSED : End.FAILED, line);
             return true;
         }
         int length = Integer.parseInt(line.substring(1));
         if (pending.writerIndex() < lineEnd + 1 + length + 2) {
-            owed = length;
+            incompleteValueBytes = length;
             return false;
         }
-        String value = pending.toString(lineEnd + 1, Math.min(length, RESPONSE_CACHED), StandardCharsets.ISO_8859_1);
+        String value = pending.toString(lineEnd + 1, Math.min(length, MAX_RECORDED_CHARS), StandardCharsets.ISO_8859_1);
         pending.readerIndex(lineEnd + 1 + length + 2);
-        answered(End.SERVED, value);
+        endRequest(End.SERVED, value);
         return true;
     }
 
-    private void answered(End how, String answer) {
-        Waiting first = waiting.poll();
+    private void endRequest(End how, String response) {
+        WaitingCommand first = waiting.poll();
         if (first == null) {
             if (stall != null && stall.endedAt < 0) {
                 stall.endedAt = clock.now();
@@ -223,11 +223,11 @@
             return;
         }
         if (first.request() != null) {
-            first.request().answer = answer;
-            first.request().turnAt = lastAnswerAt;
+            first.request().response = response;
+            first.request().previousResponseAt = lastResponseAt;
             first.request().ended(how, clock.now());
         }
-        lastAnswerAt = clock.now();
+        lastResponseAt = clock.now();
     }
 
     @Override
@@ -237,10 +237,10 @@
         }
         boolean killed = gateway.killed();
         if (killed) {
-            noteTermination();
+            recordTermination();
         }
-        if (!killed && owed > 0) {
-            Waiting first = waiting.poll();
+        if (!killed && incompleteValueBytes > 0) {
+            WaitingCommand first = waiting.poll();
             if (first != null && first.request() != null) {
                 first.request().ended(End.CUT, clock.now());
             }
@@ -248,7 +248,7 @@
         end(killed ? End.KILLED : End.CLOSED);
     }
 
-    private void noteTermination() {
+    private void recordTermination() {
         double sentAt = gateway.terminationSentAt();
         waiting.forEach(each -> {
             if (each.request() != null) {
--- a/laboratory/src/main/java/opalcove/laboratory/soak/Coverage.java
+++ b/laboratory/src/main/java/opalcove/laboratory/soak/Coverage.java
@@ -11,16 +11,16 @@
     /** If more pairs than this have never overlapped, they are counted but not listed. */
     private static final int MAX_NAMED = 250;
 
-    private final Map<FaultType, Integer> made = new EnumMap<>(FaultType.class);
-    private final Map<String, Integer> met = new TreeMap<>();
+    private final Map<FaultType, Integer> injected = new EnumMap<>(FaultType.class);
+    private final Map<String, Integer> overlapped = new TreeMap<>();
 
     /** Adds the faults that were actually injected in one run. */
     public synchronized void add(List<Fault> faults) {
         for (Fault first : faults) {
-            made.merge(first.kind(), 1, Integer::sum);
+            injected.merge(first.kind(), 1, Integer::sum);
             for (Fault second : faults) {
                 if (first.number() < second.number() && first.overlaps(second)) {
-                    met.merge(pair(first.kind(), second.kind()), 1, Integer::sum);
+                    overlapped.merge(pair(first.kind(), second.kind()), 1, Integer::sum);
                 }
             }
         }
@@ -35,25 +35,25 @@
     public synchronized String text() {
         StringBuilder text = new StringBuilder("faults injected:");
         for (FaultType kind : FaultType.values()) {
-            text.append(' ').append(kind).append('=').append(made.getOrDefault(kind, 0));
+            text.append(' ').append(kind).append('=').append(injected.getOrDefault(kind, 0));
         }
-        List<String> never = new ArrayList<>();
+        List<String> missing = new ArrayList<>();
         int all = 0;
         FaultType[] kinds = FaultType.values();
         for (int i = 0; i < kinds.length; i++) {
             for (int j = i; j < kinds.length; j++) {
                 all++;
-                if (!met.containsKey(pair(kinds[i], kinds[j]))) {
-                    never.add(pair(kinds[i], kinds[j]));
+                if (!overlapped.containsKey(pair(kinds[i], kinds[j]))) {
+                    missing.add(pair(kinds[i], kinds[j]));
                 }
             }
         }
         text.append("\npairs that overlapped in time: ")
-                .append(all - never.size())
+                .append(all - missing.size())
                 .append(" of ")
                 .append(all);
-        if (!never.isEmpty() && never.size() <= MAX_NAMED) {
-            text.append("\nnever overlapped: ").append(String.join(", ", never));
+        if (!missing.isEmpty() && missing.size() <= MAX_NAMED) {
+            text.append("\nnever overlapped: ").append(String.join(", ", missing));
         }
         return text.append('\n').toString();
     }
--- a/laboratory/src/main/java/opalcove/laboratory/soak/DiscoveryAgent.java
+++ b/laboratory/src/main/java/opalcove/laboratory/soak/DiscoveryAgent.java
@@ -38,12 +38,12 @@
      * How long after a watch stopped responding, or after discovery became reachable again, a gateway counts as
      * notified of the changes that it missed, ms.
      */
-    private static final double MISSED_MS = 6000;
+    private static final double MISSED_NOTIFICATION_MS = 6000;
     /**
      * How long after a SIGHUP that changed the discovery address the gateway counts as notified of that agent's list,
      * ms.
      */
-    private static final double MOVED_MS = 4000;
+    private static final double MOVED_NOTIFICATION_MS = 4000;
 
     private static final int MAX_REQUEST = 8192;
 
@@ -57,16 +57,16 @@
     private final Set<Watch> watches = new HashSet<>();
     private final Set<Channel> connections = new HashSet<>();
     private Channel server;
-    private final HeldPort port = new HeldPort();
+    private final ReservedPort port = new ReservedPort();
     private boolean silent;
-    private boolean torn;
-    private boolean wholeLists;
+    private boolean truncatesLists;
+    private boolean completeLists;
     /** When watches were hung; below 0 if none is. */
     private double hungAt = -1;
     /** When the gateway was last configured to use this agent; below 0 while it uses the other one. */
     private double followedAt = -1;
 
-    private boolean movedTo;
+    private boolean followedBySignal;
 
     DiscoveryAgent(
             int gateway,
@@ -84,7 +84,7 @@
         this.loop = loop;
         this.clock = clock;
         this.history = history;
-        fleet.watch(entry -> changed());
+        fleet.addWatcher(entry -> onFleetChange());
     }
 
     int port() {
@@ -92,11 +92,11 @@
     }
 
     void open() {
-        var opening = new ServerBootstrap()
+        var binding = new ServerBootstrap()
                 .group(loop)
                 .channel(NioServerSocketChannel.class)
                 .option(ChannelOption.SO_BACKLOG, 64)
-                .option(HeldPort.SHARED, true)
+                .option(ReservedPort.REUSE_PORT, true)
                 .childOption(ChannelOption.TCP_NODELAY, true)
                 .childHandler(new ChannelInitializer<>() {
                     @Override
@@ -104,11 +104,14 @@
                         connections.add(channel);
                         channel.closeFuture().addListener(closed -> connections.remove(channel));
                         channel.pipeline()
-                                .addLast(new HttpServerCodec(), new HttpObjectAggregator(MAX_REQUEST), new Calls());
+                                .addLast(
+                                        new HttpServerCodec(),
+                                        new HttpObjectAggregator(MAX_REQUEST),
+                                        new RequestHandler());
                     }
                 })
                 .bind("127.0.0.1", port.number());
-        server = opening.channel();
+        server = binding.channel();
     }
 
     /** Releases the reserved port. */
@@ -117,42 +120,42 @@
     }
 
     /** Sets whether the gateway uses this agent, either from its start or, if {@code bySignal}, from a SIGHUP. */
-    void followed(boolean yes, boolean bySignal) {
-        followedAt = yes ? clock.now() : -1;
-        movedTo = bySignal;
-        if (yes) {
-            sendWholeList();
+    void setFollowed(boolean following, boolean bySignal) {
+        followedAt = following ? clock.now() : -1;
+        followedBySignal = bySignal;
+        if (following) {
+            recordNotifications();
         }
     }
 
     /** Sets whether the agent accepts requests without responding to any, and doesn't react to changes of the list. */
-    void silent(boolean yes) {
-        silent = yes;
-        if (!yes) {
+    void setSilent(boolean silentNow) {
+        silent = silentNow;
+        if (!silentNow) {
             hungAt = -1;
-            Set.copyOf(watches).forEach(Watch::answer);
-            sendWholeList();
+            Set.copyOf(watches).forEach(Watch::respond);
+            recordNotifications();
         }
     }
 
     /** Sets whether the agent refuses connections. When it starts to, it also resets those that are open. */
-    void refuse(boolean yes) {
+    void setRefusesConnections(boolean refuses) {
         // Two such faults may overlap: the first to end opens the port again.
-        if (yes && server != null) {
+        if (refuses && server != null) {
             server.close();
             server = null;
             resetConnections();
-        } else if (!yes && server == null) {
+        } else if (!refuses && server == null) {
             open();
-            sendWholeList();
+            recordNotifications();
         }
     }
 
     /** Drops the watches that are open now, so that they never get a response. */
-    void hang() {
+    void hangWatches() {
         if (!watches.isEmpty()) {
             hungAt = clock.now();
-            watches.forEach(Watch::forget);
+            watches.forEach(Watch::cancelTimer);
             watches.clear();
         }
     }
@@ -166,47 +169,49 @@
         }
     }
 
-    void torn(boolean yes) {
-        torn = yes;
-        if (!yes) {
-            sendWholeList();
+    void setTruncatesLists(boolean truncates) {
+        truncatesLists = truncates;
+        if (!truncates) {
+            recordNotifications();
         }
     }
 
     /** Sets whether watches get complete lists, which leave out draining backends, in place of changes. */
-    void wholeLists(boolean yes) {
-        wholeLists = yes;
+    void setCompleteLists(boolean complete) {
+        completeLists = complete;
     }
 
     private boolean reachable() {
         return server != null && !silent && followedAt >= 0;
     }
 
-    private void changed() {
-        sendWholeList();
+    private void onFleetChange() {
+        recordNotifications();
         if (!silent) {
-            Set.copyOf(watches).forEach(Watch::answer);
+            Set.copyOf(watches).forEach(Watch::respond);
         }
     }
 
     /**
      * Records when the gateway counts as notified of all changes so far, whether or not a response with them arrives.
      */
-    private void sendWholeList() {
+    private void recordNotifications() {
         if (!reachable()) {
             return;
         }
         double now = clock.now();
-        double at = !pushed || torn ? now + MISSED_MS : hungAt >= 0 ? Math.max(now, hungAt + MISSED_MS) : now;
-        if (movedTo) {
-            at = Math.max(at, followedAt + MOVED_MS);
+        double at = !pushed || truncatesLists
+                ? now + MISSED_NOTIFICATION_MS
+                : hungAt >= 0 ? Math.max(now, hungAt + MISSED_NOTIFICATION_MS) : now;
+        if (followedBySignal) {
+            at = Math.max(at, followedAt + MOVED_NOTIFICATION_MS);
         }
         for (History.Change change : history.changes) {
-            notified(change, at);
+            recordNotification(change, at);
         }
     }
 
-    private void notified(History.Change change, double at) {
+    private void recordNotification(History.Change change, double at) {
         double before = change.notifiedAt[gateway];
         if (before < 0 || at < before) {
             change.notifiedAt[gateway] = at;
@@ -214,29 +219,29 @@
     }
 
     /** Records that the gateway is notified of all changes so far, since a list has been written to it. */
-    private void written() {
+    private void recordWrittenList() {
         double now = clock.now();
-        history.changes.forEach(change -> notified(change, now));
+        history.changes.forEach(change -> recordNotification(change, now));
     }
 
-    private final class Calls extends SimpleChannelInboundHandler<FullHttpRequest> {
+    private final class RequestHandler extends SimpleChannelInboundHandler<FullHttpRequest> {
         @Override
         protected void channelRead0(ChannelHandlerContext context, FullHttpRequest request) {
             QueryStringDecoder uri = new QueryStringDecoder(request.uri());
             List<String> since = uri.parameters().get("since");
             if (since == null) {
                 if (!silent) {
-                    write(context, fleet.whole(addresses, true));
+                    write(context, fleet.snapshot(addresses, true));
                 }
                 return;
             }
-            int waitMs = Integer.parseInt(uri.parameters().get("timeout_ms").get(0));
+            int timeoutMs = Integer.parseInt(uri.parameters().get("timeout_ms").get(0));
             Watch watch = new Watch(context, Long.parseLong(since.get(0)));
             watches.add(watch);
             if (fleet.index() > watch.since && !silent) {
-                watch.answer();
+                watch.respond();
             } else {
-                watch.timer = context.executor().schedule(watch::answer, waitMs, TimeUnit.MILLISECONDS);
+                watch.timer = context.executor().schedule(watch::respond, timeoutMs, TimeUnit.MILLISECONDS);
             }
         }
 
@@ -251,13 +256,13 @@
         ByteBuf body = Unpooled.copiedBuffer(text, StandardCharsets.UTF_8);
         FullHttpResponse response = new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.OK, body);
         response.headers().set(HttpHeaderNames.CONTENT_LENGTH, body.readableBytes());
-        if (torn) {
+        if (truncatesLists) {
             body.writerIndex(body.writerIndex() / 2);
             context.writeAndFlush(response).addListener(sent -> context.close());
             return;
         }
         context.writeAndFlush(response);
-        written();
+        recordWrittenList();
     }
 
     /** A blocking request that waits for a version after {@code since} or for its timeout. */
@@ -272,16 +277,18 @@
             context.channel().closeFuture().addListener(closed -> watches.remove(this));
         }
 
-        void answer() {
+        void respond() {
             if (silent || !watches.remove(this)) {
                 return;
             }
-            forget();
-            boolean news = fleet.index() > since;
-            write(context, wholeLists && news ? fleet.whole(addresses, false) : fleet.changes(since, addresses));
+            cancelTimer();
+            boolean changed = fleet.index() > since;
+            write(
+                    context,
+                    completeLists && changed ? fleet.snapshot(addresses, false) : fleet.changes(since, addresses));
         }
 
-        void forget() {
+        void cancelTimer() {
             if (timer != null) {
                 timer.cancel(false);
             }
--- a/laboratory/src/main/java/opalcove/laboratory/soak/FaultCase.java
+++ b/laboratory/src/main/java/opalcove/laboratory/soak/FaultCase.java
@@ -33,12 +33,12 @@
     RESTARTS_CLOCK_BEHIND();
 
     private static final long HOUR_MS = 3_600_000;
-    private static final int RESTARTED = 2;
+    private static final int RESTARTED_BACKENDS = 2;
     private static final int RESTART_AFTER_MS = 3000;
     private static final int OUTAGE_MS = 300;
-    private static final int SHARE_MS = 3000;
+    private static final int SHARE_WINDOW_MS = 3000;
     private static final int STOP_MS = 500;
-    private static final int STOP_EVERY_MS = 1500;
+    private static final int STOP_INTERVAL_MS = 1500;
     private static final int BACKENDS = 6;
     private static final double REQUESTS_PER_S = 100;
     private static final double DEADLINE_SLACK_MS = 150;
@@ -111,19 +111,19 @@
     public Outcome play(Soak soak, long seed, int lengthMs) throws Exception {
         SoakPlan.Setup setup = new SoakPlan.Setup(true, 1000, 6, false, true, "cell", 30_000);
         SoakPlan plan = new SoakPlan(seed, 1, BACKENDS, lengthMs, REQUESTS_PER_S, setup, List.of());
-        Play play = new Play(lengthMs);
-        SoakResult result = soak.run(plan, false, play);
-        return play.outcome(result.brokenRules());
+        CaseRun caseRun = new CaseRun(lengthMs);
+        SoakResult result = soak.run(plan, false, caseRun);
+        return caseRun.outcome(result.brokenRules());
     }
 
     /** Applies the case to the processes of one run. */
-    private final class Play implements Soak.Setting {
+    private final class CaseRun implements Soak.RunActions {
         private final int lengthMs;
         private History history;
         private double restartedAt = Double.NaN;
         private long hits;
 
-        Play(int lengthMs) {
+        CaseRun(int lengthMs) {
             this.lengthMs = lengthMs;
         }
 
@@ -137,36 +137,36 @@
         }
 
         @Override
-        public void begin(SoakCluster rig) throws Exception {
-            FaultShim shim = rig.gateway(0).shim().orElseThrow();
+        public void begin(SoakCluster cluster) throws Exception {
+            FaultShim shim = cluster.gateway(0).shim().orElseThrow();
             kinds.forEach(kind -> shim.fail(call, kind, oneIn, errno));
             if (FaultCase.this == STOPPED_500_MS) {
-                stopAgainAndAgain(rig);
+                stopRepeatedly(cluster);
             } else if (restarts()) {
                 TimeUnit.MILLISECONDS.sleep(RESTART_AFTER_MS);
-                for (int i = 0; i < RESTARTED; i++) {
-                    rig.restartBackend(i, OUTAGE_MS);
+                for (int i = 0; i < RESTARTED_BACKENDS; i++) {
+                    cluster.restartBackend(i, OUTAGE_MS);
                 }
-                restartedAt = rig.clock.now();
+                restartedAt = cluster.clock.now();
             }
         }
 
-        private void stopAgainAndAgain(SoakCluster rig) throws InterruptedException {
-            for (int i = 0; i < lengthMs / STOP_EVERY_MS - 1; i++) {
-                TimeUnit.MILLISECONDS.sleep(STOP_EVERY_MS - STOP_MS);
-                rig.gateway(0).signal("STOP");
+        private void stopRepeatedly(SoakCluster cluster) throws InterruptedException {
+            for (int i = 0; i < lengthMs / STOP_INTERVAL_MS - 1; i++) {
+                TimeUnit.MILLISECONDS.sleep(STOP_INTERVAL_MS - STOP_MS);
+                cluster.gateway(0).signal("STOP");
                 TimeUnit.MILLISECONDS.sleep(STOP_MS);
-                rig.gateway(0).signal("CONT");
+                cluster.gateway(0).signal("CONT");
                 hits++;
             }
         }
 
         @Override
-        public void end(SoakCluster rig) {
-            FaultShim shim = rig.gateway(0).shim().orElseThrow();
+        public void end(SoakCluster cluster) {
+            FaultShim shim = cluster.gateway(0).shim().orElseThrow();
             hits += shim.clockHits();
             hits += shim.hits().values().stream().mapToLong(Long::longValue).sum();
-            history = rig.history;
+            history = cluster.history;
         }
 
         Outcome outcome(Set<SoakRule> broken) {
@@ -193,18 +193,18 @@
         private double restartedShare() {
             List<Attempt> after = history.attempts.stream()
                     .filter(attempt ->
-                            attempt.firstByteAt >= restartedAt && attempt.firstByteAt < restartedAt + SHARE_MS)
+                            attempt.firstByteAt >= restartedAt && attempt.firstByteAt < restartedAt + SHARE_WINDOW_MS)
                     .toList();
             long to = after.stream()
-                    .filter(attempt -> attempt.backend < RESTARTED)
+                    .filter(attempt -> attempt.backend < RESTARTED_BACKENDS)
                     .count();
             return after.isEmpty() ? Double.NaN : (double) to / after.size();
         }
     }
 
     private static boolean deadlineIsTooLong(Attempt attempt) {
-        double left = attempt.request.waitMs - (attempt.firstByteAt - attempt.request.sentAt);
-        return attempt.request.sentAt >= 0 && attempt.waitMs > Math.max(0, left) + DEADLINE_SLACK_MS;
+        double remainingMs = attempt.request.deadlineMs - (attempt.firstByteAt - attempt.request.sentAt);
+        return attempt.request.sentAt >= 0 && attempt.deadlineMs > Math.max(0, remainingMs) + DEADLINE_SLACK_MS;
     }
 
     private static double percentile(List<Request> requests, double part) {
--- a/laboratory/src/main/java/opalcove/laboratory/soak/FaultInjector.java
+++ b/laboratory/src/main/java/opalcove/laboratory/soak/FaultInjector.java
@@ -19,18 +19,18 @@
     private static final int MAX_PAUSE_MS = 400;
     private static final long HOUR_MS = 3_600_000;
 
-    private final SoakCluster rig;
-    private final List<Fault> made = Collections.synchronizedList(new ArrayList<>());
+    private final SoakCluster cluster;
+    private final List<Fault> injected = Collections.synchronizedList(new ArrayList<>());
     private final ExecutorService threads = Executors.newCachedThreadPool();
     private final List<CompletableFuture<Void>> running = new ArrayList<>();
 
-    FaultInjector(SoakCluster rig) {
-        this.rig = rig;
+    FaultInjector(SoakCluster cluster) {
+        this.cluster = cluster;
     }
 
     /** Schedules all faults; their start times count from this call. */
     void begin(List<Fault> faults) {
-        double from = rig.clock.now();
+        double from = cluster.clock.now();
         for (Fault each : faults) {
             running.add(CompletableFuture.runAsync(() -> run(each, from), threads));
         }
@@ -39,14 +39,14 @@
     /** Waits for the end of all faults, and returns those that were injected. */
     List<Fault> await() {
         running.forEach(CompletableFuture::join);
-        return List.copyOf(made);
+        return List.copyOf(injected);
     }
 
     private void run(Fault fault, double from) {
         try {
-            sleep(from + fault.startMs() - rig.clock.now());
-            if (make(fault)) {
-                made.add(fault);
+            sleep(from + fault.startMs() - cluster.clock.now());
+            if (inject(fault)) {
+                injected.add(fault);
             }
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
@@ -59,83 +59,89 @@
         TimeUnit.MICROSECONDS.sleep((long) Math.max(0, ms * 1000));
     }
 
-    private boolean make(Fault fault) throws IOException, InterruptedException {
-        return switch (fault.kind().place) {
-            case GATEWAY -> makeAtGateway(fault);
-            case BACKEND -> makeAtBackend(fault);
-            case SYSTEM -> makeInSystem(fault);
+    private boolean inject(Fault fault) throws IOException, InterruptedException {
+        return switch (fault.kind().target) {
+            case GATEWAY -> injectAtGateway(fault);
+            case BACKEND -> injectAtBackend(fault);
+            case SYSTEM -> injectInSystem(fault);
         };
     }
 
-    private boolean makeAtGateway(Fault fault) throws IOException, InterruptedException {
+    private boolean injectAtGateway(Fault fault) throws IOException, InterruptedException {
         int gateway = fault.target();
         switch (fault.kind()) {
             case GATEWAY_TERM -> restart(gateway, true);
             case GATEWAY_KILL -> restart(gateway, false);
             case GATEWAY_PAUSE -> pause(fault);
             case GATEWAY_RELOAD -> reload(fault);
-            case LINK_CUT -> cut(fault);
+            case LINK_CUT -> cutProxies(fault);
             case LINK_RESET ->
                 during(
                         fault,
-                        () -> rig.connections(gateway)
-                                .forEach(connection -> connection.resets(0.1 + 0.4 * fault.draw())),
-                        () -> rig.connections(gateway).forEach(connection -> connection.resets(0)));
+                        () -> cluster.proxies(gateway).forEach(proxy -> proxy.setResetShare(0.1 + 0.4 * fault.draw())),
+                        () -> cluster.proxies(gateway).forEach(proxy -> proxy.setResetShare(0)));
             case LINK_PIECES ->
                 during(
                         fault,
-                        () -> rig.connections(gateway).forEach(connection -> connection.pieces(true)),
-                        () -> rig.connections(gateway).forEach(connection -> connection.pieces(false)));
+                        () -> cluster.proxies(gateway).forEach(proxy -> proxy.setSplitsResponses(true)),
+                        () -> cluster.proxies(gateway).forEach(proxy -> proxy.setSplitsResponses(false)));
             case DISCOVERY_SILENT ->
-                during(fault, () -> rig.agents(gateway).forEach(agent -> agent.silent(true)), () -> rig.agents(gateway)
-                        .forEach(agent -> agent.silent(false)));
+                during(
+                        fault,
+                        () -> cluster.agents(gateway).forEach(agent -> agent.setSilent(true)),
+                        () -> cluster.agents(gateway).forEach(agent -> agent.setSilent(false)));
             case DISCOVERY_REFUSED ->
-                during(fault, () -> rig.agents(gateway).forEach(agent -> agent.refuse(true)), () -> rig.agents(gateway)
-                        .forEach(agent -> agent.refuse(false)));
-            case WATCH_HUNG -> rig.onLoop(() -> rig.agents(gateway).forEach(DiscoveryAgent::hang));
+                during(
+                        fault,
+                        () -> cluster.agents(gateway).forEach(agent -> agent.setRefusesConnections(true)),
+                        () -> cluster.agents(gateway).forEach(agent -> agent.setRefusesConnections(false)));
+            case WATCH_HUNG -> cluster.onLoop(() -> cluster.agents(gateway).forEach(DiscoveryAgent::hangWatches));
             case WATCH_RESET ->
                 during(
                         fault,
-                        () -> rig.agents(gateway).forEach(agent -> {
-                            agent.wholeLists(true);
+                        () -> cluster.agents(gateway).forEach(agent -> {
+                            agent.setCompleteLists(true);
                             agent.resetConnections();
                         }),
-                        () -> rig.agents(gateway).forEach(agent -> agent.wholeLists(false)));
+                        () -> cluster.agents(gateway).forEach(agent -> agent.setCompleteLists(false)));
             case LIST_TORN ->
-                during(fault, () -> rig.agents(gateway).forEach(agent -> agent.torn(true)), () -> rig.agents(gateway)
-                        .forEach(agent -> agent.torn(false)));
+                during(
+                        fault,
+                        () -> cluster.agents(gateway).forEach(agent -> agent.setTruncatesLists(true)),
+                        () -> cluster.agents(gateway).forEach(agent -> agent.setTruncatesLists(false)));
             default ->
-                during(fault, () -> rig.traffic(gateway).manner(fault.kind(), true), () -> rig.traffic(gateway)
-                        .manner(fault.kind(), false));
+                during(fault, () -> cluster.traffic(gateway).setFault(fault.kind(), true), () -> cluster.traffic(
+                                gateway)
+                        .setFault(fault.kind(), false));
         }
         return true;
     }
 
     private void during(Fault fault, Runnable begin, Runnable end) throws InterruptedException {
-        rig.onLoop(begin);
+        cluster.onLoop(begin);
         sleep(fault.lengthMs());
-        rig.onLoop(end);
+        cluster.onLoop(end);
     }
 
-    private void restart(int gateway, boolean notified) throws IOException, InterruptedException {
-        synchronized (rig.gateway(gateway)) {
-            if (notified) {
-                rig.gateway(gateway).end();
+    private void restart(int gateway, boolean bySigterm) throws IOException, InterruptedException {
+        synchronized (cluster.gateway(gateway)) {
+            if (bySigterm) {
+                cluster.gateway(gateway).terminate();
             } else {
-                rig.gateway(gateway).kill();
+                cluster.gateway(gateway).kill();
             }
-            rig.configure(gateway, false, 0);
-            rig.gateway(gateway).start();
+            cluster.configure(gateway, false, 0);
+            cluster.gateway(gateway).start();
         }
     }
 
     private void pause(Fault fault) throws InterruptedException {
         SplittableRandom random = new SplittableRandom((long) (fault.draw() * Long.MAX_VALUE));
-        double endAt = rig.clock.now() + fault.lengthMs();
-        while (rig.clock.now() < endAt) {
-            rig.gateway(fault.target()).signal("STOP");
+        double endAt = cluster.clock.now() + fault.lengthMs();
+        while (cluster.clock.now() < endAt) {
+            cluster.gateway(fault.target()).signal("STOP");
             sleep(50 + random.nextInt(MAX_PAUSE_MS - 50));
-            rig.gateway(fault.target()).signal("CONT");
+            cluster.gateway(fault.target()).signal("CONT");
             sleep(100 + random.nextInt(500));
         }
     }
@@ -143,46 +149,43 @@
     private void reload(Fault fault) throws IOException, InterruptedException {
         int times = 1 + (int) (fault.draw() * 4);
         for (int i = 0; i < times; i++) {
-            synchronized (rig.gateway(fault.target())) {
-                rig.configure(fault.target(), true, i % 2);
-                rig.gateway(fault.target()).signal("HUP");
+            synchronized (cluster.gateway(fault.target())) {
+                cluster.configure(fault.target(), true, i % 2);
+                cluster.gateway(fault.target()).signal("HUP");
             }
             sleep((double) fault.lengthMs() / times);
         }
     }
 
-    private void cut(Fault fault) throws InterruptedException {
-        List<BackendConnection> all = rig.connections(fault.target());
+    private void cutProxies(Fault fault) throws InterruptedException {
+        List<BackendFaultProxy> all = cluster.proxies(fault.target());
         int count = Math.max(1, (int) (all.size() * (0.2 + 0.6 * fault.draw())));
-        List<BackendConnection> cut = all.subList(0, count);
-        during(
-                fault,
-                () -> cut.forEach(connection -> connection.cut(true)),
-                () -> cut.forEach(connection -> connection.cut(false)));
+        List<BackendFaultProxy> cut = all.subList(0, count);
+        during(fault, () -> cut.forEach(proxy -> proxy.setCut(true)), () -> cut.forEach(proxy -> proxy.setCut(false)));
     }
 
-    private boolean makeAtBackend(Fault fault) throws IOException, InterruptedException {
+    private boolean injectAtBackend(Fault fault) throws IOException, InterruptedException {
         int backend = fault.target();
         double share = 0.2 + 0.8 * fault.draw();
         switch (fault.kind()) {
-            case BACKEND_KILL -> rig.restartBackend(backend, fault.lengthMs());
+            case BACKEND_KILL -> cluster.restartBackend(backend, fault.lengthMs());
             case BACKEND_PAUSE -> {
-                rig.backend(backend).signal("STOP");
+                cluster.backend(backend).signal("STOP");
                 sleep(fault.lengthMs());
-                rig.backend(backend).signal("CONT");
+                cluster.backend(backend).signal("CONT");
             }
             case BACKEND_DRAIN -> {
-                rig.change(backend, "draining", false);
+                cluster.change(backend, "draining", false);
                 if (comesBack(fault)) {
                     sleep(fault.lengthMs());
-                    rig.change(backend, "up", false);
+                    cluster.change(backend, "up", false);
                 }
             }
             case BACKEND_REMOVE -> {
-                rig.change(backend, "removed", false);
+                cluster.change(backend, "removed", false);
                 if (comesBack(fault)) {
                     sleep(fault.lengthMs());
-                    rig.change(backend, "up", true);
+                    cluster.change(backend, "up", true);
                 }
             }
             case BACKEND_BUSY -> behave(fault, Behaviour.BUSY, share);
@@ -198,22 +201,23 @@
     }
 
     /**
-     * Whether the backend is listed as up again at the end of the fault. If not, it stays draining or removed for the
-     * rest of the run, so that a later change of the list doesn't hide that a gateway missed this one.
+     * Whether the backend is listed as up again at the end of the fault. Half of the drains and removals last until the
+     * end of the run: a gateway that missed a change counts as notified only several seconds later, and a drain that
+     * ends before that would hide a gateway that never closes a hung watch and still sends requests to the backend.
      */
     private static boolean comesBack(Fault fault) {
         return fault.draw() < 0.5;
     }
 
     private void behave(Fault fault, Behaviour behaviour, double value) throws InterruptedException {
-        rig.backend(fault.target()).behave(behaviour, value);
+        cluster.backend(fault.target()).behave(behaviour, value);
         sleep(fault.lengthMs());
-        rig.backend(fault.target()).behave(behaviour, behaviour.first);
+        cluster.backend(fault.target()).behave(behaviour, behaviour.initial);
     }
 
     /** Returns whether the shim has failed at least one call or shifted at least one clock reading. */
-    private boolean makeInSystem(Fault fault) throws InterruptedException {
-        FaultShim shim = rig.gateway(fault.target()).shim().orElse(null);
+    private boolean injectInSystem(Fault fault) throws InterruptedException {
+        FaultShim shim = cluster.gateway(fault.target()).shim().orElse(null);
         if (shim == null) {
             return false;
         }
@@ -225,9 +229,9 @@
                 sleep(fault.lengthMs());
                 shim.shiftClock(0);
             }
-            case ACCEPT_FAILS -> failing(fault, shim, Call.ACCEPT, List.of(Kind.CLIENT), oneIn, acceptError(fault));
+            case ACCEPT_FAILS -> failCalls(fault, shim, Call.ACCEPT, List.of(Kind.CLIENT), oneIn, acceptError(fault));
             case SOCKET_FAILS ->
-                failing(
+                failCalls(
                         fault,
                         shim,
                         Call.SOCKET,
@@ -235,7 +239,7 @@
                         oneIn,
                         fault.draw() < 0.5 ? Errno.EMFILE : Errno.ENOBUFS);
             case CONNECT_FAILS ->
-                failing(
+                failCalls(
                         fault,
                         shim,
                         Call.CONNECT,
@@ -243,7 +247,7 @@
                         oneIn,
                         fault.draw() < 0.5 ? Errno.EADDRNOTAVAIL : Errno.ENETUNREACH);
             case READ_FAILS ->
-                failing(
+                failCalls(
                         fault,
                         shim,
                         Call.READ,
@@ -251,7 +255,7 @@
                         10 * oneIn,
                         fault.draw() < 0.5 ? Errno.ETIMEDOUT : Errno.EHOSTUNREACH);
             case SHORT_CALLS -> shortCalls(fault, shim);
-            case WAIT_INTERRUPTED -> failing(fault, shim, Call.WAIT, List.of(Kind.FILE), 3, Errno.EINTR);
+            case WAIT_INTERRUPTED -> failCalls(fault, shim, Call.WAIT, List.of(Kind.FILE), 3, Errno.EINTR);
             default -> throw new IllegalStateException(fault.toString());
         }
         return hits(shim) > before;
@@ -267,11 +271,11 @@
                 + shim.hits().values().stream().mapToLong(Long::longValue).sum();
     }
 
-    private static void failing(Fault fault, FaultShim shim, Call call, List<Kind> kinds, int oneIn, Errno errno)
+    private static void failCalls(Fault fault, FaultShim shim, Call call, List<Kind> kinds, int oneIn, Errno errno)
             throws InterruptedException {
         kinds.forEach(kind -> shim.fail(call, kind, oneIn, errno));
         sleep(fault.lengthMs());
-        kinds.forEach(kind -> shim.heal(call, kind));
+        kinds.forEach(kind -> shim.stopFailing(call, kind));
     }
 
     private static void shortCalls(Fault fault, FaultShim shim) throws InterruptedException {
@@ -281,7 +285,7 @@
         }
         sleep(fault.lengthMs());
         for (Call call : List.of(Call.READ, Call.WRITE)) {
-            kinds.forEach(kind -> shim.heal(call, kind));
+            kinds.forEach(kind -> shim.stopFailing(call, kind));
         }
     }
 
--- a/laboratory/src/main/java/opalcove/laboratory/soak/FaultShim.java
+++ b/laboratory/src/main/java/opalcove/laboratory/soak/FaultShim.java
@@ -62,13 +62,13 @@
         }
     }
 
-    private static final int CLOCK_HITS_AT = 8;
-    private static final int PORTS_AT = 16;
+    private static final int CLOCK_HITS_OFFSET = 8;
+    private static final int PORTS_OFFSET = 16;
     private static final int MAX_PORTS = 4;
-    private static final int RULES_AT = 32;
+    private static final int RULES_OFFSET = 32;
     private static final int RULE_BYTES = 16;
-    private static final int HITS_IN_RULE = 8;
-    private static final int BYTES = RULES_AT + Call.values().length * Kind.values().length * RULE_BYTES;
+    private static final int HITS_OFFSET_IN_RULE = 8;
+    private static final int CONTROL_BYTES = RULES_OFFSET + Call.values().length * Kind.values().length * RULE_BYTES;
     private static final int COMPILE_S = 60;
 
     private final Path file;
@@ -78,7 +78,7 @@
         this.file = file;
         try (FileChannel channel =
                 FileChannel.open(file, StandardOpenOption.CREATE, StandardOpenOption.READ, StandardOpenOption.WRITE)) {
-            control = channel.map(FileChannel.MapMode.READ_WRITE, 0, BYTES);
+            control = channel.map(FileChannel.MapMode.READ_WRITE, 0, CONTROL_BYTES);
         }
         control.order(ByteOrder.nativeOrder());
     }
@@ -116,20 +116,20 @@
     /** Sets the ports whose connections count as discovery connections; all others count as backend connections. */
     void discoveryPorts(int... ports) {
         for (int i = 0; i < Math.min(ports.length, MAX_PORTS); i++) {
-            control.putInt(PORTS_AT + 4 * i, ports[i]);
+            control.putInt(PORTS_OFFSET + 4 * i, ports[i]);
         }
     }
 
     /** From now on, one in {@code oneIn} calls, chosen at random, fails with the error. */
     void fail(Call call, Kind kind, int oneIn, Errno errno) {
-        int at = at(call, kind);
-        control.putInt(at + 4, errno.number);
-        control.putInt(at, oneIn);
+        int offset = ruleOffset(call, kind);
+        control.putInt(offset + 4, errno.number);
+        control.putInt(offset, oneIn);
     }
 
     /** Stops failing these calls. */
-    void heal(Call call, Kind kind) {
-        control.putInt(at(call, kind), 0);
+    void stopFailing(Call call, Kind kind) {
+        control.putInt(ruleOffset(call, kind), 0);
     }
 
     /** Sets how far the wall clock is ahead from now on, ms. */
@@ -143,7 +143,7 @@
         for (Call call : Call.values()) {
             long sum = 0;
             for (Kind kind : Kind.values()) {
-                sum += control.getLong(at(call, kind) + HITS_IN_RULE);
+                sum += control.getLong(ruleOffset(call, kind) + HITS_OFFSET_IN_RULE);
             }
             hits.put(call, sum);
         }
@@ -152,10 +152,10 @@
 
     /** Returns how often the shifted wall clock was read. */
     long clockHits() {
-        return control.getLong(CLOCK_HITS_AT);
+        return control.getLong(CLOCK_HITS_OFFSET);
     }
 
-    private static int at(Call call, Kind kind) {
-        return RULES_AT + (call.ordinal() * Kind.values().length + kind.ordinal()) * RULE_BYTES;
+    private static int ruleOffset(Call call, Kind kind) {
+        return RULES_OFFSET + (call.ordinal() * Kind.values().length + kind.ordinal()) * RULE_BYTES;
     }
 }
--- a/laboratory/src/main/java/opalcove/laboratory/soak/Fleet.java
+++ b/laboratory/src/main/java/opalcove/laboratory/soak/Fleet.java
@@ -12,15 +12,15 @@
     /** One backend's entry without its address, which is different for each gateway. */
     static final class Entry {
         final int number;
-        final SoakBackendPlace place;
+        final SoakBackendLocation location;
         String status = "up";
         long sinceMs;
         /** The version of the list that last changed the entry. */
         long index;
 
-        Entry(int number, SoakBackendPlace place) {
+        Entry(int number, SoakBackendLocation location) {
             this.number = number;
-            this.place = place;
+            this.location = location;
         }
 
         String name() {
@@ -32,13 +32,13 @@
     private final List<Consumer<Entry>> watchers = new ArrayList<>();
     private long index = 1;
 
-    Fleet(List<SoakBackendPlace> places) {
-        for (SoakBackendPlace place : places) {
-            entries.add(new Entry(entries.size(), place));
+    Fleet(List<SoakBackendLocation> locations) {
+        for (SoakBackendLocation location : locations) {
+            entries.add(new Entry(entries.size(), location));
         }
     }
 
-    void watch(Consumer<Entry> watcher) {
+    void addWatcher(Consumer<Entry> watcher) {
         watchers.add(watcher);
     }
 
@@ -59,35 +59,35 @@
     }
 
     /** Returns the complete list as JSON, for a gateway that reaches the backends at these addresses. */
-    JsonObject whole(List<String> addresses, boolean withDraining) {
-        JsonArray lines = new JsonArray();
+    JsonObject snapshot(List<String> addresses, boolean withDraining) {
+        JsonArray endpoints = new JsonArray();
         for (Entry each : entries) {
             boolean listed = each.status.equals("up") || withDraining && each.status.equals("draining");
             if (listed) {
-                lines.add(line(each, addresses));
+                endpoints.add(entryJson(each, addresses));
             }
         }
-        return Json.object().add("index", index).add("snapshot", true).add("endpoints", lines);
+        return Json.object().add("index", index).add("snapshot", true).add("endpoints", endpoints);
     }
 
     /** Returns the entries that have changed since a version as JSON. */
     JsonObject changes(long since, List<String> addresses) {
-        JsonArray lines = new JsonArray();
+        JsonArray endpoints = new JsonArray();
         for (Entry each : entries) {
             if (each.index > since) {
-                lines.add(line(each, addresses));
+                endpoints.add(entryJson(each, addresses));
             }
         }
-        return Json.object().add("index", index).add("snapshot", false).add("endpoints", lines);
+        return Json.object().add("index", index).add("snapshot", false).add("endpoints", endpoints);
     }
 
-    private static JsonObject line(Entry entry, List<String> addresses) {
+    private static JsonObject entryJson(Entry entry, List<String> addresses) {
         return Json.object()
                 .add("name", entry.name())
                 .add("address", addresses.get(entry.number))
-                .add("zone", entry.place.zone())
+                .add("zone", entry.location.zone())
                 .add("type", "std")
-                .add("group", entry.place.cell())
+                .add("group", entry.location.cell())
                 .add("status", entry.status)
                 .add("weight", 1.0)
                 .add("since_ms", entry.sinceMs);
--- a/laboratory/src/main/java/opalcove/laboratory/soak/GatewayProcess.java
+++ b/laboratory/src/main/java/opalcove/laboratory/soak/GatewayProcess.java
@@ -43,10 +43,10 @@
      * @param shimLibrary the library that makes system calls fail, if the machine can build it
      * @param gatewayClassPath the class path of the gateway program
      */
-    record Means(Optional<Path> shimLibrary, String gatewayClassPath) {}
+    record ProgramFiles(Optional<Path> shimLibrary, String gatewayClassPath) {}
 
     private static final Pattern COUNTED_VIOLATION = Pattern.compile("rule_broken\\.(\\w+)=([1-9]\\d*)");
-    private static final Pattern COUNTED_SLIP =
+    private static final Pattern COUNTED_GUARD_STOP =
             Pattern.compile("(stopped_by_guards|ended_by_deadline_guard)=([1-9]\\d*)");
 
     private final int number;
@@ -55,26 +55,32 @@
     private final SoakClock clock;
     private final List<SoakViolation> violations;
     /** The gateway's port, which stays the same when the gateway restarts. */
-    private final HeldPort port = new HeldPort();
+    private final ReservedPort port = new ReservedPort();
 
     private final Optional<FaultShim> shim;
-    private final Means means;
+    private final ProgramFiles programFiles;
     private volatile Process process;
     /** The process that the soak is terminating or has terminated. */
-    private volatile Process ending;
+    private volatile Process terminated;
 
     private volatile boolean killed;
     private volatile double terminationSentAt = -1;
 
-    GatewayProcess(int number, SoakPlan plan, Path folder, SoakClock clock, Means means, List<SoakViolation> violations)
+    GatewayProcess(
+            int number,
+            SoakPlan plan,
+            Path folder,
+            SoakClock clock,
+            ProgramFiles programFiles,
+            List<SoakViolation> violations)
             throws IOException {
         this.number = number;
         this.plan = plan;
         this.folder = folder;
         this.clock = clock;
-        this.means = means;
+        this.programFiles = programFiles;
         this.violations = violations;
-        shim = means.shimLibrary().isPresent()
+        shim = programFiles.shimLibrary().isPresent()
                 ? Optional.of(new FaultShim(folder.resolve("shim-" + number)))
                 : Optional.empty();
     }
@@ -112,54 +118,54 @@
     /** Starts the process and waits until it responds to a PING. */
     void start() throws IOException, InterruptedException {
         ProcessBuilder builder = new ProcessBuilder(
-                        ProcessCommands.javaOf(means.gatewayClassPath(), "opalcove.Main", "serve"))
+                        ProcessCommands.javaOf(programFiles.gatewayClassPath(), "opalcove.Main", "serve"))
                 .redirectErrorStream(true)
                 .redirectOutput(ProcessBuilder.Redirect.appendTo(log().toFile()));
         builder.environment().keySet().removeIf(key -> key.startsWith("GW_"));
         builder.environment().put("GW_CONFIG", config().toString());
-        shim.ifPresent(each -> each.loadInto(builder, means.shimLibrary().orElseThrow()));
+        shim.ifPresent(each -> each.loadInto(builder, programFiles.shimLibrary().orElseThrow()));
         double startedAt = clock.now();
         killed = false;
         terminationSentAt = -1;
         Process started = builder.start();
         process = started;
         started.onExit().thenRun(() -> exited(started));
-        while (!answersPing()) {
+        while (!respondsToPing()) {
             if (!started.isAlive()) {
                 return;
             }
             if (clock.now() - startedAt > TIMEOUT_MS) {
-                broken(SoakRule.READY, "no response to PING within " + TIMEOUT_MS + " ms of the start");
+                addViolation(SoakRule.READY, "no response to PING within " + TIMEOUT_MS + " ms of the start");
                 return;
             }
             Thread.sleep(PING_EVERY_MS);
         }
         double readyMs = clock.now() - startedAt;
         if (readyMs > READY_MS) {
-            broken(SoakRule.READY, "first response to PING " + Math.round(readyMs) + " ms after the start");
+            addViolation(SoakRule.READY, "first response to PING " + Math.round(readyMs) + " ms after the start");
         }
     }
 
-    private boolean answersPing() {
+    private boolean respondsToPing() {
         try (Socket socket = new Socket(InetAddress.getLoopbackAddress(), port())) {
             socket.setSoTimeout(1000);
             socket.getOutputStream().write(RespCommands.command("PING").getBytes(StandardCharsets.US_ASCII));
-            byte[] answer = socket.getInputStream().readNBytes(7);
-            return new String(answer, StandardCharsets.US_ASCII).equals("+PONG\r\n");
+            byte[] response = socket.getInputStream().readNBytes(7);
+            return new String(response, StandardCharsets.US_ASCII).equals("+PONG\r\n");
         } catch (IOException notYet) {
             return false;
         }
     }
 
     private void exited(Process ended) {
-        if (ended != ending) {
-            broken(
+        if (ended != terminated) {
+            addViolation(
                     SoakRule.NO_CRASH,
                     "process exited without a signal from the soak, exit code " + ended.exitValue() + "\n" + tail());
         }
     }
 
-    private void broken(SoakRule rule, String what) {
+    private void addViolation(SoakRule rule, String what) {
         violations.add(new SoakViolation(rule, number, clock.now(), what));
     }
 
@@ -191,22 +197,22 @@
 
     void kill() throws InterruptedException {
         killed = true;
-        ending = process;
+        terminated = process;
         process.destroyForcibly();
         process.waitFor();
     }
 
     /** Terminates the process by SIGTERM, and kills it if it is still running after the time that a platform grants. */
-    void end() throws InterruptedException {
+    void terminate() throws InterruptedException {
         Process now = process;
-        ending = now;
-        double notifiedAt = clock.now();
-        terminationSentAt = notifiedAt;
+        terminated = now;
+        double signalledAt = clock.now();
+        terminationSentAt = signalledAt;
         ProcessCommands.signal(now, "TERM");
         if (now.waitFor(killAfterMs(), TimeUnit.MILLISECONDS)) {
             // If SIGTERM arrives before the shutdown hook is set, the JVM exits with 143, which is allowed as well.
             if (now.exitValue() != 0 && now.exitValue() != 143) {
-                broken(
+                addViolation(
                         SoakRule.ENDS_WELL,
                         "exit code " + now.exitValue() + " after SIGTERM, expected 0 or 143\n" + tail());
             }
@@ -214,39 +220,39 @@
             killed = true;
             now.destroyForcibly();
             now.waitFor();
-            broken(
+            addViolation(
                     SoakRule.ENDS_WELL,
                     String.format(
-                            "still running and killed %.0f ms after SIGTERM%n%s", clock.now() - notifiedAt, tail()));
+                            "still running and killed %.0f ms after SIGTERM%n%s", clock.now() - signalledAt, tail()));
         }
     }
 
     /** Checks how many file descriptors the process has open. */
-    void sample() {
+    void checkDescriptors() {
         Process now = process;
         if (now == null || !now.isAlive()) {
             return;
         }
         String[] open = new File("/proc/" + now.pid() + "/fd").list();
         if (open != null && open.length > DESCRIPTORS) {
-            broken(SoakRule.DESCRIPTORS, open.length + " open descriptors, limit " + DESCRIPTORS);
+            addViolation(SoakRule.DESCRIPTORS, open.length + " open descriptors, limit " + DESCRIPTORS);
         }
     }
 
     /** Checks the log of the process for errors, buffer leaks, and rule violations that the gateway counted itself. */
-    void judgeLog() throws IOException {
+    void checkLog() throws IOException {
         for (String line : Files.readAllLines(log(), StandardCharsets.ISO_8859_1)) {
             Matcher rule = COUNTED_VIOLATION.matcher(line);
-            Matcher slip = COUNTED_SLIP.matcher(line);
+            Matcher guardStop = COUNTED_GUARD_STOP.matcher(line);
             if (isLateBecauseOfStall(line)) {
                 continue;
             }
             if (rule.find()) {
-                broken(SoakRule.OWN_CHECKS, "counter " + rule.group());
-            } else if (slip.find()) {
-                broken(SoakRule.OWN_CHECKS, "counter " + slip.group());
+                addViolation(SoakRule.OWN_CHECKS, "counter " + rule.group());
+            } else if (guardStop.find()) {
+                addViolation(SoakRule.OWN_CHECKS, "counter " + guardStop.group());
             } else if (line.contains(" ERROR ") || line.contains("LEAK")) {
-                broken(SoakRule.OWN_CHECKS, "log line: " + line);
+                addViolation(SoakRule.OWN_CHECKS, "log line: " + line);
             }
         }
     }
@@ -277,7 +283,7 @@
     void destroy() {
         killed = true;
         Process now = process;
-        ending = now;
+        terminated = now;
         if (now != null) {
             now.destroyForcibly();
         }
--- a/laboratory/src/main/java/opalcove/laboratory/soak/History.java
+++ b/laboratory/src/main/java/opalcove/laboratory/soak/History.java
@@ -31,11 +31,11 @@
     static final class Request {
         final String id;
         final SoakClass requestClass;
-        final String customer;
+        final String tenant;
         final String plan;
         final int gateway;
         final int connection;
-        final int waitMs;
+        final int deadlineMs;
         /** When its last byte was written; below 0 until then. */
         double sentAt = -1;
         /**
@@ -44,31 +44,31 @@
          */
         boolean onUsedConnection;
         /** When the previous response on its connection arrived. The time spent waiting for that does not count. */
-        double turnAt = -1;
+        double previousResponseAt = -1;
 
         End end;
         double endAt = -1;
         /** When SIGTERM was sent to the gateway that was killed before the response; below 0 if it was not sent. */
         double terminationSentAt = -1;
 
-        String answer = "";
+        String response = "";
         final List<Attempt> attempts = new ArrayList<>(2);
 
         Request(
                 String id,
                 SoakClass requestClass,
-                String customer,
+                String tenant,
                 String plan,
                 int gateway,
                 int connection,
-                int waitMs) {
+                int deadlineMs) {
             this.id = id;
             this.requestClass = requestClass;
-            this.customer = customer;
+            this.tenant = tenant;
             this.plan = plan;
             this.gateway = gateway;
             this.connection = connection;
-            this.waitMs = waitMs;
+            this.deadlineMs = deadlineMs;
         }
 
         void ended(End how, double at) {
@@ -85,12 +85,12 @@
         final int gateway;
         final int backend;
         final double firstByteAt;
-        final double wholeAt;
-        final int waitMs;
+        final double completeAt;
+        final int deadlineMs;
         /**
          * When the first byte of the response was forwarded, or the connection ended; below 0 while it is in flight.
          */
-        double overAt = -1;
+        double endedAt = -1;
 
         boolean rejected;
 
@@ -101,18 +101,18 @@
                     "[backend %d, sent %.0f, d=%d, ended %.0f%s]",
                     backend,
                     firstByteAt,
-                    waitMs,
-                    overAt,
+                    deadlineMs,
+                    endedAt,
                     rejected ? ", rejected" : "");
         }
 
-        Attempt(Request request, int gateway, int backend, double firstByteAt, double wholeAt, int waitMs) {
+        Attempt(Request request, int gateway, int backend, double firstByteAt, double completeAt, int deadlineMs) {
             this.request = request;
             this.gateway = gateway;
             this.backend = backend;
             this.firstByteAt = firstByteAt;
-            this.wholeAt = wholeAt;
-            this.waitMs = waitMs;
+            this.completeAt = completeAt;
+            this.deadlineMs = deadlineMs;
         }
     }
 
--- a/laboratory/src/main/java/opalcove/laboratory/soak/Oracle.java
+++ b/laboratory/src/main/java/opalcove/laboratory/soak/Oracle.java
@@ -17,7 +17,7 @@
     /** Slack that is added to time limits for the transfer over sockets, ms. */
     private static final double SOCKET_SLACK_MS = 50;
     /** How late recorded times may be while the recording thread is not stalled, ms. */
-    private static final double RECORDING_MS = 15;
+    private static final double RECORDING_DELAY_MS = 15;
 
     private static final double LOST_AFTER_MS = 500;
     private static final double DISCONNECT_SLACK_MS = 100;
@@ -30,65 +30,65 @@
     /** Two ends that were recorded within this time of each other may have happened in the other order, ms. */
     private static final double ORDER_MS = 10;
 
-    private static final double NOTIFIED_PART = 2.0 / 3;
+    private static final double MIN_NOTIFIED_SHARE = 2.0 / 3;
 
     private final SoakPlan plan;
     private final History history;
-    private final List<SoakBackendPlace> places;
+    private final List<SoakBackendLocation> locations;
     private final double capacityPerS;
     private final double endAt;
     private final List<SoakViolation> violations = new ArrayList<>();
 
-    Oracle(SoakPlan plan, History history, List<SoakBackendPlace> places, double capacityPerS, double endAt) {
+    Oracle(SoakPlan plan, History history, List<SoakBackendLocation> locations, double capacityPerS, double endAt) {
         this.plan = plan;
         this.history = history;
-        this.places = places;
+        this.locations = locations;
         this.capacityPerS = capacityPerS;
         this.endAt = endAt;
     }
 
     /** Returns the violations in the order of time. */
-    List<SoakViolation> judge() {
+    List<SoakViolation> check() {
         for (Request request : history.requests.values()) {
-            judgeEnd(request);
-            judgeAttempts(request);
+            checkEnd(request);
+            checkAttempts(request);
         }
-        judgeDrains();
-        judgeSlowStarts();
-        judgeCeilings();
-        history.stalls.forEach(this::judgeStall);
+        checkDrains();
+        checkSlowStarts();
+        checkCeilings();
+        history.stalls.forEach(this::checkStall);
         violations.addAll(history.processViolations);
         violations.sort(Comparator.comparingDouble(SoakViolation::atMs));
         return violations;
     }
 
-    private void broken(SoakRule rule, int gateway, double at, String form, Object... values) {
+    private void addViolation(SoakRule rule, int gateway, double at, String form, Object... values) {
         violations.add(new SoakViolation(rule, gateway, at, String.format(Locale.ROOT, form, values)));
     }
 
     private double tolerance(double at) {
-        return RECORDING_MS + history.lagAround(at);
+        return RECORDING_DELAY_MS + history.lagAround(at);
     }
 
-    private void judgeEnd(Request request) {
+    private void checkEnd(Request request) {
         if (request.sentAt < 0 || request.end == End.LEFT) {
             return;
         }
         if (request.end == End.KILLED) {
-            judgeKilled(request);
+            checkKilled(request);
             return;
         }
-        double dueAt = Math.max(request.sentAt + request.waitMs, request.turnAt) + LOST_AFTER_MS;
+        double dueAt = Math.max(request.sentAt + request.deadlineMs, request.previousResponseAt) + LOST_AFTER_MS;
         if (request.end == null) {
             if (endAt > dueAt + tolerance(endAt)) {
-                broken(SoakRule.ANSWERED, request.gateway, dueAt, "%s received no response", describe(request));
+                addViolation(SoakRule.ANSWERED, request.gateway, dueAt, "%s received no response", describe(request));
             }
             return;
         }
         if (request.end == End.CLOSED) {
             double before = request.endAt - request.sentAt;
             if (before > CROSSING_MS + tolerance(request.endAt) || !request.attempts.isEmpty()) {
-                broken(
+                addViolation(
                         SoakRule.NOT_CLOSED_UNANSWERED,
                         request.gateway,
                         request.endAt,
@@ -100,7 +100,7 @@
             return;
         }
         if (request.endAt > dueAt + tolerance(request.endAt)) {
-            broken(
+            addViolation(
                     SoakRule.ANSWERED,
                     request.gateway,
                     request.endAt,
@@ -108,17 +108,17 @@
                     describe(request),
                     request.endAt - dueAt + LOST_AFTER_MS);
         }
-        if (request.end == End.SERVED && !request.answer.startsWith(request.id + " ")) {
-            broken(
+        if (request.end == End.SERVED && !request.response.startsWith(request.id + " ")) {
+            addViolation(
                     SoakRule.OWN_VALUE,
                     request.gateway,
                     request.endAt,
                     "%s received the value %s, which doesn't begin with its id",
                     describe(request),
-                    request.answer);
+                    request.response);
         }
         if (request.end == End.REFUSED && !mayBeRefused(request)) {
-            broken(
+            addViolation(
                     SoakRule.REFUSAL,
                     request.gateway,
                     request.endAt,
@@ -131,10 +131,10 @@
      * A kill excuses a missing response only if no SIGTERM preceded it, or if the request was sent late after the
      * SIGTERM.
      */
-    private void judgeKilled(Request request) {
-        double owedUntil = request.terminationSentAt + GatewayProcess.TERMINATION_NOTICE_MS - CROSSING_MS;
-        if (request.terminationSentAt >= 0 && request.sentAt <= owedUntil) {
-            broken(
+    private void checkKilled(Request request) {
+        double responseDueUntil = request.terminationSentAt + GatewayProcess.TERMINATION_NOTICE_MS - CROSSING_MS;
+        if (request.terminationSentAt >= 0 && request.sentAt <= responseDueUntil) {
+            addViolation(
                     SoakRule.ANSWERED,
                     request.gateway,
                     request.endAt,
@@ -153,7 +153,9 @@
 
     /** Whether the attempt may have run by the given time: its command was complete and had not been rejected. */
     private static boolean mayHaveRun(Attempt attempt, double by) {
-        return attempt.wholeAt >= 0 && attempt.wholeAt <= by && !(attempt.rejected && attempt.overAt <= by + ORDER_MS);
+        return attempt.completeAt >= 0
+                && attempt.completeAt <= by
+                && !(attempt.rejected && attempt.endedAt <= by + ORDER_MS);
     }
 
     private static String describe(Request request) {
@@ -162,37 +164,44 @@
                 "%s %s d=%d on connection %d, written at %.0f, %s at %.0f, previous response at %.0f, attempts %s:",
                 request.requestClass,
                 request.id,
-                request.waitMs,
+                request.deadlineMs,
                 request.connection,
                 request.sentAt,
                 request.end,
                 request.endAt,
-                request.turnAt,
+                request.previousResponseAt,
                 request.attempts);
     }
 
-    private void judgeAttempts(Request request) {
+    private void checkAttempts(Request request) {
         List<Attempt> attempts = request.attempts;
-        long whole = attempts.stream().filter(attempt -> attempt.wholeAt >= 0).count();
+        long complete =
+                attempts.stream().filter(attempt -> attempt.completeAt >= 0).count();
         // A reload may have allowed one more attempt for a while, so the larger of both limits applies.
         int max = plan.setup().maxAttempts() + 1;
-        if (whole > max) {
-            broken(SoakRule.ATTEMPTS, request.gateway, request.endAt, "%s had %d attempts", describe(request), whole);
+        if (complete > max) {
+            addViolation(
+                    SoakRule.ATTEMPTS,
+                    request.gateway,
+                    request.endAt,
+                    "%s had %d attempts",
+                    describe(request),
+                    complete);
         }
         for (int i = 0; i < attempts.size(); i++) {
             Attempt attempt = attempts.get(i);
-            judgeTimes(request, attempt);
-            if (attempt.wholeAt >= 0) {
-                judgeRepeat(request, attempts.subList(0, i), attempt);
+            checkTimes(request, attempt);
+            if (attempt.completeAt >= 0) {
+                checkRepeat(request, attempts.subList(0, i), attempt);
             }
         }
     }
 
-    private void judgeTimes(Request request, Attempt attempt) {
+    private void checkTimes(Request request, Attempt attempt) {
         double at = attempt.firstByteAt;
         double slack = tolerance(at);
         if (request.end == End.LEFT && at > request.endAt + DISCONNECT_SLACK_MS + slack) {
-            broken(
+            addViolation(
                     SoakRule.NOT_FOR_CLIENTS_THAT_LEFT,
                     attempt.gateway,
                     at,
@@ -203,7 +212,7 @@
         }
         boolean answered = request.end == End.SERVED || request.end == End.REFUSED || request.end == End.FAILED;
         if (answered && at > request.endAt + DISCONNECT_SLACK_MS + slack) {
-            broken(
+            addViolation(
                     SoakRule.NOT_AFTER_THE_ANSWER,
                     attempt.gateway,
                     at,
@@ -212,64 +221,64 @@
                     attempt.backend,
                     at - request.endAt);
         }
-        if (request.sentAt >= 0 && attempt.wholeAt >= 0) {
-            double left = request.waitMs - (at - request.sentAt);
-            if (attempt.waitMs > Math.max(0, left) + DEADLINE_SLACK_MS + slack) {
-                broken(
+        if (request.sentAt >= 0 && attempt.completeAt >= 0) {
+            double remainingMs = request.deadlineMs - (at - request.sentAt);
+            if (attempt.deadlineMs > Math.max(0, remainingMs) + DEADLINE_SLACK_MS + slack) {
+                addViolation(
                         SoakRule.DEADLINE_PASSED_ON,
                         attempt.gateway,
                         at,
                         "%s sent to backend %d with deadline d=%d, %.0f ms remaining",
                         describe(request),
                         attempt.backend,
-                        attempt.waitMs,
-                        left);
+                        attempt.deadlineMs,
+                        remainingMs);
             }
         }
     }
 
-    private void judgeRepeat(Request request, List<Attempt> before, Attempt attempt) {
+    private void checkRepeat(Request request, List<Attempt> before, Attempt attempt) {
         double at = attempt.firstByteAt;
-        int out = 0;
+        int inFlight = 0;
         for (Attempt earlier : before) {
-            if (earlier.wholeAt < 0) {
+            if (earlier.completeAt < 0) {
                 continue;
             }
-            boolean isOut = earlier.overAt < 0 || earlier.overAt > at + ORDER_MS + history.lagAround(at);
-            out += isOut ? 1 : 0;
+            boolean isInFlight = earlier.endedAt < 0 || earlier.endedAt > at + ORDER_MS + history.lagAround(at);
+            inFlight += isInFlight ? 1 : 0;
             if (!mayHaveRun(earlier, at)) {
                 continue;
             }
-            judgeRepeatOf(request, earlier, attempt);
+            checkRepeatOf(request, earlier, attempt);
         }
         int max = plan.setup().secondCopies() && request.requestClass != SoakClass.PAYMENT ? 1 : 0;
-        if (out > max) {
-            broken(
+        if (inFlight > max) {
+            addViolation(
                     SoakRule.SECOND_COPY,
                     attempt.gateway,
                     at,
                     "%s sent to backend %d with %d attempts in flight",
                     describe(request),
                     attempt.backend,
-                    out);
+                    inFlight);
         }
     }
 
-    private void judgeRepeatOf(Request request, Attempt earlier, Attempt attempt) {
+    private void checkRepeatOf(Request request, Attempt earlier, Attempt attempt) {
         double at = attempt.firstByteAt;
         String objection = null;
         if (request.requestClass == SoakClass.PAYMENT) {
             objection = "although its class is unsafe";
         } else if (request.requestClass == SoakClass.ORDER) {
             double sinceMs = at - earlier.firstByteAt;
-            if (!plan.setup().sharesRepeats(places.get(earlier.backend), places.get(attempt.backend))) {
+            if (!plan.setup().sharesRepeats(locations.get(earlier.backend), locations.get(attempt.backend))) {
                 objection = "which does not share repeat detection with the earlier backend";
             } else if (sinceMs > request.requestClass.windowMs + SOCKET_SLACK_MS + tolerance(at)) {
                 objection = String.format(Locale.ROOT, "%.0f ms after the earlier attempt", sinceMs);
             }
         }
         if (objection != null) {
-            broken(
+            addViolation(
                     SoakRule.REPEAT,
                     attempt.gateway,
                     at,
@@ -282,7 +291,7 @@
         }
     }
 
-    private void judgeDrains() {
+    private void checkDrains() {
         for (Attempt attempt : history.attempts) {
             Change last = null;
             for (Change change : history.changes) {
@@ -299,7 +308,7 @@
             }
             double since = attempt.firstByteAt - last.notifiedAt[attempt.gateway];
             if (since > plan.setup().graceMs() + SOCKET_SLACK_MS + tolerance(attempt.firstByteAt)) {
-                broken(
+                addViolation(
                         SoakRule.DRAIN,
                         attempt.gateway,
                         attempt.firstByteAt,
@@ -312,28 +321,29 @@
         }
     }
 
-    private void judgeSlowStarts() {
-        history.starts.forEach((backend, starts) -> starts.forEach(startedAt -> judgeSlowStart(backend, startedAt)));
+    private void checkSlowStarts() {
+        history.starts.forEach((backend, starts) -> starts.forEach(startedAt -> checkSlowStart(backend, startedAt)));
     }
 
-    private void judgeSlowStart(int backend, double startedAt) {
+    private void checkSlowStart(int backend, double startedAt) {
         List<Attempt> since = history.attempts.stream()
                 .filter(attempt -> attempt.backend == backend
-                        && attempt.wholeAt >= startedAt
-                        && attempt.wholeAt < startedAt + SlowStart.WARM_AFTER_MS)
-                .sorted(Comparator.comparingDouble(attempt -> attempt.wholeAt))
+                        && attempt.completeAt >= startedAt
+                        && attempt.completeAt < startedAt + SlowStart.WARM_UP_MS)
+                .sorted(Comparator.comparingDouble(attempt -> attempt.completeAt))
                 .toList();
         for (int first = 0, last = 0; last < since.size(); last++) {
-            while (since.get(last).wholeAt - since.get(first).wholeAt > SlowStart.FALL_MS) {
+            while (since.get(last).completeAt - since.get(first).completeAt > SlowStart.OVERLOAD_WINDOW_MS) {
                 first++;
             }
             int count = last - first + 1;
-            double allowed = SlowStart.budget(capacityPerS, since.get(first).wholeAt - startedAt);
-            if (count > allowed && notifiedShare(since.subList(first, last + 1), backend, startedAt) > NOTIFIED_PART) {
-                broken(
+            double allowed = SlowStart.budget(capacityPerS, since.get(first).completeAt - startedAt);
+            if (count > allowed
+                    && notifiedShare(since.subList(first, last + 1), backend, startedAt) > MIN_NOTIFIED_SHARE) {
+                addViolation(
                         SoakRule.SLOW_START,
                         since.get(last).gateway,
-                        since.get(last).wholeAt,
+                        since.get(last).completeAt,
                         "backend %d, started at %.0f, received %d requests in 3 s, limit %.0f",
                         backend,
                         startedAt,
@@ -356,41 +366,41 @@
         return (double) notified / sent.size();
     }
 
-    private void judgeCeilings() {
+    private void checkCeilings() {
         Map<String, List<Double>> sent = new HashMap<>();
         for (Request request : history.requests.values()) {
             if (request.plan.equals(Traffic.CEILING_PLAN)) {
                 request.attempts.stream()
-                        .filter(attempt -> attempt.wholeAt >= 0)
-                        .mapToDouble(attempt -> attempt.wholeAt)
+                        .filter(attempt -> attempt.completeAt >= 0)
+                        .mapToDouble(attempt -> attempt.completeAt)
                         .min()
-                        .ifPresent(at -> sent.computeIfAbsent(request.customer, none -> new ArrayList<>())
+                        .ifPresent(at -> sent.computeIfAbsent(request.tenant, none -> new ArrayList<>())
                                 .add(at));
             }
         }
-        sent.forEach(this::judgeCeiling);
+        sent.forEach(this::checkCeiling);
     }
 
-    private void judgeCeiling(String customer, List<Double> times) {
+    private void checkCeiling(String tenant, List<Double> times) {
         times.sort(Comparator.naturalOrder());
-        double store = Traffic.CEILING_BURST;
+        double tokens = Traffic.CEILING_BURST;
         double last = 0;
         for (double at : times) {
-            store = Math.min(Traffic.CEILING_BURST, store + (at - last) / 1000 * Traffic.CEILING_PER_S) - 1;
+            tokens = Math.min(Traffic.CEILING_BURST, tokens + (at - last) / 1000 * Traffic.CEILING_PER_S) - 1;
             last = at;
-            if (store < -Traffic.CEILING_SLACK) {
-                broken(SoakRule.CEILING, -1, at, "tenant %s exceeds its ceiling by %.1f units", customer, -store);
+            if (tokens < -Traffic.CEILING_SLACK) {
+                addViolation(SoakRule.CEILING, -1, at, "tenant %s exceeds its ceiling by %.1f units", tenant, -tokens);
                 return;
             }
         }
     }
 
-    private void judgeStall(Stall stall) {
+    private void checkStall(Stall stall) {
         double until = stall.endedAt < 0 ? endAt : stall.endedAt;
-        double owedUntil = stall.before == null ? stall.at : stall.before.endAt;
-        double dueAt = Math.max(stall.at + STALL_MS, owedUntil);
+        double previousResponseAt = stall.before == null ? stall.at : stall.before.endAt;
+        double dueAt = Math.max(stall.at + STALL_MS, previousResponseAt);
         if (until > dueAt + SOCKET_SLACK_MS + tolerance(until)) {
-            broken(
+            addViolation(
                     SoakRule.STALLED_CLIENT,
                     stall.gateway,
                     stall.at,
--- a/laboratory/src/main/java/opalcove/laboratory/soak/HeldPort.java
+++ b/laboratory/src/main/java/opalcove/laboratory/soak/ReservedPort.java
@@ -12,15 +12,15 @@
  * A loopback port that stays reserved for a run while no process listens on it. Without the reservation the system
  * could give the port to another process, and clients that still connect to it would reach that process. The socket
  * that reserves the port doesn't listen, so connections are refused meanwhile. A server listens on the port with the
- * option {@link #SHARED}.
+ * option {@link #REUSE_PORT}.
  */
-final class HeldPort implements AutoCloseable {
+final class ReservedPort implements AutoCloseable {
     /** The option that allows a server to listen on a reserved port. */
-    static final ChannelOption<Boolean> SHARED = NioChannelOption.of(StandardSocketOptions.SO_REUSEPORT);
+    static final ChannelOption<Boolean> REUSE_PORT = NioChannelOption.of(StandardSocketOptions.SO_REUSEPORT);
 
     private final Socket holder = new Socket();
 
-    HeldPort() throws IOException {
+    ReservedPort() throws IOException {
         holder.setOption(StandardSocketOptions.SO_REUSEPORT, true);
         holder.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
     }
--- a/laboratory/src/main/java/opalcove/laboratory/soak/RespCommands.java
+++ b/laboratory/src/main/java/opalcove/laboratory/soak/RespCommands.java
@@ -7,7 +7,7 @@
 
 /** Parses RESP2 arrays of bulk strings that may arrive in pieces, independently of the gateway's parser. */
 final class RespCommands {
-    private static final int HEAD_LIMIT = 32;
+    private static final int MAX_LINE_BYTES = 32;
 
     private RespCommands() {}
 
@@ -32,13 +32,14 @@
         return command;
     }
 
-    private static int number(ByteBuf in, char mark) {
-        int end = in.indexOf(in.readerIndex(), Math.min(in.writerIndex(), in.readerIndex() + HEAD_LIMIT), (byte) '\n');
+    private static int number(ByteBuf in, char firstByte) {
+        int end = in.indexOf(
+                in.readerIndex(), Math.min(in.writerIndex(), in.readerIndex() + MAX_LINE_BYTES), (byte) '\n');
         if (end < 0) {
             return -1;
         }
-        if (in.getByte(in.readerIndex()) != mark) {
-            throw new IllegalStateException("RESP2 line doesn't begin with the expected byte " + mark);
+        if (in.getByte(in.readerIndex()) != firstByte) {
+            throw new IllegalStateException("RESP2 line doesn't begin with the expected byte " + firstByte);
         }
         String digits = in.toString(in.readerIndex() + 1, end - in.readerIndex() - 2, StandardCharsets.US_ASCII);
         in.readerIndex(end + 1);
@@ -46,7 +47,7 @@
     }
 
     /** Returns the value of a parameter such as {@code d=480} in a command's list of parameters, or null. */
-    static String mark(String parameters, String name) {
+    static String parameter(String parameters, String name) {
         for (String each : parameters.split(",")) {
             if (each.startsWith(name + "=")) {
                 return each.substring(name.length() + 1);
--- a/laboratory/src/main/java/opalcove/laboratory/soak/Soak.java
+++ b/laboratory/src/main/java/opalcove/laboratory/soak/Soak.java
@@ -15,12 +15,12 @@
 /** Runs soak plans, and shrinks plans that fail. */
 public final class Soak {
     /** Time for the last responses after the traffic stops, ms: the longest deadline plus 500 ms, with a margin. */
-    private static final int REST_MS = 3600;
+    private static final int DRAIN_MS = 3600;
     /** A plan is run this often without one of its faults before that fault counts as necessary for the failure. */
-    private static final int ATTEMPTS = 2;
+    private static final int SHRINK_RUNS = 2;
 
     private final Path folder;
-    private final GatewayProcess.Means means;
+    private final GatewayProcess.ProgramFiles programFiles;
 
     /**
      * Creates a soak of this process's gateway program that keeps its files in the folder, which is created if missing.
@@ -32,71 +32,77 @@
     /** Creates a soak of the gateway program on the given class path. */
     public Soak(Path folder, String gatewayClassPath) throws IOException, InterruptedException {
         this.folder = Files.createDirectories(folder);
-        means = new GatewayProcess.Means(FaultShim.build(folder), gatewayClassPath);
+        programFiles = new GatewayProcess.ProgramFiles(FaultShim.build(folder), gatewayClassPath);
     }
 
     /** Whether system calls can be made to fail, which needs a C compiler on this machine. */
     public boolean hasShim() {
-        return means.shimLibrary().isPresent();
+        return programFiles.shimLibrary().isPresent();
     }
 
     /**
      * Additional actions on a run's processes besides the faults of its plan, such as one fault for the complete run.
      */
-    interface Setting {
+    interface RunActions {
         /** Returns how far the gateways' wall clocks are ahead from their start on, ms. */
         default long clockAheadMs() {
             return 0;
         }
 
         /** Called when the traffic has begun. */
-        default void begin(SoakCluster rig) throws Exception {}
+        default void begin(SoakCluster cluster) throws Exception {}
 
         /** Called when the run has ended and its history is complete. */
-        default void end(SoakCluster rig) {}
+        default void end(SoakCluster cluster) {}
     }
 
     /** Runs a plan. The files of the run are kept in the folder if a rule was broken or {@code keepLogs} is set. */
     public SoakResult run(SoakPlan plan, boolean keepLogs) throws Exception {
-        return run(plan, keepLogs, new Setting() {});
+        return run(plan, keepLogs, new RunActions() {});
     }
 
     /** Runs a plan with additional actions on its processes. */
-    SoakResult run(SoakPlan plan, boolean keepLogs, Setting setting) throws Exception {
-        Path own = Files.createTempDirectory(folder, "seed-" + plan.seed() + "-");
-        SoakResult result = play(plan, own, setting);
+    SoakResult run(SoakPlan plan, boolean keepLogs, RunActions actions) throws Exception {
+        Path runFolder = Files.createTempDirectory(folder, "seed-" + plan.seed() + "-");
+        SoakResult result = play(plan, runFolder, actions);
         if (keepLogs || !result.violations().isEmpty()) {
-            Files.writeString(own.resolve("result.txt"), plan.text() + result.text() + all(result));
+            Files.writeString(runFolder.resolve("result.txt"), plan.text() + result.text() + allViolations(result));
         } else {
-            delete(own);
+            delete(runFolder);
         }
         return result;
     }
 
-    private static String all(SoakResult result) {
+    private static String allViolations(SoakResult result) {
         StringBuilder text = new StringBuilder("all violations:\n");
         result.violations().forEach(each -> text.append(each).append('\n'));
         return text.toString();
     }
 
-    private SoakResult play(SoakPlan plan, Path own, Setting setting) throws Exception {
-        try (SoakCluster rig = new SoakCluster(plan, own, means, setting.clockAheadMs());
-                FaultInjector faultInjector = new FaultInjector(rig)) {
-            rig.startTraffic();
-            double from = rig.clock.now();
+    private SoakResult play(SoakPlan plan, Path runFolder, RunActions actions) throws Exception {
+        try (SoakCluster cluster = new SoakCluster(plan, runFolder, programFiles, actions.clockAheadMs());
+                FaultInjector faultInjector = new FaultInjector(cluster)) {
+            cluster.startTraffic();
+            double startedAt = cluster.clock.now();
             faultInjector.begin(plan.faults());
-            setting.begin(rig);
-            TimeUnit.MILLISECONDS.sleep((long) Math.max(0, from + plan.lengthMs() - rig.clock.now()));
+            actions.begin(cluster);
+            TimeUnit.MILLISECONDS.sleep((long) Math.max(0, startedAt + plan.lengthMs() - cluster.clock.now()));
             List<Fault> made = faultInjector.await();
-            rig.stopTraffic();
-            TimeUnit.MILLISECONDS.sleep(REST_MS);
-            double capacity = capacityPerS(rig, from);
-            double endAt = rig.clock.now();
-            rig.end();
-            setting.end(rig);
-            List<SoakViolation> violations = new Oracle(plan, rig.history, rig.places, capacity, endAt).judge();
+            cluster.stopTraffic();
+            TimeUnit.MILLISECONDS.sleep(DRAIN_MS);
+            double capacity = capacityPerS(cluster, startedAt);
+            double endAt = cluster.clock.now();
+            cluster.end();
+            actions.end(cluster);
+            List<SoakViolation> violations =
+                    new Oracle(plan, cluster.history, cluster.locations, capacity, endAt).check();
             return new SoakResult(
-                    plan, violations, made, ends(rig.history), rig.history.attempts.size(), rig.history.maxLag());
+                    plan,
+                    violations,
+                    made,
+                    ends(cluster.history),
+                    cluster.history.attempts.size(),
+                    cluster.history.maxLag());
         }
     }
 
@@ -105,11 +111,11 @@
      * limit, so the rate of the run's busiest backend is used, since the ramp of the slow start is a share of a
      * warmed-up backend's rate.
      */
-    private static double capacityPerS(SoakCluster rig, double from) {
+    private static double capacityPerS(SoakCluster cluster, double startedAt) {
         Map<Integer, Integer> counts = new TreeMap<>();
-        rig.history.attempts.forEach(attempt -> counts.merge(attempt.backend, 1, Integer::sum));
+        cluster.history.attempts.forEach(attempt -> counts.merge(attempt.backend, 1, Integer::sum));
         int max = counts.values().stream().mapToInt(Integer::intValue).max().orElse(1);
-        return max * 1000.0 / Math.max(1000, rig.clock.now() - REST_MS - from);
+        return max * 1000.0 / Math.max(1000, cluster.clock.now() - DRAIN_MS - startedAt);
     }
 
     private static Map<String, Integer> ends(History history) {
@@ -132,7 +138,7 @@
 
     private boolean fails(SoakPlan plan, SoakRule rule) throws Exception {
         Set<SoakRule> broken = new HashSet<>();
-        for (int i = 0; i < ATTEMPTS && !broken.contains(rule); i++) {
+        for (int i = 0; i < SHRINK_RUNS && !broken.contains(rule); i++) {
             broken.addAll(run(plan, false).brokenRules());
         }
         return broken.contains(rule);
--- a/laboratory/src/main/java/opalcove/laboratory/soak/SoakBackend.java
+++ b/laboratory/src/main/java/opalcove/laboratory/soak/SoakBackend.java
@@ -48,16 +48,16 @@
         /** Share of responses with long values, some of which are truncated. */
         LONG(0);
 
-        final double first;
+        final double initial;
 
-        Behaviour(double first) {
-            this.first = first;
+        Behaviour(double initial) {
+            this.initial = initial;
         }
     }
 
     private static final int SHORT_VALUE = 24;
     private static final int LONG_VALUE = 150_000;
-    private static final int LONG_STEP_MS = 40;
+    private static final int LONG_PAUSE_MS = 40;
     private static final double CUT_SHARE = 0.5;
 
     private final String name;
@@ -66,7 +66,7 @@
     private SoakBackend(String name) {
         this.name = name;
         for (Behaviour each : Behaviour.values()) {
-            behaviours.put(each, each.first);
+            behaviours.put(each, each.initial);
         }
     }
 
@@ -78,7 +78,7 @@
                 .group(loop)
                 .channel(NioServerSocketChannel.class)
                 .option(ChannelOption.SO_BACKLOG, 1024)
-                .option(HeldPort.SHARED, true)
+                .option(ReservedPort.REUSE_PORT, true)
                 .childOption(ChannelOption.TCP_NODELAY, true)
                 .childHandler(new ChannelInitializer<>() {
                     @Override
@@ -90,11 +90,11 @@
                 .sync()
                 .channel();
         System.out.println(((InetSocketAddress) server.localAddress()).getPort());
-        backend.follow();
+        backend.readBehaviours();
         System.exit(0);
     }
 
-    private void follow() throws IOException {
+    private void readBehaviours() throws IOException {
         BufferedReader lines = new BufferedReader(new InputStreamReader(System.in, StandardCharsets.US_ASCII));
         for (String line = lines.readLine(); line != null; line = lines.readLine()) {
             String[] fields = line.split(" ");
@@ -102,7 +102,7 @@
         }
     }
 
-    private boolean chance(Behaviour behaviour) {
+    private boolean draw(Behaviour behaviour) {
         return ThreadLocalRandom.current().nextDouble() < behaviours.get(behaviour);
     }
 
@@ -139,29 +139,29 @@
         }
 
         private void take(ChannelHandlerContext context, List<String> command) {
-            if (chance(Behaviour.HANG)) {
+            if (draw(Behaviour.HANG)) {
                 return;
             }
-            if (chance(Behaviour.BUSY)) {
+            if (draw(Behaviour.BUSY)) {
                 write(context, "-BUSY\r\n");
                 return;
             }
             double mean = behaviours.get(Behaviour.WORK);
             double workMs = -mean * Math.log(1 - ThreadLocalRandom.current().nextDouble());
             context.executor()
-                    .schedule(() -> answer(context, command.get(2)), (long) (workMs * 1000), TimeUnit.MICROSECONDS);
+                    .schedule(() -> respond(context, command.get(2)), (long) (workMs * 1000), TimeUnit.MICROSECONDS);
         }
 
-        private void answer(ChannelHandlerContext context, String id) {
-            if (chance(Behaviour.ERROR)) {
+        private void respond(ChannelHandlerContext context, String id) {
+            if (draw(Behaviour.ERROR)) {
                 write(context, "-ERR failed\r\n");
-            } else if (chance(Behaviour.SPOILT)) {
-                spoilt(context, id);
-            } else if (chance(Behaviour.LONG)) {
-                beginLong(context, id);
+            } else if (draw(Behaviour.SPOILT)) {
+                writeMalformed(context, id);
+            } else if (draw(Behaviour.LONG)) {
+                writeLong(context, id);
             } else {
-                ChannelFuture written = write(context, whole(id, SHORT_VALUE));
-                if (chance(Behaviour.CLOSES)) {
+                ChannelFuture written = write(context, response(id, SHORT_VALUE));
+                if (draw(Behaviour.CLOSES)) {
                     written.addListener(ChannelFutureListener.CLOSE);
                 }
             }
@@ -172,30 +172,31 @@
             return head + "v".repeat(Math.max(0, length - head.length()));
         }
 
-        private String whole(String id, int length) {
+        private String response(String id, int length) {
             String value = value(id, length);
             return "*3\r\n$" + value.length() + "\r\n" + value + "\r\n$-1\r\n$-1\r\n";
         }
 
-        private void spoilt(ChannelHandlerContext context, String id) {
-            String whole = whole(id, SHORT_VALUE);
+        private void writeMalformed(ChannelHandlerContext context, String id) {
+            String response = response(id, SHORT_VALUE);
             switch (ThreadLocalRandom.current().nextInt(5)) {
                 case 0 ->
-                    write(context, whole.substring(0, whole.length() / 2)).addListener(ChannelFutureListener.CLOSE);
-                case 1 -> write(context, whole.substring(0, whole.length() - 3));
+                    write(context, response.substring(0, response.length() / 2))
+                            .addListener(ChannelFutureListener.CLOSE);
+                case 1 -> write(context, response.substring(0, response.length() - 3));
                 case 2 -> write(context, "!what\r\n");
                 case 3 -> {
-                    write(context, whole);
-                    context.executor().schedule(() -> write(context, whole), 5, TimeUnit.MILLISECONDS);
+                    write(context, response);
+                    context.executor().schedule(() -> write(context, response), 5, TimeUnit.MILLISECONDS);
                 }
                 default -> write(context, "*3\r\n$70000000\r\n");
             }
         }
 
-        private void beginLong(ChannelHandlerContext context, String id) {
-            String whole = whole(id, LONG_VALUE);
-            int middle = whole.length() / 2;
-            write(context, whole.substring(0, middle));
+        private void writeLong(ChannelHandlerContext context, String id) {
+            String response = response(id, LONG_VALUE);
+            int middle = response.length() / 2;
+            write(context, response.substring(0, middle));
             boolean cut = ThreadLocalRandom.current().nextDouble() < CUT_SHARE;
             context.executor()
                     .schedule(
@@ -203,10 +204,10 @@
                                 if (cut) {
                                     context.close();
                                 } else {
-                                    write(context, whole.substring(middle));
+                                    write(context, response.substring(middle));
                                 }
                             },
-                            LONG_STEP_MS,
+                            LONG_PAUSE_MS,
                             TimeUnit.MILLISECONDS);
         }
 
--- a/laboratory/src/main/java/opalcove/laboratory/soak/SoakBackendPlace.java
+++ b/laboratory/src/main/java/opalcove/laboratory/soak/SoakBackendLocation.java
@@ -1,4 +1,4 @@
 package opalcove.laboratory.soak;
 
 /** The zone and cell of a backend. */
-record SoakBackendPlace(String zone, int cell) {}
+record SoakBackendLocation(String zone, int cell) {}
--- a/laboratory/src/main/java/opalcove/laboratory/soak/SoakCluster.java
+++ b/laboratory/src/main/java/opalcove/laboratory/soak/SoakCluster.java
@@ -15,14 +15,14 @@
 
 /** The processes of one run, the fault proxies between them and the discovery agents. */
 final class SoakCluster implements AutoCloseable {
-    private static final int LAG_LOOK_MS = 5;
-    private static final int SAMPLE_MS = 100;
+    private static final int LAG_CHECK_INTERVAL_MS = 5;
+    private static final int SAMPLE_INTERVAL_MS = 100;
     /** A stall of the recording thread of at most this long is ignored, ms. */
     private static final double MIN_LAG_MS = 3;
 
     final SoakClock clock = new SoakClock();
     final History history = new History();
-    final List<SoakBackendPlace> places = new ArrayList<>();
+    final List<SoakBackendLocation> locations = new ArrayList<>();
     private final List<SoakViolation> processViolations = Collections.synchronizedList(new ArrayList<>());
     private final SoakPlan plan;
     private final EventLoopGroup loop = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
@@ -32,32 +32,34 @@
     /** Is cancelled at the end of the run; otherwise it would add a lag to the history while the oracle reads it. */
     private final ScheduledFuture<?> lagWatch;
 
-    private final List<List<BackendConnection>> connections = new ArrayList<>();
+    private final List<List<BackendFaultProxy>> proxies = new ArrayList<>();
     private final List<List<DiscoveryAgent>> agents = new ArrayList<>();
     private final List<Traffic> traffics = new ArrayList<>();
-    private final int[] followed;
+    private final int[] followedAgent;
     /**
      * Shutdown hook that kills the processes; without it they would outlive a soak that is terminated or exits early.
      */
-    private final Thread killing = new Thread(this::killAll, "kill-processes");
+    private final Thread killHook = new Thread(this::killAll, "kill-processes");
 
     /** Starts all processes; the gateways' wall clocks are {@code clockAheadMs} ahead from their start on. */
-    SoakCluster(SoakPlan plan, Path folder, GatewayProcess.Means means, long clockAheadMs) throws Exception {
+    SoakCluster(SoakPlan plan, Path folder, GatewayProcess.ProgramFiles programFiles, long clockAheadMs)
+            throws Exception {
         this.plan = plan;
-        followed = new int[plan.gateways()];
+        followedAgent = new int[plan.gateways()];
         for (int i = 0; i < plan.backends(); i++) {
-            places.add(new SoakBackendPlace("room-" + (char) ('a' + i % 2), i / 3));
+            locations.add(new SoakBackendLocation("room-" + (char) ('a' + i % 2), i / 3));
         }
-        fleet = new Fleet(places);
-        Runtime.getRuntime().addShutdownHook(killing);
+        fleet = new Fleet(locations);
+        Runtime.getRuntime().addShutdownHook(killHook);
         startBackends(folder);
         for (int i = 0; i < plan.gateways(); i++) {
-            connect(i, folder, means);
+            connect(i, folder, programFiles);
         }
         gateways.forEach(each -> each.shim().ifPresent(shim -> shim.shiftClock(clockAheadMs)));
         startGateways();
-        lagWatch = loop.scheduleAtFixedRate(new LagWatch(), LAG_LOOK_MS, LAG_LOOK_MS, TimeUnit.MILLISECONDS);
-        Thread sampling = new Thread(this::sample, "descriptors");
+        lagWatch = loop.scheduleAtFixedRate(
+                new LagWatch(), LAG_CHECK_INTERVAL_MS, LAG_CHECK_INTERVAL_MS, TimeUnit.MILLISECONDS);
+        Thread sampling = new Thread(this::sampleDescriptors, "descriptors");
         sampling.setDaemon(true);
         sampling.start();
     }
@@ -74,29 +76,29 @@
         forAll(backends, BackendProcess::start);
     }
 
-    private void connect(int gateway, Path folder, GatewayProcess.Means means) throws IOException {
-        List<BackendConnection> own = new ArrayList<>();
+    private void connect(int gateway, Path folder, GatewayProcess.ProgramFiles programFiles) throws IOException {
+        List<BackendFaultProxy> own = new ArrayList<>();
         List<String> addresses = new ArrayList<>();
         for (int i = 0; i < backends.size(); i++) {
-            BackendConnection connection =
-                    new BackendConnection(gateway, i, loop, clock, history, plan.seed() * 1000 + gateway * 50 + i);
-            connection.open(backends.get(i).port());
-            own.add(connection);
-            addresses.add(connection.address());
+            BackendFaultProxy proxy =
+                    new BackendFaultProxy(gateway, i, loop, clock, history, plan.seed() * 1000 + gateway * 50 + i);
+            proxy.open(backends.get(i).port());
+            own.add(proxy);
+            addresses.add(proxy.address());
         }
-        connections.add(own);
-        List<DiscoveryAgent> two = new ArrayList<>();
+        proxies.add(own);
+        List<DiscoveryAgent> pair = new ArrayList<>();
         for (int i = 0; i < 2; i++) {
             DiscoveryAgent agent =
                     new DiscoveryAgent(gateway, fleet, addresses, plan.setup().pushed(), loop, clock, history);
             agent.open();
-            two.add(agent);
+            pair.add(agent);
         }
-        agents.add(two);
-        GatewayProcess process = new GatewayProcess(gateway, plan, folder, clock, means, processViolations);
+        agents.add(pair);
+        GatewayProcess process = new GatewayProcess(gateway, plan, folder, clock, programFiles, processViolations);
         process.shim()
                 .ifPresent(shim ->
-                        shim.discoveryPorts(two.get(0).port(), two.get(1).port()));
+                        shim.discoveryPorts(pair.get(0).port(), pair.get(1).port()));
         gateways.add(process);
         traffics.add(new Traffic(gateway, process.port(), plan, process, loop, clock, history));
     }
@@ -133,20 +135,19 @@
      */
     void configure(int gateway, boolean move, int moreAttempts) throws IOException {
         if (move) {
-            followed[gateway] = 1 - followed[gateway];
+            followedAgent[gateway] = 1 - followedAgent[gateway];
         }
-        List<DiscoveryAgent> two = agents.get(gateway);
-        int now = followed[gateway];
+        List<DiscoveryAgent> pair = agents.get(gateway);
+        int now = followedAgent[gateway];
         onLoop(() -> {
-            two.get(1 - now).followed(false, false);
-            two.get(now).followed(true, move);
+            pair.get(1 - now).setFollowed(false, false);
+            pair.get(now).setFollowed(true, move);
         });
-        List<String> addresses = connections.get(gateway).stream()
-                .map(BackendConnection::address)
-                .toList();
+        List<String> addresses =
+                proxies.get(gateway).stream().map(BackendFaultProxy::address).toList();
         CompletableFuture<JsonObject> known = new CompletableFuture<>();
-        loop.execute(() -> known.complete(fleet.whole(addresses, true)));
-        gateways.get(gateway).configure(two.get(now).port(), plan.setup().maxAttempts() + moreAttempts, known.join());
+        loop.execute(() -> known.complete(fleet.snapshot(addresses, true)));
+        gateways.get(gateway).configure(pair.get(now).port(), plan.setup().maxAttempts() + moreAttempts, known.join());
     }
 
     GatewayProcess gateway(int number) {
@@ -157,8 +158,8 @@
         return backends.get(number);
     }
 
-    List<BackendConnection> connections(int gateway) {
-        return connections.get(gateway);
+    List<BackendFaultProxy> proxies(int gateway) {
+        return proxies.get(gateway);
     }
 
     List<DiscoveryAgent> agents(int gateway) {
@@ -196,10 +197,10 @@
     void restartBackend(int backend, int outageMs) throws IOException, InterruptedException {
         synchronized (backends.get(backend)) {
             backends.get(backend).kill();
-            onLoop(() -> connections.forEach(own -> own.get(backend).close()));
+            onLoop(() -> proxies.forEach(own -> own.get(backend).close()));
             TimeUnit.MILLISECONDS.sleep(outageMs);
             int port = backends.get(backend).start();
-            onLoop(() -> connections.forEach(own -> own.get(backend).open(port)));
+            onLoop(() -> proxies.forEach(own -> own.get(backend).open(port)));
             change(backend, fleet.entry(backend).status, true);
         }
     }
@@ -216,9 +217,9 @@
      * Terminates all gateways by SIGTERM, checks their logs and stops recording. The history doesn't change afterwards.
      */
     void end() throws Exception {
-        forAll(gateways, GatewayProcess::end);
+        forAll(gateways, GatewayProcess::terminate);
         for (GatewayProcess each : gateways) {
-            each.judgeLog();
+            each.checkLog();
         }
         onLoop(() -> {
             lagWatch.cancel(false);
@@ -226,11 +227,11 @@
         });
     }
 
-    private void sample() {
+    private void sampleDescriptors() {
         try {
             while (true) {
-                gateways.forEach(GatewayProcess::sample);
-                TimeUnit.MILLISECONDS.sleep(SAMPLE_MS);
+                gateways.forEach(GatewayProcess::checkDescriptors);
+                TimeUnit.MILLISECONDS.sleep(SAMPLE_INTERVAL_MS);
             }
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
@@ -244,7 +245,7 @@
         @Override
         public void run() {
             double now = clock.now();
-            double lag = now - lastAt - LAG_LOOK_MS;
+            double lag = now - lastAt - LAG_CHECK_INTERVAL_MS;
             if (lag > MIN_LAG_MS) {
                 history.lag(now, lag);
             }
@@ -255,7 +256,7 @@
     @Override
     public void close() throws IOException {
         try {
-            Runtime.getRuntime().removeShutdownHook(killing);
+            Runtime.getRuntime().removeShutdownHook(killHook);
         } catch (IllegalStateException endsAlready) {
             // The JVM is shutting down, and the hook kills the processes.
         }
@@ -266,13 +267,13 @@
             each.close();
         }
         loop.shutdownGracefully(0, 1, TimeUnit.SECONDS).syncUninterruptibly();
-        for (List<BackendConnection> own : connections) {
-            for (BackendConnection each : own) {
+        for (List<BackendFaultProxy> own : proxies) {
+            for (BackendFaultProxy each : own) {
                 each.release();
             }
         }
-        for (List<DiscoveryAgent> two : agents) {
-            for (DiscoveryAgent each : two) {
+        for (List<DiscoveryAgent> pair : agents) {
+            for (DiscoveryAgent each : pair) {
                 each.release();
             }
         }
--- a/laboratory/src/main/java/opalcove/laboratory/soak/SoakPlan.java
+++ b/laboratory/src/main/java/opalcove/laboratory/soak/SoakPlan.java
@@ -37,7 +37,7 @@
             boolean mayCancel,
             String reach,
             int idleMs) {
-        boolean sharesRepeats(SoakBackendPlace first, SoakBackendPlace second) {
+        boolean sharesRepeats(SoakBackendLocation first, SoakBackendLocation second) {
             return switch (reach) {
                 case "all" -> true;
                 case "zone" -> first.zone().equals(second.zone());
@@ -82,12 +82,12 @@
             for (int i = 0; i < size; i++) {
                 FaultType kind = kinds.get(random.nextInt(kinds.size()));
                 int startMs = middleMs - random.nextInt(MIN_LENGTH_MS);
-                int lengthOfIt = middleMs - startMs + MIN_LENGTH_MS + random.nextInt(MORE_LENGTH_MS);
+                int faultLengthMs = middleMs - startMs + MIN_LENGTH_MS + random.nextInt(MORE_LENGTH_MS);
                 boolean same = random.nextDouble() < SAME_TARGET;
-                int target = kind.place == FaultType.Place.BACKEND
+                int target = kind.target == FaultType.Target.BACKEND
                         ? same ? backend : random.nextInt(backends)
                         : same ? gateway : random.nextInt(gateways);
-                faults.add(new Fault(faults.size(), kind, target, startMs, lengthOfIt, random.nextDouble()));
+                faults.add(new Fault(faults.size(), kind, target, startMs, faultLengthMs, random.nextDouble()));
             }
         }
         faults.sort(Comparator.comparingInt(Fault::startMs));
@@ -119,12 +119,12 @@
                 .add("idle_close_ms", (double) setup.idleMs())
                 .add("dial_timeout_ms", 250.0)
                 .add("max_open", 20_000);
-        JsonObject duties = Json.object()
+        JsonObject obligations = Json.object()
                 .add("answer_slack_ms", 8.0)
-                .add("cold_from", SlowStart.SLOW_START_SHARE)
-                .add("warm_after_ms", (double) SlowStart.WARM_AFTER_MS)
+                .add("cold_from", SlowStart.INITIAL_SHARE)
+                .add("warm_after_ms", (double) SlowStart.WARM_UP_MS)
                 .add("overload_factor", SlowStart.OVERLOAD_FACTOR)
-                .add("fall_ms", (double) SlowStart.FALL_MS)
+                .add("fall_ms", (double) SlowStart.OVERLOAD_WINDOW_MS)
                 .add("stop_sending_within_ms", (double) setup.graceMs())
                 .add("ask_within_ms", 10_000.0);
         JsonArray classes = new JsonArray();
@@ -160,7 +160,7 @@
                                 .add("late_fail", 0.08)
                                 .add("waste", 0.03))
                 .add("feedback", Json.object().add("how", "off").add("columns", new JsonArray()))
-                .add("obligations", duties)
+                .add("obligations", obligations)
                 .add("profiles", classes)
                 .add("tiers_of_service", plans);
     }
--- a/laboratory/src/main/java/opalcove/laboratory/soak/SoakResult.java
+++ b/laboratory/src/main/java/opalcove/laboratory/soak/SoakResult.java
@@ -34,13 +34,13 @@
         text.append(violations.isEmpty() ? "held" : "BROKEN " + brokenRules());
         text.append(" ").append(ends).append(", ").append(attempts).append(" attempts, recording late by at most ");
         text.append(Math.round(maxLagMs)).append(" ms\n");
-        Map<SoakRule, Integer> notified = new TreeMap<>();
+        Map<SoakRule, Integer> counts = new TreeMap<>();
         for (SoakViolation each : violations) {
-            if (notified.merge(each.rule(), 1, Integer::sum) <= 3) {
+            if (counts.merge(each.rule(), 1, Integer::sum) <= 3) {
                 text.append("    ").append(each).append('\n');
             }
         }
-        notified.forEach((rule, count) -> {
+        counts.forEach((rule, count) -> {
             if (count > 3) {
                 text.append("    ").append(rule).append(": ").append(count).append(" in total\n");
             }
--- a/laboratory/src/main/java/opalcove/laboratory/soak/Traffic.java
+++ b/laboratory/src/main/java/opalcove/laboratory/soak/Traffic.java
@@ -21,15 +21,15 @@
     static final double CEILING_BURST = 20;
     static final double CEILING_SLACK = 2;
 
-    private static final int CUSTOMERS = 40;
-    private static final int CEILING_CUSTOMERS = 4;
+    private static final int TENANTS = 40;
+    private static final int CEILING_TENANTS = 4;
     private static final double CEILING_SHARE = 0.1;
     private static final double BURST_FACTOR = 3;
     private static final int MAX_CONNECTIONS = 60;
     private static final int MAX_PIPELINED = 40;
-    private static final int CROWD = 300;
+    private static final int CROWD_CONNECTIONS = 300;
     private static final double NEW_CONNECTION_SHARE = 0.1;
-    private static final double ODD_SHARE = 0.3;
+    private static final double MISBEHAVIOUR_SHARE = 0.3;
 
     private final int number;
     private final int port;
@@ -39,7 +39,7 @@
     private final SoakClock clock;
     private final History history;
     private final SplittableRandom random;
-    private final Set<FaultType> manners = EnumSet.noneOf(FaultType.class);
+    private final Set<FaultType> activeFaults = EnumSet.noneOf(FaultType.class);
     private final List<ClientConnection> connections = new ArrayList<>();
     private int requests;
     private int connected;
@@ -65,7 +65,7 @@
 
     void start() {
         running = true;
-        next();
+        scheduleNext();
     }
 
     void stop() {
@@ -73,40 +73,40 @@
     }
 
     /** Starts or stops a client fault. */
-    void manner(FaultType kind, boolean on) {
+    void setFault(FaultType kind, boolean on) {
         if (on) {
-            manners.add(kind);
+            activeFaults.add(kind);
             if (kind == FaultType.CLIENT_CROWD) {
-                crowd();
+                openSilentConnections();
             }
         } else {
-            manners.remove(kind);
+            activeFaults.remove(kind);
         }
     }
 
-    private void next() {
+    private void scheduleNext() {
         if (!running) {
             return;
         }
-        double rate = plan.requestsPerS() * (manners.contains(FaultType.CLIENT_BURST) ? BURST_FACTOR : 1);
-        double waitMs = -1000 / rate * Math.log(1 - random.nextDouble());
-        loop.schedule(this::arrive, (long) (waitMs * 1000), TimeUnit.MICROSECONDS);
+        double rate = plan.requestsPerS() * (activeFaults.contains(FaultType.CLIENT_BURST) ? BURST_FACTOR : 1);
+        double untilNextMs = -1000 / rate * Math.log(1 - random.nextDouble());
+        loop.schedule(this::arrive, (long) (untilNextMs * 1000), TimeUnit.MICROSECONDS);
     }
 
     private void arrive() {
         if (running) {
             connections.removeIf(connection -> !connection.isOpen());
             oneRequest();
-            next();
+            scheduleNext();
         }
     }
 
-    private boolean odd(FaultType manner) {
-        return manners.contains(manner) && random.nextDouble() < ODD_SHARE;
+    private boolean misbehaves(FaultType fault) {
+        return activeFaults.contains(fault) && random.nextDouble() < MISBEHAVIOUR_SHARE;
     }
 
     private void oneRequest() {
-        if (odd(FaultType.CLIENT_STALLS)) {
+        if (misbehaves(FaultType.CLIENT_STALLS)) {
             stall();
             return;
         }
@@ -114,18 +114,18 @@
         if (connection == null) {
             return;
         }
-        if (odd(FaultType.CLIENT_ERRORS)) {
+        if (misbehaves(FaultType.CLIENT_ERRORS)) {
             sendErrors(connection);
         }
-        int count = odd(FaultType.CLIENT_PIPELINES) ? random.nextInt(2, MAX_PIPELINED) : 1;
-        boolean slow = odd(FaultType.CLIENT_SLOW);
+        int count = misbehaves(FaultType.CLIENT_PIPELINES) ? random.nextInt(2, MAX_PIPELINED) : 1;
+        boolean slow = misbehaves(FaultType.CLIENT_SLOW);
         for (int i = 0; i < count; i++) {
             Request request = request(connection);
             connection.send(request, text(request), slow && count == 1 ? 3 : 1, random.nextInt(50, 500));
         }
-        if (odd(FaultType.CLIENT_LEAVES)) {
+        if (misbehaves(FaultType.CLIENT_LEAVES)) {
             boolean reset = random.nextBoolean();
-            loop.schedule(() -> connection.leave(reset), random.nextInt(200), TimeUnit.MILLISECONDS);
+            loop.schedule(() -> connection.disconnect(reset), random.nextInt(200), TimeUnit.MILLISECONDS);
         }
     }
 
@@ -153,28 +153,28 @@
                 ++requests + random.nextLong(1 << 20) * (1L << 28));
         SoakClass requestClass = SoakClass.values()[random.nextInt(SoakClass.values().length)];
         boolean ceiling = random.nextDouble() < CEILING_SHARE;
-        int customer = random.nextInt(ceiling ? CEILING_CUSTOMERS : CUSTOMERS) + (ceiling ? CUSTOMERS : 0);
+        int tenant = random.nextInt(ceiling ? CEILING_TENANTS : TENANTS) + (ceiling ? TENANTS : 0);
         boolean hasty = random.nextDouble() < 0.1;
-        int waitMs = hasty ? random.nextInt(20, 300) : requestClass.deadlineMs - random.nextInt(200);
+        int deadlineMs = hasty ? random.nextInt(20, 300) : requestClass.deadlineMs - random.nextInt(200);
         Request request = new Request(
                 id,
                 requestClass,
-                String.format(Locale.ROOT, "%016x", customer),
+                String.format(Locale.ROOT, "%016x", tenant),
                 ceiling ? CEILING_PLAN : WIDE_PLAN,
                 number,
                 connection.number(),
-                waitMs);
+                deadlineMs);
         history.requests.put(id, request);
         return request;
     }
 
     private String text(Request request) {
-        String parameters = "c=" + request.requestClass.label + ",t=" + request.plan + ",d=" + request.waitMs
+        String parameters = "c=" + request.requestClass.label + ",t=" + request.plan + ",d=" + request.deadlineMs
                 + (request.requestClass == SoakClass.ORDER ? ",k=" + request.id : "") + ",units=1,spread="
                 + plan.gateways() + ",first=0";
         return request.requestClass.safe()
-                ? RespCommands.command("SVC.QUERY", request.customer, request.id, parameters)
-                : RespCommands.command("SVC.SUBMIT", request.customer, request.id, parameters, "body of " + request.id);
+                ? RespCommands.command("SVC.QUERY", request.tenant, request.id, parameters)
+                : RespCommands.command("SVC.SUBMIT", request.tenant, request.id, parameters, "body of " + request.id);
     }
 
     /**
@@ -203,20 +203,20 @@
                     if (connection.isOpen()) {
                         Stall begun = new Stall(number, clock.now(), before);
                         history.stalls.add(begun);
-                        String whole =
+                        String complete =
                                 RespCommands.command("SVC.QUERY", "0000000000000001", "0123456789abcdef", "c=lookup");
-                        connection.stall(begun, whole.substring(0, random.nextInt(1, whole.length() - 1)));
+                        connection.stall(begun, complete.substring(0, random.nextInt(1, complete.length() - 1)));
                     }
                 },
                 1,
                 TimeUnit.MILLISECONDS);
     }
 
-    private void crowd() {
-        for (int i = 0; i < CROWD; i++) {
+    private void openSilentConnections() {
+        for (int i = 0; i < CROWD_CONNECTIONS; i++) {
             loop.schedule(
                     () -> {
-                        if (running && manners.contains(FaultType.CLIENT_CROWD)) {
+                        if (running && activeFaults.contains(FaultType.CLIENT_CROWD)) {
                             ClientConnection.open(-1, port, gateway, loop, clock);
                         }
                     },
--- a/laboratory/src/test/java/opalcove/laboratory/soak/SoakTest.java
+++ b/laboratory/src/test/java/opalcove/laboratory/soak/SoakTest.java
@@ -17,7 +17,7 @@
  * {@code opalcove soak --help}.
  */
 public class SoakTest {
-    private static final Set<SoakRule> UNTIMED = EnumSet.of(
+    private static final Set<SoakRule> RULES_WITHOUT_TIME_LIMIT = EnumSet.of(
             SoakRule.OWN_VALUE,
             SoakRule.ATTEMPTS,
             SoakRule.REFUSAL,
@@ -26,7 +26,7 @@
             SoakRule.DESCRIPTORS);
 
     private static final SoakPlan.Size SHORT = new SoakPlan.Size(2, 4, 6000);
-    private static final List<FaultType> OF_CLIENTS_AND_BACKENDS = List.of(
+    private static final List<FaultType> CLIENT_AND_BACKEND_FAULTS = List.of(
             FaultType.BACKEND_LONG,
             FaultType.BACKEND_SPOILT,
             FaultType.BACKEND_KILL,
@@ -35,7 +35,7 @@
             FaultType.CLIENT_LEAVES,
             FaultType.CLIENT_STALLS,
             FaultType.LINK_RESET);
-    private static final List<FaultType> OF_THE_SYSTEM = List.of(
+    private static final List<FaultType> SYSTEM_FAULTS = List.of(
             FaultType.ACCEPT_FAILS,
             FaultType.SOCKET_FAILS,
             FaultType.CONNECT_FAILS,
@@ -47,31 +47,31 @@
 
     @DataProvider
     public Object[][] plans() {
-        return new Object[][] {{1, OF_CLIENTS_AND_BACKENDS}, {2, OF_CLIENTS_AND_BACKENDS}, {3, OF_THE_SYSTEM}};
+        return new Object[][] {{1, CLIENT_AND_BACKEND_FAULTS}, {2, CLIENT_AND_BACKEND_FAULTS}, {3, SYSTEM_FAULTS}};
     }
 
     @Test(dataProvider = "plans")
-    public void noRuleIsBrokenThatKnowsNoTime(long seed, List<FaultType> kinds) throws Exception {
+    public void keepsRulesWithoutTimeLimitUnderOverlappingFaults(long seed, List<FaultType> kinds) throws Exception {
         Soak soak = new Soak(Files.createTempDirectory("soak-test"));
         assertTrue(soak.hasShim(), "a C compiler (cc) is needed to make system calls fail: install gcc and libc6-dev");
         SoakResult result = soak.run(SoakPlan.of(seed, SHORT, kinds), false);
         System.out.print(result.plan().text() + result.text());
         assertNotEquals(result.ends().getOrDefault("SERVED", 0), 0, "no request was served");
-        List<SoakViolation> judged = result.violations().stream()
-                .filter(violation -> UNTIMED.contains(violation.rule()))
+        List<SoakViolation> failing = result.violations().stream()
+                .filter(violation -> RULES_WITHOUT_TIME_LIMIT.contains(violation.rule()))
                 .toList();
-        assertEquals(judged, List.of());
+        assertEquals(failing, List.of());
     }
 
     @Test
-    public void aSeedGivesTheSamePlan() {
+    public void drawsSamePlanForSameSeed() {
         SoakPlan.Size size = new SoakPlan.Size(0, 0, 0);
         assertEquals(SoakPlan.of(5, size), SoakPlan.of(5, size));
         assertNotEquals(SoakPlan.of(5, size).faults(), SoakPlan.of(6, size).faults());
     }
 
     @Test
-    public void troublesOfAGroupOverlapAndCanBeLeftOut() {
+    public void drawsOverlappingFaultsThatCanBeLeftOut() {
         SoakPlan plan = SoakPlan.of(7, new SoakPlan.Size(0, 0, 0));
         for (Fault each : plan.faults()) {
             assertTrue(
