--- a/cli/src/test/java/opalcove/cli/KnownRedTest.java
+++ b/cli/src/test/java/opalcove/cli/KnownRedTest.java
@@ -13,119 +13,119 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** Which runs of the tests land where KNOWN-RED.txt names some of them. */
+/** Checks which test runs .ci/KnownRed.java accepts when KNOWN-RED.txt lists some tests. */
 public class KnownRedTest {
-    private static final String NAMED = "a.BTest.held | mvn test, seed 3 | the link is not looked at | 29\n";
+    private static final String ENTRY = "a.BTest.held | mvn test, seed 3 | the link is not looked at | 29\n";
 
     private Path root;
 
     @BeforeMethod
-    public void make() throws IOException {
+    public void createRoot() throws IOException {
         root = Files.createTempDirectory("known-red");
     }
 
     @AfterMethod
-    public void clear() throws IOException {
-        try (Stream<Path> all = Files.walk(root)) {
-            for (Path each : all.sorted(Comparator.reverseOrder()).toList()) {
-                Files.delete(each);
+    public void deleteRoot() throws IOException {
+        try (Stream<Path> files = Files.walk(root)) {
+            for (Path file : files.sorted(Comparator.reverseOrder()).toList()) {
+                Files.delete(file);
             }
         }
     }
 
-    private void ran(String module, String cases) throws IOException {
+    private void writeReport(String module, String testCases) throws IOException {
         Path reports = Files.createDirectories(root.resolve(module).resolve("target/surefire-reports"));
-        Files.writeString(reports.resolve("TEST-a.BTest.xml"), "<testsuite>" + cases + "</testsuite>");
+        Files.writeString(reports.resolve("TEST-a.BTest.xml"), "<testsuite>" + testCases + "</testsuite>");
     }
 
-    private static String green(String name) {
+    private static String passed(String name) {
         return "<testcase name=\"" + name + "\" classname=\"a.BTest\" time=\"0.1\"/>";
     }
 
-    private static String red(String name) {
+    private static String failed(String name) {
         return "<testcase name=\"" + name + "\" classname=\"a.BTest\"><failure message=\"x\">at y</failure></testcase>";
     }
 
-    private static String broken(String name) {
+    private static String error(String name) {
         return "<testcase name=\"" + name + "\" classname=\"a.BTest\"><error message=\"x\">at y</error></testcase>";
     }
 
-    /** Judges the run; what was printed. */
-    private String judged(int exit, String named) throws Exception {
-        Files.writeString(root.resolve("KNOWN-RED.txt"), named);
+    /** Runs KnownRed.java, checks its exit code and returns what it printed. */
+    private String runKnownRed(int expectedExit, String entries) throws Exception {
+        Files.writeString(root.resolve("KNOWN-RED.txt"), entries);
         Path output = root.resolve("output");
-        Process judge = new ProcessBuilder(
+        Process process = new ProcessBuilder(
                         Path.of(System.getProperty("java.home"), "bin", "java").toString(),
                         ".ci/KnownRed.java",
                         root.toString())
                 .redirectErrorStream(true)
                 .redirectOutput(output.toFile())
                 .start();
-        assertTrue(judge.waitFor(2, TimeUnit.MINUTES));
+        assertTrue(process.waitFor(2, TimeUnit.MINUTES));
         String text = Files.readString(output);
-        assertEquals(judge.exitValue(), exit, text);
+        assertEquals(process.exitValue(), expectedExit, text);
         return text;
     }
 
     @Test
-    public void aNamedTestMayFailAndIsPrinted() throws Exception {
-        ran("gateway", green("other") + red("held"));
-        assertEquals(judged(0, NAMED), "known red: " + NAMED);
-        ran("gateway", green("other") + broken("held"));
-        assertEquals(judged(0, NAMED), "known red: " + NAMED);
-        ran("gateway", green("other") + green("held"));
-        assertEquals(judged(0, NAMED), "known red, but green in this run: " + NAMED);
+    public void acceptsAndPrintsListedTestWhetherItFailsOrPasses() throws Exception {
+        writeReport("gateway", passed("other") + failed("held"));
+        assertEquals(runKnownRed(0, ENTRY), "known red: " + ENTRY);
+        writeReport("gateway", passed("other") + error("held"));
+        assertEquals(runKnownRed(0, ENTRY), "known red: " + ENTRY);
+        writeReport("gateway", passed("other") + passed("held"));
+        assertEquals(runKnownRed(0, ENTRY), "known red, but green in this run: " + ENTRY);
     }
 
     @Test
-    public void anyOtherFailureDoesNotLand() throws Exception {
-        ran("gateway", red("held"));
-        ran("mqtt", red("other"));
-        assertEquals(judged(1, NAMED), "known red: " + NAMED + "failed: a.BTest.other\n");
-        ran("mqtt", broken("other"));
-        assertEquals(judged(1, NAMED), "known red: " + NAMED + "failed: a.BTest.other\n");
-        // Another exchange of the same test is another test.
-        ran("mqtt", red("held[2]"));
-        assertEquals(judged(1, NAMED), "known red: " + NAMED + "failed: a.BTest.held[2]\n");
+    public void rejectsFailureOfTestThatIsNotListed() throws Exception {
+        writeReport("gateway", failed("held"));
+        writeReport("mqtt", failed("other"));
+        assertEquals(runKnownRed(1, ENTRY), "known red: " + ENTRY + "failed: a.BTest.other\n");
+        writeReport("mqtt", error("other"));
+        assertEquals(runKnownRed(1, ENTRY), "known red: " + ENTRY + "failed: a.BTest.other\n");
+        // The same test run with other data, here held[2], is another test.
+        writeReport("mqtt", failed("held[2]"));
+        assertEquals(runKnownRed(1, ENTRY), "known red: " + ENTRY + "failed: a.BTest.held[2]\n");
     }
 
     @Test
-    public void aLineOfAnotherFormOneThatComesTwiceAndOneThatNamesNoTestDoNotLand() throws Exception {
-        ran("gateway", green("held"));
+    public void rejectsEntryThatIsMalformedOrDuplicatedOrNamesNoTestOfRun() throws Exception {
+        writeReport("gateway", passed("held"));
         String form = "not CASE | COMMAND AND SEED | WHAT WAS SEEN | ISSUE";
-        for (String other : new String[] {
+        for (String malformed : new String[] {
             "a.BTest.held\n",
             "a.BTest.held | the link | 29\n",
             "a.BTest.held | mvn | | 29\n",
             "a.BTest.held | mvn | the link | none\n",
             "a.BTest.held | mvn | the link | 29 |\n",
-            NAMED.replace("the link", "x".repeat(600))
+            ENTRY.replace("the link", "x".repeat(600))
         }) {
-            assertTrue(judged(1, other).contains(form), other);
+            assertTrue(runKnownRed(1, malformed).contains(form), malformed);
         }
-        assertTrue(judged(1, NAMED + NAMED).contains("twice: a.BTest.held"));
-        assertTrue(judged(1, NAMED.replace("held", "gone")).contains("names no test that was run: a.BTest.gone"));
+        assertTrue(runKnownRed(1, ENTRY + ENTRY).contains("twice: a.BTest.held"));
+        assertTrue(runKnownRed(1, ENTRY.replace("held", "gone")).contains("names no test that was run: a.BTest.gone"));
     }
 
     @Test
-    public void moreThanThreeTestsMayBeNamedAndEachMustHaveRun() throws Exception {
-        ran("gateway", red("held") + red("b") + red("c") + red("d"));
-        String four = NAMED + NAMED.replace("held", "b") + NAMED.replace("held", "c") + NAMED.replace("held", "d");
-        assertEquals(judged(0, four).lines().count(), 4);
-        assertTrue(judged(1, four + NAMED.replace("held", "e")).contains("names no test that was run: a.BTest.e"));
+    public void acceptsMoreThanThreeEntriesIfEachNamedTestWasRun() throws Exception {
+        writeReport("gateway", failed("held") + failed("b") + failed("c") + failed("d"));
+        String four = ENTRY + ENTRY.replace("held", "b") + ENTRY.replace("held", "c") + ENTRY.replace("held", "d");
+        assertEquals(runKnownRed(0, four).lines().count(), 4);
+        assertTrue(runKnownRed(1, four + ENTRY.replace("held", "e")).contains("names no test that was run: a.BTest.e"));
     }
 
     @Test
-    public void aCaseOfASoakIsPrintedAndExcusesNoTest() throws Exception {
-        ran("gateway", green("held"));
-        String named = "soak: DRAIN of seed 7 | opalcove soak --seed 7 | a send after its grace | 39\n";
-        assertEquals(judged(0, named), "known red, not a test of this run: " + named);
-        ran("gateway", red("held"));
-        assertTrue(judged(1, named).contains("failed: a.BTest.held"));
+    public void printsSoakEntryButAcceptsNoFailedTestForIt() throws Exception {
+        writeReport("gateway", passed("held"));
+        String soakEntry = "soak: DRAIN of seed 7 | opalcove soak --seed 7 | a send after its grace | 39\n";
+        assertEquals(runKnownRed(0, soakEntry), "known red, not a test of this run: " + soakEntry);
+        writeReport("gateway", failed("held"));
+        assertTrue(runKnownRed(1, soakEntry).contains("failed: a.BTest.held"));
     }
 
     @Test
-    public void aRunWithoutTestsDoesNotLand() throws Exception {
-        assertTrue(judged(1, "").contains("no test was run"));
+    public void rejectsRunWithoutTests() throws Exception {
+        assertTrue(runKnownRed(1, "").contains("no test was run"));
     }
 }
--- a/deploy/archive.sh
+++ b/deploy/archive.sh
@@ -1,6 +1,7 @@
 #!/bin/sh
-# Makes target/opalcove-gateway.jsa, the class-data archive with which the gateway starts faster and on less memory: one
-# rehearsal against the toy server. Without the archive the gateway runs all the same, so a failure only warns.
+# Creates target/opalcove-gateway.jsa, the class-data archive (CDS) with which the gateway starts faster and uses less
+# memory, from one training run against the toy server. The gateway also runs without the archive, so a failure only
+# prints a warning.
 set -u
 cd "$(dirname "$0")/.."
 rm -f target/opalcove-gateway.jsa
