--- a/cli/src/main/java/opalcove/cli/AgreementTrialCommand.java
+++ b/cli/src/main/java/opalcove/cli/AgreementTrialCommand.java
@@ -12,38 +12,43 @@
         mixinStandardHelpOptions = true,
         versionProvider = Opalcove.Version.class,
         description =
-                "Starts gateways with a replicated configuration on this machine, and reports how soon all act on a new"
-                        + " one; beside it, the result of the model in virtual time. With --faults, runs of random faults: pauses, partitions one"
-                        + " way and both, lost messages, a kill; exits with 1 where a contradiction outlived the lease.")
+                "Starts gateways with a replicated configuration on this machine and reports how long it takes until"
+                        + " all of them apply a new version, together with the result of the model in virtual time."
+                        + " With --faults, runs with random faults: pauses, one-way and two-way partitions, lost messages,"
+                        + " a kill; exits with 1 if contradictory configurations were in use for longer than the lease.")
 final class AgreementTrialCommand implements Callable<Integer> {
-    @Option(names = "--gateways", defaultValue = "7", description = "gateways (default: ${DEFAULT-VALUE})")
+    @Option(names = "--gateways", defaultValue = "7", description = "number of gateways (default: ${DEFAULT-VALUE})")
     private int gateways;
 
-    @Option(names = "--lease-ms", defaultValue = "2000", description = "the lease (default: ${DEFAULT-VALUE})")
+    @Option(
+            names = "--lease-ms",
+            defaultValue = "2000",
+            description = "lease in milliseconds (default: ${DEFAULT-VALUE})")
     private int leaseMs;
 
-    @Option(names = "--rounds", defaultValue = "10", description = "proposals (default: ${DEFAULT-VALUE})")
+    @Option(names = "--rounds", defaultValue = "10", description = "number of proposals (default: ${DEFAULT-VALUE})")
     private int rounds;
 
-    @Option(names = "--seed", defaultValue = "1", description = "of the faults (default: ${DEFAULT-VALUE})")
+    @Option(names = "--seed", defaultValue = "1", description = "seed of the faults (default: ${DEFAULT-VALUE})")
     private long seed;
 
     @Option(
             names = "--faults",
             defaultValue = "0",
-            description = "runs of random faults, of the seeds from --seed on,"
+            description = "number of runs with random faults, with consecutive seeds from --seed,"
                     + " instead of rounds (default: ${DEFAULT-VALUE})")
     private int faults;
 
     @Option(
             names = "--voter-faults",
             defaultValue = "0",
-            description = "runs of faults on the voters, of the seeds from --seed on: kills, mostly of the leader,"
-                    + " pauses, folders that fail; exits with 1 where a majority did not decide within 10 s, an"
-                    + " accepted version was lost or a contradiction outlived the lease (default: ${DEFAULT-VALUE})")
+            description = "number of runs with faults on the voters, with consecutive seeds from --seed: kills, usually"
+                    + " of the leader, pauses, storage folders that fail; exits with 1 if a majority did not decide"
+                    + " within 10 s, an accepted version was lost or contradictory configurations were in use for"
+                    + " longer than the lease (default: ${DEFAULT-VALUE})")
     private int voterFaults;
 
-    @Option(names = "--model-only", description = "no processes, the model alone")
+    @Option(names = "--model-only", description = "run only the model, without processes")
     private boolean modelOnly;
 
     @Option(names = "--json", description = "print a list of objects")
@@ -53,11 +58,11 @@
     public Integer call() throws Exception {
         AgreementTrial.Plan plan = new AgreementTrial.Plan(gateways, leaseMs, rounds, seed);
         JsonArray list = new JsonArray();
-        boolean held = soakVoters(list);
-        for (long each = seed; each < seed + faults; each++) {
+        boolean passed = runVoterFaults(list);
+        for (long runSeed = seed; runSeed < seed + faults; runSeed++) {
             AgreementTrial.FaultRun run =
-                    modelOnly ? AgreementTrial.modelFaults(plan, each) : AgreementTrial.rigFaults(plan, each);
-            held &= run.wrong().isEmpty();
+                    modelOnly ? AgreementTrial.modelFaults(plan, runSeed) : AgreementTrial.rigFaults(plan, runSeed);
+            passed &= run.wrong().isEmpty();
             list.add(run.json());
             if (!json) {
                 System.out.println(run);
@@ -80,20 +85,20 @@
         if (json) {
             System.out.println(list.toString());
         }
-        return held ? 0 : 1;
+        return passed ? 0 : 1;
     }
 
-    /** Plays the runs of faults on the voters; whether all rules held. */
-    private boolean soakVoters(JsonArray list) throws Exception {
-        boolean held = true;
-        for (long each = seed; each < seed + voterFaults; each++) {
-            VoterSoak.Result result = VoterSoak.run(new VoterSoak.Plan(each, rounds, leaseMs));
-            held &= result.violations().isEmpty();
+    /** Runs the faults on the voters and returns whether no rule was violated. */
+    private boolean runVoterFaults(JsonArray list) throws Exception {
+        boolean passed = true;
+        for (long runSeed = seed; runSeed < seed + voterFaults; runSeed++) {
+            VoterSoak.Result result = VoterSoak.run(new VoterSoak.Plan(runSeed, rounds, leaseMs));
+            passed &= result.violations().isEmpty();
             list.add(result.json());
             if (!json) {
                 System.out.print(result.text());
             }
         }
-        return held;
+        return passed;
     }
 }
--- a/cli/src/main/java/opalcove/cli/ApplyCommand.java
+++ b/cli/src/main/java/opalcove/cli/ApplyCommand.java
@@ -14,12 +14,12 @@
         mixinStandardHelpOptions = true,
         versionProvider = Opalcove.Version.class,
         description =
-                "Applies a plan to the gateway of which it was made; one made of an older endpoint list is refused.")
+                "Applies a plan to the gateway it was made for; a plan made from an older endpoint list is rejected.")
 final class ApplyCommand implements Callable<Integer> {
     @Parameters(paramLabel = "PLAN", description = "the plan file")
     private Path planFile;
 
-    @Option(names = "--json", description = "print an object with the endpoint list's new index")
+    @Option(names = "--json", description = "print an object with the new index of the endpoint list")
     private boolean json;
 
     @Override
--- a/cli/src/main/java/opalcove/cli/ClusterScenarioCommand.java
+++ b/cli/src/main/java/opalcove/cli/ClusterScenarioCommand.java
@@ -12,24 +12,24 @@
         name = "rig",
         mixinStandardHelpOptions = true,
         versionProvider = Opalcove.Version.class,
-        description =
-                "Plays a scenario with several gateways on this machine and faults between them; prints what they report"
-                        + " of one another, a JSON line each. Exits with 1 where the outcome is not the expected one.")
+        description = "Runs a scenario with several gateways on this machine and faults between them; prints each"
+                + " change of state that a gateway reports of another as a line of JSON. Exits with 1 if the outcome is"
+                + " not the expected one.")
 final class ClusterScenarioCommand implements Callable<Integer> {
-    @Parameters(paramLabel = "FILE", description = "the scenario, such as example/rig-faults.json")
+    @Parameters(paramLabel = "FILE", description = "the scenario file, such as example/rig-faults.json")
     private Path file;
 
     @Override
     public Integer call() throws Exception {
-        List<String> wrong = ClusterScenario.read(file)
-                .play(each -> System.out.println(Json.object()
-                        .add("at_ms", each.atMs())
-                        .add("observer", each.observer())
-                        .add("name", each.name())
-                        .add("before", each.before())
-                        .add("state", each.state())
-                        .add("incarnation", each.incarnation())));
-        wrong.forEach(each -> System.err.println("opalcove: " + each));
-        return wrong.isEmpty() ? 0 : 1;
+        List<String> errors = ClusterScenario.read(file)
+                .play(change -> System.out.println(Json.object()
+                        .add("at_ms", change.atMs())
+                        .add("observer", change.observer())
+                        .add("name", change.name())
+                        .add("before", change.before())
+                        .add("state", change.state())
+                        .add("incarnation", change.incarnation())));
+        errors.forEach(error -> System.err.println("opalcove: " + error));
+        return errors.isEmpty() ? 0 : 1;
     }
 }
--- a/cli/src/main/java/opalcove/cli/ComparisonCommand.java
+++ b/cli/src/main/java/opalcove/cli/ComparisonCommand.java
@@ -15,8 +15,8 @@
         name = "pair",
         mixinStandardHelpOptions = true,
         versionProvider = Opalcove.Version.class,
-        description = "Runs programs in turns against the same backend and load, and compares CPU time, start and"
-                + " memory.")
+        description = "Runs programs alternately against the same backends and load, and compares their CPU time,"
+                + " start time and memory.")
 final class ComparisonCommand implements Callable<Integer> {
     @Mixin
     private LoadOptions options;
@@ -24,55 +24,80 @@
     @Parameters(
             arity = "1..*",
             paramLabel = "COMMAND",
-            description = "how each is started, as one word, such as"
-                    + " 'java -jar target/opalcove-gateway.jar serve'; relay stands for a bare relay of bytes")
+            description = "the command that starts each program, as one argument, such as"
+                    + " 'java -jar target/opalcove-gateway.jar serve'; relay stands for a program that"
+                    + " only forwards bytes")
     private List<String> commands;
 
-    @Option(names = "--rounds", paramLabel = "N", defaultValue = "3", description = "(default: ${DEFAULT-VALUE})")
+    @Option(
+            names = "--rounds",
+            paramLabel = "N",
+            defaultValue = "3",
+            description = "runs of each program (default: ${DEFAULT-VALUE})")
     private int rounds;
 
-    @Option(names = "--value", paramLabel = "BYTES", defaultValue = "16", description = "(default: ${DEFAULT-VALUE})")
-    private int value;
+    @Option(
+            names = "--value",
+            paramLabel = "BYTES",
+            defaultValue = "16",
+            description = "length of a backend's response (default: ${DEFAULT-VALUE})")
+    private int valueBytes;
 
-    @Option(names = "--nodes", paramLabel = "N", defaultValue = "12", description = "(default: ${DEFAULT-VALUE})")
-    private int nodes;
+    @Option(
+            names = "--nodes",
+            paramLabel = "N",
+            defaultValue = "12",
+            description = "backends in the list (default: ${DEFAULT-VALUE})")
+    private int backends;
 
-    @Option(names = "--work", paramLabel = "MS", defaultValue = "5", description = "(default: ${DEFAULT-VALUE})")
-    private long work;
+    @Option(
+            names = "--work",
+            paramLabel = "MS",
+            defaultValue = "5",
+            description = "time that a backend takes (default: ${DEFAULT-VALUE})")
+    private long workMs;
 
-    @Option(names = "--warm", paramLabel = "N", defaultValue = "8000", description = "(default: ${DEFAULT-VALUE})")
-    private int warm;
+    @Option(
+            names = "--warm",
+            paramLabel = "N",
+            defaultValue = "8000",
+            description = "requests before the measurement (default: ${DEFAULT-VALUE})")
+    private int warmUpRequests;
 
-    @Option(names = "--json", description = "print one object a program")
+    @Option(names = "--json", description = "print one object per program")
     private boolean json;
 
     @Override
     public Integer call() throws Exception {
-        List<ComparisonBenchmark.Runs> all = new ComparisonBenchmark(
-                        commands, options.plan("127.0.0.1", 0), new Meter.Nodes(nodes, value, work), warm)
+        List<ComparisonBenchmark.Runs> results = new ComparisonBenchmark(
+                        commands,
+                        options.plan("127.0.0.1", 0),
+                        new Meter.Nodes(backends, valueBytes, workMs),
+                        warmUpRequests)
                 .run(rounds, System.err::println);
-        for (ComparisonBenchmark.Runs each : all) {
-            double cpu = ComparisonBenchmark.Runs.median(each.cpuUs());
-            double share = cpu / ComparisonBenchmark.Runs.median(all.get(0).cpuUs());
+        for (ComparisonBenchmark.Runs program : results) {
+            double cpuUs = ComparisonBenchmark.Runs.median(program.cpuUs());
+            double shareOfFirst =
+                    cpuUs / ComparisonBenchmark.Runs.median(results.get(0).cpuUs());
             if (json) {
                 JsonObject line = Json.object()
-                        .add("program", each.name())
-                        .add("cpu_us_an_ask", cpu)
-                        .add("share_of_first", share)
-                        .add("start_ms", ComparisonBenchmark.Runs.median(each.startMs()))
-                        .add("memory_mb", ComparisonBenchmark.Runs.median(each.memoryMb()));
+                        .add("program", program.name())
+                        .add("cpu_us_an_ask", cpuUs)
+                        .add("share_of_first", shareOfFirst)
+                        .add("start_ms", ComparisonBenchmark.Runs.median(program.startMs()))
+                        .add("memory_mb", ComparisonBenchmark.Runs.median(program.memoryMb()));
                 System.out.println(line);
             } else {
                 System.out.printf(
                         "%7.1f us an ask (%.2f of the first)  start %.0f ms  memory %.0f MB  runs %s  %s%n",
-                        cpu,
-                        share,
-                        ComparisonBenchmark.Runs.median(each.startMs()),
-                        ComparisonBenchmark.Runs.median(each.memoryMb()),
-                        each.cpuUs().stream()
+                        cpuUs,
+                        shareOfFirst,
+                        ComparisonBenchmark.Runs.median(program.startMs()),
+                        ComparisonBenchmark.Runs.median(program.memoryMb()),
+                        program.cpuUs().stream()
                                 .map(run -> String.format("%.1f", run))
                                 .toList(),
-                        each.name());
+                        program.name());
             }
         }
         return 0;
--- a/cli/src/main/java/opalcove/cli/ControlCommand.java
+++ b/cli/src/main/java/opalcove/cli/ControlCommand.java
@@ -24,7 +24,7 @@
         name = "control",
         mixinStandardHelpOptions = true,
         versionProvider = Opalcove.Version.class,
-        description = "Serves endpoints, weights and drains to other proxies through xDS, until SIGTERM.",
+        description = "Serves endpoints, weights and drains to other proxies over xDS until SIGTERM.",
         subcommands = ControlCommand.Status.class)
 final class ControlCommand implements Callable<Integer>, Opalcove.Serves {
     @Spec
@@ -33,7 +33,7 @@
     @Parameters(
             arity = "0..1",
             paramLabel = "FILE",
-            description = "the service's settings, such as deploy/control.json")
+            description = "the settings file of the service, such as deploy/control.json")
     private Path file;
 
     @Override
@@ -60,7 +60,8 @@
             name = "status",
             mixinStandardHelpOptions = true,
             versionProvider = Opalcove.Version.class,
-            description = "Shows the state of a running control service: proxies, which lag, drains in progress.")
+            description = "Shows the state of a running control service: its proxies, which of them lag behind, and the"
+                    + " drains in progress.")
     static final class Status implements Callable<Integer> {
         private static final Duration TIMEOUT = Duration.ofSeconds(10);
 
@@ -73,7 +74,7 @@
         @Override
         public Integer call() throws Exception {
             ControlConfig settings = ControlConfig.read(file);
-            HttpResponse<String> answer = HttpClient.newBuilder()
+            HttpResponse<String> response = HttpClient.newBuilder()
                     .connectTimeout(TIMEOUT)
                     .build()
                     .send(
@@ -83,13 +84,13 @@
                                     .timeout(TIMEOUT)
                                     .build(),
                             HttpResponse.BodyHandlers.ofString());
-            if (answer.statusCode() != 200) {
-                throw new IOException("the service answered " + answer.statusCode());
+            if (response.statusCode() != 200) {
+                throw new IOException("the control service responded with status " + response.statusCode());
             }
             System.out.print(
                     json
-                            ? answer.body() + "\n"
-                            : table(Json.parse(answer.body()).asObject()));
+                            ? response.body() + "\n"
+                            : table(Json.parse(response.body()).asObject()));
             return 0;
         }
 
@@ -118,17 +119,17 @@
             for (JsonValue each : state.get("proxies").asArray()) {
                 JsonObject proxy = each.asObject();
                 for (JsonObject.Member type : proxy.get("types").asObject()) {
-                    JsonObject knows = type.getValue().asObject();
+                    JsonObject progress = type.getValue().asObject();
                     text.append(String.format(
                             "%-20s %-12s %-10s %-10s %8d %10d %8d  %s%n",
                             proxy.getString("id", ""),
                             proxy.getString("cluster", ""),
                             proxy.getString("room", ""),
                             type.getName(),
-                            knows.getLong("behind", 0),
-                            knows.getLong("waiting_ms", 0),
-                            knows.getLong("refused", 0),
-                            knows.getString("reason", "")));
+                            progress.getLong("behind", 0),
+                            progress.getLong("waiting_ms", 0),
+                            progress.getLong("refused", 0),
+                            progress.getString("reason", "")));
                 }
             }
         }
@@ -143,15 +144,18 @@
                         .append(" ms, not acknowledged by ")
                         .append(drain.get("not_acknowledged_by"))
                         .append('\n');
-                for (JsonValue one : drain.get("used_by").asArray()) {
-                    JsonObject use = one.asObject();
-                    long last = use.getLong("last_new_ms", -1);
+                for (JsonValue value : drain.get("used_by").asArray()) {
+                    JsonObject usage = value.asObject();
+                    long lastNewMs = usage.getLong("last_new_ms", -1);
                     text.append("  ")
-                            .append(use.getString("proxy", ""))
+                            .append(usage.getString("proxy", ""))
                             .append(" has ")
-                            .append(use.getLong("in_hand", 0))
+                            .append(usage.getLong("in_hand", 0))
                             .append(" in hand, ")
-                            .append(last < 0 ? "nothing new" : "last told of new work " + last + " ms after the drain")
+                            .append(
+                                    lastNewMs < 0
+                                            ? "nothing new"
+                                            : "last told of new work " + lastNewMs + " ms after the drain")
                             .append('\n');
                 }
             }
--- a/cli/src/main/java/opalcove/cli/CostCheckCommand.java
+++ b/cli/src/main/java/opalcove/cli/CostCheckCommand.java
@@ -16,13 +16,13 @@
         mixinStandardHelpOptions = true,
         versionProvider = Opalcove.Version.class,
         description =
-                "Counts what a request costs and compares it with a baseline: exits with 1 where a count has grown by"
-                        + " more than 5%%. The build does the same.")
+                "Measures the cost of a request and compares it with a baseline: exits with 1 if a count has grown by"
+                        + " more than 5%%. The build runs the same check.")
 final class CostCheckCommand implements Callable<Integer> {
-    @Parameters(paramLabel = "FILE", description = "the baseline, such as laboratory/baseline.json")
+    @Parameters(paramLabel = "FILE", description = "the baseline file, such as laboratory/baseline.json")
     private Path file;
 
-    @Option(names = "--write", description = "write what is counted now as the new baseline")
+    @Option(names = "--write", description = "write the measured counts as the new baseline")
     private boolean write;
 
     @Option(names = "--json", description = "print the counts as an object")
--- a/cli/src/main/java/opalcove/cli/LoadCommand.java
+++ b/cli/src/main/java/opalcove/cli/LoadCommand.java
@@ -14,12 +14,14 @@
         name = "load",
         mixinStandardHelpOptions = true,
         versionProvider = Opalcove.Version.class,
-        description = "Puts load on a gateway and reports how its requests were answered.")
+        description = "Sends load to a gateway and reports the responses.")
 final class LoadCommand implements Callable<Integer> {
     @Mixin
     private LoadOptions options;
 
-    @Parameters(paramLabel = "ADDRESS", description = "where the gateway listens, such as 127.0.0.1:7100")
+    @Parameters(
+            paramLabel = "ADDRESS",
+            description = "the address on which the gateway listens, such as 127.0.0.1:7100")
     private String address;
 
     @Option(names = "--json", description = "print one object")
@@ -27,8 +29,8 @@
 
     @Override
     public Integer call() throws Exception {
-        HostAndPort at = HostAndPort.parse(address, "ADDRESS");
-        LoadPlan plan = options.plan(at.address(), at.port());
+        HostAndPort hostAndPort = HostAndPort.parse(address, "ADDRESS");
+        LoadPlan plan = options.plan(hostAndPort.address(), hostAndPort.port());
         try (Load load = new Load(plan, System.err::println)) {
             LoadReport report = load.run(plan.requests());
             System.out.print(json ? report.json() + "\n" : report.table());
--- a/cli/src/main/java/opalcove/cli/MembersCommand.java
+++ b/cli/src/main/java/opalcove/cli/MembersCommand.java
@@ -21,11 +21,14 @@
         mixinStandardHelpOptions = true,
         versionProvider = Opalcove.Version.class,
         description =
-                "Shows what a gateway knows of the other gateways: name, address, incarnation and state, itself first.")
+                "Shows the membership list of a gateway, with itself first: name, address, incarnation and state of"
+                        + " each member.")
 final class MembersCommand implements Callable<Integer> {
-    private static final int WAIT_MS = 5000;
+    private static final int TIMEOUT_MS = 5000;
 
-    @Parameters(paramLabel = "ADDRESS", description = "the gateway's console, such as 127.0.0.1:10250")
+    @Parameters(
+            paramLabel = "ADDRESS",
+            description = "the address of the gateway's admin console, such as 127.0.0.1:10250")
     private String console;
 
     @Option(names = "--json", description = "print a list of objects")
@@ -33,25 +36,26 @@
 
     @Override
     public Integer call() throws Exception {
-        HostAndPort at = HostAndPort.parse(console, "ADDRESS");
+        HostAndPort hostAndPort = HostAndPort.parse(console, "ADDRESS");
         try (Socket socket = new Socket()) {
-            socket.connect(new InetSocketAddress(at.address(), at.port()), WAIT_MS);
-            socket.setSoTimeout(WAIT_MS);
+            socket.connect(new InetSocketAddress(hostAndPort.address(), hostAndPort.port()), TIMEOUT_MS);
+            socket.setSoTimeout(TIMEOUT_MS);
             socket.getOutputStream().write("MEMBERS\n".getBytes(StandardCharsets.US_ASCII));
-            BufferedReader lines =
+            BufferedReader reader =
                     new BufferedReader(new InputStreamReader(socket.getInputStream(), StandardCharsets.US_ASCII));
-            String head = lines.readLine();
-            if (head == null || !head.startsWith("+OK")) {
-                throw new InvalidConfigurationException(console + " answers " + (head == null ? "nothing" : head));
+            String status = reader.readLine();
+            if (status == null || !status.startsWith("+OK")) {
+                throw new InvalidConfigurationException(
+                        console + " responded with " + (status == null ? "nothing" : status));
             }
-            print(lines.lines().toList());
+            print(reader.lines().toList());
         }
         return 0;
     }
 
     private void print(List<String> lines) throws IOException {
         if (lines.isEmpty() || !lines.get(lines.size() - 1).equals(".")) {
-            throw new IOException("the answer of " + console + " is cut off");
+            throw new IOException("the response of " + console + " is incomplete");
         }
         List<String> members = lines.subList(0, lines.size() - 1);
         if (!json) {
@@ -60,12 +64,12 @@
         }
         JsonArray list = new JsonArray();
         for (String member : members) {
-            String[] parts = member.split(" ");
+            String[] fields = member.split(" ");
             list.add(Json.object()
-                    .add("name", parts[0])
-                    .add("address", parts[1])
-                    .add("incarnation", Long.parseLong(parts[2]))
-                    .add("state", parts[3]));
+                    .add("name", fields[0])
+                    .add("address", fields[1])
+                    .add("incarnation", Long.parseLong(fields[2]))
+                    .add("state", fields[3]));
         }
         System.out.println(list);
     }
--- a/cli/src/main/java/opalcove/cli/MembershipTrialCommand.java
+++ b/cli/src/main/java/opalcove/cli/MembershipTrialCommand.java
@@ -13,36 +13,49 @@
         mixinStandardHelpOptions = true,
         versionProvider = Opalcove.Version.class,
         description =
-                "Starts so many gateways on this machine, crashes, stops and restarts them in turn behind a proxy that"
-                        + " loses messages, and reports how soon all know; beside it, the result of the model in virtual time.")
+                "Starts gateways on this machine, crashes, stops and restarts them one after another behind a proxy"
+                        + " that loses messages, and reports how long it takes until all members know,"
+                        + " together with the result of the model in virtual time.")
 final class MembershipTrialCommand implements Callable<Integer> {
-    @Option(names = "--members", defaultValue = "8", description = "gateways (default: ${DEFAULT-VALUE})")
+    @Option(names = "--members", defaultValue = "8", description = "number of gateways (default: ${DEFAULT-VALUE})")
     private int members;
 
-    @Option(names = "--probe-ms", defaultValue = "500", description = "the probe period (default: ${DEFAULT-VALUE})")
+    @Option(
+            names = "--probe-ms",
+            defaultValue = "500",
+            description = "probe period in milliseconds (default: ${DEFAULT-VALUE})")
     private int probeMs;
 
-    @Option(names = "--rounds", defaultValue = "3", description = "crashes, and leaves (default: ${DEFAULT-VALUE})")
+    @Option(
+            names = "--rounds",
+            defaultValue = "3",
+            description = "number of crashes, and of leaves (default: ${DEFAULT-VALUE})")
     private int rounds;
 
-    @Option(names = "--seed", defaultValue = "1", description = "of the faults (default: ${DEFAULT-VALUE})")
+    @Option(names = "--seed", defaultValue = "1", description = "seed of the faults (default: ${DEFAULT-VALUE})")
     private long seed;
 
-    @Option(names = "--loss", defaultValue = "0", description = "share of messages lost (default: ${DEFAULT-VALUE})")
+    @Option(
+            names = "--loss",
+            defaultValue = "0",
+            description = "share of messages that are lost (default: ${DEFAULT-VALUE})")
     private double loss;
 
-    @Option(names = "--rest-ms", defaultValue = "10000", description = "idle time in which messages are counted")
+    @Option(
+            names = "--rest-ms",
+            defaultValue = "10000",
+            description = "idle time in milliseconds during which messages are counted")
     private long restMs;
 
     @Option(
             names = "--soak-s",
             defaultValue = "0",
-            description =
-                    "seconds of pauses of three probe periods, one member"
-                            + " after another, before the rounds; deaths reported meanwhile are false (default: ${DEFAULT-VALUE})")
+            description = "seconds before the rounds in which one member after another is paused"
+                    + " for three probe periods; each death reported meanwhile is a false one"
+                    + " (default: ${DEFAULT-VALUE})")
     private long soakS;
 
-    @Option(names = "--model-only", description = "no processes, the model alone")
+    @Option(names = "--model-only", description = "run only the model, without processes")
     private boolean modelOnly;
 
     @Option(names = "--json", description = "print a list of objects")
@@ -59,10 +72,10 @@
         }
         if (json) {
             JsonArray list = new JsonArray();
-            reports.forEach(each -> list.add(each.json()));
+            reports.forEach(report -> list.add(report.json()));
             System.out.println(list);
         } else {
-            reports.forEach(each -> System.out.println(each.line()));
+            reports.forEach(report -> System.out.println(report.line()));
         }
         return 0;
     }
--- a/cli/src/main/java/opalcove/cli/MeterCommand.java
+++ b/cli/src/main/java/opalcove/cli/MeterCommand.java
@@ -16,7 +16,7 @@
         name = "meter",
         mixinStandardHelpOptions = true,
         versionProvider = Opalcove.Version.class,
-        description = "Counts what a request costs a gateway: allocations, calls, copies and CPU time.")
+        description = "Measures the cost of a request in a gateway: allocations, system calls, copies and CPU time.")
 final class MeterCommand implements Callable<Integer> {
     @Spec
     private CommandSpec spec;
@@ -28,40 +28,40 @@
             names = "--value",
             paramLabel = "BYTES",
             defaultValue = "16",
-            description = "the length of a backend's response" + " (default: ${DEFAULT-VALUE})")
-    private int value;
+            description = "length of a backend's response" + " (default: ${DEFAULT-VALUE})")
+    private int valueBytes;
 
     @Option(
             names = "--nodes",
             paramLabel = "N",
             defaultValue = "12",
             description = "backends in the list" + " (default: ${DEFAULT-VALUE})")
-    private int nodes;
+    private int backends;
 
     @Option(
             names = "--work",
             paramLabel = "MS",
             defaultValue = "0",
             description = "time that a backend takes" + " (default: ${DEFAULT-VALUE})")
-    private long work;
+    private long workMs;
 
     @Option(
             names = "--lockstep",
-            description = "have the event loop poll its sockets only when load and backends have done all"
-                    + " they can: the same batches each time, as large as they can be")
+            description = "let the event loop poll its sockets only when load and backends have no more work to do:"
+                    + " the batches are then the same in each run, and as large as possible")
     private boolean lockstep;
 
     @Option(
             names = "--warm",
             paramLabel = "N",
             defaultValue = "20000",
-            description = "requests before the counting" + " (default: ${DEFAULT-VALUE})")
-    private int warm;
+            description = "requests before the measurement" + " (default: ${DEFAULT-VALUE})")
+    private int warmUpRequests;
 
-    @Option(names = "--classes", description = "report objects by class, too")
+    @Option(names = "--classes", description = "also report objects by class")
     private boolean classes;
 
-    @Option(names = "--verify", description = "count once more with strace attached, and print the difference")
+    @Option(names = "--verify", description = "measure again with strace attached, and print the difference")
     private boolean verify;
 
     @Option(names = "--json", description = "print one object")
@@ -71,10 +71,13 @@
     public Integer call() throws Exception {
         if (lockstep && verify) {
             throw new CommandLine.ParameterException(
-                    spec.commandLine(), "--verify counts the calls of --lockstep, too: one of them at a time");
+                    spec.commandLine(),
+                    "--verify and --lockstep cannot be combined: --verify would also count the"
+                            + " system calls of --lockstep");
         }
         LoadPlan plan = options.plan("127.0.0.1", 0);
-        try (Meter meter = new Meter(plan, new Meter.Nodes(nodes, value, work), lockstep, warm, System.err::println)) {
+        try (Meter meter = new Meter(
+                plan, new Meter.Nodes(backends, valueBytes, workMs), lockstep, warmUpRequests, System.err::println)) {
             Meter.Costs costs = meter.measure(plan.requests(), classes);
             JsonObject report = costs.json();
             if (!json) {
@@ -82,14 +85,14 @@
             }
             if (verify) {
                 JsonObject checks = Json.object();
-                for (Meter.Check each : meter.verify(plan.requests())) {
+                for (Meter.Check check : meter.verify(plan.requests())) {
                     checks.add(
-                            each.what(),
-                            Json.object().add("meter", each.meter()).add("strace", each.strace()));
+                            check.what(),
+                            Json.object().add("meter", check.meter()).add("strace", check.strace()));
                     if (!json) {
                         System.out.printf(
                                 "%-6s meter %.3f  strace %.3f  difference %+.3f%n",
-                                each.what(), each.meter(), each.strace(), each.meter() - each.strace());
+                                check.what(), check.meter(), check.strace(), check.meter() - check.strace());
                     }
                 }
                 report.add("verified", checks);
@@ -118,8 +121,8 @@
         costs.classes().entrySet().stream()
                 .sorted((a, b) -> Double.compare(b.getValue()[1], a.getValue()[1]))
                 .limit(45)
-                .forEach(each -> text.append(String.format(
-                        "%9.0f bytes %7.2f objects  %s%n", each.getValue()[1], each.getValue()[0], each.getKey())));
+                .forEach(entry -> text.append(String.format(
+                        "%9.0f bytes %7.2f objects  %s%n", entry.getValue()[1], entry.getValue()[0], entry.getKey())));
         return text.append(costs.load().table()).toString();
     }
 }
--- a/cli/src/main/java/opalcove/cli/Opalcove.java
+++ b/cli/src/main/java/opalcove/cli/Opalcove.java
@@ -17,14 +17,14 @@
 import picocli.CommandLine.Spec;
 
 /**
- * The command line. Exits with 0, with 1 where a command failed, and with 2 where it was called wrongly. What a command
- * reports goes to standard output; log lines and what is wrong go to standard error.
+ * The command line. The process exits with 0 on success, with 1 if a command failed, and with 2 on wrong usage.
+ * Commands print their results to standard output; log lines and errors go to standard error.
  */
 @Command(
         name = "opalcove",
         mixinStandardHelpOptions = true,
         versionProvider = Opalcove.Version.class,
-        description = "Gateway: decides which request goes to which backend, when, and which is shed.",
+        description = "Gateway that decides which backend receives each request and when, and which requests are shed.",
         subcommands = {
             Opalcove.ServeCommand.class,
             Opalcove.MqttCommand.class,
@@ -47,22 +47,22 @@
             Opalcove.AdapterCommand.class
         },
         exitCodeListHeading = "%nExit codes:%n",
-        exitCodeList = {"0:done", "1:the command failed; standard error says why", "2:wrong call"})
+        exitCodeList = {"0:success", "1:the command failed; standard error states the reason", "2:wrong usage"})
 public final class Opalcove implements Runnable {
     private static final String MICRORAFT_LEVEL = "level@io.microraft";
 
     @Spec
     private CommandSpec spec;
 
-    /** Makes the command line, whose program stays up after a command that serves. */
+    /** Creates the command line, with the handler that prints the errors of commands. */
     static CommandLine commandLine() {
         return new CommandLine(new Opalcove())
-                .setExecutionExceptionHandler((failure, command, parsed) -> failed(failure, command.getErr()));
+                .setExecutionExceptionHandler((failure, command, parsed) -> printError(failure, command.getErr()));
     }
 
-    /** Runs the command that the arguments name and exits with its code. */
+    /** Runs the command given by the arguments. Exits with its code, unless the command serves until SIGTERM. */
     public static void main(String[] args) {
-        quietMicroRaft();
+        disableMicroRaftLogging();
         CommandLine commandLine = commandLine();
         int code = commandLine.execute(args);
         CommandLine.ParseResult parsed = commandLine.getParseResult();
@@ -78,16 +78,16 @@
     }
 
     /**
-     * MicroRaft logs each election, and errors where packets are lost or come twice, which the voters outlive: none of it
-     * unless it is asked for, as by {@code -Dtinylog.level@io.microraft=error}.
+     * Turns off MicroRaft's log unless a level is set, for example by {@code -Dtinylog.level@io.microraft=error}.
+     * MicroRaft logs each election, and errors for lost or duplicated packets, although the voters tolerate both.
      */
-    private static void quietMicroRaft() {
+    private static void disableMicroRaftLogging() {
         if (System.getProperty("tinylog." + MICRORAFT_LEVEL) == null) {
             Configuration.set(MICRORAFT_LEVEL, "off");
         }
     }
 
-    private static int failed(Exception failure, PrintWriter err) throws Exception {
+    private static int printError(Exception failure, PrintWriter err) throws Exception {
         if (!(failure instanceof InvalidConfigurationException || failure instanceof IOException)) {
             throw failure;
         }
@@ -97,16 +97,16 @@
         return CommandLine.ExitCode.SOFTWARE;
     }
 
-    /** Without a command there is nothing to do. */
+    /** Rejects a call without a subcommand. */
     @Override
     public void run() {
         throw new CommandLine.ParameterException(spec.commandLine(), "Missing required subcommand");
     }
 
-    /** A command whose program goes on until SIGTERM. */
+    /** Marks a command that keeps the process running until SIGTERM. */
     interface Serves {}
 
-    /** The version that the build put into the jar. */
+    /** Provides the version that the build writes into the manifest of the jar. */
     static final class Version implements CommandLine.IVersionProvider {
         @Override
         public String[] getVersion() {
@@ -120,8 +120,8 @@
             mixinStandardHelpOptions = true,
             versionProvider = Version.class,
             description =
-                    "Serves as the platform's gateway, configured by GW_NAME, GW_LISTEN, GW_DISCOVERY and GW_CONFIG,"
-                            + " until SIGTERM. opalcove-gateway.jar has the same command without the others.")
+                    "Runs the gateway of the platform until SIGTERM, configured by GW_NAME, GW_LISTEN, GW_DISCOVERY"
+                            + " and GW_CONFIG. opalcove-gateway.jar contains only this command.")
     static final class ServeCommand implements Runnable, Serves {
         @Override
         public void run() {
@@ -135,7 +135,7 @@
             versionProvider = Version.class,
             description = "Serves MQTT clients until SIGTERM.")
     static final class MqttCommand implements Runnable, Serves {
-        @Parameters(paramLabel = "FILE", description = "the server's settings, such as deploy/mqtt.json")
+        @Parameters(paramLabel = "FILE", description = "the settings file of the server, such as deploy/mqtt.json")
         private Path file;
 
         @Override
@@ -148,7 +148,7 @@
             name = "adapter",
             mixinStandardHelpOptions = true,
             versionProvider = Version.class,
-            description = "Runs the decision module on the simulator's wire, on standard input and output.")
+            description = "Runs the decision module with the simulator's protocol on standard input and output.")
     static final class AdapterCommand implements Callable<Integer> {
         @Override
         public Integer call() throws Exception {
--- a/cli/src/main/java/opalcove/cli/PlanCommand.java
+++ b/cli/src/main/java/opalcove/cli/PlanCommand.java
@@ -16,27 +16,27 @@
         name = "plan",
         mixinStandardHelpOptions = true,
         versionProvider = Opalcove.Version.class,
-        description =
-                "Shows what a settings file would change in the endpoint list of a running gateway, and writes it to a plan file.")
+        description = "Shows how a settings file would change the endpoint list of a running gateway,"
+                + " and writes the changes to a plan file.")
 final class PlanCommand implements Callable<Integer> {
-    @Parameters(index = "0", paramLabel = "FILE", description = "the wanted settings, such as deploy/mqtt.json")
+    @Parameters(index = "0", paramLabel = "FILE", description = "the desired settings, such as deploy/mqtt.json")
     private Path file;
 
     @Parameters(index = "1", paramLabel = "PLAN", description = "the plan file to write")
     private Path planFile;
 
-    @Option(names = "--json", description = "print the plan itself, as it is written to its file")
+    @Option(names = "--json", description = "print the contents of the plan file")
     private boolean json;
 
     @Override
     public Integer call() throws Exception {
-        MqttConfig wanted = MqttConfig.read(file);
-        if (wanted.control() == null) {
+        MqttConfig desired = MqttConfig.read(file);
+        if (desired.control() == null) {
             throw new InvalidConfigurationException(file + ": field control is missing");
         }
         Vertx vertx = Application.createEventLoop();
         try {
-            String text = new Planner(vertx).plan(wanted.control(), wanted.backends(), planFile);
+            String text = new Planner(vertx).plan(desired.control(), desired.backends(), planFile);
             System.out.print(json ? Files.readString(planFile) : text);
         } finally {
             vertx.close();
--- a/cli/src/main/java/opalcove/cli/RecoveryCommand.java
+++ b/cli/src/main/java/opalcove/cli/RecoveryCommand.java
@@ -41,37 +41,39 @@
             mixinStandardHelpOptions = true,
             versionProvider = Opalcove.Version.class,
             description =
-                    "Prints what a gateway that starts now with this snapshot would do, by the responses of the others.")
+                    "Prints what a gateway that starts now with this snapshot would do, given the responses of the"
+                            + " others.")
     static final class PlanCommand implements Callable<Integer> {
-        @Parameters(paramLabel = "SNAPSHOT", description = "a gateway's snapshot_file")
+        @Parameters(paramLabel = "SNAPSHOT", description = "the snapshot_file of a gateway")
         private Path file;
 
         @Option(
                 names = "--agreed",
                 paramLabel = "N",
                 defaultValue = "-1",
-                description = "the version in force according to the voters, 0 for none; without it, no voter responds")
+                description = "the version in force according to the voters, 0 for none;"
+                        + " without this option, no voter responds")
         private long agreed;
 
         @Option(
                 names = "--member",
                 paramLabel = "NAME=S",
-                description = "a gateway that is present, and for how many seconds it"
-                        + " has run before this one's start; below 0 where it started after it")
+                description = "a gateway that is present, and the seconds for which it"
+                        + " had been running when this one started; negative if it started later")
         private Map<String, Double> members = Map.of();
 
         @Option(
                 names = "--after",
                 paramLabel = "S",
                 defaultValue = "2",
-                description = "time since the start (default: ${DEFAULT-VALUE})")
+                description = "seconds since the start (default: ${DEFAULT-VALUE})")
         private double afterS;
 
         @Option(
                 names = "--meter-period",
                 paramLabel = "MS",
                 defaultValue = "2000",
-                description = "the settings' meter period (default: ${DEFAULT-VALUE})")
+                description = "the meter period of the settings (default: ${DEFAULT-VALUE})")
         private long meterPeriodMs;
 
         @Option(names = "--json", description = "print one object")
@@ -79,18 +81,18 @@
 
         @Override
         public Integer call() {
-            long started = System.currentTimeMillis();
+            long startedMs = System.currentTimeMillis();
             Snapshot snapshot = null;
-            String whyNone = "";
+            String noSnapshotReason = "";
             try {
                 snapshot = SnapshotFile.read(file);
             } catch (IOException | InvalidConfigurationException e) {
-                whyNone = e.getMessage();
+                noSnapshotReason = e.getMessage();
             }
-            Map<String, Long> fleet = new HashMap<>();
-            members.forEach((name, seconds) -> fleet.put(name, started - Math.round(seconds * 1000)));
-            RecoveryPlan plan = new Recovery(started, snapshot, whyNone, RecoveryConfig.of(meterPeriodMs))
-                    .plan(started + Math.round(afterS * 1000), agreed, fleet);
+            Map<String, Long> startMsByMember = new HashMap<>();
+            members.forEach((name, seconds) -> startMsByMember.put(name, startedMs - Math.round(seconds * 1000)));
+            RecoveryPlan plan = new Recovery(startedMs, snapshot, noSnapshotReason, RecoveryConfig.of(meterPeriodMs))
+                    .plan(startedMs + Math.round(afterS * 1000), agreed, startMsByMember);
             if (json) {
                 System.out.println(Json.object()
                         .add("phase", plan.phase().name())
@@ -107,9 +109,9 @@
                     + (plan.isReady() ? ": clients are taken" : ": no clients yet")
                     + (plan.areQuotasHeld() ? ", bursts are held" : "")
                     + (plan.areBackendsWarmingUp() ? ", all nodes are cold" : ""));
-            plan.trusted().forEach(each -> System.out.println("trusted  " + each));
-            plan.refused().forEach(each -> System.out.println("refused  " + each));
-            plan.pending().forEach(each -> System.out.println("asked    " + each));
+            plan.trusted().forEach(line -> System.out.println("trusted  " + line));
+            plan.refused().forEach(line -> System.out.println("refused  " + line));
+            plan.pending().forEach(line -> System.out.println("asked    " + line));
             return 0;
         }
 
--- a/cli/src/main/java/opalcove/cli/SoakCommand.java
+++ b/cli/src/main/java/opalcove/cli/SoakCommand.java
@@ -25,8 +25,9 @@
         mixinStandardHelpOptions = true,
         versionProvider = Opalcove.Version.class,
         description =
-                "Injects randomized faults that overlap in time on real gateway and backend processes, and judges the"
-                        + " invariants by what clients, backends' connections and discovery saw. Exits with 1 where one was broken.")
+                "Injects randomized faults that overlap in time into real gateway and backend processes, and checks the"
+                        + " invariants against the observations of clients, backend connections and discovery."
+                        + " Exits with 1 if one was violated.")
 final class SoakCommand implements Callable<Integer> {
     @Option(
             names = "--seed",
@@ -39,33 +40,41 @@
             names = "--seeds",
             paramLabel = "N",
             defaultValue = "1",
-            description = "how many seeds in a row (default: ${DEFAULT-VALUE})")
+            description = "number of consecutive seeds (default: ${DEFAULT-VALUE})")
     private int seeds;
 
     @Option(
             names = "--parallel",
             paramLabel = "N",
             defaultValue = "1",
-            description = "runs at a time (default: ${DEFAULT-VALUE})")
+            description = "number of runs at the same time (default: ${DEFAULT-VALUE})")
     private int parallel;
 
-    @Option(names = "--gateways", paramLabel = "N", defaultValue = "0", description = "0: drawn (default)")
+    @Option(
+            names = "--gateways",
+            paramLabel = "N",
+            defaultValue = "0",
+            description = "number of gateways; 0: random (default)")
     private int gateways;
 
-    @Option(names = "--backends", paramLabel = "N", defaultValue = "0", description = "0: drawn (default)")
+    @Option(
+            names = "--backends",
+            paramLabel = "N",
+            defaultValue = "0",
+            description = "number of backends; 0: random (default)")
     private int backends;
 
     @Option(
             names = "--seconds",
             paramLabel = "N",
             defaultValue = "12",
-            description = "of traffic (default: ${DEFAULT-VALUE})")
+            description = "seconds of traffic (default: ${DEFAULT-VALUE})")
     private int seconds;
 
     @Option(names = "--without", paramLabel = "N", split = ",", description = "numbers of faults that are left out")
     private Set<Integer> without = Set.of();
 
-    @Option(names = "--cases", description = "play each fault of the machine alone, and print a table of them")
+    @Option(names = "--cases", description = "run each fault of the machine alone, and print a table of the results")
     private boolean cases;
 
     @Option(names = "--program", paramLabel = "JAR", description = "the gateway program (default: this one)")
@@ -75,22 +84,25 @@
             names = "--kinds",
             paramLabel = "KIND",
             split = ",",
-            description = "the types that faults are drawn from (default: all)")
+            description = "the types from which faults are chosen (default: all)")
     private List<FaultType> kinds = List.of(FaultType.values());
 
     @Option(names = "--except", paramLabel = "KIND", split = ",", description = "types of faults that are left out")
     private Set<FaultType> except = Set.of();
 
-    @Option(names = "--shrink", paramLabel = "RULE", description = "leave out faults while this rule is still broken")
+    @Option(
+            names = "--shrink",
+            paramLabel = "RULE",
+            description = "remove faults as long as this rule is still violated")
     private SoakRule shrink;
 
     @Option(
             names = "--folder",
             paramLabel = "DIR",
-            description = "where logs of runs that failed stay (default: a new one)")
+            description = "the folder for the logs of failed runs (default: a new one)")
     private Path folder;
 
-    @Option(names = "--keep-logs", description = "keep the logs of runs that held, too")
+    @Option(names = "--keep-logs", description = "also keep the logs of runs that passed")
     private boolean keepLogs;
 
     @Override
@@ -98,12 +110,12 @@
         Path files = folder == null ? Files.createTempDirectory("soak") : folder;
         Soak soak = program == null ? new Soak(files) : new Soak(files, program.toString());
         if (!soak.hasShim()) {
-            System.out.println("no C compiler was found: no system calls are failed in these runs");
+            System.out.println("no C compiler was found: these runs inject no failures of system calls");
         }
         if (cases) {
             System.out.println(FaultCase.Outcome.head());
-            for (FaultCase each : FaultCase.values()) {
-                System.out.println(each.play(soak, seed, seconds * 1000).row());
+            for (FaultCase faultCase : FaultCase.values()) {
+                System.out.println(faultCase.play(soak, seed, seconds * 1000).row());
             }
             return 0;
         }
@@ -111,33 +123,33 @@
             System.out.print(soak.shrink(plan(seed), shrink).text());
             return 0;
         }
-        return playAll(soak) == 0 ? 0 : 1;
+        return runAll(soak) == 0 ? 0 : 1;
     }
 
-    private SoakPlan plan(long planned) {
-        SoakPlan whole = SoakPlan.of(planned, new SoakPlan.Size(gateways, backends, seconds * 1000), kinds);
-        return whole.with(whole.faults().stream()
+    private SoakPlan plan(long runSeed) {
+        SoakPlan complete = SoakPlan.of(runSeed, new SoakPlan.Size(gateways, backends, seconds * 1000), kinds);
+        return complete.with(complete.faults().stream()
                 .filter(fault -> !except.contains(fault.kind()) && !without.contains(fault.number()))
                 .toList());
     }
 
-    /** Gives how many seeds failed. */
-    private int playAll(Soak soak) throws Exception {
+    /** Runs all seeds and returns the number of seeds that failed. */
+    private int runAll(Soak soak) throws Exception {
         Coverage coverage = new Coverage();
-        ExecutorService runs = Executors.newFixedThreadPool(parallel);
+        ExecutorService executor = Executors.newFixedThreadPool(parallel);
         List<Future<SoakResult>> results = new ArrayList<>();
-        for (long each = seed; each < seed + seeds; each++) {
-            SoakPlan plan = plan(each);
-            results.add(runs.submit(() -> soak.run(plan, keepLogs)));
+        for (long runSeed = seed; runSeed < seed + seeds; runSeed++) {
+            SoakPlan plan = plan(runSeed);
+            results.add(executor.submit(() -> soak.run(plan, keepLogs)));
         }
         int failed = 0;
-        for (Future<SoakResult> each : results) {
+        for (Future<SoakResult> future : results) {
             SoakResult result;
             try {
-                result = each.get();
+                result = future.get();
             } catch (ExecutionException e) {
                 failed++;
-                System.out.println("a run could not be played to its end: " + e.getCause());
+                System.out.println("a run did not complete: " + e.getCause());
                 continue;
             }
             coverage.add(result.made());
@@ -147,7 +159,7 @@
             }
             System.out.print(result.text());
         }
-        runs.shutdown();
+        executor.shutdown();
         System.out.print(coverage.text());
         System.out.printf("%d of %d seeds failed%n", failed, seeds);
         return failed;
--- a/cli/src/main/java/opalcove/cli/StartupBenchmarkCommand.java
+++ b/cli/src/main/java/opalcove/cli/StartupBenchmarkCommand.java
@@ -17,23 +17,28 @@
         versionProvider = Opalcove.Version.class,
         description =
                 "Starts many gateways at once while discovery is unreachable, and reports how long each takes until it"
-                        + " answers PING.")
+                        + " responds to PING.")
 final class StartupBenchmarkCommand implements Callable<Integer> {
     @Parameters(
             paramLabel = "COMMAND",
-            description = "how one gateway is started, as one word, such as"
+            description = "the command that starts one gateway, as one argument, such as"
                     + " 'java -jar target/opalcove-gateway.jar serve'")
     private String command;
 
-    @Option(names = "--gateways", paramLabel = "N", defaultValue = "30", description = "(default: ${DEFAULT-VALUE})")
+    @Option(
+            names = "--gateways",
+            paramLabel = "N",
+            defaultValue = "30",
+            description = "number of gateways (default: ${DEFAULT-VALUE})")
     private int gateways;
 
     @Option(
             names = "--away",
             paramLabel = "HOW",
             defaultValue = "SILENT",
-            description = "SILENT: lists are pushed, and the agent sends nothing; REFUSED: one service is polled for"
-                    + " lists, and refuses connections (default: ${DEFAULT-VALUE})")
+            description =
+                    "SILENT: the agent that pushes the lists sends nothing; REFUSED: the service that is polled for"
+                            + " the lists refuses connections (default: ${DEFAULT-VALUE})")
     private StartupBenchmark.Outage outage;
 
     @Option(names = "--json", description = "print one object")
@@ -42,28 +47,28 @@
     @Override
     public Integer call() throws Exception {
         List<StartupBenchmark.Start> starts;
-        try (StartupBenchmark rig =
+        try (StartupBenchmark benchmark =
                 new StartupBenchmark(Arrays.asList(command.trim().split("\\s+")), outage)) {
-            starts = rig.run(gateways).stream()
+            starts = benchmark.run(gateways).stream()
                     .sorted(Comparator.comparingDouble(StartupBenchmark.Start::readyMs))
                     .toList();
         }
-        double processor = starts.stream()
+        double cpuMs = starts.stream()
                 .mapToDouble(StartupBenchmark.Start::processorMs)
                 .average()
                 .orElse(0);
         if (json) {
             JsonObject line = Json.object()
                     .add("gateways", gateways)
-                    .add("ready_p50_ms", ready(starts, 0.5))
-                    .add("ready_p90_ms", ready(starts, 0.9))
-                    .add("ready_max_ms", ready(starts, 1))
-                    .add("processor_ms", processor);
+                    .add("ready_p50_ms", readyMs(starts, 0.5))
+                    .add("ready_p90_ms", readyMs(starts, 0.9))
+                    .add("ready_max_ms", readyMs(starts, 1))
+                    .add("processor_ms", cpuMs);
             System.out.println(line);
         } else {
             System.out.printf(
                     "%d gateways ready after: p50 %.0f ms  p90 %.0f ms  max %.0f ms; processor %.0f ms each%n",
-                    gateways, ready(starts, 0.5), ready(starts, 0.9), ready(starts, 1), processor);
+                    gateways, readyMs(starts, 0.5), readyMs(starts, 0.9), readyMs(starts, 1), cpuMs);
             System.out.println(
                     "the median one: " + starts.get(rank(starts.size(), 0.5)).phases());
             System.out.println(
@@ -72,8 +77,8 @@
         return 0;
     }
 
-    /** The time within which that share of the gateways was ready, ms. */
-    private static double ready(List<StartupBenchmark.Start> sorted, double share) {
+    /** Returns the time in milliseconds within which the given share of the gateways was ready. */
+    private static double readyMs(List<StartupBenchmark.Start> sorted, double share) {
         return sorted.get(rank(sorted.size(), share)).readyMs();
     }
 
--- a/cli/src/main/java/opalcove/cli/StateCommand.java
+++ b/cli/src/main/java/opalcove/cli/StateCommand.java
@@ -26,7 +26,7 @@
         name = "state",
         mixinStandardHelpOptions = true,
         versionProvider = Opalcove.Version.class,
-        description = "Shows and changes the replicated configuration: settings and endpoint list.",
+        description = "Shows and changes the replicated configuration: the settings and the endpoint list.",
         subcommands = {StateCommand.Show.class, StateCommand.History.class, StateCommand.Propose.class})
 final class StateCommand implements Runnable {
     @Spec
@@ -37,27 +37,28 @@
         throw new CommandLine.ParameterException(spec.commandLine(), "Missing required subcommand");
     }
 
-    /** What all of them take. */
+    /** The options that all subcommands share. */
     static final class Voters {
         @Option(
                 names = "--voter",
                 required = true,
                 paramLabel = "ADDRESS",
                 split = ",",
-                description = "voters' agreement addresses, such as 127.0.0.1:7947; the first that answers will do")
+                description = "agreement addresses of the voters, such as 127.0.0.1:7947; the first voter"
+                        + " that responds is used")
         private List<String> voters;
 
         @Option(
                 names = "--most-s",
                 paramLabel = "S",
                 defaultValue = "10",
-                description = "how long to try at most (default: ${DEFAULT-VALUE})")
+                description = "how many seconds to retry at most (default: ${DEFAULT-VALUE})")
         private int maxS;
 
         ReplicationClient client() {
             return new ReplicationClient(
                     voters.stream()
-                            .map(each -> HostAndPort.parse(each, "--voter"))
+                            .map(voter -> HostAndPort.parse(voter, "--voter"))
                             .toList(),
                     maxS * 1000L);
         }
@@ -67,7 +68,7 @@
             name = "show",
             mixinStandardHelpOptions = true,
             versionProvider = Opalcove.Version.class,
-            description = "Prints the version in force: its number to standard error, its text to standard output.")
+            description = "Prints the version in force: its number on standard error, its text on standard output.")
     static final class Show implements Callable<Integer> {
         @CommandLine.Mixin
         private Voters voters;
@@ -85,7 +86,7 @@
             name = "history",
             mixinStandardHelpOptions = true,
             versionProvider = Opalcove.Version.class,
-            description = "Lists the last versions, by number, who proposed them, and the proposals' ids.")
+            description = "Lists the latest versions with their numbers, authors and proposal ids.")
     static final class History implements Callable<Integer> {
         @CommandLine.Mixin
         private Voters voters;
@@ -96,14 +97,14 @@
         @Override
         public Integer call() throws IOException {
             JsonArray list = new JsonArray();
-            for (VersionLog.Version each : voters.client().history()) {
+            for (VersionLog.Version version : voters.client().history()) {
                 if (json) {
                     list.add(Json.object()
-                            .add("number", each.number())
-                            .add("by", each.author())
-                            .add("id", each.proposalId()));
+                            .add("number", version.number())
+                            .add("by", version.author())
+                            .add("id", version.proposalId()));
                 } else {
-                    System.out.println(each.number() + " " + each.author() + " " + each.proposalId());
+                    System.out.println(version.number() + " " + version.author() + " " + version.proposalId());
                 }
             }
             if (json) {
@@ -117,14 +118,15 @@
             name = "propose",
             mixinStandardHelpOptions = true,
             versionProvider = Opalcove.Version.class,
-            description = "Prints what a file would change in the version in force, then proposes it as the next one.")
+            description = "Prints how a file would change the version in force, then proposes the file as the next"
+                    + " version.")
     static final class Propose implements Callable<Integer> {
         @CommandLine.Mixin
         private Voters voters;
 
         @Parameters(
                 paramLabel = "FILE",
-                description = "the whole next version: settings, and endpoints where the list is replicated")
+                description = "the complete next version: the settings, and the endpoints if the list is replicated")
         private Path file;
 
         @Option(
@@ -132,10 +134,10 @@
                 paramLabel = "WHO",
                 defaultValue = "${sys:user.name}",
                 description = "the author of the proposal")
-        private String by;
+        private String author;
 
-        @Option(names = "--plan", description = "print what would change, and propose nothing")
-        private boolean plan;
+        @Option(names = "--plan", description = "print the changes without proposing them")
+        private boolean planOnly;
 
         @Override
         public Integer call() throws IOException {
@@ -152,10 +154,10 @@
             System.out.println(changes.size()
                     + (changes.size() == 1 ? " change to version " : " changes to version ")
                     + version.number());
-            if (plan || changes.isEmpty()) {
+            if (planOnly || changes.isEmpty()) {
                 return 0;
             }
-            VersionLog.Outcome outcome = client.propose(version.number(), by, text);
+            VersionLog.Outcome outcome = client.propose(version.number(), author, text);
             if (!outcome.accepted()) {
                 throw new InvalidConfigurationException("refused: " + outcome.reason());
             }
@@ -164,43 +166,46 @@
         }
     }
 
-    /** What is added (+), changed (~) and removed (-), a line each, by path; list entries that have a name go by it. */
+    /**
+     * Returns one line per added (+), changed (~) or removed (-) value, sorted by path. The path of a list entry
+     * that has a name contains the name instead of the index.
+     */
     static List<String> changes(String before, String after) {
-        TreeMap<String, String> was = new TreeMap<>();
-        TreeMap<String, String> is = new TreeMap<>();
+        TreeMap<String, String> oldValues = new TreeMap<>();
+        TreeMap<String, String> newValues = new TreeMap<>();
         if (!before.isEmpty()) {
-            flatten("", Json.parse(before), was);
+            flatten("", Json.parse(before), oldValues);
         }
-        flatten("", Json.parse(after), is);
+        flatten("", Json.parse(after), newValues);
         TreeMap<String, String> lines = new TreeMap<>();
-        is.forEach((path, value) -> {
-            if (!was.containsKey(path)) {
+        newValues.forEach((path, value) -> {
+            if (!oldValues.containsKey(path)) {
                 lines.put(path, "+ " + path + " " + value);
-            } else if (!was.get(path).equals(value)) {
-                lines.put(path, "~ " + path + " " + was.get(path) + " -> " + value);
+            } else if (!oldValues.get(path).equals(value)) {
+                lines.put(path, "~ " + path + " " + oldValues.get(path) + " -> " + value);
             }
         });
-        was.forEach((path, value) -> {
-            if (!is.containsKey(path)) {
+        oldValues.forEach((path, value) -> {
+            if (!newValues.containsKey(path)) {
                 lines.put(path, "- " + path + " " + value);
             }
         });
         return List.copyOf(lines.values());
     }
 
-    private static void flatten(String path, JsonValue value, TreeMap<String, String> into) {
+    private static void flatten(String path, JsonValue value, TreeMap<String, String> values) {
         if (value.isObject()) {
             for (JsonObject.Member member : value.asObject()) {
-                flatten(path.isEmpty() ? member.getName() : path + "." + member.getName(), member.getValue(), into);
+                flatten(path.isEmpty() ? member.getName() : path + "." + member.getName(), member.getValue(), values);
             }
         } else if (value.isArray()) {
             for (int i = 0; i < value.asArray().size(); i++) {
-                JsonValue each = value.asArray().get(i);
-                JsonValue name = each.isObject() ? each.asObject().get("name") : null;
-                flatten(path + "[" + (name != null && name.isString() ? name.asString() : i) + "]", each, into);
+                JsonValue entry = value.asArray().get(i);
+                JsonValue name = entry.isObject() ? entry.asObject().get("name") : null;
+                flatten(path + "[" + (name != null && name.isString() ? name.asString() : i) + "]", entry, values);
             }
         } else {
-            into.put(path, value.toString());
+            values.put(path, value.toString());
         }
     }
 }
