--- a/benchmarks/src/main/java/opalcove/core/AlarmsBenchmark.java
+++ b/benchmarks/src/main/java/opalcove/core/AlarmsBenchmark.java
@@ -16,7 +16,7 @@
 import org.openjdk.jmh.annotations.TearDown;
 import org.openjdk.jmh.annotations.Warmup;
 
-/** Setting an alarm and cancelling the earliest, with so many set: what an ask does three times. */
+/** Measures cancelling the earliest of many timers and scheduling a new one; each request does this three times. */
 @State(Scope.Thread)
 @BenchmarkMode(Mode.AverageTime)
 @OutputTimeUnit(TimeUnit.NANOSECONDS)
@@ -26,28 +26,29 @@
         value = 1,
         jvmArgsAppend = {"-XX:+UseSerialGC", "-XX:TieredStopAtLevel=1"})
 public class AlarmsBenchmark {
+    /** The number of scheduled timers. JMH uses the field name as the name of the parameter. */
     @Param({"100", "10000"})
     private int set;
 
     private final Vertx vertx = Vertx.vertx();
-    private final TimerQueue alarms = new TimerQueue(vertx, new Clock());
-    private TimerQueue.Timer[] ring;
+    private final TimerQueue timerQueue = new TimerQueue(vertx, new Clock());
+    private TimerQueue.Timer[] timers;
     private int next;
 
-    private static final class Quiet extends TimerQueue.Timer {
+    private static final class NoOpTimer extends TimerQueue.Timer {
         @Override
         void onExpiry() {
-            // set for far later than the benchmark lasts
+            // Never called: the timers expire an hour from now, long after the benchmark.
         }
     }
 
-    /** Sets the timers that stay. */
+    /** Schedules the initial timers. */
     @Setup
     public void start() {
-        ring = new TimerQueue.Timer[set];
+        timers = new TimerQueue.Timer[set];
         for (int i = 0; i < set; i++) {
-            ring[i] = new Quiet();
-            alarms.schedule(3_600_000 + i, ring[i]);
+            timers[i] = new NoOpTimer();
+            timerQueue.schedule(3_600_000 + i, timers[i]);
         }
     }
 
@@ -57,14 +58,14 @@
         vertx.close();
     }
 
-    /** Sets a timer and cancels it. */
+    /** Cancels the earliest timer and schedules a new one. */
     @Benchmark
     public int setAndCancel() {
-        TimerQueue.Timer earliest = ring[next];
-        alarms.cancel(earliest);
-        ring[next] = new Quiet();
-        alarms.schedule(3_600_000 + set, ring[next]);
+        TimerQueue.Timer earliest = timers[next];
+        timerQueue.cancel(earliest);
+        timers[next] = new NoOpTimer();
+        timerQueue.schedule(3_600_000 + set, timers[next]);
         next = (next + 1) % set;
-        return alarms.size();
+        return timerQueue.size();
     }
 }
--- a/benchmarks/src/main/java/opalcove/resp/ReaderBenchmark.java
+++ b/benchmarks/src/main/java/opalcove/resp/ReaderBenchmark.java
@@ -20,7 +20,7 @@
 import org.openjdk.jmh.annotations.TearDown;
 import org.openjdk.jmh.annotations.Warmup;
 
-/** What it takes to read an ask from a terminal's bytes, and an end from a node's, with the flags of the platform's JVM. */
+/** Measures decoding a request of a client and a reply of a backend, with the JVM flags of the platform. */
 @State(Scope.Thread)
 @BenchmarkMode(Mode.AverageTime)
 @OutputTimeUnit(TimeUnit.NANOSECONDS)
@@ -38,32 +38,32 @@
     private final ByteBuf request = bytes(REQUEST);
     private final ByteBuf reply = bytes(REPLY);
     private io.vertx.core.Vertx vertx;
-    private RespDecoder requests;
-    private RespDecoder replies;
-    private Object read;
+    private RespDecoder clientDecoder;
+    private RespDecoder backendDecoder;
+    private Object decoded;
 
     private static ByteBuf bytes(String text) {
         return Unpooled.directBuffer().writeBytes(text.getBytes(StandardCharsets.US_ASCII));
     }
 
-    /** Builds the readers of requests and answers. */
+    /** Creates the decoders of requests and backendDecoder. */
     @Setup
     public void start() {
         vertx = io.vertx.core.Vertx.vertx();
         var settings = Laboratory.settings();
-        RequestDispatcher gateway = new RequestDispatcher(
+        RequestDispatcher dispatcher = new RequestDispatcher(
                 vertx,
                 new Clock(),
                 settings,
                 1,
                 new ConnectionPool(vertx, settings, new RespConnector(vertx, settings), 1));
-        RequestDecoder requestDecoder = new RequestDecoder(gateway::requestValidator);
-        BackendReplyDecoder nodeReply = new BackendReplyDecoder(settings);
-        requests = new RespDecoder(8, new RespListener() {
+        RequestDecoder requestDecoder = new RequestDecoder(dispatcher::requestValidator);
+        BackendReplyDecoder replyDecoder = new BackendReplyDecoder(settings);
+        clientDecoder = new RespDecoder(8, new RespListener() {
             @Override
             public void valueDecoded(RespDecoder value) {
                 try {
-                    read = requestDecoder.decode(value, null);
+                    decoded = requestDecoder.decode(value, null);
                 } catch (opalcove.core.InvalidRequestException e) {
                     throw new IllegalStateException(e);
                 }
@@ -74,10 +74,10 @@
                 throw new IllegalStateException(reason);
             }
         });
-        replies = new RespDecoder(BackendReplyDecoder.PARTS, new RespListener() {
+        backendDecoder = new RespDecoder(BackendReplyDecoder.PARTS, new RespListener() {
             @Override
             public void valueDecoded(RespDecoder value) {
-                read = nodeReply.decode(value);
+                decoded = replyDecoder.decode(value);
             }
 
             @Override
@@ -93,17 +93,17 @@
         vertx.close();
     }
 
-    /** Parses one request of a client. */
+    /** Decodes one request of a client. */
     @Benchmark
     public Object aRequest() {
-        requests.decode(request.retainedDuplicate());
-        return read;
+        clientDecoder.decode(request.retainedDuplicate());
+        return decoded;
     }
 
-    /** Parses one answer of a backend. */
+    /** Decodes one reply of a backend. */
     @Benchmark
     public Object aReply() {
-        replies.decode(reply.retainedDuplicate());
-        return read;
+        backendDecoder.decode(reply.retainedDuplicate());
+        return decoded;
     }
 }
--- a/example/ToyServer.java
+++ b/example/ToyServer.java
@@ -15,94 +15,94 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Stand-ins with which to try the gateway: two app nodes and discovery, on loopback.
+ * Runs two simple backends and a discovery service on loopback, to try out the gateway.
  *
  * <pre>
- * java example/ToyServer.java                   serves on the ports of example/config.json until it is ended
- * java example/ToyServer.java try COMMAND ...   on free ports: starts the gateway by COMMAND, asks it, ends it
+ * java example/ToyServer.java                   serves on the ports of example/config.json until it is stopped
+ * java example/ToyServer.java try COMMAND ...   on free ports: starts the gateway by COMMAND, sends requests, stops it
  * </pre>
  */
 public final class ToyServer {
     private static final Path CONFIG = Path.of("example/config.json");
-    private static final int ASKS = 400;
+    private static final int REQUEST_COUNT = 400;
 
     private final ServerSocket discovery;
-    private final ServerSocket[] nodes;
+    private final ServerSocket[] backends;
 
-    private ToyServer(boolean free) throws IOException {
-        discovery = listen(free ? 0 : 7101);
-        nodes = new ServerSocket[] {listen(free ? 0 : 7102), listen(free ? 0 : 7103)};
+    private ToyServer(boolean useFreePorts) throws IOException {
+        discovery = listen(useFreePorts ? 0 : 7101);
+        backends = new ServerSocket[] {listen(useFreePorts ? 0 : 7102), listen(useFreePorts ? 0 : 7103)};
         serve(discovery, this::discover);
-        for (ServerSocket node : nodes) {
-            serve(node, ToyServer::work);
+        for (ServerSocket backend : backends) {
+            serve(backend, ToyServer::handleCommands);
         }
     }
 
     public static void main(String[] args) throws Exception {
         if (args.length == 0) {
             new ToyServer(false);
-            System.out.println("discovery on 127.0.0.1:7101, app nodes on 7102 and 7103");
+            System.out.println("discovery on 127.0.0.1:7101, backends on 7102 and 7103");
             Thread.currentThread().join();
         }
         if (args.length < 2 || !args[0].equals("try")) {
             System.err.println("usage: java example/ToyServer.java [try COMMAND ...]");
             System.exit(2);
         }
-        System.exit(new ToyServer(true).attempt(Arrays.asList(args).subList(1, args.length)));
+        System.exit(new ToyServer(true).tryGateway(Arrays.asList(args).subList(1, args.length)));
     }
 
     private static ServerSocket listen(int port) throws IOException {
         return new ServerSocket(port, 50, InetAddress.getByName("127.0.0.1"));
     }
 
-    private interface Conversation {
-        void hold(InputStream in, OutputStream out) throws IOException;
+    private interface ConnectionHandler {
+        void handle(InputStream in, OutputStream out) throws IOException;
     }
 
-    private static void serve(ServerSocket server, Conversation conversation) {
-        daemon(() -> {
+    private static void serve(ServerSocket server, ConnectionHandler handler) {
+        startDaemon(() -> {
             while (true) {
                 Socket socket = server.accept();
-                daemon(() -> {
+                startDaemon(() -> {
                     try (socket) {
-                        conversation.hold(new BufferedInputStream(socket.getInputStream()), socket.getOutputStream());
+                        handler.handle(new BufferedInputStream(socket.getInputStream()), socket.getOutputStream());
                     }
                 });
             }
         });
     }
 
-    private interface Work {
+    private interface IoTask {
         void run() throws IOException;
     }
 
-    private static void daemon(Work work) {
+    private static void startDaemon(IoTask task) {
         Thread thread = new Thread(() -> {
             try {
-                work.run();
+                task.run();
             } catch (IOException e) {
-                // the other side has ended the connection
+                // The peer has closed the connection.
             }
         });
         thread.setDaemon(true);
         thread.start();
     }
 
-    /** Discovery: the whole list at once; a watch waits, for nothing ever changes here. */
+    /** Discovery: returns the complete list at once; a watch returns no change after 1 s, as the list is constant. */
     private void discover(InputStream in, OutputStream out) throws IOException {
         while (true) {
-            String call = line(in);
-            while (!line(in).isEmpty()) {
-                // headers
+            String requestLine = readLine(in);
+            while (!readLine(in).isEmpty()) {
+                // Skips the headers.
             }
-            boolean watch = call.contains("since=");
+            boolean watch = requestLine.contains("since=");
             StringBuilder list = new StringBuilder();
-            for (int i = 0; i < nodes.length && !watch; i++) {
+            for (int i = 0; i < backends.length && !watch; i++) {
                 list.append(i == 0 ? "" : ",")
                         .append("{\"name\":\"toy-")
                         .append(i)
                         .append("\",\"address\":\"127.0.0.1:")
-                        .append(nodes[i].getLocalPort())
+                        .append(backends[i].getLocalPort())
                         .append("\",\"zone\":\"room-a\",\"type\":\"std-3\",\"group\":1,")
                         .append("\"status\":\"up\",\"weight\":1.0,\"since_ms\":0}");
             }
@@ -119,12 +119,12 @@
         }
     }
 
-    /** An app node: 5 ms of work, then the value with the figures on use and a load report. */
-    private static void work(InputStream in, OutputStream out) throws IOException {
+    /** A backend: works for 5 ms, then replies with the value, its usage figures and a load report. */
+    private static void handleCommands(InputStream in, OutputStream out) throws IOException {
         while (true) {
-            List<String> words = command(in);
+            List<String> arguments = readCommand(in);
             pause(5);
-            String value = "done " + words.get(2);
+            String value = "done " + arguments.get(2);
             out.write(("*3\r\n$" + value.length() + "\r\n" + value + "\r\n$14\r\nused=12,cost=1\r\n$8\r\nsvc_ms=5\r\n")
                     .getBytes(StandardCharsets.UTF_8));
             out.flush();
@@ -139,29 +139,29 @@
         }
     }
 
-    private static String line(InputStream in) throws IOException {
+    private static String readLine(InputStream in) throws IOException {
         StringBuilder line = new StringBuilder();
-        for (int each = in.read(); each != '\n'; each = in.read()) {
-            if (each < 0) {
+        for (int character = in.read(); character != '\n'; character = in.read()) {
+            if (character < 0) {
                 throw new EOFException();
             }
-            line.append((char) each);
+            line.append((char) character);
         }
         return line.toString().strip();
     }
 
-    private static List<String> command(InputStream in) throws IOException {
-        List<String> words = new ArrayList<>();
-        for (int left = Integer.parseInt(line(in).substring(1)); left > 0; left--) {
-            byte[] word = in.readNBytes(Integer.parseInt(line(in).substring(1)));
-            line(in);
-            words.add(new String(word, StandardCharsets.UTF_8));
+    private static List<String> readCommand(InputStream in) throws IOException {
+        List<String> arguments = new ArrayList<>();
+        for (int remaining = Integer.parseInt(readLine(in).substring(1)); remaining > 0; remaining--) {
+            byte[] argument = in.readNBytes(Integer.parseInt(readLine(in).substring(1)));
+            readLine(in);
+            arguments.add(new String(argument, StandardCharsets.UTF_8));
         }
-        return words;
+        return arguments;
     }
 
-    /** Starts the gateway, asks it some things over two connections, prints a few answers and ends it by SIGTERM. */
-    private int attempt(List<String> command) throws Exception {
+    /** Starts the gateway, sends requests over one connection, prints the first responses and stops it by SIGTERM. */
+    private int tryGateway(List<String> command) throws Exception {
         int port;
         try (ServerSocket free = listen(0)) {
             port = free.getLocalPort();
@@ -176,8 +176,8 @@
         builder.environment().put("GW_CONFIG", config.toString());
         Process gateway = builder.start();
         try {
-            int served = ask(gateway, port);
-            System.out.println(served + " of " + ASKS + " asks served");
+            int served = sendRequests(gateway, port);
+            System.out.println(served + " of " + REQUEST_COUNT + " requests served");
             gateway.destroy();
             boolean ended = gateway.waitFor(30, TimeUnit.SECONDS);
             System.out.println(ended ? "the gateway ended with " + gateway.exitValue() : "the gateway did not end");
@@ -188,39 +188,39 @@
         }
     }
 
-    private static int ask(Process gateway, int port) throws IOException {
+    private static int sendRequests(Process gateway, int port) throws IOException {
         int served = 0;
-        try (Socket terminal = connect(gateway, port)) {
-            InputStream in = new BufferedInputStream(terminal.getInputStream());
-            OutputStream out = terminal.getOutputStream();
-            for (int i = 0; i < ASKS; i++) {
+        try (Socket client = connect(gateway, port)) {
+            InputStream in = new BufferedInputStream(client.getInputStream());
+            OutputStream out = client.getOutputStream();
+            for (int i = 0; i < REQUEST_COUNT; i++) {
                 boolean record = i % 3 == 0;
-                String marks = (record ? "c=swap-record,k=5c0f6e1a2b3d4c59" : "c=slot-status")
+                String attributes = (record ? "c=swap-record,k=5c0f6e1a2b3d4c59" : "c=slot-status")
                         + ",t=flotte,d=2000,units=1,spread=1,first=0";
-                String[] words = {
+                String[] arguments = {
                     record ? "SVC.SUBMIT" : "SVC.QUERY",
                     String.format("%016x", i % 40),
                     String.format("%016x", i),
-                    marks,
+                    attributes,
                     "one battery for another"
                 };
                 StringBuilder bytes = new StringBuilder("*" + (record ? 5 : 4) + "\r\n");
-                for (String word : Arrays.asList(words).subList(0, record ? 5 : 4)) {
+                for (String argument : Arrays.asList(arguments).subList(0, record ? 5 : 4)) {
                     bytes.append('$')
-                            .append(word.length())
+                            .append(argument.length())
                             .append("\r\n")
-                            .append(word)
+                            .append(argument)
                             .append("\r\n");
                 }
                 out.write(bytes.toString().getBytes(StandardCharsets.UTF_8));
                 out.flush();
-                String answer = line(in);
-                if (answer.startsWith("$")) {
+                String response = readLine(in);
+                if (response.startsWith("$")) {
                     served++;
-                    answer = line(in);
+                    response = readLine(in);
                 }
                 if (i < 3) {
-                    System.out.println(marks + " -> " + answer);
+                    System.out.println(attributes + " -> " + response);
                 }
             }
         }
@@ -228,13 +228,13 @@
     }
 
     private static Socket connect(Process gateway, int port) throws IOException {
-        for (int tries = 0; gateway.isAlive() && tries < 300; tries++) {
+        for (int attempts = 0; gateway.isAlive() && attempts < 300; attempts++) {
             try {
                 return new Socket("127.0.0.1", port);
             } catch (IOException e) {
                 pause(50);
             }
         }
-        throw new IOException("the gateway does not listen");
+        throw new IOException("the gateway does not listen on 127.0.0.1:" + port);
     }
 }
