--- a/laboratory/src/main/java/opalcove/laboratory/soak/FaultInjector.java
+++ b/laboratory/src/main/java/opalcove/laboratory/soak/FaultInjector.java
@@ -160,8 +160,11 @@
     private void cutProxies(Fault fault) throws InterruptedException {
         List<BackendFaultProxy> all = cluster.proxies(fault.target());
         int count = Math.max(1, (int) (all.size() * (0.2 + 0.6 * fault.draw())));
-        List<BackendFaultProxy> cut = all.subList(0, count);
-        during(fault, () -> cut.forEach(proxy -> proxy.setCut(true)), () -> cut.forEach(proxy -> proxy.setCut(false)));
+        List<BackendFaultProxy> affected = all.subList(0, count);
+        during(
+                fault,
+                () -> affected.forEach(proxy -> proxy.setCut(true)),
+                () -> affected.forEach(proxy -> proxy.setCut(false)));
     }
 
     private boolean injectAtBackend(Fault fault) throws IOException, InterruptedException {
--- a/laboratory/src/main/java/opalcove/laboratory/soak/Oracle.java
+++ b/laboratory/src/main/java/opalcove/laboratory/soak/Oracle.java
@@ -62,8 +62,8 @@
         return violations;
     }
 
-    private void addViolation(SoakRule rule, int gateway, double at, String form, Object... values) {
-        violations.add(new SoakViolation(rule, gateway, at, String.format(Locale.ROOT, form, values)));
+    private void addViolation(SoakRule rule, int gateway, double at, String format, Object... values) {
+        violations.add(new SoakViolation(rule, gateway, at, String.format(Locale.ROOT, format, values)));
     }
 
     private double tolerance(double at) {
@@ -210,8 +210,8 @@
                     attempt.backend,
                     at - request.endAt);
         }
-        boolean answered = request.end == End.SERVED || request.end == End.REFUSED || request.end == End.FAILED;
-        if (answered && at > request.endAt + DISCONNECT_SLACK_MS + slack) {
+        boolean responded = request.end == End.SERVED || request.end == End.REFUSED || request.end == End.FAILED;
+        if (responded && at > request.endAt + DISCONNECT_SLACK_MS + slack) {
             addViolation(
                     SoakRule.NOT_AFTER_THE_ANSWER,
                     attempt.gateway,
--- a/laboratory/src/main/java/opalcove/laboratory/soak/Soak.java
+++ b/laboratory/src/main/java/opalcove/laboratory/soak/Soak.java
@@ -64,7 +64,7 @@
     /** Runs a plan with additional actions on its processes. */
     SoakResult run(SoakPlan plan, boolean keepLogs, RunActions actions) throws Exception {
         Path runFolder = Files.createTempDirectory(folder, "seed-" + plan.seed() + "-");
-        SoakResult result = play(plan, runFolder, actions);
+        SoakResult result = runIn(plan, runFolder, actions);
         if (keepLogs || !result.violations().isEmpty()) {
             Files.writeString(runFolder.resolve("result.txt"), plan.text() + result.text() + allViolations(result));
         } else {
@@ -79,7 +79,7 @@
         return text.toString();
     }
 
-    private SoakResult play(SoakPlan plan, Path runFolder, RunActions actions) throws Exception {
+    private SoakResult runIn(SoakPlan plan, Path runFolder, RunActions actions) throws Exception {
         try (SoakCluster cluster = new SoakCluster(plan, runFolder, programFiles, actions.clockAheadMs());
                 FaultInjector faultInjector = new FaultInjector(cluster)) {
             cluster.startTraffic();
--- a/laboratory/src/main/java/opalcove/laboratory/soak/SoakClass.java
+++ b/laboratory/src/main/java/opalcove/laboratory/soak/SoakClass.java
@@ -11,13 +11,13 @@
     PAYMENT("payment", "unsafe", 2000, 0);
 
     final String label;
-    final String effect;
+    final String idempotency;
     final int deadlineMs;
     final int windowMs;
 
-    SoakClass(String label, String effect, int deadlineMs, int windowMs) {
+    SoakClass(String label, String idempotency, int deadlineMs, int windowMs) {
         this.label = label;
-        this.effect = effect;
+        this.idempotency = idempotency;
         this.deadlineMs = deadlineMs;
         this.windowMs = windowMs;
     }
@@ -32,7 +32,7 @@
                 .add("value", 2.0)
                 .add("aim_ms", deadlineMs / 2.0)
                 .add("deadline_ms", (double) deadlineMs)
-                .add("idempotency", effect)
+                .add("idempotency", idempotency)
                 .add("group", this == ORDER ? reach : "all")
                 .add("window_ms", (double) windowMs)
                 .add("late_value", 0.0)
--- a/laboratory/src/main/java/opalcove/laboratory/soak/SoakCluster.java
+++ b/laboratory/src/main/java/opalcove/laboratory/soak/SoakCluster.java
@@ -77,16 +77,16 @@
     }
 
     private void connect(int gateway, Path folder, GatewayProcess.ProgramFiles programFiles) throws IOException {
-        List<BackendFaultProxy> own = new ArrayList<>();
+        List<BackendFaultProxy> ofGateway = new ArrayList<>();
         List<String> addresses = new ArrayList<>();
         for (int i = 0; i < backends.size(); i++) {
             BackendFaultProxy proxy =
                     new BackendFaultProxy(gateway, i, loop, clock, history, plan.seed() * 1000 + gateway * 50 + i);
             proxy.open(backends.get(i).port());
-            own.add(proxy);
+            ofGateway.add(proxy);
             addresses.add(proxy.address());
         }
-        proxies.add(own);
+        proxies.add(ofGateway);
         List<DiscoveryAgent> pair = new ArrayList<>();
         for (int i = 0; i < 2; i++) {
             DiscoveryAgent agent =
@@ -197,10 +197,10 @@
     void restartBackend(int backend, int outageMs) throws IOException, InterruptedException {
         synchronized (backends.get(backend)) {
             backends.get(backend).kill();
-            onLoop(() -> proxies.forEach(own -> own.get(backend).close()));
+            onLoop(() -> proxies.forEach(ofGateway -> ofGateway.get(backend).close()));
             TimeUnit.MILLISECONDS.sleep(outageMs);
             int port = backends.get(backend).start();
-            onLoop(() -> proxies.forEach(own -> own.get(backend).open(port)));
+            onLoop(() -> proxies.forEach(ofGateway -> ofGateway.get(backend).open(port)));
             change(backend, fleet.entry(backend).status, true);
         }
     }
@@ -267,8 +267,8 @@
             each.close();
         }
         loop.shutdownGracefully(0, 1, TimeUnit.SECONDS).syncUninterruptibly();
-        for (List<BackendFaultProxy> own : proxies) {
-            for (BackendFaultProxy each : own) {
+        for (List<BackendFaultProxy> ofGateway : proxies) {
+            for (BackendFaultProxy each : ofGateway) {
                 each.release();
             }
         }
--- a/laboratory/src/test/java/opalcove/laboratory/soak/OracleTest.java
+++ b/laboratory/src/test/java/opalcove/laboratory/soak/OracleTest.java
@@ -77,9 +77,9 @@
         History later = new History();
         served(ordinary(later, SoakClass.LOOKUP), 2530);
         assertEquals(brokenRules(later), Set.of(SoakRule.ANSWERED));
-        History never = new History();
-        ordinary(never, SoakClass.LOOKUP);
-        assertEquals(brokenRules(never), Set.of(SoakRule.ANSWERED));
+        History missing = new History();
+        ordinary(missing, SoakClass.LOOKUP);
+        assertEquals(brokenRules(missing), Set.of(SoakRule.ANSWERED));
     }
 
     @Test
@@ -114,13 +114,13 @@
 
     @Test
     public void reportsAttemptAfterClientDisconnectedOrGotResponse() {
-        History left = new History();
-        ordinary(left, SoakClass.LOOKUP).ended(End.LEFT, 800);
-        assertEquals(brokenRules(left), Set.of(SoakRule.NOT_FOR_CLIENTS_THAT_LEFT));
-        History answered = new History();
-        Request request = served(ordinary(answered, SoakClass.LOOKUP), 1051);
-        attempt(answered, request, 1, 1400, 600).endedAt = 1401;
-        assertEquals(brokenRules(answered), Set.of(SoakRule.NOT_AFTER_THE_ANSWER));
+        History disconnected = new History();
+        ordinary(disconnected, SoakClass.LOOKUP).ended(End.LEFT, 800);
+        assertEquals(brokenRules(disconnected), Set.of(SoakRule.NOT_FOR_CLIENTS_THAT_LEFT));
+        History responded = new History();
+        Request request = served(ordinary(responded, SoakClass.LOOKUP), 1051);
+        attempt(responded, request, 1, 1400, 600).endedAt = 1401;
+        assertEquals(brokenRules(responded), Set.of(SoakRule.NOT_AFTER_THE_ANSWER));
     }
 
     @Test
@@ -172,7 +172,7 @@
     }
 
     @Test
-    public void reportsHedgedRequestAndTooManyAttemptsBeyondSettings() {
+    public void reportsHedgedRequestAndAttemptsBeyondSettings() {
         History copies = new History();
         Request request = ordinary(copies, SoakClass.LOOKUP);
         request.attempts.get(0).endedAt = 1500;
@@ -180,11 +180,11 @@
         served(request, 1501);
         assertEquals(brokenRules(copies), Set.of(SoakRule.SECOND_COPY));
         History many = new History();
-        Request often = ordinary(many, SoakClass.LOOKUP);
+        Request attemptedOften = ordinary(many, SoakClass.LOOKUP);
         for (int i = 0; i < 3; i++) {
-            attempt(many, often, 1, 1100 + 20 * i, 880).endedAt = 1105 + 20 * i;
+            attempt(many, attemptedOften, 1, 1100 + 20 * i, 880).endedAt = 1105 + 20 * i;
         }
-        served(often, 1200);
+        served(attemptedOften, 1200);
         assertEquals(brokenRules(many), Set.of(SoakRule.ATTEMPTS));
     }
 
@@ -234,18 +234,18 @@
 
     @Test
     public void reportsStalledClientThatIsNotClosedInTime() {
-        History kept = new History();
+        History openTooLong = new History();
         Stall stall = new Stall(0, 1000, null);
         stall.endedAt = 4500;
-        kept.stalls.add(stall);
-        assertEquals(brokenRules(kept), Set.of(SoakRule.STALLED_CLIENT));
-        History owed = new History();
-        Request before = request(owed, SoakClass.LOOKUP, 4000);
-        Stall behind = new Stall(0, 1000, before);
+        openTooLong.stalls.add(stall);
+        assertEquals(brokenRules(openTooLong), Set.of(SoakRule.STALLED_CLIENT));
+        History afterEarlierRequest = new History();
+        Request before = request(afterEarlierRequest, SoakClass.LOOKUP, 4000);
+        Stall stallAfterRequest = new Stall(0, 1000, before);
         served(before, 4480);
-        behind.endedAt = 4490;
-        owed.stalls.add(behind);
-        assertEquals(brokenRules(owed), Set.of(), "closed with the response to the earlier request");
+        stallAfterRequest.endedAt = 4490;
+        afterEarlierRequest.stalls.add(stallAfterRequest);
+        assertEquals(brokenRules(afterEarlierRequest), Set.of(), "closed with the response to the earlier request");
     }
 
     /** Guards against an oracle that accepts every kill as an excuse for a missing response. */
