--- a/cli/src/main/java/opalcove/cli/AgreementTrialCommand.java
+++ b/cli/src/main/java/opalcove/cli/AgreementTrialCommand.java
@@ -14,8 +14,9 @@
         description =
                 "Starts gateways with a replicated configuration on this machine and reports how long it takes until"
                         + " all of them apply a new version, together with the result of the model in virtual time."
-                        + " With --faults, runs with random faults: pauses, one-way and two-way partitions, lost messages,"
-                        + " a kill; exits with 1 if contradictory configurations were in use for longer than the lease.")
+                        + " With --faults, runs with random faults: pauses, one-way and two-way partitions, lost"
+                        + " messages, a kill; exits with 1 if contradictory configurations were in use for longer"
+                        + " than the lease.")
 final class AgreementTrialCommand implements Callable<Integer> {
     @Option(names = "--gateways", defaultValue = "7", description = "number of gateways (default: ${DEFAULT-VALUE})")
     private int gateways;
