--- a/laboratory/src/main/java/opalcove/laboratory/AgreementModel.java
+++ b/laboratory/src/main/java/opalcove/laboratory/AgreementModel.java
@@ -79,7 +79,7 @@
 
         @Override
         public void send(String address, ReplicationMessage message) {
-            carry(name, address, message);
+            transmit(name, address, message);
         }
 
         @Override
@@ -91,12 +91,14 @@
         public void leaseChanged(LeaseState before, LeaseState after, String text) {
             long at = AgreementModel.this.now();
             long ended = before.mode() == LeaseState.Mode.FULL ? before.expiresAtMs() - skew : at;
-            acted.stands(name, after.version(), after.mode() == LeaseState.Mode.FULL, at, ended);
-            adopted.computeIfAbsent(after.version(), version -> new TreeMap<>()).putIfAbsent(name, at);
+            conflicts.recordState(name, after.version(), after.mode() == LeaseState.Mode.FULL, at, ended);
+            adoptionTimes
+                    .computeIfAbsent(after.version(), version -> new TreeMap<>())
+                    .putIfAbsent(name, at);
         }
 
         @Override
-        void arm() {
+        void scheduleTick() {
             long due = Math.max(AgreementModel.this.now(), replica.lease().nextTickMs() - skew);
             if (due < tickAt) {
                 tickAt = due;
@@ -114,8 +116,8 @@
     private final Map<String, String> voters = new LinkedHashMap<>();
     private final Map<String, Node> nodes = new TreeMap<>();
     private final Map<String, Proposed> proposals = new HashMap<>();
-    private final ConflictDetector acted = new ConflictDetector();
-    private final Map<Long, Map<String, Long>> adopted = new TreeMap<>();
+    private final ConflictDetector conflicts = new ConflictDetector();
+    private final Map<Long, Map<String, Long>> adoptionTimes = new TreeMap<>();
     private long messages;
 
     /** Gateways g1, g2, ..., of which the first few vote; each clock is off by up to so much, either way. */
@@ -129,14 +131,14 @@
             Node node = new Node("g" + i, i <= voting, skewMs == 0 ? 0 : random.nextLong(-skewMs, skewMs + 1));
             nodes.put(node.name, node);
             node.replica.start();
-            node.arm();
+            node.scheduleTick();
         }
     }
 
-    private void carry(String from, String to, ReplicationMessage message) {
+    private void transmit(String from, String to, ReplicationMessage message) {
         messages++;
         byte[] bytes = message.bytes();
-        carry(from, to, () -> arrive(to, ReplicationMessage.read(bytes)));
+        transmit(from, to, () -> arrive(to, ReplicationMessage.read(bytes)));
     }
 
     private void arrive(String to, ReplicationMessage message) {
@@ -165,7 +167,7 @@
         }
         List<String> all = List.copyOf(voters.keySet());
         String voter = all.get((all.indexOf(through) + tries) % all.size());
-        carry(
+        transmit(
                 client,
                 voter,
                 new ReplicationMessage(
@@ -180,7 +182,7 @@
     /** Ends a gateway at once. */
     public void kill(String name) {
         nodes.get(name).end();
-        acted.ended(name, now());
+        conflicts.recordEnd(name, now());
     }
 
     /** Stops a gateway for so long. */
@@ -194,8 +196,8 @@
     }
 
     /** What was acted on so far. */
-    public ConflictDetector acted() {
-        return acted;
+    public ConflictDetector conflicts() {
+        return conflicts;
     }
 
     /** The voter that leads, as those that run have it; null where none does. */
@@ -208,22 +210,22 @@
     }
 
     /** What each gateway that runs acts on. */
-    public Map<String, LeaseState> standings() {
-        Map<String, LeaseState> standings = new TreeMap<>();
+    public Map<String, LeaseState> leaseStates() {
+        Map<String, LeaseState> leaseStates = new TreeMap<>();
         nodes.values().stream()
                 .filter(Node::isUp)
-                .forEach(each -> standings.put(each.name, each.replica.lease().state()));
-        return standings;
+                .forEach(each -> leaseStates.put(each.name, each.replica.lease().state()));
+        return leaseStates;
     }
 
     /** When each gateway first acted on a version. */
-    public Map<String, Long> adopted(long version) {
-        return adopted.getOrDefault(version, Map.of());
+    public Map<String, Long> adoptionTimes(long version) {
+        return adoptionTimes.getOrDefault(version, Map.of());
     }
 
     /** Whether all that run act fully on this version. */
     public boolean allActOn(long version) {
-        return standings().values().stream()
+        return leaseStates().values().stream()
                 .allMatch(each -> each.version() == version && each.mode() == LeaseState.Mode.FULL);
     }
 
--- a/laboratory/src/main/java/opalcove/laboratory/AgreementTrial.java
+++ b/laboratory/src/main/java/opalcove/laboratory/AgreementTrial.java
@@ -143,8 +143,8 @@
             for (long waited = 0; !model.allActOn(round) && waited < MAX_MS; waited += 100) {
                 model.run(100);
             }
-            model.adopted(round).values().forEach(when -> each.recordValue(when - at));
-            all.recordValue(model.adopted(round).values().stream()
+            model.adoptionTimes(round).values().forEach(when -> each.recordValue(when - at));
+            all.recordValue(model.adoptionTimes(round).values().stream()
                     .mapToLong(when -> when - at)
                     .max()
                     .orElse(MAX_MS));
@@ -317,7 +317,7 @@
 
         @Override
         public long newest() {
-            return model.standings().values().stream()
+            return model.leaseStates().values().stream()
                     .mapToLong(LeaseState::version)
                     .max()
                     .orElse(0);
@@ -337,7 +337,7 @@
 
         @Override
         public List<ConflictDetector.Case> over(long boundMs) {
-            return model.acted().over(boundMs, model.now());
+            return model.conflicts().conflictsLongerThan(boundMs, model.now());
         }
 
         @Override
--- a/laboratory/src/main/java/opalcove/laboratory/ConflictDetector.java
+++ b/laboratory/src/main/java/opalcove/laboratory/ConflictDetector.java
@@ -16,38 +16,39 @@
     /** Two gateways acted on different versions for so long. */
     public record Case(Interval one, Interval other, long ms) {}
 
-    private final List<Interval> spells = new ArrayList<>();
+    private final List<Interval> intervals = new ArrayList<>();
     private final Map<String, Interval> open = new HashMap<>();
 
     /**
      * A gateway's standing changed. full: it acts on all of the version; endedMs: when it last could act on what it acted on
      * before, which is its lease's end where it stood still beyond that, and the same as atMs else.
      */
-    public void stands(String gateway, long version, boolean full, long atMs, long endedMs) {
-        ended(gateway, Math.min(atMs, endedMs));
+    public void recordState(String gateway, long version, boolean full, long atMs, long endedMs) {
+        recordEnd(gateway, Math.min(atMs, endedMs));
         if (full) {
             open.put(gateway, new Interval(gateway, version, atMs, Long.MAX_VALUE));
         }
     }
 
     /** A gateway ended, or the history did. */
-    public void ended(String gateway, long atMs) {
+    public void recordEnd(String gateway, long atMs) {
         Interval interval = open.remove(gateway);
         if (interval != null) {
-            spells.add(new Interval(gateway, interval.version(), interval.fromMs(), Math.max(interval.fromMs(), atMs)));
+            intervals.add(
+                    new Interval(gateway, interval.version(), interval.fromMs(), Math.max(interval.fromMs(), atMs)));
         }
     }
 
     /** All spells so far; those that go on end at the time given. */
-    public List<Interval> spells(long nowMs) {
-        List<Interval> all = new ArrayList<>(spells);
+    public List<Interval> intervals(long nowMs) {
+        List<Interval> all = new ArrayList<>(intervals);
         open.values().forEach(each -> all.add(new Interval(each.gateway(), each.version(), each.fromMs(), nowMs)));
         return all;
     }
 
     /** All cases that lasted for more than the bound, the longest first. */
-    public List<Case> over(long boundMs, long nowMs) {
-        List<Interval> all = spells(nowMs);
+    public List<Case> conflictsLongerThan(long boundMs, long nowMs) {
+        List<Interval> all = intervals(nowMs);
         List<Case> cases = new ArrayList<>();
         for (int i = 0; i < all.size(); i++) {
             for (int j = i + 1; j < all.size(); j++) {
@@ -65,6 +66,9 @@
 
     /** The longest time of contradiction, 0 where there was none. */
     public long longestMs(long nowMs) {
-        return over(0, nowMs).stream().mapToLong(Case::ms).findFirst().orElse(0);
+        return conflictsLongerThan(0, nowMs).stream()
+                .mapToLong(Case::ms)
+                .findFirst()
+                .orElse(0);
     }
 }
--- a/laboratory/src/main/java/opalcove/laboratory/MembershipModel.java
+++ b/laboratory/src/main/java/opalcove/laboratory/MembershipModel.java
@@ -34,10 +34,10 @@
             this.name = name;
             incarnation = now() + 1;
             detector = new FailureDetector(
-                    now(), name, name, incarnation, seeds, figures, random.split(), new FailureDetector.Host() {
+                    now(), name, name, incarnation, seeds, config, random.split(), new FailureDetector.Host() {
                         @Override
                         public void send(String address, SwimMessage message) {
-                            carry(name, address, message);
+                            transmit(name, address, message);
                         }
 
                         @Override
@@ -48,7 +48,7 @@
         }
 
         @Override
-        void arm() {
+        void scheduleTick() {
             long due = Math.max(now(), detector.nextTickMs());
             if (due < tickAt) {
                 tickAt = due;
@@ -62,21 +62,21 @@
         }
     }
 
-    private final SwimConfig figures;
+    private final SwimConfig config;
     private final List<String> seeds;
     private final Map<String, Node> nodes = new TreeMap<>();
     private final List<Change> history = new ArrayList<>();
     private long messages;
-    private long words;
+    private long gossipEntries;
 
     /**
      * A model in virtual time of members that join through the seed members.
      *
      * @param seed of the random numbers
      */
-    public MembershipModel(long seed, SwimConfig figures, List<String> seeds) {
+    public MembershipModel(long seed, SwimConfig config, List<String> seeds) {
         super(1000, new SplittableRandom(seed));
-        this.figures = figures;
+        this.config = config;
         this.seeds = List.copyOf(seeds);
     }
 
@@ -84,7 +84,7 @@
     public void start(String name) {
         Node node = new Node(name);
         nodes.put(name, node);
-        node.arm();
+        node.scheduleTick();
     }
 
     /** Starts members that know one another from before, as a fleet that has run for long. */
@@ -94,7 +94,7 @@
                 names.stream().map(name -> nodes.get(name).detector.self()).toList();
         for (String name : names) {
             nodes.get(name).detector.addKnown(all);
-            nodes.get(name).arm();
+            nodes.get(name).scheduleTick();
         }
     }
 
@@ -115,12 +115,12 @@
         at(now() + 500, node::end);
     }
 
-    private void carry(String from, String to, SwimMessage message) {
+    private void transmit(String from, String to, SwimMessage message) {
         messages++;
-        words += message.gossip().size();
+        gossipEntries += message.gossip().size();
         Node target = nodes.get(to);
         if (target != null) {
-            carry(from, to, () -> target.whenAwake(() -> target.detector.receive(now(), message)));
+            transmit(from, to, () -> target.whenAwake(() -> target.detector.receive(now(), message)));
         }
     }
 
@@ -130,8 +130,8 @@
     }
 
     /** Words of members in them. */
-    public long words() {
-        return words;
+    public long gossipEntries() {
+        return gossipEntries;
     }
 
     /** All changes so far, in order. */
@@ -140,12 +140,12 @@
     }
 
     /** What one member holds of the others. */
-    public FailureDetector member(String name) {
+    public FailureDetector detector(String name) {
         return nodes.get(name).detector;
     }
 
     /** Names that this member holds for a part of the fleet, itself among them. */
-    public List<String> fleet(String name) {
-        return member(name).presentMembers().stream().map(Member::name).toList();
+    public List<String> presentMembers(String name) {
+        return detector(name).presentMembers().stream().map(Member::name).toList();
     }
 }
--- a/laboratory/src/main/java/opalcove/laboratory/TestCluster.java
+++ b/laboratory/src/main/java/opalcove/laboratory/TestCluster.java
@@ -49,7 +49,7 @@
 
     private final List<Event> history = new ArrayList<>();
     private final List<JsonObject> versionEvents = new ArrayList<>();
-    private final ConflictDetector acted = new ConflictDetector();
+    private final ConflictDetector conflicts = new ConflictDetector();
 
     /** A rig whose faults are drawn by the seed; its members join through those of the names given. */
     public TestCluster(long seed, int probeMs, List<String> seedMembers) throws IOException {
@@ -245,7 +245,7 @@
     private void version(JsonObject event) {
         versionEvents.add(event);
         if (event.getString("event", "").equals("acting")) {
-            acted.stands(
+            conflicts.recordState(
                     event.getString("observer", ""),
                     event.getLong("version", 0),
                     event.getString("mode", "").equals("FULL"),
@@ -292,7 +292,7 @@
 
     /** Cases in which two members acted on different versions for longer than that. */
     public synchronized List<ConflictDetector.Case> contradictions(long boundMs) {
-        return acted.over(boundMs, System.currentTimeMillis());
+        return conflicts.conflictsLongerThan(boundMs, System.currentTimeMillis());
     }
 
     /** Kills a member's process; it tells nobody. */
@@ -301,7 +301,7 @@
         process.destroyForcibly();
         process.waitFor();
         synchronized (this) {
-            acted.ended(name, System.currentTimeMillis());
+            conflicts.recordEnd(name, System.currentTimeMillis());
         }
     }
 
--- a/laboratory/src/main/java/opalcove/laboratory/VirtualNet.java
+++ b/laboratory/src/main/java/opalcove/laboratory/VirtualNet.java
@@ -9,35 +9,35 @@
  * repeated and cut by draws of the random numbers given. The same numbers and calls give the same history.
  */
 class VirtualNet {
-    private record Event(long at, long order, Runnable what) {}
+    private record Event(long at, long order, Runnable task) {}
 
     /** A process in the model: it may stand still, and end. */
     class Process {
         private boolean up = true;
-        private long pausedTill;
+        private long pausedUntil;
 
         /** Runs once the process runs: what comes while it stands still waits, as in a socket's buffer. */
-        void whenAwake(Runnable what) {
+        void whenAwake(Runnable task) {
             if (!up) {
                 return;
             }
-            if (now < pausedTill) {
-                at(pausedTill, () -> whenAwake(what));
+            if (now < pausedUntil) {
+                at(pausedUntil, () -> whenAwake(task));
                 return;
             }
-            what.run();
-            arm();
+            task.run();
+            scheduleTick();
         }
 
         /** Sees to the process's next timer; called after all that it did. */
-        void arm() {}
+        void scheduleTick() {}
 
         boolean isUp() {
             return up;
         }
 
         boolean isAwake() {
-            return up && now >= pausedTill;
+            return up && now >= pausedUntil;
         }
 
         void end() {
@@ -45,7 +45,7 @@
         }
 
         void pause(long ms) {
-            pausedTill = now + ms;
+            pausedUntil = now + ms;
         }
     }
 
@@ -62,14 +62,14 @@
         faults = new MessageFaults(random, MembershipModel.Net.SOUND);
     }
 
-    void at(long time, Runnable what) {
-        events.add(new Event(time, order++, what));
+    void at(long time, Runnable task) {
+        events.add(new Event(time, order++, task));
     }
 
     /** A message on its way: it arrives later, once, twice or not at all. */
-    void carry(String from, String to, Runnable arrives) {
+    void transmit(String from, String to, Runnable delivery) {
         for (long ms : faults.delays(from, to)) {
-            at(now + ms, arrives);
+            at(now + ms, delivery);
         }
     }
 
@@ -99,7 +99,7 @@
         while (!events.isEmpty() && events.peek().at() <= end) {
             Event next = events.poll();
             now = Math.max(now, next.at());
-            next.what().run();
+            next.task().run();
         }
         now = end;
     }
--- a/laboratory/src/test/java/opalcove/laboratory/AgreementModelTest.java
+++ b/laboratory/src/test/java/opalcove/laboratory/AgreementModelTest.java
@@ -19,12 +19,12 @@
         AgreementModel.Proposed first = model.propose("g1", 0, "one");
         model.run(3000);
         assertTrue(first.accepted(), "the first version is taken");
-        assertTrue(model.allActOn(1), model.standings().toString());
+        assertTrue(model.allActOn(1), model.leaseStates().toString());
         return model;
     }
 
     private static void holds(AgreementModel model) {
-        assertEquals(model.acted().over(LEASE, model.now()), List.of());
+        assertEquals(model.conflicts().conflictsLongerThan(LEASE, model.now()), List.of());
     }
 
     @Test
@@ -37,7 +37,7 @@
         model.run(15_000);
         assertTrue(second.accepted(), "whoever leads next answers the proposal, once");
         assertEquals(second.version(), 2);
-        assertTrue(model.allActOn(2), model.standings().toString());
+        assertTrue(model.allActOn(2), model.leaseStates().toString());
         holds(model);
     }
 
@@ -48,7 +48,7 @@
         AgreementModel.Proposed second = model.propose("g1", 1, "two");
         model.run(4 * LEASE);
         assertTrue(second.accepted());
-        assertTrue(model.allActOn(2), model.standings().toString());
+        assertTrue(model.allActOn(2), model.leaseStates().toString());
         holds(model);
     }
 
@@ -72,12 +72,12 @@
         model.run(3 * LEASE);
         assertTrue(second.accepted(), "the others go on");
         for (String mine : List.of(cut, fellow)) {
-            assertEquals(model.standings().get(mine).version(), 1);
-            assertEquals(model.standings().get(mine).mode(), LeaseState.Mode.STRICT);
+            assertEquals(model.leaseStates().get(mine).version(), 1);
+            assertEquals(model.leaseStates().get(mine).mode(), LeaseState.Mode.STRICT);
         }
         model.heal();
         model.run(3 * LEASE);
-        assertTrue(model.allActOn(2), model.standings().toString());
+        assertTrue(model.allActOn(2), model.leaseStates().toString());
         holds(model);
     }
 
@@ -89,7 +89,7 @@
         AgreementModel.Proposed second = model.propose("g1", 1, "two");
         model.run(3 * LEASE);
         assertTrue(second.accepted());
-        assertTrue(model.allActOn(2), model.standings().toString());
+        assertTrue(model.allActOn(2), model.leaseStates().toString());
         holds(model);
     }
 
@@ -103,12 +103,12 @@
         assertTrue(a.accepted() ^ b.accepted(), "one is taken");
         AgreementModel.Proposed lost = a.accepted() ? b : a;
         assertTrue(lost.reason().contains("version 2 by client-"), lost.reason());
-        assertTrue(model.allActOn(2), model.standings().toString());
+        assertTrue(model.allActOn(2), model.leaseStates().toString());
         AgreementModel.Proposed empty = model.propose("g3", 2, "");
         model.run(3000);
         assertFalse(empty.accepted());
         assertEquals(empty.reason(), "it is empty");
-        assertTrue(model.allActOn(2), model.standings().toString());
+        assertTrue(model.allActOn(2), model.leaseStates().toString());
         holds(model);
     }
 
--- a/laboratory/src/test/java/opalcove/laboratory/MembershipModelTest.java
+++ b/laboratory/src/test/java/opalcove/laboratory/MembershipModelTest.java
@@ -34,7 +34,7 @@
         MembershipModel model = new MembershipModel(seed, SwimConfig.of(500), List.of(name(0), name(1)));
         names(members).forEach(model::start);
         model.run(15_000);
-        names(members).forEach(name -> assertEquals(model.fleet(name).size(), members, name));
+        names(members).forEach(name -> assertEquals(model.presentMembers(name).size(), members, name));
         return model;
     }
 
@@ -118,7 +118,7 @@
                             .filter(each -> !each.after().name().equals(name(6)))
                             .toList(),
                     List.of());
-            assertTrue(model.member(name(6)).healthScore() > 0, "it knows that it is slow itself");
+            assertTrue(model.detector(name(6)).healthScore() > 0, "it knows that it is slow itself");
         }
     }
 
@@ -133,10 +133,11 @@
                 }
             }
             model.run(10_000);
-            assertEquals(model.fleet(name(0)).size(), MEMBERS / 2);
+            assertEquals(model.presentMembers(name(0)).size(), MEMBERS / 2);
             model.heal();
             model.run(5_000);
-            names(MEMBERS).forEach(name -> assertEquals(model.fleet(name).size(), MEMBERS, name));
+            names(MEMBERS)
+                    .forEach(name -> assertEquals(model.presentMembers(name).size(), MEMBERS, name));
         }
     }
 
@@ -151,7 +152,8 @@
             assertEquals(since(model, from, State.DEAD), List.of());
             model.start(name(9));
             model.run(5_000);
-            names(MEMBERS).forEach(name -> assertEquals(model.fleet(name).size(), MEMBERS, name));
+            names(MEMBERS)
+                    .forEach(name -> assertEquals(model.presentMembers(name).size(), MEMBERS, name));
         }
     }
 
--- a/laboratory/src/test/java/opalcove/laboratory/SameSeedSameVersionsTest.java
+++ b/laboratory/src/test/java/opalcove/laboratory/SameSeedSameVersionsTest.java
@@ -22,8 +22,8 @@
         model.run(3);
         model.kill(leader);
         model.run(15_000);
-        return leader + " " + model.messages() + " " + model.adopted(1) + " " + model.adopted(2) + " "
-                + model.adopted(3);
+        return leader + " " + model.messages() + " " + model.adoptionTimes(1) + " " + model.adoptionTimes(2) + " "
+                + model.adoptionTimes(3);
     }
 
     @DataProvider
