--- a/laboratory/src/main/java/opalcove/laboratory/AgreementModel.java
+++ b/laboratory/src/main/java/opalcove/laboratory/AgreementModel.java
@@ -16,12 +16,12 @@
 import opalcove.replication.ReplicationMessage;
 
 /**
- * Agreed versions in virtual time, without sockets: the gateways' desks are the real ones, voters and all; the network between
- * them loses, delays, repeats and cuts, processes stand still and end, and each gateway's clock is off by its own skew.
- * Seeded; the same seed and calls give the same history.
+ * Simulates the replicated configuration in virtual time, without sockets. The gateways run the real {@link ConfigReplica},
+ * voters included. The network between them loses, delays, duplicates and cuts messages, processes pause and end, and each
+ * gateway's clock is off by its own skew. The same seed and the same calls give the same history.
  */
 public final class AgreementModel extends VirtualNet {
-    /** A proposal, and its outcome as soon as a voter has responded. */
+    /** A proposal, and its outcome once a voter has responded. */
     public static final class Proposed {
         private VersionLog.Outcome outcome;
 
@@ -35,12 +35,12 @@
             return outcome != null && outcome.accepted();
         }
 
-        /** The version that the response names. */
+        /** Returns the version that the response names. */
         public long version() {
             return outcome.version();
         }
 
-        /** Why the proposal was refused; empty if it was accepted. */
+        /** Returns why the proposal was rejected, or an empty string if it was accepted. */
         public String reason() {
             return outcome.reason();
         }
@@ -120,7 +120,15 @@
     private final Map<Long, Map<String, Long>> adoptionTimes = new TreeMap<>();
     private long messages;
 
-    /** Gateways g1, g2, ..., of which the first few vote; each clock is off by up to so much, either way. */
+    /**
+     * Creates and starts the gateways g1, g2, and so on.
+     *
+     * @param seed the seed of all random numbers
+     * @param gateways the number of gateways
+     * @param voting the number of voters, which are the first gateways
+     * @param leaseMs the length of a lease, in ms
+     * @param skewMs the most by which a gateway's clock is fast or slow, in ms
+     */
     public AgreementModel(long seed, int gateways, int voting, long leaseMs, long skewMs) {
         super(1_000_000, new SplittableRandom(seed));
         this.leaseMs = leaseMs;
@@ -152,21 +160,24 @@
         }
     }
 
-    /** Proposes a change of the version {@code base} through a voter, again and again until somebody answers. */
+    /**
+     * Proposes a change of the version {@code base}, first through the given voter. The proposal is repeated every 300 ms
+     * through the next voter until one responds, at most 100 times.
+     */
     public Proposed propose(String through, long base, String text) {
         String client = "client-" + proposals.size();
         Proposed proposed = new Proposed();
         proposals.put(client, proposed);
-        call(client, through, base, text, 0);
+        sendProposal(client, through, base, text, 0);
         return proposed;
     }
 
-    private void call(String client, String through, long base, String text, int tries) {
-        if (proposals.get(client).isDecided() || tries > 100) {
+    private void sendProposal(String client, String through, long base, String text, int retries) {
+        if (proposals.get(client).isDecided() || retries > 100) {
             return;
         }
         List<String> all = List.copyOf(voters.keySet());
-        String voter = all.get((all.indexOf(through) + tries) % all.size());
+        String voter = all.get((all.indexOf(through) + retries) % all.size());
         transmit(
                 client,
                 voter,
@@ -174,33 +185,33 @@
                         client,
                         client,
                         ReplicationMessage.Kind.PROPOSAL,
-                        tries,
+                        retries,
                         ReplicationMessage.proposalBody(new VersionLog.Proposal(client, base, client, text))));
-        at(now() + 300, () -> call(client, through, base, text, tries + 1));
+        at(now() + 300, () -> sendProposal(client, through, base, text, retries + 1));
     }
 
-    /** Ends a gateway at once. */
+    /** Ends a gateway without a shutdown. */
     public void kill(String name) {
         nodes.get(name).end();
         conflicts.recordEnd(name, now());
     }
 
-    /** Stops a gateway for so long. */
+    /** Pauses a gateway for the given time. */
     public void pause(String name, long ms) {
         nodes.get(name).pause(ms);
     }
 
-    /** Messages sent so far. */
+    /** Returns the number of messages sent so far. */
     public long messages() {
         return messages;
     }
 
-    /** What was acted on so far. */
+    /** Returns the detector that records which versions the gateways acted on. */
     public ConflictDetector conflicts() {
         return conflicts;
     }
 
-    /** The voter that leads, as those that run have it; null where none does. */
+    /** Returns the name of the first voter that runs and considers itself leader, or null if there is none. */
     public String leader() {
         return nodes.values().stream()
                 .filter(each -> each.isAwake() && each.replica.isLeader())
@@ -209,7 +220,7 @@
                 .orElse(null);
     }
 
-    /** What each gateway that runs acts on. */
+    /** Returns the lease state of each running gateway by its name. */
     public Map<String, LeaseState> leaseStates() {
         Map<String, LeaseState> leaseStates = new TreeMap<>();
         nodes.values().stream()
@@ -218,18 +229,18 @@
         return leaseStates;
     }
 
-    /** When each gateway first acted on a version. */
+    /** Returns when each gateway first acted on a version, in ms of virtual time, by the gateway's name. */
     public Map<String, Long> adoptionTimes(long version) {
         return adoptionTimes.getOrDefault(version, Map.of());
     }
 
-    /** Whether all that run act fully on this version. */
+    /** Whether all running gateways act on this version with a full lease. */
     public boolean allActOn(long version) {
         return leaseStates().values().stream()
                 .allMatch(each -> each.version() == version && each.mode() == LeaseState.Mode.FULL);
     }
 
-    /** Names of all gateways. */
+    /** Returns the names of all gateways. */
     public List<String> names() {
         return new ArrayList<>(nodes.keySet());
     }
--- a/laboratory/src/main/java/opalcove/laboratory/ConflictDetector.java
+++ b/laboratory/src/main/java/opalcove/laboratory/ConflictDetector.java
@@ -6,22 +6,26 @@
 import java.util.Map;
 
 /**
- * What gateways acted on, from when to when, gathered over the whole fleet: tells the longest time for which two of them acted
- * on different versions, and every case over a bound. Strict standings count for none: what they keep cannot contradict.
+ * Records which version each gateway of a fleet acted on during which time, and finds the times during which two gateways
+ * acted on different versions. A gateway in strict mode is not counted, since what it still does cannot conflict.
  */
 public final class ConflictDetector {
-    /** A gateway acted on all of a version, from one moment to another, ms of one clock. */
+    /** The time during which a gateway acted fully on a version, in ms of one clock. */
     public record Interval(String gateway, long version, long fromMs, long toMs) {}
 
-    /** Two gateways acted on different versions for so long. */
+    /** Two gateways that acted on different versions at once, and for how many ms. */
     public record Case(Interval one, Interval other, long ms) {}
 
     private final List<Interval> intervals = new ArrayList<>();
     private final Map<String, Interval> open = new HashMap<>();
 
     /**
-     * A gateway's standing changed. full: it acts on all of the version; endedMs: when it last could act on what it acted on
-     * before, which is its lease's end where it stood still beyond that, and the same as atMs else.
+     * Records that a gateway's lease state changed.
+     *
+     * @param full whether the gateway now acts fully on the version
+     * @param atMs when the state changed
+     * @param endedMs when the gateway could last act on its previous version: the end of its lease if the gateway was paused
+     *     beyond that, otherwise the same as atMs
      */
     public void recordState(String gateway, long version, boolean full, long atMs, long endedMs) {
         recordEnd(gateway, Math.min(atMs, endedMs));
@@ -30,7 +34,7 @@
         }
     }
 
-    /** A gateway ended, or the history did. */
+    /** Records that a gateway stopped acting on its version because it, or the history, ended. */
     public void recordEnd(String gateway, long atMs) {
         Interval interval = open.remove(gateway);
         if (interval != null) {
@@ -39,14 +43,14 @@
         }
     }
 
-    /** All spells so far; those that go on end at the time given. */
+    /** Returns all intervals so far; those that are still open end at the given time. */
     public List<Interval> intervals(long nowMs) {
         List<Interval> all = new ArrayList<>(intervals);
         open.values().forEach(each -> all.add(new Interval(each.gateway(), each.version(), each.fromMs(), nowMs)));
         return all;
     }
 
-    /** All cases that lasted for more than the bound, the longest first. */
+    /** Returns all conflicts that lasted longer than the bound, the longest first. */
     public List<Case> conflictsLongerThan(long boundMs, long nowMs) {
         List<Interval> all = intervals(nowMs);
         List<Case> cases = new ArrayList<>();
@@ -64,7 +68,7 @@
         return cases;
     }
 
-    /** The longest time of contradiction, 0 where there was none. */
+    /** Returns the duration of the longest conflict in ms, or 0 if there was none. */
     public long longestMs(long nowMs) {
         return conflictsLongerThan(0, nowMs).stream()
                 .mapToLong(Case::ms)
--- a/laboratory/src/main/java/opalcove/laboratory/MembershipModel.java
+++ b/laboratory/src/main/java/opalcove/laboratory/MembershipModel.java
@@ -11,17 +11,25 @@
 import opalcove.membership.SwimMessage;
 
 /**
- * The membership protocol in virtual time, without sockets: the members' parts are the real ones, the network between them
- * loses, delays, repeats and cuts. Seeded; the same seed and calls give the same history.
+ * Simulates the membership protocol in virtual time, without sockets. The members run the real {@link FailureDetector}, and
+ * the network between them loses, delays, duplicates and cuts messages. The same seed and the same calls give the same
+ * history.
  */
 public final class MembershipModel extends VirtualNet {
-    /** What the network does to each message: the shares lost and repeated, and the bounds of its way, ms. */
+    /**
+     * The faults of a network.
+     *
+     * @param loss the share of messages lost, from 0 to 1
+     * @param repeated the share of messages delivered twice, from 0 to 1
+     * @param minMs the shortest delay of a message, in ms
+     * @param maxMs the longest delay of a message, in ms
+     */
     public record Net(double loss, double repeated, long minMs, long maxMs) {
-        /** A sound network of one site. */
+        /** A network within one site, without faults. */
         public static final Net SOUND = new Net(0, 0, 0, 2);
     }
 
-    /** A change of what one member holds of another; before is null for one that was not known. */
+    /** A change of the state that the observer has recorded for a member; {@code before} is null if it did not know the member. */
     public record Change(long at, String observer, Member before, Member after) {}
 
     private final class Node extends Process {
@@ -70,9 +78,11 @@
     private long gossipEntries;
 
     /**
-     * A model in virtual time of members that join through the seed members.
+     * Creates a model without members.
      *
-     * @param seed of the random numbers
+     * @param seed the seed of the random numbers
+     * @param config the timing of the protocol
+     * @param seeds the names of the members through which the others join
      */
     public MembershipModel(long seed, SwimConfig config, List<String> seeds) {
         super(1000, new SplittableRandom(seed));
@@ -80,14 +90,14 @@
         this.seeds = List.copyOf(seeds);
     }
 
-    /** Starts a member, or starts it again; its address is its name. */
+    /** Starts or restarts a member, whose address is its name. */
     public void start(String name) {
         Node node = new Node(name);
         nodes.put(name, node);
         node.scheduleTick();
     }
 
-    /** Starts members that know one another from before, as a fleet that has run for long. */
+    /** Starts members that already know each other, as in a fleet that has run for a long time. */
     public void startKnown(List<String> names) {
         names.forEach(name -> nodes.put(name, new Node(name)));
         List<Member> all =
@@ -98,17 +108,17 @@
         }
     }
 
-    /** Ends a member at once, telling nobody. */
+    /** Ends a member without notice to the others. */
     public void kill(String name) {
         nodes.get(name).end();
     }
 
-    /** Stops a member for so long, as a long collection or SIGSTOP does. */
+    /** Pauses a member for the given time, as a long garbage collection or SIGSTOP does. */
     public void pause(String name, long ms) {
         nodes.get(name).pause(ms);
     }
 
-    /** Has a member say that it goes, and ends it half a second later. */
+    /** Makes a member announce that it leaves, and ends it 500 ms later. */
     public void leave(String name) {
         Node node = nodes.get(name);
         node.whenAwake(() -> node.detector.leave(now()));
@@ -124,27 +134,27 @@
         }
     }
 
-    /** Messages sent so far, by all members. */
+    /** Returns the number of messages that all members have sent so far. */
     public long messages() {
         return messages;
     }
 
-    /** Words of members in them. */
+    /** Returns the number of gossip entries in all messages sent so far. */
     public long gossipEntries() {
         return gossipEntries;
     }
 
-    /** All changes so far, in order. */
+    /** Returns all changes so far, in the order of time. */
     public List<Change> history() {
         return List.copyOf(history);
     }
 
-    /** What one member holds of the others. */
+    /** Returns the failure detector of a member. */
     public FailureDetector detector(String name) {
         return nodes.get(name).detector;
     }
 
-    /** Names that this member holds for a part of the fleet, itself among them. */
+    /** Returns the names of the members that this member considers present, itself included. */
     public List<String> presentMembers(String name) {
         return detector(name).presentMembers().stream().map(Member::name).toList();
     }
--- a/laboratory/src/main/java/opalcove/laboratory/MessageFaults.java
+++ b/laboratory/src/main/java/opalcove/laboratory/MessageFaults.java
@@ -6,7 +6,7 @@
 import java.util.Set;
 import java.util.SplittableRandom;
 
-/** What a network does to each message, by draws of the random numbers given: the same for real datagrams and for models. */
+/** Decides by the given random numbers what a network does to each message, for real datagrams and for models alike. */
 final class MessageFaults {
     private static final long[] LOST = {};
 
@@ -20,35 +20,35 @@
         this.net = net;
     }
 
-    /** What happens to each message from now on, between members that have no net of their own. */
+    /** Sets the faults from now on between members that have no faults of their own. */
     void net(MembershipModel.Net next) {
         net = next;
     }
 
-    /** What happens to all that one member sends and gets. */
+    /** Sets the faults for all messages that one member sends and receives. */
     void net(String member, MembershipModel.Net own) {
         nets.put(member, own);
     }
 
-    /** Cuts the way from one member to another, in that direction only. */
+    /** Drops all messages from one member to another, in that direction only. */
     void cut(String from, String to) {
         cuts.add(from + ">" + to);
     }
 
-    /** Heals all cuts. */
+    /** Removes all cuts. */
     void heal() {
         cuts.clear();
     }
 
-    /** After how long a message arrives, ms: once, twice where it is repeated, and not at all where it is lost. */
+    /** Returns the delay of each copy of a message, in ms: one, two if it is duplicated, none if it is lost or cut. */
     long[] delays(String from, String to) {
-        MembershipModel.Net way = nets.getOrDefault(from, nets.getOrDefault(to, net));
-        if (cuts.contains(from + ">" + to) || random.nextDouble() < way.loss()) {
+        MembershipModel.Net path = nets.getOrDefault(from, nets.getOrDefault(to, net));
+        if (cuts.contains(from + ">" + to) || random.nextDouble() < path.loss()) {
             return LOST;
         }
-        long[] delays = new long[random.nextDouble() < way.repeated() ? 2 : 1];
+        long[] delays = new long[random.nextDouble() < path.repeated() ? 2 : 1];
         for (int i = 0; i < delays.length; i++) {
-            delays[i] = way.minMs() + random.nextLong(way.maxMs() - way.minMs() + 1);
+            delays[i] = path.minMs() + random.nextLong(path.maxMs() - path.minMs() + 1);
         }
         return delays;
     }
--- a/laboratory/src/main/java/opalcove/laboratory/VirtualNet.java
+++ b/laboratory/src/main/java/opalcove/laboratory/VirtualNet.java
@@ -5,18 +5,19 @@
 import java.util.SplittableRandom;
 
 /**
- * Virtual time and a network in it, for models without sockets: events in their order, and messages that are lost, delayed,
- * repeated and cut by draws of the random numbers given. The same numbers and calls give the same history.
+ * Virtual time and a simulated network, for models without sockets. Events run in the order of their time, and events of the
+ * same time in the order in which they were scheduled. Messages are lost, delayed, duplicated and cut as the given random
+ * numbers decide, so the same numbers and the same calls give the same history. Times are in ms.
  */
 class VirtualNet {
     private record Event(long at, long order, Runnable task) {}
 
-    /** A process in the model: it may stand still, and end. */
+    /** A simulated process, which can be paused and ended. */
     class Process {
         private boolean up = true;
         private long pausedUntil;
 
-        /** Runs once the process runs: what comes while it stands still waits, as in a socket's buffer. */
+        /** Runs a task, after the pause if the process is paused: its messages wait as in a socket buffer. An ended process drops it. */
         void whenAwake(Runnable task) {
             if (!up) {
                 return;
@@ -29,7 +30,7 @@
             scheduleTick();
         }
 
-        /** Sees to the process's next timer; called after all that it did. */
+        /** Schedules the next tick of the process; called after each task that it ran. */
         void scheduleTick() {}
 
         boolean isUp() {
@@ -66,34 +67,34 @@
         events.add(new Event(time, order++, task));
     }
 
-    /** A message on its way: it arrives later, once, twice or not at all. */
+    /** Sends a message, which is delivered later: once, twice or not at all. */
     void transmit(String from, String to, Runnable delivery) {
         for (long ms : faults.delays(from, to)) {
             at(now + ms, delivery);
         }
     }
 
-    /** What the network does from now on, between members that have no net of their own. */
+    /** Sets the faults from now on between members that have no faults of their own. */
     public void net(MembershipModel.Net next) {
         faults.net(next);
     }
 
-    /** What the network does to all that one member sends and gets. */
+    /** Sets the faults for all messages that one member sends and receives. */
     public void net(String name, MembershipModel.Net own) {
         faults.net(name, own);
     }
 
-    /** Cuts the way from one member to another, in that direction only. */
+    /** Drops all messages from one member to another, in that direction only. */
     public void cut(String from, String to) {
         faults.cut(from, to);
     }
 
-    /** Heals all cuts. */
+    /** Removes all cuts. */
     public void heal() {
         faults.heal();
     }
 
-    /** Lets so much virtual time go by. */
+    /** Advances virtual time by the given ms and runs the events that are due. */
     public void run(long ms) {
         long end = now + ms;
         while (!events.isEmpty() && events.peek().at() <= end) {
@@ -104,6 +105,7 @@
         now = end;
     }
 
+    /** Returns the virtual time, in ms. */
     public long now() {
         return now;
     }
--- a/laboratory/src/test/java/opalcove/laboratory/SameSeedSameVersionsTest.java
+++ b/laboratory/src/test/java/opalcove/laboratory/SameSeedSameVersionsTest.java
@@ -5,7 +5,7 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** Agreed versions run for run: the same seed gives the same messages and the same times at which gateways act on versions. */
+/** Checks that the model sends as many messages and adopts versions at the same times in each run with the same seed. */
 public class SameSeedSameVersionsTest {
     private static String run(long seed) {
         AgreementModel model = new AgreementModel(seed, 7, 3, 2000, 200);
@@ -51,7 +51,7 @@
     }
 
     @Test(dataProvider = "runs")
-    public void theSameSeedGivesTheSameRun(long seed, String result) {
-        assertEquals(run(seed), result);
+    public void givesSameRunForSameSeed(long seed, String expected) {
+        assertEquals(run(seed), expected);
     }
 }
