--- a/cli/src/main/java/opalcove/cli/AgreementTrialCommand.java
+++ b/cli/src/main/java/opalcove/cli/AgreementTrialCommand.java
@@ -56,7 +56,7 @@
         boolean held = soakVoters(list);
         for (long each = seed; each < seed + faults; each++) {
             AgreementTrial.FaultRun run =
-                    modelOnly ? AgreementTrial.modelFaults(plan, each) : AgreementTrial.rigFaults(plan, each);
+                    modelOnly ? AgreementTrial.modelFaults(plan, each) : AgreementTrial.clusterFaults(plan, each);
             held &= run.wrong().isEmpty();
             list.add(run.json());
             if (!json) {
@@ -70,7 +70,7 @@
                 System.out.println(model.line());
             }
             if (!modelOnly) {
-                AgreementTrial.Report rig = AgreementTrial.rig(plan);
+                AgreementTrial.Report rig = AgreementTrial.cluster(plan);
                 list.add(rig.json());
                 if (!json) {
                     System.out.println(rig.line());
--- a/cli/src/main/java/opalcove/cli/MembershipTrialCommand.java
+++ b/cli/src/main/java/opalcove/cli/MembershipTrialCommand.java
@@ -55,7 +55,7 @@
         List<MembershipTrial.Report> reports = new ArrayList<>();
         reports.add(MembershipTrial.model(plan));
         if (!modelOnly) {
-            reports.add(MembershipTrial.rig(plan));
+            reports.add(MembershipTrial.cluster(plan));
         }
         if (json) {
             JsonArray list = new JsonArray();
--- a/laboratory/src/main/java/opalcove/laboratory/AgreementTrial.java
+++ b/laboratory/src/main/java/opalcove/laboratory/AgreementTrial.java
@@ -90,7 +90,7 @@
 
     /** Gateways that agree on versions, be they processes or modelled; what a run of drawn faults does to them. */
     private interface Fleet extends Closeable {
-        void propose(String through, long base, int turn) throws Exception;
+        void propose(String through, long base, int step) throws Exception;
 
         void pause(String name, long ms) throws Exception;
 
@@ -104,20 +104,20 @@
 
         void run(long ms) throws Exception;
 
-        long newest();
+        long newestVersion();
 
         boolean allActOn(long version);
 
         /** Outcomes of all proposals, taken or not; null for one that is not known yet. */
         List<Boolean> outcomes();
 
-        List<ConflictDetector.Case> over(long boundMs);
+        List<ConflictDetector.Case> conflictsLongerThan(long boundMs);
     }
 
     private static final long MAX_MS = 60_000;
     private static final int STEPS = 12;
-    private static final long LONGEST_STEP_MS = 2000;
-    private static final long STEP_MS = 500;
+    private static final long MAX_STEP_MS = 2000;
+    private static final long SETTLE_POLL_MS = 500;
     /** What whole milliseconds of two processes' clocks differ by. */
     private static final long ROUNDING_MS = 5;
 
@@ -154,21 +154,23 @@
     }
 
     /** The same by real processes on this machine. */
-    public static Report rig(Plan plan) throws IOException, InterruptedException {
+    public static Report cluster(Plan plan) throws IOException, InterruptedException {
         Histogram each = new Histogram(3);
         Histogram all = new Histogram(3);
         List<String> names = names(plan);
-        try (TestCluster rig = rig(plan, plan.seed())) {
+        try (TestCluster cluster = startCluster(plan, plan.seed())) {
             for (int round = 1; round <= plan.rounds(); round++) {
                 long at = System.currentTimeMillis();
-                rig.operator("g1").propose(round - 1, "trial", TestCluster.document(1 + round % 6));
+                cluster.client("g1").propose(round - 1, "trial", TestCluster.document(1 + round % 6));
                 String wanted = round + " FULL";
-                if (!rig.await(
-                        r -> names.stream().allMatch(name -> r.actsOn(name).equals(wanted)), MAX_MS)) {
+                if (!cluster.await(
+                        running -> names.stream()
+                                .allMatch(name -> running.actsOn(name).equals(wanted)),
+                        MAX_MS)) {
                     throw new IOException("waited " + MAX_MS + " ms in vain for all to act on version " + round);
                 }
                 long last = 0;
-                for (JsonObject event : rig.versionEvents()) {
+                for (JsonObject event : cluster.versionEvents()) {
                     if (event.getLong("version", 0) == round
                             && event.getString("mode", "").equals("FULL")) {
                         each.recordValue(Math.max(0, event.getLong("at_ms", 0) - at));
@@ -182,16 +184,16 @@
         return report("rig", plan, each, all);
     }
 
-    private static TestCluster rig(Plan plan, long seed) throws IOException, InterruptedException {
+    private static TestCluster startCluster(Plan plan, long seed) throws IOException, InterruptedException {
         List<String> names = names(plan);
-        TestCluster rig =
+        TestCluster cluster =
                 new TestCluster(seed, 500, names.subList(0, 2), names.subList(0, plan.voters()), plan.leaseMs());
         for (String name : names) {
-            rig.start(name);
+            cluster.start(name);
         }
         // A round of the voters ends when they all have come up: the answer tells that there is no version.
-        rig.operator("g1").current();
-        return rig;
+        cluster.client("g1").current();
+        return cluster;
     }
 
     private static Report report(String by, Plan plan, Histogram each, Histogram all) {
@@ -210,21 +212,21 @@
     }
 
     /** A run of drawn faults by real processes. */
-    public static FaultRun rigFaults(Plan plan, long seed) throws Exception {
-        return faults("rig", new RigFleet(plan, seed), plan, seed);
+    public static FaultRun clusterFaults(Plan plan, long seed) throws Exception {
+        return faults("rig", new ClusterFleet(plan, seed), plan, seed);
     }
 
-    private static FaultRun faults(String by, Fleet made, Plan plan, long seed) throws Exception {
+    private static FaultRun faults(String by, Fleet created, Plan plan, long seed) throws Exception {
         List<String> wrong = new ArrayList<>();
-        try (Fleet fleet = made) {
-            SplittableRandom draw = new SplittableRandom(seed);
-            fleet.net(new MembershipModel.Net(draw.nextDouble(0.2), 0.05, 0, 20));
+        try (Fleet fleet = created) {
+            SplittableRandom random = new SplittableRandom(seed);
+            fleet.net(new MembershipModel.Net(random.nextDouble(0.2), 0.05, 0, 20));
             boolean killed = false;
             for (int step = 0; step < STEPS; step++) {
-                String one = "g" + (1 + draw.nextInt(plan.gateways()));
-                String other = "g" + (1 + draw.nextInt(plan.gateways()));
-                switch (draw.nextInt(6)) {
-                    case 0 -> fleet.pause(one, draw.nextLong(5L * plan.leaseMs() / 2));
+                String one = "g" + (1 + random.nextInt(plan.gateways()));
+                String other = "g" + (1 + random.nextInt(plan.gateways()));
+                switch (random.nextInt(6)) {
+                    case 0 -> fleet.pause(one, random.nextLong(5L * plan.leaseMs() / 2));
                     case 1 -> fleet.cut(one, other);
                     case 2 -> {
                         fleet.cut(one, other);
@@ -239,25 +241,25 @@
                     }
                     default -> {}
                 }
-                fleet.propose("g" + (1 + draw.nextInt(plan.voters())), fleet.newest(), step);
-                fleet.run(draw.nextLong(LONGEST_STEP_MS));
+                fleet.propose("g" + (1 + random.nextInt(plan.voters())), fleet.newestVersion(), step);
+                fleet.run(random.nextLong(MAX_STEP_MS));
             }
             fleet.heal();
             fleet.net(MembershipModel.Net.SOUND);
-            for (long waited = 0; waited < MAX_MS && !settled(fleet); waited += STEP_MS) {
-                fleet.run(STEP_MS);
+            for (long waited = 0; waited < MAX_MS && !isSettled(fleet); waited += SETTLE_POLL_MS) {
+                fleet.run(SETTLE_POLL_MS);
             }
-            if (!settled(fleet)) {
+            if (!isSettled(fleet)) {
                 wrong.add("not all proposals are decided, or not all act on the newest version: " + fleet.outcomes());
             }
-            fleet.over(plan.leaseMs() + ROUNDING_MS).forEach(each -> wrong.add(each.toString()));
+            fleet.conflictsLongerThan(plan.leaseMs() + ROUNDING_MS).forEach(each -> wrong.add(each.toString()));
             long taken = fleet.outcomes().stream().filter(Boolean.TRUE::equals).count();
             return new FaultRun(
                     by,
                     seed,
                     taken,
                     STEPS - taken,
-                    fleet.over(0).stream()
+                    fleet.conflictsLongerThan(0).stream()
                             .mapToLong(ConflictDetector.Case::ms)
                             .findFirst()
                             .orElse(0),
@@ -265,7 +267,7 @@
         }
     }
 
-    private static boolean settled(Fleet fleet) {
+    private static boolean isSettled(Fleet fleet) {
         List<Boolean> outcomes = fleet.outcomes();
         return !outcomes.contains(null)
                 && fleet.allActOn(outcomes.stream().filter(taken -> taken).count());
@@ -281,8 +283,8 @@
         }
 
         @Override
-        public void propose(String through, long base, int turn) {
-            proposals.add(model.propose(through, base, "text " + turn));
+        public void propose(String through, long base, int step) {
+            proposals.add(model.propose(through, base, "text " + step));
         }
 
         @Override
@@ -316,7 +318,7 @@
         }
 
         @Override
-        public long newest() {
+        public long newestVersion() {
             return model.leaseStates().values().stream()
                     .mapToLong(LeaseState::version)
                     .max()
@@ -336,7 +338,7 @@
         }
 
         @Override
-        public List<ConflictDetector.Case> over(long boundMs) {
+        public List<ConflictDetector.Case> conflictsLongerThan(long boundMs) {
             return model.conflicts().conflictsLongerThan(boundMs, model.now());
         }
 
@@ -344,37 +346,37 @@
         public void close() {}
     }
 
-    private static final class RigFleet implements Fleet {
-        private final TestCluster rig;
+    private static final class ClusterFleet implements Fleet {
+        private final TestCluster cluster;
         private final List<String> running;
         private final List<CompletableFuture<VersionLog.Outcome>> proposals = new ArrayList<>();
-        private final ScheduledExecutorService later = Executors.newScheduledThreadPool(2 * STEPS);
+        private final ScheduledExecutorService executor = Executors.newScheduledThreadPool(2 * STEPS);
 
-        RigFleet(Plan plan, long seed) throws IOException, InterruptedException {
-            rig = rig(plan, seed);
+        ClusterFleet(Plan plan, long seed) throws IOException, InterruptedException {
+            cluster = startCluster(plan, seed);
             running = names(plan);
         }
 
         @Override
-        public void propose(String through, long base, int turn) {
+        public void propose(String through, long base, int step) {
             proposals.add(CompletableFuture.supplyAsync(
                     () -> {
                         try {
-                            return rig.operator(through).propose(base, "trial", TestCluster.document(1 + turn % 6));
+                            return cluster.client(through).propose(base, "trial", TestCluster.document(1 + step % 6));
                         } catch (IOException e) {
                             throw new java.io.UncheckedIOException(e);
                         }
                     },
-                    later));
+                    executor));
         }
 
         @Override
         public void pause(String name, long ms) throws Exception {
             if (running.contains(name)) {
-                rig.pause(name);
-                later.schedule(
+                cluster.pause(name);
+                executor.schedule(
                         () -> {
-                            rig.resume(name);
+                            cluster.resume(name);
                             return null;
                         },
                         ms,
@@ -384,24 +386,24 @@
 
         @Override
         public void cut(String from, String to) {
-            rig.cut(from, to);
+            cluster.cut(from, to);
         }
 
         @Override
         public void heal() {
-            rig.heal();
+            cluster.heal();
         }
 
         @Override
         public void kill(String name) throws Exception {
             if (running.remove(name)) {
-                rig.kill(name);
+                cluster.kill(name);
             }
         }
 
         @Override
         public void net(MembershipModel.Net net) {
-            rig.net(net);
+            cluster.net(net);
         }
 
         @Override
@@ -410,9 +412,9 @@
         }
 
         @Override
-        public long newest() {
+        public long newestVersion() {
             return running.stream()
-                    .map(rig::actsOn)
+                    .map(cluster::actsOn)
                     .filter(acting -> !acting.isEmpty())
                     .mapToLong(acting -> Long.parseLong(acting.split(" ")[0]))
                     .max()
@@ -421,7 +423,8 @@
 
         @Override
         public boolean allActOn(long version) {
-            return running.stream().allMatch(name -> rig.actsOn(name).equals(version == 0 ? "" : version + " FULL"));
+            return running.stream()
+                    .allMatch(name -> cluster.actsOn(name).equals(version == 0 ? "" : version + " FULL"));
         }
 
         @Override
@@ -435,14 +438,14 @@
         }
 
         @Override
-        public List<ConflictDetector.Case> over(long boundMs) {
-            return rig.contradictions(boundMs);
+        public List<ConflictDetector.Case> conflictsLongerThan(long boundMs) {
+            return cluster.conflictsLongerThan(boundMs);
         }
 
         @Override
         public void close() throws IOException {
-            later.shutdownNow();
-            rig.close();
+            executor.shutdownNow();
+            cluster.close();
         }
     }
 }
--- a/laboratory/src/main/java/opalcove/laboratory/CeilingModel.java
+++ b/laboratory/src/main/java/opalcove/laboratory/CeilingModel.java
@@ -49,20 +49,20 @@
      * What came of a day.
      *
      * @param insideUnits units asked for inside the quotas, as one gateway that saw all requests would let in
-     * @param sentInsideUnits units sent on inside the quotas
+     * @param forwardedInsideUnits units sent on inside the quotas
      * @param lowestCeiling the least that a ceiling's exact store held, as a multiple of the slack that the rule allows:
      *     the rule is broken below -1
      */
-    record Result(double insideUnits, double sentInsideUnits, double lowestCeiling) {}
+    record Result(double insideUnits, double forwardedInsideUnits, double lowestCeiling) {}
 
     /** A store of units that starts full and fills at a steady rate. */
-    private static final class Store {
+    private static final class TokenBucket {
         private final double rate;
         private final double burst;
         private double level;
         private double filledAt;
 
-        Store(double ratePerSecond, double burst) {
+        TokenBucket(double ratePerSecond, double burst) {
             rate = ratePerSecond;
             this.burst = burst;
             level = burst;
@@ -74,10 +74,10 @@
             return level;
         }
 
-        boolean takeIfHeld(double now, double units) {
-            boolean held = level(now) >= units;
-            level -= held ? units : 0;
-            return held;
+        boolean takeIfAvailable(double now, double units) {
+            boolean available = level(now) >= units;
+            level -= available ? units : 0;
+            return available;
         }
     }
 
@@ -86,15 +86,15 @@
         final String name;
         final int firstGateway;
         final int spread;
-        final Store offered = new Store(plan.rate(), plan.burst());
-        final Store quota = new Store(plan.rate(), plan.burst());
-        final Store ceiling = new Store(plan.ceilingRate(), plan.ceilingBurst());
+        final TokenBucket offered = new TokenBucket(plan.rate(), plan.burst());
+        final TokenBucket quota = new TokenBucket(plan.rate(), plan.burst());
+        final TokenBucket ceiling = new TokenBucket(plan.ceilingRate(), plan.ceilingBurst());
         final Map<Long, Double> usedByPeriod = new HashMap<>();
 
         Account(int number) {
             name = "account-" + number;
-            spread = 2 + traffic.nextInt(GATEWAYS - 1);
-            firstGateway = traffic.nextInt(GATEWAYS);
+            spread = 2 + trafficRandom.nextInt(GATEWAYS - 1);
+            firstGateway = trafficRandom.nextInt(GATEWAYS);
         }
     }
 
@@ -146,7 +146,7 @@
                             result,
                             serviceMs,
                             result == AttemptStatus.SERVED,
-                            notified(account),
+                            reportedUsagePercent(account),
                             0,
                             null));
         }
@@ -154,7 +154,7 @@
         @Override
         public void startAttempt(String id, String host, double timeoutMs) {
             int attempt = attempts.merge(id, 1, Integer::sum) - 1;
-            if (attempt == 0) sentOn(requests.get(id));
+            if (attempt == 0) recordForwarded(requests.get(id));
             schedule(now + serviceMs, () -> end(id, attempt, AttemptStatus.SERVED));
         }
 
@@ -184,41 +184,41 @@
         public void log(String line) {}
     }
 
-    private final SplittableRandom traffic;
-    private final SplittableRandom world;
+    private final SplittableRandom trafficRandom;
+    private final SplittableRandom processRandom;
     private final PriorityQueue<Event> events =
             new PriorityQueue<>(Comparator.comparingDouble(Event::at).thenComparingLong(Event::order));
     private final DecisionSettings.Plan plan;
-    private final boolean ceilingHeld;
+    private final boolean ceilingEnforced;
     private final Process[] processes = new Process[GATEWAYS];
     /** Processes that still take requests beside the one that takes over from them; null where there is none. */
-    private final Process[] leaving = new Process[GATEWAYS];
+    private final Process[] outgoing = new Process[GATEWAYS];
 
     private final double meterDelayMs;
     private final double serviceMs;
     private double now;
     private long scheduled;
     private double insideUnits;
-    private double sentInsideUnits;
+    private double forwardedInsideUnits;
     private double lowestCeiling = Double.MAX_VALUE;
 
-    private CeilingModel(long seed, boolean ceilingHeld) {
-        traffic = new SplittableRandom(seed);
-        world = traffic.split();
-        this.ceilingHeld = ceilingHeld;
-        double rate = traffic.nextDouble(18, 32);
-        double burst = Math.max(4 * LARGEST_UNITS, rate * traffic.nextDouble(1.6, 2.6));
-        double multiple = traffic.nextDouble(1.6, 2.5);
+    private CeilingModel(long seed, boolean ceilingEnforced) {
+        trafficRandom = new SplittableRandom(seed);
+        processRandom = trafficRandom.split();
+        this.ceilingEnforced = ceilingEnforced;
+        double rate = trafficRandom.nextDouble(18, 32);
+        double burst = Math.max(4 * LARGEST_UNITS, rate * trafficRandom.nextDouble(1.6, 2.6));
+        double multiple = trafficRandom.nextDouble(1.6, 2.5);
         double slack = Math.max(LARGEST_UNITS, 0.1 * multiple * burst);
         plan = new DecisionSettings.Plan(
                 "capped", rate, burst, 0, 1.6, 0.3, 0, multiple * rate, multiple * burst, slack);
-        meterDelayMs = traffic.nextDouble(350, 1500);
-        serviceMs = traffic.nextDouble(120, 250);
+        meterDelayMs = trafficRandom.nextDouble(350, 1500);
+        serviceMs = trafficRandom.nextDouble(120, 250);
     }
 
     /** Plays a day; where the ceiling is not held, the gateways are told of a plan that has none. */
-    static Result play(long seed, int accounts, Restarts restarts, boolean ceilingHeld) {
-        CeilingModel model = new CeilingModel(seed, ceilingHeld);
+    static Result play(long seed, int accounts, Restarts restarts, boolean ceilingEnforced) {
+        CeilingModel model = new CeilingModel(seed, ceilingEnforced);
         for (int i = 0; i < GATEWAYS; i++) {
             model.start(i);
         }
@@ -227,11 +227,11 @@
         }
         model.drawRestarts(restarts);
         model.run();
-        return new Result(model.insideUnits, model.sentInsideUnits, model.lowestCeiling);
+        return new Result(model.insideUnits, model.forwardedInsideUnits, model.lowestCeiling);
     }
 
     private DecisionSettings settings(int gateway) {
-        DecisionSettings.Plan notified = ceilingHeld
+        DecisionSettings.Plan effective = ceilingEnforced
                 ? plan
                 : new DecisionSettings.Plan(
                         plan.name(), plan.rate(), plan.burst(), 0, plan.price(), plan.overQuotaWeight(), 0, 0, 0, 0);
@@ -244,7 +244,7 @@
                 false,
                 List.of(new DecisionSettings.RequestClass(
                         "lookup", 1, 0, 1500, 6000, Idempotency.SAFE, DeduplicationScope.ALL, 0, false)),
-                List.of(notified),
+                List.of(effective),
                 new DecisionSettings.Limits(5, true, true, false, true, 2000, 15_000, true),
                 new DecisionSettings.Obligations(8, 0.18, 17_000, 3, 1000, false, 0),
                 new DecisionSettings.Costs(0, 0.077, 0.01, 0.05),
@@ -265,7 +265,7 @@
     }
 
     private void start(int gateway) {
-        processes[gateway] = new Process(gateway, world.nextLong());
+        processes[gateway] = new Process(gateway, processRandom.nextLong());
     }
 
     private void restart(int gateway, double outageMs) {
@@ -276,9 +276,9 @@
     }
 
     private void handOver(int gateway) {
-        leaving[gateway] = processes[gateway];
+        outgoing[gateway] = processes[gateway];
         start(gateway);
-        schedule(now + HAND_OVER_MS, () -> leaving[gateway] = null);
+        schedule(now + HAND_OVER_MS, () -> outgoing[gateway] = null);
     }
 
     private void drawRestarts(Restarts restarts) {
@@ -293,9 +293,9 @@
             }
         }
         if (restarts == Restarts.RANDOM) {
-            for (double at = 5000; at < DAY_MS; at += world.nextDouble(500, 8000)) {
-                int gateway = world.nextInt(GATEWAYS);
-                double outageMs = world.nextDouble(0, 2000);
+            for (double at = 5000; at < DAY_MS; at += processRandom.nextDouble(500, 8000)) {
+                int gateway = processRandom.nextInt(GATEWAYS);
+                double outageMs = processRandom.nextDouble(0, 2000);
                 schedule(at, () -> restart(gateway, outageMs));
             }
         }
@@ -303,35 +303,35 @@
 
     /** Draws an account's requests: how much it asks, over which gateways, and when both change. */
     private void drawTraffic(Account account) {
-        double kind = traffic.nextDouble();
-        double heavy = traffic.nextDouble(1.9, 5);
-        double full = traffic.nextDouble(0.9, 1);
-        double calm = traffic.nextDouble(0.16, 0.39);
+        double kind = trafficRandom.nextDouble();
+        double heavy = trafficRandom.nextDouble(1.9, 5);
+        double full = trafficRandom.nextDouble(0.9, 1);
+        double calm = trafficRandom.nextDouble(0.16, 0.39);
         boolean spiky = kind >= 0.27 && kind < 0.45;
         double base = kind < 0.09 ? heavy : kind < 0.27 ? full : calm;
-        double spike = traffic.nextDouble(2.6, 6.4);
-        double skew = traffic.nextDouble(0.22, 1.1);
-        double shiftEveryMs = traffic.nextDouble(5700, 17_000);
-        double spikeFrom = traffic.nextDouble(2000, 20_000);
-        double spikeUntil = spikeFrom + traffic.nextDouble(1500, 5000);
+        double spike = trafficRandom.nextDouble(2.6, 6.4);
+        double skew = trafficRandom.nextDouble(0.22, 1.1);
+        double shiftEveryMs = trafficRandom.nextDouble(5700, 17_000);
+        double spikeFrom = trafficRandom.nextDouble(2000, 20_000);
+        double spikeUntil = spikeFrom + trafficRandom.nextDouble(1500, 5000);
         double shiftAt = 0;
         double[] weights = {};
         double at = 0;
         while (true) {
             double use = spiky && at >= spikeFrom && at < spikeUntil ? spike : base;
             double meanUnits = 2.5;
-            at -= Math.log(1 - traffic.nextDouble()) * 1000 / (use * plan.rate() / meanUnits);
+            at -= Math.log(1 - trafficRandom.nextDouble()) * 1000 / (use * plan.rate() / meanUnits);
             if (at > DAY_MS) return;
             if (at > spikeUntil) {
-                spikeFrom = spikeUntil + traffic.nextDouble(13_000, 22_000);
-                spikeUntil = spikeFrom + traffic.nextDouble(1500, 5000);
+                spikeFrom = spikeUntil + trafficRandom.nextDouble(13_000, 22_000);
+                spikeUntil = spikeFrom + trafficRandom.nextDouble(1500, 5000);
             }
             if (at >= shiftAt) {
                 shiftAt = at + shiftEveryMs;
                 weights = drawWeights(account.spread, skew);
             }
-            int units = (int) Math.min(LARGEST_UNITS, 1 - 2 * Math.log(1 - traffic.nextDouble()));
-            Arrival arrival = new Arrival(at, account, units, weights, traffic.nextDouble());
+            int units = (int) Math.min(LARGEST_UNITS, 1 - 2 * Math.log(1 - trafficRandom.nextDouble()));
+            Arrival arrival = new Arrival(at, account, units, weights, trafficRandom.nextDouble());
             schedule(at, () -> arrive(arrival));
         }
     }
@@ -339,7 +339,7 @@
     /** Weights of the gateways of a set: 1 / rank^skew, the ranks drawn anew. */
     private double[] drawWeights(int gateways, double skew) {
         double[] weights = new double[gateways];
-        int from = traffic.nextInt(gateways);
+        int from = trafficRandom.nextInt(gateways);
         for (int rank = 0; rank < gateways; rank++) {
             weights[(from + rank) % gateways] = Math.pow(rank + 1, -skew);
         }
@@ -348,31 +348,31 @@
 
     private void arrive(Arrival arrival) {
         Account account = arrival.account;
-        if (account.offered.takeIfHeld(now, arrival.units)) insideUnits += arrival.units;
+        if (account.offered.takeIfAvailable(now, arrival.units)) insideUnits += arrival.units;
         double sum = 0;
         for (int i = 0; i < account.spread; i++) {
             sum += up(account, i) ? arrival.weights[i] : 0;
         }
-        double left = arrival.entry * sum;
+        double remaining = arrival.entry * sum;
         for (int i = 0; i < account.spread; i++) {
             if (!up(account, i)) continue;
-            left -= arrival.weights[i];
-            if (left >= 0) continue;
+            remaining -= arrival.weights[i];
+            if (remaining >= 0) continue;
             int gateway = (account.firstGateway + i) % GATEWAYS;
-            Process beside = leaving[gateway];
-            boolean old = beside != null && scheduled % 2 == 0;
-            (old ? beside : processes[gateway]).take(arrival, "r" + scheduled++);
+            Process outgoingProcess = outgoing[gateway];
+            boolean useOutgoing = outgoingProcess != null && scheduled % 2 == 0;
+            (useOutgoing ? outgoingProcess : processes[gateway]).take(arrival, "r" + scheduled++);
             return;
         }
     }
 
-    private boolean up(Account account, int place) {
-        return processes[(account.firstGateway + place) % GATEWAYS] != null;
+    private boolean up(Account account, int position) {
+        return processes[(account.firstGateway + position) % GATEWAYS] != null;
     }
 
-    private void sentOn(Arrival arrival) {
+    private void recordForwarded(Arrival arrival) {
         Account account = arrival.account;
-        if (account.quota.takeIfHeld(now, arrival.units)) sentInsideUnits += arrival.units;
+        if (account.quota.takeIfAvailable(now, arrival.units)) forwardedInsideUnits += arrival.units;
         double ceiling = account.ceiling.level(now) - arrival.units;
         account.ceiling.level = ceiling;
         lowestCeiling = Math.min(lowestCeiling, ceiling / plan.ceilingSlack());
@@ -380,7 +380,7 @@
     }
 
     /** Use of the last period that the meter has added up, in percent of the rate; below 0 before the first. */
-    private int notified(Account account) {
+    private int reportedUsagePercent(Account account) {
         long period = (long) Math.floor((now - meterDelayMs) / METER_PERIOD_MS) - 1;
         if (period < 0) return -1;
         double used = account.usedByPeriod.getOrDefault(period, 0.0);
--- a/laboratory/src/main/java/opalcove/laboratory/ClusterScenario.java
+++ b/laboratory/src/main/java/opalcove/laboratory/ClusterScenario.java
@@ -66,10 +66,10 @@
             check.addProblem("field members must name 1 to " + MAX_MEMBERS + " members");
         }
         List<String> seeds = check.valueOr(() -> fields.texts("seeds"), List.of());
-        known(check, "seeds", seeds, members);
+        checkNames(check, "seeds", seeds, members);
         List<String> voters =
                 check.valueOr(() -> fields.has("voters") ? fields.texts("voters") : List.<String>of(), List.of());
-        known(check, "voters", voters, members);
+        checkNames(check, "voters", voters, members);
         int leaseMs = check.valueOr(() -> fields.wholeOr("lease_ms", 2000), 2000);
         if (leaseMs < 200 || leaseMs > 60_000 || !voters.isEmpty() && voters.size() % 2 == 0) {
             check.addProblem("field lease_ms must be from 200 to 60000, and voters an odd number of members");
@@ -83,8 +83,8 @@
         for (JsonFields each : check.valueOr(() -> fields.objects("steps"), List.<JsonFields>of())) {
             Step step = check.valueOr(() -> step(each, members), null);
             if (step != null) {
-                known(check, each.path() + ".who", step.who(), members);
-                known(check, each.path() + ".of", step.of(), members);
+                checkNames(check, each.path() + ".who", step.who(), members);
+                checkNames(check, each.path() + ".of", step.of(), members);
                 if (voters.isEmpty() && step.action().ordinal() >= Action.PROPOSE.ordinal()) {
                     check.addProblem("field " + each.path() + ".do is " + step.action() + ", but there are no voters");
                 }
@@ -99,7 +99,7 @@
         return new ClusterScenario(seed, probeMs, seeds, voters, leaseMs, maxS * 1000L, steps);
     }
 
-    private static void known(ConfigValidator check, String key, List<String> names, List<String> members) {
+    private static void checkNames(ConfigValidator check, String key, List<String> names, List<String> members) {
         names.stream()
                 .filter(name -> !members.contains(name))
                 .forEach(name -> check.addProblem("field " + key + " names " + name + ", which is no member"));
@@ -109,17 +109,17 @@
         Action action = f.choice("do", Action.class);
         List<String> who = f.has("who") ? f.texts("who") : action == Action.NET ? List.of() : members;
         List<String> of = f.has("of") ? f.texts("of") : members;
-        boolean tells = action == Action.AWAIT || action == Action.NEVER;
-        String state = tells || action == Action.ACTS ? f.text("state") : "";
-        if (tells && !STATES.contains(state)) {
+        boolean observes = action == Action.AWAIT || action == Action.NEVER;
+        String state = observes || action == Action.ACTS ? f.text("state") : "";
+        if (observes && !STATES.contains(state)) {
             throw new InvalidConfigurationException("field " + f.path() + ".state must be one of " + STATES);
         }
         int forMs = f.wholeOr("for_ms", 0);
         double loss = f.numberOr("loss", 0);
         double repeated = f.numberOr("repeated", 0);
-        int least = f.wholeOr("least_ms", 0);
-        int most = f.wholeOr("most_ms", least);
-        if (loss < 0 || loss > 1 || repeated < 0 || repeated > 1 || least < 0 || most < least || forMs < 0) {
+        int minMs = f.wholeOr("least_ms", 0);
+        int maxMs = f.wholeOr("most_ms", minMs);
+        if (loss < 0 || loss > 1 || repeated < 0 || repeated > 1 || minMs < 0 || maxMs < minMs || forMs < 0) {
             throw new InvalidConfigurationException(
                     "field " + f.path() + " must have shares from 0 to 1 and times that are not below 0");
         }
@@ -129,7 +129,7 @@
                 of,
                 state,
                 forMs,
-                new MembershipModel.Net(loss, repeated, least, most),
+                new MembershipModel.Net(loss, repeated, minMs, maxMs),
                 f.wholeOr("base", 0),
                 f.wholeOr("attempts", 6));
     }
@@ -139,81 +139,83 @@
      * the consumer's hands, each event once, when it ends.
      */
     public List<String> play(Consumer<TestCluster.Event> events) throws IOException, InterruptedException {
-        List<String> wrong = new ArrayList<>();
-        try (TestCluster rig = new TestCluster(seed, probeMs, seeds, voters, leaseMs)) {
-            for (int i = 0; i < steps.size() && wrong.isEmpty(); i++) {
-                if (!play(rig, steps.get(i))) {
-                    wrong.add("steps[" + i + "] " + steps.get(i).action() + ": "
+        List<String> failures = new ArrayList<>();
+        try (TestCluster cluster = new TestCluster(seed, probeMs, seeds, voters, leaseMs)) {
+            for (int i = 0; i < steps.size() && failures.isEmpty(); i++) {
+                if (!play(cluster, steps.get(i))) {
+                    failures.add("steps[" + i + "] " + steps.get(i).action() + ": "
                             + steps.get(i).of() + " " + steps.get(i).state() + " is not as "
                             + steps.get(i).who() + " have told it");
                 }
             }
-            rig.history().forEach(events);
+            cluster.history().forEach(events);
         }
-        return wrong;
+        return failures;
     }
 
-    private boolean play(TestCluster rig, Step step) throws IOException, InterruptedException {
+    private boolean play(TestCluster cluster, Step step) throws IOException, InterruptedException {
         switch (step.action()) {
             case NET -> {
                 if (step.who().isEmpty()) {
-                    rig.net(step.net());
+                    cluster.net(step.net());
                 }
-                step.who().forEach(name -> rig.net(name, step.net()));
+                step.who().forEach(name -> cluster.net(name, step.net()));
             }
-            case HEAL -> rig.heal();
+            case HEAL -> cluster.heal();
             case AWAIT -> {
-                return rig.await(
-                        r -> pairs(
-                                step, (observer, name) -> r.view(observer, name).equals(step.state())),
+                return cluster.await(
+                        running -> allPairs(step, (observer, name) -> running.lastState(observer, name)
+                                .equals(step.state())),
                         maxMs);
             }
             case NEVER -> {
-                return rig.history().stream()
+                return cluster.history().stream()
                         .noneMatch(each -> each.state().equals(step.state())
                                 && step.who().contains(each.observer())
                                 && step.of().contains(each.name()));
             }
             case PROPOSE -> {
-                return rig.operator(step.who().get(0))
+                return cluster.client(step.who().get(0))
                         .propose(step.base(), "scenario", TestCluster.document(step.attempts()))
                         .accepted();
             }
             case ACTS -> {
-                return rig.await(
-                        r -> step.who().stream().allMatch(name -> r.actsOn(name).equals(step.state())), maxMs);
+                return cluster.await(
+                        running -> step.who().stream()
+                                .allMatch(name -> running.actsOn(name).equals(step.state())),
+                        maxMs);
             }
             case AGREED -> {
-                return rig.contradictions(leaseMs + ROUNDING_MS).isEmpty();
+                return cluster.conflictsLongerThan(leaseMs + ROUNDING_MS).isEmpty();
             }
             default -> {
                 for (String who : step.who()) {
-                    act(rig, step, who);
+                    applyTo(cluster, step, who);
                 }
             }
         }
         return true;
     }
 
-    private static void act(TestCluster rig, Step step, String who) throws IOException, InterruptedException {
+    private static void applyTo(TestCluster cluster, Step step, String who) throws IOException, InterruptedException {
         switch (step.action()) {
-            case START -> rig.start(who);
-            case KILL -> rig.kill(who);
-            case LEAVE -> rig.leave(who);
-            case RESUME -> rig.resume(who);
-            case CUT -> step.of().forEach(to -> rig.cut(who, to));
+            case START -> cluster.start(who);
+            case KILL -> cluster.kill(who);
+            case LEAVE -> cluster.leave(who);
+            case RESUME -> cluster.resume(who);
+            case CUT -> step.of().forEach(to -> cluster.cut(who, to));
             case PAUSE -> {
                 if (step.forMs() > 0) {
-                    rig.pauseFor(who, step.forMs());
+                    cluster.pauseFor(who, step.forMs());
                 } else {
-                    rig.pause(who);
+                    cluster.pause(who);
                 }
             }
             default -> throw new IllegalStateException("no act on one member: " + step.action());
         }
     }
 
-    private static boolean pairs(Step step, java.util.function.BiPredicate<String, String> holds) {
+    private static boolean allPairs(Step step, java.util.function.BiPredicate<String, String> holds) {
         return step.who().stream().allMatch(observer -> step.of().stream()
                 .allMatch(name -> name.equals(observer) || holds.test(observer, name)));
     }
--- a/laboratory/src/main/java/opalcove/laboratory/FaultProxy.java
+++ b/laboratory/src/main/java/opalcove/laboratory/FaultProxy.java
@@ -27,19 +27,19 @@
 final class FaultProxy implements AutoCloseable {
     private static final int MAX_BYTES = 65_535;
 
-    private record Held(long dueNanos, long order, DatagramChannel by, byte[] bytes, String to) {}
+    private record Delayed(long dueNanos, long order, DatagramChannel channel, byte[] bytes, String to) {}
 
     private final Selector selector = Selector.open();
-    private final Map<String, DatagramChannel> doors = new HashMap<>();
-    private final Map<String, SocketAddress> real = new HashMap<>();
-    private final PriorityQueue<Held> held =
-            new PriorityQueue<>(Comparator.comparingLong(Held::dueNanos).thenComparingLong(Held::order));
+    private final Map<String, DatagramChannel> channels = new HashMap<>();
+    private final Map<String, SocketAddress> listenAddresses = new HashMap<>();
+    private final PriorityQueue<Delayed> delayed =
+            new PriorityQueue<>(Comparator.comparingLong(Delayed::dueNanos).thenComparingLong(Delayed::order));
     private final MessageFaults faults;
     private final Function<byte[], String> sender;
     private final Thread thread = new Thread(this::run, "fault-proxy");
     private long order;
-    private long offered;
-    private long bytes;
+    private long datagramsSent;
+    private long bytesSent;
 
     /** Faults are drawn by the seed; sender tells a datagram's sender, or fails with {@link InvalidConfigurationException}. */
     FaultProxy(long seed, Function<byte[], String> sender) throws IOException {
@@ -50,18 +50,18 @@
     }
 
     /** The address that a member of that name is to tell the others; the same at each call. */
-    synchronized String door(String member) throws IOException {
-        DatagramChannel door = doors.get(member);
-        if (door == null) {
-            door = DatagramChannel.open();
-            door.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
-            door.configureBlocking(false);
-            doors.put(member, door);
+    synchronized String addressOf(String member) throws IOException {
+        DatagramChannel channel = channels.get(member);
+        if (channel == null) {
+            channel = DatagramChannel.open();
+            channel.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
+            channel.configureBlocking(false);
+            channels.put(member, channel);
             selector.wakeup();
-            door.register(selector, SelectionKey.OP_READ, member);
+            channel.register(selector, SelectionKey.OP_READ, member);
         }
-        InetSocketAddress at = (InetSocketAddress) door.getLocalAddress();
-        return at.getAddress().getHostAddress() + ":" + at.getPort();
+        InetSocketAddress address = (InetSocketAddress) channel.getLocalAddress();
+        return address.getAddress().getHostAddress() + ":" + address.getPort();
     }
 
     /** What happens to each datagram from now on, between members that have no net of their own. */
@@ -83,13 +83,13 @@
     }
 
     /** Datagrams that members sent so far. */
-    synchronized long offered() {
-        return offered;
+    synchronized long datagramsSent() {
+        return datagramsSent;
     }
 
     /** Their bytes. */
-    synchronized long bytes() {
-        return bytes;
+    synchronized long bytesSent() {
+        return bytesSent;
     }
 
     private void run() {
@@ -102,8 +102,8 @@
                         read((DatagramChannel) key.channel(), (String) key.attachment(), buffer);
                     }
                     selector.selectedKeys().clear();
-                    while (!held.isEmpty() && held.peek().dueNanos() - System.nanoTime() <= 0) {
-                        pass(held.poll());
+                    while (!delayed.isEmpty() && delayed.peek().dueNanos() - System.nanoTime() <= 0) {
+                        forward(delayed.poll());
                     }
                 }
             }
@@ -114,14 +114,14 @@
     }
 
     private synchronized long waitMs() {
-        return held.isEmpty()
+        return delayed.isEmpty()
                 ? 0
-                : Math.max(1, TimeUnit.NANOSECONDS.toMillis(held.peek().dueNanos() - System.nanoTime()));
+                : Math.max(1, TimeUnit.NANOSECONDS.toMillis(delayed.peek().dueNanos() - System.nanoTime()));
     }
 
-    private void read(DatagramChannel door, String to, ByteBuffer buffer) throws IOException {
+    private void read(DatagramChannel channel, String to, ByteBuffer buffer) throws IOException {
         for (buffer.clear(); ; buffer.clear()) {
-            SocketAddress source = door.receive(buffer);
+            SocketAddress source = channel.receive(buffer);
             if (source == null) {
                 return;
             }
@@ -132,26 +132,27 @@
             } catch (InvalidConfigurationException e) {
                 continue;
             }
-            real.put(from, source);
-            offered++;
-            bytes += datagram.length;
-            carry(door, from, to, datagram);
+            listenAddresses.put(from, source);
+            datagramsSent++;
+            bytesSent += datagram.length;
+            delay(channel, from, to, datagram);
         }
     }
 
-    private void carry(DatagramChannel door, String from, String to, byte[] datagram) {
+    private void delay(DatagramChannel channel, String from, String to, byte[] datagram) {
         for (long ms : faults.delays(from, to)) {
-            held.add(new Held(System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(ms), order++, door, datagram, to));
+            delayed.add(
+                    new Delayed(System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(ms), order++, channel, datagram, to));
         }
     }
 
-    private void pass(Held each) {
-        SocketAddress target = real.get(each.to());
+    private void forward(Delayed each) {
+        SocketAddress target = listenAddresses.get(each.to());
         if (target == null) {
             return;
         }
         try {
-            each.by().send(ByteBuffer.wrap(each.bytes()), target);
+            each.channel().send(ByteBuffer.wrap(each.bytes()), target);
         } catch (IOException e) {
             // As lost on its way: its member has ended.
             return;
@@ -161,8 +162,8 @@
     @Override
     public synchronized void close() throws IOException {
         selector.close();
-        for (DatagramChannel door : doors.values()) {
-            door.close();
+        for (DatagramChannel channel : channels.values()) {
+            channel.close();
         }
     }
 }
--- a/laboratory/src/main/java/opalcove/laboratory/MembershipTrial.java
+++ b/laboratory/src/main/java/opalcove/laboratory/MembershipTrial.java
@@ -72,7 +72,7 @@
 
     private static final long MAX_MS = 120_000;
     /** A larger fleet is modelled from where its members know one another: the join of so many is no figure of the trial. */
-    private static final int MAX_JOINING = 200;
+    private static final int MAX_JOINING_MEMBERS = 200;
     /** Probe periods that a member stands still for in the soak, and from one such pause to the next. */
     private static final int PAUSE_PERIODS = 3;
 
@@ -97,8 +97,8 @@
         return new MembershipModel.Net(plan.loss(), 0, 0, 1);
     }
 
-    private String victim(int turn) {
-        return names.get(2 + turn % (plan.members() - 2));
+    private String victim(int index) {
+        return names.get(2 + index % (plan.members() - 2));
     }
 
     /** By the model, in virtual time. */
@@ -107,7 +107,7 @@
         MembershipModel model =
                 new MembershipModel(plan.seed(), SwimConfig.of(plan.probeMs()), trial.names.subList(0, 2));
         model.net(trial.net());
-        if (plan.members() > MAX_JOINING) {
+        if (plan.members() > MAX_JOINING_MEMBERS) {
             model.startKnown(trial.names);
         } else {
             trial.names.forEach(model::start);
@@ -137,11 +137,11 @@
                 model.run(20L * plan.probeMs());
                 for (MembershipModel.Change each :
                         model.history().subList(from, model.history().size())) {
-                    boolean its = each.after().name().equals(victim);
-                    if (its && each.after().state() == end) {
+                    boolean isVictim = each.after().name().equals(victim);
+                    if (isVictim && each.after().state() == end) {
                         (end == State.DEAD ? trial.crashes : trial.leaves).recordValue(each.at() - at);
                     }
-                    falseDeaths += each.after().state() == State.DEAD && !its ? 1 : 0;
+                    falseDeaths += each.after().state() == State.DEAD && !isVictim ? 1 : 0;
                 }
                 model.start(victim);
                 model.run(20L * plan.probeMs());
@@ -151,64 +151,65 @@
     }
 
     /** By real processes on this machine. */
-    public static Report rig(Plan plan) throws IOException, InterruptedException {
+    public static Report cluster(Plan plan) throws IOException, InterruptedException {
         MembershipTrial trial = new MembershipTrial(plan);
-        try (TestCluster rig = new TestCluster(plan.seed(), plan.probeMs(), trial.names.subList(0, 2))) {
-            rig.net(trial.net());
+        try (TestCluster cluster = new TestCluster(plan.seed(), plan.probeMs(), trial.names.subList(0, 2))) {
+            cluster.net(trial.net());
             for (String name : trial.names) {
-                rig.start(name);
+                cluster.start(name);
             }
-            wait(rig, r -> r.allAlive(trial.names), "the members to come together");
+            awaitState(cluster, running -> running.allAlive(trial.names), "the members to come together");
             Thread.sleep(20L * plan.probeMs());
-            long before = rig.offered();
-            long bytesBefore = rig.bytes();
+            long before = cluster.datagramsSent();
+            long bytesBefore = cluster.bytesSent();
             Thread.sleep(plan.restMs());
-            double rate = (rig.offered() - before) * 1000.0 / plan.restMs() / plan.members();
-            double bytes = (rig.bytes() - bytesBefore) * 1000.0 / plan.restMs() / plan.members();
+            double rate = (cluster.datagramsSent() - before) * 1000.0 / plan.restMs() / plan.members();
+            double bytes = (cluster.bytesSent() - bytesBefore) * 1000.0 / plan.restMs() / plan.members();
             SplittableRandom pauses = new SplittableRandom(plan.seed());
             for (long end = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(plan.soakMs());
                     System.nanoTime() < end; ) {
-                rig.pauseFor(trial.names.get(pauses.nextInt(plan.members())), (long) PAUSE_PERIODS * plan.probeMs());
+                cluster.pauseFor(
+                        trial.names.get(pauses.nextInt(plan.members())), (long) PAUSE_PERIODS * plan.probeMs());
                 Thread.sleep((long) (PAUSE_EVERY - PAUSE_PERIODS) * plan.probeMs());
             }
-            int falseDeaths = (int) rig.history().stream()
+            int falseDeaths = (int) cluster.history().stream()
                     .filter(each -> each.state().equals("DEAD"))
                     .count();
             for (int round = 0; round < plan.rounds(); round++) {
                 for (String end : List.of("DEAD", "LEFT")) {
                     String victim = trial.victim(2 * round + (end.equals("DEAD") ? 0 : 1));
-                    int from = rig.history().size();
+                    int from = cluster.history().size();
                     long at = System.currentTimeMillis();
                     if (end.equals("DEAD")) {
-                        rig.kill(victim);
+                        cluster.kill(victim);
                     } else {
-                        rig.leave(victim);
+                        cluster.leave(victim);
                     }
-                    wait(
-                            rig,
-                            r -> trial.names.stream()
+                    awaitState(
+                            cluster,
+                            running -> trial.names.stream()
                                     .allMatch(name -> name.equals(victim)
-                                            || r.view(name, victim).equals(end)),
+                                            || running.lastState(name, victim).equals(end)),
                             victim + " to be told " + end);
                     for (TestCluster.Event each :
-                            rig.history().subList(from, rig.history().size())) {
-                        boolean its = each.name().equals(victim);
-                        if (its && each.state().equals(end)) {
+                            cluster.history().subList(from, cluster.history().size())) {
+                        boolean isVictim = each.name().equals(victim);
+                        if (isVictim && each.state().equals(end)) {
                             (end.equals("DEAD") ? trial.crashes : trial.leaves).recordValue(each.atMs() - at);
                         }
-                        falseDeaths += each.state().equals("DEAD") && !its ? 1 : 0;
+                        falseDeaths += each.state().equals("DEAD") && !isVictim ? 1 : 0;
                     }
-                    rig.start(victim);
-                    wait(rig, r -> r.allAlive(trial.names), victim + " to be taken back");
+                    cluster.start(victim);
+                    awaitState(cluster, running -> running.allAlive(trial.names), victim + " to be taken back");
                 }
             }
             return trial.report("rig", rate, bytes, falseDeaths);
         }
     }
 
-    private static void wait(TestCluster rig, Predicate<TestCluster> wanted, String what)
+    private static void awaitState(TestCluster cluster, Predicate<TestCluster> condition, String what)
             throws IOException, InterruptedException {
-        if (!rig.await(wanted, MAX_MS)) {
+        if (!cluster.await(condition, MAX_MS)) {
             throw new IOException("waited " + MAX_MS + " ms in vain for " + what);
         }
     }
--- a/laboratory/src/main/java/opalcove/laboratory/TestCluster.java
+++ b/laboratory/src/main/java/opalcove/laboratory/TestCluster.java
@@ -32,7 +32,7 @@
     /** A change that one process told of a member. */
     public record Event(long atMs, String observer, String name, String state, String before, long incarnation) {}
 
-    private static final long OPERATOR_MS = 30_000;
+    private static final long CLIENT_TIMEOUT_MS = 30_000;
     private static final int MAX_OBSTACLE_ATTEMPTS = 1000;
 
     private final Path folder;
@@ -66,25 +66,25 @@
                 seed + 1, datagram -> ReplicationMessage.read(datagram).from());
         this.voters = List.copyOf(voters);
         this.leaseMs = leaseMs;
-        Thread calls = new Thread(this::endCalls, "no-discovery");
-        calls.setDaemon(true);
-        calls.start();
+        Thread closer = new Thread(this::closeDiscoveryConnections, "no-discovery");
+        closer.setDaemon(true);
+        closer.start();
         this.probeMs = probeMs;
         seeds = new ArrayList<>();
         for (String each : seedMembers) {
-            seeds.add(proxy.door(each));
+            seeds.add(proxy.addressOf(each));
         }
     }
 
     /** Starts a member, or starts it again at its address. */
     public void start(String name) throws IOException {
         Path config = folder.resolve(name + ".json");
-        JsonArray joins = new JsonArray();
-        seeds.forEach(joins::add);
+        JsonArray seedAddresses = new JsonArray();
+        seeds.forEach(seedAddresses::add);
         JsonObject membership = Json.object()
                 .add("listen", "127.0.0.1:0")
-                .add("advertise", proxy.door(name))
-                .add("seeds", joins)
+                .add("advertise", proxy.addressOf(name))
+                .add("seeds", seedAddresses)
                 .add("probe_ms", probeMs)
                 .add("events", true);
         JsonObject file = Json.object()
@@ -95,16 +95,16 @@
                 .add("membership", membership)
                 .add("settings", Json.parse(Laboratory.settingsText()));
         if (!voters.isEmpty()) {
-            JsonArray known = new JsonArray();
+            JsonArray voterAddresses = new JsonArray();
             for (String each : voters) {
-                known.add(Json.object().add("name", each).add("address", versionProxy.door(each)));
+                voterAddresses.add(Json.object().add("name", each).add("address", versionProxy.addressOf(each)));
             }
             file.add(
                     "agreement",
                     Json.object()
                             .add("listen", "127.0.0.1:0")
-                            .add("advertise", versionProxy.door(name))
-                            .add("voters", known)
+                            .add("advertise", versionProxy.addressOf(name))
+                            .add("voters", voterAddresses)
                             .add("lease_ms", leaseMs)
                             .add("state_file", state(name).toString())
                             .add("snapshot_file", snapshot(name).toString())
@@ -129,7 +129,7 @@
         Process process = builder.start();
         process.getOutputStream().close();
         processes.put(name, process);
-        Thread reader = new Thread(() -> gather(process), "events-" + name);
+        Thread reader = new Thread(() -> readEvents(process), "events-" + name);
         reader.setDaemon(true);
         reader.start();
     }
@@ -147,7 +147,7 @@
     }
 
     /** Has writes of a member's state fail from now on: what stands in the place of the new file cannot be replaced. */
-    public void failFolder(String name) throws IOException, InterruptedException {
+    public void failStateWrites(String name) throws IOException, InterruptedException {
         for (int attempt = 1; ; attempt++) {
             try {
                 Files.createDirectories(obstacle(name));
@@ -163,7 +163,7 @@
     }
 
     /** Lets writes of a member's state succeed again: an empty folder in the place of the new file is no obstacle. */
-    public void healFolder(String name) throws IOException {
+    public void allowStateWrites(String name) throws IOException {
         Files.deleteIfExists(obstacle(name));
     }
 
@@ -189,17 +189,17 @@
     }
 
     /** Asks the voters as an operator's command does, past all faults between members; this one first. */
-    public ReplicationClient operator(String first) throws IOException {
-        List<HostAndPort> doors = new ArrayList<>();
-        doors.add(HostAndPort.parse(versionProxy.door(first), "door"));
+    public ReplicationClient client(String first) throws IOException {
+        List<HostAndPort> addresses = new ArrayList<>();
+        addresses.add(HostAndPort.parse(versionProxy.addressOf(first), "address"));
         for (String each : voters) {
-            doors.add(HostAndPort.parse(versionProxy.door(each), "door"));
+            addresses.add(HostAndPort.parse(versionProxy.addressOf(each), "address"));
         }
-        return new ReplicationClient(doors, OPERATOR_MS);
+        return new ReplicationClient(addresses, CLIENT_TIMEOUT_MS);
     }
 
     /** Ends each call for a node list at once: the port is the rig's own, so that no member ever calls somebody else. */
-    private void endCalls() {
+    private void closeDiscoveryConnections() {
         while (!discovery.isClosed()) {
             try {
                 discovery.accept().close();
@@ -210,10 +210,10 @@
         }
     }
 
-    private void gather(Process process) {
+    private void readEvents(Process process) {
         try (BufferedReader lines = process.inputReader()) {
             for (String line = lines.readLine(); line != null; line = lines.readLine()) {
-                event(line);
+                addEvent(line);
             }
         } catch (IOException e) {
             // The process has ended amid a line.
@@ -221,11 +221,11 @@
         }
     }
 
-    private synchronized void event(String line) {
+    private synchronized void addEvent(String line) {
         try {
             JsonObject event = Json.parse(line).asObject();
             if (!event.getString("event", "").equals("member")) {
-                version(event);
+                addVersionEvent(event);
                 notifyAll();
                 return;
             }
@@ -242,7 +242,7 @@
         notifyAll();
     }
 
-    private void version(JsonObject event) {
+    private void addVersionEvent(JsonObject event) {
         versionEvents.add(event);
         if (event.getString("event", "").equals("acting")) {
             conflicts.recordState(
@@ -291,7 +291,7 @@
     }
 
     /** Cases in which two members acted on different versions for longer than that. */
-    public synchronized List<ConflictDetector.Case> contradictions(long boundMs) {
+    public synchronized List<ConflictDetector.Case> conflictsLongerThan(long boundMs) {
         return conflicts.conflictsLongerThan(boundMs, System.currentTimeMillis());
     }
 
@@ -362,13 +362,13 @@
     }
 
     /** Datagrams that members sent so far. */
-    public long offered() {
-        return proxy.offered();
+    public long datagramsSent() {
+        return proxy.datagramsSent();
     }
 
     /** Their bytes. */
-    public long bytes() {
-        return proxy.bytes();
+    public long bytesSent() {
+        return proxy.bytesSent();
     }
 
     /** All events so far, in the order in which they came in. */
@@ -377,7 +377,7 @@
     }
 
     /** What a member last told of another: its state, or UNKNOWN. */
-    public synchronized String view(String observer, String name) {
+    public synchronized String lastState(String observer, String name) {
         String state = "UNKNOWN";
         for (Event each : history) {
             if (each.observer().equals(observer) && each.name().equals(name)) {
@@ -388,14 +388,14 @@
     }
 
     /** Waits until the history is as wanted, for so long at most; tells whether it came to be. */
-    public synchronized boolean await(Predicate<TestCluster> wanted, long maxMs) throws InterruptedException {
+    public synchronized boolean await(Predicate<TestCluster> condition, long maxMs) throws InterruptedException {
         long end = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(maxMs);
-        while (!wanted.test(this)) {
-            long left = TimeUnit.NANOSECONDS.toMillis(end - System.nanoTime());
-            if (left <= 0) {
+        while (!condition.test(this)) {
+            long remainingMs = TimeUnit.NANOSECONDS.toMillis(end - System.nanoTime());
+            if (remainingMs <= 0) {
                 return false;
             }
-            wait(left);
+            wait(remainingMs);
         }
         return true;
     }
@@ -403,7 +403,8 @@
     /** Whether each of these members holds each other one for alive. */
     public boolean allAlive(List<String> names) {
         return names.stream().allMatch(observer -> names.stream()
-                .allMatch(name -> name.equals(observer) || view(observer, name).equals("ALIVE")));
+                .allMatch(name ->
+                        name.equals(observer) || lastState(observer, name).equals("ALIVE")));
     }
 
     @Override
--- a/laboratory/src/main/java/opalcove/laboratory/VoterSoak.java
+++ b/laboratory/src/main/java/opalcove/laboratory/VoterSoak.java
@@ -119,9 +119,9 @@
     private static final long MAX_ANSWER_MS = 10_000;
 
     private static final long HISTORY_POLL_MS = 100;
-    private static final double LEADER_SHARE = 0.7;
-    private static final double READY_SHARE = 0.6;
-    private static final long MAX_HASTE_MS = 1000;
+    private static final double LEADER_FAULT_SHARE = 0.7;
+    private static final double AWAIT_READY_SHARE = 0.6;
+    private static final long MAX_FAULT_GAP_MS = 1000;
     private static final long MAX_FAULT_MS = 3000;
     /** What whole milliseconds of two processes' clocks differ by. */
     private static final long ROUNDING_MS = 5;
@@ -130,10 +130,10 @@
     private final SplittableRandom random;
     private final TestCluster cluster;
     private final Map<FaultKind, Integer> faults = new TreeMap<>();
-    private final Map<Long, String> authors = new TreeMap<>();
+    private final Map<Long, String> authorsByVersion = new TreeMap<>();
     private final List<Long> answersMs = new ArrayList<>();
     private final List<Violation> violations = new ArrayList<>();
-    private long newest;
+    private long newestVersion;
 
     private VoterSoak(Plan plan, TestCluster cluster) {
         this.plan = plan;
@@ -149,7 +149,7 @@
         }
     }
 
-    private void broken(Rule rule, String text) {
+    private void addViolation(Rule rule, String text) {
         violations.add(new Violation(rule, text));
     }
 
@@ -158,16 +158,17 @@
             cluster.start(name);
         }
         propose("the start", VOTERS.get(0), System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(START_TIMEOUT_MS));
-        awaitReady(ALL);
+        awaitAllActOnNewest(ALL);
         answersMs.clear();
         for (int round = 0; round < plan.rounds() && violations.isEmpty(); round++) {
             playRound(round);
         }
         if (violations.isEmpty()) {
-            awaitReady(ALL);
+            awaitAllActOnNewest(ALL);
             checkHistory();
         }
-        cluster.contradictions(plan.leaseMs() + ROUNDING_MS).forEach(each -> broken(Rule.NO_CONFLICT, each.toString()));
+        cluster.conflictsLongerThan(plan.leaseMs() + ROUNDING_MS)
+                .forEach(each -> addViolation(Rule.NO_CONFLICT, each.toString()));
         return result();
     }
 
@@ -176,10 +177,10 @@
         return new Result(
                 plan,
                 faults,
-                authors.size(),
+                authorsByVersion.size(),
                 sorted.isEmpty() ? 0 : sorted.get(sorted.size() / 2),
                 sorted.isEmpty() ? 0 : sorted.get(sorted.size() - 1),
-                cluster.contradictions(0).stream()
+                cluster.conflictsLongerThan(0).stream()
                         .mapToLong(ConflictDetector.Case::ms)
                         .max()
                         .orElse(0),
@@ -188,7 +189,7 @@
 
     private void playRound(int round) throws IOException, InterruptedException {
         String leader = cluster.leader();
-        String victim = VOTERS.contains(leader) && random.nextDouble() < LEADER_SHARE
+        String victim = VOTERS.contains(leader) && random.nextDouble() < LEADER_FAULT_SHARE
                 ? leader
                 : VOTERS.get(random.nextInt(VOTERS.size()));
         FaultKind kind = FaultKind.values()[random.nextInt(FaultKind.values().length)];
@@ -197,8 +198,9 @@
         long lengthMs = begin(kind, victim);
         List<String> others =
                 VOTERS.stream().filter(each -> !each.equals(victim)).toList();
-        String what = "round " + round + ", " + kind + " at " + victim + (victim.equals(leader) ? ", the leader" : "");
-        propose(what, others.get(random.nextInt(others.size())), startedNanos);
+        String context =
+                "round " + round + ", " + kind + " at " + victim + (victim.equals(leader) ? ", the leader" : "");
+        propose(context, others.get(random.nextInt(others.size())), startedNanos);
         long restMs = lengthMs - TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - startedNanos);
         Thread.sleep(Math.max(0, restMs));
         end(kind, victim);
@@ -212,7 +214,7 @@
                 return 0;
             }
             case PAUSE -> cluster.pause(victim);
-            default -> cluster.failFolder(victim);
+            default -> cluster.failStateWrites(victim);
         }
         return random.nextLong(MAX_FAULT_MS);
     }
@@ -221,18 +223,18 @@
         switch (kind) {
             case KILL -> restart(victim);
             case PAUSE -> cluster.resume(victim);
-            case FOLDER_FAILS -> cluster.healFolder(victim);
+            case FOLDER_FAILS -> cluster.allowStateWrites(victim);
             case KILL_IN_FAILING_FOLDER -> {
                 cluster.kill(victim);
-                cluster.healFolder(victim);
+                cluster.allowStateWrites(victim);
                 restart(victim);
             }
             default -> throw new IllegalStateException(kind.toString());
         }
-        if (random.nextDouble() < READY_SHARE) {
-            awaitReady(ALL);
+        if (random.nextDouble() < AWAIT_READY_SHARE) {
+            awaitAllActOnNewest(ALL);
         } else {
-            Thread.sleep(random.nextLong(MAX_HASTE_MS));
+            Thread.sleep(random.nextLong(MAX_FAULT_GAP_MS));
         }
     }
 
@@ -240,43 +242,45 @@
     private void restart(String name) throws IOException, InterruptedException {
         cluster.start(name);
         if (!cluster.await(running -> running.hasReported(name), START_TIMEOUT_MS)) {
-            broken(Rule.RECOVERED, name + " gave no sign of life within " + START_TIMEOUT_MS + " ms of its start");
+            addViolation(
+                    Rule.RECOVERED, name + " gave no sign of life within " + START_TIMEOUT_MS + " ms of its start");
         }
     }
 
-    private void awaitReady(List<String> names) throws InterruptedException {
-        String wanted = newest + " FULL";
+    private void awaitAllActOnNewest(List<String> names) throws InterruptedException {
+        String wanted = newestVersion + " FULL";
         if (!cluster.await(
                 running -> names.stream().allMatch(name -> running.actsOn(name).equals(wanted)), START_TIMEOUT_MS)) {
             List<String> acting = names.stream().map(cluster::actsOn).toList();
-            broken(Rule.RECOVERED, "not all act on " + wanted + " within " + START_TIMEOUT_MS + " ms: " + acting);
+            addViolation(Rule.RECOVERED, "not all act on " + wanted + " within " + START_TIMEOUT_MS + " ms: " + acting);
         }
     }
 
     /** Proposes the next version through a voter, and judges the time from the fault to the answer. */
-    private void propose(String what, String through, long faultNanos) throws InterruptedException {
-        String author = "soak-" + (newest + 1);
+    private void propose(String context, String through, long faultNanos) throws InterruptedException {
+        String author = "soak-" + (newestVersion + 1);
         VersionLog.Outcome outcome;
         try {
-            outcome = cluster.operator(through).propose(newest, author, TestCluster.document((int) (1 + newest % 6)));
+            outcome = cluster.client(through)
+                    .propose(newestVersion, author, TestCluster.document((int) (1 + newestVersion % 6)));
         } catch (IOException e) {
-            broken(
+            addViolation(
                     Rule.DECIDED,
-                    what + ": " + e.getMessage() + "; acting: "
+                    context + ": " + e.getMessage() + "; acting: "
                             + ALL.stream().map(cluster::actsOn).toList());
             return;
         }
         long answeredMs = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - faultNanos);
         answersMs.add(answeredMs);
         if (answeredMs > MAX_ANSWER_MS) {
-            broken(Rule.DECIDED_IN_TIME, what + ": answered after " + answeredMs + " ms");
+            addViolation(Rule.DECIDED_IN_TIME, context + ": answered after " + answeredMs + " ms");
         }
-        if (!outcome.accepted() || outcome.version() != newest + 1) {
-            broken(Rule.DECIDED, what + ": " + outcome + " on version " + newest);
+        if (!outcome.accepted() || outcome.version() != newestVersion + 1) {
+            addViolation(Rule.DECIDED, context + ": " + outcome + " on version " + newestVersion);
             return;
         }
-        newest = outcome.version();
-        authors.put(newest, author);
+        newestVersion = outcome.version();
+        authorsByVersion.put(newestVersion, author);
     }
 
     /** What was accepted is in the history, whichever voter is asked: each passes the request on to the leader. */
@@ -284,13 +288,13 @@
         for (String name : VOTERS) {
             List<VersionLog.Version> history = awaitHistory(name);
             long last = lastNumber(history);
-            if (last != newest) {
-                broken(Rule.KEPT, name + " knows versions up to " + last + ", accepted were " + newest);
+            if (last != newestVersion) {
+                addViolation(Rule.KEPT, name + " knows versions up to " + last + ", accepted were " + newestVersion);
             }
             for (VersionLog.Version each : history) {
-                String accepted = authors.get(each.number());
+                String accepted = authorsByVersion.get(each.number());
                 if (!each.author().equals(accepted)) {
-                    broken(
+                    addViolation(
                             Rule.KEPT,
                             name + " has version " + each.number() + " by " + each.author() + ", accepted was "
                                     + accepted);
@@ -303,8 +307,8 @@
     private List<VersionLog.Version> awaitHistory(String name) throws IOException, InterruptedException {
         long endNanos = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(MAX_ANSWER_MS);
         while (true) {
-            List<VersionLog.Version> history = cluster.operator(name).history();
-            if (lastNumber(history) == newest || System.nanoTime() > endNanos) {
+            List<VersionLog.Version> history = cluster.client(name).history();
+            if (lastNumber(history) == newestVersion || System.nanoTime() > endNanos) {
                 return history;
             }
             Thread.sleep(HISTORY_POLL_MS);
--- a/laboratory/src/test/java/opalcove/laboratory/AgreementRigTest.java
+++ b/laboratory/src/test/java/opalcove/laboratory/AgreementRigTest.java
@@ -29,13 +29,13 @@
     private static final int DRAINS = 3;
 
     private static TestCluster fleet(long seed) throws Exception {
-        TestCluster rig = new TestCluster(seed, 500, List.of("g1", "g2"), VOTERS, LEASE_MS);
+        TestCluster cluster = new TestCluster(seed, 500, List.of("g1", "g2"), VOTERS, LEASE_MS);
         for (String name : ALL) {
-            rig.start(name);
+            cluster.start(name);
         }
-        assertEquals(rig.operator("g1").propose(0, "ops", document(6)), new VersionLog.Outcome(true, 1, ""));
-        awaitAll(rig, ALL, "1 FULL");
-        return rig;
+        assertEquals(cluster.client("g1").propose(0, "ops", document(6)), new VersionLog.Outcome(true, 1, ""));
+        awaitAll(cluster, ALL, "1 FULL");
+        return cluster;
     }
 
     private static String document(int attempts) {
@@ -52,10 +52,13 @@
                 .toString();
     }
 
-    private static void awaitAll(TestCluster rig, List<String> names, String acting) throws InterruptedException {
+    private static void awaitAll(TestCluster cluster, List<String> names, String acting) throws InterruptedException {
         assertTrue(
-                rig.await(r -> names.stream().allMatch(name -> r.actsOn(name).equals(acting)), MAX_MS),
-                acting + ": " + rig.versionEvents());
+                cluster.await(
+                        running -> names.stream()
+                                .allMatch(name -> running.actsOn(name).equals(acting)),
+                        MAX_MS),
+                acting + ": " + cluster.versionEvents());
     }
 
     private static List<String> but(String... names) {
@@ -65,10 +68,10 @@
     }
 
     private static CompletableFuture<VersionLog.Outcome> propose(
-            TestCluster rig, String through, long base, int attempts) {
+            TestCluster cluster, String through, long base, int attempts) {
         return CompletableFuture.supplyAsync(() -> {
             try {
-                return rig.operator(through).propose(base, "ops at " + through, document(attempts));
+                return cluster.client(through).propose(base, "ops at " + through, document(attempts));
             } catch (IOException e) {
                 throw new java.io.UncheckedIOException(e);
             }
@@ -77,85 +80,85 @@
 
     @Test
     public void aLeaderIsKilledAmidTwoChangesOfWhichOneWins() throws Exception {
-        try (TestCluster rig = fleet(11)) {
-            assertTrue(rig.await(r -> !r.leader().isEmpty(), MAX_MS));
-            String leader = rig.leader();
-            CompletableFuture<VersionLog.Outcome> a = propose(rig, "g1", 1, 5);
-            CompletableFuture<VersionLog.Outcome> b = propose(rig, "g2", 1, 4);
-            rig.kill(leader);
+        try (TestCluster cluster = fleet(11)) {
+            assertTrue(cluster.await(running -> !running.leader().isEmpty(), MAX_MS));
+            String leader = cluster.leader();
+            CompletableFuture<VersionLog.Outcome> a = propose(cluster, "g1", 1, 5);
+            CompletableFuture<VersionLog.Outcome> b = propose(cluster, "g2", 1, 4);
+            cluster.kill(leader);
             assertTrue(a.get().accepted() ^ b.get().accepted(), a.get() + " " + b.get());
             VersionLog.Outcome lost = a.get().accepted() ? b.get() : a.get();
             assertTrue(lost.reason().contains("version 2 by ops at g"), lost.reason());
-            awaitAll(rig, but(leader), "2 FULL");
-            rig.start(leader);
-            awaitAll(rig, ALL, "2 FULL");
-            VersionLog.Outcome broken = rig.operator("g1").propose(2, "ops", "{\"settings\":{}}");
+            awaitAll(cluster, but(leader), "2 FULL");
+            cluster.start(leader);
+            awaitAll(cluster, ALL, "2 FULL");
+            VersionLog.Outcome broken = cluster.client("g1").propose(2, "ops", "{\"settings\":{}}");
             assertFalse(broken.accepted());
             assertTrue(broken.reason().contains("field "), broken.reason());
-            assertEquals(rig.operator("g1").current().number(), 2);
+            assertEquals(cluster.client("g1").current().number(), 2);
             assertEquals(
-                    rig.operator("g1").history().stream()
+                    cluster.client("g1").history().stream()
                             .map(VersionLog.Version::number)
                             .toList(),
                     List.of(1L, 2L));
-            assertEquals(rig.contradictions(LEASE_MS + ROUNDING_MS), List.of());
+            assertEquals(cluster.conflictsLongerThan(LEASE_MS + ROUNDING_MS), List.of());
         }
     }
 
     @Test
     public void aPauseAndAOneSidedCutFromTheLeaderLetNoVersionOutliveItsLease() throws Exception {
-        try (TestCluster rig = fleet(12)) {
-            rig.cut(rig.leader(), "g4");
-            rig.pause("g5");
-            assertTrue(propose(rig, "g1", 1, 3).get().accepted());
-            awaitAll(rig, but("g5"), "2 FULL");
-            assertTrue(propose(rig, "g2", 2, 2).get().accepted());
-            awaitAll(rig, but("g5"), "3 FULL");
+        try (TestCluster cluster = fleet(12)) {
+            cluster.cut(cluster.leader(), "g4");
+            cluster.pause("g5");
+            assertTrue(propose(cluster, "g1", 1, 3).get().accepted());
+            awaitAll(cluster, but("g5"), "2 FULL");
+            assertTrue(propose(cluster, "g2", 2, 2).get().accepted());
+            awaitAll(cluster, but("g5"), "3 FULL");
             Thread.sleep(LEASE_MS); // the pause is to be longer than the lease; nothing is judged by it
-            rig.resume("g5");
-            awaitAll(rig, ALL, "3 FULL");
+            cluster.resume("g5");
+            awaitAll(cluster, ALL, "3 FULL");
             // Behind, it never hears of the version that drains the node: it sends nothing to any node until it is told
             // more.
-            List<JsonObject> lapsed = rig.versionEvents().stream()
+            List<JsonObject> lapsed = cluster.versionEvents().stream()
                     .filter(each -> each.getString("observer", "").equals("g5")
                             && each.getString("mode", "").equals("STRICT"))
                     .toList();
             assertEquals(lapsed.size(), 1, "it was strict first");
             assertEquals(lapsed.get(0).getInt("nodes", -1), 0);
-            assertEquals(rig.contradictions(LEASE_MS + ROUNDING_MS), List.of());
+            assertEquals(cluster.conflictsLongerThan(LEASE_MS + ROUNDING_MS), List.of());
         }
     }
 
     @Test
     public void aMinorityIsStrictAndATornStateIsRefusedAndCaughtUp() throws Exception {
-        try (TestCluster rig = fleet(13)) {
-            assertTrue(rig.await(r -> !r.leader().isEmpty(), MAX_MS));
-            String alone = rig.leader();
+        try (TestCluster cluster = fleet(13)) {
+            assertTrue(cluster.await(running -> !running.leader().isEmpty(), MAX_MS));
+            String alone = cluster.leader();
             for (String each : but(alone)) {
-                rig.cut(alone, each);
-                rig.cut(each, alone);
+                cluster.cut(alone, each);
+                cluster.cut(each, alone);
             }
             String other = VOTERS.stream()
                     .filter(each -> !each.equals(alone))
                     .findFirst()
                     .orElseThrow();
-            assertTrue(propose(rig, other, 1, 3).get().accepted());
-            awaitAll(rig, but(alone), "2 FULL");
-            awaitAll(rig, List.of(alone), "1 STRICT");
-            rig.heal();
-            awaitAll(rig, ALL, "2 FULL");
-            rig.kill(alone);
-            byte[] state = Files.readAllBytes(rig.state(alone));
-            Files.write(rig.state(alone), Arrays.copyOf(state, state.length / 2));
-            assertTrue(propose(rig, other, 2, 2).get().accepted());
-            rig.start(alone);
-            awaitAll(rig, ALL, "3 FULL");
+            assertTrue(propose(cluster, other, 1, 3).get().accepted());
+            awaitAll(cluster, but(alone), "2 FULL");
+            awaitAll(cluster, List.of(alone), "1 STRICT");
+            cluster.heal();
+            awaitAll(cluster, ALL, "2 FULL");
+            cluster.kill(alone);
+            byte[] state = Files.readAllBytes(cluster.state(alone));
+            Files.write(cluster.state(alone), Arrays.copyOf(state, state.length / 2));
+            assertTrue(propose(cluster, other, 2, 2).get().accepted());
+            cluster.start(alone);
+            awaitAll(cluster, ALL, "3 FULL");
             assertTrue(
-                    rig.versionEvents().stream()
+                    cluster.versionEvents().stream()
                             .anyMatch(each -> each.getString("event", "").equals("state_refused")
                                     && each.getString("reason", "").contains("torn")),
-                    rig.versionEvents().toString());
-            assertEquals(rig.contradictions(LEASE_MS + ROUNDING_MS), List.of());
+                    cluster.versionEvents().toString());
+            assertEquals(cluster.conflictsLongerThan(LEASE_MS + ROUNDING_MS), List.of());
         }
     }
 }
--- a/laboratory/src/test/java/opalcove/laboratory/CeilingModelTest.java
+++ b/laboratory/src/test/java/opalcove/laboratory/CeilingModelTest.java
@@ -33,11 +33,11 @@
         double inside = 0;
         double lost = 0;
         for (long seed = 1; seed <= SEEDS; seed++) {
-            Result held = CeilingModel.play(seed, ACCOUNTS, Restarts.NONE, true);
-            Result notHeld = CeilingModel.play(seed, ACCOUNTS, Restarts.NONE, false);
-            assertEquals(held.insideUnits(), notHeld.insideUnits(), "the same traffic");
-            inside += held.insideUnits();
-            lost += notHeld.sentInsideUnits() - held.sentInsideUnits();
+            Result enforced = CeilingModel.play(seed, ACCOUNTS, Restarts.NONE, true);
+            Result notEnforced = CeilingModel.play(seed, ACCOUNTS, Restarts.NONE, false);
+            assertEquals(enforced.insideUnits(), notEnforced.insideUnits(), "the same traffic");
+            inside += enforced.insideUnits();
+            lost += notEnforced.forwardedInsideUnits() - enforced.forwardedInsideUnits();
         }
         assertTrue(lost <= 0.002 * inside, "lost " + lost + " of " + inside + " units inside the quotas");
     }
--- a/laboratory/src/test/java/opalcove/laboratory/ClusterRigTest.java
+++ b/laboratory/src/test/java/opalcove/laboratory/ClusterRigTest.java
@@ -22,21 +22,21 @@
     private static final int PROBE_MS = 500;
 
     private static TestCluster fleet(long seed) throws Exception {
-        TestCluster rig = new TestCluster(seed, PROBE_MS, List.of("g1", "g2"));
+        TestCluster cluster = new TestCluster(seed, PROBE_MS, List.of("g1", "g2"));
         for (String name : ALL) {
-            rig.start(name);
+            cluster.start(name);
         }
-        assertTrue(rig.await(r -> r.allAlive(ALL), MAX_MS), "they come together: " + rig.history());
-        return rig;
+        assertTrue(cluster.await(running -> running.allAlive(ALL), MAX_MS), "they come together: " + cluster.history());
+        return cluster;
     }
 
-    private static boolean allHold(TestCluster rig, String name, String state) {
-        return ALL.stream().filter(each -> !each.equals(name)).allMatch(each -> rig.view(each, name)
+    private static boolean allHold(TestCluster cluster, String name, String state) {
+        return ALL.stream().filter(each -> !each.equals(name)).allMatch(each -> cluster.lastState(each, name)
                 .equals(state));
     }
 
-    private static List<TestCluster.Event> deathsBut(TestCluster rig, String name) {
-        return rig.history().stream()
+    private static List<TestCluster.Event> deathsBut(TestCluster cluster, String name) {
+        return cluster.history().stream()
                 .filter(each -> each.state().equals("DEAD") && !each.name().equals(name))
                 .toList();
     }
@@ -90,13 +90,16 @@
 
     @Test
     public void aLongPauseIsADeathThatIsRefutedOnceAndALeaveIsNoDeath() throws Exception {
-        try (TestCluster rig = fleet(2)) {
-            rig.pause("g3");
-            assertTrue(rig.await(r -> allHold(r, "g3", "DEAD"), MAX_MS), "told dead: " + rig.history());
-            rig.resume("g3");
-            assertTrue(rig.await(r -> allHold(r, "g3", "ALIVE"), MAX_MS), "refuted: " + rig.history());
+        try (TestCluster cluster = fleet(2)) {
+            cluster.pause("g3");
+            assertTrue(
+                    cluster.await(running -> allHold(running, "g3", "DEAD"), MAX_MS),
+                    "told dead: " + cluster.history());
+            cluster.resume("g3");
+            assertTrue(
+                    cluster.await(running -> allHold(running, "g3", "ALIVE"), MAX_MS), "refuted: " + cluster.history());
             for (String observer : ALL) {
-                List<TestCluster.Event> told = rig.history().stream()
+                List<TestCluster.Event> told = cluster.history().stream()
                         .filter(each ->
                                 each.observer().equals(observer) && each.name().equals("g3"))
                         .toList();
@@ -110,30 +113,34 @@
                             > told.get(0).incarnation());
                 }
             }
-            rig.leave("g4");
+            cluster.leave("g4");
             assertTrue(
-                    rig.await(
-                            r -> List.of("g1", "g2", "g3", "g5").stream()
-                                    .allMatch(each -> r.view(each, "g4").equals("LEFT")),
+                    cluster.await(
+                            running -> List.of("g1", "g2", "g3", "g5").stream()
+                                    .allMatch(each ->
+                                            running.lastState(each, "g4").equals("LEFT")),
                             MAX_MS),
-                    "it left: " + rig.history());
-            assertEquals(deathsBut(rig, "g3"), List.of());
+                    "it left: " + cluster.history());
+            assertEquals(deathsBut(cluster, "g3"), List.of());
         }
     }
 
     @Test
     public void halvesCutApartComeTogetherAgain() throws Exception {
-        try (TestCluster rig = fleet(3)) {
+        try (TestCluster cluster = fleet(3)) {
             for (String a : List.of("g1", "g2")) {
                 for (String b : List.of("g3", "g4", "g5")) {
-                    rig.cut(a, b);
-                    rig.cut(b, a);
+                    cluster.cut(a, b);
+                    cluster.cut(b, a);
                 }
             }
-            assertTrue(rig.await(
-                    r -> r.view("g1", "g5").equals("DEAD") && r.view("g4", "g2").equals("DEAD"), MAX_MS));
-            rig.heal();
-            assertTrue(rig.await(r -> r.allAlive(ALL), MAX_MS), "one fleet again: " + rig.history());
+            assertTrue(cluster.await(
+                    running -> running.lastState("g1", "g5").equals("DEAD")
+                            && running.lastState("g4", "g2").equals("DEAD"),
+                    MAX_MS));
+            cluster.heal();
+            assertTrue(
+                    cluster.await(running -> running.allAlive(ALL), MAX_MS), "one fleet again: " + cluster.history());
         }
     }
 }
--- a/laboratory/src/test/java/opalcove/laboratory/RecoveryRigTest.java
+++ b/laboratory/src/test/java/opalcove/laboratory/RecoveryRigTest.java
@@ -19,92 +19,95 @@
     private static final int LEASE_MS = 1500;
     private static final long ROUNDING_MS = 5;
 
-    private static void powerLoss(TestCluster rig) throws InterruptedException {
+    private static void powerLoss(TestCluster cluster) throws InterruptedException {
         for (String name : ALL) {
-            rig.kill(name);
+            cluster.kill(name);
         }
     }
 
-    private static void start(TestCluster rig, List<String> names) throws IOException {
+    private static void start(TestCluster cluster, List<String> names) throws IOException {
         for (String name : names) {
-            rig.start(name);
+            cluster.start(name);
         }
     }
 
-    private static List<JsonObject> recoveries(TestCluster rig, String name, int from) {
-        List<JsonObject> all = rig.versionEvents();
+    private static List<JsonObject> recoveries(TestCluster cluster, String name, int from) {
+        List<JsonObject> all = cluster.versionEvents();
         return all.subList(Math.min(from, all.size()), all.size()).stream()
                 .filter(each -> each.getString("event", "").equals("recovery")
                         && each.getString("observer", "").equals(name))
                 .toList();
     }
 
-    private static boolean told(TestCluster rig, String name, int from, String phase) {
-        return recoveries(rig, name, from).stream()
+    private static boolean told(TestCluster cluster, String name, int from, String phase) {
+        return recoveries(cluster, name, from).stream()
                 .anyMatch(each -> each.getString("phase", "").equals(phase));
     }
 
     @Test
     public void theFleetComesBackOnOneVersionWithWhatItMayTrust() throws Exception {
-        try (TestCluster rig = new TestCluster(21, 500, List.of("g1", "g2"), List.of("g1", "g2", "g3"), LEASE_MS)) {
-            start(rig, ALL);
+        try (TestCluster cluster = new TestCluster(21, 500, List.of("g1", "g2"), List.of("g1", "g2", "g3"), LEASE_MS)) {
+            start(cluster, ALL);
             assertEquals(
-                    rig.operator("g1").propose(0, "ops", TestCluster.document(6)), new VersionLog.Outcome(true, 1, ""));
+                    cluster.client("g1").propose(0, "ops", TestCluster.document(6)),
+                    new VersionLog.Outcome(true, 1, ""));
             assertTrue(
-                    rig.await(
-                            r -> ALL.stream()
-                                    .allMatch(name -> r.actsOn(name).equals("1 FULL")
-                                            && r.versionEvents().stream()
+                    cluster.await(
+                            running -> ALL.stream()
+                                    .allMatch(name -> running.actsOn(name).equals("1 FULL")
+                                            && running.versionEvents().stream()
                                                     .anyMatch(each -> each.getString("event", "")
                                                                     .equals("snapshot")
                                                             && each.getString("observer", "")
                                                                     .equals(name))),
                             MAX_MS),
-                    rig.versionEvents().toString());
+                    cluster.versionEvents().toString());
 
             // The power goes while a change is half agreed; one snapshot is torn by it, one is missing.
             CompletableFuture<VersionLog.Outcome> half = CompletableFuture.supplyAsync(() -> {
                 try {
-                    return rig.operator("g2").propose(1, "ops", TestCluster.document(3));
+                    return cluster.client("g2").propose(1, "ops", TestCluster.document(3));
                 } catch (IOException e) {
                     throw new java.io.UncheckedIOException(e);
                 }
             });
-            powerLoss(rig);
-            byte[] whole = Files.readAllBytes(rig.snapshot("g4"));
-            Files.write(rig.snapshot("g4"), Arrays.copyOf(whole, whole.length - 7));
-            Files.delete(rig.snapshot("g5"));
-            int first = rig.versionEvents().size();
-            start(rig, ALL);
+            powerLoss(cluster);
+            byte[] whole = Files.readAllBytes(cluster.snapshot("g4"));
+            Files.write(cluster.snapshot("g4"), Arrays.copyOf(whole, whole.length - 7));
+            Files.delete(cluster.snapshot("g5"));
+            int first = cluster.versionEvents().size();
+            start(cluster, ALL);
             assertTrue(
-                    rig.await(r -> ALL.stream().allMatch(name -> told(r, name, first, "RESTORING")), MAX_MS),
-                    rig.versionEvents().toString());
+                    cluster.await(
+                            running -> ALL.stream().allMatch(name -> told(running, name, first, "RESTORING")), MAX_MS),
+                    cluster.versionEvents().toString());
 
             // It goes once more before they are back; then they come in another order, one of them later.
-            powerLoss(rig);
-            int second = rig.versionEvents().size();
-            start(rig, List.of("g5", "g3", "g4", "g1"));
-            assertTrue(rig.await(r -> !recoveries(r, "g4", second).isEmpty(), MAX_MS));
-            start(rig, List.of("g2"));
+            powerLoss(cluster);
+            int second = cluster.versionEvents().size();
+            start(cluster, List.of("g5", "g3", "g4", "g1"));
+            assertTrue(
+                    cluster.await(running -> !recoveries(running, "g4", second).isEmpty(), MAX_MS));
+            start(cluster, List.of("g2"));
             assertTrue(half.get().accepted(), "the proposal was repeated until it was decided");
             assertTrue(
-                    rig.await(
-                            r -> ALL.stream()
-                                    .allMatch(name -> told(r, name, second, "FULL")
-                                            && r.actsOn(name).equals("2 FULL")),
+                    cluster.await(
+                            running -> ALL.stream()
+                                    .allMatch(name -> told(running, name, second, "FULL")
+                                            && running.actsOn(name).equals("2 FULL")),
                             MAX_MS),
-                    rig.versionEvents().toString());
+                    cluster.versionEvents().toString());
 
-            assertEachCameBackInOrder(rig, second);
-            assertRefusedSnapshots(rig, first);
-            assertEquals(rig.contradictions(LEASE_MS + ROUNDING_MS), List.of());
+            assertEachCameBackInOrder(cluster, second);
+            assertRefusedSnapshots(cluster, first);
+            assertEquals(cluster.conflictsLongerThan(LEASE_MS + ROUNDING_MS), List.of());
         }
     }
 
     /** Each gateway went through the phases in order, and trusted no backend to be warm. */
-    private static void assertEachCameBackInOrder(TestCluster rig, int from) {
+    private static void assertEachCameBackInOrder(TestCluster cluster, int from) {
         for (String name : ALL) {
-            List<JsonObject> phases = recoveries(rig, name, from);
+            List<JsonObject> phases = recoveries(cluster, name, from);
             assertEquals(
                     phases.stream().map(each -> each.getString("phase", "")).toList(),
                     List.of("WAITING", "RESTORING", "FULL"),
@@ -114,8 +117,10 @@
     }
 
     /** The torn snapshot and the missing one were refused, each for its reason. */
-    private static void assertRefusedSnapshots(TestCluster rig, int from) {
-        assertTrue(recoveries(rig, "g4", from).get(0).get("refused").toString().contains("torn"));
-        assertTrue(recoveries(rig, "g5", from).get(0).get("refused").toString().contains("there is none"));
+    private static void assertRefusedSnapshots(TestCluster cluster, int from) {
+        assertTrue(
+                recoveries(cluster, "g4", from).get(0).get("refused").toString().contains("torn"));
+        assertTrue(
+                recoveries(cluster, "g5", from).get(0).get("refused").toString().contains("there is none"));
     }
 }
--- a/laboratory/src/test/java/opalcove/laboratory/UpgradeRigTest.java
+++ b/laboratory/src/test/java/opalcove/laboratory/UpgradeRigTest.java
@@ -47,7 +47,7 @@
             }
             awaitAll(cluster, ALL, FIRST_VERSION);
             assertEquals(
-                    cluster.operator("g1").history().stream()
+                    cluster.client("g1").history().stream()
                             .map(VersionLog.Version::number)
                             .toList(),
                     List.of(1L, 2L, 3L));
@@ -57,16 +57,16 @@
                 List<String> others =
                         ALL.stream().filter(each -> !each.equals(name)).toList();
                 VersionLog.Outcome outcome =
-                        cluster.operator(others.get(0)).propose(version, "ops", TestCluster.document(1 + version));
+                        cluster.client(others.get(0)).propose(version, "ops", TestCluster.document(1 + version));
                 version++;
                 assertEquals(outcome, new VersionLog.Outcome(true, version, ""));
                 awaitAll(cluster, others, version);
                 cluster.start(name);
                 awaitAll(cluster, ALL, version);
             }
-            assertEquals(cluster.operator("g2").history().size(), version);
+            assertEquals(cluster.client("g2").history().size(), version);
             assertNothingIsRefused(cluster);
-            assertEquals(cluster.contradictions(LEASE_MS + ROUNDING_MS), List.of());
+            assertEquals(cluster.conflictsLongerThan(LEASE_MS + ROUNDING_MS), List.of());
         }
     }
 
