--- a/laboratory/src/main/java/opalcove/laboratory/AgreementTrial.java
+++ b/laboratory/src/main/java/opalcove/laboratory/AgreementTrial.java
@@ -17,20 +17,21 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * Agreed versions' figures, by the rig's real processes or by the model: how long it takes from a proposal until each gateway,
- * and the last of them, acts on it; and, under drawn faults, the longest time two gateways acted on different versions.
+ * Measures the replicated configuration with real processes or with the model: the time from a proposal until each gateway
+ * acts on the version and until all do, and, under random faults, the longest time for which two gateways acted on different
+ * versions.
  */
 public final class AgreementTrial {
-    /** What is tried; half of the gateways vote, nine at most, an odd number of them. */
+    /** The parameters of a trial. Three gateways vote in a fleet of fewer than six, otherwise five. */
     public record Plan(int gateways, int leaseMs, int rounds, long seed) {
         /**
-         * Checks that the trial can be run.
+         * Checks the parameters.
          *
-         * @throws IllegalArgumentException if it cannot, with the reason
+         * @throws IllegalArgumentException if there are fewer than 3 gateways or no rounds
          */
         public Plan {
             if (gateways < 3 || rounds < 1) {
-                throw new IllegalArgumentException("a trial needs 3 gateways and a round at least");
+                throw new IllegalArgumentException("a trial needs at least 3 gateways and 1 round");
             }
         }
 
@@ -39,9 +40,12 @@
         }
     }
 
-    /** Times in ms from the proposal: until a gateway acts on it, over gateways and rounds, and until all do, over rounds. */
+    /**
+     * The result of a trial. Times are in ms from the proposal: {@code each} until one gateway acts on the version, over
+     * gateways and rounds, and {@code all} until all gateways do, over rounds.
+     */
     public record Report(String by, Plan plan, long eachP50, long eachP99, long allP50, long allP99) {
-        /** One line for people. */
+        /** Returns the report as one line of text. */
         public String line() {
             return String.format(
                     Locale.ROOT,
@@ -56,7 +60,7 @@
                     allP99);
         }
 
-        /** The report as one JSON object. */
+        /** Returns the report as one JSON object. */
         public JsonObject json() {
             return Json.object()
                     .add("by", by)
@@ -72,9 +76,16 @@
         }
     }
 
-    /** One run of drawn faults: proposals taken and refused, the longest contradiction, and what came out wrong. */
+    /**
+     * The result of one run with random faults.
+     *
+     * @param taken the number of accepted proposals
+     * @param refused the number of proposals that were not accepted
+     * @param longestMs the longest time for which two gateways acted on different versions, in ms
+     * @param wrong the failed checks
+     */
     public record FaultRun(String by, long seed, long taken, long refused, long longestMs, List<String> wrong) {
-        /** The report as one JSON object. */
+        /** Returns the report as one JSON object. */
         public JsonObject json() {
             JsonObject json = Json.object()
                     .add("by", by)
@@ -88,7 +99,7 @@
         }
     }
 
-    /** Gateways that agree on versions, be they processes or modelled; what a run of drawn faults does to them. */
+    /** A fleet of gateways, either processes or the model, and the operations of a run with random faults. */
     private interface Fleet extends Closeable {
         void propose(String through, long base, int step) throws Exception;
 
@@ -108,7 +119,7 @@
 
         boolean allActOn(long version);
 
-        /** Outcomes of all proposals, taken or not; null for one that is not known yet. */
+        /** Returns whether each proposal was accepted, or null for a proposal without an outcome. */
         List<Boolean> outcomes();
 
         List<ConflictDetector.Case> conflictsLongerThan(long boundMs);
@@ -118,7 +129,7 @@
     private static final int STEPS = 12;
     private static final long MAX_STEP_MS = 2000;
     private static final long SETTLE_POLL_MS = 500;
-    /** What whole milliseconds of two processes' clocks differ by. */
+    /** The error of a duration between clocks of two processes that are read in whole milliseconds. */
     private static final long ROUNDING_MS = 5;
 
     private AgreementTrial() {}
@@ -131,7 +142,7 @@
         return names;
     }
 
-    /** Proposals one after another, by the model. */
+    /** Measures proposals one after another with the model. */
     public static Report model(Plan plan) {
         AgreementModel model = new AgreementModel(plan.seed(), plan.gateways(), plan.voters(), plan.leaseMs(), 0);
         model.run(10_000);
@@ -153,7 +164,7 @@
         return report("model", plan, each, all);
     }
 
-    /** The same by real processes on this machine. */
+    /** Measures proposals one after another with real processes on this machine. */
     public static Report cluster(Plan plan) throws IOException, InterruptedException {
         Histogram each = new Histogram(3);
         Histogram all = new Histogram(3);
@@ -167,7 +178,8 @@
                         running -> names.stream()
                                 .allMatch(name -> running.actsOn(name).equals(wanted)),
                         MAX_MS)) {
-                    throw new IOException("waited " + MAX_MS + " ms in vain for all to act on version " + round);
+                    throw new IOException(
+                            "timed out after " + MAX_MS + " ms waiting for all gateways to act on version " + round);
                 }
                 long last = 0;
                 for (JsonObject event : cluster.versionEvents()) {
@@ -191,7 +203,7 @@
         for (String name : names) {
             cluster.start(name);
         }
-        // A round of the voters ends when they all have come up: the answer tells that there is no version.
+        // The response, which says that there is no version, comes once the voters are up and have completed a round.
         cluster.client("g1").current();
         return cluster;
     }
@@ -206,12 +218,12 @@
                 all.getValueAtPercentile(99));
     }
 
-    /** A run of drawn faults by the model, whose clocks are off by up to 200 ms. */
+    /** Runs random faults on the model, whose clocks are up to 200 ms fast or slow. */
     public static FaultRun modelFaults(Plan plan, long seed) throws Exception {
         return faults("model", new ModelFleet(plan, seed), plan, seed);
     }
 
-    /** A run of drawn faults by real processes. */
+    /** Runs random faults on real processes. */
     public static FaultRun clusterFaults(Plan plan, long seed) throws Exception {
         return faults("rig", new ClusterFleet(plan, seed), plan, seed);
     }
--- a/laboratory/src/main/java/opalcove/laboratory/CeilingModel.java
+++ b/laboratory/src/main/java/opalcove/laboratory/CeilingModel.java
@@ -20,11 +20,11 @@
 import opalcove.decision.LoadReportSource;
 
 /**
- * Gateways that hold a plan's hard ceiling, in virtual time: the project's own decision module at each of them,
- * accounts whose traffic comes in unevenly and moves between the gateways, a meter of use that tells late, and
- * gateways that are killed and start again. Backends serve everything. Beside the gateways stand exact stores of each
- * account's quota and ceiling; {@link Result} says how far the ceiling was passed and how much work inside the quota was
- * sent on. Times are milliseconds. The same seed gives the same result, and the same traffic whatever the gateways do.
+ * Simulates in virtual time how gateways enforce the hard ceiling of a plan. Each gateway runs the real decision module. The
+ * traffic of the accounts is uneven and moves between the gateways, the usage meter reports late, and gateways are killed and
+ * restarted. Backends serve all requests. The model compares the gateways with exact token buckets of each account's quota
+ * and ceiling: {@link Result} holds by how much the ceiling was exceeded and how much work inside the quota was forwarded.
+ * Times are in ms. The same seed gives the same result, and the same traffic whatever the gateways do.
  */
 final class CeilingModel {
     static final int GATEWAYS = 4;
@@ -34,28 +34,28 @@
     private static final int LARGEST_UNITS = 8;
     private static final double HAND_OVER_MS = 500;
 
-    /** What the gateways' restarts are like. */
+    /** How gateways are restarted. */
     enum Restarts {
         NONE,
-        /** One gateway after another is killed, and starts at once. */
+        /** One gateway after another is killed and starts again at once. */
         ROLLING,
-        /** One gateway after another starts a second process, and for half a second both take requests. */
+        /** One gateway after another starts a second process, and both take requests for 500 ms. */
         HANDED_OVER,
-        /** A gateway is killed every few seconds and is away for up to two. */
+        /** A random gateway is killed every 0.5 to 8 s and is down for up to 2 s. */
         RANDOM
     }
 
     /**
-     * What came of a day.
+     * The result of a simulated day.
      *
-     * @param insideUnits units asked for inside the quotas, as one gateway that saw all requests would let in
-     * @param forwardedInsideUnits units sent on inside the quotas
-     * @param lowestCeiling the least that a ceiling's exact store held, as a multiple of the slack that the rule allows:
-     *     the rule is broken below -1
+     * @param insideUnits units requested inside the quotas, as a single gateway that received all requests would admit
+     * @param forwardedInsideUnits units forwarded inside the quotas
+     * @param lowestCeiling the lowest level of a ceiling's exact token bucket, as a multiple of the slack that the rule
+     *     allows; a value below -1 violates the rule
      */
     record Result(double insideUnits, double forwardedInsideUnits, double lowestCeiling) {}
 
-    /** A store of units that starts full and fills at a steady rate. */
+    /** A token bucket of units that starts full and refills at a constant rate. */
     private static final class TokenBucket {
         private final double rate;
         private final double burst;
@@ -81,7 +81,7 @@
         }
     }
 
-    /** An account: its traffic, and the exact stores of its quota and its ceiling. */
+    /** An account with the exact token buckets of its traffic, its quota and its ceiling. */
     private final class Account {
         final String name;
         final int firstGateway;
@@ -98,12 +98,12 @@
         }
     }
 
-    /** A request as the traffic has it; {@code entry} chooses the gateway among those that are up. */
+    /** A request of the traffic; {@code entry} selects the gateway among those that are up. */
     private record Arrival(double at, Account account, int units, double[] weights, double entry) {}
 
     private record Event(double at, long order, Runnable action) {}
 
-    /** One process of a gateway: the decision module and the requests that it has taken. */
+    /** One process of a gateway, with its decision module and the requests that it has received. */
     private final class Process implements DecisionActions {
         private final Map<String, Arrival> requests = new HashMap<>();
         private final Map<String, Integer> attempts = new HashMap<>();
@@ -191,7 +191,7 @@
     private final DecisionSettings.Plan plan;
     private final boolean ceilingEnforced;
     private final Process[] processes = new Process[GATEWAYS];
-    /** Processes that still take requests beside the one that takes over from them; null where there is none. */
+    /** The process of each gateway that takes requests beside its successor during a hand-over, or null. */
     private final Process[] outgoing = new Process[GATEWAYS];
 
     private final double meterDelayMs;
@@ -216,7 +216,7 @@
         serviceMs = trafficRandom.nextDouble(120, 250);
     }
 
-    /** Plays a day; where the ceiling is not held, the gateways are told of a plan that has none. */
+    /** Simulates a day. If the ceiling is not enforced, the gateways get a plan without a ceiling. */
     static Result play(long seed, int accounts, Restarts restarts, boolean ceilingEnforced) {
         CeilingModel model = new CeilingModel(seed, ceilingEnforced);
         for (int i = 0; i < GATEWAYS; i++) {
@@ -301,7 +301,7 @@
         }
     }
 
-    /** Draws an account's requests: how much it asks, over which gateways, and when both change. */
+    /** Draws an account's requests: their units, the weights of the gateways, and when the load and the weights change. */
     private void drawTraffic(Account account) {
         double kind = trafficRandom.nextDouble();
         double heavy = trafficRandom.nextDouble(1.9, 5);
@@ -336,7 +336,7 @@
         }
     }
 
-    /** Weights of the gateways of a set: 1 / rank^skew, the ranks drawn anew. */
+    /** Returns the weights of the gateways, 1 / rank^skew; the gateway of the first rank is drawn at random. */
     private double[] drawWeights(int gateways, double skew) {
         double[] weights = new double[gateways];
         int from = trafficRandom.nextInt(gateways);
@@ -379,7 +379,7 @@
         account.usedByPeriod.merge((long) (now / METER_PERIOD_MS), (double) arrival.units, Double::sum);
     }
 
-    /** Use of the last period that the meter has added up, in percent of the rate; below 0 before the first. */
+    /** Returns the usage in the last period that the meter has reported, in percent of the rate, or -1 before the first. */
     private int reportedUsagePercent(Account account) {
         long period = (long) Math.floor((now - meterDelayMs) / METER_PERIOD_MS) - 1;
         if (period < 0) return -1;
--- a/laboratory/src/main/java/opalcove/laboratory/ClusterScenario.java
+++ b/laboratory/src/main/java/opalcove/laboratory/ClusterScenario.java
@@ -11,12 +11,13 @@
 import opalcove.config.JsonFields;
 
 /**
- * A scenario for the cluster rig, from a file: members, and steps that start, pause, kill or end them, cut and heal their
- * ways, wait for what they tell of one another, and say what they must not have told. Seeded, each wait bounded.
+ * A scenario for a {@link TestCluster}, read from a file. It names the members and the steps, which start, pause, kill or end
+ * members, cut and heal their network, wait for the states that they report of each other, and check for states that they must
+ * not have reported. Faults are drawn by a seed, and each wait is bounded by {@code maxMs}.
  */
 public record ClusterScenario(
         long seed, int probeMs, List<String> seeds, List<String> voters, int leaseMs, long maxMs, List<Step> steps) {
-    /** What a step does. */
+    /** The kind of a step. */
     public enum Action {
         START,
         KILL,
@@ -34,11 +35,15 @@
     }
 
     /**
-     * One step. {@code who}: whom it is done to, the senders for CUT, the observers for AWAIT and NEVER; {@code of}: the
-     * receivers for CUT, the observed for AWAIT and NEVER; forMs: for PAUSE, 0 for until RESUME. NET without {@code who} is
-     * everybody's net, with it that of all that these members send and get. PROPOSE: in place of version {@code base}, one that
-     * allows so many attempts, through the first of {@code who}; ACTS: waits until these act on {@code state}, such as
-     * {@code 2 FULL}; AGREED: no two acted on different versions for longer than the lease.
+     * One step. NET sets the faults for all messages that the members of {@code who} send and receive, or for all members if
+     * {@code who} is empty. PROPOSE proposes a version in place of {@code base} through the first member of {@code who}. ACTS
+     * waits until the members of {@code who} act on {@code state}, such as {@code 2 FULL}. AGREED checks that no two members
+     * acted on different versions for longer than the lease.
+     *
+     * @param who the members that the step applies to: the senders for CUT, the observers for AWAIT and NEVER
+     * @param of the receivers for CUT, the observed members for AWAIT and NEVER
+     * @param forMs the length of a PAUSE in ms, or 0 for a pause until RESUME
+     * @param attempts the maximum number of attempts in the version of a PROPOSE
      */
     public record Step(
             Action action,
@@ -54,10 +59,14 @@
             Set.of("seed", "probe_ms", "members", "seeds", "voters", "lease_ms", "most_s", "steps");
     private static final Set<String> STATES = Set.of("ALIVE", "SUSPECT", "DEAD", "LEFT");
     private static final int MAX_MEMBERS = 64;
-    /** What whole milliseconds of two processes' clocks differ by. */
+    /** The error of a duration between clocks of two processes that are read in whole milliseconds. */
     private static final long ROUNDING_MS = 5;
 
-    /** Reads a scenario; all that is wrong with it is told at once, by file, key and reason. */
+    /**
+     * Reads a scenario from a file.
+     *
+     * @throws InvalidConfigurationException with all faults of the file at once, each by key and reason
+     */
     public static ClusterScenario read(Path file) {
         ConfigValidator check = new ConfigValidator(file);
         JsonFields fields = check.fields(KEYS);
@@ -92,7 +101,7 @@
             }
         }
         if (steps.isEmpty()) {
-            check.addProblem("field steps must hold a step");
+            check.addProblem("field steps must hold at least one step");
         }
         long seed = check.valueOr(() -> fields.has("seed") ? fields.serial("seed") : 1L, 1L);
         check.throwIfInvalid();
@@ -102,7 +111,8 @@
     private static void checkNames(ConfigValidator check, String key, List<String> names, List<String> members) {
         names.stream()
                 .filter(name -> !members.contains(name))
-                .forEach(name -> check.addProblem("field " + key + " names " + name + ", which is no member"));
+                .forEach(name ->
+                        check.addProblem("field " + key + " names " + name + ", which is not listed in field members"));
     }
 
     private static Step step(JsonFields f, List<String> members) {
@@ -135,8 +145,8 @@
     }
 
     /**
-     * Plays the scenario with real processes. Gives what did not come to be, empty where all did; the history so far is in
-     * the consumer's hands, each event once, when it ends.
+     * Runs the scenario with real processes, up to the first step that fails. Returns the failed step, or an empty list if
+     * all steps passed. At the end, passes each event of the history to the consumer once.
      */
     public List<String> play(Consumer<TestCluster.Event> events) throws IOException, InterruptedException {
         List<String> failures = new ArrayList<>();
@@ -144,8 +154,8 @@
             for (int i = 0; i < steps.size() && failures.isEmpty(); i++) {
                 if (!play(cluster, steps.get(i))) {
                     failures.add("steps[" + i + "] " + steps.get(i).action() + ": "
-                            + steps.get(i).of() + " " + steps.get(i).state() + " is not as "
-                            + steps.get(i).who() + " have told it");
+                            + steps.get(i).of() + " " + steps.get(i).state() + " is not what "
+                            + steps.get(i).who() + " reported");
                 }
             }
             cluster.history().forEach(events);
@@ -211,7 +221,7 @@
                     cluster.pause(who);
                 }
             }
-            default -> throw new IllegalStateException("no act on one member: " + step.action());
+            default -> throw new IllegalStateException("step does not apply to a single member: " + step.action());
         }
     }
 
--- a/laboratory/src/main/java/opalcove/laboratory/FaultProxy.java
+++ b/laboratory/src/main/java/opalcove/laboratory/FaultProxy.java
@@ -20,9 +20,9 @@
 import opalcove.config.InvalidConfigurationException;
 
 /**
- * Stands between every pair of members: each member tells the others an address of this proxy, which passes datagrams on
- * and, by a seed, loses, repeats, delays (and so reorders) them, or cuts one direction of a pair. Where a member really
- * listens is learnt from what it sends. One thread; loopback only.
+ * Forwards datagrams between each pair of members. Each member advertises an address of this proxy, which loses, duplicates
+ * and delays (and so reorders) datagrams by a seed, or cuts one direction of a pair. The address on which a member listens is
+ * learned from the source of its datagrams. One thread forwards all datagrams, on loopback only.
  */
 final class FaultProxy implements AutoCloseable {
     private static final int MAX_BYTES = 65_535;
@@ -41,7 +41,13 @@
     private long datagramsSent;
     private long bytesSent;
 
-    /** Faults are drawn by the seed; sender tells a datagram's sender, or fails with {@link InvalidConfigurationException}. */
+    /**
+     * Starts a proxy without faults.
+     *
+     * @param seed the seed of the faults
+     * @param sender returns the name of a datagram's sender, or throws {@link InvalidConfigurationException}, in which case
+     *     the datagram is dropped
+     */
     FaultProxy(long seed, Function<byte[], String> sender) throws IOException {
         this.sender = sender;
         faults = new MessageFaults(new SplittableRandom(seed), new MembershipModel.Net(0, 0, 0, 0));
@@ -49,7 +55,7 @@
         thread.start();
     }
 
-    /** The address that a member of that name is to tell the others; the same at each call. */
+    /** Returns the address that the given member must advertise; it is the same at each call. */
     synchronized String addressOf(String member) throws IOException {
         DatagramChannel channel = channels.get(member);
         if (channel == null) {
@@ -64,12 +70,12 @@
         return address.getAddress().getHostAddress() + ":" + address.getPort();
     }
 
-    /** What happens to each datagram from now on, between members that have no net of their own. */
+    /** Sets the faults from now on between members that have no faults of their own. */
     synchronized void net(MembershipModel.Net next) {
         faults.net(next);
     }
 
-    /** What happens to all that one member sends and gets. */
+    /** Sets the faults for all datagrams that one member sends and receives. */
     synchronized void net(String member, MembershipModel.Net own) {
         faults.net(member, own);
     }
@@ -82,12 +88,12 @@
         faults.heal();
     }
 
-    /** Datagrams that members sent so far. */
+    /** Returns the number of datagrams that members have sent so far. */
     synchronized long datagramsSent() {
         return datagramsSent;
     }
 
-    /** Their bytes. */
+    /** Returns the number of bytes in the datagrams that members have sent so far. */
     synchronized long bytesSent() {
         return bytesSent;
     }
@@ -108,7 +114,7 @@
                 }
             }
         } catch (IOException | ClosedSelectorException e) {
-            // Closed: nothing is passed on any more.
+            // The proxy is closed and forwards nothing more.
             return;
         }
     }
@@ -154,7 +160,7 @@
         try {
             each.channel().send(ByteBuffer.wrap(each.bytes()), target);
         } catch (IOException e) {
-            // As lost on its way: its member has ended.
+            // The receiving member has ended, so the datagram counts as lost.
             return;
         }
     }
--- a/laboratory/src/main/java/opalcove/laboratory/MembershipTrial.java
+++ b/laboratory/src/main/java/opalcove/laboratory/MembershipTrial.java
@@ -14,15 +14,22 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * Membership's figures, by the rig's real processes or by the model: how long a crash and a leave take to be known to all,
- * messages a member and second at rest, deaths told of members that lived. Rounds of a crash, a restart, a leave and a
- * restart, each of another member; the first two, through which others join, stay.
+ * Measures the membership protocol with real processes or with the model: the time until all members know of a crash and of
+ * a leave, the messages per member and second without changes, and the deaths reported of members that were alive. Each round
+ * is a crash, a restart, a leave and a restart. Crashes and leaves go through the members one after another, without the first
+ * two, through which the others join.
  */
 public final class MembershipTrial {
-    /** What is tried; in the soak, before the rounds, a drawn member stands still for three probe periods every so often. */
+    /**
+     * The parameters of a trial.
+     *
+     * @param restMs how long messages are counted while nothing changes, in ms
+     * @param soakMs the length of the soak before the rounds, in ms, in which a random member is paused for three probe
+     *     periods out of every twenty
+     */
     public record Plan(int members, int probeMs, int rounds, long seed, double loss, long restMs, long soakMs) {}
 
-    /** Times in ms, over observers and rounds; the model writes no bytes, and counts 0 of them. */
+    /** The result of a trial. Times are in ms, over observers and rounds; the model encodes no messages and reports 0 bytes. */
     public record Report(
             String by,
             Plan plan,
@@ -33,7 +40,7 @@
             double messagesPerMemberSecond,
             double bytesPerMemberSecond,
             int falseDeaths) {
-        /** One line for people. */
+        /** Returns the report as one line of text. */
         public String line() {
             return String.format(
                     Locale.ROOT,
@@ -50,7 +57,7 @@
                     falseDeaths);
         }
 
-        /** The report as one JSON object. */
+        /** Returns the report as one JSON object. */
         public JsonObject json() {
             return Json.object()
                     .add("by", by)
@@ -71,11 +78,12 @@
     }
 
     private static final long MAX_MS = 120_000;
-    /** A larger fleet is modelled from where its members know one another: the join of so many is no figure of the trial. */
+    /** A larger fleet starts in the model with members that know each other, since the trial does not measure their joining. */
     private static final int MAX_JOINING_MEMBERS = 200;
-    /** Probe periods that a member stands still for in the soak, and from one such pause to the next. */
+    /** The length of a pause in the soak, in probe periods. */
     private static final int PAUSE_PERIODS = 3;
 
+    /** The time from the start of one pause in the soak to the next, in probe periods. */
     private static final int PAUSE_EVERY = 20;
 
     private final Plan plan;
@@ -85,7 +93,7 @@
 
     private MembershipTrial(Plan plan) {
         if (plan.members() < 4 || plan.rounds() < 1) {
-            throw new IllegalArgumentException("a trial needs 4 members and a round at least");
+            throw new IllegalArgumentException("a trial needs at least 4 members and 1 round");
         }
         this.plan = plan;
         for (int i = 0; i < plan.members(); i++) {
@@ -101,7 +109,7 @@
         return names.get(2 + index % (plan.members() - 2));
     }
 
-    /** By the model, in virtual time. */
+    /** Runs the trial with the model, in virtual time. */
     public static Report model(Plan plan) {
         MembershipTrial trial = new MembershipTrial(plan);
         MembershipModel model =
@@ -150,7 +158,7 @@
         return trial.report("model", rate, 0, falseDeaths);
     }
 
-    /** By real processes on this machine. */
+    /** Runs the trial with real processes on this machine. */
     public static Report cluster(Plan plan) throws IOException, InterruptedException {
         MembershipTrial trial = new MembershipTrial(plan);
         try (TestCluster cluster = new TestCluster(plan.seed(), plan.probeMs(), trial.names.subList(0, 2))) {
@@ -158,7 +166,7 @@
             for (String name : trial.names) {
                 cluster.start(name);
             }
-            awaitState(cluster, running -> running.allAlive(trial.names), "the members to come together");
+            awaitState(cluster, running -> running.allAlive(trial.names), "all members to know each other");
             Thread.sleep(20L * plan.probeMs());
             long before = cluster.datagramsSent();
             long bytesBefore = cluster.bytesSent();
@@ -190,7 +198,7 @@
                             running -> trial.names.stream()
                                     .allMatch(name -> name.equals(victim)
                                             || running.lastState(name, victim).equals(end)),
-                            victim + " to be told " + end);
+                            victim + " to be reported " + end);
                     for (TestCluster.Event each :
                             cluster.history().subList(from, cluster.history().size())) {
                         boolean isVictim = each.name().equals(victim);
@@ -200,7 +208,8 @@
                         falseDeaths += each.state().equals("DEAD") && !isVictim ? 1 : 0;
                     }
                     cluster.start(victim);
-                    awaitState(cluster, running -> running.allAlive(trial.names), victim + " to be taken back");
+                    awaitState(
+                            cluster, running -> running.allAlive(trial.names), victim + " to be reported alive again");
                 }
             }
             return trial.report("rig", rate, bytes, falseDeaths);
@@ -210,7 +219,7 @@
     private static void awaitState(TestCluster cluster, Predicate<TestCluster> condition, String what)
             throws IOException, InterruptedException {
         if (!cluster.await(condition, MAX_MS)) {
-            throw new IOException("waited " + MAX_MS + " ms in vain for " + what);
+            throw new IOException("timed out after " + MAX_MS + " ms waiting for " + what);
         }
     }
 
--- a/laboratory/src/main/java/opalcove/laboratory/TestCluster.java
+++ b/laboratory/src/main/java/opalcove/laboratory/TestCluster.java
@@ -24,12 +24,12 @@
 import opalcove.replication.ReplicationMessage;
 
 /**
- * Several processes of the real program on loopback, with a fault proxy between every pair. Processes are paused and
- * resumed by SIGSTOP and SIGCONT, killed, ended well, and started again; the events that they write as JSON lines are
- * gathered into one history. Whoever waits, waits for what the history shows and not for time to go by.
+ * Runs several processes of the real program on loopback, with a fault proxy between each pair. Processes can be paused and
+ * resumed by SIGSTOP and SIGCONT, killed, shut down by SIGTERM and started again. The events that they write as JSON lines are
+ * collected into one history. Waits are for a state of the history and not for a fixed time.
  */
 public final class TestCluster implements AutoCloseable {
-    /** A change that one process told of a member. */
+    /** A change of a member's state that one process reported. */
     public record Event(long atMs, String observer, String name, String state, String before, long incarnation) {}
 
     private static final long CLIENT_TIMEOUT_MS = 30_000;
@@ -44,19 +44,19 @@
     private final int probeMs;
     private final List<String> seeds;
     private final Map<String, Process> processes = new LinkedHashMap<>();
-    /** How many version events there were when a member was started last. */
+    /** The number of version events at the last start of each member. */
     private final Map<String, Integer> eventsAtStart = new HashMap<>();
 
     private final List<Event> history = new ArrayList<>();
     private final List<JsonObject> versionEvents = new ArrayList<>();
     private final ConflictDetector conflicts = new ConflictDetector();
 
-    /** A rig whose faults are drawn by the seed; its members join through those of the names given. */
+    /** Creates a cluster whose faults are drawn by the seed and whose members join through the given seed members. */
     public TestCluster(long seed, int probeMs, List<String> seedMembers) throws IOException {
         this(seed, probeMs, seedMembers, List.of(), 0);
     }
 
-    /** A rig whose members also agree on versions, by the votes of those named and on leases of that length. */
+    /** Creates a cluster whose members also replicate the configuration, with the given voters and leases of the given ms. */
     public TestCluster(long seed, int probeMs, List<String> seedMembers, List<String> voters, int leaseMs)
             throws IOException {
         folder = Files.createTempDirectory("rig");
@@ -76,7 +76,7 @@
         }
     }
 
-    /** Starts a member, or starts it again at its address. */
+    /** Starts a member, or restarts it at the same address. */
     public void start(String name) throws IOException {
         Path config = folder.resolve(name + ".json");
         JsonArray seedAddresses = new JsonArray();
@@ -134,26 +134,26 @@
         reader.start();
     }
 
-    /** A version's text that allows so many attempts. */
+    /** Returns the text of a version that allows the given number of attempts. */
     static String document(int attempts) {
         JsonObject settings = Json.parse(Laboratory.settingsText()).asObject();
         settings.get("ceilings").asObject().set("max_attempts", attempts);
         return Json.object().add("settings", settings).toString();
     }
 
-    /** Where a member keeps its vote. */
+    /** Returns the file in which a member stores its vote. */
     public Path state(String name) {
         return folder.resolve(name + ".state");
     }
 
-    /** Has writes of a member's state fail from now on: what stands in the place of the new file cannot be replaced. */
+    /** Makes writes of a member's state fail from now on, with a directory that is not empty at the path of the new file. */
     public void failStateWrites(String name) throws IOException, InterruptedException {
         for (int attempt = 1; ; attempt++) {
             try {
                 Files.createDirectories(obstacle(name));
                 return;
             } catch (FileSystemException e) {
-                // The member is writing: the place is taken until it has moved its new file.
+                // The member is writing: its new file occupies the path until the member has moved it.
                 if (attempt == MAX_OBSTACLE_ATTEMPTS) {
                     throw e;
                 }
@@ -162,7 +162,7 @@
         }
     }
 
-    /** Lets writes of a member's state succeed again: an empty folder in the place of the new file is no obstacle. */
+    /** Lets writes of a member's state succeed again: an empty directory at the path of the new file does not prevent them. */
     public void allowStateWrites(String name) throws IOException {
         Files.deleteIfExists(obstacle(name));
     }
@@ -171,12 +171,12 @@
         return folder.resolve(name + ".state.part").resolve("obstacle");
     }
 
-    /** Where a member keeps what it knows over a power loss. */
+    /** Returns the snapshot file, from which a member recovers after a power loss. */
     public Path snapshot(String name) {
         return folder.resolve(name + ".snapshot");
     }
 
-    /** What a member last told of its way back, such as {@code FULL}; empty where it told nothing. */
+    /** Returns the last recovery phase that a member reported, such as {@code FULL}, or an empty string if it reported none. */
     public synchronized String recovery(String name) {
         String phase = "";
         for (JsonObject each : versionEvents) {
@@ -188,7 +188,7 @@
         return phase;
     }
 
-    /** Asks the voters as an operator's command does, past all faults between members; this one first. */
+    /** Returns a client as the command line uses it, which tries the given member first and is not subject to the faults. */
     public ReplicationClient client(String first) throws IOException {
         List<HostAndPort> addresses = new ArrayList<>();
         addresses.add(HostAndPort.parse(versionProxy.addressOf(first), "address"));
@@ -198,13 +198,14 @@
         return new ReplicationClient(addresses, CLIENT_TIMEOUT_MS);
     }
 
-    /** Ends each call for a node list at once: the port is the rig's own, so that no member ever calls somebody else. */
+    /** Closes each discovery connection at once. The cluster owns the port, so that no member connects to another process. */
     private void closeDiscoveryConnections() {
         while (!discovery.isClosed()) {
             try {
                 discovery.accept().close();
             } catch (IOException e) {
-                // Closed, or the caller was gone first: the next call, if there is one, is ended too.
+                // The port is closed, or the member closed the connection first; the loop goes on while the port is
+                // open.
                 continue;
             }
         }
@@ -216,7 +217,7 @@
                 addEvent(line);
             }
         } catch (IOException e) {
-            // The process has ended amid a line.
+            // The process ended in the middle of a line.
             return;
         }
     }
@@ -237,7 +238,7 @@
                     event.getString("before", ""),
                     event.getLong("incarnation", 0)));
         } catch (ParseException | UnsupportedOperationException e) {
-            System.err.println("rig: not an event: " + line);
+            System.err.println("test cluster: not an event: " + line);
         }
         notifyAll();
     }
@@ -254,19 +255,19 @@
         }
     }
 
-    /** What members told of agreed versions, in the order in which it came in. */
+    /** Returns the events about versions from all members, in the order in which they arrived. */
     public synchronized List<JsonObject> versionEvents() {
         return List.copyOf(versionEvents);
     }
 
-    /** Whether a member has told anything of agreed versions since its last start. */
+    /** Whether a member has reported any event about versions since its last start. */
     public synchronized boolean hasReported(String name) {
         return versionEvents.stream()
                 .skip(eventsAtStart.getOrDefault(name, 0))
                 .anyMatch(each -> each.getString("observer", "").equals(name));
     }
 
-    /** The version that a member last said it acts on, and how, such as {@code 2 FULL}; empty where it said nothing. */
+    /** Returns the version and mode that a member last reported, such as {@code 2 FULL}, or an empty string if it reported none. */
     public synchronized String actsOn(String name) {
         String acting = "";
         for (JsonObject each : versionEvents) {
@@ -278,7 +279,7 @@
         return acting;
     }
 
-    /** The member that last said that it leads the voters, of those that run; empty where none does. */
+    /** Returns the running member that last reported that it leads the voters, or an empty string if there is none. */
     public synchronized String leader() {
         String leader = "";
         for (JsonObject each : versionEvents) {
@@ -290,12 +291,12 @@
         return leader;
     }
 
-    /** Cases in which two members acted on different versions for longer than that. */
+    /** Returns the conflicts in which two members acted on different versions for longer than the bound, in ms. */
     public synchronized List<ConflictDetector.Case> conflictsLongerThan(long boundMs) {
         return conflicts.conflictsLongerThan(boundMs, System.currentTimeMillis());
     }
 
-    /** Kills a member's process; it tells nobody. */
+    /** Kills a member's process (SIGKILL), so that it cannot notify the others. */
     public void kill(String name) throws InterruptedException {
         Process process = processes.remove(name);
         process.destroyForcibly();
@@ -305,24 +306,24 @@
         }
     }
 
-    /** Ends a member's process well (SIGTERM). */
+    /** Shuts down a member's process (SIGTERM). */
     public void leave(String name) {
         processes.remove(name).destroy();
     }
 
-    /** Stops a member's process where it stands (SIGSTOP). */
+    /** Pauses a member's process (SIGSTOP). */
     public void pause(String name) throws IOException, InterruptedException {
         signal("-STOP", name);
     }
 
-    /** Stops a member's process for so long. */
+    /** Pauses a member's process for the given ms and resumes it. */
     public void pauseFor(String name, long ms) throws IOException, InterruptedException {
         pause(name);
         Thread.sleep(ms);
         resume(name);
     }
 
-    /** Lets a paused process go on (SIGCONT). */
+    /** Resumes a paused process (SIGCONT). */
     public void resume(String name) throws IOException, InterruptedException {
         signal("-CONT", name);
     }
@@ -337,46 +338,46 @@
         }
     }
 
-    /** Cuts the way from one member to another, in that direction only. */
+    /** Drops all datagrams from one member to another, in that direction only. */
     public void cut(String from, String to) {
         proxy.cut(from, to);
         versionProxy.cut(from, to);
     }
 
-    /** Heals all cuts. */
+    /** Removes all cuts. */
     public void heal() {
         proxy.heal();
         versionProxy.heal();
     }
 
-    /** What happens to each datagram from now on. */
+    /** Sets the faults from now on between members that have no faults of their own. */
     public void net(MembershipModel.Net net) {
         proxy.net(net);
         versionProxy.net(net);
     }
 
-    /** What happens to all that one member sends and gets. */
+    /** Sets the faults for all datagrams that one member sends and receives. */
     public void net(String name, MembershipModel.Net own) {
         proxy.net(name, own);
         versionProxy.net(name, own);
     }
 
-    /** Datagrams that members sent so far. */
+    /** Returns the number of membership datagrams that members have sent so far. */
     public long datagramsSent() {
         return proxy.datagramsSent();
     }
 
-    /** Their bytes. */
+    /** Returns the number of bytes in the membership datagrams that members have sent so far. */
     public long bytesSent() {
         return proxy.bytesSent();
     }
 
-    /** All events so far, in the order in which they came in. */
+    /** Returns all membership events so far, in the order in which they arrived. */
     public synchronized List<Event> history() {
         return List.copyOf(history);
     }
 
-    /** What a member last told of another: its state, or UNKNOWN. */
+    /** Returns the state that the observer last reported of another member, or UNKNOWN. */
     public synchronized String lastState(String observer, String name) {
         String state = "UNKNOWN";
         for (Event each : history) {
@@ -387,7 +388,7 @@
         return state;
     }
 
-    /** Waits until the history is as wanted, for so long at most; tells whether it came to be. */
+    /** Waits until the condition holds, for at most the given ms. Returns whether it holds. */
     public synchronized boolean await(Predicate<TestCluster> condition, long maxMs) throws InterruptedException {
         long end = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(maxMs);
         while (!condition.test(this)) {
@@ -400,7 +401,7 @@
         return true;
     }
 
-    /** Whether each of these members holds each other one for alive. */
+    /** Whether each of the given members last reported each of the others as alive. */
     public boolean allAlive(List<String> names) {
         return names.stream().allMatch(observer -> names.stream()
                 .allMatch(name ->
--- a/laboratory/src/main/java/opalcove/laboratory/VoterSoak.java
+++ b/laboratory/src/main/java/opalcove/laboratory/VoterSoak.java
@@ -13,58 +13,59 @@
 import opalcove.configlease.VersionLog;
 
 /**
- * Faults on the voters of real processes, one voter at a time, so that a majority always runs: kills, pauses and folders
- * that fail, most of them at the leader, and restarts that the next fault does not always wait for. A version is
- * proposed amid each fault. Judged: the proposal is answered in time, no accepted version is lost, and no two gateways
- * act on different versions for longer than the lease.
+ * Injects faults into the voters of a cluster of real processes, one voter at a time, so that a majority always runs. The
+ * faults are kills, pauses and failing writes of the state file, most of them at the leader, and the next fault does not always
+ * wait until a restarted voter has recovered. A version is proposed during each fault. The soak checks that the proposal is
+ * decided in time, that no accepted version is lost, and that no two gateways act on different versions for longer than the
+ * lease.
  */
 public final class VoterSoak {
     /**
-     * A run.
+     * The parameters of a run.
      *
-     * @param seed draws the faults
-     * @param rounds faults, one after the other
-     * @param leaseMs how long a confirmed version may be acted on
+     * @param seed the seed of the faults
+     * @param rounds the number of faults, one after another
+     * @param leaseMs how long a gateway may act on a confirmed version, in ms
      */
     public record Plan(long seed, int rounds, int leaseMs) {}
 
-    /** What befalls a voter. */
+    /** A fault of a voter. */
     enum FaultKind {
-        /** SIGKILL; started again once the round's proposal is answered. */
+        /** SIGKILL; the voter is restarted once the round's proposal has a response. */
         KILL,
-        /** SIGSTOP for a while. */
+        /** SIGSTOP for up to 3 s. */
         PAUSE,
-        /** Writes of the state file fail for a while. */
+        /** Writes of the state file fail for up to 3 s. */
         FOLDER_FAILS,
         /** Writes of the state file fail, and the process is killed before they succeed again. */
         KILL_IN_FAILING_FOLDER
     }
 
-    /** What is judged. */
+    /** A rule that the soak checks. */
     public enum Rule {
         /** A majority decides on a proposal within 10 s of a fault. */
         DECIDED_IN_TIME,
-        /** A majority decides on a proposal, and as the versions before it say. */
+        /** A majority accepts a proposal as the version after the newest one. */
         DECIDED,
-        /** All gateways come to act fully on the newest version. */
+        /** All gateways act fully on the newest version again. */
         RECOVERED,
-        /** An accepted version stays as it was accepted. */
+        /** An accepted version stays in the history, by the same author. */
         KEPT,
-        /** Two gateways act on different versions for one lease at most. */
+        /** Two gateways act on different versions for at most one lease. */
         NO_CONFLICT
     }
 
-    /** A rule that was broken. */
+    /** A violation of a rule. */
     public record Violation(Rule rule, String text) {}
 
     /**
      * The outcome of a run.
      *
-     * @param accepted proposals that became a version
-     * @param medianAnswerMs the median time from a fault to the answer of its proposal
+     * @param accepted the number of proposals that became a version
+     * @param medianAnswerMs the median time from a fault to the response to its proposal
      * @param slowestAnswerMs the longest such time
      * @param longestConflictMs the longest time in which two gateways acted on different versions
-     * @param violations what was broken, in the order of time
+     * @param violations the violations, in the order of time
      */
     public record Result(
             Plan plan,
@@ -74,7 +75,7 @@
             long slowestAnswerMs,
             long longestConflictMs,
             List<Violation> violations) {
-        /** One line, and one for each violation. */
+        /** Returns one line for the run and one for each violation. */
         public String text() {
             StringBuilder text = new StringBuilder(String.format(
                     Locale.ROOT,
@@ -95,7 +96,7 @@
             return text.toString();
         }
 
-        /** The result as one JSON object. */
+        /** Returns the result as one JSON object. */
         public JsonObject json() {
             var broken = Json.array().asArray();
             violations.forEach(each -> broken.add(each.rule() + ": " + each.text()));
@@ -115,15 +116,19 @@
     private static final List<String> ALL = List.of("g1", "g2", "g3", "g4");
     private static final int PROBE_MS = 500;
     private static final long START_TIMEOUT_MS = 60_000;
-    /** A majority elects a leader and decides on a proposal within this time of a fault. */
+    /** The longest time from a fault until a majority has elected a leader and decided on a proposal. */
     private static final long MAX_ANSWER_MS = 10_000;
 
     private static final long HISTORY_POLL_MS = 100;
+    /** The share of faults that are aimed at the leader; the others hit a random voter. */
     private static final double LEADER_FAULT_SHARE = 0.7;
+    /** The share of faults after which the next one waits until all gateways act on the newest version. */
     private static final double AWAIT_READY_SHARE = 0.6;
+    /** The longest time until the next fault if it does not wait for that. */
     private static final long MAX_FAULT_GAP_MS = 1000;
+
     private static final long MAX_FAULT_MS = 3000;
-    /** What whole milliseconds of two processes' clocks differ by. */
+    /** The error of a duration between clocks of two processes that are read in whole milliseconds. */
     private static final long ROUNDING_MS = 5;
 
     private final Plan plan;
@@ -141,7 +146,7 @@
         random = new SplittableRandom(plan.seed());
     }
 
-    /** Plays a plan on processes of this program. */
+    /** Runs a plan on processes of this program. */
     public static Result run(Plan plan) throws IOException, InterruptedException {
         try (TestCluster cluster =
                 new TestCluster(plan.seed(), PROBE_MS, VOTERS.subList(0, 2), VOTERS, plan.leaseMs())) {
@@ -206,7 +211,7 @@
         end(kind, victim);
     }
 
-    /** Begins a fault; how long it is to last. */
+    /** Begins a fault and returns how long it lasts, in ms. */
     private long begin(FaultKind kind, String victim) throws IOException, InterruptedException {
         switch (kind) {
             case KILL -> {
@@ -238,12 +243,11 @@
         }
     }
 
-    /** Starts a voter again, and waits for its first sign of life. */
+    /** Restarts a voter and waits for its first event. */
     private void restart(String name) throws IOException, InterruptedException {
         cluster.start(name);
         if (!cluster.await(running -> running.hasReported(name), START_TIMEOUT_MS)) {
-            addViolation(
-                    Rule.RECOVERED, name + " gave no sign of life within " + START_TIMEOUT_MS + " ms of its start");
+            addViolation(Rule.RECOVERED, name + " reported no event within " + START_TIMEOUT_MS + " ms of its start");
         }
     }
 
@@ -256,7 +260,7 @@
         }
     }
 
-    /** Proposes the next version through a voter, and judges the time from the fault to the answer. */
+    /** Proposes the next version through a voter and checks the time from the fault to the response. */
     private void propose(String context, String through, long faultNanos) throws InterruptedException {
         String author = "soak-" + (newestVersion + 1);
         VersionLog.Outcome outcome;
@@ -283,7 +287,7 @@
         authorsByVersion.put(newestVersion, author);
     }
 
-    /** What was accepted is in the history, whichever voter is asked: each passes the request on to the leader. */
+    /** Checks that each voter returns all accepted versions; a voter forwards the request to the leader. */
     private void checkHistory() throws IOException, InterruptedException {
         for (String name : VOTERS) {
             List<VersionLog.Version> history = awaitHistory(name);
@@ -303,7 +307,10 @@
         }
     }
 
-    /** The history by way of a voter; its own copy, which may lag behind, while it knows no leader. */
+    /**
+     * Polls a voter until its history reaches the newest version, for at most {@link #MAX_ANSWER_MS}. A voter that knows no
+     * leader returns its own copy, which may lag behind.
+     */
     private List<VersionLog.Version> awaitHistory(String name) throws IOException, InterruptedException {
         long endNanos = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(MAX_ANSWER_MS);
         while (true) {
--- a/laboratory/src/test/java/opalcove/laboratory/AgreementRigTest.java
+++ b/laboratory/src/test/java/opalcove/laboratory/AgreementRigTest.java
@@ -16,8 +16,9 @@
 import org.testng.annotations.Test;
 
 /**
- * Agreed versions among real processes, with faults between them. That no contradiction outlives the lease holds whatever the
- * machine's speed; the few ms beside it are what whole milliseconds of two clocks differ by.
+ * Checks the replicated configuration with real processes and faults between them. No two gateways may act on different
+ * versions for longer than the lease, however slow the machine is; {@code ROUNDING_MS} allows for clocks that are read in whole
+ * milliseconds.
  */
 public class AgreementRigTest {
     private static final List<String> ALL = List.of("g1", "g2", "g3", "g4", "g5");
@@ -25,10 +26,10 @@
     private static final long MAX_MS = 60_000;
     private static final int LEASE_MS = 1500;
     private static final long ROUNDING_MS = 5;
-    /** The document of so many attempts drains its node. */
-    private static final int DRAINS = 3;
+    /** The number of attempts in the document that drains its backend. */
+    private static final int DRAINING_ATTEMPTS = 3;
 
-    private static TestCluster fleet(long seed) throws Exception {
+    private static TestCluster startFleet(long seed) throws Exception {
         TestCluster cluster = new TestCluster(seed, 500, List.of("g1", "g2"), VOTERS, LEASE_MS);
         for (String name : ALL) {
             cluster.start(name);
@@ -41,14 +42,14 @@
     private static String document(int attempts) {
         JsonObject settings = Json.parse(Laboratory.settingsText()).asObject();
         settings.get("ceilings").asObject().set("max_attempts", attempts);
-        // The node is drained in one version and open again in the next.
-        JsonObject node = Json.object()
+        // The backend is draining in one version and up again in the next.
+        JsonObject backend = Json.object()
                 .add("name", "n1")
                 .add("address", "127.0.0.1:1")
-                .add("status", attempts == DRAINS ? "draining" : "up");
+                .add("status", attempts == DRAINING_ATTEMPTS ? "draining" : "up");
         return Json.object()
                 .add("settings", settings)
-                .add("nodes", Json.array().asArray().add(node))
+                .add("nodes", Json.array().asArray().add(backend))
                 .toString();
     }
 
@@ -61,7 +62,7 @@
                 acting + ": " + cluster.versionEvents());
     }
 
-    private static List<String> but(String... names) {
+    private static List<String> allExcept(String... names) {
         List<String> rest = new ArrayList<>(ALL);
         rest.removeAll(Arrays.asList(names));
         return rest;
@@ -79,22 +80,22 @@
     }
 
     @Test
-    public void aLeaderIsKilledAmidTwoChangesOfWhichOneWins() throws Exception {
-        try (TestCluster cluster = fleet(11)) {
+    public void acceptsExactlyOneOfTwoProposalsWhenLeaderIsKilled() throws Exception {
+        try (TestCluster cluster = startFleet(11)) {
             assertTrue(cluster.await(running -> !running.leader().isEmpty(), MAX_MS));
             String leader = cluster.leader();
             CompletableFuture<VersionLog.Outcome> a = propose(cluster, "g1", 1, 5);
             CompletableFuture<VersionLog.Outcome> b = propose(cluster, "g2", 1, 4);
             cluster.kill(leader);
             assertTrue(a.get().accepted() ^ b.get().accepted(), a.get() + " " + b.get());
-            VersionLog.Outcome lost = a.get().accepted() ? b.get() : a.get();
-            assertTrue(lost.reason().contains("version 2 by ops at g"), lost.reason());
-            awaitAll(cluster, but(leader), "2 FULL");
+            VersionLog.Outcome rejected = a.get().accepted() ? b.get() : a.get();
+            assertTrue(rejected.reason().contains("version 2 by ops at g"), rejected.reason());
+            awaitAll(cluster, allExcept(leader), "2 FULL");
             cluster.start(leader);
             awaitAll(cluster, ALL, "2 FULL");
-            VersionLog.Outcome broken = cluster.client("g1").propose(2, "ops", "{\"settings\":{}}");
-            assertFalse(broken.accepted());
-            assertTrue(broken.reason().contains("field "), broken.reason());
+            VersionLog.Outcome invalid = cluster.client("g1").propose(2, "ops", "{\"settings\":{}}");
+            assertFalse(invalid.accepted());
+            assertTrue(invalid.reason().contains("field "), invalid.reason());
             assertEquals(cluster.client("g1").current().number(), 2);
             assertEquals(
                     cluster.client("g1").history().stream()
@@ -106,52 +107,52 @@
     }
 
     @Test
-    public void aPauseAndAOneSidedCutFromTheLeaderLetNoVersionOutliveItsLease() throws Exception {
-        try (TestCluster cluster = fleet(12)) {
+    public void actsOnNoVersionBeyondLeaseUnderPauseAndOneWayCutFromLeader() throws Exception {
+        try (TestCluster cluster = startFleet(12)) {
             cluster.cut(cluster.leader(), "g4");
             cluster.pause("g5");
             assertTrue(propose(cluster, "g1", 1, 3).get().accepted());
-            awaitAll(cluster, but("g5"), "2 FULL");
+            awaitAll(cluster, allExcept("g5"), "2 FULL");
             assertTrue(propose(cluster, "g2", 2, 2).get().accepted());
-            awaitAll(cluster, but("g5"), "3 FULL");
-            Thread.sleep(LEASE_MS); // the pause is to be longer than the lease; nothing is judged by it
+            awaitAll(cluster, allExcept("g5"), "3 FULL");
+            Thread.sleep(LEASE_MS); // makes the pause longer than the lease; no assertion depends on this time
             cluster.resume("g5");
             awaitAll(cluster, ALL, "3 FULL");
-            // Behind, it never hears of the version that drains the node: it sends nothing to any node until it is told
-            // more.
-            List<JsonObject> lapsed = cluster.versionEvents().stream()
+            // The gateway missed the version that drains the backend, so it sends to no backend until it has a newer
+            // version.
+            List<JsonObject> strictEvents = cluster.versionEvents().stream()
                     .filter(each -> each.getString("observer", "").equals("g5")
                             && each.getString("mode", "").equals("STRICT"))
                     .toList();
-            assertEquals(lapsed.size(), 1, "it was strict first");
-            assertEquals(lapsed.get(0).getInt("nodes", -1), 0);
+            assertEquals(strictEvents.size(), 1, "it reported strict mode once");
+            assertEquals(strictEvents.get(0).getInt("nodes", -1), 0);
             assertEquals(cluster.conflictsLongerThan(LEASE_MS + ROUNDING_MS), List.of());
         }
     }
 
     @Test
-    public void aMinorityIsStrictAndATornStateIsRefusedAndCaughtUp() throws Exception {
-        try (TestCluster cluster = fleet(13)) {
+    public void becomesStrictInMinorityAndCatchesUpAfterTruncatedStateFileIsRejected() throws Exception {
+        try (TestCluster cluster = startFleet(13)) {
             assertTrue(cluster.await(running -> !running.leader().isEmpty(), MAX_MS));
-            String alone = cluster.leader();
-            for (String each : but(alone)) {
-                cluster.cut(alone, each);
-                cluster.cut(each, alone);
+            String isolated = cluster.leader();
+            for (String each : allExcept(isolated)) {
+                cluster.cut(isolated, each);
+                cluster.cut(each, isolated);
             }
             String other = VOTERS.stream()
-                    .filter(each -> !each.equals(alone))
+                    .filter(each -> !each.equals(isolated))
                     .findFirst()
                     .orElseThrow();
             assertTrue(propose(cluster, other, 1, 3).get().accepted());
-            awaitAll(cluster, but(alone), "2 FULL");
-            awaitAll(cluster, List.of(alone), "1 STRICT");
+            awaitAll(cluster, allExcept(isolated), "2 FULL");
+            awaitAll(cluster, List.of(isolated), "1 STRICT");
             cluster.heal();
             awaitAll(cluster, ALL, "2 FULL");
-            cluster.kill(alone);
-            byte[] state = Files.readAllBytes(cluster.state(alone));
-            Files.write(cluster.state(alone), Arrays.copyOf(state, state.length / 2));
+            cluster.kill(isolated);
+            byte[] state = Files.readAllBytes(cluster.state(isolated));
+            Files.write(cluster.state(isolated), Arrays.copyOf(state, state.length / 2));
             assertTrue(propose(cluster, other, 2, 2).get().accepted());
-            cluster.start(alone);
+            cluster.start(isolated);
             awaitAll(cluster, ALL, "3 FULL");
             assertTrue(
                     cluster.versionEvents().stream()
--- a/laboratory/src/test/java/opalcove/laboratory/CeilingModelTest.java
+++ b/laboratory/src/test/java/opalcove/laboratory/CeilingModelTest.java
@@ -8,7 +8,7 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** The hard ceiling over four gateways in virtual time: seeded, so each run gives the same verdict. */
+/** Checks the hard ceiling over four gateways in virtual time, with fixed seeds, so that each run has the same result. */
 public class CeilingModelTest {
     private static final int SEEDS = 100;
     private static final int ACCOUNTS = 8;
@@ -19,17 +19,17 @@
     }
 
     @Test(dataProvider = "restarts")
-    public void noCeilingIsPassedAcrossShiftsOfTrafficAndRestarts(Restarts restarts) {
+    public void exceedsCeilingByNoMoreThanSlackUnderTrafficShiftsAndRestarts(Restarts restarts) {
         for (long seed = 1; seed <= SEEDS; seed++) {
             Result result = CeilingModel.play(seed, ACCOUNTS, restarts, true);
             assertTrue(
                     result.lowestCeiling() >= -1,
-                    restarts + ", seed " + seed + ": lowest " + result.lowestCeiling() + " slacks");
+                    restarts + ", seed " + seed + ": lowest " + result.lowestCeiling() + " times the slack");
         }
     }
 
     @Test
-    public void holdingTheCeilingInPartsCostsLittleWorkInsideTheQuotas() {
+    public void losesLittleWorkInsideQuotasWhenCeilingIsSplitBetweenGateways() {
         double inside = 0;
         double lost = 0;
         for (long seed = 1; seed <= SEEDS; seed++) {
--- a/laboratory/src/test/java/opalcove/laboratory/ClusterRigTest.java
+++ b/laboratory/src/test/java/opalcove/laboratory/ClusterRigTest.java
@@ -13,44 +13,47 @@
 import org.testng.annotations.Test;
 
 /**
- * Membership among real processes, with faults between them. What must not have happened is read from the history after a
- * later crash has been told by all: by then it would have been told, too.
+ * Checks the membership protocol with real processes and faults between them. That a death was not reported is checked once
+ * all members have reported a later crash: by then they would have reported the death as well.
  */
 public class ClusterRigTest {
     private static final List<String> ALL = List.of("g1", "g2", "g3", "g4", "g5");
     private static final long MAX_MS = 60_000;
     private static final int PROBE_MS = 500;
 
-    private static TestCluster fleet(long seed) throws Exception {
+    private static TestCluster startFleet(long seed) throws Exception {
         TestCluster cluster = new TestCluster(seed, PROBE_MS, List.of("g1", "g2"));
         for (String name : ALL) {
             cluster.start(name);
         }
-        assertTrue(cluster.await(running -> running.allAlive(ALL), MAX_MS), "they come together: " + cluster.history());
+        assertTrue(
+                cluster.await(running -> running.allAlive(ALL), MAX_MS),
+                "all members see each other: " + cluster.history());
         return cluster;
     }
 
-    private static boolean allHold(TestCluster cluster, String name, String state) {
+    private static boolean allReport(TestCluster cluster, String name, String state) {
         return ALL.stream().filter(each -> !each.equals(name)).allMatch(each -> cluster.lastState(each, name)
                 .equals(state));
     }
 
-    private static List<TestCluster.Event> deathsBut(TestCluster cluster, String name) {
+    private static List<TestCluster.Event> deathsExcept(TestCluster cluster, String name) {
         return cluster.history().stream()
                 .filter(each -> each.state().equals("DEAD") && !each.name().equals(name))
                 .toList();
     }
 
     /**
-     * The scenarios that the examples tell: short pauses, loss and a one-sided cut are no death, a crash is one; a member
-     * that is slow itself has no healthy one held for dead; three messages of ten lost, and the fleet is whole after it; a gateway that
-     * cannot ask is strict, and no version outlives its lease.
+     * Runs the example scenarios. Short pauses, loss and a one-way cut cause no reported death, but a crash does. A slow member
+     * does not get a healthy one declared dead. The fleet is complete after a loss of three messages in ten. A gateway that
+     * cannot reach the voters becomes strict, and no gateway acts on a version beyond its lease.
      */
     @Test(dataProvider = "examples")
-    public void theExampleComesOutAsItWants(String example) throws Exception {
+    public void passesAllStepsOfExampleScenario(String example) throws Exception {
         List<TestCluster.Event> events = new ArrayList<>();
-        List<String> wrong = ClusterScenario.read(Path.of("example", example)).play(events::add);
-        assertEquals(wrong, List.of(), events.toString());
+        List<String> failures =
+                ClusterScenario.read(Path.of("example", example)).play(events::add);
+        assertEquals(failures, List.of(), events.toString());
         assertTrue(example.contains("agreement")
                 || events.stream()
                         .anyMatch(each ->
@@ -63,7 +66,7 @@
     }
 
     @Test
-    public void allThatIsWrongWithAScenarioIsToldByFileKeyAndReason() throws Exception {
+    public void reportsAllFaultsOfScenarioByFileKeyAndReason() throws Exception {
         String text = Files.readString(Path.of("example/rig-faults.json"));
         Path file = Files.createTempFile("scenario", ".json");
         try {
@@ -73,7 +76,7 @@
                             .replace("[\"g1\"], \"of\"", "[\"g9\"], \"of\"")
                             .replace("\"do\": \"kill\"", "\"do\": \"hit\"")
                             .replace("\"most_s\"", "\"most\""));
-            String told = expectThrows(InvalidConfigurationException.class, () -> ClusterScenario.read(file))
+            String message = expectThrows(InvalidConfigurationException.class, () -> ClusterScenario.read(file))
                     .getMessage();
             for (String part : List.of(
                     "field most is not known",
@@ -81,7 +84,7 @@
                     "names g9",
                     "steps[6].do has an unknown value hit",
                     file.toString())) {
-                assertTrue(told.contains(part), told);
+                assertTrue(message.contains(part), message);
             }
         } finally {
             Files.delete(file);
@@ -89,28 +92,29 @@
     }
 
     @Test
-    public void aLongPauseIsADeathThatIsRefutedOnceAndALeaveIsNoDeath() throws Exception {
-        try (TestCluster cluster = fleet(2)) {
+    public void refutesDeathOnceAfterLongPauseAndReportsNoDeathOnLeave() throws Exception {
+        try (TestCluster cluster = startFleet(2)) {
             cluster.pause("g3");
             assertTrue(
-                    cluster.await(running -> allHold(running, "g3", "DEAD"), MAX_MS),
-                    "told dead: " + cluster.history());
+                    cluster.await(running -> allReport(running, "g3", "DEAD"), MAX_MS),
+                    "reported dead: " + cluster.history());
             cluster.resume("g3");
             assertTrue(
-                    cluster.await(running -> allHold(running, "g3", "ALIVE"), MAX_MS), "refuted: " + cluster.history());
+                    cluster.await(running -> allReport(running, "g3", "ALIVE"), MAX_MS),
+                    "refuted: " + cluster.history());
             for (String observer : ALL) {
-                List<TestCluster.Event> told = cluster.history().stream()
+                List<TestCluster.Event> reports = cluster.history().stream()
                         .filter(each ->
                                 each.observer().equals(observer) && each.name().equals("g3"))
                         .toList();
                 if (!observer.equals("g3")) {
                     assertEquals(
-                            told.stream()
+                            reports.stream()
                                     .filter(each -> each.state().equals("DEAD"))
                                     .count(),
                             1);
-                    assertTrue(told.get(told.size() - 1).incarnation()
-                            > told.get(0).incarnation());
+                    assertTrue(reports.get(reports.size() - 1).incarnation()
+                            > reports.get(0).incarnation());
                 }
             }
             cluster.leave("g4");
@@ -120,14 +124,14 @@
                                     .allMatch(each ->
                                             running.lastState(each, "g4").equals("LEFT")),
                             MAX_MS),
-                    "it left: " + cluster.history());
-            assertEquals(deathsBut(cluster, "g3"), List.of());
+                    "reported as left: " + cluster.history());
+            assertEquals(deathsExcept(cluster, "g3"), List.of());
         }
     }
 
     @Test
-    public void halvesCutApartComeTogetherAgain() throws Exception {
-        try (TestCluster cluster = fleet(3)) {
+    public void findsAllMembersAgainAfterPartitionHeals() throws Exception {
+        try (TestCluster cluster = startFleet(3)) {
             for (String a : List.of("g1", "g2")) {
                 for (String b : List.of("g3", "g4", "g5")) {
                     cluster.cut(a, b);
@@ -140,7 +144,8 @@
                     MAX_MS));
             cluster.heal();
             assertTrue(
-                    cluster.await(running -> running.allAlive(ALL), MAX_MS), "one fleet again: " + cluster.history());
+                    cluster.await(running -> running.allAlive(ALL), MAX_MS),
+                    "all members see each other again: " + cluster.history());
         }
     }
 }
--- a/laboratory/src/test/java/opalcove/laboratory/RecoveryRigTest.java
+++ b/laboratory/src/test/java/opalcove/laboratory/RecoveryRigTest.java
@@ -12,14 +12,14 @@
 import opalcove.configlease.VersionLog;
 import org.testng.annotations.Test;
 
-/** The whole fleet loses its power and comes back, by real processes that are all killed at once. */
+/** Checks how a fleet of real processes recovers from a power loss, for which all of them are killed at once. */
 public class RecoveryRigTest {
     private static final List<String> ALL = List.of("g1", "g2", "g3", "g4", "g5");
     private static final long MAX_MS = 60_000;
     private static final int LEASE_MS = 1500;
     private static final long ROUNDING_MS = 5;
 
-    private static void powerLoss(TestCluster cluster) throws InterruptedException {
+    private static void killAll(TestCluster cluster) throws InterruptedException {
         for (String name : ALL) {
             cluster.kill(name);
         }
@@ -39,13 +39,13 @@
                 .toList();
     }
 
-    private static boolean told(TestCluster cluster, String name, int from, String phase) {
+    private static boolean hasReported(TestCluster cluster, String name, int from, String phase) {
         return recoveries(cluster, name, from).stream()
                 .anyMatch(each -> each.getString("phase", "").equals(phase));
     }
 
     @Test
-    public void theFleetComesBackOnOneVersionWithWhatItMayTrust() throws Exception {
+    public void recoversToOneVersionAndRejectsDamagedSnapshotsAfterRepeatedPowerLoss() throws Exception {
         try (TestCluster cluster = new TestCluster(21, 500, List.of("g1", "g2"), List.of("g1", "g2", "g3"), LEASE_MS)) {
             start(cluster, ALL);
             assertEquals(
@@ -63,61 +63,63 @@
                             MAX_MS),
                     cluster.versionEvents().toString());
 
-            // The power goes while a change is half agreed; one snapshot is torn by it, one is missing.
-            CompletableFuture<VersionLog.Outcome> half = CompletableFuture.supplyAsync(() -> {
+            // The power fails while a proposal is being decided, which leaves one snapshot truncated and one missing.
+            CompletableFuture<VersionLog.Outcome> pending = CompletableFuture.supplyAsync(() -> {
                 try {
                     return cluster.client("g2").propose(1, "ops", TestCluster.document(3));
                 } catch (IOException e) {
                     throw new java.io.UncheckedIOException(e);
                 }
             });
-            powerLoss(cluster);
-            byte[] whole = Files.readAllBytes(cluster.snapshot("g4"));
-            Files.write(cluster.snapshot("g4"), Arrays.copyOf(whole, whole.length - 7));
+            killAll(cluster);
+            byte[] complete = Files.readAllBytes(cluster.snapshot("g4"));
+            Files.write(cluster.snapshot("g4"), Arrays.copyOf(complete, complete.length - 7));
             Files.delete(cluster.snapshot("g5"));
             int first = cluster.versionEvents().size();
             start(cluster, ALL);
             assertTrue(
                     cluster.await(
-                            running -> ALL.stream().allMatch(name -> told(running, name, first, "RESTORING")), MAX_MS),
+                            running -> ALL.stream().allMatch(name -> hasReported(running, name, first, "RESTORING")),
+                            MAX_MS),
                     cluster.versionEvents().toString());
 
-            // It goes once more before they are back; then they come in another order, one of them later.
-            powerLoss(cluster);
+            // The power fails again before the fleet has recovered; then the gateways start in another order, one of
+            // them later.
+            killAll(cluster);
             int second = cluster.versionEvents().size();
             start(cluster, List.of("g5", "g3", "g4", "g1"));
             assertTrue(
                     cluster.await(running -> !recoveries(running, "g4", second).isEmpty(), MAX_MS));
             start(cluster, List.of("g2"));
-            assertTrue(half.get().accepted(), "the proposal was repeated until it was decided");
+            assertTrue(pending.get().accepted(), "the proposal was repeated until it was decided");
             assertTrue(
                     cluster.await(
                             running -> ALL.stream()
-                                    .allMatch(name -> told(running, name, second, "FULL")
+                                    .allMatch(name -> hasReported(running, name, second, "FULL")
                                             && running.actsOn(name).equals("2 FULL")),
                             MAX_MS),
                     cluster.versionEvents().toString());
 
-            assertEachCameBackInOrder(cluster, second);
-            assertRefusedSnapshots(cluster, first);
+            assertRecoveryPhasesInOrder(cluster, second);
+            assertSnapshotsRejected(cluster, first);
             assertEquals(cluster.conflictsLongerThan(LEASE_MS + ROUNDING_MS), List.of());
         }
     }
 
-    /** Each gateway went through the phases in order, and trusted no backend to be warm. */
-    private static void assertEachCameBackInOrder(TestCluster cluster, int from) {
+    /** Checks that each gateway went through the phases in order and treated no backend as warmed up. */
+    private static void assertRecoveryPhasesInOrder(TestCluster cluster, int from) {
         for (String name : ALL) {
             List<JsonObject> phases = recoveries(cluster, name, from);
             assertEquals(
                     phases.stream().map(each -> each.getString("phase", "")).toList(),
                     List.of("WAITING", "RESTORING", "FULL"),
                     name);
-            assertTrue(phases.get(1).getBoolean("cold", false), "every node counts as cold");
+            assertTrue(phases.get(1).getBoolean("cold", false), "each backend counts as newly started");
         }
     }
 
-    /** The torn snapshot and the missing one were refused, each for its reason. */
-    private static void assertRefusedSnapshots(TestCluster cluster, int from) {
+    /** Checks that the truncated snapshot and the missing one were rejected, each with its reason. */
+    private static void assertSnapshotsRejected(TestCluster cluster, int from) {
         assertTrue(
                 recoveries(cluster, "g4", from).get(0).get("refused").toString().contains("torn"));
         assertTrue(
--- a/laboratory/src/test/java/opalcove/laboratory/UpgradeRigTest.java
+++ b/laboratory/src/test/java/opalcove/laboratory/UpgradeRigTest.java
@@ -12,8 +12,8 @@
 import org.testng.annotations.Test;
 
 /**
- * An upgrade over real processes. Three voters start on the states and snapshots that an earlier build of the program wrote,
- * at version 3, and are then restarted one after the other, with a version proposed while each of them is down.
+ * Checks an upgrade with real processes. Three voters start from the state and snapshot files that an earlier build wrote at
+ * version 3. They are then restarted one after another, and a version is proposed while each of them is down.
  */
 public class UpgradeRigTest {
     private static final List<String> ALL = List.of("g1", "g2", "g3");
@@ -22,7 +22,7 @@
     private static final long ROUNDING_MS = 5;
     private static final int FIRST_VERSION = 3;
 
-    private static void copy(String name, Path file) throws IOException {
+    private static void copyResource(String name, Path file) throws IOException {
         try (InputStream resource = UpgradeRigTest.class.getResourceAsStream("/upgrade/" + name)) {
             Files.copy(resource, file);
         }
@@ -38,11 +38,11 @@
     }
 
     @Test
-    public void votersGoOnFromFilesOfAnEarlierBuildThroughRestartsOneByOne() throws Exception {
+    public void continuesFromFilesOfEarlierBuildWhenVotersRestartOneByOne() throws Exception {
         try (TestCluster cluster = new TestCluster(32, 500, List.of("g1", "g2"), ALL, LEASE_MS)) {
             for (String name : ALL) {
-                copy(name + ".state", cluster.state(name));
-                copy(name + ".snapshot", cluster.snapshot(name));
+                copyResource(name + ".state", cluster.state(name));
+                copyResource(name + ".snapshot", cluster.snapshot(name));
                 cluster.start(name);
             }
             awaitAll(cluster, ALL, FIRST_VERSION);
@@ -65,13 +65,13 @@
                 awaitAll(cluster, ALL, version);
             }
             assertEquals(cluster.client("g2").history().size(), version);
-            assertNothingIsRefused(cluster);
+            assertNoFileRejected(cluster);
             assertEquals(cluster.conflictsLongerThan(LEASE_MS + ROUNDING_MS), List.of());
         }
     }
 
-    /** No state was refused, and no snapshot for its form; an older version in a snapshot is expected. */
-    private static void assertNothingIsRefused(TestCluster cluster) {
+    /** Checks that no state file and no snapshot format was rejected; an older version in a snapshot is expected. */
+    private static void assertNoFileRejected(TestCluster cluster) {
         cluster.versionEvents().forEach(event -> {
             assertTrue(!event.getString("event", "").equals("state_refused"), event.toString());
             assertTrue(!event.toString().contains("the snapshot: "), event.toString());
--- a/laboratory/src/test/java/opalcove/laboratory/VoterSoakTest.java
+++ b/laboratory/src/test/java/opalcove/laboratory/VoterSoakTest.java
@@ -8,8 +8,8 @@
 import org.testng.annotations.Test;
 
 /**
- * Short runs of faults on the voters, with fixed seeds. A machine that builds may be starved, so the time to a decision is
- * printed and not judged here. Long runs, in which it is, are run by hand: {@code opalcove agreement-trial --voter-faults}.
+ * Short runs of {@link VoterSoak} with fixed seeds. A build machine may be overloaded, so the time to a decision is printed but
+ * not checked. Long runs, which check it, are started by hand: {@code opalcove agreement-trial --voter-faults}.
  */
 public class VoterSoakTest {
     private static final int LEASE_MS = 2000;
@@ -21,7 +21,7 @@
     }
 
     @Test(dataProvider = "seeds")
-    public void aMajorityDecidesAndNothingAcceptedIsLost(long seed) throws Exception {
+    public void decidesProposalsAndLosesNoAcceptedVersionUnderVoterFaults(long seed) throws Exception {
         VoterSoak.Result result = VoterSoak.run(new VoterSoak.Plan(seed, ROUNDS, LEASE_MS));
         System.out.print(result.text());
         assertTrue(result.accepted() > ROUNDS, result.text());
