--- a/laboratory/src/main/java/opalcove/laboratory/TestCluster.java
+++ b/laboratory/src/main/java/opalcove/laboratory/TestCluster.java
@@ -191,9 +191,9 @@
     /** Returns a client as the command line uses it, which tries the given member first and is not subject to the faults. */
     public ReplicationClient client(String first) throws IOException {
         List<HostAndPort> addresses = new ArrayList<>();
-        addresses.add(HostAndPort.parse(versionProxy.addressOf(first), "address"));
+        addresses.add(HostAndPort.parse(versionProxy.addressOf(first), "door"));
         for (String each : voters) {
-            addresses.add(HostAndPort.parse(versionProxy.addressOf(each), "address"));
+            addresses.add(HostAndPort.parse(versionProxy.addressOf(each), "door"));
         }
         return new ReplicationClient(addresses, CLIENT_TIMEOUT_MS);
     }
