--- a/laboratory/src/main/java/opalcove/laboratory/VoterSoak.java
+++ b/laboratory/src/main/java/opalcove/laboratory/VoterSoak.java
@@ -33,9 +33,9 @@
     enum FaultKind {
         /** SIGKILL; the voter is restarted once the round's proposal has a response. */
         KILL,
-        /** SIGSTOP for up to 3 s. */
+        /** SIGSTOP for a random time below 3 s, or until the round's proposal has a response if that takes longer. */
         PAUSE,
-        /** Writes of the state file fail for up to 3 s. */
+        /** Writes of the state file fail for as long as a pause lasts. */
         FOLDER_FAILS,
         /** Writes of the state file fail, and the process is killed before they succeed again. */
         KILL_IN_FAILING_FOLDER
@@ -211,7 +211,7 @@
         end(kind, victim);
     }
 
-    /** Begins a fault and returns how long it lasts, in ms. */
+    /** Begins a fault and returns its shortest length, in ms. */
     private long begin(FaultKind kind, String victim) throws IOException, InterruptedException {
         switch (kind) {
             case KILL -> {
