--- a/cli/src/main/java/opalcove/cli/AgreementTrialCommand.java
+++ b/cli/src/main/java/opalcove/cli/AgreementTrialCommand.java
@@ -62,7 +62,7 @@
         boolean passed = runVoterFaults(list);
         for (long runSeed = seed; runSeed < seed + faults; runSeed++) {
             AgreementTrial.FaultRun run =
-                    modelOnly ? AgreementTrial.modelFaults(plan, runSeed) : AgreementTrial.rigFaults(plan, runSeed);
+                    modelOnly ? AgreementTrial.modelFaults(plan, runSeed) : AgreementTrial.clusterFaults(plan, runSeed);
             passed &= run.wrong().isEmpty();
             list.add(run.json());
             if (!json) {
@@ -76,7 +76,7 @@
                 System.out.println(model.line());
             }
             if (!modelOnly) {
-                AgreementTrial.Report rig = AgreementTrial.rig(plan);
+                AgreementTrial.Report rig = AgreementTrial.cluster(plan);
                 list.add(rig.json());
                 if (!json) {
                     System.out.println(rig.line());
--- a/laboratory/src/main/java/opalcove/laboratory/AgreementModel.java
+++ b/laboratory/src/main/java/opalcove/laboratory/AgreementModel.java
@@ -16,12 +16,12 @@
 import opalcove.replication.ReplicationMessage;
 
 /**
- * Agreed versions in virtual time, without sockets: the gateways' desks are the real ones, voters and all; the network between
- * them loses, delays, repeats and cuts, processes stand still and end, and each gateway's clock is off by its own skew.
- * Seeded; the same seed and calls give the same history.
+ * Simulates the replicated configuration in virtual time, without sockets. The gateways run the real {@link ConfigReplica},
+ * voters included. The network between them loses, delays, duplicates and cuts messages, processes pause and end, and each
+ * gateway's clock is off by its own skew. The same seed and the same calls give the same history.
  */
 public final class AgreementModel extends VirtualNet {
-    /** A proposal, and its outcome as soon as a voter has responded. */
+    /** A proposal, and its outcome once a voter has responded. */
     public static final class Proposed {
         private VersionLog.Outcome outcome;
 
@@ -35,12 +35,12 @@
             return outcome != null && outcome.accepted();
         }
 
-        /** The version that the response names. */
+        /** Returns the version that the response names. */
         public long version() {
             return outcome.version();
         }
 
-        /** Why the proposal was refused; empty if it was accepted. */
+        /** Returns why the proposal was rejected, or an empty string if it was accepted. */
         public String reason() {
             return outcome.reason();
         }
@@ -79,7 +79,7 @@
 
         @Override
         public void send(String address, ReplicationMessage message) {
-            carry(name, address, message);
+            transmit(name, address, message);
         }
 
         @Override
@@ -91,12 +91,14 @@
         public void leaseChanged(LeaseState before, LeaseState after, String text) {
             long at = AgreementModel.this.now();
             long ended = before.mode() == LeaseState.Mode.FULL ? before.expiresAtMs() - skew : at;
-            acted.stands(name, after.version(), after.mode() == LeaseState.Mode.FULL, at, ended);
-            adopted.computeIfAbsent(after.version(), version -> new TreeMap<>()).putIfAbsent(name, at);
+            conflicts.recordState(name, after.version(), after.mode() == LeaseState.Mode.FULL, at, ended);
+            adoptionTimes
+                    .computeIfAbsent(after.version(), version -> new TreeMap<>())
+                    .putIfAbsent(name, at);
         }
 
         @Override
-        void arm() {
+        void scheduleTick() {
             long due = Math.max(AgreementModel.this.now(), replica.lease().nextTickMs() - skew);
             if (due < tickAt) {
                 tickAt = due;
@@ -114,11 +116,19 @@
     private final Map<String, String> voters = new LinkedHashMap<>();
     private final Map<String, Node> nodes = new TreeMap<>();
     private final Map<String, Proposed> proposals = new HashMap<>();
-    private final ConflictDetector acted = new ConflictDetector();
-    private final Map<Long, Map<String, Long>> adopted = new TreeMap<>();
+    private final ConflictDetector conflicts = new ConflictDetector();
+    private final Map<Long, Map<String, Long>> adoptionTimes = new TreeMap<>();
     private long messages;
 
-    /** Gateways g1, g2, ..., of which the first few vote; each clock is off by up to so much, either way. */
+    /**
+     * Creates and starts the gateways g1, g2, and so on.
+     *
+     * @param seed the seed of all random numbers
+     * @param gateways the number of gateways
+     * @param voting the number of voters, which are the first gateways
+     * @param leaseMs the length of a lease, in ms
+     * @param skewMs the most by which a gateway's clock is fast or slow, in ms
+     */
     public AgreementModel(long seed, int gateways, int voting, long leaseMs, long skewMs) {
         super(1_000_000, new SplittableRandom(seed));
         this.leaseMs = leaseMs;
@@ -129,14 +139,14 @@
             Node node = new Node("g" + i, i <= voting, skewMs == 0 ? 0 : random.nextLong(-skewMs, skewMs + 1));
             nodes.put(node.name, node);
             node.replica.start();
-            node.arm();
+            node.scheduleTick();
         }
     }
 
-    private void carry(String from, String to, ReplicationMessage message) {
+    private void transmit(String from, String to, ReplicationMessage message) {
         messages++;
         byte[] bytes = message.bytes();
-        carry(from, to, () -> arrive(to, ReplicationMessage.read(bytes)));
+        transmit(from, to, () -> arrive(to, ReplicationMessage.read(bytes)));
     }
 
     private void arrive(String to, ReplicationMessage message) {
@@ -150,55 +160,58 @@
         }
     }
 
-    /** Proposes a change of the version {@code base} through a voter, again and again until somebody answers. */
+    /**
+     * Proposes a change of the version {@code base}, first through the given voter. The proposal is repeated every 300 ms
+     * through the next voter until one responds, at most 100 times.
+     */
     public Proposed propose(String through, long base, String text) {
         String client = "client-" + proposals.size();
         Proposed proposed = new Proposed();
         proposals.put(client, proposed);
-        call(client, through, base, text, 0);
+        sendProposal(client, through, base, text, 0);
         return proposed;
     }
 
-    private void call(String client, String through, long base, String text, int tries) {
-        if (proposals.get(client).isDecided() || tries > 100) {
+    private void sendProposal(String client, String through, long base, String text, int retries) {
+        if (proposals.get(client).isDecided() || retries > 100) {
             return;
         }
         List<String> all = List.copyOf(voters.keySet());
-        String voter = all.get((all.indexOf(through) + tries) % all.size());
-        carry(
+        String voter = all.get((all.indexOf(through) + retries) % all.size());
+        transmit(
                 client,
                 voter,
                 new ReplicationMessage(
                         client,
                         client,
                         ReplicationMessage.Kind.PROPOSAL,
-                        tries,
+                        retries,
                         ReplicationMessage.proposalBody(new VersionLog.Proposal(client, base, client, text))));
-        at(now() + 300, () -> call(client, through, base, text, tries + 1));
+        at(now() + 300, () -> sendProposal(client, through, base, text, retries + 1));
     }
 
-    /** Ends a gateway at once. */
+    /** Ends a gateway without a shutdown. */
     public void kill(String name) {
         nodes.get(name).end();
-        acted.ended(name, now());
+        conflicts.recordEnd(name, now());
     }
 
-    /** Stops a gateway for so long. */
+    /** Pauses a gateway for the given time. */
     public void pause(String name, long ms) {
         nodes.get(name).pause(ms);
     }
 
-    /** Messages sent so far. */
+    /** Returns the number of messages sent so far. */
     public long messages() {
         return messages;
     }
 
-    /** What was acted on so far. */
-    public ConflictDetector acted() {
-        return acted;
+    /** Returns the detector that records which versions the gateways acted on. */
+    public ConflictDetector conflicts() {
+        return conflicts;
     }
 
-    /** The voter that leads, as those that run have it; null where none does. */
+    /** Returns the name of the first voter that runs and considers itself leader, or null if there is none. */
     public String leader() {
         return nodes.values().stream()
                 .filter(each -> each.isAwake() && each.replica.isLeader())
@@ -207,27 +220,27 @@
                 .orElse(null);
     }
 
-    /** What each gateway that runs acts on. */
-    public Map<String, LeaseState> standings() {
-        Map<String, LeaseState> standings = new TreeMap<>();
+    /** Returns the lease state of each running gateway by its name. */
+    public Map<String, LeaseState> leaseStates() {
+        Map<String, LeaseState> leaseStates = new TreeMap<>();
         nodes.values().stream()
                 .filter(Node::isUp)
-                .forEach(each -> standings.put(each.name, each.replica.lease().state()));
-        return standings;
+                .forEach(each -> leaseStates.put(each.name, each.replica.lease().state()));
+        return leaseStates;
     }
 
-    /** When each gateway first acted on a version. */
-    public Map<String, Long> adopted(long version) {
-        return adopted.getOrDefault(version, Map.of());
+    /** Returns when each gateway first acted on a version, in ms of virtual time, by the gateway's name. */
+    public Map<String, Long> adoptionTimes(long version) {
+        return adoptionTimes.getOrDefault(version, Map.of());
     }
 
-    /** Whether all that run act fully on this version. */
+    /** Whether all running gateways act on this version with a full lease. */
     public boolean allActOn(long version) {
-        return standings().values().stream()
+        return leaseStates().values().stream()
                 .allMatch(each -> each.version() == version && each.mode() == LeaseState.Mode.FULL);
     }
 
-    /** Names of all gateways. */
+    /** Returns the names of all gateways. */
     public List<String> names() {
         return new ArrayList<>(nodes.keySet());
     }
--- a/laboratory/src/main/java/opalcove/laboratory/FaultProxy.java
+++ b/laboratory/src/main/java/opalcove/laboratory/FaultProxy.java
@@ -20,28 +20,34 @@
 import opalcove.config.InvalidConfigurationException;
 
 /**
- * Stands between every pair of members: each member tells the others an address of this proxy, which passes datagrams on
- * and, by a seed, loses, repeats, delays (and so reorders) them, or cuts one direction of a pair. Where a member really
- * listens is learnt from what it sends. One thread; loopback only.
+ * Forwards datagrams between each pair of members. Each member advertises an address of this proxy, which loses, duplicates
+ * and delays (and so reorders) datagrams by a seed, or cuts one direction of a pair. The address on which a member listens is
+ * learned from the source of its datagrams. One thread forwards all datagrams, on loopback only.
  */
 final class FaultProxy implements AutoCloseable {
     private static final int MAX_BYTES = 65_535;
 
-    private record Held(long dueNanos, long order, DatagramChannel by, byte[] bytes, String to) {}
+    private record Delayed(long dueNanos, long order, DatagramChannel channel, byte[] bytes, String to) {}
 
     private final Selector selector = Selector.open();
-    private final Map<String, DatagramChannel> doors = new HashMap<>();
-    private final Map<String, SocketAddress> real = new HashMap<>();
-    private final PriorityQueue<Held> held =
-            new PriorityQueue<>(Comparator.comparingLong(Held::dueNanos).thenComparingLong(Held::order));
+    private final Map<String, DatagramChannel> channels = new HashMap<>();
+    private final Map<String, SocketAddress> listenAddresses = new HashMap<>();
+    private final PriorityQueue<Delayed> delayed =
+            new PriorityQueue<>(Comparator.comparingLong(Delayed::dueNanos).thenComparingLong(Delayed::order));
     private final MessageFaults faults;
     private final Function<byte[], String> sender;
     private final Thread thread = new Thread(this::run, "fault-proxy");
     private long order;
-    private long offered;
-    private long bytes;
-
-    /** Faults are drawn by the seed; sender tells a datagram's sender, or fails with {@link InvalidConfigurationException}. */
+    private long datagramsSent;
+    private long bytesSent;
+
+    /**
+     * Starts a proxy without faults.
+     *
+     * @param seed the seed of the faults
+     * @param sender returns the name of a datagram's sender, or throws {@link InvalidConfigurationException}, in which case
+     *     the datagram is dropped
+     */
     FaultProxy(long seed, Function<byte[], String> sender) throws IOException {
         this.sender = sender;
         faults = new MessageFaults(new SplittableRandom(seed), new MembershipModel.Net(0, 0, 0, 0));
@@ -49,27 +55,27 @@
         thread.start();
     }
 
-    /** The address that a member of that name is to tell the others; the same at each call. */
-    synchronized String door(String member) throws IOException {
-        DatagramChannel door = doors.get(member);
-        if (door == null) {
-            door = DatagramChannel.open();
-            door.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
-            door.configureBlocking(false);
-            doors.put(member, door);
+    /** Returns the address that the given member must advertise; it is the same at each call. */
+    synchronized String addressOf(String member) throws IOException {
+        DatagramChannel channel = channels.get(member);
+        if (channel == null) {
+            channel = DatagramChannel.open();
+            channel.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
+            channel.configureBlocking(false);
+            channels.put(member, channel);
             selector.wakeup();
-            door.register(selector, SelectionKey.OP_READ, member);
+            channel.register(selector, SelectionKey.OP_READ, member);
         }
-        InetSocketAddress at = (InetSocketAddress) door.getLocalAddress();
-        return at.getAddress().getHostAddress() + ":" + at.getPort();
+        InetSocketAddress address = (InetSocketAddress) channel.getLocalAddress();
+        return address.getAddress().getHostAddress() + ":" + address.getPort();
     }
 
-    /** What happens to each datagram from now on, between members that have no net of their own. */
+    /** Sets the faults from now on between members that have no faults of their own. */
     synchronized void net(MembershipModel.Net next) {
         faults.net(next);
     }
 
-    /** What happens to all that one member sends and gets. */
+    /** Sets the faults for all datagrams that one member sends and receives. */
     synchronized void net(String member, MembershipModel.Net own) {
         faults.net(member, own);
     }
@@ -82,14 +88,14 @@
         faults.heal();
     }
 
-    /** Datagrams that members sent so far. */
-    synchronized long offered() {
-        return offered;
+    /** Returns the number of datagrams that members have sent so far. */
+    synchronized long datagramsSent() {
+        return datagramsSent;
     }
 
-    /** Their bytes. */
-    synchronized long bytes() {
-        return bytes;
+    /** Returns the number of bytes in the datagrams that members have sent so far. */
+    synchronized long bytesSent() {
+        return bytesSent;
     }
 
     private void run() {
@@ -102,26 +108,26 @@
                         read((DatagramChannel) key.channel(), (String) key.attachment(), buffer);
                     }
                     selector.selectedKeys().clear();
-                    while (!held.isEmpty() && held.peek().dueNanos() - System.nanoTime() <= 0) {
-                        pass(held.poll());
+                    while (!delayed.isEmpty() && delayed.peek().dueNanos() - System.nanoTime() <= 0) {
+                        forward(delayed.poll());
                     }
                 }
             }
         } catch (IOException | ClosedSelectorException e) {
-            // Closed: nothing is passed on any more.
+            // The proxy is closed and forwards nothing more.
             return;
         }
     }
 
     private synchronized long waitMs() {
-        return held.isEmpty()
+        return delayed.isEmpty()
                 ? 0
-                : Math.max(1, TimeUnit.NANOSECONDS.toMillis(held.peek().dueNanos() - System.nanoTime()));
+                : Math.max(1, TimeUnit.NANOSECONDS.toMillis(delayed.peek().dueNanos() - System.nanoTime()));
     }
 
-    private void read(DatagramChannel door, String to, ByteBuffer buffer) throws IOException {
+    private void read(DatagramChannel channel, String to, ByteBuffer buffer) throws IOException {
         for (buffer.clear(); ; buffer.clear()) {
-            SocketAddress source = door.receive(buffer);
+            SocketAddress source = channel.receive(buffer);
             if (source == null) {
                 return;
             }
@@ -132,28 +138,29 @@
             } catch (InvalidConfigurationException e) {
                 continue;
             }
-            real.put(from, source);
-            offered++;
-            bytes += datagram.length;
-            carry(door, from, to, datagram);
+            listenAddresses.put(from, source);
+            datagramsSent++;
+            bytesSent += datagram.length;
+            delay(channel, from, to, datagram);
         }
     }
 
-    private void carry(DatagramChannel door, String from, String to, byte[] datagram) {
+    private void delay(DatagramChannel channel, String from, String to, byte[] datagram) {
         for (long ms : faults.delays(from, to)) {
-            held.add(new Held(System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(ms), order++, door, datagram, to));
+            delayed.add(
+                    new Delayed(System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(ms), order++, channel, datagram, to));
         }
     }
 
-    private void pass(Held each) {
-        SocketAddress target = real.get(each.to());
+    private void forward(Delayed each) {
+        SocketAddress target = listenAddresses.get(each.to());
         if (target == null) {
             return;
         }
         try {
-            each.by().send(ByteBuffer.wrap(each.bytes()), target);
+            each.channel().send(ByteBuffer.wrap(each.bytes()), target);
         } catch (IOException e) {
-            // As lost on its way: its member has ended.
+            // The receiving member has ended, so the datagram counts as lost.
             return;
         }
     }
@@ -161,8 +168,8 @@
     @Override
     public synchronized void close() throws IOException {
         selector.close();
-        for (DatagramChannel door : doors.values()) {
-            door.close();
+        for (DatagramChannel channel : channels.values()) {
+            channel.close();
         }
     }
 }
--- a/laboratory/src/main/java/opalcove/laboratory/MembershipTrial.java
+++ b/laboratory/src/main/java/opalcove/laboratory/MembershipTrial.java
@@ -14,15 +14,22 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * Membership's figures, by the rig's real processes or by the model: how long a crash and a leave take to be known to all,
- * messages a member and second at rest, deaths told of members that lived. Rounds of a crash, a restart, a leave and a
- * restart, each of another member; the first two, through which others join, stay.
+ * Measures the membership protocol with real processes or with the model: the time until all members know of a crash and of
+ * a leave, the messages per member and second without changes, and the deaths reported of members that were alive. Each round
+ * is a crash, a restart, a leave and a restart. Crashes and leaves go through the members one after another, without the first
+ * two, through which the others join.
  */
 public final class MembershipTrial {
-    /** What is tried; in the soak, before the rounds, a drawn member stands still for three probe periods every so often. */
+    /**
+     * The parameters of a trial.
+     *
+     * @param restMs how long messages are counted while nothing changes, in ms
+     * @param soakMs the length of the soak before the rounds, in ms, in which a random member is paused for three probe
+     *     periods out of every twenty
+     */
     public record Plan(int members, int probeMs, int rounds, long seed, double loss, long restMs, long soakMs) {}
 
-    /** Times in ms, over observers and rounds; the model writes no bytes, and counts 0 of them. */
+    /** The result of a trial. Times are in ms, over observers and rounds; the model encodes no messages and reports 0 bytes. */
     public record Report(
             String by,
             Plan plan,
@@ -33,7 +40,7 @@
             double messagesPerMemberSecond,
             double bytesPerMemberSecond,
             int falseDeaths) {
-        /** One line for people. */
+        /** Returns the report as one line of text. */
         public String line() {
             return String.format(
                     Locale.ROOT,
@@ -50,7 +57,7 @@
                     falseDeaths);
         }
 
-        /** The report as one JSON object. */
+        /** Returns the report as one JSON object. */
         public JsonObject json() {
             return Json.object()
                     .add("by", by)
@@ -71,11 +78,12 @@
     }
 
     private static final long MAX_MS = 120_000;
-    /** A larger fleet is modelled from where its members know one another: the join of so many is no figure of the trial. */
-    private static final int MAX_JOINING = 200;
-    /** Probe periods that a member stands still for in the soak, and from one such pause to the next. */
+    /** A larger fleet starts in the model with members that know each other, since the trial does not measure their joining. */
+    private static final int MAX_JOINING_MEMBERS = 200;
+    /** The length of a pause in the soak, in probe periods. */
     private static final int PAUSE_PERIODS = 3;
 
+    /** The time from the start of one pause in the soak to the next, in probe periods. */
     private static final int PAUSE_EVERY = 20;
 
     private final Plan plan;
@@ -85,7 +93,7 @@
 
     private MembershipTrial(Plan plan) {
         if (plan.members() < 4 || plan.rounds() < 1) {
-            throw new IllegalArgumentException("a trial needs 4 members and a round at least");
+            throw new IllegalArgumentException("a trial needs at least 4 members and 1 round");
         }
         this.plan = plan;
         for (int i = 0; i < plan.members(); i++) {
@@ -97,17 +105,17 @@
         return new MembershipModel.Net(plan.loss(), 0, 0, 1);
     }
 
-    private String victim(int turn) {
-        return names.get(2 + turn % (plan.members() - 2));
+    private String victim(int index) {
+        return names.get(2 + index % (plan.members() - 2));
     }
 
-    /** By the model, in virtual time. */
+    /** Runs the trial with the model, in virtual time. */
     public static Report model(Plan plan) {
         MembershipTrial trial = new MembershipTrial(plan);
         MembershipModel model =
                 new MembershipModel(plan.seed(), SwimConfig.of(plan.probeMs()), trial.names.subList(0, 2));
         model.net(trial.net());
-        if (plan.members() > MAX_JOINING) {
+        if (plan.members() > MAX_JOINING_MEMBERS) {
             model.startKnown(trial.names);
         } else {
             trial.names.forEach(model::start);
@@ -137,11 +145,11 @@
                 model.run(20L * plan.probeMs());
                 for (MembershipModel.Change each :
                         model.history().subList(from, model.history().size())) {
-                    boolean its = each.after().name().equals(victim);
-                    if (its && each.after().state() == end) {
+                    boolean isVictim = each.after().name().equals(victim);
+                    if (isVictim && each.after().state() == end) {
                         (end == State.DEAD ? trial.crashes : trial.leaves).recordValue(each.at() - at);
                     }
-                    falseDeaths += each.after().state() == State.DEAD && !its ? 1 : 0;
+                    falseDeaths += each.after().state() == State.DEAD && !isVictim ? 1 : 0;
                 }
                 model.start(victim);
                 model.run(20L * plan.probeMs());
@@ -150,66 +158,68 @@
         return trial.report("model", rate, 0, falseDeaths);
     }
 
-    /** By real processes on this machine. */
-    public static Report rig(Plan plan) throws IOException, InterruptedException {
+    /** Runs the trial with real processes on this machine. */
+    public static Report cluster(Plan plan) throws IOException, InterruptedException {
         MembershipTrial trial = new MembershipTrial(plan);
-        try (TestCluster rig = new TestCluster(plan.seed(), plan.probeMs(), trial.names.subList(0, 2))) {
-            rig.net(trial.net());
+        try (TestCluster cluster = new TestCluster(plan.seed(), plan.probeMs(), trial.names.subList(0, 2))) {
+            cluster.net(trial.net());
             for (String name : trial.names) {
-                rig.start(name);
+                cluster.start(name);
             }
-            wait(rig, r -> r.allAlive(trial.names), "the members to come together");
+            awaitState(cluster, running -> running.allAlive(trial.names), "all members to know each other");
             Thread.sleep(20L * plan.probeMs());
-            long before = rig.offered();
-            long bytesBefore = rig.bytes();
+            long before = cluster.datagramsSent();
+            long bytesBefore = cluster.bytesSent();
             Thread.sleep(plan.restMs());
-            double rate = (rig.offered() - before) * 1000.0 / plan.restMs() / plan.members();
-            double bytes = (rig.bytes() - bytesBefore) * 1000.0 / plan.restMs() / plan.members();
+            double rate = (cluster.datagramsSent() - before) * 1000.0 / plan.restMs() / plan.members();
+            double bytes = (cluster.bytesSent() - bytesBefore) * 1000.0 / plan.restMs() / plan.members();
             SplittableRandom pauses = new SplittableRandom(plan.seed());
             for (long end = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(plan.soakMs());
                     System.nanoTime() < end; ) {
-                rig.pauseFor(trial.names.get(pauses.nextInt(plan.members())), (long) PAUSE_PERIODS * plan.probeMs());
+                cluster.pauseFor(
+                        trial.names.get(pauses.nextInt(plan.members())), (long) PAUSE_PERIODS * plan.probeMs());
                 Thread.sleep((long) (PAUSE_EVERY - PAUSE_PERIODS) * plan.probeMs());
             }
-            int falseDeaths = (int) rig.history().stream()
+            int falseDeaths = (int) cluster.history().stream()
                     .filter(each -> each.state().equals("DEAD"))
                     .count();
             for (int round = 0; round < plan.rounds(); round++) {
                 for (String end : List.of("DEAD", "LEFT")) {
                     String victim = trial.victim(2 * round + (end.equals("DEAD") ? 0 : 1));
-                    int from = rig.history().size();
+                    int from = cluster.history().size();
                     long at = System.currentTimeMillis();
                     if (end.equals("DEAD")) {
-                        rig.kill(victim);
+                        cluster.kill(victim);
                     } else {
-                        rig.leave(victim);
+                        cluster.leave(victim);
                     }
-                    wait(
-                            rig,
-                            r -> trial.names.stream()
+                    awaitState(
+                            cluster,
+                            running -> trial.names.stream()
                                     .allMatch(name -> name.equals(victim)
-                                            || r.view(name, victim).equals(end)),
-                            victim + " to be told " + end);
+                                            || running.lastState(name, victim).equals(end)),
+                            victim + " to be reported " + end);
                     for (TestCluster.Event each :
-                            rig.history().subList(from, rig.history().size())) {
-                        boolean its = each.name().equals(victim);
-                        if (its && each.state().equals(end)) {
+                            cluster.history().subList(from, cluster.history().size())) {
+                        boolean isVictim = each.name().equals(victim);
+                        if (isVictim && each.state().equals(end)) {
                             (end.equals("DEAD") ? trial.crashes : trial.leaves).recordValue(each.atMs() - at);
                         }
-                        falseDeaths += each.state().equals("DEAD") && !its ? 1 : 0;
+                        falseDeaths += each.state().equals("DEAD") && !isVictim ? 1 : 0;
                     }
-                    rig.start(victim);
-                    wait(rig, r -> r.allAlive(trial.names), victim + " to be taken back");
+                    cluster.start(victim);
+                    awaitState(
+                            cluster, running -> running.allAlive(trial.names), victim + " to be reported alive again");
                 }
             }
             return trial.report("rig", rate, bytes, falseDeaths);
         }
     }
 
-    private static void wait(TestCluster rig, Predicate<TestCluster> wanted, String what)
+    private static void awaitState(TestCluster cluster, Predicate<TestCluster> condition, String what)
             throws IOException, InterruptedException {
-        if (!rig.await(wanted, MAX_MS)) {
-            throw new IOException("waited " + MAX_MS + " ms in vain for " + what);
+        if (!cluster.await(condition, MAX_MS)) {
+            throw new IOException("timed out after " + MAX_MS + " ms waiting for " + what);
         }
     }
 
--- a/laboratory/src/main/java/opalcove/laboratory/TestCluster.java
+++ b/laboratory/src/main/java/opalcove/laboratory/TestCluster.java
@@ -24,15 +24,15 @@
 import opalcove.replication.ReplicationMessage;
 
 /**
- * Several processes of the real program on loopback, with a fault proxy between every pair. Processes are paused and
- * resumed by SIGSTOP and SIGCONT, killed, ended well, and started again; the events that they write as JSON lines are
- * gathered into one history. Whoever waits, waits for what the history shows and not for time to go by.
+ * Runs several processes of the real program on loopback, with a fault proxy between each pair. Processes can be paused and
+ * resumed by SIGSTOP and SIGCONT, killed, shut down by SIGTERM and started again. The events that they write as JSON lines are
+ * collected into one history. Waits are for a state of the history and not for a fixed time.
  */
 public final class TestCluster implements AutoCloseable {
-    /** A change that one process told of a member. */
+    /** A change of a member's state that one process reported. */
     public record Event(long atMs, String observer, String name, String state, String before, long incarnation) {}
 
-    private static final long OPERATOR_MS = 30_000;
+    private static final long CLIENT_TIMEOUT_MS = 30_000;
     private static final int MAX_OBSTACLE_ATTEMPTS = 1000;
 
     private final Path folder;
@@ -44,19 +44,19 @@
     private final int probeMs;
     private final List<String> seeds;
     private final Map<String, Process> processes = new LinkedHashMap<>();
-    /** How many version events there were when a member was started last. */
+    /** The number of version events at the last start of each member. */
     private final Map<String, Integer> eventsAtStart = new HashMap<>();
 
     private final List<Event> history = new ArrayList<>();
     private final List<JsonObject> versionEvents = new ArrayList<>();
-    private final ConflictDetector acted = new ConflictDetector();
+    private final ConflictDetector conflicts = new ConflictDetector();
 
-    /** A rig whose faults are drawn by the seed; its members join through those of the names given. */
+    /** Creates a cluster whose faults are drawn by the seed and whose members join through the given seed members. */
     public TestCluster(long seed, int probeMs, List<String> seedMembers) throws IOException {
         this(seed, probeMs, seedMembers, List.of(), 0);
     }
 
-    /** A rig whose members also agree on versions, by the votes of those named and on leases of that length. */
+    /** Creates a cluster whose members also replicate the configuration, with the given voters and leases of the given ms. */
     public TestCluster(long seed, int probeMs, List<String> seedMembers, List<String> voters, int leaseMs)
             throws IOException {
         folder = Files.createTempDirectory("rig");
@@ -66,25 +66,25 @@
                 seed + 1, datagram -> ReplicationMessage.read(datagram).from());
         this.voters = List.copyOf(voters);
         this.leaseMs = leaseMs;
-        Thread calls = new Thread(this::endCalls, "no-discovery");
-        calls.setDaemon(true);
-        calls.start();
+        Thread closer = new Thread(this::closeDiscoveryConnections, "no-discovery");
+        closer.setDaemon(true);
+        closer.start();
         this.probeMs = probeMs;
         seeds = new ArrayList<>();
         for (String each : seedMembers) {
-            seeds.add(proxy.door(each));
+            seeds.add(proxy.addressOf(each));
         }
     }
 
-    /** Starts a member, or starts it again at its address. */
+    /** Starts a member, or restarts it at the same address. */
     public void start(String name) throws IOException {
         Path config = folder.resolve(name + ".json");
-        JsonArray joins = new JsonArray();
-        seeds.forEach(joins::add);
+        JsonArray seedAddresses = new JsonArray();
+        seeds.forEach(seedAddresses::add);
         JsonObject membership = Json.object()
                 .add("listen", "127.0.0.1:0")
-                .add("advertise", proxy.door(name))
-                .add("seeds", joins)
+                .add("advertise", proxy.addressOf(name))
+                .add("seeds", seedAddresses)
                 .add("probe_ms", probeMs)
                 .add("events", true);
         JsonObject file = Json.object()
@@ -95,16 +95,16 @@
                 .add("membership", membership)
                 .add("settings", Json.parse(Laboratory.settingsText()));
         if (!voters.isEmpty()) {
-            JsonArray known = new JsonArray();
+            JsonArray voterAddresses = new JsonArray();
             for (String each : voters) {
-                known.add(Json.object().add("name", each).add("address", versionProxy.door(each)));
+                voterAddresses.add(Json.object().add("name", each).add("address", versionProxy.addressOf(each)));
             }
             file.add(
                     "agreement",
                     Json.object()
                             .add("listen", "127.0.0.1:0")
-                            .add("advertise", versionProxy.door(name))
-                            .add("voters", known)
+                            .add("advertise", versionProxy.addressOf(name))
+                            .add("voters", voterAddresses)
                             .add("lease_ms", leaseMs)
                             .add("state_file", state(name).toString())
                             .add("snapshot_file", snapshot(name).toString())
@@ -129,31 +129,31 @@
         Process process = builder.start();
         process.getOutputStream().close();
         processes.put(name, process);
-        Thread reader = new Thread(() -> gather(process), "events-" + name);
+        Thread reader = new Thread(() -> readEvents(process), "events-" + name);
         reader.setDaemon(true);
         reader.start();
     }
 
-    /** A version's text that allows so many attempts. */
+    /** Returns the text of a version that allows the given number of attempts. */
     static String document(int attempts) {
         JsonObject settings = Json.parse(Laboratory.settingsText()).asObject();
         settings.get("ceilings").asObject().set("max_attempts", attempts);
         return Json.object().add("settings", settings).toString();
     }
 
-    /** Where a member keeps its vote. */
+    /** Returns the file in which a member stores its vote. */
     public Path state(String name) {
         return folder.resolve(name + ".state");
     }
 
-    /** Has writes of a member's state fail from now on: what stands in the place of the new file cannot be replaced. */
-    public void failFolder(String name) throws IOException, InterruptedException {
+    /** Makes writes of a member's state fail from now on, with a directory that is not empty at the path of the new file. */
+    public void failStateWrites(String name) throws IOException, InterruptedException {
         for (int attempt = 1; ; attempt++) {
             try {
                 Files.createDirectories(obstacle(name));
                 return;
             } catch (FileSystemException e) {
-                // The member is writing: the place is taken until it has moved its new file.
+                // The member is writing: its new file occupies the path until the member has moved it.
                 if (attempt == MAX_OBSTACLE_ATTEMPTS) {
                     throw e;
                 }
@@ -162,8 +162,8 @@
         }
     }
 
-    /** Lets writes of a member's state succeed again: an empty folder in the place of the new file is no obstacle. */
-    public void healFolder(String name) throws IOException {
+    /** Lets writes of a member's state succeed again: an empty directory at the path of the new file does not prevent them. */
+    public void allowStateWrites(String name) throws IOException {
         Files.deleteIfExists(obstacle(name));
     }
 
@@ -171,12 +171,12 @@
         return folder.resolve(name + ".state.part").resolve("obstacle");
     }
 
-    /** Where a member keeps what it knows over a power loss. */
+    /** Returns the snapshot file, from which a member recovers after a power loss. */
     public Path snapshot(String name) {
         return folder.resolve(name + ".snapshot");
     }
 
-    /** What a member last told of its way back, such as {@code FULL}; empty where it told nothing. */
+    /** Returns the last recovery phase that a member reported, such as {@code FULL}, or an empty string if it reported none. */
     public synchronized String recovery(String name) {
         String phase = "";
         for (JsonObject each : versionEvents) {
@@ -188,44 +188,45 @@
         return phase;
     }
 
-    /** Asks the voters as an operator's command does, past all faults between members; this one first. */
-    public ReplicationClient operator(String first) throws IOException {
-        List<HostAndPort> doors = new ArrayList<>();
-        doors.add(HostAndPort.parse(versionProxy.door(first), "door"));
+    /** Returns a client as the command line uses it, which tries the given member first and is not subject to the faults. */
+    public ReplicationClient client(String first) throws IOException {
+        List<HostAndPort> addresses = new ArrayList<>();
+        addresses.add(HostAndPort.parse(versionProxy.addressOf(first), "door"));
         for (String each : voters) {
-            doors.add(HostAndPort.parse(versionProxy.door(each), "door"));
+            addresses.add(HostAndPort.parse(versionProxy.addressOf(each), "door"));
         }
-        return new ReplicationClient(doors, OPERATOR_MS);
+        return new ReplicationClient(addresses, CLIENT_TIMEOUT_MS);
     }
 
-    /** Ends each call for a node list at once: the port is the rig's own, so that no member ever calls somebody else. */
-    private void endCalls() {
+    /** Closes each discovery connection at once. The cluster owns the port, so that no member connects to another process. */
+    private void closeDiscoveryConnections() {
         while (!discovery.isClosed()) {
             try {
                 discovery.accept().close();
             } catch (IOException e) {
-                // Closed, or the caller was gone first: the next call, if there is one, is ended too.
+                // The port is closed, or the member closed the connection first; the loop goes on while the port is
+                // open.
                 continue;
             }
         }
     }
 
-    private void gather(Process process) {
+    private void readEvents(Process process) {
         try (BufferedReader lines = process.inputReader()) {
             for (String line = lines.readLine(); line != null; line = lines.readLine()) {
-                event(line);
+                addEvent(line);
             }
         } catch (IOException e) {
-            // The process has ended amid a line.
+            // The process ended in the middle of a line.
             return;
         }
     }
 
-    private synchronized void event(String line) {
+    private synchronized void addEvent(String line) {
         try {
             JsonObject event = Json.parse(line).asObject();
             if (!event.getString("event", "").equals("member")) {
-                version(event);
+                addVersionEvent(event);
                 notifyAll();
                 return;
             }
@@ -237,15 +238,15 @@
                     event.getString("before", ""),
                     event.getLong("incarnation", 0)));
         } catch (ParseException | UnsupportedOperationException e) {
-            System.err.println("rig: not an event: " + line);
+            System.err.println("test cluster: not an event: " + line);
         }
         notifyAll();
     }
 
-    private void version(JsonObject event) {
+    private void addVersionEvent(JsonObject event) {
         versionEvents.add(event);
         if (event.getString("event", "").equals("acting")) {
-            acted.stands(
+            conflicts.recordState(
                     event.getString("observer", ""),
                     event.getLong("version", 0),
                     event.getString("mode", "").equals("FULL"),
@@ -254,19 +255,19 @@
         }
     }
 
-    /** What members told of agreed versions, in the order in which it came in. */
+    /** Returns the events about versions from all members, in the order in which they arrived. */
     public synchronized List<JsonObject> versionEvents() {
         return List.copyOf(versionEvents);
     }
 
-    /** Whether a member has told anything of agreed versions since its last start. */
+    /** Whether a member has reported any event about versions since its last start. */
     public synchronized boolean hasReported(String name) {
         return versionEvents.stream()
                 .skip(eventsAtStart.getOrDefault(name, 0))
                 .anyMatch(each -> each.getString("observer", "").equals(name));
     }
 
-    /** The version that a member last said it acts on, and how, such as {@code 2 FULL}; empty where it said nothing. */
+    /** Returns the version and mode that a member last reported, such as {@code 2 FULL}, or an empty string if it reported none. */
     public synchronized String actsOn(String name) {
         String acting = "";
         for (JsonObject each : versionEvents) {
@@ -278,7 +279,7 @@
         return acting;
     }
 
-    /** The member that last said that it leads the voters, of those that run; empty where none does. */
+    /** Returns the running member that last reported that it leads the voters, or an empty string if there is none. */
     public synchronized String leader() {
         String leader = "";
         for (JsonObject each : versionEvents) {
@@ -290,39 +291,39 @@
         return leader;
     }
 
-    /** Cases in which two members acted on different versions for longer than that. */
-    public synchronized List<ConflictDetector.Case> contradictions(long boundMs) {
-        return acted.over(boundMs, System.currentTimeMillis());
+    /** Returns the conflicts in which two members acted on different versions for longer than the bound, in ms. */
+    public synchronized List<ConflictDetector.Case> conflictsLongerThan(long boundMs) {
+        return conflicts.conflictsLongerThan(boundMs, System.currentTimeMillis());
     }
 
-    /** Kills a member's process; it tells nobody. */
+    /** Kills a member's process (SIGKILL), so that it cannot notify the others. */
     public void kill(String name) throws InterruptedException {
         Process process = processes.remove(name);
         process.destroyForcibly();
         process.waitFor();
         synchronized (this) {
-            acted.ended(name, System.currentTimeMillis());
+            conflicts.recordEnd(name, System.currentTimeMillis());
         }
     }
 
-    /** Ends a member's process well (SIGTERM). */
+    /** Shuts down a member's process (SIGTERM). */
     public void leave(String name) {
         processes.remove(name).destroy();
     }
 
-    /** Stops a member's process where it stands (SIGSTOP). */
+    /** Pauses a member's process (SIGSTOP). */
     public void pause(String name) throws IOException, InterruptedException {
         signal("-STOP", name);
     }
 
-    /** Stops a member's process for so long. */
+    /** Pauses a member's process for the given ms and resumes it. */
     public void pauseFor(String name, long ms) throws IOException, InterruptedException {
         pause(name);
         Thread.sleep(ms);
         resume(name);
     }
 
-    /** Lets a paused process go on (SIGCONT). */
+    /** Resumes a paused process (SIGCONT). */
     public void resume(String name) throws IOException, InterruptedException {
         signal("-CONT", name);
     }
@@ -337,47 +338,47 @@
         }
     }
 
-    /** Cuts the way from one member to another, in that direction only. */
+    /** Drops all datagrams from one member to another, in that direction only. */
     public void cut(String from, String to) {
         proxy.cut(from, to);
         versionProxy.cut(from, to);
     }
 
-    /** Heals all cuts. */
+    /** Removes all cuts. */
     public void heal() {
         proxy.heal();
         versionProxy.heal();
     }
 
-    /** What happens to each datagram from now on. */
+    /** Sets the faults from now on between members that have no faults of their own. */
     public void net(MembershipModel.Net net) {
         proxy.net(net);
         versionProxy.net(net);
     }
 
-    /** What happens to all that one member sends and gets. */
+    /** Sets the faults for all datagrams that one member sends and receives. */
     public void net(String name, MembershipModel.Net own) {
         proxy.net(name, own);
         versionProxy.net(name, own);
     }
 
-    /** Datagrams that members sent so far. */
-    public long offered() {
-        return proxy.offered();
+    /** Returns the number of membership datagrams that members have sent so far. */
+    public long datagramsSent() {
+        return proxy.datagramsSent();
     }
 
-    /** Their bytes. */
-    public long bytes() {
-        return proxy.bytes();
+    /** Returns the number of bytes in the membership datagrams that members have sent so far. */
+    public long bytesSent() {
+        return proxy.bytesSent();
     }
 
-    /** All events so far, in the order in which they came in. */
+    /** Returns all membership events so far, in the order in which they arrived. */
     public synchronized List<Event> history() {
         return List.copyOf(history);
     }
 
-    /** What a member last told of another: its state, or UNKNOWN. */
-    public synchronized String view(String observer, String name) {
+    /** Returns the state that the observer last reported of another member, or UNKNOWN. */
+    public synchronized String lastState(String observer, String name) {
         String state = "UNKNOWN";
         for (Event each : history) {
             if (each.observer().equals(observer) && each.name().equals(name)) {
@@ -387,23 +388,24 @@
         return state;
     }
 
-    /** Waits until the history is as wanted, for so long at most; tells whether it came to be. */
-    public synchronized boolean await(Predicate<TestCluster> wanted, long maxMs) throws InterruptedException {
+    /** Waits until the condition holds, for at most the given ms. Returns whether it holds. */
+    public synchronized boolean await(Predicate<TestCluster> condition, long maxMs) throws InterruptedException {
         long end = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(maxMs);
-        while (!wanted.test(this)) {
-            long left = TimeUnit.NANOSECONDS.toMillis(end - System.nanoTime());
-            if (left <= 0) {
+        while (!condition.test(this)) {
+            long remainingMs = TimeUnit.NANOSECONDS.toMillis(end - System.nanoTime());
+            if (remainingMs <= 0) {
                 return false;
             }
-            wait(left);
+            wait(remainingMs);
         }
         return true;
     }
 
-    /** Whether each of these members holds each other one for alive. */
+    /** Whether each of the given members last reported each of the others as alive. */
     public boolean allAlive(List<String> names) {
         return names.stream().allMatch(observer -> names.stream()
-                .allMatch(name -> name.equals(observer) || view(observer, name).equals("ALIVE")));
+                .allMatch(name ->
+                        name.equals(observer) || lastState(observer, name).equals("ALIVE")));
     }
 
     @Override
--- a/laboratory/src/main/java/opalcove/laboratory/VoterSoak.java
+++ b/laboratory/src/main/java/opalcove/laboratory/VoterSoak.java
@@ -13,58 +13,59 @@
 import opalcove.configlease.VersionLog;
 
 /**
- * Faults on the voters of real processes, one voter at a time, so that a majority always runs: kills, pauses and folders
- * that fail, most of them at the leader, and restarts that the next fault does not always wait for. A version is
- * proposed amid each fault. Judged: the proposal is answered in time, no accepted version is lost, and no two gateways
- * act on different versions for longer than the lease.
+ * Injects faults into the voters of a cluster of real processes, one voter at a time, so that a majority always runs. The
+ * faults are kills, pauses and failing writes of the state file, most of them at the leader, and the next fault does not always
+ * wait until a restarted voter has recovered. A version is proposed during each fault. The soak checks that the proposal is
+ * decided in time, that no accepted version is lost, and that no two gateways act on different versions for longer than the
+ * lease.
  */
 public final class VoterSoak {
     /**
-     * A run.
+     * The parameters of a run.
      *
-     * @param seed draws the faults
-     * @param rounds faults, one after the other
-     * @param leaseMs how long a confirmed version may be acted on
+     * @param seed the seed of the faults
+     * @param rounds the number of faults, one after another
+     * @param leaseMs how long a gateway may act on a confirmed version, in ms
      */
     public record Plan(long seed, int rounds, int leaseMs) {}
 
-    /** What befalls a voter. */
+    /** A fault of a voter. */
     enum FaultKind {
-        /** SIGKILL; started again once the round's proposal is answered. */
+        /** SIGKILL; the voter is restarted once the round's proposal has a response. */
         KILL,
-        /** SIGSTOP for a while. */
+        /** SIGSTOP for a random time below 3 s, or until the round's proposal has a response if that takes longer. */
         PAUSE,
-        /** Writes of the state file fail for a while. */
+        /** Writes of the state file fail for as long as a pause lasts. */
         FOLDER_FAILS,
         /** Writes of the state file fail, and the process is killed before they succeed again. */
         KILL_IN_FAILING_FOLDER
     }
 
-    /** What is judged. */
+    /** A rule that the soak checks. */
     public enum Rule {
         /** A majority decides on a proposal within 10 s of a fault. */
         DECIDED_IN_TIME,
-        /** A majority decides on a proposal, and as the versions before it say. */
+        /** A majority accepts a proposal as the version after the newest one. */
         DECIDED,
-        /** All gateways come to act fully on the newest version. */
+        /** All gateways act fully on the newest version again. */
         RECOVERED,
-        /** An accepted version stays as it was accepted. */
+        /** An accepted version stays in the history, by the same author. */
         KEPT,
-        /** Two gateways act on different versions for one lease at most. */
+        /** Two gateways act on different versions for at most one lease. */
         NO_CONFLICT
     }
 
-    /** A rule that was broken. */
+    /** A violation of a rule. */
     public record Violation(Rule rule, String text) {}
 
     /**
      * The outcome of a run.
      *
-     * @param accepted proposals that became a version
-     * @param medianAnswerMs the median time from a fault to the answer of its proposal
+     * @param accepted the number of proposals that became a version
+     * @param medianAnswerMs the median time from a fault to the response to its proposal
      * @param slowestAnswerMs the longest such time
      * @param longestConflictMs the longest time in which two gateways acted on different versions
-     * @param violations what was broken, in the order of time
+     * @param violations the violations, in the order of time
      */
     public record Result(
             Plan plan,
@@ -74,7 +75,7 @@
             long slowestAnswerMs,
             long longestConflictMs,
             List<Violation> violations) {
-        /** One line, and one for each violation. */
+        /** Returns one line for the run and one for each violation. */
         public String text() {
             StringBuilder text = new StringBuilder(String.format(
                     Locale.ROOT,
@@ -95,7 +96,7 @@
             return text.toString();
         }
 
-        /** The result as one JSON object. */
+        /** Returns the result as one JSON object. */
         public JsonObject json() {
             var broken = Json.array().asArray();
             violations.forEach(each -> broken.add(each.rule() + ": " + each.text()));
@@ -115,25 +116,29 @@
     private static final List<String> ALL = List.of("g1", "g2", "g3", "g4");
     private static final int PROBE_MS = 500;
     private static final long START_TIMEOUT_MS = 60_000;
-    /** A majority elects a leader and decides on a proposal within this time of a fault. */
+    /** The longest time from a fault until a majority has elected a leader and decided on a proposal. */
     private static final long MAX_ANSWER_MS = 10_000;
 
     private static final long HISTORY_POLL_MS = 100;
-    private static final double LEADER_SHARE = 0.7;
-    private static final double READY_SHARE = 0.6;
-    private static final long MAX_HASTE_MS = 1000;
+    /** The share of faults that are aimed at the leader; the others hit a random voter. */
+    private static final double LEADER_FAULT_SHARE = 0.7;
+    /** The share of faults after which the next one waits until all gateways act on the newest version. */
+    private static final double AWAIT_READY_SHARE = 0.6;
+    /** The longest time until the next fault if it does not wait for that. */
+    private static final long MAX_FAULT_GAP_MS = 1000;
+
     private static final long MAX_FAULT_MS = 3000;
-    /** What whole milliseconds of two processes' clocks differ by. */
+    /** The error of a duration between clocks of two processes that are read in whole milliseconds. */
     private static final long ROUNDING_MS = 5;
 
     private final Plan plan;
     private final SplittableRandom random;
     private final TestCluster cluster;
     private final Map<FaultKind, Integer> faults = new TreeMap<>();
-    private final Map<Long, String> authors = new TreeMap<>();
+    private final Map<Long, String> authorsByVersion = new TreeMap<>();
     private final List<Long> answersMs = new ArrayList<>();
     private final List<Violation> violations = new ArrayList<>();
-    private long newest;
+    private long newestVersion;
 
     private VoterSoak(Plan plan, TestCluster cluster) {
         this.plan = plan;
@@ -141,7 +146,7 @@
         random = new SplittableRandom(plan.seed());
     }
 
-    /** Plays a plan on processes of this program. */
+    /** Runs a plan on processes of this program. */
     public static Result run(Plan plan) throws IOException, InterruptedException {
         try (TestCluster cluster =
                 new TestCluster(plan.seed(), PROBE_MS, VOTERS.subList(0, 2), VOTERS, plan.leaseMs())) {
@@ -149,7 +154,7 @@
         }
     }
 
-    private void broken(Rule rule, String text) {
+    private void addViolation(Rule rule, String text) {
         violations.add(new Violation(rule, text));
     }
 
@@ -158,16 +163,17 @@
             cluster.start(name);
         }
         propose("the start", VOTERS.get(0), System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(START_TIMEOUT_MS));
-        awaitReady(ALL);
+        awaitAllActOnNewest(ALL);
         answersMs.clear();
         for (int round = 0; round < plan.rounds() && violations.isEmpty(); round++) {
             playRound(round);
         }
         if (violations.isEmpty()) {
-            awaitReady(ALL);
+            awaitAllActOnNewest(ALL);
             checkHistory();
         }
-        cluster.contradictions(plan.leaseMs() + ROUNDING_MS).forEach(each -> broken(Rule.NO_CONFLICT, each.toString()));
+        cluster.conflictsLongerThan(plan.leaseMs() + ROUNDING_MS)
+                .forEach(each -> addViolation(Rule.NO_CONFLICT, each.toString()));
         return result();
     }
 
@@ -176,10 +182,10 @@
         return new Result(
                 plan,
                 faults,
-                authors.size(),
+                authorsByVersion.size(),
                 sorted.isEmpty() ? 0 : sorted.get(sorted.size() / 2),
                 sorted.isEmpty() ? 0 : sorted.get(sorted.size() - 1),
-                cluster.contradictions(0).stream()
+                cluster.conflictsLongerThan(0).stream()
                         .mapToLong(ConflictDetector.Case::ms)
                         .max()
                         .orElse(0),
@@ -188,7 +194,7 @@
 
     private void playRound(int round) throws IOException, InterruptedException {
         String leader = cluster.leader();
-        String victim = VOTERS.contains(leader) && random.nextDouble() < LEADER_SHARE
+        String victim = VOTERS.contains(leader) && random.nextDouble() < LEADER_FAULT_SHARE
                 ? leader
                 : VOTERS.get(random.nextInt(VOTERS.size()));
         FaultKind kind = FaultKind.values()[random.nextInt(FaultKind.values().length)];
@@ -197,14 +203,15 @@
         long lengthMs = begin(kind, victim);
         List<String> others =
                 VOTERS.stream().filter(each -> !each.equals(victim)).toList();
-        String what = "round " + round + ", " + kind + " at " + victim + (victim.equals(leader) ? ", the leader" : "");
-        propose(what, others.get(random.nextInt(others.size())), startedNanos);
+        String context =
+                "round " + round + ", " + kind + " at " + victim + (victim.equals(leader) ? ", the leader" : "");
+        propose(context, others.get(random.nextInt(others.size())), startedNanos);
         long restMs = lengthMs - TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - startedNanos);
         Thread.sleep(Math.max(0, restMs));
         end(kind, victim);
     }
 
-    /** Begins a fault; how long it is to last. */
+    /** Begins a fault and returns its shortest length, in ms. */
     private long begin(FaultKind kind, String victim) throws IOException, InterruptedException {
         switch (kind) {
             case KILL -> {
@@ -212,7 +219,7 @@
                 return 0;
             }
             case PAUSE -> cluster.pause(victim);
-            default -> cluster.failFolder(victim);
+            default -> cluster.failStateWrites(victim);
         }
         return random.nextLong(MAX_FAULT_MS);
     }
@@ -221,76 +228,77 @@
         switch (kind) {
             case KILL -> restart(victim);
             case PAUSE -> cluster.resume(victim);
-            case FOLDER_FAILS -> cluster.healFolder(victim);
+            case FOLDER_FAILS -> cluster.allowStateWrites(victim);
             case KILL_IN_FAILING_FOLDER -> {
                 cluster.kill(victim);
-                cluster.healFolder(victim);
+                cluster.allowStateWrites(victim);
                 restart(victim);
             }
             default -> throw new IllegalStateException(kind.toString());
         }
-        if (random.nextDouble() < READY_SHARE) {
-            awaitReady(ALL);
+        if (random.nextDouble() < AWAIT_READY_SHARE) {
+            awaitAllActOnNewest(ALL);
         } else {
-            Thread.sleep(random.nextLong(MAX_HASTE_MS));
+            Thread.sleep(random.nextLong(MAX_FAULT_GAP_MS));
         }
     }
 
-    /** Starts a voter again, and waits for its first sign of life. */
+    /** Restarts a voter and waits for its first event. */
     private void restart(String name) throws IOException, InterruptedException {
         cluster.start(name);
         if (!cluster.await(running -> running.hasReported(name), START_TIMEOUT_MS)) {
-            broken(Rule.RECOVERED, name + " gave no sign of life within " + START_TIMEOUT_MS + " ms of its start");
+            addViolation(Rule.RECOVERED, name + " reported no event within " + START_TIMEOUT_MS + " ms of its start");
         }
     }
 
-    private void awaitReady(List<String> names) throws InterruptedException {
-        String wanted = newest + " FULL";
+    private void awaitAllActOnNewest(List<String> names) throws InterruptedException {
+        String wanted = newestVersion + " FULL";
         if (!cluster.await(
                 running -> names.stream().allMatch(name -> running.actsOn(name).equals(wanted)), START_TIMEOUT_MS)) {
             List<String> acting = names.stream().map(cluster::actsOn).toList();
-            broken(Rule.RECOVERED, "not all act on " + wanted + " within " + START_TIMEOUT_MS + " ms: " + acting);
+            addViolation(Rule.RECOVERED, "not all act on " + wanted + " within " + START_TIMEOUT_MS + " ms: " + acting);
         }
     }
 
-    /** Proposes the next version through a voter, and judges the time from the fault to the answer. */
-    private void propose(String what, String through, long faultNanos) throws InterruptedException {
-        String author = "soak-" + (newest + 1);
+    /** Proposes the next version through a voter and checks the time from the fault to the response. */
+    private void propose(String context, String through, long faultNanos) throws InterruptedException {
+        String author = "soak-" + (newestVersion + 1);
         VersionLog.Outcome outcome;
         try {
-            outcome = cluster.operator(through).propose(newest, author, TestCluster.document((int) (1 + newest % 6)));
+            outcome = cluster.client(through)
+                    .propose(newestVersion, author, TestCluster.document((int) (1 + newestVersion % 6)));
         } catch (IOException e) {
-            broken(
+            addViolation(
                     Rule.DECIDED,
-                    what + ": " + e.getMessage() + "; acting: "
+                    context + ": " + e.getMessage() + "; acting: "
                             + ALL.stream().map(cluster::actsOn).toList());
             return;
         }
         long answeredMs = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - faultNanos);
         answersMs.add(answeredMs);
         if (answeredMs > MAX_ANSWER_MS) {
-            broken(Rule.DECIDED_IN_TIME, what + ": answered after " + answeredMs + " ms");
+            addViolation(Rule.DECIDED_IN_TIME, context + ": answered after " + answeredMs + " ms");
         }
-        if (!outcome.accepted() || outcome.version() != newest + 1) {
-            broken(Rule.DECIDED, what + ": " + outcome + " on version " + newest);
+        if (!outcome.accepted() || outcome.version() != newestVersion + 1) {
+            addViolation(Rule.DECIDED, context + ": " + outcome + " on version " + newestVersion);
             return;
         }
-        newest = outcome.version();
-        authors.put(newest, author);
+        newestVersion = outcome.version();
+        authorsByVersion.put(newestVersion, author);
     }
 
-    /** What was accepted is in the history, whichever voter is asked: each passes the request on to the leader. */
+    /** Checks that each voter returns all accepted versions; a voter forwards the request to the leader. */
     private void checkHistory() throws IOException, InterruptedException {
         for (String name : VOTERS) {
             List<VersionLog.Version> history = awaitHistory(name);
             long last = lastNumber(history);
-            if (last != newest) {
-                broken(Rule.KEPT, name + " knows versions up to " + last + ", accepted were " + newest);
+            if (last != newestVersion) {
+                addViolation(Rule.KEPT, name + " knows versions up to " + last + ", accepted were " + newestVersion);
             }
             for (VersionLog.Version each : history) {
-                String accepted = authors.get(each.number());
+                String accepted = authorsByVersion.get(each.number());
                 if (!each.author().equals(accepted)) {
-                    broken(
+                    addViolation(
                             Rule.KEPT,
                             name + " has version " + each.number() + " by " + each.author() + ", accepted was "
                                     + accepted);
@@ -299,12 +307,15 @@
         }
     }
 
-    /** The history by way of a voter; its own copy, which may lag behind, while it knows no leader. */
+    /**
+     * Polls a voter until its history reaches the newest version, for at most {@link #MAX_ANSWER_MS}. A voter that knows no
+     * leader returns its own copy, which may lag behind.
+     */
     private List<VersionLog.Version> awaitHistory(String name) throws IOException, InterruptedException {
         long endNanos = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(MAX_ANSWER_MS);
         while (true) {
-            List<VersionLog.Version> history = cluster.operator(name).history();
-            if (lastNumber(history) == newest || System.nanoTime() > endNanos) {
+            List<VersionLog.Version> history = cluster.client(name).history();
+            if (lastNumber(history) == newestVersion || System.nanoTime() > endNanos) {
                 return history;
             }
             Thread.sleep(HISTORY_POLL_MS);
