--- a/laboratory/src/main/java/opalcove/laboratory/coldstart/ModelBackend.java
+++ b/laboratory/src/main/java/opalcove/laboratory/coldstart/ModelBackend.java
@@ -8,20 +8,26 @@
 import opalcove.decision.Endpoint;
 import opalcove.decision.EndpointState;
 
-/** A backend with cores, a queue that is served in order, and a capacity that follows the ramp after each start. */
+/**
+ * A simulated backend with cores, a first-in first-out queue, and a capacity that follows the slow-start ramp after
+ * each start.
+ */
 final class ModelBackend {
-    /** What a backend is like. */
+    /** The size of a backend: its cores, the speed of each (1 is the reference), and the queue slots per core. */
     record Shape(int cores, double speed, int queuePerCore) {
-        /** Its capacity in cores of speed 1. */
+        /** Returns the full capacity in cores of speed 1. */
         double capacity() {
             return cores * speed;
         }
     }
 
-    /** An attempt of a gateway; work is the time, ms, that a core of speed 1 takes. */
+    /**
+     * An attempt sent by a gateway. {@code workMs} is the time in ms that a fully warm core of speed 1 takes, and
+     * {@code informed} is whether the gateway knew of the latest start of the backend when it sent the attempt.
+     */
     record Attempt(double workMs, boolean informed, Ended ended) {}
 
-    /** Hears how an attempt ended. */
+    /** Is notified of the status with which an attempt ended. */
     interface Ended {
         void ended(AttemptStatus result);
     }
@@ -49,13 +55,13 @@
         this.meanWorkMs = meanWorkMs;
     }
 
-    /** Puts a backend into service that has been warm for long. */
+    /** Puts the backend into service at full capacity, past its slow start. */
     void startWarm() {
         up = true;
         startedMs = Double.NEGATIVE_INFINITY;
     }
 
-    /** Starts the process anew, cold. */
+    /** Starts a new process, which begins its slow start. */
     void startInSlowStart() {
         up = true;
         starts++;
@@ -63,12 +69,12 @@
         slowStartPeriods.add(new SlowStartPeriod(rule, startedMs, shape.capacity() / meanWorkMs));
     }
 
-    /** Takes the backend out of service: the list says so, and what still comes is served. */
+    /** Drains the backend: its list entry has the state DRAINING, and attempts that still arrive are served. */
     void drain() {
         draining = true;
     }
 
-    /** Ends the process; what it held is broken off. */
+    /** Ends the process; its running and queued attempts end as BROKEN. */
     void crash() {
         up = false;
         starts++;
@@ -96,7 +102,7 @@
         work();
     }
 
-    /** Takes an attempt that still waits out of the queue; one that runs goes on. */
+    /** Removes a queued attempt; an attempt that is already running continues. */
     void cancel(Attempt attempt) {
         waiting.remove(attempt);
     }
@@ -117,7 +123,10 @@
         }
     }
 
-    /** The backend's line in the list; its start time is 0 where it has been warm for long. */
+    /**
+     * Returns the entry of the backend in the endpoint list; the start time is 0 if the backend began past its slow
+     * start.
+     */
     Endpoint line(double sizeOfOne) {
         return new Endpoint(
                 name,
--- a/laboratory/src/main/java/opalcove/laboratory/coldstart/ModelGateway.java
+++ b/laboratory/src/main/java/opalcove/laboratory/coldstart/ModelGateway.java
@@ -15,14 +15,14 @@
 import opalcove.decision.DecisionSettings;
 import opalcove.decision.Endpoint;
 
-/** A gateway of the model: it hosts a decision module and carries out its actions. A restart brings a new module. */
+/** A simulated gateway, which hosts a decision module and carries out its actions. A restart creates a new module. */
 final class ModelGateway {
-    /** One way between a gateway and a backend, ms. */
+    /** The one-way delay between a gateway and a backend, in ms. */
     private static final double NETWORK_MS = 0.4;
-    /** The time after which a connection to a backend that is away has failed, ms. */
+    /** The time after which a connection attempt to a backend that is down fails, in ms. */
     private static final double CONNECT_FAILED_MS = 1;
 
-    /** What a gateway tells the model of its requests. */
+    /** Is notified of each request that was served, with its latency in ms. */
     interface Listener {
         void served(double tookMs);
     }
@@ -76,7 +76,7 @@
         incarnation.listed(true, list);
     }
 
-    /** Ends the process; its open requests are lost, what it sent stays with the backends. */
+    /** Ends the process; its open requests are lost, and the attempts that it sent stay at the backends. */
     void kill() {
         incarnation = null;
     }
@@ -85,7 +85,7 @@
         return incarnation != null;
     }
 
-    /** Changed lines of the list arrive; a process that is down hears nothing. */
+    /** Delivers changed entries of the endpoint list; a process that is down does not receive them. */
     void listed(List<Endpoint> lines) {
         if (isUp()) {
             incarnation.listed(false, lines);
@@ -97,7 +97,7 @@
         incarnation.policy.requestArrived(clock.nowMs(), request);
     }
 
-    /** One life of the process. */
+    /** The state of the process from one start to its end. */
     private final class Incarnation implements DecisionActions {
         final Map<String, OpenRequest> requests = new HashMap<>();
         final Map<String, Double> knownStarts = new HashMap<>();
@@ -109,7 +109,7 @@
             policy.endpointsChanged(clock.nowMs(), whole, lines);
         }
 
-        /** Runs after a delay, unless the process has ended meanwhile. */
+        /** Runs the action after a delay in ms, unless the process has ended by then. */
         private void after(double delayMs, Runnable action) {
             clock.after(delayMs, () -> {
                 if (incarnation == this) {
@@ -180,7 +180,9 @@
             forgetIfSettled(id, request);
         }
 
-        /** An answered request stays known while attempts are out: the module hears of their ends. */
+        /**
+         * Removes a completed request only after all its attempts have ended, since the module is notified of each end.
+         */
         private void forgetIfSettled(String id, OpenRequest request) {
             if (request.answered && request.attempts.stream().allMatch(attempt -> attempt.ended)) {
                 requests.remove(id);
--- a/laboratory/src/main/java/opalcove/laboratory/coldstart/SlowStartModel.java
+++ b/laboratory/src/main/java/opalcove/laboratory/coldstart/SlowStartModel.java
@@ -19,9 +19,9 @@
 import opalcove.decision.LoadReportSource;
 
 /**
- * One seeded run of the model. A fleet under uneven load loses a part of its backends, which return cold, or a part is
- * drained and replaced by new ones; others join, a burst comes, the traffic shifts among the gateways, and a part of the
- * gateways restart in the middle of the ramp.
+ * One seeded run of the model. In a fleet under uneven load, a part of the backends crashes and returns in slow
+ * start, or a part is drained and replaced by new backends. Other backends join, the load rises in a burst, the
+ * traffic shifts among the gateways, and a part of the gateways restarts in the middle of the ramp.
  * Sizes, loads and times are drawn from the seed: the same seed and plan give the same run.
  */
 final class SlowStartModel {
@@ -29,11 +29,11 @@
     private static final double TICK_MS = 2;
     private static final double LATENCY_OBJECTIVE_MS = 2000;
     static final double DEADLINE_MS = 6000;
-    /** The greatest delay with which a change of the list reaches a gateway, ms. */
+    /** The maximum delay, in ms, after which a change of the endpoint list reaches a gateway. */
     private static final double MAX_LIST_DELAY_MS = 1000;
-    /** The time that a restarted gateway is away, ms. */
+    /** The time for which a restarted gateway is down, in ms. */
     private static final double RESTART_MS = 1500;
-    /** Time that gateways which restart in turn take together, ms. */
+    /** The time over which gateways that restart one after another are spread, in ms. */
     private static final double RESTARTS_IN_TURN_MS = 6000;
 
     private static final String[] ZONES = {"zone-1", "zone-2", "zone-3"};
@@ -75,7 +75,7 @@
     private static final double MAX_OUTAGE_MS = 8000;
     private static final double MAX_JOIN_DELAY_MS = 5000;
 
-    /** Plays one seed. */
+    /** Runs the model with one seed. */
     static SlowStartReport play(SlowStartPlan plan, long seed) {
         SlowStartModel model = new SlowStartModel(plan, seed);
         model.schedule();
@@ -142,7 +142,7 @@
         }
     }
 
-    /** Each drained backend is replaced by a new one, all within a few seconds. */
+    /** Drains a part of the backends and replaces each by a new one, all within {@link #MAX_JOIN_DELAY_MS}. */
     private void scheduleReplacements(double atMs) {
         double part = between(0.3, 0.6);
         for (ModelBackend backend : List.copyOf(inOrder)) {
@@ -162,7 +162,7 @@
         announce(backend);
     }
 
-    /** All at once, or one after another. */
+    /** Schedules the restarts of gateways: a part of them at the same time, or all of them one after another. */
     private void scheduleRestarts(double firstMs) {
         boolean atOnce = random.nextBoolean();
         double part = atOnce ? between(0.3, 1) : 1;
@@ -184,12 +184,12 @@
         return backend.line(LARGE.capacity());
     }
 
-    /** Each gateway hears of a change a little later, each with a delay of its own. */
+    /** Delivers the changed entry to each gateway, after a delay that is drawn separately for each. */
     private void announce(ModelBackend backend) {
         Endpoint line = line(backend);
         for (ModelGateway gateway : gateways) {
             clock.after(between(0, MAX_LIST_DELAY_MS), () -> {
-                // A later change has gone out meanwhile; the list never goes back.
+                // Without this check, an entry that a later change has replaced could overwrite the newer one.
                 if (line.equals(line(backend))) {
                     gateway.listed(List.of(line));
                 }
@@ -197,7 +197,9 @@
         }
     }
 
-    /** Shares of the traffic: log-normal, so that some gateways see several times the mean. */
+    /**
+     * Draws the traffic shares from a log-normal distribution, so that some gateways receive several times the mean.
+     */
     private void drawWeights() {
         weights = IntStream.range(0, plan.gateways())
                 .mapToDouble(i -> Math.exp(0.8 * gaussian()))
@@ -226,7 +228,7 @@
         clock.after(exponential() / (warmRatePerMs * utilization * burstFactor), this::nextRequest);
     }
 
-    /** Log-normal with mean 1 and a coefficient of variation of 1. */
+    /** Draws a log-normal value with mean 1 and a coefficient of variation of 1. */
     private double logNormal() {
         double variance = Math.log(2);
         return Math.exp(Math.sqrt(variance) * gaussian() - variance / 2);
@@ -278,7 +280,7 @@
         return periods.stream().mapToDouble(ratio).max().orElse(0);
     }
 
-    /** What the module of that gateway is told at its start. */
+    /** Returns the settings with which the decision module of the gateway with this index starts. */
     static DecisionSettings settings(SlowStartPlan plan, int gateway) {
         List<RequestClass> classes = new ArrayList<>();
         for (int i = 0; i < CLASSES.length; i++) {
--- a/laboratory/src/main/java/opalcove/laboratory/coldstart/SlowStartPeriod.java
+++ b/laboratory/src/main/java/opalcove/laboratory/coldstart/SlowStartPeriod.java
@@ -3,14 +3,17 @@
 import java.util.ArrayDeque;
 import java.util.Deque;
 
-/** What reaches one backend from its start until it is warm, held against the rule. */
+/**
+ * Compares the requests that reach one backend between its start and the end of its slow start with the limit of the
+ * rule.
+ */
 final class SlowStartPeriod {
-    /** The part of the work in a window beyond which the gateways that knew of the start answer for a fall. */
+    /** A window counts only if more than this share of its load came from gateways that knew of the start. */
     private static final double INFORMED_PART = 2.0 / 3;
 
     private record Arrival(double atMs, double work, boolean informed) {}
 
-    /** Requests, or their work, in the window: from all gateways, and from those that knew of the start. */
+    /** The number or the work of the requests in the window: of all gateways, and of those that knew of the start. */
     private static final class Sum {
         private double all;
         private double informed;
@@ -36,14 +39,19 @@
     private final Sum work = new Sum();
     private int requestsInAll;
 
-    /** @param warmRatePerMs requests of mean work a millisecond that the backend serves when warm */
+    /** @param warmRatePerMs requests of mean work that the backend serves per ms at full capacity */
     SlowStartPeriod(SlowStartRule rule, double startedMs, double warmRatePerMs) {
         this.rule = rule;
         this.startedMs = startedMs;
         this.warmRatePerMs = warmRatePerMs;
     }
 
-    /** A request arrives; its work is a multiple of the mean, and informed tells whether its gateway knows of the start. */
+    /**
+     * Records the arrival of a request.
+     *
+     * @param requestWork the work of the request as a multiple of the mean
+     * @param informed whether the gateway that sent it knew of the start
+     */
     void arrived(double nowMs, double requestWork, boolean informed) {
         double ageMs = nowMs - startedMs;
         if (ageMs >= rule.warmAfterMs()) {
@@ -63,17 +71,17 @@
         work.compare(limit);
     }
 
-    /** The highest ratio of the requests in a window to the limit; above 1 the backend falls. */
+    /** Returns the highest ratio of the requests in a window to the limit; above 1 the backend fails (a fall). */
     double worstRatio() {
         return requests.worstRatio;
     }
 
-    /** The same with each request counted by its own work, as a multiple of the mean. */
+    /** Returns the same ratio with each request counted by its own work, as a multiple of the mean. */
     double worstWorkRatio() {
         return work.worstRatio;
     }
 
-    /** The requests of the whole ramp, as a part of what the overload factor allows over it. */
+    /** Returns the requests during the ramp as a share of the number that the overload factor allows during it. */
     double usedShare() {
         return requestsInAll / rule.rampBudget(warmRatePerMs);
     }
--- a/laboratory/src/main/java/opalcove/laboratory/coldstart/SlowStartReport.java
+++ b/laboratory/src/main/java/opalcove/laboratory/coldstart/SlowStartReport.java
@@ -5,16 +5,19 @@
 import java.util.Locale;
 
 /**
- * What one seed of the model gave.
+ * The result of the model for one seed.
  *
  * @param seed the seed
- * @param slowStarts starts of backends
- * @param falls starts in which the backend fell under the requests of gateways that knew of the start
- * @param workFalls the same with each request counted by its own work, which no gateway knows when it sends
- * @param worstRatio highest ratio of the requests in a window to what a backend bears; above 1 it falls
+ * @param slowStarts number of backend starts
+ * @param falls starts in which requests of gateways that knew of the start exceeded the limit, so that the backend
+ *     failed
+ * @param workFalls the same with each request counted by its own work, which no gateway knows when it sends the
+ *     request
+ * @param worstRatio highest ratio of the requests in a window to the limit of the backend; above 1 the backend fails
  * @param worstWorkRatio the same with each request counted by its own work
- * @param usedShare requests of the ramp over what the overload factor allows, the mean over the starts
- * @param servedShare requests served within their aim over requests
+ * @param usedShare requests during the ramp divided by the number that the overload factor allows, averaged over the
+ *     starts
+ * @param servedShare requests served within the latency objective divided by all requests
  */
 public record SlowStartReport(
         long seed,
@@ -25,7 +28,7 @@
         double worstWorkRatio,
         double usedShare,
         double servedShare) {
-    /** One line for people. */
+    /** Returns the report as one line of text. */
     public String line() {
         return String.format(
                 Locale.ROOT,
@@ -40,7 +43,7 @@
                 servedShare);
     }
 
-    /** The same for programs. */
+    /** Returns the report as a JSON object. */
     public JsonObject json() {
         return Json.object()
                 .add("seed", seed)
--- a/laboratory/src/main/java/opalcove/laboratory/coldstart/SlowStartTrial.java
+++ b/laboratory/src/main/java/opalcove/laboratory/coldstart/SlowStartTrial.java
@@ -9,9 +9,9 @@
 import java.util.function.ToIntFunction;
 import java.util.stream.LongStream;
 
-/** Plays the model on many seeds and sums up what they gave. */
+/** The results of the model for several seeds, with their totals. */
 public record SlowStartTrial(SlowStartPlan plan, List<SlowStartReport> reports) {
-    /** Plays all seeds of the plan, one after another. */
+    /** Runs the model for all seeds of the plan, one after another. */
     public static SlowStartTrial play(SlowStartPlan plan) {
         return new SlowStartTrial(
                 plan,
@@ -20,37 +20,41 @@
                         .toList());
     }
 
-    /** Starts of backends over all seeds. */
+    /** Returns the number of backend starts over all seeds. */
     public int slowStarts() {
         return sum(SlowStartReport::slowStarts);
     }
 
-    /** Falls over all seeds. */
+    /**
+     * Returns the number of falls over all seeds: starts in which the backend failed because its limit was exceeded.
+     */
     public int falls() {
         return sum(SlowStartReport::falls);
     }
 
-    /** Falls over all seeds, with each request counted by its own work. */
+    /** Returns the number of falls over all seeds, with each request counted by its own work. */
     public int workFalls() {
         return sum(SlowStartReport::workFalls);
     }
 
-    /** The highest ratio of the requests in any window to what a backend bears; above 1 it falls. */
+    /**
+     * Returns the highest ratio of the requests in a window to the limit of the backend; above 1 the backend fails.
+     */
     public double worstRatio() {
         return worst(SlowStartReport::worstRatio);
     }
 
-    /** The same with each request counted by its own work. */
+    /** Returns the same ratio with each request counted by its own work. */
     public double worstWorkRatio() {
         return worst(SlowStartReport::worstWorkRatio);
     }
 
-    /** The used share of the budget over the ramp, the mean over the seeds. */
+    /** Returns the used share of the budget during the ramp, averaged over the seeds. */
     public double usedShare() {
         return mean(SlowStartReport::usedShare);
     }
 
-    /** The share of requests served within their aim, the mean over the seeds. */
+    /** Returns the share of requests served within the latency objective, averaged over the seeds. */
     public double servedShare() {
         return mean(SlowStartReport::servedShare);
     }
@@ -67,7 +71,7 @@
         return reports.stream().mapToDouble(figure).average().orElse(0);
     }
 
-    /** One line for people. */
+    /** Returns the totals as one line of text. */
     public String line() {
         return String.format(
                 Locale.ROOT,
@@ -84,7 +88,7 @@
                 servedShare());
     }
 
-    /** The same for programs, with each seed. */
+    /** Returns the totals and the report of each seed as a JSON object. */
     public JsonObject json() {
         JsonArray seeds = new JsonArray();
         reports.forEach(report -> seeds.add(report.json()));
--- a/laboratory/src/main/java/opalcove/laboratory/coldstart/package-info.java
+++ b/laboratory/src/main/java/opalcove/laboratory/coldstart/package-info.java
@@ -1,5 +1,6 @@
 /**
- * A model of cold starts in virtual time: many gateways, each with a decision module of its own that knows nothing of the
- * others, send to backends that start cold; the requests that each cold backend gets are held against what it bears.
+ * A model of slow starts in virtual time. Many gateways, each with its own decision module that does not communicate
+ * with the others, send requests to newly started backends. The requests that each backend receives during its slow
+ * start are compared with the limit that it withstands.
  */
 package opalcove.laboratory.coldstart;
--- a/laboratory/src/test/java/opalcove/laboratory/coldstart/ColdStartTrialTest.java
+++ b/laboratory/src/test/java/opalcove/laboratory/coldstart/ColdStartTrialTest.java
@@ -13,7 +13,10 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** A few seeds of the model, in virtual time: counts and ratios, the same in each run. */
+/**
+ * Checks counts and ratios of the slow-start model for a few seeds. It runs in virtual time, so each run gives the
+ * same values.
+ */
 public class ColdStartTrialTest {
     private static final int SEEDS = 10;
     private static final SlowStartRule LONG_WINDOW = new SlowStartRule(2.5, 3000, 0.17, 18_000);
@@ -34,7 +37,10 @@
         assertTrue(trial.usedShare() > leastUsed, trial.line());
     }
 
-    /** Small backends start among large ones: each is given work by its own size, not by what a usual one takes. */
+    /**
+     * With small backends starting among large ones, each must receive load by its own size, not by the size of a
+     * typical backend.
+     */
     @Test
     public void aSmallBackendAmongLargeOnesKeepsFarFromItsLimit() {
         SlowStartTrial trial = SlowStartTrial.play(new SlowStartPlan(30, LONG_WINDOW, 166, 1));
@@ -56,7 +62,10 @@
         assertEquals(LONG_WINDOW.budget(0, 0.015), 2.5 * 0.17 * 0.015 * 3000, 1e-9);
     }
 
-    /** Work of gateways that did not know of the start pushes a backend over without a break of the rule. */
+    /**
+     * A backend that fails under the load of gateways that did not know of its start does not count as a violation of
+     * the rule.
+     */
     @Test
     public void onlyWhatInformedGatewaysSendCounts() {
         assertTrue(ratioOfBurst(true) > 1);
@@ -71,7 +80,10 @@
         return period.worstRatio();
     }
 
-    /** All backends return cold at once: what they took before tells what they may have now. */
+    /**
+     * All backends restart at the same time; the load they served before the crash determines how much they receive
+     * now.
+     */
     @Test
     public void aFleetThatIsColdAsAWholeIsUsed() {
         VirtualClock clock = new VirtualClock();
