--- a/laboratory/src/main/java/opalcove/laboratory/coldstart/ModelBackend.java
+++ b/laboratory/src/main/java/opalcove/laboratory/coldstart/ModelBackend.java
@@ -25,11 +25,11 @@
      * An attempt sent by a gateway. {@code workMs} is the time in ms that a fully warm core of speed 1 takes, and
      * {@code informed} is whether the gateway knew of the latest start of the backend when it sent the attempt.
      */
-    record Attempt(double workMs, boolean informed, Ended ended) {}
+    record Attempt(double workMs, boolean informed, AttemptListener listener) {}
 
     /** Is notified of the status with which an attempt ended. */
-    interface Ended {
-        void ended(AttemptStatus result);
+    interface AttemptListener {
+        void attemptEnded(AttemptStatus result);
     }
 
     private final VirtualClock clock;
@@ -44,7 +44,7 @@
     private double startedMs;
     private boolean up;
     private boolean draining;
-    private int starts;
+    private int processChanges;
 
     ModelBackend(VirtualClock clock, SlowStartRule rule, String name, String zone, Shape shape, double meanWorkMs) {
         this.clock = clock;
@@ -64,7 +64,7 @@
     /** Starts a new process, which begins its slow start. */
     void startInSlowStart() {
         up = true;
-        starts++;
+        processChanges++;
         startedMs = clock.nowMs();
         slowStartPeriods.add(new SlowStartPeriod(rule, startedMs, shape.capacity() / meanWorkMs));
     }
@@ -77,29 +77,29 @@
     /** Ends the process; its running and queued attempts end as BROKEN. */
     void crash() {
         up = false;
-        starts++;
-        List<Attempt> held = new ArrayList<>(running);
-        held.addAll(waiting);
+        processChanges++;
+        List<Attempt> unfinished = new ArrayList<>(running);
+        unfinished.addAll(waiting);
         running.clear();
         waiting.clear();
-        held.forEach(attempt -> attempt.ended().ended(AttemptStatus.BROKEN));
+        unfinished.forEach(attempt -> attempt.listener().attemptEnded(AttemptStatus.BROKEN));
     }
 
     void offer(Attempt attempt) {
         if (!up) {
-            attempt.ended().ended(AttemptStatus.UNREACHABLE);
+            attempt.listener().attemptEnded(AttemptStatus.UNREACHABLE);
             return;
         }
         if (!slowStartPeriods.isEmpty()) {
             SlowStartPeriod latest = slowStartPeriods.get(slowStartPeriods.size() - 1);
-            latest.arrived(clock.nowMs(), attempt.workMs() / meanWorkMs, attempt.informed());
+            latest.requestArrived(clock.nowMs(), attempt.workMs() / meanWorkMs, attempt.informed());
         }
         if (waiting.size() >= shape.queuePerCore() * shape.cores()) {
-            attempt.ended().ended(AttemptStatus.REJECTED);
+            attempt.listener().attemptEnded(AttemptStatus.REJECTED);
             return;
         }
         waiting.add(attempt);
-        work();
+        startWaitingAttempts();
     }
 
     /** Removes a queued attempt; an attempt that is already running continues. */
@@ -107,17 +107,17 @@
         waiting.remove(attempt);
     }
 
-    private void work() {
+    private void startWaitingAttempts() {
         while (running.size() < shape.cores() && !waiting.isEmpty()) {
             Attempt attempt = waiting.poll();
             running.add(attempt);
-            int start = starts;
-            double tookMs = rule.serviceMs(clock.nowMs() - startedMs, attempt.workMs() / shape.speed());
-            clock.after(tookMs, () -> {
-                if (start == starts) {
+            int processChangesAtStart = processChanges;
+            double serviceMs = rule.serviceMs(clock.nowMs() - startedMs, attempt.workMs() / shape.speed());
+            clock.after(serviceMs, () -> {
+                if (processChangesAtStart == processChanges) {
                     running.remove(attempt);
-                    attempt.ended().ended(AttemptStatus.SERVED);
-                    work();
+                    attempt.listener().attemptEnded(AttemptStatus.SERVED);
+                    startWaitingAttempts();
                 }
             });
         }
@@ -127,14 +127,14 @@
      * Returns the entry of the backend in the endpoint list; the start time is 0 if the backend began past its slow
      * start.
      */
-    Endpoint line(double sizeOfOne) {
+    Endpoint endpoint(double unitCapacity) {
         return new Endpoint(
                 name,
                 zone,
                 "kind-" + shape.cores(),
                 0,
                 state(),
-                shape.capacity() / sizeOfOne,
+                shape.capacity() / unitCapacity,
                 startedMs > 0 ? startedMs : 0);
     }
 
--- a/laboratory/src/main/java/opalcove/laboratory/coldstart/ModelGateway.java
+++ b/laboratory/src/main/java/opalcove/laboratory/coldstart/ModelGateway.java
@@ -24,14 +24,14 @@
 
     /** Is notified of each request that was served, with its latency in ms. */
     interface Listener {
-        void served(double tookMs);
+        void served(double latencyMs);
     }
 
     private static final class OpenRequest {
         final double arrivedMs;
         final double workMs;
         final List<OpenAttempt> attempts = new ArrayList<>();
-        boolean answered;
+        boolean completed;
 
         OpenRequest(double arrivedMs, double workMs) {
             this.arrivedMs = arrivedMs;
@@ -71,9 +71,9 @@
         this.listener = listener;
     }
 
-    void start(List<Endpoint> list) {
+    void start(List<Endpoint> endpoints) {
         incarnation = new Incarnation();
-        incarnation.listed(true, list);
+        incarnation.endpointsChanged(true, endpoints);
     }
 
     /** Ends the process; its open requests are lost, and the attempts that it sent stay at the backends. */
@@ -86,27 +86,28 @@
     }
 
     /** Delivers changed entries of the endpoint list; a process that is down does not receive them. */
-    void listed(List<Endpoint> lines) {
+    void endpointsChanged(List<Endpoint> endpoints) {
         if (isUp()) {
-            incarnation.listed(false, lines);
+            incarnation.endpointsChanged(false, endpoints);
         }
     }
 
     void request(AdmissionRequest request, double workMs) {
         incarnation.requests.put(request.requestId(), new OpenRequest(clock.nowMs(), workMs));
-        incarnation.policy.requestArrived(clock.nowMs(), request);
+        incarnation.controller.requestArrived(clock.nowMs(), request);
     }
 
     /** The state of the process from one start to its end. */
     private final class Incarnation implements DecisionActions {
         final Map<String, OpenRequest> requests = new HashMap<>();
-        final Map<String, Double> knownStarts = new HashMap<>();
-        final Set<Long> forgottenTimers = new HashSet<>();
-        final AdmissionController policy = new AdmissionController(clock.nowMs(), settings, random.nextLong(), this);
-
-        void listed(boolean whole, List<Endpoint> lines) {
-            lines.forEach(line -> knownStarts.put(line.id(), line.startedMs()));
-            policy.endpointsChanged(clock.nowMs(), whole, lines);
+        final Map<String, Double> knownStartsMs = new HashMap<>();
+        final Set<Long> cancelledTimers = new HashSet<>();
+        final AdmissionController controller =
+                new AdmissionController(clock.nowMs(), settings, random.nextLong(), this);
+
+        void endpointsChanged(boolean complete, List<Endpoint> endpoints) {
+            endpoints.forEach(endpoint -> knownStartsMs.put(endpoint.id(), endpoint.startedMs()));
+            controller.endpointsChanged(clock.nowMs(), complete, endpoints);
         }
 
         /** Runs the action after a delay in ms, unless the process has ended by then. */
@@ -125,7 +126,7 @@
             OpenAttempt attempt = new OpenAttempt(backend, clock.nowMs());
             int number = request.attempts.size();
             request.attempts.add(attempt);
-            boolean informed = knownStarts.get(host) >= backend.startedMs();
+            boolean informed = knownStartsMs.get(host) >= backend.startedMs();
             attempt.work = new ModelBackend.Attempt(request.workMs, informed, result -> {
                 double delayMs = result == AttemptStatus.UNREACHABLE ? CONNECT_FAILED_MS : NETWORK_MS;
                 after(delayMs, () -> attemptEnded(id, number, result));
@@ -144,15 +145,16 @@
             }
             OpenAttempt attempt = request.attempts.get(number);
             attempt.ended = true;
-            if (result == AttemptStatus.SERVED && !request.answered) {
-                request.answered = true;
+            if (result == AttemptStatus.SERVED && !request.completed) {
+                request.completed = true;
                 listener.served(clock.nowMs() - request.arrivedMs);
             }
-            forgetIfSettled(id, request);
+            removeIfFinished(id, request);
             double tookMs = clock.nowMs() - attempt.sentMs;
             String host = attempt.backend.name();
-            policy.attemptEnded(
-                    clock.nowMs(), new AttemptOutcome(id, host, number, result, tookMs, request.answered, -1, 0, null));
+            controller.attemptEnded(
+                    clock.nowMs(),
+                    new AttemptOutcome(id, host, number, result, tookMs, request.completed, -1, 0, null));
         }
 
         @Override
@@ -166,25 +168,25 @@
 
         @Override
         public void shed(String id, double retryAfterMs) {
-            answeredWithoutValue(id);
+            completeWithoutValue(id);
         }
 
         @Override
         public void fail(String id) {
-            answeredWithoutValue(id);
+            completeWithoutValue(id);
         }
 
-        private void answeredWithoutValue(String id) {
+        private void completeWithoutValue(String id) {
             OpenRequest request = requests.get(id);
-            request.answered = true;
-            forgetIfSettled(id, request);
+            request.completed = true;
+            removeIfFinished(id, request);
         }
 
         /**
          * Removes a completed request only after all its attempts have ended, since the module is notified of each end.
          */
-        private void forgetIfSettled(String id, OpenRequest request) {
-            if (request.answered && request.attempts.stream().allMatch(attempt -> attempt.ended)) {
+        private void removeIfFinished(String id, OpenRequest request) {
+            if (request.completed && request.attempts.stream().allMatch(attempt -> attempt.ended)) {
                 requests.remove(id);
             }
         }
@@ -192,15 +194,15 @@
         @Override
         public void setTimer(long token, double afterMs) {
             after(afterMs, () -> {
-                if (!forgottenTimers.remove(token)) {
-                    policy.timerExpired(clock.nowMs(), token);
+                if (!cancelledTimers.remove(token)) {
+                    controller.timerExpired(clock.nowMs(), token);
                 }
             });
         }
 
         @Override
         public void cancelTimer(long token) {
-            forgottenTimers.add(token);
+            cancelledTimers.add(token);
         }
 
         @Override
--- a/laboratory/src/main/java/opalcove/laboratory/coldstart/SlowStartModel.java
+++ b/laboratory/src/main/java/opalcove/laboratory/coldstart/SlowStartModel.java
@@ -34,7 +34,7 @@
     /** The time for which a restarted gateway is down, in ms. */
     private static final double RESTART_MS = 1500;
     /** The time over which gateways that restart one after another are spread, in ms. */
-    private static final double RESTARTS_IN_TURN_MS = 6000;
+    private static final double STAGGERED_RESTARTS_MS = 6000;
 
     private static final String[] ZONES = {"zone-1", "zone-2", "zone-3"};
     static final String PLAN = "open";
@@ -47,7 +47,7 @@
     private final SplittableRandom random;
     private final VirtualClock clock = new VirtualClock();
     private final Map<String, ModelBackend> backends = new HashMap<>();
-    private final List<ModelBackend> inOrder = new ArrayList<>();
+    private final List<ModelBackend> backendsInOrder = new ArrayList<>();
     private final List<ModelGateway> gateways = new ArrayList<>();
     private final double meanWorkMs;
     private final boolean mixedSizes;
@@ -68,7 +68,8 @@
         endMs = FIRST_CRASH_MS + MAX_OUTAGE_MS + MAX_JOIN_DELAY_MS + plan.rule().warmAfterMs();
         int count = 10 + random.nextInt(11);
         IntStream.range(0, count).forEach(i -> addBackend().startWarm());
-        warmRatePerMs = inOrder.stream().mapToDouble(ModelBackend::capacity).sum() / meanWorkMs;
+        warmRatePerMs =
+                backendsInOrder.stream().mapToDouble(ModelBackend::capacity).sum() / meanWorkMs;
     }
 
     private static final double MIN_OUTAGE_MS = 2000;
@@ -88,12 +89,12 @@
     }
 
     private ModelBackend addBackend() {
-        int number = inOrder.size();
+        int number = backendsInOrder.size();
         ModelBackend.Shape shape = mixedSizes && number % 2 == 1 ? SMALL : LARGE;
         String zone = ZONES[number % ZONES.length];
         ModelBackend backend = new ModelBackend(clock, plan.rule(), "backend-" + number, zone, shape, meanWorkMs);
         backends.put(backend.name(), backend);
-        inOrder.add(backend);
+        backendsInOrder.add(backend);
         return backend;
     }
 
@@ -103,7 +104,7 @@
             DecisionSettings settings = settings(plan, i);
             ModelGateway gateway = new ModelGateway(clock, settings, backends, random.split(), this::served);
             gateways.add(gateway);
-            clock.after(between(0, 250), () -> gateway.start(wholeList()));
+            clock.after(between(0, 250), () -> gateway.start(endpointList()));
         }
         clock.after(500, this::nextRequest);
         double outageMs = between(MIN_OUTAGE_MS, MAX_OUTAGE_MS);
@@ -115,7 +116,7 @@
         }
         int joining = 1 + random.nextInt(3);
         for (int i = 0; i < joining; i++) {
-            clock.after(returnMs + between(0, MAX_JOIN_DELAY_MS), this::join);
+            clock.after(returnMs + between(0, MAX_JOIN_DELAY_MS), this::addStartingBackend);
         }
         double rampHalfMs = plan.rule().warmAfterMs() / 2;
         double burstMs = returnMs + between(0, rampHalfMs);
@@ -128,8 +129,8 @@
 
     private void scheduleCrashes(double outageMs) {
         double part = between(0.1, 0.35);
-        for (ModelBackend backend : List.copyOf(inOrder)) {
-            if (random.nextDouble() < part || backend == inOrder.get(0)) {
+        for (ModelBackend backend : List.copyOf(backendsInOrder)) {
+            if (random.nextDouble() < part || backend == backendsInOrder.get(0)) {
                 clock.after(FIRST_CRASH_MS, () -> {
                     backend.crash();
                     announce(backend);
@@ -145,18 +146,18 @@
     /** Drains a part of the backends and replaces each by a new one, all within {@link #MAX_JOIN_DELAY_MS}. */
     private void scheduleReplacements(double atMs) {
         double part = between(0.3, 0.6);
-        for (ModelBackend backend : List.copyOf(inOrder)) {
+        for (ModelBackend backend : List.copyOf(backendsInOrder)) {
             if (random.nextDouble() < part) {
                 clock.after(atMs + between(0, MAX_JOIN_DELAY_MS), () -> {
                     backend.drain();
                     announce(backend);
-                    join();
+                    addStartingBackend();
                 });
             }
         }
     }
 
-    private void join() {
+    private void addStartingBackend() {
         ModelBackend backend = addBackend();
         backend.startInSlowStart();
         announce(backend);
@@ -169,29 +170,29 @@
         for (int i = 0; i < plan.gateways(); i++) {
             ModelGateway gateway = gateways.get(i);
             if (random.nextDouble() < part) {
-                double atMs = firstMs + (atOnce ? 0 : RESTARTS_IN_TURN_MS * i / plan.gateways());
+                double atMs = firstMs + (atOnce ? 0 : STAGGERED_RESTARTS_MS * i / plan.gateways());
                 clock.after(atMs, gateway::kill);
-                clock.after(atMs + RESTART_MS + between(0, 50), () -> gateway.start(wholeList()));
+                clock.after(atMs + RESTART_MS + between(0, 50), () -> gateway.start(endpointList()));
             }
         }
     }
 
-    private List<Endpoint> wholeList() {
-        return inOrder.stream().map(this::line).toList();
+    private List<Endpoint> endpointList() {
+        return backendsInOrder.stream().map(this::endpoint).toList();
     }
 
-    private Endpoint line(ModelBackend backend) {
-        return backend.line(LARGE.capacity());
+    private Endpoint endpoint(ModelBackend backend) {
+        return backend.endpoint(LARGE.capacity());
     }
 
     /** Delivers the changed entry to each gateway, after a delay that is drawn separately for each. */
     private void announce(ModelBackend backend) {
-        Endpoint line = line(backend);
+        Endpoint entry = endpoint(backend);
         for (ModelGateway gateway : gateways) {
             clock.after(between(0, MAX_LIST_DELAY_MS), () -> {
                 // Without this check, an entry that a later change has replaced could overwrite the newer one.
-                if (line.equals(line(backend))) {
-                    gateway.listed(List.of(line));
+                if (entry.equals(endpoint(backend))) {
+                    gateway.endpointsChanged(List.of(entry));
                 }
             });
         }
@@ -249,21 +250,21 @@
         return null;
     }
 
-    private void served(double tookMs) {
-        servedInTime += tookMs <= LATENCY_OBJECTIVE_MS ? 1 : 0;
+    private void served(double latencyMs) {
+        servedInTime += latencyMs <= LATENCY_OBJECTIVE_MS ? 1 : 0;
     }
 
     private SlowStartReport report(long seed) {
-        List<SlowStartPeriod> periods = inOrder.stream()
+        List<SlowStartPeriod> periods = backendsInOrder.stream()
                 .flatMap(each -> each.slowStartPeriods().stream())
                 .toList();
         return new SlowStartReport(
                 seed,
                 periods.size(),
-                over(periods, SlowStartPeriod::worstRatio),
-                over(periods, SlowStartPeriod::worstWorkRatio),
-                worst(periods, SlowStartPeriod::worstRatio),
-                worst(periods, SlowStartPeriod::worstWorkRatio),
+                countAboveOne(periods, SlowStartPeriod::worstRatio),
+                countAboveOne(periods, SlowStartPeriod::worstWorkRatio),
+                maximum(periods, SlowStartPeriod::worstRatio),
+                maximum(periods, SlowStartPeriod::worstWorkRatio),
                 periods.stream()
                         .mapToDouble(SlowStartPeriod::usedShare)
                         .average()
@@ -271,12 +272,12 @@
                 (double) servedInTime / Math.max(1, requests));
     }
 
-    private static int over(List<SlowStartPeriod> periods, ToDoubleFunction<SlowStartPeriod> ratio) {
+    private static int countAboveOne(List<SlowStartPeriod> periods, ToDoubleFunction<SlowStartPeriod> ratio) {
         return (int)
                 periods.stream().filter(each -> ratio.applyAsDouble(each) > 1).count();
     }
 
-    private static double worst(List<SlowStartPeriod> periods, ToDoubleFunction<SlowStartPeriod> ratio) {
+    private static double maximum(List<SlowStartPeriod> periods, ToDoubleFunction<SlowStartPeriod> ratio) {
         return periods.stream().mapToDouble(ratio).max().orElse(0);
     }
 
--- a/laboratory/src/main/java/opalcove/laboratory/coldstart/SlowStartPeriod.java
+++ b/laboratory/src/main/java/opalcove/laboratory/coldstart/SlowStartPeriod.java
@@ -9,12 +9,12 @@
  */
 final class SlowStartPeriod {
     /** A window counts only if more than this share of its load came from gateways that knew of the start. */
-    private static final double INFORMED_PART = 2.0 / 3;
+    private static final double MIN_INFORMED_SHARE = 2.0 / 3;
 
     private record Arrival(double atMs, double work, boolean informed) {}
 
     /** The number or the work of the requests in the window: of all gateways, and of those that knew of the start. */
-    private static final class Sum {
+    private static final class WindowLoad {
         private double all;
         private double informed;
         private double worstRatio;
@@ -25,7 +25,7 @@
         }
 
         void compare(double limit) {
-            if (informed > INFORMED_PART * all) {
+            if (informed > MIN_INFORMED_SHARE * all) {
                 worstRatio = Math.max(worstRatio, all / limit);
             }
         }
@@ -35,9 +35,9 @@
     private final double startedMs;
     private final double warmRatePerMs;
     private final Deque<Arrival> window = new ArrayDeque<>();
-    private final Sum requests = new Sum();
-    private final Sum work = new Sum();
-    private int requestsInAll;
+    private final WindowLoad requests = new WindowLoad();
+    private final WindowLoad work = new WindowLoad();
+    private int totalRequests;
 
     /** @param warmRatePerMs requests of mean work that the backend serves per ms at full capacity */
     SlowStartPeriod(SlowStartRule rule, double startedMs, double warmRatePerMs) {
@@ -52,12 +52,12 @@
      * @param requestWork the work of the request as a multiple of the mean
      * @param informed whether the gateway that sent it knew of the start
      */
-    void arrived(double nowMs, double requestWork, boolean informed) {
+    void requestArrived(double nowMs, double requestWork, boolean informed) {
         double ageMs = nowMs - startedMs;
         if (ageMs >= rule.warmAfterMs()) {
             return;
         }
-        requestsInAll++;
+        totalRequests++;
         window.add(new Arrival(nowMs, requestWork, informed));
         requests.add(1, informed);
         work.add(requestWork, informed);
@@ -83,6 +83,6 @@
 
     /** Returns the requests during the ramp as a share of the number that the overload factor allows during it. */
     double usedShare() {
-        return requestsInAll / rule.rampBudget(warmRatePerMs);
+        return totalRequests / rule.rampBudget(warmRatePerMs);
     }
 }
--- a/laboratory/src/main/java/opalcove/laboratory/coldstart/SlowStartRule.java
+++ b/laboratory/src/main/java/opalcove/laboratory/coldstart/SlowStartRule.java
@@ -49,11 +49,11 @@
      * capacity.
      */
     double serviceMs(double ageMs, double workMs) {
-        double left = Math.max(0, warmAfterMs - ageMs);
+        double remainingMs = Math.max(0, warmAfterMs - ageMs);
         double share = capacityShare(ageMs);
-        double duringSlowStartMs = left * (share + 1) / 2;
+        double duringSlowStartMs = remainingMs * (share + 1) / 2;
         if (workMs >= duringSlowStartMs) {
-            return left + workMs - duringSlowStartMs;
+            return remainingMs + workMs - duringSlowStartMs;
         }
         return slope() == 0 ? workMs : (Math.sqrt(share * share + 2 * slope() * workMs) - share) / slope();
     }
--- a/laboratory/src/main/java/opalcove/laboratory/coldstart/SlowStartTrial.java
+++ b/laboratory/src/main/java/opalcove/laboratory/coldstart/SlowStartTrial.java
@@ -41,12 +41,12 @@
      * Returns the highest ratio of the requests in a window to the limit of the backend; above 1 the backend fails.
      */
     public double worstRatio() {
-        return worst(SlowStartReport::worstRatio);
+        return maximum(SlowStartReport::worstRatio);
     }
 
     /** Returns the same ratio with each request counted by its own work. */
     public double worstWorkRatio() {
-        return worst(SlowStartReport::worstWorkRatio);
+        return maximum(SlowStartReport::worstWorkRatio);
     }
 
     /** Returns the used share of the budget during the ramp, averaged over the seeds. */
@@ -59,16 +59,16 @@
         return mean(SlowStartReport::servedShare);
     }
 
-    private int sum(ToIntFunction<SlowStartReport> figure) {
-        return reports.stream().mapToInt(figure).sum();
+    private int sum(ToIntFunction<SlowStartReport> value) {
+        return reports.stream().mapToInt(value).sum();
     }
 
-    private double worst(ToDoubleFunction<SlowStartReport> figure) {
-        return reports.stream().mapToDouble(figure).max().orElse(0);
+    private double maximum(ToDoubleFunction<SlowStartReport> value) {
+        return reports.stream().mapToDouble(value).max().orElse(0);
     }
 
-    private double mean(ToDoubleFunction<SlowStartReport> figure) {
-        return reports.stream().mapToDouble(figure).average().orElse(0);
+    private double mean(ToDoubleFunction<SlowStartReport> value) {
+        return reports.stream().mapToDouble(value).average().orElse(0);
     }
 
     /** Returns the totals as one line of text. */
--- a/laboratory/src/test/java/opalcove/laboratory/coldstart/ColdStartTrialTest.java
+++ b/laboratory/src/test/java/opalcove/laboratory/coldstart/ColdStartTrialTest.java
@@ -30,11 +30,11 @@
     }
 
     @Test(dataProvider = "fleets")
-    public void noColdBackendFallsAndTheBudgetIsUsed(SlowStartRule rule, int gateways, double leastUsed) {
+    public void usesBudgetWithoutOverloadingStartingBackends(SlowStartRule rule, int gateways, double minUsedShare) {
         SlowStartTrial trial = SlowStartTrial.play(new SlowStartPlan(gateways, rule, 1, SEEDS));
         assertTrue(trial.slowStarts() > 3 * SEEDS, trial.line());
         assertEquals(trial.falls(), 0, trial.line());
-        assertTrue(trial.usedShare() > leastUsed, trial.line());
+        assertTrue(trial.usedShare() > minUsedShare, trial.line());
     }
 
     /**
@@ -42,19 +42,19 @@
      * typical backend.
      */
     @Test
-    public void aSmallBackendAmongLargeOnesKeepsFarFromItsLimit() {
+    public void keepsSmallBackendFarBelowLimitAmongLargeOnes() {
         SlowStartTrial trial = SlowStartTrial.play(new SlowStartPlan(30, LONG_WINDOW, 166, 1));
         assertTrue(trial.worstRatio() < 0.5, trial.line());
     }
 
     @Test
-    public void theSameSeedGivesTheSameRun() {
+    public void givesSameRunForSameSeed() {
         SlowStartPlan plan = new SlowStartPlan(8, SHORT_WINDOW, 5, 1);
         assertEquals(SlowStartTrial.play(plan), SlowStartTrial.play(plan));
     }
 
     @Test
-    public void theRampOfAWorkingCoreIsItsCapacityOverTime() {
+    public void integratesCapacityOverRampForServiceTime() {
         assertEquals(LONG_WINDOW.capacityShare(0), 0.17, 1e-9);
         assertEquals(LONG_WINDOW.capacityShare(18_000), 1, 1e-9);
         assertEquals(LONG_WINDOW.serviceMs(0, 18_000 * 1.17 / 2), 18_000, 1e-6);
@@ -67,7 +67,7 @@
      * the rule.
      */
     @Test
-    public void onlyWhatInformedGatewaysSendCounts() {
+    public void countsOnlyRequestsOfInformedGateways() {
         assertTrue(ratioOfBurst(true) > 1);
         assertEquals(ratioOfBurst(false), 0.0);
     }
@@ -75,7 +75,7 @@
     private static double ratioOfBurst(boolean informed) {
         SlowStartPeriod period = new SlowStartPeriod(LONG_WINDOW, 1000, 0.015);
         for (int i = 0; i < 40; i++) {
-            period.arrived(1000 + i, 1, informed);
+            period.requestArrived(1000 + i, 1, informed);
         }
         return period.worstRatio();
     }
@@ -85,7 +85,7 @@
      * now.
      */
     @Test
-    public void aFleetThatIsColdAsAWholeIsUsed() {
+    public void usesFleetWhenAllBackendsAreInSlowStart() {
         VirtualClock clock = new VirtualClock();
         List<ModelBackend> backends = new ArrayList<>();
         Map<String, ModelBackend> byName = new HashMap<>();
@@ -97,18 +97,18 @@
         }
         SlowStartPlan plan = new SlowStartPlan(1, LONG_WINDOW, 1, 1);
         ModelGateway gateway = new ModelGateway(
-                clock, SlowStartModel.settings(plan, 0), byName, new SplittableRandom(1), tookMs -> {});
-        gateway.start(lines(backends));
+                clock, SlowStartModel.settings(plan, 0), byName, new SplittableRandom(1), latencyMs -> {});
+        gateway.start(endpoints(backends));
         for (int i = 0; i < 600; i++) {
             String id = "r" + i;
             clock.after(40 * i, () -> gateway.request(request(id), 200));
         }
         clock.runUntil(10_000);
         backends.forEach(ModelBackend::crash);
-        gateway.listed(lines(backends));
+        gateway.endpointsChanged(endpoints(backends));
         clock.runUntil(12_000);
         backends.forEach(ModelBackend::startInSlowStart);
-        gateway.listed(lines(backends));
+        gateway.endpointsChanged(endpoints(backends));
         clock.runUntil(24_000);
         for (ModelBackend backend : backends) {
             SlowStartPeriod period = backend.slowStartPeriods().get(0);
@@ -117,9 +117,9 @@
         }
     }
 
-    private static List<Endpoint> lines(List<ModelBackend> backends) {
+    private static List<Endpoint> endpoints(List<ModelBackend> backends) {
         return backends.stream()
-                .map(each -> each.line(SlowStartModel.LARGE.capacity()))
+                .map(each -> each.endpoint(SlowStartModel.LARGE.capacity()))
                 .toList();
     }
 
