--- a/laboratory/src/main/java/opalcove/laboratory/Counts.java
+++ b/laboratory/src/main/java/opalcove/laboratory/Counts.java
@@ -1,17 +1,17 @@
 package opalcove.laboratory;
 
-/** What one event loop did at its sockets. Written by that loop alone. */
+/** Counts of the socket operations of one event loop. Only that loop writes them. */
 final class Counts {
-    /** Calls that read from a connection, those that found nothing included. */
+    /** Calls that read from a connection, including those that found no data. */
     long reads;
-    /** Flushes that wrote to a connection; one that its socket took in parts counts once. */
+    /** Flushes that wrote to a connection; a flush that the socket accepted in several parts counts once. */
     long writes;
-    /** Turns of the loop, each of which asks the selector once (epoll_wait on Linux). */
+    /** Iterations of the loop, each of which calls the selector once (epoll_wait on Linux). */
     long waits;
-    /** Tasks that were handed to the loop, from within it or from elsewhere. */
+    /** Tasks that were submitted to the loop, from its own thread or from another. */
     long tasks;
 
     long bytesRead;
-    /** Bytes that were copied once more on their way out, since they were not in direct memory. */
+    /** Bytes that were copied once more before they were written, because they were not in direct memory. */
     long bytesCopiedOut;
 }
--- a/laboratory/src/main/java/opalcove/laboratory/Laboratory.java
+++ b/laboratory/src/main/java/opalcove/laboratory/Laboratory.java
@@ -6,11 +6,11 @@
 import opalcove.config.SettingsReader;
 import opalcove.decision.DecisionSettings;
 
-/** What all of the laboratory's programs share. */
+/** The settings that the programs of the laboratory share. */
 public final class Laboratory {
     private Laboratory() {}
 
-    /** Settings under which no quota and no limit is met by any load. */
+    /** Returns settings whose quotas and limits no load reaches. */
     public static DecisionSettings settings() {
         return SettingsReader.read(JsonFields.parse(settingsText()));
     }
--- a/laboratory/src/main/java/opalcove/laboratory/LoadPlan.java
+++ b/laboratory/src/main/java/opalcove/laboratory/LoadPlan.java
@@ -1,9 +1,10 @@
 package opalcove.laboratory;
 
 /**
- * What a load asks. {@code rate} is asks a second in all for an open loop, whose asks go out at their times whatever is
- * still out, or 0 for a closed loop, where each connection keeps {@code depth} asks out. Classes take turns as
- * {@code records} says: that share of the asks are swap records with a body of {@code bodyBytes}; the rest are safe.
+ * The parameters of a load. {@code rate} is the total number of requests per second of an open loop, which sends each
+ * request when it is due regardless of outstanding requests, or 0 for a closed loop, in which each connection keeps
+ * {@code depth} requests outstanding. The classes alternate such that {@code records} is the share of requests that
+ * are swap records with a body of {@code bodyBytes}; the other requests are safe.
  */
 public record LoadPlan(
         boolean mqtt,
@@ -18,16 +19,16 @@
         int bodyBytes,
         int waitMs) {
     /**
-     * Checks that the load can be made.
+     * Checks the range of each parameter.
      *
-     * @throws IllegalArgumentException if it cannot, with the reason
+     * @throws IllegalArgumentException if a parameter is out of range; the message names it
      */
     public LoadPlan {
         need(connections >= 1 && connections <= 10_000, "connections must be from 1 to 10,000");
         need(depth >= 1 && depth <= 256, "the depth must be from 1 to 256");
-        need(rate >= 0 && rate <= 1e6, "the rate must be from 0 to 1,000,000 asks a second");
-        need(requests >= 1, "there must be asks");
-        need(tenants >= 1, "there must be operators");
+        need(rate >= 0 && rate <= 1e6, "the rate must be from 0 to 1,000,000 requests a second");
+        need(requests >= 1, "the number of requests must be at least 1");
+        need(tenants >= 1, "the number of tenants must be at least 1");
         need(records >= 0 && records <= 1, "the share of records must be from 0 to 1");
         need(bodyBytes >= 0 && bodyBytes <= 64 * 1024, "a body has 0 to 65,536 bytes");
         need(waitMs >= 100 && waitMs <= 7500, "the time to wait must be from 100 to 7,500 ms");
--- a/laboratory/src/main/java/opalcove/laboratory/LoadReport.java
+++ b/laboratory/src/main/java/opalcove/laboratory/LoadReport.java
@@ -4,14 +4,16 @@
 import com.eclipsesource.json.JsonObject;
 import org.HdrHistogram.Histogram;
 
-/** How a load went. Latencies are in nanoseconds; in an open loop they count from when an ask was due. */
+/**
+ * The result of a load. Latencies are in ns; in an open loop they are measured from the time when a request was due.
+ */
 public record LoadReport(long served, long refused, long failed, double seconds, Histogram latency) {
-    /** How many requests got an answer of any kind. */
+    /** Returns the number of requests that received a response of any kind. */
     public long answered() {
         return served + refused + failed;
     }
 
-    /** The report as one JSON object. */
+    /** Returns the report as a JSON object. */
     public JsonObject json() {
         JsonObject quantiles = Json.object();
         for (double each : new double[] {50, 90, 99, 99.9, 100}) {
@@ -28,7 +30,7 @@
                 .add("latency_us", quantiles);
     }
 
-    /** A table of a few lines. */
+    /** Returns the report as a table of a few lines. */
     public String table() {
         return String.format(
                 "answered %d (served %d, refused %d, failed %d) in %.2f s: %.0f a second%n"
--- a/laboratory/src/main/java/opalcove/laboratory/Relay.java
+++ b/laboratory/src/main/java/opalcove/laboratory/Relay.java
@@ -6,13 +6,14 @@
 import io.vertx.core.net.NetSocket;
 
 /**
- * Passes the bytes of each connection on to one of its own to an app node, and back, and does nothing else: on the same
- * library what no gateway can be cheaper than. Arguments: its own port and the node's.
+ * Copies the bytes of each client connection to a separate backend connection and back, and does nothing else. Its
+ * cost is the lower bound for a gateway on the same library. Arguments: the port to listen on and the port of the
+ * backend.
  */
 public final class Relay {
     private Relay() {}
 
-    /** Passes bytes on between clients and one backend until it is ended. */
+    /** Copies bytes between clients and one backend until the process ends. */
     public static void main(String[] args) {
         Vertx vertx = Vertx.vertx(
                 new VertxOptions().setEventLoopPoolSize(1).setWorkerPoolSize(1).setInternalBlockingPoolSize(1));
--- a/laboratory/src/main/java/opalcove/laboratory/RequestGenerator.java
+++ b/laboratory/src/main/java/opalcove/laboratory/RequestGenerator.java
@@ -1,6 +1,9 @@
 package opalcove.laboratory;
 
-/** The asks of a load, numbered from 0: which operator asks, what, and under which id. Equal numbers, equal asks. */
+/**
+ * Generates the requests of a load by their number, counted from 0: tenant, class, key and id. Equal numbers give
+ * equal requests.
+ */
 final class RequestGenerator {
     private final LoadPlan plan;
     private final long base = System.nanoTime() << 24;
@@ -17,7 +20,7 @@
         return hex(number % plan.tenants());
     }
 
-    /** An id that no other run of this machine has used of late. */
+    /** Returns an id that no other recent run on this machine has used. */
     String id(long number) {
         return hex(base + number);
     }
--- a/laboratory/src/main/java/opalcove/laboratory/Strace.java
+++ b/laboratory/src/main/java/opalcove/laboratory/Strace.java
@@ -9,7 +9,7 @@
 import java.util.TreeMap;
 import java.util.concurrent.TimeUnit;
 
-/** The calls of a process as strace counts them, where the machine has it and lets it attach. */
+/** Counts the system calls of a process with strace, if the machine has it and allows it to attach. */
 final class Strace implements AutoCloseable {
     private static final String CALLS =
             "read,write,readv,writev,recvfrom,sendto,sendmsg,recvmsg,epoll_wait,epoll_pwait";
@@ -18,7 +18,7 @@
     private final Path summary;
     private final Process strace;
 
-    /** Attaches to all threads of the process; fails where that cannot be. */
+    /** Attaches to all threads of the process; throws an IOException if strace cannot attach. */
     Strace(long pid) throws IOException {
         summary = Files.createTempFile("strace", ".txt");
         strace = new ProcessBuilder(
@@ -41,13 +41,13 @@
         }
     }
 
-    /** Whether there is a strace on this machine. */
+    /** Returns whether an executable strace is on the path of this machine. */
     static boolean isThere() {
         return List.of(System.getenv().getOrDefault("PATH", "").split(":")).stream()
                 .anyMatch(folder -> Files.isExecutable(Path.of(folder, "strace")));
     }
 
-    /** Detaches; gives how often each call was made. */
+    /** Detaches and returns the number of calls by the name of the system call. */
     Map<String, Long> stop() throws IOException, InterruptedException {
         new ProcessBuilder("kill", "-INT", Long.toString(strace.pid())).start().waitFor();
         if (!strace.waitFor(TIMEOUT_S, TimeUnit.SECONDS)) {
@@ -55,7 +55,7 @@
         }
         Map<String, Long> calls = new TreeMap<>();
         for (String line : Files.readAllLines(summary)) {
-            // % time, seconds, usecs/call, calls, perhaps errors, name
+            // The columns are: % time, seconds, usecs/call, calls, errors (may be empty), name.
             String[] fields = line.strip().split("\\s+");
             if (fields.length >= 5 && fields[0].matches("[0-9.]+") && !fields[fields.length - 1].equals("total")) {
                 calls.put(fields[fields.length - 1], Long.parseLong(fields[3]));
