--- a/laboratory/src/main/java/opalcove/laboratory/ComparisonBenchmark.java
+++ b/laboratory/src/main/java/opalcove/laboratory/ComparisonBenchmark.java
@@ -133,7 +133,7 @@
             try {
                 awaitPort(program, port, runs.name().equals("relay"));
                 runs.startMs().add((System.nanoTime() - startedAt) / 1e6);
-                try (Load load = new Load(plan.at(port), line -> {})) {
+                try (Load load = new Load(plan.withPort(port), line -> {})) {
                     load.run(warm);
                     double before = cpuUs(program);
                     LoadReport report = load.run(plan.requests());
--- a/laboratory/src/main/java/opalcove/laboratory/LoadReport.java
+++ b/laboratory/src/main/java/opalcove/laboratory/LoadReport.java
@@ -9,7 +9,7 @@
  */
 public record LoadReport(long served, long refused, long failed, double seconds, Histogram latency) {
     /** Returns the number of requests that received a response of any kind. */
-    public long answered() {
+    public long responses() {
         return served + refused + failed;
     }
 
@@ -26,7 +26,7 @@
                 .add("refused", refused)
                 .add("failed", failed)
                 .add("seconds", seconds)
-                .add("asks_per_s", Math.round(answered() / seconds))
+                .add("asks_per_s", Math.round(responses() / seconds))
                 .add("latency_us", quantiles);
     }
 
@@ -35,12 +35,12 @@
         return String.format(
                 "answered %d (served %d, refused %d, failed %d) in %.2f s: %.0f a second%n"
                         + "latency us  p50 %d  p90 %d  p99 %d  p99.9 %d  most %d%n",
-                answered(),
+                responses(),
                 served,
                 refused,
                 failed,
                 seconds,
-                answered() / seconds,
+                responses() / seconds,
                 latency.getValueAtPercentile(50) / 1000,
                 latency.getValueAtPercentile(90) / 1000,
                 latency.getValueAtPercentile(99) / 1000,
--- a/laboratory/src/main/java/opalcove/laboratory/Meter.java
+++ b/laboratory/src/main/java/opalcove/laboratory/Meter.java
@@ -99,7 +99,7 @@
                 .start();
         answers = gateway.inputReader(StandardCharsets.UTF_8);
         commands = new PrintStream(gateway.getOutputStream(), true, StandardCharsets.UTF_8);
-        load = new Load(loadLoop.group(), plan.at(Integer.parseInt(line())), progress);
+        load = new Load(loadLoop.group(), plan.withPort(Integer.parseInt(line())), progress);
         load.run(warmUpRequests);
     }
 
@@ -159,7 +159,7 @@
 
     /** Counts over so many asks once more, with strace attached. Fails where strace is not there or may not attach. */
     public List<Check> verify(int requests) throws Exception {
-        if (!Strace.isThere()) {
+        if (!Strace.isInstalled()) {
             throw new IOException("there is no strace on this machine");
         }
         try (Strace strace = new Strace(gateway.pid())) {
--- a/laboratory/src/main/java/opalcove/laboratory/Relay.java
+++ b/laboratory/src/main/java/opalcove/laboratory/Relay.java
@@ -18,25 +18,25 @@
         Vertx vertx = Vertx.vertx(
                 new VertxOptions().setEventLoopPoolSize(1).setWorkerPoolSize(1).setInternalBlockingPoolSize(1));
         int port = Integer.parseInt(args[0]);
-        int node = Integer.parseInt(args[1]);
+        int backendPort = Integer.parseInt(args[1]);
         vertx.runOnContext(start -> {
             NetClient client = vertx.createNetClient();
             vertx.createNetServer()
-                    .connectHandler(terminal -> {
-                        terminal.pause();
-                        client.connect(node, "127.0.0.1")
-                                .onFailure(e -> terminal.close())
-                                .onSuccess(line -> {
-                                    join(terminal, line);
-                                    join(line, terminal);
-                                    terminal.resume();
+                    .connectHandler(clientSocket -> {
+                        clientSocket.pause();
+                        client.connect(backendPort, "127.0.0.1")
+                                .onFailure(e -> clientSocket.close())
+                                .onSuccess(backendSocket -> {
+                                    copy(clientSocket, backendSocket);
+                                    copy(backendSocket, clientSocket);
+                                    clientSocket.resume();
                                 });
                     })
                     .listen(port, "127.0.0.1");
         });
     }
 
-    private static void join(NetSocket from, NetSocket to) {
+    private static void copy(NetSocket from, NetSocket to) {
         from.handler(to::write);
         from.closeHandler(closed -> to.close());
         from.exceptionHandler(e -> to.close());
--- a/laboratory/src/main/java/opalcove/laboratory/Strace.java
+++ b/laboratory/src/main/java/opalcove/laboratory/Strace.java
@@ -33,8 +33,8 @@
                         Long.toString(pid))
                 .redirectErrorStream(true)
                 .start();
-        BufferedReader notified = strace.inputReader();
-        String line = notified.readLine();
+        BufferedReader output = strace.inputReader();
+        String line = output.readLine();
         if (line == null || !line.contains("attached")) {
             close();
             throw new IOException("strace does not attach: " + line);
@@ -42,7 +42,7 @@
     }
 
     /** Returns whether an executable strace is on the path of this machine. */
-    static boolean isThere() {
+    static boolean isInstalled() {
         return List.of(System.getenv().getOrDefault("PATH", "").split(":")).stream()
                 .anyMatch(folder -> Files.isExecutable(Path.of(folder, "strace")));
     }
