--- a/laboratory/src/main/java/opalcove/laboratory/coldstart/ModelBackend.java
+++ b/laboratory/src/main/java/opalcove/laboratory/coldstart/ModelBackend.java
@@ -8,22 +8,28 @@
 import opalcove.decision.Endpoint;
 import opalcove.decision.EndpointState;
 
-/** A backend with cores, a queue that is served in order, and a capacity that follows the ramp after each start. */
+/**
+ * A simulated backend with cores, a first-in first-out queue, and a capacity that follows the slow-start ramp after
+ * each start.
+ */
 final class ModelBackend {
-    /** What a backend is like. */
+    /** The size of a backend: its cores, the speed of each (1 is the reference), and the queue slots per core. */
     record Shape(int cores, double speed, int queuePerCore) {
-        /** Its capacity in cores of speed 1. */
+        /** Returns the full capacity in cores of speed 1. */
         double capacity() {
             return cores * speed;
         }
     }
 
-    /** An attempt of a gateway; work is the time, ms, that a core of speed 1 takes. */
-    record Attempt(double workMs, boolean informed, Ended ended) {}
+    /**
+     * An attempt sent by a gateway. {@code workMs} is the time in ms that a fully warm core of speed 1 takes, and
+     * {@code informed} is whether the gateway knew of the latest start of the backend when it sent the attempt.
+     */
+    record Attempt(double workMs, boolean informed, AttemptListener listener) {}
 
-    /** Hears how an attempt ended. */
-    interface Ended {
-        void ended(AttemptStatus result);
+    /** Is notified of the status with which an attempt ended. */
+    interface AttemptListener {
+        void attemptEnded(AttemptStatus result);
     }
 
     private final VirtualClock clock;
@@ -38,7 +44,7 @@
     private double startedMs;
     private boolean up;
     private boolean draining;
-    private int starts;
+    private int processChanges;
 
     ModelBackend(VirtualClock clock, SlowStartRule rule, String name, String zone, Shape shape, double meanWorkMs) {
         this.clock = clock;
@@ -49,83 +55,86 @@
         this.meanWorkMs = meanWorkMs;
     }
 
-    /** Puts a backend into service that has been warm for long. */
+    /** Puts the backend into service at full capacity, past its slow start. */
     void startWarm() {
         up = true;
         startedMs = Double.NEGATIVE_INFINITY;
     }
 
-    /** Starts the process anew, cold. */
+    /** Starts a new process, which begins its slow start. */
     void startInSlowStart() {
         up = true;
-        starts++;
+        processChanges++;
         startedMs = clock.nowMs();
         slowStartPeriods.add(new SlowStartPeriod(rule, startedMs, shape.capacity() / meanWorkMs));
     }
 
-    /** Takes the backend out of service: the list says so, and what still comes is served. */
+    /** Drains the backend: its list entry has the state DRAINING, and attempts that still arrive are served. */
     void drain() {
         draining = true;
     }
 
-    /** Ends the process; what it held is broken off. */
+    /** Ends the process; its running and queued attempts end as BROKEN. */
     void crash() {
         up = false;
-        starts++;
-        List<Attempt> held = new ArrayList<>(running);
-        held.addAll(waiting);
+        processChanges++;
+        List<Attempt> unfinished = new ArrayList<>(running);
+        unfinished.addAll(waiting);
         running.clear();
         waiting.clear();
-        held.forEach(attempt -> attempt.ended().ended(AttemptStatus.BROKEN));
+        unfinished.forEach(attempt -> attempt.listener().attemptEnded(AttemptStatus.BROKEN));
     }
 
     void offer(Attempt attempt) {
         if (!up) {
-            attempt.ended().ended(AttemptStatus.UNREACHABLE);
+            attempt.listener().attemptEnded(AttemptStatus.UNREACHABLE);
             return;
         }
         if (!slowStartPeriods.isEmpty()) {
             SlowStartPeriod latest = slowStartPeriods.get(slowStartPeriods.size() - 1);
-            latest.arrived(clock.nowMs(), attempt.workMs() / meanWorkMs, attempt.informed());
+            latest.requestArrived(clock.nowMs(), attempt.workMs() / meanWorkMs, attempt.informed());
         }
         if (waiting.size() >= shape.queuePerCore() * shape.cores()) {
-            attempt.ended().ended(AttemptStatus.REJECTED);
+            attempt.listener().attemptEnded(AttemptStatus.REJECTED);
             return;
         }
         waiting.add(attempt);
-        work();
+        startWaitingAttempts();
     }
 
-    /** Takes an attempt that still waits out of the queue; one that runs goes on. */
+    /** Removes a queued attempt; an attempt that is already running continues. */
     void cancel(Attempt attempt) {
         waiting.remove(attempt);
     }
 
-    private void work() {
+    private void startWaitingAttempts() {
         while (running.size() < shape.cores() && !waiting.isEmpty()) {
             Attempt attempt = waiting.poll();
             running.add(attempt);
-            int start = starts;
-            double tookMs = rule.serviceMs(clock.nowMs() - startedMs, attempt.workMs() / shape.speed());
-            clock.after(tookMs, () -> {
-                if (start == starts) {
+            int processChangesAtStart = processChanges;
+            double serviceMs = rule.serviceMs(clock.nowMs() - startedMs, attempt.workMs() / shape.speed());
+            clock.after(serviceMs, () -> {
+                if (processChangesAtStart == processChanges) {
                     running.remove(attempt);
-                    attempt.ended().ended(AttemptStatus.SERVED);
-                    work();
+                    attempt.listener().attemptEnded(AttemptStatus.SERVED);
+                    startWaitingAttempts();
                 }
             });
         }
     }
 
-    /** The backend's line in the list; its start time is 0 where it has been warm for long. */
-    Endpoint line(double sizeOfOne) {
+    /**
+     * Returns the entry of the backend in the endpoint list; the start time is 0 if the backend began past its slow
+     * start.
+     */
+    Endpoint endpoint(double unitCapacity) {
         return new Endpoint(
                 name,
                 zone,
                 "kind-" + shape.cores(),
                 0,
                 state(),
-                shape.capacity() / sizeOfOne,
+                shape.capacity() / unitCapacity,
                 startedMs > 0 ? startedMs : 0);
     }
 
--- a/laboratory/src/test/java/opalcove/laboratory/coldstart/ColdStartTrialTest.java
+++ b/laboratory/src/test/java/opalcove/laboratory/coldstart/ColdStartTrialTest.java
@@ -13,7 +13,10 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** A few seeds of the model, in virtual time: counts and ratios, the same in each run. */
+/**
+ * Checks counts and ratios of the slow-start model for a few seeds. It runs in virtual time, so each run gives the
+ * same values.
+ */
 public class ColdStartTrialTest {
     private static final int SEEDS = 10;
     private static final SlowStartRule LONG_WINDOW = new SlowStartRule(2.5, 3000, 0.17, 18_000);
@@ -27,28 +30,31 @@
     }
 
     @Test(dataProvider = "fleets")
-    public void noColdBackendFallsAndTheBudgetIsUsed(SlowStartRule rule, int gateways, double leastUsed) {
+    public void usesBudgetWithoutOverloadingStartingBackends(SlowStartRule rule, int gateways, double minUsedShare) {
         SlowStartTrial trial = SlowStartTrial.play(new SlowStartPlan(gateways, rule, 1, SEEDS));
         assertTrue(trial.slowStarts() > 3 * SEEDS, trial.line());
         assertEquals(trial.falls(), 0, trial.line());
-        assertTrue(trial.usedShare() > leastUsed, trial.line());
+        assertTrue(trial.usedShare() > minUsedShare, trial.line());
     }
 
-    /** Small backends start among large ones: each is given work by its own size, not by what a usual one takes. */
+    /**
+     * With small backends starting among large ones, each must receive load by its own size, not by the size of a
+     * typical backend.
+     */
     @Test
-    public void aSmallBackendAmongLargeOnesKeepsFarFromItsLimit() {
+    public void keepsSmallBackendFarBelowLimitAmongLargeOnes() {
         SlowStartTrial trial = SlowStartTrial.play(new SlowStartPlan(30, LONG_WINDOW, 166, 1));
         assertTrue(trial.worstRatio() < 0.5, trial.line());
     }
 
     @Test
-    public void theSameSeedGivesTheSameRun() {
+    public void givesSameRunForSameSeed() {
         SlowStartPlan plan = new SlowStartPlan(8, SHORT_WINDOW, 5, 1);
         assertEquals(SlowStartTrial.play(plan), SlowStartTrial.play(plan));
     }
 
     @Test
-    public void theRampOfAWorkingCoreIsItsCapacityOverTime() {
+    public void integratesCapacityOverRampForServiceTime() {
         assertEquals(LONG_WINDOW.capacityShare(0), 0.17, 1e-9);
         assertEquals(LONG_WINDOW.capacityShare(18_000), 1, 1e-9);
         assertEquals(LONG_WINDOW.serviceMs(0, 18_000 * 1.17 / 2), 18_000, 1e-6);
@@ -56,9 +62,12 @@
         assertEquals(LONG_WINDOW.budget(0, 0.015), 2.5 * 0.17 * 0.015 * 3000, 1e-9);
     }
 
-    /** Work of gateways that did not know of the start pushes a backend over without a break of the rule. */
+    /**
+     * A backend that fails under the load of gateways that did not know of its start does not count as a violation of
+     * the rule.
+     */
     @Test
-    public void onlyWhatInformedGatewaysSendCounts() {
+    public void countsOnlyRequestsOfInformedGateways() {
         assertTrue(ratioOfBurst(true) > 1);
         assertEquals(ratioOfBurst(false), 0.0);
     }
@@ -66,14 +75,17 @@
     private static double ratioOfBurst(boolean informed) {
         SlowStartPeriod period = new SlowStartPeriod(LONG_WINDOW, 1000, 0.015);
         for (int i = 0; i < 40; i++) {
-            period.arrived(1000 + i, 1, informed);
+            period.requestArrived(1000 + i, 1, informed);
         }
         return period.worstRatio();
     }
 
-    /** All backends return cold at once: what they took before tells what they may have now. */
+    /**
+     * All backends restart at the same time; the load they served before the crash determines how much they receive
+     * now.
+     */
     @Test
-    public void aFleetThatIsColdAsAWholeIsUsed() {
+    public void usesFleetWhenAllBackendsAreInSlowStart() {
         VirtualClock clock = new VirtualClock();
         List<ModelBackend> backends = new ArrayList<>();
         Map<String, ModelBackend> byName = new HashMap<>();
@@ -85,18 +97,18 @@
         }
         SlowStartPlan plan = new SlowStartPlan(1, LONG_WINDOW, 1, 1);
         ModelGateway gateway = new ModelGateway(
-                clock, SlowStartModel.settings(plan, 0), byName, new SplittableRandom(1), tookMs -> {});
-        gateway.start(lines(backends));
+                clock, SlowStartModel.settings(plan, 0), byName, new SplittableRandom(1), latencyMs -> {});
+        gateway.start(endpoints(backends));
         for (int i = 0; i < 600; i++) {
             String id = "r" + i;
             clock.after(40 * i, () -> gateway.request(request(id), 200));
         }
         clock.runUntil(10_000);
         backends.forEach(ModelBackend::crash);
-        gateway.listed(lines(backends));
+        gateway.endpointsChanged(endpoints(backends));
         clock.runUntil(12_000);
         backends.forEach(ModelBackend::startInSlowStart);
-        gateway.listed(lines(backends));
+        gateway.endpointsChanged(endpoints(backends));
         clock.runUntil(24_000);
         for (ModelBackend backend : backends) {
             SlowStartPeriod period = backend.slowStartPeriods().get(0);
@@ -105,9 +117,9 @@
         }
     }
 
-    private static List<Endpoint> lines(List<ModelBackend> backends) {
+    private static List<Endpoint> endpoints(List<ModelBackend> backends) {
         return backends.stream()
-                .map(each -> each.line(SlowStartModel.LARGE.capacity()))
+                .map(each -> each.endpoint(SlowStartModel.LARGE.capacity()))
                 .toList();
     }
 
