--- a/gateway/src/test/java/opalcove/core/ClockSkewTest.java
+++ b/gateway/src/test/java/opalcove/core/ClockSkewTest.java
@@ -77,7 +77,7 @@
     }
 
     @Test
-    public void keepsSlowStartProgressWhenSameListIsReceivedAgain() throws Exception {
+    public void preservesSlowStartProgressWhenSameListIsReceivedAgain() throws Exception {
         double nowMs = System.currentTimeMillis();
         update(backend("a", nowMs - LONG_AGO_MS), backend("b", nowMs + HOUR_MS));
         double shareBefore = share("b");
--- a/gateway/src/test/java/opalcove/core/ConfigGenerationTest.java
+++ b/gateway/src/test/java/opalcove/core/ConfigGenerationTest.java
@@ -79,7 +79,7 @@
     }
 
     @Test
-    public void appliesLowerAttemptLimitToRequestInFlightAndKeepsItsClass() throws Exception {
+    public void appliesLowerAttemptLimitToRequestInFlightAndPreservesItsClass() throws Exception {
         List<Response> responses = new ArrayList<>();
         onLoop(() -> gateway.dispatch(request("a1", "slot-status"), responses::add));
         assertEquals(attemptedIds, List.of("a1"));
--- a/gateway/src/test/java/opalcove/core/HealthCheckTest.java
+++ b/gateway/src/test/java/opalcove/core/HealthCheckTest.java
@@ -90,7 +90,7 @@
     }
 
     @Test
-    public void keepsHealthCheckConnectionIdleAndSendsNothingOnIt() throws Exception {
+    public void poolsHealthCheckConnectionAsIdleAndSendsNothingOnIt() throws Exception {
         ConnectionPool pool =
                 onLoop(() -> new ConnectionPool(vertx, settings(), new RespConnector(vertx, settings()), 8));
         try (ServerSocket server = new ServerSocket(0, 8, InetAddress.getLoopbackAddress())) {
--- a/gateway/src/test/java/opalcove/core/TimerQueueTest.java
+++ b/gateway/src/test/java/opalcove/core/TimerQueueTest.java
@@ -23,7 +23,7 @@
 
     /** Cancelled timers are removed at once, and the others keep their order, whichever are cancelled. */
     @Test
-    public void removesCancelledTimersAndKeepsOrderOfOthers() throws Exception {
+    public void removesCancelledTimersAndPreservesOrderOfOthers() throws Exception {
         Vertx vertx = Vertx.vertx();
         List<Integer> expired = new ArrayList<>();
         CompletableFuture<Integer> remaining = new CompletableFuture<>();
--- a/gateway/src/test/java/opalcove/resp/AdminDrainTest.java
+++ b/gateway/src/test/java/opalcove/resp/AdminDrainTest.java
@@ -104,7 +104,7 @@
     }
 
     @Test
-    public void keepsConnectionOpenDuringDrainUntilHalfReceivedCommandIsComplete() throws Exception {
+    public void doesNotCloseConnectionDuringDrainUntilHalfReceivedCommandIsComplete() throws Exception {
         try (Socket client = connect()) {
             assertEquals(exchange(client, PING, 7), "+PONG\r\n");
             client.getOutputStream().write(PING.substring(0, 10).getBytes(StandardCharsets.US_ASCII));
--- a/gateway/src/test/java/opalcove/resp/BackendConnectionRacesTest.java
+++ b/gateway/src/test/java/opalcove/resp/BackendConnectionRacesTest.java
@@ -51,7 +51,8 @@
      * an idle connection. Both are unread when the loop continues, the request before the drain.
      */
     @Test(dataProvider = "drainGracesAndPauses")
-    public void doesNotSendRequestToBackendWhoseDrainIsUnreadBehindRequest(int graceMs, int pauseMs) throws Exception {
+    public void doesNotSendRequestToBackendWhenItsDrainIsUnreadBehindRequest(int graceMs, int pauseMs)
+            throws Exception {
         try (RespTestBed testBed =
                         new RespTestBed(FALL_SETTING, FALL_SETTING + ",\"stop_sending_within_ms\":" + graceMs);
                 ServerSocket discovery = new ServerSocket(0, 8, InetAddress.getByName("127.0.0.1"))) {
@@ -103,7 +104,7 @@
      * and one that arrives while the next poll is pending, wait for the reply to that poll.
      */
     @Test(dataProvider = "drainGracesAndPauses")
-    public void doesNotSendRequestToBackendWhoseDrainArrivesWithNextPoll(int graceMs, int pauseMs) throws Exception {
+    public void doesNotSendRequestToBackendWhenItsDrainArrivesWithNextPoll(int graceMs, int pauseMs) throws Exception {
         try (RespTestBed testBed =
                         new RespTestBed(FALL_SETTING, FALL_SETTING + ",\"stop_sending_within_ms\":" + graceMs);
                 ServerSocket discovery = new ServerSocket(0, 8, InetAddress.getByName("127.0.0.1"))) {
@@ -289,7 +290,7 @@
     }
 
     @Test
-    public void doesNotSendRetryWhoseWindowEndedDuringConnect() throws Exception {
+    public void doesNotSendRetryWhenItsWindowEndedDuringConnect() throws Exception {
         try (RespTestBed testBed =
                 new RespTestBed("\"window_ms\":4000", "\"window_ms\":700", "\"group\":\"cell\"", "\"group\":\"all\"")) {
             RespTestBed.FakeBackend backend = testBed.startBackend("n1");
--- a/gateway/src/test/java/opalcove/resp/RespRepliesTest.java
+++ b/gateway/src/test/java/opalcove/resp/RespRepliesTest.java
@@ -171,7 +171,7 @@
 
     /** Each invalid request gets its own error, and the connection stays usable. */
     @Test
-    public void rejectsInvalidRequestAndKeepsConnectionOpen() throws Exception {
+    public void rejectsInvalidRequestWithoutClosingConnection() throws Exception {
         try (RespTestBed testBed = new RespTestBed()) {
             for (String[] each : invalidRequests()) {
                 Socket client = testBed.connectClient();
--- a/gateway/src/test/java/opalcove/resp/RespTestBed.java
+++ b/gateway/src/test/java/opalcove/resp/RespTestBed.java
@@ -316,14 +316,15 @@
         String readCommand() throws Exception {
             String header = readLine(in);
             assertTrue(header.startsWith("*"), header);
-            StringBuilder words = new StringBuilder();
+            StringBuilder arguments = new StringBuilder();
             for (int i = Integer.parseInt(header.substring(1)); i > 0; i--) {
                 int length = Integer.parseInt(readLine(in).substring(1));
-                words.append(new String(in.readNBytes(length), StandardCharsets.ISO_8859_1))
+                arguments
+                        .append(new String(in.readNBytes(length), StandardCharsets.ISO_8859_1))
                         .append(' ');
                 in.readNBytes(2);
             }
-            return words.toString().strip();
+            return arguments.toString().strip();
         }
 
         void sendValue(String value) throws Exception {
@@ -408,13 +409,13 @@
                 "body");
     }
 
-    public static String encodeCommand(String... words) {
-        StringBuilder command = new StringBuilder("*" + words.length + "\r\n");
-        for (String word : words) {
+    public static String encodeCommand(String... arguments) {
+        StringBuilder command = new StringBuilder("*" + arguments.length + "\r\n");
+        for (String argument : arguments) {
             command.append('$')
-                    .append(word.length())
+                    .append(argument.length())
                     .append("\r\n")
-                    .append(word)
+                    .append(argument)
                     .append("\r\n");
         }
         return command.toString();
--- a/gateway/src/test/java/opalcove/resp/ShutdownRacesTest.java
+++ b/gateway/src/test/java/opalcove/resp/ShutdownRacesTest.java
@@ -139,7 +139,7 @@
     }
 
     @Test
-    public void keepsConnectionOpenWhenDrainStartsAndEndsInOneTurn() throws Exception {
+    public void doesNotCloseConnectionWhenDrainStartsAndEndsInOneTurn() throws Exception {
         try (RespTestBed testBed = new RespTestBed()) {
             Socket client = testBed.connectClient();
             RespTestBed.send(client, RespTestBed.PING);
--- a/gateway/src/test/java/opalcove/transport/SocketReadTimesTest.java
+++ b/gateway/src/test/java/opalcove/transport/SocketReadTimesTest.java
@@ -21,7 +21,7 @@
         times.socketsRead(handled);
     }
 
-    private void assertUnreadForAtLeast(long ms) {
+    private void assertMinimumUnreadMs(long ms) {
         long unreadNanos = System.nanoTime() - times.unreadSince();
         assertTrue(
                 unreadNanos >= TimeUnit.MILLISECONDS.toNanos(ms),
@@ -41,7 +41,7 @@
     public void countsDataAsOldAsSleepWhenSleepWasTooLong() throws Exception {
         runTurn(0, 0, 1);
         runTurn(1, LATE_MS, 1);
-        assertUnreadForAtLeast(LATE_MS);
+        assertMinimumUnreadMs(LATE_MS);
     }
 
     @Test
@@ -49,7 +49,7 @@
         runTurn(0, 0, 1);
         runTurn(1, LATE_MS, 0);
         runTurn(0, 0, 1);
-        assertUnreadForAtLeast(LATE_MS);
+        assertMinimumUnreadMs(LATE_MS);
         long before = System.nanoTime();
         runTurn(0, 0, 1);
         runTurn(0, 0, 1);
--- a/membership/src/test/java/opalcove/membership/GossipQueueTest.java
+++ b/membership/src/test/java/opalcove/membership/GossipQueueTest.java
@@ -30,7 +30,7 @@
     }
 
     @Test
-    public void sendsLeastTransmittedEntriesFirstAndNoneAboutReceiver() {
+    public void sendsEntriesWithFewestTransmissionsFirstAndNoneAboutReceiver() {
         queue.enqueue(entry("b"));
         queue.enqueue(entry("a"));
         assertEquals(drainNames("b", 100), List.of("a"));
--- a/membership/src/test/java/opalcove/membership/LocalHealthTest.java
+++ b/membership/src/test/java/opalcove/membership/LocalHealthTest.java
@@ -8,7 +8,7 @@
 /** Tests the bounds of the local health score and its effect on times. */
 public class LocalHealthTest {
     @Test
-    public void keepsScoreWithinBoundsAndScalesTimes() {
+    public void limitsScoreToBoundsAndScalesTimes() {
         LocalHealth health = new LocalHealth(2);
         health.adjust(-1);
         assertTrue(health.isHealthy());
--- a/mqtt/src/test/java/opalcove/ExchangeTest.java
+++ b/mqtt/src/test/java/opalcove/ExchangeTest.java
@@ -164,28 +164,30 @@
         }
 
         void play(String line) throws Exception {
-            String[] words = line.split(" ", 3);
-            switch (words[0]) {
+            String[] tokens = line.split(" ", 3);
+            switch (tokens[0]) {
                 case "list" -> list(line.split(" "));
-                case "node" -> backend(words[1]).close();
+                case "node" -> backend(tokens[1]).close();
                 case "discovery" ->
                     onLoop(() -> new DiscoveryClient(
                                     vertx,
                                     discovery,
-                                    words.length == 1 ? TestSettings.settings() : TestSettings.settingsWithPolledList(),
+                                    tokens.length == 1
+                                            ? TestSettings.settings()
+                                            : TestSettings.settingsWithPolledList(),
                                     new SplittableRandom(1),
                                     dispatcher::endpointsChanged)
                             .start());
                 case "phase" ->
                     onLoop(() -> {
-                        lifecycle.enter(Lifecycle.Phase.valueOf(words[1]));
+                        lifecycle.enter(Lifecycle.Phase.valueOf(tokens[1]));
                         respServer.drain(() -> mqttServer.drain(() -> stopped.complete(null)));
                     });
-                case "stall" -> stall(Integer.parseInt(words[1]));
+                case "stall" -> stall(Integer.parseInt(tokens[1]));
                 case "stopped" -> stopped.get(TIMEOUT_MS, TimeUnit.MILLISECONDS);
                 case "counters" ->
                     counters(List.of(line.substring("counters ".length()).split(" ")));
-                default -> party(words);
+                default -> party(tokens);
             }
         }
 
@@ -213,20 +215,26 @@
             return backends.get(name);
         }
 
-        /** The state by its word in the recorded exchanges. */
-        private static EndpointState state(String word) {
-            return word.equals("gone") ? EndpointState.REMOVED : EndpointState.valueOf(word.toUpperCase(Locale.ROOT));
+        /** The state by its name in the recorded exchanges. */
+        private static EndpointState state(String name) {
+            return name.equals("gone") ? EndpointState.REMOVED : EndpointState.valueOf(name.toUpperCase(Locale.ROOT));
         }
 
         /** The first list is the complete one, whose backends are warm; later ones are changes. */
-        private void list(String[] words) throws Exception {
+        private void list(String[] tokens) throws Exception {
             List<Backend> lines = new ArrayList<>();
-            for (int i = 1; i < words.length; i += 3) {
+            for (int i = 1; i < tokens.length; i += 3) {
                 lines.add(new Backend(
                         new Endpoint(
-                                words[i], "room-a", "std-3", Integer.parseInt(words[i + 2]), state(words[i + 1]), 1, 0),
-                        (words[i].startsWith("m") ? "mqtt://" : "") + "127.0.0.1:"
-                                + backend(words[i]).getLocalPort()));
+                                tokens[i],
+                                "room-a",
+                                "std-3",
+                                Integer.parseInt(tokens[i + 2]),
+                                state(tokens[i + 1]),
+                                1,
+                                0),
+                        (tokens[i].startsWith("m") ? "mqtt://" : "") + "127.0.0.1:"
+                                + backend(tokens[i]).getLocalPort()));
             }
             boolean complete = !hasList;
             hasList = true;
@@ -244,14 +252,14 @@
             assertTrue(lines.containsAll(expected), "they are " + lines);
         }
 
-        private void party(String[] words) throws Exception {
-            Socket socket = socket(words[0]);
-            MqttText packet = packets.get(words[0]);
-            String text = words.length < 3 ? "" : unescape(addresses(words[2])) + (packet == null ? "" : "\n");
-            byte[] bytes = packet != null && words[1].startsWith(">")
+        private void party(String[] tokens) throws Exception {
+            Socket socket = socket(tokens[0]);
+            MqttText packet = packets.get(tokens[0]);
+            String text = tokens.length < 3 ? "" : unescape(addresses(tokens[2])) + (packet == null ? "" : "\n");
+            byte[] bytes = packet != null && tokens[1].startsWith(">")
                     ? packet.bytes(text)
                     : text.getBytes(StandardCharsets.ISO_8859_1);
-            switch (words[1]) {
+            switch (tokens[1]) {
                 case ">" -> socket.getOutputStream().write(bytes);
                 case ">>" -> {
                     for (byte each : bytes) {
@@ -259,11 +267,11 @@
                         socket.getOutputStream().flush();
                     }
                 }
-                case "<" -> receive(words[0], socket, text);
+                case "<" -> receive(tokens[0], socket, text);
                 case "close" -> socket.close();
                 case "closed" -> {
-                    assertEquals(unread.getOrDefault(words[0], ""), "");
-                    assertEquals(read(words[0], socket), "");
+                    assertEquals(unread.getOrDefault(tokens[0], ""), "");
+                    assertEquals(read(tokens[0], socket), "");
                 }
                 default -> fail("no such line");
             }
--- a/mqtt/src/test/java/opalcove/MqttText.java
+++ b/mqtt/src/test/java/opalcove/MqttText.java
@@ -39,16 +39,16 @@
     private final EmbeddedChannel channel = new EmbeddedChannel(MqttEncoder.INSTANCE, new MqttDecoder(100_000));
 
     byte[] bytes(String line) {
-        String[] words = line.strip().split(" ");
-        if (words[0].equals("HEX")) {
-            return HexFormat.of().parseHex(words[1]);
+        String[] tokens = line.strip().split(" ");
+        if (tokens[0].equals("HEX")) {
+            return HexFormat.of().parseHex(tokens[1]);
         }
         Map<String, String> fields = new LinkedHashMap<>();
-        for (int i = 1; i < words.length; i++) {
-            int equals = words[i].indexOf('=');
-            fields.put(words[i].substring(0, equals), words[i].substring(equals + 1));
+        for (int i = 1; i < tokens.length; i++) {
+            int equals = tokens[i].indexOf('=');
+            fields.put(tokens[i].substring(0, equals), tokens[i].substring(equals + 1));
         }
-        channel.writeOutbound(message(words[0], fields));
+        channel.writeOutbound(message(tokens[0], fields));
         ByteBuf all = Unpooled.buffer();
         for (ByteBuf each = channel.readOutbound(); each != null; each = channel.readOutbound()) {
             all.writeBytes(each);
--- a/replication/src/test/java/opalcove/replication/FolderFaultsTest.java
+++ b/replication/src/test/java/opalcove/replication/FolderFaultsTest.java
@@ -25,7 +25,7 @@
     private enum Step {
         WRITE,
         SYNC_FILE,
-        LINK,
+        CREATE_ALIAS,
         RENAME,
         SYNC_FOLDER
     }
@@ -44,7 +44,7 @@
 
     @DataProvider
     public Object[][] steps() {
-        return new Object[][] {{Step.WRITE}, {Step.SYNC_FILE}, {Step.LINK}, {Step.RENAME}, {Step.SYNC_FOLDER}};
+        return new Object[][] {{Step.WRITE}, {Step.SYNC_FILE}, {Step.CREATE_ALIAS}, {Step.RENAME}, {Step.SYNC_FOLDER}};
     }
 
     /** File operations of which one step fails: either the process ends in it, or the step throws an IOException. */
@@ -85,7 +85,7 @@
 
         @Override
         public void createAlias(Path alias, Path existing) throws IOException {
-            failIfAt(Step.LINK);
+            failIfAt(Step.CREATE_ALIAS);
             FileOperations.REAL.createAlias(alias, existing);
         }
 
