--- a/mqtt/src/test/java/opalcove/ExchangeTest.java
+++ b/mqtt/src/test/java/opalcove/ExchangeTest.java
@@ -219,8 +219,8 @@
         }
 
         /** Returns the state for its name in the recorded exchanges. */
-        private static EndpointState state(String word) {
-            return word.equals("gone") ? EndpointState.REMOVED : EndpointState.valueOf(word.toUpperCase(Locale.ROOT));
+        private static EndpointState state(String name) {
+            return name.equals("gone") ? EndpointState.REMOVED : EndpointState.valueOf(name.toUpperCase(Locale.ROOT));
         }
 
         /** Applies a list of endpoints: the first list is complete and its backends are warm, later ones are changes. */
